--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -6,17 +6,18 @@
 mod places;
 mod releases;
 mod timeline;
-mod xml;
+pub mod xml;
 
 use std::path::Path;
 
 pub use places::{Known, Places};
 pub use releases::{Desk, Releases};
+use roxmltree::Node;
 pub use timeline::{Store, Timeline};
-pub use xml::Fault;
+pub use xml::{Fault, LARGEST};
+
+use crate::xml::File;
 
-/// The largest file that is read, in octets.
-pub const LARGEST: u64 = 1 << 20;
 /// The version of the form, as its root says.
 pub const VERSION: &str = "1";
 
@@ -35,41 +36,23 @@
 /// # Errors
 /// All faults, in the order of their places.
 pub fn read(text: &str, known: &Known) -> Result<Operator, Vec<Fault>> {
-    if text.len() as u64 > LARGEST {
-        return Err(vec![Fault::whole(format!(
-            "the file has {} octets; {LARGEST} are the most",
-            text.len()
-        ))]);
-    }
-    let options = roxmltree::ParsingOptions { allow_dtd: false, nodes_limit: 200_000, ..Default::default() };
-    let document = roxmltree::Document::parse_with_options(text, options).map_err(|fault| {
-        let (at, fault) = (fault.pos(), fault.to_string());
-        vec![Fault {
-            line: at.row,
-            column: at.col,
-            element: "".into(),
-            what: format!("not well-formed: {fault}"),
-        }]
-    })?;
-    let file = xml::File::new(&document);
-    let root = document.root_element();
-    let operator = if root.tag_name().name() == "operator" {
-        let version =
-            file.need(root, "version", |text| if text == VERSION { Ok(()) } else { Err("version 1") });
-        file.attributes(root, &["version"]);
-        let children = file.children(root, &["places", "releases", "timeline"]);
-        file.at_most_one(&children);
-        let of = |name: &str| children.iter().find(|child| child.tag_name().name() == name).copied();
-        let places = places::read(&file, root, of("places"), known);
-        let releases = of("releases").map(|node| releases::read(&file, node, &places));
-        let timeline = of("timeline").and_then(|node| timeline::read(&file, node));
-        version.map(|()| Operator { places, releases: releases.flatten(), timeline })
-    } else {
+    xml::parse(text, |file, root| read_root(file, root, known))
+}
+
+fn read_root<'a>(file: &File<'a>, root: Node<'a, 'a>, known: &Known) -> Option<Operator> {
+    if root.tag_name().name() != "operator" {
         file.fault(root, "the root is not <operator>");
-        None
-    };
-    let faults = file.faults();
-    operator.filter(|_| faults.is_empty()).ok_or(faults)
+        return None;
+    }
+    let version = file.need(root, "version", |text| if text == VERSION { Ok(()) } else { Err("version 1") });
+    file.attributes(root, &["version"]);
+    let children = file.children(root, &["places", "releases", "timeline"]);
+    file.at_most_one(&children);
+    let of = |name: &str| children.iter().find(|child| child.tag_name().name() == name).copied();
+    let places = places::read(file, root, of("places"), known);
+    let releases = of("releases").map(|node| releases::read(file, node, &places));
+    let timeline = of("timeline").and_then(|node| timeline::read(file, node));
+    version.map(|()| Operator { places, releases: releases.flatten(), timeline })
 }
 
 /// Reads a file.
@@ -77,12 +60,5 @@
 /// # Errors
 /// All faults; one without a place if the file itself cannot be read.
 pub fn load(path: &Path, known: &Known) -> Result<Operator, Vec<Fault>> {
-    use std::io::Read;
-    let whole = |what: String| vec![Fault::whole(what)];
-    let file = std::fs::File::open(path).map_err(|fault| whole(format!("{}: {fault}", path.display())))?;
-    let mut text = String::new();
-    file.take(LARGEST + 1)
-        .read_to_string(&mut text)
-        .map_err(|fault| whole(format!("{}: {fault}", path.display())))?;
-    read(&text, known)
+    read(&xml::text_of(path)?, known)
 }
--- a/crates/operator/src/xml.rs
+++ b/crates/operator/src/xml.rs
@@ -1,9 +1,16 @@
-//! Owns how faults are found and kept while a file is read: each with its line, column and element. It knows no
-//! element of its own; nothing is read twice, and reading goes on behind a fault.
+//! Reads configuration files in XML and collects their faults, each with its line, column and element. It knows no
+//! element of its own; reading goes on behind a fault, so that all are reported at once.
 use std::cell::RefCell;
 use std::fmt;
+use std::io::Read;
+use std::path::Path;
 
-use roxmltree::{Document, Node};
+use roxmltree::{Document, Node, ParsingOptions};
+
+/// The largest file that is read, in octets.
+pub const LARGEST: u64 = 1 << 20;
+/// The most elements, attributes and texts of a file.
+const MOST_NODES: u32 = 200_000;
 
 /// Something in the file that cannot be used.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -16,7 +23,8 @@
 }
 
 impl Fault {
-    pub(crate) fn whole(what: String) -> Fault {
+    /// A fault of the file as a whole, without a place.
+    pub fn whole(what: String) -> Fault {
         Fault { line: 0, column: 0, element: String::new(), what }
     }
 }
@@ -33,17 +41,54 @@
     }
 }
 
-pub(crate) struct File<'a> {
+/// Parses a document and reads its root with `read`, which notes what it finds wrong.
+///
+/// # Errors
+/// All faults, in the order of their places.
+pub fn parse<T>(
+    text: &str, read: impl for<'a> FnOnce(&File<'a>, Node<'a, 'a>) -> Option<T>,
+) -> Result<T, Vec<Fault>> {
+    if text.len() as u64 > LARGEST {
+        let what = format!("the file has {} octets; {LARGEST} are the most", text.len());
+        return Err(vec![Fault::whole(what)]);
+    }
+    let options = ParsingOptions { allow_dtd: false, nodes_limit: MOST_NODES, ..Default::default() };
+    let document = Document::parse_with_options(text, options).map_err(|fault| vec![malformed(&fault)])?;
+    let file = File::new(&document);
+    let value = read(&file, document.root_element());
+    let faults = file.faults();
+    value.filter(|_| faults.is_empty()).ok_or(faults)
+}
+
+fn malformed(fault: &roxmltree::Error) -> Fault {
+    let (at, what) = (fault.pos(), format!("not well-formed: {fault}"));
+    Fault { line: at.row, column: at.col, element: String::new(), what }
+}
+
+/// Reads a file's text, up to one octet more than the most that [`parse`] takes.
+///
+/// # Errors
+/// One fault without a place if the file cannot be read.
+pub fn text_of(path: &Path) -> Result<String, Vec<Fault>> {
+    let whole = |fault: std::io::Error| vec![Fault::whole(format!("{}: {fault}", path.display()))];
+    let file = std::fs::File::open(path).map_err(whole)?;
+    let mut text = String::new();
+    file.take(LARGEST + 1).read_to_string(&mut text).map_err(whole)?;
+    Ok(text)
+}
+
+/// A document that is being read, and the faults found so far.
+pub struct File<'a> {
     document: &'a Document<'a>,
     faults: RefCell<Vec<Fault>>,
 }
 
 impl<'a> File<'a> {
-    pub(crate) fn new(document: &'a Document<'a>) -> Self {
+    fn new(document: &'a Document<'a>) -> Self {
         File { document, faults: RefCell::default() }
     }
 
-    pub(crate) fn faults(self) -> Vec<Fault> {
+    fn faults(self) -> Vec<Fault> {
         let mut faults = self.faults.into_inner();
         faults.sort();
         faults.dedup();
@@ -56,18 +101,19 @@
         self.faults.borrow_mut().push(fault);
     }
 
-    pub(crate) fn fault(&self, node: Node, what: impl Into<String>) {
+    /// Notes a fault of an element.
+    pub fn fault(&self, node: Node, what: impl Into<String>) {
         self.note(node.range().start, node.tag_name().name(), what.into());
     }
 
-    /// A fault at an attribute, or at its element where that lacks it.
-    pub(crate) fn fault_at(&self, node: Node, attribute: &str, what: impl Into<String>) {
+    /// Notes a fault at an attribute, or at its element where that lacks it.
+    pub fn fault_at(&self, node: Node, attribute: &str, what: impl Into<String>) {
         let at = node.attribute_node(attribute).map_or(node.range().start, |found| found.range().start);
         self.note(at, node.tag_name().name(), what.into());
     }
 
     /// Names all attributes but these.
-    pub(crate) fn attributes(&self, node: Node, known: &[&str]) {
+    pub fn attributes(&self, node: Node, known: &[&str]) {
         for attribute in node.attributes().filter(|found| !known.contains(&found.name())) {
             let what = format!("attribute {} is unknown; expected {}", attribute.name(), one_of(known));
             self.fault_at(node, attribute.name(), what);
@@ -75,7 +121,7 @@
     }
 
     /// The child elements; all but these are named, and so is text between them.
-    pub(crate) fn children<'n>(&self, node: Node<'n, 'n>, known: &[&str]) -> Vec<Node<'n, 'n>> {
+    pub fn children<'n>(&self, node: Node<'n, 'n>, known: &[&str]) -> Vec<Node<'n, 'n>> {
         for child in node.children().filter(|child| child.is_text()) {
             if child.text().is_some_and(|text| !text.trim().is_empty()) {
                 self.note(child.range().start, node.tag_name().name(), "text is not expected here".into());
@@ -93,7 +139,7 @@
     }
 
     /// Names children that stand again.
-    pub(crate) fn at_most_one(&self, children: &[Node]) {
+    pub fn at_most_one(&self, children: &[Node]) {
         for (i, child) in children.iter().enumerate() {
             if children[..i].iter().any(|other| other.tag_name().name() == child.tag_name().name()) {
                 self.fault(*child, "stands more than once");
@@ -102,7 +148,7 @@
     }
 
     /// An attribute that may be left out.
-    pub(crate) fn maybe<T, E: Into<String>>(
+    pub fn maybe<T, E: Into<String>>(
         &self, node: Node, name: &str, read: impl FnOnce(&str) -> Result<T, E>,
     ) -> Option<T> {
         let text = node.attribute(name)?;
@@ -119,7 +165,7 @@
     }
 
     /// One that may not.
-    pub(crate) fn need<T, E: Into<String>>(
+    pub fn need<T, E: Into<String>>(
         &self, node: Node, name: &str, read: impl FnOnce(&str) -> Result<T, E>,
     ) -> Option<T> {
         if node.attribute(name).is_none() {
