--- a/crates/capacity/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -5,6 +5,7 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+pub mod fit;
 pub mod fleet;
 pub mod result;
 pub mod target;
