--- a/crates/capacity/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -9,6 +9,7 @@
 pub mod fleet;
 pub mod result;
 pub mod target;
+pub mod verdict;
 
 pub use fleet::Fleet;
 pub use result::{
--- a/crates/capacity/src/result.rs
+++ b/crates/capacity/src/result.rs
@@ -153,11 +153,16 @@
     AddedLatencyMillis,
     /// Entries of the state that the role keeps.
     StateEntries,
-    /// From the first outcome at a bad build to the vote against it, in seconds.
+    /// From a bad build's first share of the requests to the vote against it,
+    /// in seconds; the median of several runs.
     VerdictSeconds,
+    /// The same, which nine in ten runs stay below.
+    VerdictSecondsP90,
+    /// Runs that a figure is drawn from.
+    Runs,
     /// Share of runs that came to a vote against the build.
     VerdictShare,
-    /// Share of requests that the bad build fails.
+    /// Share of requests that the bad build fails beyond what any build does.
     BadBuildFailureShare,
     /// Share of appliances that carry the build on trial.
     TrialShare,
