--- a/crates/capacity/src/fit.rs
+++ b/crates/capacity/src/fit.rs
@@ -7,7 +7,7 @@
 
 use nalgebra::{DMatrix, DVector};
 
-use crate::result::{Experiment, Factor, Quantity, Role, Sample, Source};
+use crate::result::{Experiment, Factor, Quantity, Role, Sample, Size, Source};
 
 /// The largest relative residual at which a fit is accepted: the root of the
 /// mean square of the residuals over the mean of the figures.
@@ -203,6 +203,8 @@
     pub key: SlopeKey,
     /// The commands that gave its samples, each once.
     pub commands: BTreeSet<String>,
+    /// The sizes of the smallest sample; along other factors, of all.
+    pub base: Size,
     /// The points that were fitted.
     pub points: Vec<Point>,
     /// The fit.
@@ -261,8 +263,14 @@
         chosen.filter_map(|sample| point(&key, sample)).collect()
     };
     let points = points_of(false);
+    let sizes = samples.iter().map(|sample| sample.size);
+    let base = sizes.min_by(|one, other| {
+        let along = |size: &Size| size.along(key.factor);
+        along(one).total_cmp(&along(other))
+    });
     Slope {
         key,
+        base: base.unwrap_or_default(),
         commands: samples
             .iter()
             .map(|sample| sample.command.clone())
--- a/crates/capacity/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -2,14 +2,22 @@
 //!
 //! [`target`] reads the file that describes a fleet, [`fleet`] draws one from
 //! it, and [`result`] defines the records that measurements are kept in.
+//! [`fit`] works out slopes, [`analysis`] holds them against the budgets of the
+//! target, and [`page`] and [`plot`] show the outcome. [`verdict`] models how
+//! long a release's test takes.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+pub mod analysis;
 pub mod fit;
 pub mod fleet;
+pub mod page;
+pub mod plot;
 pub mod result;
+pub mod tables;
 pub mod target;
 pub mod verdict;
+pub mod words;
 
 pub use fleet::Fleet;
 pub use result::{
