--- a/crates/capacity/src/analysis.rs
+++ b/crates/capacity/src/analysis.rs
@@ -184,6 +184,8 @@
     pub kind: BudgetKind,
     /// Which size grows; all others stay as in the slope's samples.
     pub factor: Factor,
+    /// The services of these, if they are not what grows.
+    pub services: Option<u32>,
     /// The size.
     pub size: f64,
     /// The target's size.
@@ -237,22 +239,22 @@
     }
 
     /// The steepest slope at the size, and what other slopes add to it from
-    /// the sizes of its samples on.
+    /// the sizes of its samples on. Only for roles whose cost is that of one
+    /// process: what serves all agents pays for each of them, so that its
+    /// slopes multiply.
     fn predict(&self, role: Role, quantity: Quantity, size: &Size) -> Option<Estimate> {
-        let is_wanted = |slope: &&Slope| {
-            let key = slope.key;
-            (key.role, key.quantity, key.source) == (role, quantity, Source::Hollow)
-                && slope.fit.is_ok()
-                && size.along(key.factor) > 0.0
-        };
-        let slopes: Vec<&Slope> = self.slopes.iter().filter(is_wanted).collect();
+        if !matches!(role, Role::Agent | Role::Judge) {
+            return None;
+        }
+        let of_factor = |factor| self.slope_for(role, quantity, factor, size);
+        let slopes: Vec<&Slope> = FACTORS.into_iter().filter_map(of_factor).collect();
         let steepest = slopes.iter().max_by(|one, other| {
             let rise = |slope: &Slope| rise(slope, &slope.base, size);
             rise(one).total_cmp(&rise(other))
         })?;
         let others = slopes.iter().filter(|slope| slope.key != steepest.key);
         let added: f64 = others.map(|slope| rise(slope, &steepest.base, size)).sum();
-        let start = steepest.fit.ok()?.at(size.along(steepest.key.factor));
+        let start = steepest.fit.ok()?.at(steepest.position(size));
         let is_good = slopes
             .iter()
             .all(|slope| slope.fit.is_ok_and(|fit| fit.is_good()));
@@ -267,6 +269,26 @@
         })
     }
 
+    /// The fitted slope along a factor whose services are closest to a size's,
+    /// if the size says anything of that factor.
+    fn slope_for(
+        &self,
+        role: Role,
+        quantity: Quantity,
+        factor: Factor,
+        size: &Size,
+    ) -> Option<&Slope> {
+        let slopes = self.slopes.iter().filter(|slope| {
+            let key = slope.key;
+            let wanted = (role, quantity, factor, Source::Hollow);
+            (key.role, key.quantity, key.factor, key.source) == wanted && slope.fit.is_ok()
+        });
+        let distance = |slope: &&Slope| slope.base.services.abs_diff(size.services);
+        slopes
+            .filter(|_| size.along(factor) > 0.0)
+            .min_by_key(distance)
+    }
+
     /// The figure of an event: the worst at the largest size it was played at.
     fn estimate_event(&self, quantity: Quantity, event: EventKind) -> Option<Estimate> {
         let is_wanted =
@@ -400,26 +422,26 @@
     }
 
     fn limit(&self, row: &BudgetRow, factor: Factor) -> Option<LimitRow> {
-        let target = self.target.size().along(factor);
-        let parts = row.kind.quantities().iter().map(|&quantity| {
-            let wanted = |slope: &&Slope| {
-                let key = slope.key;
-                (key.role, key.quantity, key.factor, key.source)
-                    == (row.role, quantity, factor, Source::Hollow)
-            };
-            self.slopes.iter().find(wanted)?.fit.ok()
-        });
-        let parts: Vec<fit::Fit> = parts.collect::<Option<_>>()?;
-        let cost = |size: f64| {
-            let sum: f64 = parts.iter().map(|part| part.at(size)).sum();
-            sum * row.process_factor.unwrap_or(1.0)
+        let size = self.target.size();
+        let parts = row.kind.quantities().iter();
+        let parts = parts.map(|&quantity| self.slope_for(row.role, quantity, factor, &size));
+        let parts: Vec<&Slope> = parts.collect::<Option<_>>()?;
+        let scale = row.process_factor.unwrap_or(1.0);
+        // In parts of the target's size along the factor.
+        let cost = |part: f64| {
+            let fits = parts
+                .iter()
+                .filter_map(|slope| Some((slope, slope.fit.ok()?)));
+            let costs = fits.map(|(slope, fit)| fit.at(slope.position(&size) * part));
+            costs.sum::<f64>() * scale
         };
-        let size = size_of_cost(cost, row.limit, target)?;
+        let target = size.along(factor);
         Some(LimitRow {
             role: row.role,
             kind: row.kind,
             factor,
-            size,
+            services: parts.first()?.key.services,
+            size: part_of_cost(cost, row.limit)? * target,
             target,
         })
     }
@@ -429,11 +451,11 @@
 const FARTHEST: f64 = 1e3;
 const BISECTIONS: u32 = 60;
 
-/// The size at which a growing cost reaches a limit, if it does within
-/// [`FARTHEST`] times the target.
-fn size_of_cost(cost: impl Fn(f64) -> f64, limit: f64, target: f64) -> Option<f64> {
-    let (mut low, mut high) = (0.0, target * FARTHEST);
-    if target <= 0.0 || cost(high) < limit {
+/// The part of the target's size at which a growing cost reaches a limit, if it
+/// does within [`FARTHEST`] times the target.
+fn part_of_cost(cost: impl Fn(f64) -> f64, limit: f64) -> Option<f64> {
+    let (mut low, mut high) = (0.0, FARTHEST);
+    if cost(high) < limit {
         return None;
     }
     for _ in 0..BISECTIONS {
@@ -448,9 +470,8 @@
 }
 
 fn rise(slope: &Slope, from: &Size, to: &Size) -> f64 {
-    let factor = slope.key.factor;
     match slope.fit {
-        Ok(fit) => fit.at(to.along(factor)) - fit.at(from.along(factor)),
+        Ok(fit) => fit.at(slope.position(to)) - fit.at(slope.position(from)),
         Err(_) => 0.0,
     }
 }
--- a/crates/capacity/src/fit.rs
+++ b/crates/capacity/src/fit.rs
@@ -12,6 +12,8 @@
 /// The largest relative residual at which a fit is accepted: the root of the
 /// mean square of the residuals over the mean of the figures.
 pub const RESIDUAL_BOUND: f64 = 0.05;
+/// A cost that changes by no more than this part is flat.
+pub const FLAT: f64 = 0.01;
 /// Sizes that a line needs, one more than it has coefficients.
 pub const LEAST_SIZES: usize = 3;
 /// Sizes that a fit with a third term needs.
@@ -194,6 +196,9 @@
     pub quantity: Quantity,
     /// What was run.
     pub source: Source,
+    /// The services of its samples, where these are not what varies: a list
+    /// costs less in one service than over many.
+    pub services: Option<u32>,
 }
 
 /// The fit of one cost against one size.
@@ -214,6 +219,28 @@
 }
 
 impl Slope {
+    /// Where a size lies along this slope's factor. Requests are those of the
+    /// slope's number of agents, each asked as much as in that size.
+    pub fn position(&self, size: &Size) -> f64 {
+        let along = size.along(self.key.factor);
+        match self.key.factor {
+            Factor::RequestRate => along * self.agents() / f64::from(size.agents.max(1)),
+            _ => along,
+        }
+    }
+
+    fn agents(&self) -> f64 {
+        f64::from(self.base.agents)
+    }
+
+    /// Whether the cost hardly changes over the sizes that were fitted.
+    pub fn is_flat(&self) -> bool {
+        let figures = self.points.iter().map(|point| point.figure);
+        let most = figures.clone().fold(f64::MIN, f64::max);
+        let least = figures.fold(f64::MAX, f64::min);
+        most - least <= FLAT * most.abs()
+    }
+
     /// The held back figures beside the fit.
     pub fn predictions(&self) -> Vec<Prediction> {
         let Ok(fit) = self.fit else { return Vec::new() };
@@ -226,7 +253,8 @@
 }
 
 /// Fits all slopes among the samples; runs that were interrupted are left out.
-/// A slope's samples are those of one role, factor and source, with experiment
+/// A slope's samples are those of one role, factor, source and number of
+/// services (unless that is the factor), with experiment
 /// [`Experiment::Slope`], or [`Experiment::Predict`] where they are held back.
 pub fn slopes(samples: &[Sample]) -> Vec<Slope> {
     let mut groups: BTreeMap<SlopeKey, Vec<&Sample>> = BTreeMap::new();
@@ -251,6 +279,7 @@
             factor: factor?,
             quantity,
             source: sample.source,
+            services: (factor != Some(Factor::Services)).then_some(sample.size.services),
         })
     })
 }
--- a/crates/capacity/src/plot.rs
+++ b/crates/capacity/src/plot.rs
@@ -221,7 +221,8 @@
 fn curves(analysis: &Analysis) -> Vec<Curve> {
     let mut curves: Vec<Curve> = Vec::new();
     for row in analysis.budgets() {
-        let slopes = analysis.slopes.iter().filter(|slope| {
+        let steep = analysis.slopes.iter().filter(|slope| !slope.is_flat());
+        let slopes = steep.filter(|slope| {
             let is_own = slope.key.role == row.role && slope.key.source == Source::Hollow;
             is_own && row.kind.quantities().contains(&slope.key.quantity)
         });
@@ -235,7 +236,7 @@
 
 fn curve(analysis: &Analysis, row: &BudgetRow, slope: &Slope) -> Option<Curve> {
     let fit = slope.fit.ok()?;
-    let target = analysis.target.size().along(slope.key.factor);
+    let target = slope.position(&analysis.target.size());
     if target <= 0.0 {
         return None;
     }
@@ -252,18 +253,27 @@
         shares.filter(is_shown).collect()
     };
     Some(Curve {
-        name: format!(
-            "{} {} by {}",
-            words::role(slope.key.role),
-            words::quantity(slope.key.quantity),
-            words::factor(slope.key.factor)
-        ),
+        name: curve_name(slope),
         fitted: fitted.filter(is_shown).collect(),
         measured: points(&slope.points),
         held_back: points(&slope.held_back),
     })
 }
 
+fn curve_name(slope: &Slope) -> String {
+    let key = slope.key;
+    let cost = words::quantity(key.quantity);
+    let name = format!(
+        "{} {cost} by {}",
+        words::role(key.role),
+        words::factor(key.factor)
+    );
+    match key.services {
+        Some(services) => format!("{name}, {services} services"),
+        None => name,
+    }
+}
+
 fn draw_curves(area: &Area, title: &str, curves: &[Curve]) -> Result<(), PlotError> {
     let ends = curves.iter().flat_map(|curve| curve.fitted.iter());
     let largest = ends.map(|point| point.1).fold(MOST_SHARE, f64::max);
--- a/crates/capacity/src/tables.rs
+++ b/crates/capacity/src/tables.rs
@@ -303,6 +303,7 @@
         "role",
         "budget",
         "along",
+        "services",
         "used up at",
         "target",
         "share of the target",
@@ -313,6 +314,7 @@
             words::role(row.role).into(),
             words::budget(row.kind).into(),
             words::factor(row.factor).into(),
+            services_text(row.services),
             words::number(row.size),
             words::number(row.target),
             words::number(row.size / row.target),
@@ -323,15 +325,16 @@
 
 fn slopes(analysis: &Analysis) -> String {
     let head = [
-        "role", "cost", "x", "run", "sizes", "terms", "a", "b", "c", "residual", "fits",
+        "role", "cost", "x", "services", "run", "sizes", "terms", "a", "b", "c", "residual", "fits",
     ];
     let mut table = Table::new(&head);
-    for slope in &analysis.slopes {
+    for slope in analysis.slopes.iter().filter(|slope| !slope.is_flat()) {
         let key = slope.key;
         let mut cells = vec![
             words::role(key.role).to_owned(),
             words::quantity(key.quantity).to_owned(),
             words::factor(key.factor).to_owned(),
+            services_text(key.services),
             words::source(key.source).to_owned(),
             sizes_text(slope),
         ];
@@ -347,6 +350,10 @@
     table.finish()
 }
 
+fn services_text(services: Option<u32>) -> String {
+    services.map_or_else(|| "-".into(), |count| words::number(count.into()))
+}
+
 fn sizes_text(slope: &Slope) -> String {
     let mut sizes: Vec<f64> = slope.points.iter().map(|point| point.size).collect();
     sizes.sort_by(f64::total_cmp);
@@ -371,6 +378,7 @@
         "role",
         "cost",
         "x",
+        "services",
         "run",
         "size",
         "measured",
@@ -378,12 +386,13 @@
         "error",
     ];
     let mut table = Table::new(&head);
-    for slope in &analysis.slopes {
+    for slope in analysis.slopes.iter().filter(|slope| !slope.is_flat()) {
         for prediction in slope.predictions() {
             table.row(&[
                 words::role(slope.key.role).into(),
                 words::quantity(slope.key.quantity).into(),
                 words::factor(slope.key.factor).into(),
+                services_text(slope.key.services),
                 words::source(slope.key.source).into(),
                 words::number(prediction.measured.size),
                 words::number(prediction.measured.figure),
@@ -498,52 +507,134 @@
     cells
 }
 
-/// A row for each case; beside it what the judge receives.
+/// Whose outcomes a verdict's test saw.
+#[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
+enum Heard {
+    Own,
+    Judge { agents: f64 },
+}
+
+impl Heard {
+    fn of(sample: &Sample) -> Option<Heard> {
+        match sample.role {
+            Role::Judge => {
+                let agents = sample.figure(Quantity::PooledAgents)?;
+                Some(Heard::Judge { agents })
+            }
+            _ => Some(Heard::Own),
+        }
+    }
+
+    fn name(self) -> String {
+        match self {
+            Heard::Own => "own outcomes".into(),
+            Heard::Judge { agents } => format!("judge of {}", words::number(agents)),
+        }
+    }
+}
+
+/// The bad build's failures and the share of appliances that carry it.
+fn trial(sample: &Sample) -> Option<(f64, f64)> {
+    let failures = sample.figure(Quantity::BadBuildFailureShare)?;
+    Some((failures, sample.figure(Quantity::TrialShare)?))
+}
+
+/// A row for each build, a column for each number of agents heard; below, what
+/// a judge receives.
 fn verdicts(analysis: &Analysis) -> String {
+    let is_verdict = |sample: &&Sample| sample.complete && sample.experiment == Experiment::Verdict;
+    let samples: Vec<&Sample> = analysis.samples.iter().filter(is_verdict).collect();
+    let heard = in_order(samples.iter().filter_map(|sample| Heard::of(sample)));
+    let trials = in_order(samples.iter().filter_map(|sample| trial(sample)));
+    let names: Vec<String> = heard.iter().map(|heard| heard.name()).collect();
+    let mut head = vec!["more failures", "on trial"];
+    head.extend(names.iter().map(String::as_str));
+    let mut table = Table::new(&head);
+    for &(failures, share) in &trials {
+        let of_case = |heard: &Heard| {
+            let is_case = |sample: &&&Sample| {
+                Heard::of(sample) == Some(*heard) && trial(sample) == Some((failures, share))
+            };
+            samples
+                .iter()
+                .find(is_case)
+                .map_or_else(|| "-".into(), |one| verdict_text(one))
+        };
+        let mut cells = vec![words::percent(failures), words::percent(share)];
+        cells.extend(heard.iter().map(of_case));
+        table.row(&cells);
+    }
+    if samples.is_empty() {
+        return table.finish();
+    }
+    let inbound = verdict_bytes(&samples, &heard, analysis.target);
+    format!("{}\n{inbound}", table.finish())
+}
+
+fn in_order<Key: PartialOrd>(keys: impl Iterator<Item = Key>) -> Vec<Key> {
+    let mut keys: Vec<Key> = keys.collect();
+    keys.sort_by(|one, other| one.partial_cmp(other).unwrap_or(std::cmp::Ordering::Equal));
+    keys.dedup();
+    keys
+}
+
+/// The median and the ninth decile, or how many runs came to a verdict.
+fn verdict_text(sample: &Sample) -> String {
+    let median = sample.figure(Quantity::VerdictSeconds);
+    let ninth = sample.figure(Quantity::VerdictSecondsP90);
+    let share = sample.figure(Quantity::VerdictShare).unwrap_or_default();
+    match (median, ninth) {
+        (Some(median), Some(ninth)) => {
+            format!("{} s ({} s)", words::number(median), words::number(ninth))
+        }
+        (Some(median), None) => {
+            format!(
+                "{} s ({} of runs)",
+                words::number(median),
+                words::percent(share)
+            )
+        }
+        _ if share > 0.0 => format!("{} of runs", words::percent(share)),
+        _ => "none".into(),
+    }
+}
+
+/// What a judge receives while a build is on trial: the most over the cases.
+fn verdict_bytes(samples: &[&Sample], heard: &[Heard], target: &Target) -> String {
     let head = [
-        "more failures",
-        "on trial",
-        "agents heard",
-        "median, s",
-        "p90, s",
-        "runs with a verdict",
-        "judge in, messages/s",
-        "judge in, B/s",
-        "over the byte budget",
+        "heard",
+        "reports in/s",
+        "in, B/s",
+        "of the byte budget",
+        "releases that fit",
     ];
     let mut table = Table::new(&head);
-    let budget = analysis.target.budgets.bytes_per_second;
-    let is_verdict = |sample: &&Sample| sample.complete && sample.experiment == Experiment::Verdict;
-    for sample in analysis.samples.iter().filter(is_verdict) {
-        let figure = |quantity| sample.figure(quantity);
-        let share = |quantity| figure(quantity).map_or_else(|| "-".into(), words::percent);
-        let time = |quantity| figure(quantity).map_or_else(|| "none".into(), words::number);
-        let other = |quantity| words::number_or_not(figure(quantity));
-        let over = figure(Quantity::BytesInPerSecond).map(|bytes| bytes / budget);
-        let runs = figure(Quantity::Runs).map_or_else(|| "-".into(), words::number);
+    for heard in heard.iter().filter(|heard| **heard != Heard::Own) {
+        let own = samples
+            .iter()
+            .filter(|sample| Heard::of(sample) == Some(*heard));
+        let most = |quantity| {
+            let figures = own.clone().filter_map(|sample| sample.figure(quantity));
+            figures.max_by(f64::total_cmp).unwrap_or_default()
+        };
+        let bytes = most(Quantity::BytesInPerSecond);
+        let share = bytes / target.budgets.bytes_per_second;
+        let releases = if share > 0.0 {
+            words::number((1.0 / share).floor())
+        } else {
+            "any".into()
+        };
         table.row(&[
-            share(Quantity::BadBuildFailureShare),
-            share(Quantity::TrialShare),
-            heard(sample),
-            time(Quantity::VerdictSeconds),
-            time(Quantity::VerdictSecondsP90),
-            format!("{} of {runs}", share(Quantity::VerdictShare)),
-            other(Quantity::MessagesInPerSecond),
-            other(Quantity::BytesInPerSecond),
-            words::number_or_not(over),
+            heard.name(),
+            words::number(most(Quantity::MessagesInPerSecond)),
+            words::number(bytes),
+            words::number(share),
+            releases,
         ]);
     }
     table.finish()
 }
 
-fn heard(sample: &Sample) -> String {
-    let pooled = words::number_or_not(sample.figure(Quantity::PooledAgents));
-    match sample.role {
-        Role::Judge => format!("judge, {pooled}"),
-        _ => "own outcomes, no judge".into(),
-    }
-}
-
 fn runs(analysis: &Analysis) -> String {
     let mut table = Table::new(&["command", "run", "samples", "interrupted", "largest size"]);
     let samples = analysis.samples;
