--- a/crates/capacity/src/fit.rs
+++ b/crates/capacity/src/fit.rs
@@ -255,7 +255,8 @@
 /// Fits all slopes among the samples; runs that were interrupted are left out.
 /// A slope's samples are those of one role, factor, source and number of
 /// services (unless that is the factor), with experiment
-/// [`Experiment::Slope`], or [`Experiment::Predict`] where they are held back.
+/// [`Experiment::Slope`], [`Experiment::Predict`] where they are held back, or
+/// [`Experiment::Budget`] with a factor: a slope of a shape of its own.
 pub fn slopes(samples: &[Sample]) -> Vec<Slope> {
     let mut groups: BTreeMap<SlopeKey, Vec<&Sample>> = BTreeMap::new();
     for sample in samples.iter().filter(|sample| sample.complete) {
@@ -270,7 +271,10 @@
 }
 
 fn keys(sample: &Sample) -> impl Iterator<Item = SlopeKey> {
-    let is_slope = matches!(sample.experiment, Experiment::Slope | Experiment::Predict);
+    let is_slope = matches!(
+        sample.experiment,
+        Experiment::Slope | Experiment::Predict | Experiment::Budget
+    );
     let factor = sample.factor.filter(|_| is_slope);
     let quantities = sample.figures.keys().copied().filter(|one| is_cost(*one));
     quantities.filter_map(move |quantity| {
--- a/crates/capacity/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -9,14 +9,18 @@
 #![warn(missing_docs)]
 
 pub mod analysis;
+pub mod budget;
+pub mod estimate;
 pub mod fit;
 pub mod fleet;
+mod markdown;
 pub mod page;
 pub mod plot;
 pub mod result;
 pub mod tables;
 pub mod target;
 pub mod verdict;
+mod verdict_table;
 pub mod words;
 
 pub use fleet::Fleet;
--- a/crates/capacity/src/plot.rs
+++ b/crates/capacity/src/plot.rs
@@ -8,7 +8,8 @@
 use plotters::prelude::*;
 use plotters::style::text_anchor::{HPos, Pos, VPos};
 
-use crate::analysis::{Analysis, BudgetRow};
+use crate::analysis::Analysis;
+use crate::budget::BudgetRow;
 use crate::fit::{Point, Slope};
 use crate::result::{Sample, Source};
 use crate::target::Target;
--- a/crates/capacity/src/tables.rs
+++ b/crates/capacity/src/tables.rs
@@ -1,11 +1,14 @@
 //! The generated parts of the capacity page, as Markdown.
 use std::collections::BTreeSet;
 
-use crate::analysis::{Analysis, Basis, BudgetRow, Estimate, FACTORS, by_size};
+use crate::analysis::{Analysis, FACTORS, by_size};
+use crate::budget::BudgetRow;
+use crate::estimate::{Basis, Estimate};
 use crate::fit::{Fit, Slope};
-use crate::result::{EventKind, Experiment, Quantity, Role, Sample, Size};
+use crate::markdown::Table;
+use crate::result::{EventKind, Quantity, Role, Sample, Size};
 use crate::target::Target;
-use crate::words;
+use crate::{verdict_table, words};
 
 /// A generated part of the page.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -79,57 +82,12 @@
             Part::Predictions => predictions(analysis),
             Part::Processes => processes(analysis),
             Part::Events => events(analysis),
-            Part::Verdicts => verdicts(analysis),
+            Part::Verdicts => verdict_table::verdicts(analysis),
             Part::Runs => runs(analysis),
         }
     }
 }
 
-/// A Markdown table.
-struct Table {
-    text: String,
-    is_empty: bool,
-}
-
-impl Table {
-    fn new(head: &[&str]) -> Self {
-        let mut table = Table {
-            text: String::new(),
-            is_empty: true,
-        };
-        table.line(head);
-        table.line(&vec!["---"; head.len()]);
-        table
-    }
-
-    fn line<Cell: AsRef<str>>(&mut self, cells: &[Cell]) {
-        for cell in cells {
-            self.text.push_str("| ");
-            self.text.push_str(&cell.as_ref().replace('|', "\\|"));
-            self.text.push(' ');
-        }
-        self.text.push_str("|\n");
-    }
-
-    fn row<Cell: AsRef<str>>(&mut self, cells: &[Cell]) {
-        self.is_empty = false;
-        self.line(cells);
-    }
-
-    /// The table, or that nothing was measured.
-    fn finish(self) -> String {
-        if self.is_empty {
-            return format!("{}.\n", capitalised(words::NOT_MEASURED));
-        }
-        self.text
-    }
-}
-
-fn capitalised(text: &str) -> String {
-    let (first, rest) = text.split_at(1);
-    first.to_uppercase() + rest
-}
-
 fn sizes(target: &Target) -> String {
     let mut table = Table::new(&["size", "today", "target"]);
     let goal = target.size();
@@ -250,8 +208,13 @@
     };
     let mark = match estimate.basis {
         Basis::Measured | Basis::MeasuredIn(_) | Basis::MeasuredAt(_) => "",
-        Basis::Predicted => " p",
-        Basis::PredictedBadly => " p?",
+        Basis::Extended { fits, .. } | Basis::Predicted { fits } => {
+            if fits {
+                " p"
+            } else {
+                " p?"
+            }
+        }
     };
     words::number(estimate.figure) + mark
 }
@@ -293,8 +256,19 @@
         Basis::Measured => format!("measured, {source}"),
         Basis::MeasuredIn(event) => format!("measured, {source}, {}", words::event(event)),
         Basis::MeasuredAt(size) => format!("measured, {source}, at {}", words::fleet(&size)),
-        Basis::Predicted => "slopes".into(),
-        Basis::PredictedBadly => "slopes, one of which does not fit".into(),
+        Basis::Extended { from, fits } => {
+            let size = words::fleet(&from);
+            format!("measured, {source}, at {size}, and {}", slopes_text(fits))
+        }
+        Basis::Predicted { fits } => slopes_text(fits).into(),
+    }
+}
+
+fn slopes_text(fits: bool) -> &'static str {
+    if fits {
+        "slopes"
+    } else {
+        "slopes, one of which does not fit"
     }
 }
 
@@ -507,134 +481,6 @@
     cells
 }
 
-/// Whose outcomes a verdict's test saw.
-#[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
-enum Heard {
-    Own,
-    Judge { agents: f64 },
-}
-
-impl Heard {
-    fn of(sample: &Sample) -> Option<Heard> {
-        match sample.role {
-            Role::Judge => {
-                let agents = sample.figure(Quantity::PooledAgents)?;
-                Some(Heard::Judge { agents })
-            }
-            _ => Some(Heard::Own),
-        }
-    }
-
-    fn name(self) -> String {
-        match self {
-            Heard::Own => "own outcomes".into(),
-            Heard::Judge { agents } => format!("judge of {}", words::number(agents)),
-        }
-    }
-}
-
-/// The bad build's failures and the share of appliances that carry it.
-fn trial(sample: &Sample) -> Option<(f64, f64)> {
-    let failures = sample.figure(Quantity::BadBuildFailureShare)?;
-    Some((failures, sample.figure(Quantity::TrialShare)?))
-}
-
-/// A row for each build, a column for each number of agents heard; below, what
-/// a judge receives.
-fn verdicts(analysis: &Analysis) -> String {
-    let is_verdict = |sample: &&Sample| sample.complete && sample.experiment == Experiment::Verdict;
-    let samples: Vec<&Sample> = analysis.samples.iter().filter(is_verdict).collect();
-    let heard = in_order(samples.iter().filter_map(|sample| Heard::of(sample)));
-    let trials = in_order(samples.iter().filter_map(|sample| trial(sample)));
-    let names: Vec<String> = heard.iter().map(|heard| heard.name()).collect();
-    let mut head = vec!["more failures", "on trial"];
-    head.extend(names.iter().map(String::as_str));
-    let mut table = Table::new(&head);
-    for &(failures, share) in &trials {
-        let of_case = |heard: &Heard| {
-            let is_case = |sample: &&&Sample| {
-                Heard::of(sample) == Some(*heard) && trial(sample) == Some((failures, share))
-            };
-            samples
-                .iter()
-                .find(is_case)
-                .map_or_else(|| "-".into(), |one| verdict_text(one))
-        };
-        let mut cells = vec![words::percent(failures), words::percent(share)];
-        cells.extend(heard.iter().map(of_case));
-        table.row(&cells);
-    }
-    if samples.is_empty() {
-        return table.finish();
-    }
-    let inbound = verdict_bytes(&samples, &heard, analysis.target);
-    format!("{}\n{inbound}", table.finish())
-}
-
-fn in_order<Key: PartialOrd>(keys: impl Iterator<Item = Key>) -> Vec<Key> {
-    let mut keys: Vec<Key> = keys.collect();
-    keys.sort_by(|one, other| one.partial_cmp(other).unwrap_or(std::cmp::Ordering::Equal));
-    keys.dedup();
-    keys
-}
-
-/// The median and the ninth decile, or how many runs came to a verdict.
-fn verdict_text(sample: &Sample) -> String {
-    let median = sample.figure(Quantity::VerdictSeconds);
-    let ninth = sample.figure(Quantity::VerdictSecondsP90);
-    let share = sample.figure(Quantity::VerdictShare).unwrap_or_default();
-    match (median, ninth) {
-        (Some(median), Some(ninth)) => {
-            format!("{} s ({} s)", words::number(median), words::number(ninth))
-        }
-        (Some(median), None) => {
-            format!(
-                "{} s ({} of runs)",
-                words::number(median),
-                words::percent(share)
-            )
-        }
-        _ if share > 0.0 => format!("{} of runs", words::percent(share)),
-        _ => "none".into(),
-    }
-}
-
-/// What a judge receives while a build is on trial: the most over the cases.
-fn verdict_bytes(samples: &[&Sample], heard: &[Heard], target: &Target) -> String {
-    let head = [
-        "heard",
-        "reports in/s",
-        "in, B/s",
-        "of the byte budget",
-        "releases that fit",
-    ];
-    let mut table = Table::new(&head);
-    for heard in heard.iter().filter(|heard| **heard != Heard::Own) {
-        let own = samples
-            .iter()
-            .filter(|sample| Heard::of(sample) == Some(*heard));
-        let most = |quantity| {
-            let figures = own.clone().filter_map(|sample| sample.figure(quantity));
-            figures.max_by(f64::total_cmp).unwrap_or_default()
-        };
-        let bytes = most(Quantity::BytesInPerSecond);
-        let share = bytes / target.budgets.bytes_per_second;
-        let releases = if share > 0.0 {
-            words::number((1.0 / share).floor())
-        } else {
-            "any".into()
-        };
-        table.row(&[
-            heard.name(),
-            words::number(most(Quantity::MessagesInPerSecond)),
-            words::number(bytes),
-            words::number(share),
-            releases,
-        ]);
-    }
-    table.finish()
-}
-
 fn runs(analysis: &Analysis) -> String {
     let mut table = Table::new(&["command", "run", "samples", "interrupted", "largest size"]);
     let samples = analysis.samples;
--- a/crates/capacity/src/words.rs
+++ b/crates/capacity/src/words.rs
@@ -1,5 +1,5 @@
 //! How sizes, quantities and numbers are written on the page.
-use crate::analysis::BudgetKind;
+use crate::budget::BudgetKind;
 use crate::fit::Shape;
 use crate::result::{EventKind, Factor, Quantity, Role, Size, Source};
 
