--- a/crates/capacity/src/budget.rs
+++ b/crates/capacity/src/budget.rs
@@ -1,5 +1,5 @@
 //! The budgets of a target beside what it is expected to use of them.
-use crate::analysis::{Analysis, FACTORS, is_same_fleet, largest};
+use crate::analysis::{Analysis, FACTORS, largest};
 use crate::estimate::{Basis, Estimate};
 use crate::fit::Slope;
 use crate::result::{EventKind, Factor, Quantity, Role, Source};
@@ -41,17 +41,18 @@
         }
     }
 
-    /// Whether the worst event counts, and not only ordinary operation.
-    pub fn holds_in_events(self) -> bool {
+    /// Whether the budget has to be kept in an event. Averages do where the
+    /// event is a part of ordinary operation, all others always.
+    pub fn holds_in(self, event: EventKind) -> bool {
         match self {
             BudgetKind::CoreInWorstSecond
             | BudgetKind::Round
             | BudgetKind::AddedLatency
             | BudgetKind::Memory => true,
-            BudgetKind::Core
-            | BudgetKind::Bytes
-            | BudgetKind::InForce
-            | BudgetKind::ControlMachines => false,
+            BudgetKind::Core | BudgetKind::Bytes => {
+                matches!(event, EventKind::OrdinaryDay | EventKind::ManyReleases)
+            }
+            BudgetKind::InForce | BudgetKind::ControlMachines => false,
         }
     }
 
@@ -135,9 +136,9 @@
         let parts = kind.quantities();
         let used = match kind {
             BudgetKind::InForce => {
-                self.estimate_event(Quantity::InForceMillis, EventKind::ConfigurationChange)
+                self.largest_event(Quantity::InForceMillis, EventKind::ConfigurationChange)
             }
-            _ => self.estimate_with_events(role, kind),
+            _ => self.used(role, kind),
         };
         let factors = parts
             .iter()
@@ -154,26 +155,15 @@
     }
 
     /// The steady figure at the target, or that of an event if it is larger and
-    /// the budget has to be kept in events as well.
-    fn estimate_with_events(&self, role: Role, kind: BudgetKind) -> Option<Estimate> {
-        let steady = self.estimate_sum(role, kind.quantities());
-        let [quantity] = kind.quantities() else {
-            return steady;
-        };
-        if !kind.holds_in_events() {
-            return steady;
-        }
-        let in_events = self.complete().filter_map(|sample| {
-            let is_there = is_same_fleet(&sample.size, &self.target.size());
-            let event = sample.event.filter(|_| is_there && sample.role == role)?;
-            Some(Estimate {
-                figure: sample.figure(*quantity)?,
-                basis: Basis::MeasuredIn(event),
-                source: sample.source,
-            })
-        });
-        let all = steady.into_iter().chain(in_events);
-        all.max_by(|one, other| one.figure.total_cmp(&other.figure))
+    /// the budget has to be kept there; without either, what was measured in
+    /// the largest fleet, except for an agent, which has slopes.
+    fn used(&self, role: Role, kind: BudgetKind) -> Option<Estimate> {
+        let parts = kind.quantities();
+        let steady = self.estimate_sum(role, parts);
+        let event = self.worst_event(role, parts, |event| kind.holds_in(event));
+        let all = steady.into_iter().chain(event);
+        let most = all.max_by(|one, other| one.figure.total_cmp(&other.figure));
+        most.or_else(|| self.nearest(role, parts).filter(|_| role != Role::Agent))
     }
 
     fn estimate_sum(&self, role: Role, parts: &[Quantity]) -> Option<Estimate> {
@@ -205,7 +195,7 @@
     }
 
     /// The sizes at which budgets are used up, those furthest below the target
-    /// first. Only costs that grow are listed.
+    /// first. Only costs that grow along slopes that fit are listed.
     pub fn limits(&self) -> Vec<LimitRow> {
         let mut rows = Vec::new();
         for row in self.budgets() {
@@ -225,6 +215,11 @@
         let parts = row.kind.quantities().iter();
         let parts = parts.map(|&quantity| self.slope_for(row.role, quantity, factor, &size));
         let parts: Vec<&Slope> = parts.collect::<Option<_>>()?;
+        let is_good = |slope: &&Slope| slope.fit.is_ok_and(|fit| fit.is_good());
+        let is_flat = parts.iter().all(|slope| slope.is_flat());
+        if is_flat || !parts.iter().all(is_good) {
+            return None;
+        }
         let scale = row.process_factor.unwrap_or(1.0);
         // In parts of the target's size along the factor.
         let cost = |part: f64| {
--- a/crates/capacity/src/estimate.rs
+++ b/crates/capacity/src/estimate.rs
@@ -9,8 +9,13 @@
 pub enum Basis {
     /// It was measured at the size in question.
     Measured,
-    /// It was measured at the size in question, in an event.
-    MeasuredIn(EventKind),
+    /// It was measured in an event, before as many appliances and services.
+    MeasuredIn {
+        /// The event.
+        event: EventKind,
+        /// The size.
+        size: Size,
+    },
     /// It was measured at another size, the largest there is.
     MeasuredAt(Size),
     /// It was measured at a size with as many appliances and services; what
@@ -18,12 +23,12 @@
     Extended {
         /// Where it was measured.
         from: Size,
-        /// Whether all slopes fit.
+        /// Whether all slopes fit; those that do not are left out.
         fits: bool,
     },
     /// It was worked out from slopes.
     Predicted {
-        /// Whether all slopes fit.
+        /// Whether all slopes fit; those that do not are left out.
         fits: bool,
     },
 }
@@ -77,66 +82,42 @@
             return None;
         }
         let is_wanted = |sample: &&Sample| {
-            let counts = |size: &Size| (size.listed_appliances, size.services);
             let is_hollow = sample.source == Source::Hollow && sample.role == role;
-            let is_near = is_steady(sample) && counts(&sample.size) == counts(size);
+            let is_near = is_steady(sample) && lists_as_much(&sample.size, size);
             is_hollow && is_near && sample.figure(quantity).is_some()
         };
         let near = self.complete().filter(is_wanted);
         let nearest = near.max_by(|one, other| by_size(&one.size, &other.size))?;
-        let slopes = self.slopes_for(role, quantity, size);
-        let moved: Vec<&Slope> = slopes
-            .into_iter()
-            .filter(|slope| slope.position(size) != slope.position(&nearest.size))
-            .collect();
-        let added: f64 = moved
-            .iter()
-            .map(|slope| rise(slope, &nearest.size, size))
-            .sum();
-        Some(Estimate {
-            figure: nearest.figure(quantity)? + added,
-            basis: Basis::Extended {
-                from: nearest.size,
-                fits: all_fit(&moved),
-            },
-            source: Source::Hollow,
-        })
+        let mut slopes = self.slopes_for(role, quantity, size);
+        slopes.retain(|slope| slope.position(size) != slope.position(&nearest.size));
+        let added = rises(&slopes, &nearest.size, size);
+        let basis = Basis::Extended {
+            from: nearest.size,
+            fits: slopes.iter().all(|slope| is_good(slope)),
+        };
+        not_negative(nearest.figure(quantity)? + added, basis)
     }
 
-    /// A figure worked out from slopes alone. An agent's costs are added; what
-    /// a judge hears grows with the agents and with the releases that each of
-    /// them reports on, so that its slopes multiply. For roles that serve all
-    /// agents there is nothing but what was measured.
+    /// An agent's figure worked out from slopes alone: the steepest one at the
+    /// size, and what others add from there on. What serves many agents pays
+    /// for each of them, so that its costs cannot be added.
     fn predicted(&self, role: Role, quantity: Quantity, size: &Size) -> Option<Estimate> {
+        if role != Role::Agent {
+            return None;
+        }
         let slopes = self.slopes_for(role, quantity, size);
-        let steepest = slopes.iter().max_by(|one, other| {
+        let good = slopes.iter().filter(|slope| is_good(slope));
+        let steepest = good.max_by(|one, other| {
             let rise = |slope: &Slope| rise(slope, &slope.base, size);
             rise(one).total_cmp(&rise(other))
         })?;
         let start = steepest.fit.ok()?.at(steepest.position(size));
-        let others = slopes.iter().filter(|slope| slope.key != steepest.key);
-        let figure = match role {
-            Role::Agent => {
-                start
-                    + others
-                        .map(|slope| rise(slope, &steepest.base, size))
-                        .sum::<f64>()
-            }
-            Role::Judge => {
-                start
-                    * others
-                        .map(|slope| growth(slope, &steepest.base, size))
-                        .product::<f64>()
-            }
-            _ => return None,
+        let mut others = slopes.clone();
+        others.retain(|slope| slope.key != steepest.key);
+        let basis = Basis::Predicted {
+            fits: slopes.iter().all(|slope| is_good(slope)),
         };
-        Some(Estimate {
-            figure,
-            basis: Basis::Predicted {
-                fits: all_fit(&slopes),
-            },
-            source: Source::Hollow,
-        })
+        not_negative(start + rises(&others, &steepest.base, size), basis)
     }
 
     fn slopes_for(&self, role: Role, quantity: Quantity, size: &Size) -> Vec<&Slope> {
@@ -164,45 +145,110 @@
             .min_by_key(distance)
     }
 
+    /// The sum of quantities in the worst of these events, played before as
+    /// many appliances and services as the target has.
+    pub(crate) fn worst_event(
+        &self,
+        role: Role,
+        parts: &[Quantity],
+        is_counted: impl Fn(EventKind) -> bool,
+    ) -> Option<Estimate> {
+        let target = self.target.size();
+        let in_events = self.complete().filter_map(|sample| {
+            let is_near = sample.role == role && lists_as_much(&sample.size, &target);
+            let event = sample.event.filter(|event| is_near && is_counted(*event))?;
+            Some(Estimate {
+                figure: sample.sum(parts)?,
+                basis: Basis::MeasuredIn {
+                    event,
+                    size: sample.size,
+                },
+                source: sample.source,
+            })
+        });
+        in_events.max_by(|one, other| one.figure.total_cmp(&other.figure))
+    }
+
+    /// The sum of quantities in the largest fleet where all were measured, with
+    /// or without an event: of those with the most agents, the one with the
+    /// most appliances.
+    pub(crate) fn nearest(&self, role: Role, parts: &[Quantity]) -> Option<Estimate> {
+        let is_wanted = |sample: &&Sample| {
+            let is_run = sample.experiment != Experiment::Verdict;
+            is_run && sample.role == role && sample.sum(parts).is_some()
+        };
+        let largest = self.complete().filter(is_wanted).max_by(|one, other| {
+            let agents = one.size.agents.cmp(&other.size.agents);
+            agents.then(by_size(&one.size, &other.size))
+        })?;
+        Some(Estimate {
+            figure: largest.sum(parts)?,
+            basis: Basis::MeasuredAt(largest.size),
+            source: largest.source,
+        })
+    }
+
     /// The figure of an event: the worst at the largest size it was played at.
-    pub(crate) fn estimate_event(&self, quantity: Quantity, event: EventKind) -> Option<Estimate> {
+    pub(crate) fn largest_event(&self, quantity: Quantity, event: EventKind) -> Option<Estimate> {
         let is_wanted =
             |sample: &&Sample| sample.event == Some(event) && sample.figure(quantity).is_some();
         let wanted: Vec<&Sample> = self.complete().filter(is_wanted).collect();
         let size = wanted.iter().map(|sample| sample.size).max_by(by_size)?;
-        let mut there = wanted;
-        there.retain(|sample| by_size(&sample.size, &size).is_eq());
-        let figure = largest(there.iter().filter_map(|sample| sample.figure(quantity)))?;
+        let there = wanted
+            .iter()
+            .filter(|sample| by_size(&sample.size, &size).is_eq());
+        let worst = there.max_by(|one, other| {
+            let figure = |sample: &Sample| sample.figure(quantity).unwrap_or_default();
+            figure(one).total_cmp(&figure(other))
+        })?;
         let is_target = is_same_fleet(&size, &self.target.size());
         let basis = if is_target {
             Basis::Measured
         } else {
             Basis::MeasuredAt(size)
         };
-        let is_hollow = there.iter().any(|sample| sample.source == Source::Hollow);
-        let source = if is_hollow {
-            Source::Hollow
-        } else {
-            Source::Process
-        };
         Some(Estimate {
-            figure,
+            figure: worst.figure(quantity)?,
             basis,
-            source,
+            source: worst.source,
         })
     }
 }
 
-/// Whether a sample says what a whole fleet uses without an event.
+/// A figure below 0 comes from slopes that do not reach so far.
+fn not_negative(figure: f64, basis: Basis) -> Option<Estimate> {
+    (figure >= 0.0).then_some(Estimate {
+        figure,
+        basis,
+        source: Source::Hollow,
+    })
+}
+
+/// Whether an agent's lists are as long, and as many.
+fn lists_as_much(one: &Size, other: &Size) -> bool {
+    let counts = |size: &Size| (size.listed_appliances, size.services);
+    counts(one) == counts(other)
+}
+
+/// Whether a sample says what a whole fleet uses without an event: no point of
+/// a slope, unless it is the largest one.
 fn is_steady(sample: &Sample) -> bool {
-    let is_whole = matches!(sample.experiment, Experiment::Budget | Experiment::Predict);
-    sample.event.is_none() && (is_whole || sample.held_back)
+    let is_whole = match sample.experiment {
+        Experiment::Budget | Experiment::Predict | Experiment::Process => true,
+        Experiment::Slope => sample.factor.is_none() || sample.held_back,
+        Experiment::Event | Experiment::Verdict => false,
+    };
+    is_whole && sample.event.is_none()
 }
 
-fn all_fit(slopes: &[&Slope]) -> bool {
-    slopes
-        .iter()
-        .all(|slope| slope.fit.is_ok_and(|fit| fit.is_good()))
+fn is_good(slope: &Slope) -> bool {
+    slope.fit.is_ok_and(|fit| fit.is_good())
+}
+
+/// What all slopes that fit add from one size to another.
+fn rises(slopes: &[&Slope], from: &Size, to: &Size) -> f64 {
+    let good = slopes.iter().filter(|slope| is_good(slope));
+    good.map(|slope| rise(slope, from, to)).sum()
 }
 
 /// How much the cost grows from one size to another along the slope's factor.
@@ -212,14 +258,3 @@
         Err(_) => 0.0,
     }
 }
-
-/// How many times as much the cost is; 1 if it was nothing before.
-fn growth(slope: &Slope, from: &Size, to: &Size) -> f64 {
-    let Ok(fit) = slope.fit else { return 1.0 };
-    let before = fit.at(slope.position(from));
-    if before > 0.0 {
-        fit.at(slope.position(to)) / before
-    } else {
-        1.0
-    }
-}
--- a/crates/capacity/src/result.rs
+++ b/crates/capacity/src/result.rs
@@ -249,6 +249,14 @@
     pub fn figure(&self, quantity: Quantity) -> Option<f64> {
         self.figures.get(&quantity).copied()
     }
+
+    /// The sum of some of its figures, if it has all of them.
+    pub fn sum(&self, quantities: &[Quantity]) -> Option<f64> {
+        quantities
+            .iter()
+            .map(|quantity| self.figure(*quantity))
+            .sum()
+    }
 }
 
 /// Why a result file cannot be read or written.
--- a/crates/capacity/src/tables.rs
+++ b/crates/capacity/src/tables.rs
@@ -197,7 +197,8 @@
         }
     }
     format!(
-        "p: worked out from slopes; p?: from slopes of which one does not fit; no mark: measured.\n\n{}",
+        "p: worked out from slopes, or measured near this size with other sizes added by slopes; p?: the same without slopes \
+         that do not fit; no mark: measured.\n\n{}",
         table.finish()
     )
 }
@@ -207,7 +208,7 @@
         return words::NOT_MEASURED.into();
     };
     let mark = match estimate.basis {
-        Basis::Measured | Basis::MeasuredIn(_) | Basis::MeasuredAt(_) => "",
+        Basis::Measured | Basis::MeasuredIn { .. } | Basis::MeasuredAt(_) => "",
         Basis::Extended { fits, .. } | Basis::Predicted { fits } => {
             if fits {
                 " p"
@@ -254,7 +255,10 @@
     let source = words::source(used.source);
     match used.basis {
         Basis::Measured => format!("measured, {source}"),
-        Basis::MeasuredIn(event) => format!("measured, {source}, {}", words::event(event)),
+        Basis::MeasuredIn { event, size } => {
+            let event = words::event(event);
+            format!("measured, {source}, {event}, {}", words::fleet(&size))
+        }
         Basis::MeasuredAt(size) => format!("measured, {source}, at {}", words::fleet(&size)),
         Basis::Extended { from, fits } => {
             let size = words::fleet(&from);
@@ -268,7 +272,7 @@
     if fits {
         "slopes"
     } else {
-        "slopes, one of which does not fit"
+        "slopes, without those that do not fit"
     }
 }
 
--- a/crates/capacity/src/words.rs
+++ b/crates/capacity/src/words.rs
@@ -11,10 +11,13 @@
 /// written without an exponent.
 const PLAIN_DIGITS: std::ops::RangeInclusive<i32> = -5..=12;
 
+/// What is smaller is left over from rounding.
+const NOTHING: f64 = 1e-9;
+
 /// A number with three significant digits; whole ones of four digits or more
 /// keep all of them.
 pub fn number(value: f64) -> String {
-    if value == 0.0 {
+    if value.abs() < NOTHING {
         return "0".into();
     }
     let digits = value.abs().log10().floor() as i32 + 1;
--- a/crates/capacity/tests/estimate.rs
+++ b/crates/capacity/tests/estimate.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 
 use lilacgate_capacity::analysis::Analysis;
-use lilacgate_capacity::budget::BudgetKind;
+use lilacgate_capacity::budget::{BudgetKind, BudgetRow};
 use lilacgate_capacity::estimate::{Basis, Estimate};
 use lilacgate_capacity::{
     EventKind, Experiment, Factor, Quantity, Role, Sample, Size, Source, Target,
@@ -124,26 +124,70 @@
 }
 
 #[test]
-fn a_judges_slopes_multiply() {
-    let agents = slope(
-        Role::Judge,
+fn a_slope_that_does_not_fit_adds_nothing() {
+    let mut figures = [5.0, 900.0, 7.0, 800.0].into_iter();
+    let figures = std::cell::RefCell::new(&mut figures);
+    let next = |_| figures.borrow_mut().next().expect("four figures");
+    let jagged = slope(Role::Agent, Factor::Agents, next, |size, step| {
+        size.agents = 10 * step;
+    });
+    assert_eq!(estimate(&jagged, Role::Agent), None);
+    let mut near = sample(Experiment::Budget, Role::Agent, CORE, 7.0);
+    near.size.agents = 20;
+    let samples = [jagged, vec![near.clone()]].concat();
+    let expected = Basis::Extended {
+        from: near.size,
+        fits: false,
+    };
+    let estimate = estimate(&samples, Role::Agent).expect("an estimate");
+    assert_eq!((estimate.figure, estimate.basis), (7.0, expected));
+}
+
+#[test]
+fn a_figure_below_nothing_is_not_known() {
+    let falling = slope(
+        Role::Agent,
         Factor::Agents,
-        |agents| 2.0 * agents,
+        |agents| 21.0 - agents,
         |size, step| {
-            (size.agents, size.releases) = (10 * step, 1);
+            size.agents = 5 * step;
         },
     );
-    let releases = slope(
-        Role::Judge,
-        Factor::Releases,
-        |releases| 5.0 * releases,
-        |size, step| {
-            size.releases = step;
-        },
+    assert_eq!(estimate(&falling, Role::Agent), None);
+}
+
+#[test]
+fn without_a_better_figure_a_judge_has_that_of_the_most_agents() {
+    let bytes = |agents: u32, listed: u32, figure: f64| {
+        let mut one = sample(
+            Experiment::Slope,
+            Role::Judge,
+            Quantity::BytesInPerSecond,
+            figure,
+        );
+        one.figures.insert(Quantity::BytesOutPerSecond, 1.0);
+        one.factor = Some(Factor::Agents);
+        (one.size.agents, one.size.listed_appliances) = (agents, listed);
+        one
+    };
+    let samples = [
+        bytes(10, 300, 400.0),
+        bytes(30, 50, 900.0),
+        bytes(30, 60, 700.0),
+    ];
+    let target = target();
+    let budgets = Analysis::new(&samples, &target).budgets();
+    let is_judge = |row: &&BudgetRow| (row.role, row.kind) == (Role::Judge, BudgetKind::Bytes);
+    let used = budgets
+        .iter()
+        .find(is_judge)
+        .expect("a row")
+        .used
+        .expect("a figure");
+    assert_eq!(
+        (used.figure, used.basis),
+        (701.0, Basis::MeasuredAt(samples[2].size))
     );
-    // 40 agents, and three times the releases.
-    let samples = [agents, releases].concat();
-    assert_eq!(figure(&samples, Role::Judge), 240.0);
 }
 
 #[test]
@@ -186,10 +230,11 @@
         .find(|row| row.kind == BudgetKind::Memory)
         .expect("memory");
     let used = row.used.expect("it is measured");
-    assert_eq!(
-        (used.figure, used.basis),
-        (80.0, Basis::MeasuredIn(EventKind::RegionRestart))
-    );
+    let expected = Basis::MeasuredIn {
+        event: EventKind::RegionRestart,
+        size: target.size(),
+    };
+    assert_eq!((used.figure, used.basis), (80.0, expected));
 }
 
 #[test]
--- a/crates/capacity/tests/page.rs
+++ b/crates/capacity/tests/page.rs
@@ -153,7 +153,7 @@
 // The worst event counts; the factor is that of the processor time.
 #[case::of_round(
     Part::Budgets,
-    "| 3,000 | measured, hollow, a zone fails and comes back | 7,500 | 0.4 | 1.25 | 0.5 |"
+    "| 3,000 | measured, hollow, a zone fails and comes back, 40 agents, 300 appliances, 12 services | 7,500 | 0.4 | 1.25 | 0.5 |"
 )]
 #[case::elsewhere(
     Part::Budgets,
