--- a/crates/capacity/src/estimate.rs
+++ b/crates/capacity/src/estimate.rs
@@ -251,10 +251,12 @@
     good.map(|slope| rise(slope, from, to)).sum()
 }
 
-/// How much the cost grows from one size to another along the slope's factor.
+/// How much the cost grows from one size to another along the slope's factor. A
+/// cost that falls as the size grows is taken not to change: what makes it fall
+/// may not go on.
 fn rise(slope: &Slope, from: &Size, to: &Size) -> f64 {
-    match slope.fit {
-        Ok(fit) => fit.at(slope.position(to)) - fit.at(slope.position(from)),
-        Err(_) => 0.0,
-    }
+    let Ok(fit) = slope.fit else { return 0.0 };
+    let (from, to) = (slope.position(from), slope.position(to));
+    let change = fit.at(to) - fit.at(from);
+    if to > from { change.max(0.0) } else { change }
 }
--- a/crates/capacity/tests/estimate.rs
+++ b/crates/capacity/tests/estimate.rs
@@ -143,6 +143,21 @@
     assert_eq!((estimate.figure, estimate.basis), (7.0, expected));
 }
 
+#[test]
+fn a_cost_that_falls_with_a_size_is_not_taken_off() {
+    let falling = slope(
+        Role::Agent,
+        Factor::Agents,
+        |agents| 50.0 - agents,
+        |size, step| {
+            size.agents = 5 * step;
+        },
+    );
+    let mut near = sample(Experiment::Budget, Role::Agent, CORE, 7.0);
+    near.size.agents = 20;
+    assert_eq!(figure(&[falling, vec![near]].concat(), Role::Agent), 7.0);
+}
+
 #[test]
 fn a_figure_below_nothing_is_not_known() {
     let falling = slope(
