--- a/crates/capacity/tests/page.rs
+++ b/crates/capacity/tests/page.rs
@@ -183,7 +183,7 @@
 )]
 #[case::worst_seed(
     Part::Events,
-    "| one change of configuration | agent | hollow | 20 agents, 300 appliances, 12 services | 2 | 3,500 |"
+    "| one change of configuration | agent | hollow | 20 agents, 300 appliances, 12 services | 2 | 3,500 | - | - | - | - | - | - | 0.4 |"
 )]
 #[case::no_event(Part::Events, "| a rack fails at once | not measured |")]
 #[case::verdict(Part::Verdicts, "| 5 % | 10 % | none | 41.5 s (60 s) |")]
--- a/crates/capacity/tests/verdict.rs
+++ b/crates/capacity/tests/verdict.rs
@@ -42,6 +42,7 @@
 #[case::worse(case(Evidence::Pooled(60), 0.5), case(Evidence::Pooled(60), 0.05))]
 #[case::more_agents(case(Evidence::Pooled(60), 0.2), case(Evidence::Pooled(6), 0.2))]
 #[case::pooled(case(Evidence::Pooled(6), 0.2), case(Evidence::Own, 0.2))]
+#[case::level(case(Evidence::Pooled(1), 0.5), case(Evidence::Own, 0.5))]
 fn more_evidence_is_sooner(#[case] sooner: VerdictCase, #[case] later: VerdictCase) {
     let (sooner, later) = (median(&sooner), median(&later));
     assert!(sooner < later, "{sooner:?} is not before {later:?}");
@@ -62,6 +63,17 @@
     assert_eq!(runs(&case), runs(&case));
 }
 
+#[test]
+fn earlier_outcomes_count_only_beside_the_trials() {
+    let settings = VerdictSettings {
+        most_recent: Duration::ZERO,
+        longest: Duration::from_secs(600),
+        ..VerdictSettings::default()
+    };
+    let run = run(&case(Evidence::Pooled(60), 0.5), &settings, 1);
+    assert_eq!(run.after, None, "there is nothing to compare with");
+}
+
 #[test]
 fn an_agent_alone_receives_no_reports() {
     let runs = runs(&case(Evidence::Own, 0.5));
