--- a/crates/capacity/src/result.rs
+++ b/crates/capacity/src/result.rs
@@ -345,7 +345,7 @@
 /// Writes a whole result file, in place of an older one.
 ///
 /// # Errors
-/// As [`write`].
+/// As [`write()`].
 pub fn save(path: &Path, samples: &[Sample]) -> Result<(), ResultError> {
     let file = File::create(path).map_err(|source| file_error(path, source))?;
     write(&mut BufWriter::new(file), samples)
