--- a/src/brain.rs
+++ b/src/brain.rs
@@ -307,7 +307,7 @@
     }
 
     /// `stays` while the operator's rules let no step on be asked for; a back is never held up.
-    fn verdict(&self, now: Duration, roster: &Roster, news: News, lost: f64, stays: bool) -> Option<Verdict> {
+    fn verdict(&self, now: Duration, fleet: &Fleet, news: News, lost: f64, stays: bool) -> Option<Verdict> {
         let News { build, stage, course, .. } = news;
         if !matches!(course, Course::OnTrial | Course::Released) || self.own.build != Some(build) {
             return None;
@@ -328,8 +328,8 @@
             return (stays || doubt && now < news.since + self.dwell * 4 / 3).then_some(Verdict::Hold);
         }
         let ring = self.rings.get(usize::from(stage.0)).copied().unwrap_or(1.0);
-        let trial = roster.fleet.running(build);
-        let places = roster.fleet.ready().count() - if self.rolling { 0 } else { trial.len() };
+        let trial = fleet.running(build);
+        let places = fleet.ready().count() - if self.rolling { 0 } else { trial.len() };
         let newest = trial.iter().filter_map(|(_, a)| a.line.started).max()?;
         // The list runs late: a stage whose machines it does not show has not begun to wait.
         let shown = trial.len() as f64 + 0.5 >= ring * places as f64 || now >= news.since + self.dwell * 6;
@@ -344,19 +344,19 @@
     }
 
     fn round(
-        &mut self, now: Duration, roster: &Roster, news: News, (lost, stays): (f64, bool),
+        &mut self, now: Duration, fleet: &Fleet, news: News, (lost, stays): (f64, bool),
         out: &mut dyn Decisions,
     ) {
         self.own.well = if lost <= LOST { now } else { self.own.well };
         let tried = news.course == Course::OnTrial && self.own.build == Some(news.build);
-        let ages = tried && self.ages(&roster.fleet, news.build);
+        let ages = tried && self.ages(fleet, news.build);
         self.own.warned = if ages { now + self.dwell } else { self.own.warned };
         let doubt = tried && (ages || self.own.tests.iter().any(Test::doubtful));
         if self.among.may_tell && doubt && self.judging(news.build) && now >= self.own.warn_at {
             self.own.warn_at = now + self.dwell / 2;
             out.tell(None, &news.build.0.to_be_bytes());
         }
-        let Some(verdict) = self.verdict(now, roster, news, lost, stays) else { return };
+        let Some(verdict) = self.verdict(now, fleet, news, lost, stays) else { return };
         let ballot = (news.build, news.stage, verdict);
         if let Some(last) = self.own.vote.as_ref().filter(|v| v.ballot == ballot) {
             let again = match last.answer {
@@ -438,7 +438,7 @@
         if let Some(news) = self.exposure.news {
             self.jury.report(now, self.stock.woke, news, self.chance.random_range(0.5..0.8), out);
             let stays = self.exposure.openings.as_ref().is_some_and(|o| !o.may_step(news.build, news.stage));
-            self.jury.round(now, &self.roster, news, (self.stock.lost, stays), out);
+            self.jury.round(now, &self.roster.fleet, news, (self.stock.lost, stays), out);
         }
         self.stock.notes.drain(..).for_each(|note| out.note(note));
         let beat = beat.max(now + self.desk.tick * 2);
@@ -534,7 +534,7 @@
         None
     }
 
-    /// Whether this txn would wait too long: the less it earns, the sooner. Guards against queues everywhere
+    /// Whether a txn waits too long if it is sent: the less it earns, the sooner. Guards against queues
     /// (bursts, lost machines, shared slowdowns, retry storms). Harms if an idle appliance is late as it is.
     fn crowded(&mut self, terms: &Terms, sla_left: Duration) -> bool {
         let most = self.desk.products.iter().map(|t| t.revenue).fold(f64::MIN_POSITIVE, f64::max);
@@ -568,7 +568,7 @@
         }
     }
 
-    /// Lays out what txns choose from: the arms' appliances and odds, and the trial's share of listed weight.
+    /// Lays out what txns choose from: the arms' appliances and odds, and the trial's listed share.
     fn arrange(&mut self) {
         let (now, fleet) = (self.now, &self.roster.fleet);
         // When most are barred the trouble is not theirs: then bars mean nothing.
@@ -613,9 +613,8 @@
     }
 
     fn takes(&self, h: &Held, to: ApplianceId) -> bool {
-        let Some(a) = self.roster.fleet.0.get(&to).filter(|a| a.line.mode == Mode::Ready) else {
-            return false;
-        };
+        let listed = self.roster.fleet.0.get(&to);
+        let Some(a) = listed.filter(|a| a.line.mode == Mode::Ready) else { return false };
         // Listed sizes leave out how fast a model is; what the mean bears can push a slow one over.
         let fair = self.stock.fair * a.weight() * self.jury.own.speed(a.line.model);
         h.in_group(&a.line)
@@ -665,7 +664,7 @@
         None
     }
 
-    /// What a txn may expect to wait there, against the usual there: speed and size are in the odds already.
+    /// What a txn may expect to wait there, against the usual: speed and size are in the odds already.
     fn cost(&self, a: &Appliance) -> f64 {
         let across = if a.line.zone == self.roster.zone { 1.0 } else { 2.0 };
         let pace = pace(a, self.now, &self.stock) / usual(a, self.now, &self.stock);
@@ -683,10 +682,8 @@
     }
 
     fn submit(&mut self, id: TxnId, to: ApplianceId, out: &mut dyn Decisions) {
-        let now = self.now;
-        let (Some(h), Some(a)) = (self.desk.held.get_mut(&id), self.roster.fleet.0.get_mut(&to)) else {
-            return;
-        };
+        let (now, fleet) = (self.now, &mut self.roster.fleet);
+        let (Some(h), Some(a)) = (self.desk.held.get_mut(&id), fleet.0.get_mut(&to)) else { return };
         let (txn, build, work, group) = (h.txn, a.line.build, h.work, (a.line.zone, a.line.cell));
         if self.exposure.bound(build).is_some() {
             let lane = self.exposure.lane(txn.product);
@@ -739,11 +736,11 @@
     pub(crate) fn outcome(
         &mut self, id: TxnId, leg: Leg, at: ApplianceId, o: &Out, ending: Ending, took: Duration,
     ) {
-        let now = self.now;
-        let Some(build) = self.roster.fleet.0.get(&at).map(|a| a.line.build) else { return };
+        let (now, fleet) = (self.now, &mut self.roster.fleet);
+        let Some(build) = fleet.0.get(&at).map(|a| a.line.build) else { return };
         let served = ending == Ending::Served;
-        let (many, sum) = if served { (0.0, 0.0) } else { self.roster.fleet.mates(now, RECENT, at, build) };
-        let Some(a) = self.roster.fleet.0.get_mut(&at) else { return };
+        let (many, sum) = if served { (0.0, 0.0) } else { fleet.mates(now, RECENT, at, build) };
+        let Some(a) = fleet.0.get_mut(&at) else { return };
         let alive = a.record.heard > o.sent;
         let sla = self.desk.products.get(usize::from(o.product.0)).map_or(took, |terms| terms.sla);
         let blurred = o.sent < self.stock.woke;
