--- a/crates/agent/src/keeper.rs
+++ b/crates/agent/src/keeper.rs
@@ -145,26 +145,28 @@
         self.module.stage(build, stage, course, cap, age);
     }
 
-    fn txn(&mut self, id: TxnId, txn: Txn) {
-        self.recorder.put(self.now, Deed::Txn(id, txn.product));
-        self.module.txn(id, txn);
+    fn request(&mut self, id: RequestId, request: Request) {
+        self.recorder.put(self.now, Deed::Request(id, request.product));
+        self.module.request(id, request);
     }
 
-    fn ended(&mut self, id: TxnId, leg: Leg, at: ApplianceId, ending: Ending, took: Duration, closed: bool) {
+    fn ended(
+        &mut self, id: RequestId, leg: Leg, at: ApplianceId, ending: Ending, took: Duration, closed: bool,
+    ) {
         self.recorder.put(self.now, Deed::Ended((id, leg), at, ending, took, closed));
         self.module.ended(id, leg, at, ending, took, closed);
     }
 
-    fn stream_begun(&mut self, id: TxnId, leg: Leg, at: ApplianceId, took: Duration) {
+    fn stream_begun(&mut self, id: RequestId, leg: Leg, at: ApplianceId, took: Duration) {
         self.module.stream_begun(id, leg, at, took);
     }
 
-    fn client_left(&mut self, id: TxnId) {
+    fn client_left(&mut self, id: RequestId) {
         self.recorder.put(self.now, Deed::Closed(id));
         self.module.client_left(id);
     }
 
-    fn may_go(&mut self, id: TxnId, leg: Leg) -> bool {
+    fn may_go(&mut self, id: RequestId, leg: Leg) -> bool {
         self.module.may_go(id, leg)
     }
 
--- a/crates/agent/src/log.rs
+++ b/crates/agent/src/log.rs
@@ -182,7 +182,7 @@
 counts! {
     ClientsIn "clients_accepted"
     ClientsOut "clients_ended"
-    TxnsTaken "txns_taken"
+    RequestsTaken "requests_taken"
     CommandsRefused "commands_refused"
     Settled "settled"
     Declined "declined"
--- a/crates/ctl/src/plot.rs
+++ b/crates/ctl/src/plot.rs
@@ -151,7 +151,7 @@
         root.draw(&Text::new(build, (12, top as i32 + 44), ("sans-serif", 12))).map_err(fault)?;
     }
     let legend = format!(
-        "bars: txns in {long:.0} s (red: bad, amber: late; the tallest {tallest:.0}); line: 95th percentile (highest {:.0} ms); \
+        "bars: requests in {long:.0} s (red: bad, amber: late; the tallest {tallest:.0}); line: 95th percentile (highest {:.0} ms); \
          red on top: departures, thin red: when they were sure; green: stages and votes; triangles: left alone; bands: builds",
         slowest * 1e3
     );
--- a/crates/ctl/src/timeline.rs
+++ b/crates/ctl/src/timeline.rs
@@ -309,7 +309,7 @@
         println!("\nThe nodes, before and during it:");
         let mut table = Table::new();
         table.load_preset(presets::NOTHING).set_header([
-            "node", "build", "txns", "failed", "late", "p95", "", "txns", "failed", "late", "p95",
+            "node", "build", "requests", "failed", "late", "p95", "", "requests", "failed", "late", "p95",
         ]);
         let share = |part: u32, counts: &Counts| {
             let all = counts.ended().max(1);
--- a/crates/drill/src/wire.rs
+++ b/crates/drill/src/wire.rs
@@ -53,8 +53,8 @@
     pub fn span64(self, at: usize) -> Duration {
         Duration::from_micros(self.u64(at))
     }
-    pub fn txn(self, at: usize) -> TxnId {
-        TxnId(self.u32(at))
+    pub fn request(self, at: usize) -> RequestId {
+        RequestId(self.u32(at))
     }
     pub fn appliance(self, at: usize) -> ApplianceId {
         ApplianceId(self.u32(at))
@@ -227,16 +227,16 @@
 }
 
 impl Decisions for Reply {
-    fn submit(&mut self, id: TxnId, to: ApplianceId, give_up_after: Duration) {
+    fn submit(&mut self, id: RequestId, to: ApplianceId, give_up_after: Duration) {
         self.action(1, &[&id.0.to_be_bytes(), &to.0.to_be_bytes(), &micros32(give_up_after)]);
     }
-    fn decline(&mut self, id: TxnId, come_back_in: Duration) {
+    fn decline(&mut self, id: RequestId, come_back_in: Duration) {
         self.action(2, &[&id.0.to_be_bytes(), &micros32(come_back_in)]);
     }
-    fn void(&mut self, id: TxnId) {
+    fn void(&mut self, id: RequestId) {
         self.action(3, &[&id.0.to_be_bytes()]);
     }
-    fn call_off(&mut self, id: TxnId, leg: Leg) {
+    fn call_off(&mut self, id: RequestId, leg: Leg) {
         self.action(4, &[&id.0.to_be_bytes(), &[leg.0]]);
     }
     fn wake(&mut self, at: Duration, ticket: Ticket) {
--- a/crates/standin/src/decided.rs
+++ b/crates/standin/src/decided.rs
@@ -8,23 +8,23 @@
 pub struct Decided {
     /// Whether the list is to be watched.
     pub watches: bool,
-    pub sent: Vec<(TxnId, ApplianceId)>,
+    pub sent: Vec<(RequestId, ApplianceId)>,
     /// What was given up, and whether its client is told that it may come again.
-    pub given_up: Vec<(TxnId, bool)>,
-    pub called_off: Vec<(TxnId, Leg)>,
+    pub given_up: Vec<(RequestId, bool)>,
+    pub called_off: Vec<(RequestId, Leg)>,
 }
 
 impl Decisions for Decided {
-    fn submit(&mut self, id: TxnId, to: ApplianceId, _: Duration) {
+    fn submit(&mut self, id: RequestId, to: ApplianceId, _: Duration) {
         self.sent.push((id, to));
     }
-    fn decline(&mut self, id: TxnId, _: Duration) {
+    fn decline(&mut self, id: RequestId, _: Duration) {
         self.given_up.push((id, true));
     }
-    fn void(&mut self, id: TxnId) {
+    fn void(&mut self, id: RequestId) {
         self.given_up.push((id, false));
     }
-    fn call_off(&mut self, id: TxnId, leg: Leg) {
+    fn call_off(&mut self, id: RequestId, leg: Leg) {
         self.called_off.push((id, leg));
     }
     fn wake(&mut self, _: Duration, _: Ticket) {}
--- a/crates/standin/src/demo.rs
+++ b/crates/standin/src/demo.rs
@@ -148,7 +148,7 @@
     let second = show.offer(3, 0.4, &mut |_, _| false);
     let voted_back = second.course == "Aborting";
     show.say(if voted_back {
-        "build 3 fails four txns in ten: the agent voted it back"
+        "build 3 fails four requests in ten: the agent voted it back"
     } else {
         "build 3 was NOT voted back"
     });
@@ -188,8 +188,8 @@
     }
     println!("\nWhat the checker found in {} steps and submissions on record:", events.len());
     println!(
-        "  {} txns: {} settled, {} declined, {} voided, {} lost",
-        verdict.txns, verdict.settled, verdict.declined, verdict.voided, verdict.lost
+        "  {} requests: {} settled, {} declined, {} voided, {} lost",
+        verdict.requests, verdict.settled, verdict.declined, verdict.voided, verdict.lost
     );
     for build in 1..=4 {
         println!(
--- a/crates/standin/src/record.rs
+++ b/crates/standin/src/record.rs
@@ -3,7 +3,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// How a client's txn ended, as the client saw it.
+/// How a client's request ended, as the client saw it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Final {
     Settled,
@@ -13,7 +13,7 @@
     Lost,
 }
 
-/// What may be done again with a txn's product.
+/// What may be done again with a request's product.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
     Read,
@@ -23,7 +23,7 @@
 
 #[derive(Clone, Debug)]
 pub enum Seen {
-    /// A client has sent a txn, and waits so long.
+    /// A client has sent a request, and waits so long.
     Sent {
         id: u32,
         kind: Kind,
--- a/crates/start/src/lib.rs
+++ b/crates/start/src/lib.rs
@@ -83,7 +83,7 @@
             .try_fold(Duration::ZERO, |most, i| Ok(most.max(self.period(&format!("profiles.{i}.give-up"))?)))
     }
 
-    /// What may be done again with a txn of the i-th product.
+    /// What may be done again with a request of the i-th product.
     pub fn repeat(&self, i: usize) -> Result<Repeat, String> {
         let key = |field| format!("profiles.{i}.{field}");
         let groups = [("all", Group::All), ("zone", Group::Zone), ("cell", Group::Cell)];
--- a/crates/timeline/src/book.rs
+++ b/crates/timeline/src/book.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use lilacgate::port::{
-    ApplianceId, Build, Course, Ending, Leg, Line as Listed, Listing, Mode, Note, Product, Stage, TxnId,
+    ApplianceId, Build, Course, Ending, Leg, Line as Listed, Listing, Mode, Note, Product, RequestId, Stage,
     Verdict,
 };
 
@@ -132,12 +132,12 @@
         }
     }
 
-    pub fn txn(&mut self, id: TxnId, product: Product) {
+    pub fn request(&mut self, id: RequestId, product: Product) {
         self.products.insert(id.0, product.0);
     }
 
     /// A submission goes out.
-    pub fn submit(&mut self, now: Duration, id: TxnId, leg: Leg, to: ApplianceId) {
+    pub fn submit(&mut self, now: Duration, id: RequestId, leg: Leg, to: ApplianceId) {
         let product = self.products.get(&id.0).copied().unwrap_or_default();
         self.out.insert((id.0, leg.0), Out { node: to.0, product });
         self.watch.sent(now, to.0, (id.0, leg.0));
@@ -148,10 +148,10 @@
         });
     }
 
-    /// A submission has ended; `closed` says that its txn has, too.
+    /// A submission has ended; `closed` says that its request has, too.
     pub fn ended(
-        &mut self, now: Duration, (id, leg): (TxnId, Leg), at: ApplianceId, ending: Ending, took: Duration,
-        closed: bool,
+        &mut self, now: Duration, (id, leg): (RequestId, Leg), at: ApplianceId, ending: Ending,
+        took: Duration, closed: bool,
     ) {
         let product = match self.out.remove(&(id.0, leg.0)) {
             Some(out) => out.product,
@@ -187,8 +187,8 @@
         }
     }
 
-    /// A txn has had its final answer, or its client has left.
-    pub fn closed(&mut self, id: TxnId) {
+    /// A request has had its final answer, or its client has left.
+    pub fn closed(&mut self, id: RequestId) {
         self.products.remove(&id.0);
     }
 
@@ -205,7 +205,7 @@
         }
     }
 
-    pub fn called_off(&mut self, now: Duration, id: TxnId, leg: Leg) {
+    pub fn called_off(&mut self, now: Duration, id: RequestId, leg: Leg) {
         if let Some(out) = self.out.get(&(id.0, leg.0)) {
             let what = What::CalledOff { product: out.product };
             let entry = Entry { happened: now, known: now, node: Some(out.node), what };
--- a/crates/timeline/src/entry.rs
+++ b/crates/timeline/src/entry.rs
@@ -52,7 +52,7 @@
     pub beside: Option<(u16, u8)>,
 }
 
-/// Why a txn was given up, or a node is left alone.
+/// Why a request was given up, or a node is left alone.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum What {
@@ -73,7 +73,7 @@
     CalledOff {
         product: u8,
     },
-    /// Txns given up, by reason; one entry a reason and step.
+    /// Requests given up, by reason; one entry a reason and step.
     GivenUp {
         why: String,
         many: u32,
--- a/crates/timeline/src/watch.rs
+++ b/crates/timeline/src/watch.rs
@@ -30,7 +30,7 @@
 /// More traffic than usual, by this factor, excuses late answers: queues are no departure. So long after it, too.
 const JUMP: f64 = 1.25;
 const DRAINS: Duration = Duration::from_secs(6);
-/// Most of a group: this share of those that get txns.
+/// Most of a group: this share of those that get requests.
 const MOST: f64 = 0.6;
 /// A stage is named beside a departure that begins so soon after it.
 const BESIDE: Duration = Duration::from_secs(20);
--- a/crates/timeline/tests/lines.rs
+++ b/crates/timeline/tests/lines.rs
@@ -65,10 +65,17 @@
         let (old, new) = (listed(id.saturating_sub(3), 1, None), listed(id, (id % 7) as u16, Some(now)));
         book.roster(now, Listing::Changes, &[new, Line { mode: Mode::Gone, ..old }]);
         for i in 0..20 {
-            let txn = TxnId(id * 20 + i);
-            book.txn(txn, Product(0));
-            book.submit(now, txn, Leg(0), ApplianceId(id));
-            book.ended(now, (txn, Leg(0)), ApplianceId(id), Ending::Served, Duration::from_millis(9), true);
+            let request = RequestId(id * 20 + i);
+            book.request(request, Product(0));
+            book.submit(now, request, Leg(0), ApplianceId(id));
+            book.ended(
+                now,
+                (request, Leg(0)),
+                ApplianceId(id),
+                Ending::Served,
+                Duration::from_millis(9),
+                true,
+            );
         }
         book.advance(now);
         assert!(book.octets() < room + (1 << 20), "{} at {id}", book.octets());
@@ -82,8 +89,15 @@
     book.roster(DAWN, Listing::Whole, &[listed(1, 1, None)]);
     for i in 0..200u32 {
         let now = secs(f64::from(i) * 0.5);
-        book.submit(now, TxnId(i), Leg(0), ApplianceId(1));
-        book.ended(now, (TxnId(i), Leg(0)), ApplianceId(1), Ending::Served, Duration::from_millis(5), true);
+        book.submit(now, RequestId(i), Leg(0), ApplianceId(1));
+        book.ended(
+            now,
+            (RequestId(i), Leg(0)),
+            ApplianceId(1),
+            Ending::Served,
+            Duration::from_millis(5),
+            true,
+        );
         if i % 5 == 0 {
             book.vote(now, Build(2), Stage(0), Verdict::On);
         }
--- a/src/brain.rs
+++ b/src/brain.rs
@@ -31,7 +31,7 @@
     (took + prior * usual(a, now, stock)) / (worked + prior)
 }
 
-/// Whether a barred appliance is left alone; at times it is tried with one txn.
+/// Whether a barred appliance is left alone; at times it is tried with one request.
 fn shut(a: &Appliance, now: Duration, panic: bool) -> bool {
     a.barred() && !panic && (now < a.record.barred_until || !a.out.is_empty())
 }
@@ -80,10 +80,10 @@
         line.started.is_some_and(|s| sent < s + self.ramp * 9 / 8)
     }
 
-    /// Whether a txn keeps this agent's part of the budget: what it would send a warm one of its weight,
-    /// so that all parts add up to what such a one bears. A part below one txn is a chance of one: the luck a
-    /// txn draws once a span, against twice (for the two choices) what would go there of all `due` work.
-    /// Guards against the first txns of hundreds of agents.
+    /// Whether a request keeps this agent's part of the budget: what it would send a warm one of its weight,
+    /// so that all parts add up to what such a one bears. A part below one request is a chance of one: the
+    /// luck a request draws once a span, against twice (for the two choices) what would go there of all `due`
+    /// work. Guards against the first requests of hundreds of agents.
     fn bears(&self, now: Duration, a: &Appliance, fair_rate: f64, h: &Held, due: f64) -> bool {
         let warmth = self.warmth(a.age(now));
         let sent = || a.pushed(now, self.span);
@@ -103,19 +103,19 @@
         }
     }
 
-    /// Whether the operator's rules leave a build open there for a txn; without any all are.
+    /// Whether the operator's rules leave a build open there for a request; without any all are.
     fn open(&self, build: Build, zone: Zone, h: &Held) -> bool {
-        self.openings.as_ref().is_none_or(|o| o.admits(build, zone, h.txn.tenant, h.txn.product))
+        self.openings.as_ref().is_none_or(|o| o.admits(build, zone, h.request.tenant, h.request.product))
     }
 
-    /// Whether a txn may go to a build at all.
+    /// Whether a request may go to a build at all.
     fn admits(&self, build: Build, zone: Zone, h: &Held) -> bool {
         if !self.open(build, zone, h) {
             return false;
         }
         let Some((stage, cap)) = self.bound(build) else {
             let onward = |n: News| build < n.build && matches!(n.course, Course::OnTrial | Course::Released);
-            let answered = h.txn.mark.is_some_and(|m| self.windows.answered.contains(&m));
+            let answered = h.request.mark.is_some_and(|m| self.windows.answered.contains(&m));
             return !(self.forward_only && answered && self.news.is_some_and(onward));
         };
         cap > 0.0 && (stage.0 >= self.guarded || h.terms.repeat == Repeat::InquiryLike)
@@ -126,7 +126,7 @@
         let Some((_, cap)) = self.bound(build).filter(|_| admitted) else { return admitted };
         // Strictly inside the window, by a tick: an arrival at its very edge may not be counted.
         let edge = (now + self.tick + Duration::from_micros(1)).saturating_sub(self.span);
-        let (lane, from, w) = (self.lane(h.txn.product), now.saturating_sub(self.span), &self.windows);
+        let (lane, from, w) = (self.lane(h.request.product), now.saturating_sub(self.span), &self.windows);
         let (sent, taken) = (w.sent_since(lane, build, from), w.taken_since(lane, edge));
         // What an earlier life of this agent sent is not known: its free allowance may be used up.
         let free = if w.started.is_some_and(|s| s + self.span >= now) { 0.0 } else { self.free };
@@ -145,7 +145,7 @@
 const WAIT: Duration = Duration::from_millis(3500);
 /// Trial outcomes without which a test does not speak.
 const ENOUGH: f64 = 20.0;
-/// So many appliances of an arm serve an agent with hardly a txn out: enough to choose and to lose some.
+/// So many appliances of an arm serve an agent with hardly a request out: enough to choose and to lose some.
 const HOMES: f64 = 8.0;
 /// How many agents gather the others' outcomes.
 const JUDGES: u32 = 3;
@@ -479,15 +479,15 @@
         self.stock.lost = kept.filter(|_| self.jury.judging(build)).map_or(0.0, |kept| 1.0 - kept);
     }
 
-    /// Does what is due for a txn, and says when to look at it again without an event.
-    fn attend(&mut self, id: TxnId, out: &mut dyn Decisions) -> Option<Duration> {
+    /// Does what is due for a request, and says when to look at it again without an event.
+    fn attend(&mut self, id: RequestId, out: &mut dyn Decisions) -> Option<Duration> {
         let now = self.now;
         let h = self.desk.held.get_mut(&id)?;
         let usual = self.stock.middle_pace * h.work.max(self.stock.usual_work);
         let usual = Duration::from_secs_f64(usual.min(15.0));
         // Once the agent is to end, nothing begins of which it would not see the end.
-        let need = if h.txn.deadline == self.desk.ends { usual } else { Duration::ZERO };
-        let left = h.txn.deadline.saturating_sub(now) > need.max(self.desk.tick * 4);
+        let need = if h.request.deadline == self.desk.ends { usual } else { Duration::ZERO };
+        let left = h.request.deadline.saturating_sub(now) > need.max(self.desk.tick * 4);
         let sla_left = (h.arrived + h.terms.sla).saturating_sub(now);
         let more = left && h.legs.len() < self.desk.max_submissions && resendable(h, now);
         let waiting = h.out().next().map(|(leg, l)| (leg, l.to, l.sent, l.called_off));
@@ -511,8 +511,8 @@
         }
         let (terms, hopeless) = (h.terms, sla_left.is_zero() && h.terms.late_share <= 0.0);
         let fresh = h.legs.last().is_none_or(|l| l.ending == Some(Ending::TurnedAway));
-        // Resends go on only as far as they have helped of late. Guards against storms over txns that fail
-        // wherever they go; harms for a while where a trouble has just passed.
+        // Resends go on only as far as they have helped of late. Guards against storms over requests that
+        // fail wherever they go; harms for a while where a trouble has just passed.
         let failed = h.legs.last().is_some_and(|l| l.ending == Some(Ending::Failed));
         let vain =
             failed && self.chance.random::<f64>() > self.demand.again.helped(now, self.stock.few) + 0.1;
@@ -534,19 +534,19 @@
         None
     }
 
-    /// Whether a txn waits too long if it is sent: the less it earns, the sooner. Guards against queues
+    /// Whether a request waits too long if it is sent: the less it earns, the sooner. Guards against queues
     /// (bursts, lost machines, shared slowdowns, retry storms). Harms if an idle appliance is late as it is.
     fn crowded(&mut self, terms: &Terms, sla_left: Duration) -> bool {
         let most = self.desk.products.iter().map(|t| t.revenue).fold(f64::MIN_POSITIVE, f64::max);
         let pressure = self.queue(sla_left);
-        // What came late: all that an agent sees of a queue with hardly a txn of its own in it.
+        // What came late: all that an agent sees of a queue with hardly a request of its own in it.
         let late = self.demand.late.share(self.now, self.stock.few, 2.0);
         let strain = f64::max((pressure - 0.15 - 0.1 * terms.revenue / most) / 0.25, 2.0 * (late - 0.15));
         self.chance.random::<f64>() < strain.max(self.demand.full.share(self.now, RECENT, 1.0))
     }
 
-    /// What a txn must expect to wait beyond its work, as a share of a time, by what is out and served. A few
-    /// idle txns beside keep little traffic from looking like a queue.
+    /// What a request must expect to wait beyond its work, as a share of a time, by what is out and served. A
+    /// few idle requests beside keep little traffic from looking like a queue.
     fn queue(&self, of: Duration) -> f64 {
         // Nothing can have been served yet by an agent that has just come up.
         if self.exposure.windows.started.is_none_or(|s| self.now < s + RECENT) {
@@ -557,7 +557,7 @@
         (wait - idle) / of.as_secs_f64().max(1e-6)
     }
 
-    fn give_up(&mut self, id: TxnId, why: &'static str, out: &mut dyn Decisions) {
+    fn give_up(&mut self, id: RequestId, why: &'static str, out: &mut dyn Decisions) {
         out.note(Note::GivenUp(why));
         let Some(h) = self.desk.held.remove(&id) else { return };
         let safe = matches!(h.terms.repeat, Repeat::InquiryLike | Repeat::Referenced(Group::All));
@@ -568,7 +568,7 @@
         }
     }
 
-    /// Lays out what txns choose from: the arms' appliances and odds, and the trial's listed share.
+    /// Lays out what requests choose from: the arms' appliances and odds, and the trial's listed share.
     fn arrange(&mut self) {
         let (now, fleet) = (self.now, &self.roster.fleet);
         // When most are barred the trouble is not theirs: then bars mean nothing.
@@ -593,7 +593,7 @@
         let trial = listed[1] / (listed[0] + listed[1]).max(1e-9);
         self.stock.share = if queued { 0.0 } else { trial };
         // An agent keeps to so many of an arm, even over all agents, more the more it has out; to the rest
-        // only in need. Guards against links that carry a txn or two; harms evenness where few ask much.
+        // only in need. Guards against links that carry a request or two; harms evenness where few ask much.
         let homes = HOMES * (1.0 + self.stock.asked * self.stock.middle_pace * self.stock.usual_work);
         let turn = f64::from(self.jury.among.me.0) / f64::from(self.jury.among.agents.max(1));
         // A cap, or a full window, keeps from the trial what is its share: at times all goes to others, which
@@ -624,8 +624,8 @@
             && self.exposure.permits(self.now, a.line, h)
     }
 
-    /// Whether the rules close all that could take a txn. Guards against holding it in vain.
-    fn shut_out(&self, id: TxnId) -> bool {
+    /// Whether the rules close all that could take a request. Guards against holding it in vain.
+    fn shut_out(&self, id: RequestId) -> bool {
         let Some(h) = self.desk.held.get(&id) else { return false };
         let mut ready = self.roster.fleet.ready().filter(|(_, a)| h.in_group(&a.line)).peekable();
         let open = |(_, a): (_, &Appliance)| self.exposure.open(a.line.build, a.line.zone, h);
@@ -633,13 +633,13 @@
     }
 
     /// Two random choices by weight within an arm; the arm by the trial build's share of the listed weight.
-    fn choose(&mut self, id: TxnId) -> Option<ApplianceId> {
+    fn choose(&mut self, id: RequestId) -> Option<ApplianceId> {
         let mut chance = Pcg64Mcg::seed_from_u64(self.chance.random());
         if let Some(h) = self.desk.held.get_mut(&id).filter(|h| self.now >= h.luck.0) {
             h.luck = (self.now + self.thaw.span, chance.random());
         }
         let h = self.desk.held.get(&id)?;
-        // A txn that the trial build has failed is better served by an earlier one.
+        // A request that the trial build has failed is better served by an earlier one.
         let failed_there = h.legs.iter().any(|l| self.exposure.bound(l.build).is_some());
         let arm = usize::from(chance.random::<f64>() < self.stock.share && !failed_there);
         for seats in [&self.stock.seats[arm], &self.stock.seats[1 - arm]] {
@@ -664,7 +664,7 @@
         None
     }
 
-    /// What a txn may expect to wait there, against the usual: speed and size are in the odds already.
+    /// What a request may expect to wait there, against the usual: speed and size are in the odds already.
     fn cost(&self, a: &Appliance) -> f64 {
         let across = if a.line.zone == self.roster.zone { 1.0 } else { 2.0 };
         let pace = pace(a, self.now, &self.stock) / usual(a, self.now, &self.stock);
@@ -673,7 +673,7 @@
     }
 
     /// Whether what waited for a connection may still go: drains, caps, builds told, keys forgotten since.
-    pub(crate) fn stands(&self, id: TxnId, leg: Leg) -> bool {
+    pub(crate) fn stands(&self, id: RequestId, leg: Leg) -> bool {
         let Some(h) = self.desk.held.get(&id) else { return false };
         let Some(l) = h.legs.get(usize::from(leg.0)).filter(|l| !l.called_off) else { return false };
         let known = h.risk.is_none_or(|(first, ..)| first == l.sent) || resendable(h, self.now);
@@ -681,17 +681,17 @@
         self.roster.fleet.0.get(&l.to).is_some_and(same) && self.exposure.admits(l.build, l.group.0, h)
     }
 
-    fn submit(&mut self, id: TxnId, to: ApplianceId, out: &mut dyn Decisions) {
+    fn submit(&mut self, id: RequestId, to: ApplianceId, out: &mut dyn Decisions) {
         let (now, fleet) = (self.now, &mut self.roster.fleet);
         let (Some(h), Some(a)) = (self.desk.held.get_mut(&id), fleet.0.get_mut(&to)) else { return };
-        let (txn, build, work, group) = (h.txn, a.line.build, h.work, (a.line.zone, a.line.cell));
+        let (request, build, work, group) = (h.request, a.line.build, h.work, (a.line.zone, a.line.cell));
         if self.exposure.bound(build).is_some() {
-            let lane = self.exposure.lane(txn.product);
+            let lane = self.exposure.lane(request.product);
             self.exposure.windows.sent.entry((lane, build)).or_default().push_back(now);
         }
         let leg = Leg(h.legs.len() as u8);
         let young = self.jury.own.on_trial(build) && self.thaw.young(&a.line, now);
-        let out_there = Out { sent: now, work, product: txn.product, build, young, mute: a.barred() };
+        let out_there = Out { sent: now, work, product: request.product, build, young, mute: a.barred() };
         self.stock.notes.extend(out_there.mute.then_some(Note::Tried(to)));
         a.sent(now, self.thaw.span, (id, leg), out_there);
         h.legs.push(Submission { to, build, group, sent: now, ending: None, called_off: false });
@@ -709,7 +709,7 @@
             return;
         }
         let trial = self.jury.own.on_trial(o.build).then_some(at);
-        // Both arms have answered within the agent's last few txns: only then do they compare.
+        // Both arms have answered within the agent's last few requests: only then do they compare.
         self.jury.own.last[usize::from(trial.is_some())] = Some(self.now);
         let beside = self.jury.own.last.iter().all(|t| t.is_some_and(|t| t + self.stock.few >= self.now));
         if trial.is_none() && !beside {
@@ -734,7 +734,7 @@
 
     /// Takes in how a submission ended: what it tells of the appliance, of queues, and of the build.
     pub(crate) fn outcome(
-        &mut self, id: TxnId, leg: Leg, at: ApplianceId, o: &Out, ending: Ending, took: Duration,
+        &mut self, id: RequestId, leg: Leg, at: ApplianceId, o: &Out, ending: Ending, took: Duration,
     ) {
         let (now, fleet) = (self.now, &mut self.roster.fleet);
         let Some(build) = fleet.0.get(&at).map(|a| a.line.build) else { return };
@@ -771,7 +771,7 @@
             self.judge(at, o, ending, took, alive);
         }
         let news = self.exposure.news.filter(|n| served && self.exposure.forward_only && o.build == n.build);
-        let mark = self.desk.held.get(&id).and_then(|h| h.txn.mark);
+        let mark = self.desk.held.get(&id).and_then(|h| h.request.mark);
         self.exposure.windows.answered.extend(mark.filter(|_| news.is_some()));
     }
 }
--- a/src/ear.rs
+++ b/src/ear.rs
@@ -10,20 +10,22 @@
 use crate::state::*;
 
 impl Hears for Brain {
-    fn txn(&mut self, id: TxnId, mut txn: Txn) {
+    fn request(&mut self, id: RequestId, mut request: Request) {
         let now = self.now;
-        txn.deadline = txn.deadline.min(self.desk.ends);
-        let Some(&terms) = self.desk.products.get(usize::from(txn.product.0)) else { return };
-        let lane = self.exposure.lane(txn.product);
+        request.deadline = request.deadline.min(self.desk.ends);
+        let Some(&terms) = self.desk.products.get(usize::from(request.product.0)) else { return };
+        let lane = self.exposure.lane(request.product);
         self.exposure.windows.taken.entry(lane).or_default().push_back(now);
         self.stock.heard += 1;
-        let work = self.demand.taken(now, USUAL, &txn).unwrap_or(self.stock.usual_work).max(1e-4);
+        let work = self.demand.taken(now, USUAL, &request).unwrap_or(self.stock.usual_work).max(1e-4);
         self.jury.own.work([0.0, 0.0, work]);
         let (legs, risk, luck) = Default::default();
-        self.desk.held.insert(id, Held { txn, terms, work, arrived: now, legs, risk, luck });
+        self.desk.held.insert(id, Held { request, terms, work, arrived: now, legs, risk, luck });
     }
 
-    fn ended(&mut self, id: TxnId, leg: Leg, at: ApplianceId, ending: Ending, took: Duration, closed: bool) {
+    fn ended(
+        &mut self, id: RequestId, leg: Leg, at: ApplianceId, ending: Ending, took: Duration, closed: bool,
+    ) {
         let out = self.roster.fleet.0.get_mut(&at).and_then(|a| a.out.remove(&(id, leg)));
         if let Some(out) = out {
             self.outcome(id, leg, at, &out, ending, took);
@@ -35,16 +37,16 @@
         }
     }
 
-    fn stream_begun(&mut self, id: TxnId, _: Leg, _: ApplianceId, _: Duration) {
+    fn stream_begun(&mut self, id: RequestId, _: Leg, _: ApplianceId, _: Duration) {
         // The client has its answer: nothing is owed any more, and nothing more may be sent.
         self.desk.held.remove(&id);
     }
 
-    fn client_left(&mut self, id: TxnId) {
+    fn client_left(&mut self, id: RequestId) {
         self.desk.held.remove(&id);
     }
 
-    fn may_go(&mut self, id: TxnId, leg: Leg) -> bool {
+    fn may_go(&mut self, id: RequestId, leg: Leg) -> bool {
         self.stands(id, leg)
     }
 
@@ -90,7 +92,7 @@
 
     fn ends(&mut self, last: Duration) {
         self.desk.ends = last;
-        self.desk.held.values_mut().for_each(|h| h.txn.deadline = h.txn.deadline.min(last));
+        self.desk.held.values_mut().for_each(|h| h.request.deadline = h.request.deadline.min(last));
     }
 
     fn wrong_answer(&mut self, at: ApplianceId, product: Product, sent_ago: Duration) {
--- a/src/parts.rs
+++ b/src/parts.rs
@@ -89,7 +89,7 @@
     }
 }
 
-/// The txns in hand, and what is agreed for them.
+/// The requests in hand, and what is agreed for them.
 pub struct Desk {
     pub(crate) products: Vec<Terms>,
     pub(crate) max_submissions: usize,
@@ -98,7 +98,7 @@
     pub(crate) tick: Duration,
     /// When the agent ends; until that is known, never.
     pub(crate) ends: Duration,
-    pub(crate) held: BTreeMap<TxnId, Held>,
+    pub(crate) held: BTreeMap<RequestId, Held>,
 }
 
 impl Desk {
--- a/src/port.rs
+++ b/src/port.rs
@@ -15,12 +15,12 @@
 
 ids! {
     /// One try of a client; never used again.
-    TxnId(u32);
-    /// A process that serves txns; the number outlives a restart.
+    RequestId(u32);
+    /// A process that serves requests; the number outlives a restart.
     ApplianceId(u32);
     /// An agent among its peers, counting from 0.
     AgentId(u32);
-    /// A class of txns, as its place in the list of products.
+    /// A class of requests, as its place in the list of products.
     Product(u8);
     /// A customer with a share of its own, as its place in the list.
     Tenant(u16);
@@ -34,15 +34,15 @@
     Build(u16);
     /// A step of a build's way in, counting from 0.
     Stage(u8);
-    /// What a txn concerns.
+    /// What a request concerns.
     Mark(u64);
-    /// Which submission of a txn, counting from 0.
+    /// Which submission of a request, counting from 0.
     Leg(u8);
     /// Names a wake-up asked for earlier.
     Ticket(u64);
 }
 
-/// Which appliances drop a repeat of a referenced txn.
+/// Which appliances drop a repeat of a referenced request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Group {
     All,
@@ -50,7 +50,7 @@
     Cell,
 }
 
-/// What may be done again with a txn of a product.
+/// What may be done again with a request of a product.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Repeat {
     InquiryLike,
@@ -74,7 +74,7 @@
 }
 
 impl Ending {
-    /// Whether the txn may have run there; the other endings prove that it never did.
+    /// Whether the request may have run there; the other endings prove that it never did.
     pub fn may_have_run(self) -> bool {
         !matches!(self, Ending::TurnedAway | Ending::Unconnected | Ending::Unsent)
     }
@@ -122,9 +122,9 @@
     Back,
 }
 
-/// A txn as its client sent it.
+/// A request as its client sent it.
 #[derive(Clone, Copy, Debug)]
-pub struct Txn {
+pub struct Request {
     pub product: Product,
     pub tenant: Tenant,
     pub mark: Option<Mark>,
@@ -135,7 +135,7 @@
     pub repeated: bool,
 }
 
-/// What is agreed for the txns of one product.
+/// What is agreed for the requests of one product.
 #[derive(Clone, Copy, Debug)]
 pub struct Terms {
     pub repeat: Repeat,
@@ -182,12 +182,14 @@
 /// Everything an agent can hear in a round, one method an event, in the order of the events. What a module
 /// has no use for, it need not hear.
 pub trait Hears {
-    fn txn(&mut self, id: TxnId, txn: Txn);
-    fn ended(&mut self, id: TxnId, leg: Leg, at: ApplianceId, ending: Ending, took: Duration, closed: bool);
-    fn stream_begun(&mut self, id: TxnId, leg: Leg, at: ApplianceId, took: Duration);
-    fn client_left(&mut self, id: TxnId);
+    fn request(&mut self, id: RequestId, request: Request);
+    fn ended(
+        &mut self, id: RequestId, leg: Leg, at: ApplianceId, ending: Ending, took: Duration, closed: bool,
+    );
+    fn stream_begun(&mut self, id: RequestId, leg: Leg, at: ApplianceId, took: Duration);
+    fn client_left(&mut self, id: RequestId);
     /// Asks whether a submission may still go that waited for its connection. If not, it ends as unsent.
-    fn may_go(&mut self, id: TxnId, leg: Leg) -> bool;
+    fn may_go(&mut self, id: RequestId, leg: Leg) -> bool;
     /// `lines` are the entries of this update, none if it failed.
     fn roster(&mut self, listing: Listing, lines: &mut dyn Iterator<Item = Line>);
     fn load(&mut self, _at: ApplianceId, _gauges: &[f32]) {}
@@ -219,19 +221,19 @@
         why: &'static str,
         until: Duration,
     },
-    /// One that was left alone is tried with a txn.
+    /// One that was left alone is tried with a request.
     Tried(ApplianceId),
     Unbarred(ApplianceId),
-    /// A txn is given up, by reason.
+    /// A request is given up, by reason.
     GivenUp(&'static str),
 }
 
 /// Takes the module's decisions as they are made, one method a decision.
 pub trait Decisions {
-    fn submit(&mut self, id: TxnId, to: ApplianceId, give_up_after: Duration);
-    fn decline(&mut self, id: TxnId, come_back_in: Duration);
-    fn void(&mut self, id: TxnId);
-    fn call_off(&mut self, id: TxnId, leg: Leg);
+    fn submit(&mut self, id: RequestId, to: ApplianceId, give_up_after: Duration);
+    fn decline(&mut self, id: RequestId, come_back_in: Duration);
+    fn void(&mut self, id: RequestId);
+    fn call_off(&mut self, id: RequestId, leg: Leg);
     fn wake(&mut self, at: Duration, ticket: Ticket);
     fn probe(&mut self, at: ApplianceId);
     fn free_links(&mut self, at: ApplianceId);
--- a/src/state.rs
+++ b/src/state.rs
@@ -106,10 +106,10 @@
 pub(crate) struct Appliance {
     pub(crate) line: Line,
     pub(crate) record: Record,
-    pub(crate) out: BTreeMap<(TxnId, Leg), Out>,
+    pub(crate) out: BTreeMap<(RequestId, Leg), Out>,
     /// Work sent while it may be cold.
     pub(crate) pushed: VecDeque<(Duration, f64)>,
-    /// What part of the agent's txns would go there.
+    /// What part of the agent's requests would go there.
     pub(crate) part: f64,
     /// Whether a connection there may be open.
     pub(crate) linked: bool,
@@ -121,7 +121,7 @@
     }
 
     /// Notes what is sent there, and forgets what was before this span.
-    pub(crate) fn sent(&mut self, now: Duration, span: Duration, which: (TxnId, Leg), out: Out) {
+    pub(crate) fn sent(&mut self, now: Duration, span: Duration, which: (RequestId, Leg), out: Out) {
         self.pushed.retain(|(t, _)| *t + span >= now);
         self.pushed.push_back((now, out.work));
         self.linked = true;
@@ -217,7 +217,7 @@
     }
 }
 
-/// A submission, as its txn has it.
+/// A submission, as its request has it.
 pub(crate) struct Submission {
     pub(crate) to: ApplianceId,
     pub(crate) build: Build,
@@ -227,9 +227,9 @@
     pub(crate) called_off: bool,
 }
 
-/// A txn that is owed its final answer.
+/// A request that is owed its final answer.
 pub(crate) struct Held {
-    pub(crate) txn: Txn,
+    pub(crate) request: Request,
     pub(crate) terms: Terms,
     pub(crate) work: f64,
     pub(crate) arrived: Duration,
@@ -264,10 +264,10 @@
     }
 }
 
-/// What txns ask of the fleet, and what of it was served.
+/// What requests ask of the fleet, and what of it was served.
 #[derive(Default)]
 pub(crate) struct Demand {
-    /// Hinted work and number of txns, by product.
+    /// Hinted work and number of requests, by product.
     pub(crate) hints: BTreeMap<Product, Ratio>,
     /// Served work, and listed weight x time: what a unit of weight is seen to bear.
     pub(crate) borne: Ratio,
@@ -279,7 +279,8 @@
     pub(crate) full: Ratio,
     /// Answers that came after the SLA time or not at all, and all answers.
     pub(crate) late: Ratio,
-    /// Submissions served, and txns taken, in the long run; and for how long the agent has been up meanwhile.
+    /// Submissions served, and requests taken, in the long run; and for how long the agent has been up
+    /// meanwhile.
     pub(crate) met: Ratio,
     pub(crate) up: Fading,
     /// Resends served, and all that ended.
@@ -287,23 +288,23 @@
 }
 
 impl Demand {
-    /// Mean hinted work of a txn, in seconds, over the products that the filter takes.
+    /// Mean hinted work of a request, in seconds, over the products that the filter takes.
     pub(crate) fn work(&self, now: Duration, half: Duration, of: impl Fn(Product) -> bool) -> Option<f64> {
         let taken = self.hints.iter().filter(|(p, _)| of(**p)).map(|(_, h)| h.read(now, half));
         let (work, many) = taken.fold((0.0, 0.0), |sum, one| (sum.0 + one.0, sum.1 + one.1));
         (many > 0.0).then(|| work / many)
     }
 
-    /// Learns of a txn; its work by its hint, or what is usual for its product.
-    pub(crate) fn taken(&mut self, now: Duration, half: Duration, txn: &Txn) -> Option<f64> {
+    /// Learns of a request; its work by its hint, or what is usual for its product.
+    pub(crate) fn taken(&mut self, now: Duration, half: Duration, request: &Request) -> Option<f64> {
         self.met.add(now, half / 2, 0.0, 1.0);
-        if let Some(hint) = txn.hint {
-            self.hints.entry(txn.product).or_default().add(now, half, hint.as_secs_f64(), 1.0);
+        if let Some(hint) = request.hint {
+            self.hints.entry(request.product).or_default().add(now, half, hint.as_secs_f64(), 1.0);
         }
-        txn.hint.map(|h| h.as_secs_f64()).or_else(|| self.work(now, half, |p| p == txn.product))
+        request.hint.map(|h| h.as_secs_f64()).or_else(|| self.work(now, half, |p| p == request.product))
     }
 
-    /// Notes how a submission ended; the sums fade by these halves: of late, over a few txns, and usual.
+    /// Notes how a submission ended; the sums fade by these halves: of late, over a few requests, and usual.
     pub(crate) fn ended(
         &mut self, now: Duration, halves: (Duration, Duration, Duration), leg: Leg, ending: Ending,
         (late, short): (bool, bool),
@@ -354,7 +355,7 @@
         self.taken.get(&lane).map_or(0, |times| since(times, from))
     }
 
-    /// Txns of all lanes taken since then.
+    /// Requests of all lanes taken since then.
     pub(crate) fn all_since(&self, from: Duration) -> usize {
         self.taken.values().map(|times| since(times, from)).sum()
     }
@@ -467,7 +468,7 @@
     pub(crate) heard: BTreeMap<AgentId, Version>,
 }
 
-/// An appliance that txns may choose, and its odds.
+/// An appliance that requests may choose, and its odds.
 pub(crate) struct Seat {
     pub(crate) id: ApplianceId,
     pub(crate) odds: f64,
@@ -499,11 +500,11 @@
     /// Time for a unit of hinted work: long-run mean of all appliances, and the middle appliance's now.
     pub(crate) usual_pace: f64,
     pub(crate) middle_pace: f64,
-    /// Mean hinted work of a txn, in seconds.
+    /// Mean hinted work of a request, in seconds.
     pub(crate) usual_work: f64,
-    /// How long the agent takes to be served a few txns.
+    /// How long the agent takes to be served a few requests.
     pub(crate) few: Duration,
-    /// Txns taken a second.
+    /// Requests taken a second.
     pub(crate) asked: f64,
     /// Submissions served a second, of late.
     pub(crate) served: f64,
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -145,7 +145,8 @@
 const ALL_IS_OLD: Told = (Build(1), Course::Released, 1.0);
 
 /// Plays an agent for so many beats. `list` gives the list at a beat at which one comes, and the platform's news with it;
-/// `asked` is how many txns have come by a beat, and `sent` takes the beat and the appliance of each submission, answered after a tenth of a second.
+/// `asked` is how many requests have come by a beat, and `sent` takes the beat and the appliance of each submission,
+/// answered after a tenth of a second.
 fn play(
     mut brain: Brain, beats: u32, list: impl Fn(u32) -> Option<(Vec<Line>, Told)>,
     asked: impl Fn(u32) -> u32, mut sent: impl FnMut(u32, ApplianceId),
@@ -167,7 +168,7 @@
                 next += 1;
                 let (product, hint, deadline) = (Product(0), Some(READ.sla / 5), now + READ.deadline);
                 let (tenant, mark, repeated) = (Tenant(0), None, false);
-                ears.txn(TxnId(next), Txn { product, tenant, mark, deadline, hint, repeated });
+                ears.request(RequestId(next), Request { product, tenant, mark, deadline, hint, repeated });
             }
         };
         brain.round(now, hear, &mut decided);
@@ -178,8 +179,8 @@
     }
 }
 
-/// How many appliances each agent has sent to, and how many txns each appliance got, after ten seconds in
-/// which each agent is asked so many txns a second.
+/// How many appliances each agent has sent to, and how many requests each appliance got, after ten seconds in
+/// which each agent is asked so many requests a second.
 fn serve(agents: u32, appliances: u32, a_second: u32, seed: u64) -> (Vec<usize>, Vec<u32>) {
     let lines: Vec<Line> = (0..appliances).map(|i| line(i, Mode::Ready, None)).collect();
     let mut got: BTreeMap<ApplianceId, u32> = lines.iter().map(|line| (line.appliance, 0)).collect();
@@ -211,9 +212,9 @@
     Full,
 }
 
-/// The most txns that one of the appliances gets in the second after a build was taken back, and all may go only to the
-/// tenth that has just started under the earlier one: from agents that have been up for so long and are asked eight txns a
-/// second, and from then on so many times as many, as clients come again.
+/// The most requests that one of the appliances gets in the second after a build was taken back, and all may go only to
+/// the tenth that has just started under the earlier one: from agents that have been up for so long and are asked eight
+/// requests a second, and from then on so many times as many, as clients come again.
 fn sent_to_cold(agents: u32, appliances: u32, up: Duration, times: u32, others: Others, seed: u64) -> u32 {
     let last_warm = up.as_millis() as u32 / 10;
     let tried = |line| Line { build: Build(2), ..line };
@@ -261,7 +262,7 @@
     // What they bear is taken for what they can do, of which a cold one has 0.34, and may be sent 2.5 times as much.
     let allowed = 2.5 * 0.34 * f64::from(agents) * 8.0 / f64::from(appliances);
     let falls = allowed + 3.0 * allowed.sqrt() + 3.0;
-    assert!(f64::from(most) <= falls, "one got {most} txns in a second and falls at {falls:.0}");
+    assert!(f64::from(most) <= falls, "one got {most} requests in a second and falls at {falls:.0}");
 }
 
 /// Many agents that each ask little keep to few appliances, and yet load all of them alike.
--- a/tests/owed.rs
+++ b/tests/owed.rs
@@ -1,6 +1,7 @@
-//! The law of what is owed, over drawn orders of events: every txn that was taken gets one final answer in its time, or
-//! its client has left; nothing is sent for it after that, nothing sent again that may have run where that is barred, and
-//! never two at once. The agent's part (it serves the first good answer, gives up at the deadline) is played here.
+//! The law of what is owed, over drawn orders of events: every request that was taken gets one final answer in its
+//! time, or its client has left; nothing is sent for it after that, nothing sent again that may have run where that is
+//! barred, and never two at once. The agent's part (it serves the first good answer, gives up at the deadline) is
+//! played here.
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
@@ -48,8 +49,8 @@
 /// Something that happens at a step.
 #[derive(Clone, Debug)]
 enum Event {
-    /// A txn of a product, with so much time.
-    Txn(u8, u64),
+    /// A request of a product, with so much time.
+    Request(u8, u64),
     /// The client of one of those in hand leaves.
     Leaves(prop::sample::Index),
     /// An appliance is listed anew.
@@ -63,7 +64,7 @@
     let mode = prop::sample::select(vec![Mode::Ready, Mode::Ready, Mode::Draining, Mode::Gone]);
     let course = prop::sample::select(vec![Course::OnTrial, Course::GoingBack, Course::Released]);
     let what = prop_oneof![
-        12 => (0u8..4, 1u64..1500).prop_map(|(product, time)| Event::Txn(product, time)),
+        12 => (0u8..4, 1u64..1500).prop_map(|(product, time)| Event::Request(product, time)),
         2 => any::<prop::sample::Index>().prop_map(Event::Leaves),
         3 => (0u8..6, mode, 1u16..4, any::<bool>()).prop_map(|(i, m, b, cold)| Event::Listed(i, m, b, cold)),
         1 => (1u16..4, course, 0.0f64..1.0).prop_map(|(build, course, cap)| Event::News(build, course, cap)),
@@ -72,7 +73,7 @@
     (0..BUSY, what)
 }
 
-/// How attempts end, in turn: how, and after so many steps, unless the txn's time is over before.
+/// How attempts end, in turn: how, and after so many steps, unless the request's time is over before.
 fn fate() -> impl Strategy<Value = (Ending, u32)> {
     use Ending::*;
     let endings = vec![Served, Served, Failed, TurnedAway, TimedOut, Unconnected, Broken, Spoilt, Unsent];
@@ -96,8 +97,8 @@
 
 fn plays(events: &[(u32, Event)], fates: &[(Ending, u32)], seed: u64, may_call_off: bool) {
     let mut brain = agent(seed, may_call_off);
-    let (mut owed, mut done) = (BTreeMap::<TxnId, Taken>::new(), BTreeSet::new());
-    let mut out = Vec::<(Duration, TxnId, Leg, ApplianceId, Ending)>::new();
+    let (mut owed, mut done) = (BTreeMap::<RequestId, Taken>::new(), BTreeSet::new());
+    let mut out = Vec::<(Duration, RequestId, Leg, ApplianceId, Ending)>::new();
     let (mut ids, mut turn, mut ends) = (0, 0, Duration::MAX);
     for step in 0..ALL {
         let now = DAWN + STEP * step;
@@ -109,11 +110,11 @@
             }
             for (_, what) in events.iter().filter(|(at, _)| *at == step) {
                 match what {
-                    Event::Txn(product, time) => {
+                    Event::Request(product, time) => {
                         ids += 1;
-                        let (id, product, deadline) = (TxnId(ids), Product(*product), now + ms(*time));
+                        let (id, product, deadline) = (RequestId(ids), Product(*product), now + ms(*time));
                         let (tenant, mark, hint) = (Tenant(0), Some(Mark(7)), Some(ms(50)));
-                        ears.txn(id, Txn { product, tenant, mark, deadline, hint, repeated: false });
+                        ears.request(id, Request { product, tenant, mark, deadline, hint, repeated: false });
                         let until = deadline.min(ends);
                         owed.insert(id, Taken { product, until, legs: 0, out: None, risk: None });
                     }
@@ -203,7 +204,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 1000, rng_seed: RngSeed::Fixed(0x0eed), failure_persistence: None, ..Default::default() })]
     #[test]
-    fn every_txn_has_one_answer(
+    fn every_request_has_one_answer(
         events in prop::collection::vec(event(), 1..120), fates in prop::collection::vec(fate(), 1..20),
         seed in any::<u64>(), may_call_off in any::<bool>(),
     ) {
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -3,10 +3,10 @@
 //!     set KEY VALUE                        before the first round, changes what a part is made with
 //!     product KIND SLA [GROUP REMEMBERED]  KIND is inquiry, referenced or once; times in ms
 //!     at MS                                begins a round; the events that follow come in with it
-//!     roster KIND ID:MODE:BUILD[:AGE[:ZONE]] ..   | txn ID PRODUCT [DEADLINE] [MARK]   | left ID
-//!     ended ID/LEG APPLIANCE ENDING TOOK [closed] | stage BUILD STAGE COURSE CAP     | voted ENDING
+//!     roster KIND ID:MODE:BUILD[:AGE[:ZONE]] ..   | request ID PRODUCT [DEADLINE] [MARK]   | left ID
+//!     ended ID/LEG APPLIANCE ENDING TOOK [closed] | stage BUILD STAGE COURSE CAP         | voted ENDING
 //!     ends MS                              the agent ends then
-//!     burst MANY PRODUCT                   so many txns in one round
+//!     burst MANY PRODUCT                   so many requests in one round
 //!     go ID/LEG yes|no                     whether it may still go after a wait for its connection
 //!     open on|hold [BUILD:ZONE[:PRODUCTS]] ..  all that is open, as a mask of products, with the step on or without;
 //!                                          open all: the operator's rules are gone
@@ -14,7 +14,7 @@
 //!     report FROM BUILD SERIAL T/U/A [ID:PRODUCT:MANY:BAD ..]  a peer's report: work in time, usual, asked, counts
 //!     noted TEXT                                    a note since the start holds this
 //!     restart                                       the agent dies and comes back
-//!     flow MS PRODUCT SHARES               until then a txn every 10 ms, answered after 50 ms; of SHARES, as
+//!     flow MS PRODUCT SHARES               until then a request every 10 ms, answered after 50 ms; of SHARES, as
 //!                                          BUILD=N or @ID=N, every Nth fails
 //!     expect DECISION / never DECISION     what was, or was not, decided in this round (in the flow, after one)
 //!     most N DECISION                      so often at most since the start
@@ -45,8 +45,8 @@
     now: Vec<String>,
     ever: Vec<String>,
     noted: Vec<String>,
-    out: VecDeque<(TxnId, Leg, ApplianceId)>,
-    legs: BTreeMap<TxnId, u8>,
+    out: VecDeque<(RequestId, Leg, ApplianceId)>,
+    legs: BTreeMap<RequestId, u8>,
 }
 
 impl Written {
@@ -57,20 +57,20 @@
 }
 
 impl Decisions for Written {
-    fn submit(&mut self, id: TxnId, to: ApplianceId, _: Duration) {
+    fn submit(&mut self, id: RequestId, to: ApplianceId, _: Duration) {
         self.put(format!("submit {} {}", id.0, to.0));
         let leg = self.legs.entry(id).or_default();
         self.book.iter_mut().for_each(|book| book.submit(self.at, id, Leg(*leg), to));
         self.out.push_back((id, Leg(*leg), to));
         *leg += 1;
     }
-    fn decline(&mut self, id: TxnId, _: Duration) {
+    fn decline(&mut self, id: RequestId, _: Duration) {
         self.put(format!("decline {}", id.0));
     }
-    fn void(&mut self, id: TxnId) {
+    fn void(&mut self, id: RequestId) {
         self.put(format!("void {}", id.0));
     }
-    fn call_off(&mut self, id: TxnId, leg: Leg) {
+    fn call_off(&mut self, id: RequestId, leg: Leg) {
         self.put(format!("call-off {}/{}", id.0, leg.0));
     }
     fn wake(&mut self, _: Duration, _: Ticket) {}
@@ -159,11 +159,11 @@
         self.brain = Some(brain);
     }
 
-    fn txn(&self, product: &str, deadline: Duration, mark: Option<&&str>) -> Txn {
+    fn request(&self, product: &str, deadline: Duration, mark: Option<&&str>) -> Request {
         let product = Product(product.parse().expect("a product"));
         let mark = mark.map(|m| Mark(m.parse().expect("a mark")));
         let hint = Some(Duration::from_millis(50));
-        Txn { product, tenant: Tenant(0), mark, deadline, hint, repeated: false }
+        Request { product, tenant: Tenant(0), mark, deadline, hint, repeated: false }
     }
 
     fn roster(&mut self, kind: &str, entries: &[&str]) {
@@ -179,33 +179,33 @@
         self.round(|ear| ear.roster(listing, &mut lines.into_iter()));
     }
 
-    /// A txn every 10 ms and the answers due; no queue, no load: just a script of outcomes.
+    /// A request every 10 ms and the answers due; no queue, no load: just a script of outcomes.
     fn flow(&mut self, until: Duration, product: &str, fails: &BTreeMap<String, u32>) {
-        let mut due: VecDeque<(Duration, TxnId, Leg, ApplianceId)> = VecDeque::new();
+        let mut due: VecDeque<(Duration, RequestId, Leg, ApplianceId)> = VecDeque::new();
         self.written.out.clear();
         let mut count: BTreeMap<String, u32> = BTreeMap::new();
         while self.now < until {
             self.now += Duration::from_millis(10);
             self.flowing += 1;
-            let id = TxnId(1_000_000 + self.flowing);
-            let txn = self.txn(product, self.now + Duration::from_secs(2), None);
+            let id = RequestId(1_000_000 + self.flowing);
+            let request = self.request(product, self.now + Duration::from_secs(2), None);
             let mut answers = Vec::new();
             while due.front().is_some_and(|(at, ..)| *at <= self.now) {
-                let (_, txn, leg, to) = due.pop_front().expect("due");
+                let (_, request, leg, to) = due.pop_front().expect("due");
                 let build = self.lines[&to.0].build.0.to_string();
                 let bad = [build, format!("@{}", to.0)].into_iter().any(|key| {
                     let many = count.entry(key.clone()).or_default();
                     *many += 1;
                     fails.get(&key).is_some_and(|n| many.is_multiple_of(*n))
                 });
-                answers.push((txn, leg, to, if bad { Ending::Failed } else { Ending::Served }));
+                answers.push((request, leg, to, if bad { Ending::Failed } else { Ending::Served }));
             }
             self.written.now.clear();
             self.round(|ear| {
                 for (id, leg, to, ending) in answers {
                     ear.ended(id, leg, to, ending, Duration::from_millis(50), ending == Ending::Served);
                 }
-                ear.txn(id, txn);
+                ear.request(id, request);
             });
             let at = self.now + Duration::from_millis(50);
             due.extend(self.written.out.drain(..).map(|(id, leg, to)| (at, id, leg, to)));
@@ -239,27 +239,27 @@
                 self.round(|_| {});
             }
             ["roster", kind, entries @ ..] => self.roster(kind, entries),
-            ["txn", id, product, rest @ ..] => {
+            ["request", id, product, rest @ ..] => {
                 let deadline = rest.first().map_or(self.now + Duration::from_secs(2), |e| ms(e));
-                let txn = self.txn(product, deadline, rest.get(1));
-                self.round(|ear| ear.txn(TxnId(id.parse().expect("an id")), txn));
+                let request = self.request(product, deadline, rest.get(1));
+                self.round(|ear| ear.request(RequestId(id.parse().expect("an id")), request));
             }
             ["burst", many, product] => {
-                let txn = self.txn(product, self.now + Duration::from_secs(2), None);
+                let request = self.request(product, self.now + Duration::from_secs(2), None);
                 let many = many.parse().expect("a number");
-                self.round(|ear| (0..many).for_each(|i| ear.txn(TxnId(2_000_000 + i), txn)));
+                self.round(|ear| (0..many).for_each(|i| ear.request(RequestId(2_000_000 + i), request)));
             }
             ["ends", last] => self.round(|ear| ear.ends(ms(last))),
-            ["left", id] => self.round(|ear| ear.client_left(TxnId(id.parse().expect("an id")))),
+            ["left", id] => self.round(|ear| ear.client_left(RequestId(id.parse().expect("an id")))),
             ["ended", leg, at, how, took, closed @ ..] => {
                 let (id, leg) = leg.split_once('/').expect("ID/LEG");
-                let (id, leg) = (TxnId(id.parse().expect("an id")), Leg(leg.parse().expect("a leg")));
+                let (id, leg) = (RequestId(id.parse().expect("an id")), Leg(leg.parse().expect("a leg")));
                 let (at, took, how) = (ApplianceId(at.parse().expect("an id")), ms(took), ending(how));
                 self.round(|ear| ear.ended(id, leg, at, how, took, !closed.is_empty()));
             }
             ["go", leg, want] => {
                 let (id, leg) = leg.split_once('/').expect("ID/LEG");
-                let (id, leg) = (TxnId(id.parse().expect("an id")), Leg(leg.parse().expect("a leg")));
+                let (id, leg) = (RequestId(id.parse().expect("an id")), Leg(leg.parse().expect("a leg")));
                 let mut may = false;
                 self.round(|ear| may = ear.may_go(id, leg));
                 assert_eq!(may, *want == "yes");
