--- a/crates/agent/src/appliances.rs
+++ b/crates/agent/src/appliances.rs
@@ -1,5 +1,5 @@
-//! Owns the links to appliances, and what goes over them: submissions, probes. One request a link at a time, so that
-//! giving one up hurts no other. It must never send anything twice, say that a submission never ran when its last byte
+//! Owns the links to appliances, and what goes over them: attempts, probes. One request a link at a time, so that
+//! giving one up hurts no other. It must never send anything twice, say that an attempt never ran when its last byte
 //! may have gone out, nor take for an answer what came behind another; which appliance serves what is not its to
 //! decide.
 use std::cell::{Cell, RefCell};
@@ -72,7 +72,7 @@
 pub struct Appliances {
     hub: Rc<Hub>,
     homes: RefCell<HashMap<ApplianceId, Home>>,
-    out: RefCell<HashMap<(RequestId, Leg), Sender<()>>>,
+    out: RefCell<HashMap<(RequestId, AttemptNumber), Sender<()>>>,
     /// The fields of a load report, in the module's order.
     gauges: Vec<String>,
     connect_within: Duration,
@@ -197,7 +197,7 @@
     }
 
     async fn attempt(
-        &self, which: (RequestId, Leg), to: ApplianceId, wording: Wording, until: Duration,
+        &self, which: (RequestId, AttemptNumber), to: ApplianceId, wording: Wording, until: Duration,
         written: &Cell<bool>,
     ) -> Result<Answered, Ending> {
         let mut link = match self.idle_link(to) {
@@ -272,9 +272,9 @@
 }
 
 impl Carries for Appliances {
-    fn submit(
-        self: Rc<Self>, which: (RequestId, Leg), to: ApplianceId, wording: Wording, began: Duration,
-        until: Duration,
+    fn send_attempt(
+        self: Rc<Self>, which: (RequestId, AttemptNumber), to: ApplianceId, wording: Wording,
+        began: Duration, until: Duration,
     ) {
         let (off, called_off) = async_channel::bounded::<()>(1);
         self.out.borrow_mut().insert(which, off);
@@ -306,7 +306,7 @@
         });
     }
 
-    fn call_off(&self, which: (RequestId, Leg)) {
+    fn call_off(&self, which: (RequestId, AttemptNumber)) {
         if let Some(off) = self.out.borrow().get(&which) {
             off.try_send(()).ok();
         }
--- a/crates/agent/src/hub.rs
+++ b/crates/agent/src/hub.rs
@@ -22,13 +22,13 @@
 /// Something that the module is to hear, or the gate beside it.
 type Call = Box<dyn FnOnce(&mut Ears)>;
 
-/// Carries submissions and probes to appliances.
+/// Carries attempts and probes to appliances.
 pub trait Carries {
-    fn submit(
-        self: Rc<Self>, which: (RequestId, Leg), to: ApplianceId, wording: Wording, began: Duration,
-        until: Duration,
+    fn send_attempt(
+        self: Rc<Self>, which: (RequestId, AttemptNumber), to: ApplianceId, wording: Wording,
+        began: Duration, until: Duration,
     );
-    fn call_off(&self, which: (RequestId, Leg));
+    fn call_off(&self, which: (RequestId, AttemptNumber));
     fn probe(self: Rc<Self>, to: ApplianceId);
     fn free_links(&self, id: ApplianceId);
 }
@@ -85,7 +85,7 @@
     Voided,
 }
 
-/// What a submission says to an appliance, told how long its answer is waited for.
+/// What an attempt says to an appliance, told how long its answer is waited for.
 pub type Wording = Rc<dyn Fn(Duration) -> Vec<u8>>;
 
 /// A request that is owed its answer, or of whose end the module has not heard yet.
@@ -93,7 +93,7 @@
     wording: Wording,
     /// When the last wait for it ends.
     until: Duration,
-    legs: u8,
+    attempts: u8,
     answer: Option<Box<dyn FnOnce(Answer)>>,
 }
 
@@ -164,7 +164,9 @@
         count(Count::RequestsTaken);
         let id = RequestId(self.last.replace(self.last.get().wrapping_add(1)));
         let until = request.deadline.min(self.ends.get()).saturating_sub(self.slack);
-        self.owed.borrow_mut().insert(id, Owed { wording, until, legs: 0, answer: Some(Box::new(answer)) });
+        self.owed
+            .borrow_mut()
+            .insert(id, Owed { wording, until, attempts: 0, answer: Some(Box::new(answer)) });
         self.tell(move |ear| ear.request(id, request));
         id
     }
@@ -206,19 +208,19 @@
         }
     }
 
-    /// Whether a submission that has waited for its link may still go: the module says.
-    pub async fn may_go(&self, id: RequestId, leg: Leg) -> bool {
+    /// Whether an attempt that has waited for its link may still go: the module says.
+    pub async fn may_go(&self, id: RequestId, attempt: AttemptNumber) -> bool {
         let (say, said) = async_channel::bounded(1);
         self.tell(move |ear| {
-            say.try_send(ear.may_go(id, leg)).ok();
+            say.try_send(ear.may_go(id, attempt)).ok();
         });
         said.recv().await.unwrap_or(false)
     }
 
-    /// A submission has ended; a first answer goes to the client at once and ends the request.
+    /// An attempt has ended; a first answer goes to the client at once and ends the request.
     pub fn ended(
-        self: &Rc<Self>, (id, leg): (RequestId, Leg), at: ApplianceId, ending: Ending, took: Duration,
-        value: Vec<u8>,
+        self: &Rc<Self>, (id, attempt): (RequestId, AttemptNumber), at: ApplianceId, ending: Ending,
+        took: Duration, value: Vec<u8>,
     ) {
         count(match ending {
             Ending::Served => Count::EndedServed,
@@ -240,7 +242,7 @@
             if closed {
                 hub.owed.borrow_mut().remove(&id);
             }
-            ear.ended(id, leg, at, ending, took, closed);
+            ear.ended(id, attempt, at, ending, took, closed);
         });
     }
 }
@@ -314,19 +316,19 @@
 }
 
 impl Decisions for Round<'_> {
-    fn submit(&mut self, id: RequestId, to: ApplianceId, give_up_after: Duration) {
-        count(Count::Submissions);
+    fn send_attempt(&mut self, id: RequestId, to: ApplianceId, give_up_after: Duration) {
+        count(Count::Attempts);
         let mut owed = self.hands.hub.owed.borrow_mut();
         let Some(owed) = owed.get_mut(&id) else {
-            return say!("a submission of request {}, which has had its answer, stays here", id.0);
+            return say!("an attempt of request {}, which has had its answer, stays here", id.0);
         };
-        let leg = Leg(owed.legs);
-        owed.legs += 1;
+        let attempt = AttemptNumber(owed.attempts);
+        owed.attempts += 1;
         let until =
             if give_up_after.is_zero() { owed.until } else { owed.until.min(self.now + give_up_after) };
         let wording = owed.wording.clone();
-        self.hands.recorder.put(self.now, Deed::Submit(id, leg, to));
-        self.hands.appliances.clone().submit((id, leg), to, wording, self.now, until);
+        self.hands.recorder.put(self.now, Deed::Attempt(id, attempt, to));
+        self.hands.appliances.clone().send_attempt((id, attempt), to, wording, self.now, until);
     }
 
     fn decline(&mut self, id: RequestId, come_back_in: Duration) {
@@ -341,9 +343,9 @@
         self.hands.hub.owed.borrow_mut().remove(&id);
     }
 
-    fn call_off(&mut self, id: RequestId, leg: Leg) {
-        self.hands.recorder.book(|book| book.called_off(self.now, id, leg));
-        self.hands.appliances.call_off((id, leg));
+    fn call_off(&mut self, id: RequestId, attempt: AttemptNumber) {
+        self.hands.recorder.book(|book| book.called_off(self.now, id, attempt));
+        self.hands.appliances.call_off((id, attempt));
     }
 
     fn wake(&mut self, at: Duration, ticket: Ticket) {
--- a/crates/agent/src/keeper.rs
+++ b/crates/agent/src/keeper.rs
@@ -151,14 +151,15 @@
     }
 
     fn ended(
-        &mut self, id: RequestId, leg: Leg, at: ApplianceId, ending: Ending, took: Duration, closed: bool,
+        &mut self, id: RequestId, attempt: AttemptNumber, at: ApplianceId, ending: Ending, took: Duration,
+        closed: bool,
     ) {
-        self.recorder.put(self.now, Deed::Ended((id, leg), at, ending, took, closed));
-        self.module.ended(id, leg, at, ending, took, closed);
+        self.recorder.put(self.now, Deed::Ended((id, attempt), at, ending, took, closed));
+        self.module.ended(id, attempt, at, ending, took, closed);
     }
 
-    fn stream_begun(&mut self, id: RequestId, leg: Leg, at: ApplianceId, took: Duration) {
-        self.module.stream_begun(id, leg, at, took);
+    fn stream_begun(&mut self, id: RequestId, attempt: AttemptNumber, at: ApplianceId, took: Duration) {
+        self.module.stream_begun(id, attempt, at, took);
     }
 
     fn client_left(&mut self, id: RequestId) {
@@ -166,8 +167,8 @@
         self.module.client_left(id);
     }
 
-    fn may_go(&mut self, id: RequestId, leg: Leg) -> bool {
-        self.module.may_go(id, leg)
+    fn may_go(&mut self, id: RequestId, attempt: AttemptNumber) -> bool {
+        self.module.may_go(id, attempt)
     }
 
     fn load(&mut self, at: ApplianceId, gauges: &[f32]) {
--- a/crates/agent/src/recorder.rs
+++ b/crates/agent/src/recorder.rs
@@ -27,8 +27,8 @@
 #[derive(Clone, Copy)]
 pub enum Deed {
     Request(RequestId, Product),
-    Submit(RequestId, Leg, ApplianceId),
-    Ended((RequestId, Leg), ApplianceId, Ending, Duration, bool),
+    Attempt(RequestId, AttemptNumber, ApplianceId),
+    Ended((RequestId, AttemptNumber), ApplianceId, Ending, Duration, bool),
     Closed(RequestId),
 }
 
@@ -154,7 +154,7 @@
         for (now, deed) in self.aside.borrow_mut().drain(..) {
             match deed {
                 Deed::Request(id, product) => book.request(id, product),
-                Deed::Submit(id, leg, to) => book.submit(now, id, leg, to),
+                Deed::Attempt(id, attempt, to) => book.attempt(now, id, attempt, to),
                 Deed::Ended(which, at, ending, took, closed) => {
                     book.ended(now, which, at, ending, took, closed)
                 }
--- a/crates/agent/tests/inside.rs
+++ b/crates/agent/tests/inside.rs
@@ -102,7 +102,7 @@
     Recorder::new("n0", &told, None, Duration::ZERO).expect("a recorder")
 }
 
-/// Hears how submissions end, and says whether they may go.
+/// Hears how attempts end, and says whether they may go.
 #[derive(Default)]
 struct Ear {
     may_go: bool,
@@ -112,12 +112,14 @@
 
 impl Hears for Ear {
     fn request(&mut self, _: RequestId, _: Request) {}
-    fn ended(&mut self, _: RequestId, _: Leg, _: ApplianceId, ending: Ending, _: Duration, _: bool) {
+    fn ended(
+        &mut self, _: RequestId, _: AttemptNumber, _: ApplianceId, ending: Ending, _: Duration, _: bool,
+    ) {
         self.ended = Some(ending);
     }
-    fn stream_begun(&mut self, _: RequestId, _: Leg, _: ApplianceId, _: Duration) {}
+    fn stream_begun(&mut self, _: RequestId, _: AttemptNumber, _: ApplianceId, _: Duration) {}
     fn client_left(&mut self, _: RequestId) {}
-    fn may_go(&mut self, _: RequestId, _: Leg) -> bool {
+    fn may_go(&mut self, _: RequestId, _: AttemptNumber) -> bool {
         self.may_go
     }
     fn roster(&mut self, _: Listing, _: &mut dyn Iterator<Item = Line>) {}
@@ -183,8 +185,8 @@
     });
     let now = hub.clock.now();
     let words: Wording = Rc::new(|_| b"hello".to_vec());
-    appliances.clone().submit(
-        (RequestId(0), Leg(0)),
+    appliances.clone().send_attempt(
+        (RequestId(0), AttemptNumber(0)),
         ApplianceId(to),
         words,
         now,
@@ -217,7 +219,13 @@
         });
         let now = hub.clock.now();
         let words: Wording = Rc::new(|_| b"hello".to_vec());
-        appliances.submit((RequestId(0), Leg(0)), ApplianceId(1), words, now, now + Duration::from_secs(9));
+        appliances.send_attempt(
+            (RequestId(0), AttemptNumber(0)),
+            ApplianceId(1),
+            words,
+            now,
+            now + Duration::from_secs(9),
+        );
         let mut ear = Ear { may_go: true, ..Ear::default() };
         let want = if cut == answer.len() { whole } else { Ending::Broken };
         assert_eq!(ear.until_ended(&hub), Some(want), "cut at {cut}");
--- a/crates/ctl/src/lines.rs
+++ b/crates/ctl/src/lines.rs
@@ -195,7 +195,7 @@
             What::Barred { why, until } => format!("left alone until {}: {why}", self.clock(*until)),
             What::Tried => "tried with a request".into(),
             What::Unbarred => "taken in again".into(),
-            What::CalledOff { product } => format!("a submission of {} called off", self.product(*product)),
+            What::CalledOff { product } => format!("an attempt of {} called off", self.product(*product)),
             What::GivenUp { why, many } => format!("{many} requests given up: {why}"),
             What::Stage { build, stage, course } => format!("build {build} is {course} in stage {stage}"),
             What::Vote { build, stage, verdict, figures } => {
--- a/crates/drill/src/main.rs
+++ b/crates/drill/src/main.rs
@@ -206,9 +206,9 @@
             if r.u8(16) != 0 {
                 ear.load(r.appliance(6), &r.gauges(17, r.u8(16)));
             }
-            ear.ended(r.request(1), r.leg(5), r.appliance(6), r.ending(10)?, r.span(11), r.u8(15) != 0);
+            ear.ended(r.request(1), r.attempt(5), r.appliance(6), r.ending(10)?, r.span(11), r.u8(15) != 0);
         }
-        wire::HEADERS => ear.stream_begun(r.request(1), r.leg(5), r.appliance(6), r.span(10)),
+        wire::HEADERS => ear.stream_begun(r.request(1), r.attempt(5), r.appliance(6), r.span(10)),
         wire::HANGUP => ear.client_left(r.request(1)),
         wire::REMINDER => ear.woken(lilacgate::port::Ticket(r.u64(1))),
         wire::ECHO => {
--- a/crates/drill/src/wire.rs
+++ b/crates/drill/src/wire.rs
@@ -65,8 +65,8 @@
     pub fn tenant(self, at: usize) -> Tenant {
         Tenant(self.u16(at))
     }
-    pub fn leg(self, at: usize) -> Leg {
-        Leg(self.u8(at))
+    pub fn attempt(self, at: usize) -> AttemptNumber {
+        AttemptNumber(self.u8(at))
     }
     pub fn build(self, at: usize) -> Build {
         Build(self.u16(at))
@@ -227,7 +227,7 @@
 }
 
 impl Decisions for Reply {
-    fn submit(&mut self, id: RequestId, to: ApplianceId, give_up_after: Duration) {
+    fn send_attempt(&mut self, id: RequestId, to: ApplianceId, give_up_after: Duration) {
         self.action(1, &[&id.0.to_be_bytes(), &to.0.to_be_bytes(), &micros32(give_up_after)]);
     }
     fn decline(&mut self, id: RequestId, come_back_in: Duration) {
@@ -236,8 +236,8 @@
     fn void(&mut self, id: RequestId) {
         self.action(3, &[&id.0.to_be_bytes()]);
     }
-    fn call_off(&mut self, id: RequestId, leg: Leg) {
-        self.action(4, &[&id.0.to_be_bytes(), &[leg.0]]);
+    fn call_off(&mut self, id: RequestId, attempt: AttemptNumber) {
+        self.action(4, &[&id.0.to_be_bytes(), &[attempt.0]]);
     }
     fn wake(&mut self, at: Duration, ticket: Ticket) {
         let at = u64::try_from(at.as_micros()).unwrap_or(u64::MAX);
--- a/crates/standin/src/check.rs
+++ b/crates/standin/src/check.rs
@@ -32,12 +32,12 @@
     pub settled: usize,
     pub declined: usize,
     pub voided: usize,
-    /// Submissions at a forbidden build after the grace, and the latest of all after the agent was told.
+    /// Attempts at a forbidden build after the grace, and the latest of all after the agent was told.
     pub forbidden: usize,
     pub worst_stop: Duration,
     /// Requests without an answer in time, but for those that a killed agent held.
     pub lost: usize,
-    /// Once-only requests that ran twice, and submissions of a request that overlapped.
+    /// Once-only requests that ran twice, and attempts of a request that overlapped.
     pub doubled: usize,
     /// Requests declined though an allowed node was free.
     pub wrongly_closed: usize,
@@ -70,7 +70,7 @@
     sent: Duration,
     deadline: Duration,
     answers: Vec<(Duration, Final)>,
-    /// Where submissions are out now, and how many have come whole.
+    /// Where attempts are out now, and how many have come whole.
     out: BTreeSet<usize>,
     got: usize,
     /// Whether an agent that held it was killed.
--- a/crates/standin/src/decided.rs
+++ b/crates/standin/src/decided.rs
@@ -11,11 +11,11 @@
     pub sent: Vec<(RequestId, ApplianceId)>,
     /// What was given up, and whether its client is told that it may come again.
     pub given_up: Vec<(RequestId, bool)>,
-    pub called_off: Vec<(RequestId, Leg)>,
+    pub called_off: Vec<(RequestId, AttemptNumber)>,
 }
 
 impl Decisions for Decided {
-    fn submit(&mut self, id: RequestId, to: ApplianceId, _: Duration) {
+    fn send_attempt(&mut self, id: RequestId, to: ApplianceId, _: Duration) {
         self.sent.push((id, to));
     }
     fn decline(&mut self, id: RequestId, _: Duration) {
@@ -24,8 +24,8 @@
     fn void(&mut self, id: RequestId) {
         self.given_up.push((id, false));
     }
-    fn call_off(&mut self, id: RequestId, leg: Leg) {
-        self.called_off.push((id, leg));
+    fn call_off(&mut self, id: RequestId, attempt: AttemptNumber) {
+        self.called_off.push((id, attempt));
     }
     fn wake(&mut self, _: Duration, _: Ticket) {}
     fn probe(&mut self, _: ApplianceId) {}
--- a/crates/standin/src/lines.rs
+++ b/crates/standin/src/lines.rs
@@ -6,7 +6,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use lilacgate::port::{ApplianceId, Ending, Leg, Product, RequestId};
+use lilacgate::port::{ApplianceId, AttemptNumber, Ending, Product, RequestId};
 use lilacgate_store::reader::read;
 use lilacgate_timeline::entry::{Entry, Kind, Record, What, Whom};
 
@@ -320,9 +320,9 @@
             let (id, node) = (RequestId(chunk * 1000 + i), ApplianceId(i % 14));
             let now = DAWN + Duration::from_micros(u64::from(chunk * 1000 + i) * 500);
             book.request(id, Product((i % 3) as u8));
-            book.submit(now, id, Leg(0), node);
+            book.attempt(now, id, AttemptNumber(0), node);
             let took = Duration::from_micros(20_000 + u64::from(i * 7 % 9000));
-            book.ended(now + took, (id, Leg(0)), node, Ending::Served, took, true);
+            book.ended(now + took, (id, AttemptNumber(0)), node, Ending::Served, took, true);
         }
         book.advance(DAWN + Duration::from_micros(u64::from(chunk + 1) * 500_000));
         // A thousand requests, and the tick behind them.
--- a/crates/standin/src/record.rs
+++ b/crates/standin/src/record.rs
@@ -1,4 +1,4 @@
-//! Owns what happened on a day: every step that a stand-in made and every submission that a desk node got, each with
+//! Owns what happened on a day: every step that a stand-in made and every attempt that a desk node got, each with
 //! its time. It judges nothing.
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
@@ -37,7 +37,7 @@
     Crossed {
         id: u32,
     },
-    /// A node got a submission whole, or has answered it; `end` is a number for each submission.
+    /// A node got an attempt whole, or has answered it; `end` is a number for each attempt.
     Got {
         id: u32,
         node: usize,
--- a/crates/standin/src/virtually.rs
+++ b/crates/standin/src/virtually.rs
@@ -194,7 +194,7 @@
                 last += 1;
                 let id = last;
                 book.request(RequestId(id), Product(product));
-                book.submit(now, RequestId(id), Leg(0), ApplianceId(node));
+                book.attempt(now, RequestId(id), AttemptNumber(0), ApplianceId(node));
                 let mut times = 1.0;
                 let (mut share, mut mute, mut unlinked) = (0.0f64, false, false);
                 for (fault, way) in &faults {
@@ -250,7 +250,14 @@
                 if matches!(ending, Ending::TimedOut | Ending::Unconnected) {
                     of.barred = now + Duration::from_millis(700);
                 }
-                book.ended(now, (RequestId(id), Leg(0)), ApplianceId(node), ending, now - sent, true);
+                book.ended(
+                    now,
+                    (RequestId(id), AttemptNumber(0)),
+                    ApplianceId(node),
+                    ending,
+                    now - sent,
+                    true,
+                );
                 also((now, node, product, ending, now - sent));
             }
         }
--- a/crates/timeline/src/book.rs
+++ b/crates/timeline/src/book.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use lilacgate::port::{
-    ApplianceId, Build, Course, Ending, Leg, Line as Listed, Listing, Mode, Note, Product, RequestId, Stage,
-    Verdict,
+    ApplianceId, AttemptNumber, Build, Course, Ending, Line as Listed, Listing, Mode, Note, Product,
+    RequestId, Stage, Verdict,
 };
 
 use crate::entry::{Departure, Entry, Record, StepRecord, What, Whom};
@@ -23,7 +23,7 @@
     pub records: usize,
 }
 
-/// A submission that is out.
+/// An attempt that is out.
 struct Out {
     node: u32,
     product: u8,
@@ -136,24 +136,24 @@
         self.products.insert(id.0, product.0);
     }
 
-    /// A submission goes out.
-    pub fn submit(&mut self, now: Duration, id: RequestId, leg: Leg, to: ApplianceId) {
+    /// An attempt goes out.
+    pub fn attempt(&mut self, now: Duration, id: RequestId, attempt: AttemptNumber, to: ApplianceId) {
         let product = self.products.get(&id.0).copied().unwrap_or_default();
-        self.out.insert((id.0, leg.0), Out { node: to.0, product });
-        self.watch.sent(now, to.0, (id.0, leg.0));
+        self.out.insert((id.0, attempt.0), Out { node: to.0, product });
+        self.watch.sent(now, to.0, (id.0, attempt.0));
         self.count(now, to.0, |counts| {
-            counts.submitted += 1;
-            let out = counts.submitted.saturating_sub(counts.ended());
+            counts.attempts += 1;
+            let out = counts.attempts.saturating_sub(counts.ended());
             counts.most_out = counts.most_out.max(out);
         });
     }
 
-    /// A submission has ended; `closed` says that its request has, too.
+    /// An attempt has ended; `closed` says that its request has, too.
     pub fn ended(
-        &mut self, now: Duration, (id, leg): (RequestId, Leg), at: ApplianceId, ending: Ending,
+        &mut self, now: Duration, (id, attempt): (RequestId, AttemptNumber), at: ApplianceId, ending: Ending,
         took: Duration, closed: bool,
     ) {
-        let product = match self.out.remove(&(id.0, leg.0)) {
+        let product = match self.out.remove(&(id.0, attempt.0)) {
             Some(out) => out.product,
             None => self.products.get(&id.0).copied().unwrap_or_default(),
         };
@@ -168,7 +168,7 @@
             Ending::TimedOut | Ending::CalledOff => Ended::Unanswered,
             Ending::Unsent => Ended::Unsent,
         };
-        let late = self.watch.ended(now, at.0, (id.0, leg.0), product, how, took);
+        let late = self.watch.ended(now, at.0, (id.0, attempt.0), product, how, took);
         self.count(now, at.0, |counts| {
             match how {
                 Ended::Served => counts.served += 1,
@@ -205,8 +205,8 @@
         }
     }
 
-    pub fn called_off(&mut self, now: Duration, id: RequestId, leg: Leg) {
-        if let Some(out) = self.out.get(&(id.0, leg.0)) {
+    pub fn called_off(&mut self, now: Duration, id: RequestId, attempt: AttemptNumber) {
+        if let Some(out) = self.out.get(&(id.0, attempt.0)) {
             let what = What::CalledOff { product: out.product };
             let entry = Entry { happened: now, known: now, node: Some(out.node), what };
             self.put(entry);
--- a/crates/timeline/src/entry.rs
+++ b/crates/timeline/src/entry.rs
@@ -8,11 +8,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Kind {
-    /// More submissions fail than usual.
+    /// More attempts fail than usual.
     Errors,
     /// Answers take longer than usual.
     Latency,
-    /// Submissions are out and nothing comes, not even a broken link.
+    /// Attempts are out and nothing comes, not even a broken link.
     Silence,
     /// Links to it cannot be opened, or break.
     Links,
@@ -69,7 +69,7 @@
     },
     Tried,
     Unbarred,
-    /// A submission was called off: a second thought.
+    /// An attempt was called off: a second thought.
     CalledOff {
         product: u8,
     },
@@ -113,7 +113,8 @@
 /// A span's counts at one node.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Counts {
-    pub submitted: u32,
+    #[serde(rename = "submitted")]
+    pub attempts: u32,
     pub served: u32,
     pub failed: u32,
     pub turned_away: u32,
@@ -127,7 +128,7 @@
 
 impl Counts {
     pub fn add(&mut self, other: &Counts) {
-        self.submitted += other.submitted;
+        self.attempts += other.attempts;
         self.served += other.served;
         self.failed += other.failed;
         self.turned_away += other.turned_away;
--- a/crates/timeline/tests/lines.rs
+++ b/crates/timeline/tests/lines.rs
@@ -67,10 +67,10 @@
         for i in 0..20 {
             let request = RequestId(id * 20 + i);
             book.request(request, Product(0));
-            book.submit(now, request, Leg(0), ApplianceId(id));
+            book.attempt(now, request, AttemptNumber(0), ApplianceId(id));
             book.ended(
                 now,
-                (request, Leg(0)),
+                (request, AttemptNumber(0)),
                 ApplianceId(id),
                 Ending::Served,
                 Duration::from_millis(9),
@@ -89,10 +89,10 @@
     book.roster(DAWN, Listing::Whole, &[listed(1, 1, None)]);
     for i in 0..200u32 {
         let now = secs(f64::from(i) * 0.5);
-        book.submit(now, RequestId(i), Leg(0), ApplianceId(1));
+        book.attempt(now, RequestId(i), AttemptNumber(0), ApplianceId(1));
         book.ended(
             now,
-            (RequestId(i), Leg(0)),
+            (RequestId(i), AttemptNumber(0)),
             ApplianceId(1),
             Ending::Served,
             Duration::from_millis(5),
--- a/src/brain.rs
+++ b/src/brain.rs
@@ -152,7 +152,7 @@
 /// Share of what is usually served in time, and of what is asked, that must be missing to convict a build
 /// that slows old and new alike; half holds the on. Short slowdowns pass; after the release it must last.
 const LOST: f64 = 0.35;
-/// Share of submissions without a connection at which connections are short.
+/// Share of attempts without a connection at which connections are short.
 const SHORT: f64 = 0.05;
 /// Wait beyond the work, as a share of an SLA time, that counts as a queue.
 const QUEUE: f64 = 0.15;
@@ -376,7 +376,7 @@
     }
 }
 
-/// Whether the rules let one more submission go out, to an appliance of the right group.
+/// Whether the rules let one more attempt go out, to an appliance of the right group.
 fn resendable(h: &Held, now: Duration) -> bool {
     match (h.terms.repeat, h.risk) {
         (_, None) | (Repeat::InquiryLike, _) => true,
@@ -458,7 +458,7 @@
         let mut paces: Vec<f64> = fleet.ready().map(|(_, a)| pace(a, now, &self.stock)).collect();
         paces.sort_by(f64::total_cmp);
         self.stock.middle_pace = paces.get(paces.len() / 2).copied().unwrap_or(self.stock.usual_pace);
-        // Silence: several submissions wait far longer than usual, and nothing came since the oldest. Guards
+        // Silence: several attempts wait far longer than usual, and nothing came since the oldest. Guards
         // against machines that vanished, froze or were cut off, long before the list tells.
         let patience = 6.0 * self.stock.middle_pace * self.stock.usual_work;
         for (&at, a) in &mut self.roster.fleet.0 {
@@ -489,9 +489,9 @@
         let need = if h.request.deadline == self.desk.ends { usual } else { Duration::ZERO };
         let left = h.request.deadline.saturating_sub(now) > need.max(self.desk.tick * 4);
         let sla_left = (h.arrived + h.terms.sla).saturating_sub(now);
-        let more = left && h.legs.len() < self.desk.max_submissions && resendable(h, now);
-        let waiting = h.out().next().map(|(leg, l)| (leg, l.to, l.sent, l.called_off));
-        if let Some((leg, to, sent, called_off)) = waiting {
+        let more = left && h.attempts.len() < self.desk.max_attempts && resendable(h, now);
+        let waiting = h.out().next().map(|(attempt, l)| (attempt, l.to, l.sent, l.called_off));
+        if let Some((attempt, to, sent, called_off)) = waiting {
             let usual = (usual * 4).max(h.terms.sla / 4);
             // Given up for lost: nothing comes from there, or what was sent later has come back. Guards
             // against lost messages and stuck work as well as dead machines.
@@ -504,16 +504,16 @@
                 return Some(sent + usual);
             }
             if lost && self.desk.may_call_off && !called_off {
-                h.legs[usize::from(leg.0)].called_off = true;
-                out.call_off(id, leg);
+                h.attempts[usize::from(attempt.0)].called_off = true;
+                out.call_off(id, attempt);
             }
             return Some(now + self.desk.tick * 8);
         }
         let (terms, hopeless) = (h.terms, sla_left.is_zero() && h.terms.late_share <= 0.0);
-        let fresh = h.legs.last().is_none_or(|l| l.ending == Some(Ending::TurnedAway));
+        let fresh = h.attempts.last().is_none_or(|l| l.ending == Some(Ending::TurnedAway));
         // Resends go on only as far as they have helped of late. Guards against storms over requests that
         // fail wherever they go; harms for a while where a trouble has just passed.
-        let failed = h.legs.last().is_some_and(|l| l.ending == Some(Ending::Failed));
+        let failed = h.attempts.last().is_some_and(|l| l.ending == Some(Ending::Failed));
         let vain =
             failed && self.chance.random::<f64>() > self.demand.again.helped(now, self.stock.few) + 0.1;
         if !more || hopeless || if fresh { self.crowded(&terms, sla_left) } else { vain } {
@@ -530,7 +530,7 @@
             self.stock.next = now;
             return Some(now + self.desk.tick * 2);
         };
-        self.submit(id, to, out);
+        self.send_attempt(id, to, out);
         None
     }
 
@@ -640,10 +640,10 @@
         }
         let h = self.desk.held.get(&id)?;
         // A request that the trial build has failed is better served by an earlier one.
-        let failed_there = h.legs.iter().any(|l| self.exposure.bound(l.build).is_some());
+        let failed_there = h.attempts.iter().any(|l| self.exposure.bound(l.build).is_some());
         let arm = usize::from(chance.random::<f64>() < self.stock.share && !failed_there);
         for seats in [&self.stock.seats[arm], &self.stock.seats[1 - arm]] {
-            let tried = |id: ApplianceId| h.legs.iter().any(|l| l.to == id);
+            let tried = |id: ApplianceId| h.attempts.iter().any(|l| l.to == id);
             let mut pick = |spare: bool| {
                 // A few draws mostly do; where little is open, the whole arm is looked through.
                 for _ in 0..4 {
@@ -673,15 +673,15 @@
     }
 
     /// Whether what waited for a connection may still go: drains, caps, builds told, keys forgotten since.
-    pub(crate) fn stands(&self, id: RequestId, leg: Leg) -> bool {
+    pub(crate) fn stands(&self, id: RequestId, attempt: AttemptNumber) -> bool {
         let Some(h) = self.desk.held.get(&id) else { return false };
-        let Some(l) = h.legs.get(usize::from(leg.0)).filter(|l| !l.called_off) else { return false };
+        let Some(l) = h.attempts.get(usize::from(attempt.0)).filter(|l| !l.called_off) else { return false };
         let known = h.risk.is_none_or(|(first, ..)| first == l.sent) || resendable(h, self.now);
         let same = |a: &Appliance| known && a.line.mode == Mode::Ready && a.line.build == l.build;
         self.roster.fleet.0.get(&l.to).is_some_and(same) && self.exposure.admits(l.build, l.group.0, h)
     }
 
-    fn submit(&mut self, id: RequestId, to: ApplianceId, out: &mut dyn Decisions) {
+    fn send_attempt(&mut self, id: RequestId, to: ApplianceId, out: &mut dyn Decisions) {
         let (now, fleet) = (self.now, &mut self.roster.fleet);
         let (Some(h), Some(a)) = (self.desk.held.get_mut(&id), fleet.0.get_mut(&to)) else { return };
         let (request, build, work, group) = (h.request, a.line.build, h.work, (a.line.zone, a.line.cell));
@@ -689,15 +689,15 @@
             let lane = self.exposure.lane(request.product);
             self.exposure.windows.sent.entry((lane, build)).or_default().push_back(now);
         }
-        let leg = Leg(h.legs.len() as u8);
+        let attempt = AttemptNumber(h.attempts.len() as u8);
         let young = self.jury.own.on_trial(build) && self.thaw.young(&a.line, now);
         let out_there = Out { sent: now, work, product: request.product, build, young, mute: a.barred() };
         self.stock.notes.extend(out_there.mute.then_some(Note::Tried(to)));
-        a.sent(now, self.thaw.span, (id, leg), out_there);
-        h.legs.push(Submission { to, build, group, sent: now, ending: None, called_off: false });
+        a.sent(now, self.thaw.span, (id, attempt), out_there);
+        h.attempts.push(Attempt { to, build, group, sent: now, ending: None, called_off: false });
         // Until it is proved not to have run, it may have: the group and window of a repeat are fixed by it.
         h.risk = h.risk.or(Some((now, group.0, group.1)));
-        out.submit(id, to, Duration::ZERO);
+        out.send_attempt(id, to, Duration::ZERO);
     }
 
     /// Hands an outcome to the tests. No answer, or one turned away, says nothing of the build: machines die,
@@ -732,9 +732,10 @@
         self.jury.note(trial, o.product, counts);
     }
 
-    /// Takes in how a submission ended: what it tells of the appliance, of queues, and of the build.
+    /// Takes in how an attempt ended: what it tells of the appliance, of queues, and of the build.
     pub(crate) fn outcome(
-        &mut self, id: RequestId, leg: Leg, at: ApplianceId, o: &Out, ending: Ending, took: Duration,
+        &mut self, id: RequestId, attempt: AttemptNumber, at: ApplianceId, o: &Out, ending: Ending,
+        took: Duration,
     ) {
         let (now, fleet) = (self.now, &mut self.roster.fleet);
         let Some(build) = fleet.0.get(&at).map(|a| a.line.build) else { return };
@@ -746,7 +747,7 @@
         let blurred = o.sent < self.stock.woke;
         // Short of connections is what has answered between two that failed; what is gone or silent is not.
         let short = ending == Ending::Unconnected && a.record.heard > a.record.unlinked.unwrap_or(now);
-        self.demand.ended(now, (RECENT, self.stock.few, USUAL), leg, ending, (took > sla, short));
+        self.demand.ended(now, (RECENT, self.stock.few, USUAL), attempt, ending, (took > sla, short));
         a.record.ended(now, RECENT, ending, o.sent);
         if served {
             if !blurred {
--- a/src/ear.rs
+++ b/src/ear.rs
@@ -19,25 +19,26 @@
         self.stock.heard += 1;
         let work = self.demand.taken(now, USUAL, &request).unwrap_or(self.stock.usual_work).max(1e-4);
         self.jury.own.work([0.0, 0.0, work]);
-        let (legs, risk, luck) = Default::default();
-        self.desk.held.insert(id, Held { request, terms, work, arrived: now, legs, risk, luck });
+        let (attempts, risk, luck) = Default::default();
+        self.desk.held.insert(id, Held { request, terms, work, arrived: now, attempts, risk, luck });
     }
 
     fn ended(
-        &mut self, id: RequestId, leg: Leg, at: ApplianceId, ending: Ending, took: Duration, closed: bool,
+        &mut self, id: RequestId, attempt: AttemptNumber, at: ApplianceId, ending: Ending, took: Duration,
+        closed: bool,
     ) {
-        let out = self.roster.fleet.0.get_mut(&at).and_then(|a| a.out.remove(&(id, leg)));
+        let out = self.roster.fleet.0.get_mut(&at).and_then(|a| a.out.remove(&(id, attempt)));
         if let Some(out) = out {
-            self.outcome(id, leg, at, &out, ending, took);
+            self.outcome(id, attempt, at, &out, ending, took);
         }
         if closed {
             self.desk.held.remove(&id);
         } else if let Some(h) = self.desk.held.get_mut(&id) {
-            h.ended(leg, ending);
+            h.ended(attempt, ending);
         }
     }
 
-    fn stream_begun(&mut self, id: RequestId, _: Leg, _: ApplianceId, _: Duration) {
+    fn stream_begun(&mut self, id: RequestId, _: AttemptNumber, _: ApplianceId, _: Duration) {
         // The client has its answer: nothing is owed any more, and nothing more may be sent.
         self.desk.held.remove(&id);
     }
@@ -46,8 +47,8 @@
         self.desk.held.remove(&id);
     }
 
-    fn may_go(&mut self, id: RequestId, leg: Leg) -> bool {
-        self.stands(id, leg)
+    fn may_go(&mut self, id: RequestId, attempt: AttemptNumber) -> bool {
+        self.stands(id, attempt)
     }
 
     fn roster(&mut self, listing: Listing, lines: &mut dyn Iterator<Item = Line>) {
--- a/src/parts.rs
+++ b/src/parts.rs
@@ -92,7 +92,7 @@
 /// The requests in hand, and what is agreed for them.
 pub struct Desk {
     pub(crate) products: Vec<Terms>,
-    pub(crate) max_submissions: usize,
+    pub(crate) max_attempts: usize,
     pub(crate) may_call_off: bool,
     pub(crate) longest_advice: Duration,
     pub(crate) tick: Duration,
@@ -103,10 +103,10 @@
 
 impl Desk {
     pub fn new(
-        products: Vec<Terms>, max_submissions: usize, may_call_off: bool, longest_advice: Duration,
+        products: Vec<Terms>, max_attempts: usize, may_call_off: bool, longest_advice: Duration,
         tick: Duration,
     ) -> Self {
         let (ends, held) = (Duration::MAX, BTreeMap::new());
-        Desk { products, max_submissions, may_call_off, longest_advice, tick, ends, held }
+        Desk { products, max_attempts, may_call_off, longest_advice, tick, ends, held }
     }
 }
--- a/src/port.rs
+++ b/src/port.rs
@@ -36,8 +36,8 @@
     Stage(u8);
     /// What a request concerns.
     Mark(u64);
-    /// Which submission of a request, counting from 0.
-    Leg(u8);
+    /// Which attempt of a request, counting from 0.
+    AttemptNumber(u8);
     /// Names a wake-up asked for earlier.
     Ticket(u64);
 }
@@ -58,7 +58,7 @@
     OnceOnly,
 }
 
-/// How a submission or a call ended.
+/// How an attempt or a call ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
     Served,
@@ -143,7 +143,7 @@
     pub sla: Duration,
     /// How long a client waits at most, over all its tries.
     pub deadline: Duration,
-    /// For referenced products: how long repeats are dropped, from the first submission that may have run.
+    /// For referenced products: how long repeats are dropped, from the first attempt that may have run.
     pub remembered: Duration,
     pub revenue: f64,
     /// Share of the revenue for an answer after the SLA time.
@@ -184,12 +184,13 @@
 pub trait Hears {
     fn request(&mut self, id: RequestId, request: Request);
     fn ended(
-        &mut self, id: RequestId, leg: Leg, at: ApplianceId, ending: Ending, took: Duration, closed: bool,
+        &mut self, id: RequestId, attempt: AttemptNumber, at: ApplianceId, ending: Ending, took: Duration,
+        closed: bool,
     );
-    fn stream_begun(&mut self, id: RequestId, leg: Leg, at: ApplianceId, took: Duration);
+    fn stream_begun(&mut self, id: RequestId, attempt: AttemptNumber, at: ApplianceId, took: Duration);
     fn client_left(&mut self, id: RequestId);
-    /// Asks whether a submission may still go that waited for its connection. If not, it ends as unsent.
-    fn may_go(&mut self, id: RequestId, leg: Leg) -> bool;
+    /// Asks whether an attempt may still go that waited for its connection. If not, it ends as unsent.
+    fn may_go(&mut self, id: RequestId, attempt: AttemptNumber) -> bool;
     /// `lines` are the entries of this update, none if it failed.
     fn roster(&mut self, listing: Listing, lines: &mut dyn Iterator<Item = Line>);
     fn load(&mut self, _at: ApplianceId, _gauges: &[f32]) {}
@@ -230,10 +231,10 @@
 
 /// Takes the module's decisions as they are made, one method a decision.
 pub trait Decisions {
-    fn submit(&mut self, id: RequestId, to: ApplianceId, give_up_after: Duration);
+    fn send_attempt(&mut self, id: RequestId, to: ApplianceId, give_up_after: Duration);
     fn decline(&mut self, id: RequestId, come_back_in: Duration);
     fn void(&mut self, id: RequestId);
-    fn call_off(&mut self, id: RequestId, leg: Leg);
+    fn call_off(&mut self, id: RequestId, attempt: AttemptNumber);
     fn wake(&mut self, at: Duration, ticket: Ticket);
     fn probe(&mut self, at: ApplianceId);
     fn free_links(&mut self, at: ApplianceId);
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -145,7 +145,7 @@
 const ALL_IS_OLD: Told = (Build(1), Course::Released, 1.0);
 
 /// Plays an agent for so many beats. `list` gives the list at a beat at which one comes, and the platform's news with it;
-/// `asked` is how many requests have come by a beat, and `sent` takes the beat and the appliance of each submission,
+/// `asked` is how many requests have come by a beat, and `sent` takes the beat and the appliance of each attempt,
 /// answered after a tenth of a second.
 fn play(
     mut brain: Brain, beats: u32, list: impl Fn(u32) -> Option<(Vec<Line>, Told)>,
@@ -162,7 +162,7 @@
             }
             let due = out.partition_point(|(at, ..): &(u32, _, _)| at + 10 <= beat);
             for (_, id, to) in out.drain(..due) {
-                ears.ended(id, Leg(0), to, Ending::Served, BEAT * 10, true);
+                ears.ended(id, AttemptNumber(0), to, Ending::Served, BEAT * 10, true);
             }
             if asked(beat) > next {
                 next += 1;
--- a/tests/owed.rs
+++ b/tests/owed.rs
@@ -83,7 +83,7 @@
 struct Taken {
     product: Product,
     until: Duration,
-    legs: u8,
+    attempts: u8,
     /// When the attempt that is out was decided, and in which zone; the same of the first ended one that may have run.
     out: Option<(Duration, Zone)>,
     risk: Option<(Duration, Zone)>,
@@ -98,7 +98,7 @@
 fn plays(events: &[(u32, Event)], fates: &[(Ending, u32)], seed: u64, may_call_off: bool) {
     let mut brain = agent(seed, may_call_off);
     let (mut owed, mut done) = (BTreeMap::<RequestId, Taken>::new(), BTreeSet::new());
-    let mut out = Vec::<(Duration, RequestId, Leg, ApplianceId, Ending)>::new();
+    let mut out = Vec::<(Duration, RequestId, AttemptNumber, ApplianceId, Ending)>::new();
     let (mut ids, mut turn, mut ends) = (0, 0, Duration::MAX);
     for step in 0..ALL {
         let now = DAWN + STEP * step;
@@ -116,7 +116,7 @@
                         let (tenant, mark, hint) = (Tenant(0), Some(Mark(7)), Some(ms(50)));
                         ears.request(id, Request { product, tenant, mark, deadline, hint, repeated: false });
                         let until = deadline.min(ends);
-                        owed.insert(id, Taken { product, until, legs: 0, out: None, risk: None });
+                        owed.insert(id, Taken { product, until, attempts: 0, out: None, risk: None });
                     }
                     Event::Leaves(which) if !owed.is_empty() => {
                         let id = *which.get(&owed.keys().copied().collect::<Vec<_>>());
@@ -142,7 +142,7 @@
                     }
                 }
             }
-            for (_, id, leg, at, ending) in out.extract_if(.., |(due, ..)| *due <= now) {
+            for (_, id, attempt, at, ending) in out.extract_if(.., |(due, ..)| *due <= now) {
                 let served = ending == Ending::Served && owed.remove(&id).is_some();
                 if served {
                     done.insert(id);
@@ -152,7 +152,7 @@
                     let ran = taken.out.take().filter(|_| ending.may_have_run());
                     taken.risk = taken.risk.or(ran);
                 }
-                ears.ended(id, leg, at, ending, STEP, closed);
+                ears.ended(id, attempt, at, ending, STEP, closed);
             }
         };
         brain.round(now, hear, &mut decided);
@@ -177,11 +177,11 @@
             // An appliance that says nothing is given up in time for the answer.
             let (due, ending) =
                 if due < taken.until { (due, ending) } else { (taken.until, Ending::TimedOut) };
-            out.push((due, id, Leg(taken.legs), to, ending));
-            (taken.legs, taken.out) = (taken.legs + 1, Some((now, zone)));
+            out.push((due, id, AttemptNumber(taken.attempts), to, ending));
+            (taken.attempts, taken.out) = (taken.attempts + 1, Some((now, zone)));
         }
-        for (id, leg) in decided.called_off {
-            out.iter_mut().filter(|one| (one.1, one.2) == (id, leg)).for_each(|one| {
+        for (id, attempt) in decided.called_off {
+            out.iter_mut().filter(|one| (one.1, one.2) == (id, attempt)).for_each(|one| {
                 (one.0, one.4) = (now, Ending::CalledOff);
             });
         }
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -4,10 +4,10 @@
 //!     product KIND SLA [GROUP REMEMBERED]  KIND is inquiry, referenced or once; times in ms
 //!     at MS                                begins a round; the events that follow come in with it
 //!     roster KIND ID:MODE:BUILD[:AGE[:ZONE]] ..   | request ID PRODUCT [DEADLINE] [MARK]   | left ID
-//!     ended ID/LEG APPLIANCE ENDING TOOK [closed] | stage BUILD STAGE COURSE CAP         | voted ENDING
+//!     ended ID/ATTEMPT APPLIANCE ENDING TOOK [closed] | stage BUILD STAGE COURSE CAP         | voted ENDING
 //!     ends MS                              the agent ends then
 //!     burst MANY PRODUCT                   so many requests in one round
-//!     go ID/LEG yes|no                     whether it may still go after a wait for its connection
+//!     go ID/ATTEMPT yes|no                 whether it may still go after a wait for its connection
 //!     open on|hold [BUILD:ZONE[:PRODUCTS]] ..  all that is open, as a mask of products, with the step on or without;
 //!                                          open all: the operator's rules are gone
 //!     wrong APPLIANCE PRODUCT AGO          an answer sent so long ago was found wrong
@@ -45,8 +45,8 @@
     now: Vec<String>,
     ever: Vec<String>,
     noted: Vec<String>,
-    out: VecDeque<(RequestId, Leg, ApplianceId)>,
-    legs: BTreeMap<RequestId, u8>,
+    out: VecDeque<(RequestId, AttemptNumber, ApplianceId)>,
+    attempts: BTreeMap<RequestId, u8>,
 }
 
 impl Written {
@@ -57,12 +57,12 @@
 }
 
 impl Decisions for Written {
-    fn submit(&mut self, id: RequestId, to: ApplianceId, _: Duration) {
-        self.put(format!("submit {} {}", id.0, to.0));
-        let leg = self.legs.entry(id).or_default();
-        self.book.iter_mut().for_each(|book| book.submit(self.at, id, Leg(*leg), to));
-        self.out.push_back((id, Leg(*leg), to));
-        *leg += 1;
+    fn send_attempt(&mut self, id: RequestId, to: ApplianceId, _: Duration) {
+        self.put(format!("attempt {} {}", id.0, to.0));
+        let attempt = self.attempts.entry(id).or_default();
+        self.book.iter_mut().for_each(|book| book.attempt(self.at, id, AttemptNumber(*attempt), to));
+        self.out.push_back((id, AttemptNumber(*attempt), to));
+        *attempt += 1;
     }
     fn decline(&mut self, id: RequestId, _: Duration) {
         self.put(format!("decline {}", id.0));
@@ -70,8 +70,8 @@
     fn void(&mut self, id: RequestId) {
         self.put(format!("void {}", id.0));
     }
-    fn call_off(&mut self, id: RequestId, leg: Leg) {
-        self.put(format!("call-off {}/{}", id.0, leg.0));
+    fn call_off(&mut self, id: RequestId, attempt: AttemptNumber) {
+        self.put(format!("call-off {}/{}", id.0, attempt.0));
     }
     fn wake(&mut self, _: Duration, _: Ticket) {}
     fn probe(&mut self, _: ApplianceId) {}
@@ -181,7 +181,7 @@
 
     /// A request every 10 ms and the answers due; no queue, no load: just a script of outcomes.
     fn flow(&mut self, until: Duration, product: &str, fails: &BTreeMap<String, u32>) {
-        let mut due: VecDeque<(Duration, RequestId, Leg, ApplianceId)> = VecDeque::new();
+        let mut due: VecDeque<(Duration, RequestId, AttemptNumber, ApplianceId)> = VecDeque::new();
         self.written.out.clear();
         let mut count: BTreeMap<String, u32> = BTreeMap::new();
         while self.now < until {
@@ -191,24 +191,24 @@
             let request = self.request(product, self.now + Duration::from_secs(2), None);
             let mut answers = Vec::new();
             while due.front().is_some_and(|(at, ..)| *at <= self.now) {
-                let (_, request, leg, to) = due.pop_front().expect("due");
+                let (_, request, attempt, to) = due.pop_front().expect("due");
                 let build = self.lines[&to.0].build.0.to_string();
                 let bad = [build, format!("@{}", to.0)].into_iter().any(|key| {
                     let many = count.entry(key.clone()).or_default();
                     *many += 1;
                     fails.get(&key).is_some_and(|n| many.is_multiple_of(*n))
                 });
-                answers.push((request, leg, to, if bad { Ending::Failed } else { Ending::Served }));
+                answers.push((request, attempt, to, if bad { Ending::Failed } else { Ending::Served }));
             }
             self.written.now.clear();
             self.round(|ear| {
-                for (id, leg, to, ending) in answers {
-                    ear.ended(id, leg, to, ending, Duration::from_millis(50), ending == Ending::Served);
+                for (id, attempt, to, ending) in answers {
+                    ear.ended(id, attempt, to, ending, Duration::from_millis(50), ending == Ending::Served);
                 }
                 ear.request(id, request);
             });
             let at = self.now + Duration::from_millis(50);
-            due.extend(self.written.out.drain(..).map(|(id, leg, to)| (at, id, leg, to)));
+            due.extend(self.written.out.drain(..).map(|(id, attempt, to)| (at, id, attempt, to)));
         }
     }
 
@@ -251,17 +251,23 @@
             }
             ["ends", last] => self.round(|ear| ear.ends(ms(last))),
             ["left", id] => self.round(|ear| ear.client_left(RequestId(id.parse().expect("an id")))),
-            ["ended", leg, at, how, took, closed @ ..] => {
-                let (id, leg) = leg.split_once('/').expect("ID/LEG");
-                let (id, leg) = (RequestId(id.parse().expect("an id")), Leg(leg.parse().expect("a leg")));
+            ["ended", attempt, at, how, took, closed @ ..] => {
+                let (id, attempt) = attempt.split_once('/').expect("ID/ATTEMPT");
+                let (id, attempt) = (
+                    RequestId(id.parse().expect("an id")),
+                    AttemptNumber(attempt.parse().expect("an attempt number")),
+                );
                 let (at, took, how) = (ApplianceId(at.parse().expect("an id")), ms(took), ending(how));
-                self.round(|ear| ear.ended(id, leg, at, how, took, !closed.is_empty()));
+                self.round(|ear| ear.ended(id, attempt, at, how, took, !closed.is_empty()));
             }
-            ["go", leg, want] => {
-                let (id, leg) = leg.split_once('/').expect("ID/LEG");
-                let (id, leg) = (RequestId(id.parse().expect("an id")), Leg(leg.parse().expect("a leg")));
+            ["go", attempt, want] => {
+                let (id, attempt) = attempt.split_once('/').expect("ID/ATTEMPT");
+                let (id, attempt) = (
+                    RequestId(id.parse().expect("an id")),
+                    AttemptNumber(attempt.parse().expect("an attempt number")),
+                );
                 let mut may = false;
-                self.round(|ear| may = ear.may_go(id, leg));
+                self.round(|ear| may = ear.may_go(id, attempt));
                 assert_eq!(may, *want == "yes");
             }
             ["stage", build, stage, course, cap] => {
