--- a/crates/agent/src/hub.rs
+++ b/crates/agent/src/hub.rs
@@ -371,11 +371,11 @@
         say!("{text}");
     }
 
-    fn watch_roster(&mut self, on: bool) {
+    fn watch_membership(&mut self, on: bool) {
         self.hands.discovery.watch(on);
     }
 
-    fn fetch_roster(&mut self) {
+    fn fetch_membership(&mut self) {
         self.hands.discovery.clone().fetch();
     }
 
--- a/crates/agent/src/keeper.rs
+++ b/crates/agent/src/keeper.rs
@@ -120,7 +120,7 @@
 }
 
 impl Hears for Ears<'_> {
-    fn roster(&mut self, listing: Listing, lines: &mut dyn Iterator<Item = Line>) {
+    fn membership(&mut self, listing: Listing, lines: &mut dyn Iterator<Item = Line>) {
         let lines: Vec<Line> = lines.collect();
         if matches!(listing, Listing::Whole | Listing::Saved) {
             self.keeper.listed.clear();
@@ -131,10 +131,10 @@
                 _ => drop(self.keeper.listed.insert(line.appliance, line.build)),
             }
         }
-        self.recorder.book(|book| book.roster(self.now, listing, &lines));
+        self.recorder.book(|book| book.membership(self.now, listing, &lines));
         let builds: Vec<Build> = self.keeper.listed.values().copied().collect();
         self.gate(|gate, now| gate.list(now, builds.into_iter()));
-        self.module.roster(listing, &mut lines.into_iter());
+        self.module.membership(listing, &mut lines.into_iter());
     }
 
     fn stage(&mut self, build: Build, stage: Stage, course: Course, cap: f64, age: Duration) {
--- a/crates/agent/src/log.rs
+++ b/crates/agent/src/log.rs
@@ -202,7 +202,7 @@
     LinksOpened "links_opened"
     LinksClosed "links_closed"
     Probes "probes"
-    RosterUpdates "roster_updates"
+    MembershipUpdates "membership_updates"
     News "news"
     Votes "votes"
     ServiceNews "service_news"
--- a/crates/agent/tests/inside.rs
+++ b/crates/agent/tests/inside.rs
@@ -122,7 +122,7 @@
     fn may_go(&mut self, _: RequestId, _: AttemptNumber) -> bool {
         self.may_go
     }
-    fn roster(&mut self, _: Listing, _: &mut dyn Iterator<Item = Line>) {}
+    fn membership(&mut self, _: Listing, _: &mut dyn Iterator<Item = Line>) {}
     fn load(&mut self, at: ApplianceId, gauges: &[f32]) {
         self.loads.push((at, gauges.to_vec()));
     }
--- a/crates/drill/src/main.rs
+++ b/crates/drill/src/main.rs
@@ -182,10 +182,10 @@
             let listing = r.listing(13)?;
             let number = r.u32(9);
             match pages.get(number as usize).and_then(Option::as_ref) {
-                _ if listing == Listing::Failed => ear.roster(listing, &mut std::iter::empty()),
+                _ if listing == Listing::Failed => ear.membership(listing, &mut std::iter::empty()),
                 Some(lines) => match lines.iter().find(|l| usize::from(l.zone.0) >= named.1) {
                     Some(line) => return Err(format!("zone {} was never named", line.zone.0)),
-                    None => ear.roster(listing, &mut lines.iter().copied()),
+                    None => ear.membership(listing, &mut lines.iter().copied()),
                 },
                 None => return Err(format!("UPDATE names list {number}, which was never given")),
             }
--- a/crates/drill/src/wire.rs
+++ b/crates/drill/src/wire.rs
@@ -255,10 +255,10 @@
     fn log(&mut self, text: &str) {
         self.with_tail(9, &[], text.as_bytes());
     }
-    fn watch_roster(&mut self, on: bool) {
+    fn watch_membership(&mut self, on: bool) {
         self.action(11, &[&[on.into()]]);
     }
-    fn fetch_roster(&mut self) {
+    fn fetch_membership(&mut self) {
         self.action(12, &[]);
     }
     fn vote(&mut self, build: Build, stage: Stage, verdict: Verdict) {
--- a/crates/standin/src/decided.rs
+++ b/crates/standin/src/decided.rs
@@ -32,9 +32,9 @@
     fn free_links(&mut self, _: ApplianceId) {}
     fn tell(&mut self, _: Option<AgentId>, _: &[u8]) {}
     fn log(&mut self, _: &str) {}
-    fn watch_roster(&mut self, on: bool) {
+    fn watch_membership(&mut self, on: bool) {
         self.watches = on;
     }
-    fn fetch_roster(&mut self) {}
+    fn fetch_membership(&mut self) {}
     fn vote(&mut self, _: Build, _: Stage, _: Verdict) {}
 }
--- a/crates/standin/src/lines.rs
+++ b/crates/standin/src/lines.rs
@@ -311,7 +311,7 @@
 fn record_ns() -> f64 {
     let mut book = virtually::book(RATE);
     let lines: Vec<lilacgate::port::Line> = (0..14).map(|node| virtually::listed(node, 1, None)).collect();
-    book.roster(DAWN, lilacgate::port::Listing::Whole, &lines);
+    book.membership(DAWN, lilacgate::port::Listing::Whole, &lines);
     let many = 300_000u32;
     let mut spent = Vec::new();
     for chunk in 0..many / 1000 {
--- a/crates/standin/src/virtually.rs
+++ b/crates/standin/src/virtually.rs
@@ -87,7 +87,7 @@
     List { node: u32, build: u16, started: Option<Duration> },
 }
 
-/// A line of the roster.
+/// A line of the membership list.
 pub fn listed(node: u32, build: u16, started: Option<Duration>) -> Line {
     Line {
         appliance: ApplianceId(node),
@@ -120,7 +120,7 @@
         })
         .collect();
     let lines: Vec<Line> = nodes.keys().map(|node| listed(*node, 1, None)).collect();
-    book.roster(DAWN, Listing::Whole, &lines);
+    book.membership(DAWN, Listing::Whole, &lines);
     book.stage(DAWN, Build(1), Stage(3), Course::Released, Duration::from_secs(3600));
     let mut queue = BinaryHeap::from([Reverse((DAWN, 0u64, Due::Request)), Reverse((DAWN, 1, Due::Tick))]);
     let (mut serial, mut last, mut said) = (2, 0u32, Vec::new());
@@ -165,7 +165,7 @@
                 put(&mut queue, now + TICK, Due::Tick);
             }
             Due::List { node, build, started } => {
-                book.roster(awake, Listing::Changes, &[listed(node, build, started)])
+                book.membership(awake, Listing::Changes, &[listed(node, build, started)])
             }
             Due::Request => {
                 let rate = faults.iter().fold(day.rate, |rate, (fault, _)| {
--- a/crates/start/src/lib.rs
+++ b/crates/start/src/lib.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use lilacgate::brain::Brain;
-use lilacgate::parts::{Desk, Exposure, Jury, Roster, Thaw};
+use lilacgate::parts::{Desk, Exposure, Jury, Membership, Thaw};
 use lilacgate::port::*;
 
 /// What an agent is told at its start, by path.
@@ -124,7 +124,7 @@
     let zones = pairs.text("zones")?.split(',').count();
     let tick = pairs.period("tick")?;
     let ask_within = if pairs.asks()? { Some(pairs.period("rules.ask-within")?) } else { None };
-    let roster = Roster::new(Zone(pairs.num("zone")?), ask_within);
+    let membership = Membership::new(Zone(pairs.num("zone")?), ask_within);
     let thaw = Thaw::new(
         pairs.figure("rules.cold-from")?,
         pairs.span("rules.ramp-time")?,
@@ -167,6 +167,6 @@
         if pairs.num("limits.retry-after")? { pairs.span("limits.max-retry-after")? } else { Duration::ZERO },
         tick,
     );
-    let brain = Brain::new(seed, roster, thaw, exposure, jury, desk);
+    let brain = Brain::new(seed, membership, thaw, exposure, jury, desk);
     Ok(Instance { brain, products: count, zones })
 }
--- a/crates/timeline/src/book.rs
+++ b/crates/timeline/src/book.rs
@@ -78,7 +78,7 @@
     }
 
     /// A list, whole or as changes; `lines` are its entries.
-    pub fn roster(&mut self, now: Duration, listing: Listing, lines: &[Listed]) {
+    pub fn membership(&mut self, now: Duration, listing: Listing, lines: &[Listed]) {
         if matches!(listing, Listing::Whole | Listing::Saved) {
             let gone: Vec<u32> =
                 self.lines.iter().filter(|(_, l)| l.1.mode != Mode::Gone).map(|(n, _)| *n).collect();
--- a/crates/timeline/src/entry.rs
+++ b/crates/timeline/src/entry.rs
@@ -56,7 +56,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum What {
-    /// The roster: its state (`ready`, `draining`, `gone`), build, and when its process started.
+    /// The membership list: its state (`ready`, `draining`, `gone`), build, and when its process started.
     Listed {
         state: String,
         build: u16,
--- a/src/brain.rs
+++ b/src/brain.rs
@@ -45,7 +45,7 @@
     })
 }
 
-impl Roster {
+impl Membership {
     /// Agents that came up or were refused together ask one after another, by chance; many, over half of the
     /// time allowed. Guards against waves that a service of fixed capacity refuses whole, again and again.
     /// Harms, by as much, one that comes up alone amid a change. A watch that stood and broke is asked for in
@@ -388,7 +388,7 @@
 pub struct Brain {
     pub(crate) now: Duration,
     pub(crate) chance: Pcg64Mcg,
-    pub(crate) roster: Roster,
+    pub(crate) membership: Membership,
     pub(crate) thaw: Thaw,
     pub(crate) exposure: Exposure,
     pub(crate) jury: Jury,
@@ -398,10 +398,12 @@
 }
 
 impl Brain {
-    pub fn new(seed: u64, roster: Roster, thaw: Thaw, exposure: Exposure, jury: Jury, desk: Desk) -> Self {
+    pub fn new(
+        seed: u64, membership: Membership, thaw: Thaw, exposure: Exposure, jury: Jury, desk: Desk,
+    ) -> Self {
         let (chance, now, demand) = (Pcg64Mcg::seed_from_u64(seed), Duration::ZERO, Demand::default());
         let stock = Stock { usual_pace: 1.0, middle_pace: 1.0, usual_work: 1e-3, ..Stock::default() };
-        Brain { now, chance, roster, thaw, exposure, jury, desk, demand, stock }
+        Brain { now, chance, membership, thaw, exposure, jury, desk, demand, stock }
     }
 
     pub fn round(&mut self, now: Duration, intake: impl FnOnce(&mut dyn Hears), out: &mut dyn Decisions) {
@@ -414,18 +416,18 @@
         }
         self.exposure.windows.trim(now.saturating_sub(self.exposure.span));
         intake(self);
-        if self.roster.ask_at.take_if(|t| *t <= now).is_some() {
-            out.watch_roster(true);
+        if self.membership.ask_at.take_if(|t| *t <= now).is_some() {
+            out.watch_membership(true);
         }
         self.stock.passed += passed;
         // The walk over the fleet is made once a beat, or once for as many events as there are appliances.
-        if now >= self.stock.next || self.stock.heard > self.roster.fleet.0.len() {
+        if now >= self.stock.next || self.stock.heard > self.membership.fleet.0.len() {
             self.take_stock();
             // Where connections are refused, idle ones go back at once, to go round among agents. Guards
             // against appliances that accept far fewer than usual; costs handshakes.
             let short = self.demand.shut.share(now, USUAL, 2.0) > SHORT;
             let idle = |a: &Appliance| short && a.linked && a.out.is_empty();
-            for (&id, a) in self.roster.fleet.0.iter_mut().filter(|(_, a)| idle(a)) {
+            for (&id, a) in self.membership.fleet.0.iter_mut().filter(|(_, a)| idle(a)) {
                 a.linked = false;
                 out.free_links(id);
             }
@@ -438,7 +440,7 @@
         if let Some(news) = self.exposure.news {
             self.jury.report(now, self.stock.woke, news, self.chance.random_range(0.5..0.8), out);
             let stays = self.exposure.openings.as_ref().is_some_and(|o| !o.may_step(news.build, news.stage));
-            self.jury.round(now, &self.roster.fleet, news, (self.stock.lost, stays), out);
+            self.jury.round(now, &self.membership.fleet, news, (self.stock.lost, stays), out);
         }
         self.stock.notes.drain(..).for_each(|note| out.note(note));
         let beat = beat.max(now + self.desk.tick * 2);
@@ -451,7 +453,7 @@
     fn take_stock(&mut self) {
         let now = self.now;
         (self.stock.next, self.stock.heard) = (now + self.desk.tick * 20, 0);
-        let fleet = &self.roster.fleet;
+        let fleet = &self.membership.fleet;
         let listed = self.demand.lived(now, USUAL, std::mem::take(&mut self.stock.passed), fleet.weight());
         self.jury.own.work([0.0, self.jury.own.bore * listed, 0.0]);
         self.stock.measure(now, (RECENT, USUAL), fleet, &self.demand);
@@ -461,7 +463,7 @@
         // Silence: several attempts wait far longer than usual, and nothing came since the oldest. Guards
         // against machines that vanished, froze or were cut off, long before the list tells.
         let patience = 6.0 * self.stock.middle_pace * self.stock.usual_work;
-        for (&at, a) in &mut self.roster.fleet.0 {
+        for (&at, a) in &mut self.membership.fleet.0 {
             let silent = a.unheard_since().map(|o| now.saturating_sub(o.max(self.stock.woke)).as_secs_f64());
             if silent.is_some_and(|s| s > patience) {
                 self.stock.notes.extend(strike(&mut a.record, now, at, "silent"));
@@ -471,7 +473,7 @@
         let few = Duration::from_secs_f64(ENOUGH / 4.0 / self.stock.served.max(1.0));
         self.stock.few = few.clamp(RECENT, USUAL);
         let Some(News { build, stage, .. }) = self.exposure.news else { return };
-        self.jury.own.paces.extend(self.roster.fleet.paces(now, USUAL, build));
+        self.jury.own.paces.extend(self.membership.fleet.paces(now, USUAL, build));
         // Lost against what was at the end of the stage before: a build that slows all does so in step with
         // its stages; what came earlier is not its doing. Only with enough traffic to tell, a past, and from
         // a judge: of hundreds one always has a bad day. It harms where another trouble comes with a stage.
@@ -495,7 +497,7 @@
             let usual = (usual * 4).max(h.terms.sla / 4);
             // Given up for lost: nothing comes from there, or what was sent later has come back. Guards
             // against lost messages and stuck work as well as dead machines.
-            let a = self.roster.fleet.0.get(&to);
+            let a = self.membership.fleet.0.get(&to);
             let lost = a.is_none_or(|a| a.record.passed > sent || (a.barred() && a.record.heard < sent));
             if !more || sla_left.is_zero() {
                 return None;
@@ -553,7 +555,7 @@
             return 0.0;
         }
         let (few, idle) = (4.0, self.stock.usual_work);
-        let wait = (self.roster.fleet.out() as f64 + few) / (self.stock.served + few / idle);
+        let wait = (self.membership.fleet.out() as f64 + few) / (self.stock.served + few / idle);
         (wait - idle) / of.as_secs_f64().max(1e-6)
     }
 
@@ -570,7 +572,7 @@
 
     /// Lays out what requests choose from: the arms' appliances and odds, and the trial's listed share.
     fn arrange(&mut self) {
-        let (now, fleet) = (self.now, &self.roster.fleet);
+        let (now, fleet) = (self.now, &self.membership.fleet);
         // When most are barred the trouble is not theirs: then bars mean nothing.
         let sick = fleet.ready().filter(|(_, a)| a.barred()).count();
         self.stock.panic = 2 * sick > fleet.ready().count();
@@ -601,7 +603,7 @@
         for (arm, share) in [1.0, trial].into_iter().enumerate() {
             let many = seats[arm].len() as f64;
             for (i, seat) in seats[arm].iter_mut().enumerate() {
-                self.roster.fleet.0.entry(seat.id).and_modify(|a| a.part = share * seat.odds / sums[arm]);
+                self.membership.fleet.0.entry(seat.id).and_modify(|a| a.part = share * seat.odds / sums[arm]);
                 let home = (i as f64 / many - turn).rem_euclid(1.0) * many < homes;
                 seat.odds *= if home { 1.0 } else { 1e-3 };
             }
@@ -613,7 +615,7 @@
     }
 
     fn takes(&self, h: &Held, to: ApplianceId) -> bool {
-        let listed = self.roster.fleet.0.get(&to);
+        let listed = self.membership.fleet.0.get(&to);
         let Some(a) = listed.filter(|a| a.line.mode == Mode::Ready) else { return false };
         // Listed sizes leave out how fast a model is; what the mean bears can push a slow one over.
         let fair = self.stock.fair * a.weight() * self.jury.own.speed(a.line.model);
@@ -627,7 +629,7 @@
     /// Whether the rules close all that could take a request. Guards against holding it in vain.
     fn shut_out(&self, id: RequestId) -> bool {
         let Some(h) = self.desk.held.get(&id) else { return false };
-        let mut ready = self.roster.fleet.ready().filter(|(_, a)| h.in_group(&a.line)).peekable();
+        let mut ready = self.membership.fleet.ready().filter(|(_, a)| h.in_group(&a.line)).peekable();
         let open = |(_, a): (_, &Appliance)| self.exposure.open(a.line.build, a.line.zone, h);
         ready.peek().is_some() && !ready.any(open)
     }
@@ -658,7 +660,7 @@
             };
             let Some(one) = pick(true) else { continue };
             let two = pick(false).unwrap_or(one);
-            let cost = |id| self.roster.fleet.0.get(&id).map_or(f64::MAX, |a| self.cost(a));
+            let cost = |id| self.membership.fleet.0.get(&id).map_or(f64::MAX, |a| self.cost(a));
             return Some(if cost(two) < cost(one) { two } else { one });
         }
         None
@@ -666,7 +668,7 @@
 
     /// What a request may expect to wait there, against the usual: speed and size are in the odds already.
     fn cost(&self, a: &Appliance) -> f64 {
-        let across = if a.line.zone == self.roster.zone { 1.0 } else { 2.0 };
+        let across = if a.line.zone == self.membership.zone { 1.0 } else { 2.0 };
         let pace = pace(a, self.now, &self.stock) / usual(a, self.now, &self.stock);
         let out = a.out.len() as f64 * self.stock.weight / a.weight().max(1e-3);
         across * (1.0 + out) * pace / (1.0 - 0.9 * a.record.fails.share(self.now, RECENT, 1.0))
@@ -678,11 +680,11 @@
         let Some(l) = h.attempts.get(usize::from(attempt.0)).filter(|l| !l.called_off) else { return false };
         let known = h.risk.is_none_or(|(first, ..)| first == l.sent) || resendable(h, self.now);
         let same = |a: &Appliance| known && a.line.mode == Mode::Ready && a.line.build == l.build;
-        self.roster.fleet.0.get(&l.to).is_some_and(same) && self.exposure.admits(l.build, l.group.0, h)
+        self.membership.fleet.0.get(&l.to).is_some_and(same) && self.exposure.admits(l.build, l.group.0, h)
     }
 
     fn send_attempt(&mut self, id: RequestId, to: ApplianceId, out: &mut dyn Decisions) {
-        let (now, fleet) = (self.now, &mut self.roster.fleet);
+        let (now, fleet) = (self.now, &mut self.membership.fleet);
         let (Some(h), Some(a)) = (self.desk.held.get_mut(&id), fleet.0.get_mut(&to)) else { return };
         let (request, build, work, group) = (h.request, a.line.build, h.work, (a.line.zone, a.line.cell));
         if self.exposure.bound(build).is_some() {
@@ -725,7 +727,7 @@
         };
         // Against its model's usual time at earlier builds, for work between the rough hint and the usual,
         // half as much again counts as late: a build that needs more work seldom passes twice the SLA time.
-        let model = self.roster.fleet.0.get(&at).and_then(|a| self.jury.own.paces.get(&a.line.model));
+        let model = self.membership.fleet.0.get(&at).and_then(|a| self.jury.own.paces.get(&a.line.model));
         let timed = model.filter(|_| fair && ending == Ending::Served);
         let slow = |pace: &f64| took.as_secs_f64() > 1.5 * pace * (o.work + self.stock.usual_work) / 2.0;
         let counts = [1, score, u8::from(timed.is_some()), u8::from(timed.is_some_and(slow))];
@@ -737,7 +739,7 @@
         &mut self, id: RequestId, attempt: AttemptNumber, at: ApplianceId, o: &Out, ending: Ending,
         took: Duration,
     ) {
-        let (now, fleet) = (self.now, &mut self.roster.fleet);
+        let (now, fleet) = (self.now, &mut self.membership.fleet);
         let Some(build) = fleet.0.get(&at).map(|a| a.line.build) else { return };
         let served = ending == Ending::Served;
         let (many, sum) = if served { (0.0, 0.0) } else { fleet.mates(now, RECENT, at, build) };
--- a/src/ear.rs
+++ b/src/ear.rs
@@ -27,7 +27,7 @@
         &mut self, id: RequestId, attempt: AttemptNumber, at: ApplianceId, ending: Ending, took: Duration,
         closed: bool,
     ) {
-        let out = self.roster.fleet.0.get_mut(&at).and_then(|a| a.out.remove(&(id, attempt)));
+        let out = self.membership.fleet.0.get_mut(&at).and_then(|a| a.out.remove(&(id, attempt)));
         if let Some(out) = out {
             self.outcome(id, attempt, at, &out, ending, took);
         }
@@ -51,8 +51,8 @@
         self.stands(id, attempt)
     }
 
-    fn roster(&mut self, listing: Listing, lines: &mut dyn Iterator<Item = Line>) {
-        self.roster.update(self.now, listing, lines, self.jury.among.agents, &mut self.chance);
+    fn membership(&mut self, listing: Listing, lines: &mut dyn Iterator<Item = Line>) {
+        self.membership.update(self.now, listing, lines, self.jury.among.agents, &mut self.chance);
         self.stock.next = Duration::ZERO;
     }
 
@@ -74,7 +74,7 @@
     }
 
     fn peer(&mut self, from: AgentId, octets: &[u8]) {
-        self.jury.told(self.now, from, octets, &self.roster.fleet);
+        self.jury.told(self.now, from, octets, &self.membership.fleet);
         if self.jury.own.build.is_some_and(|b| octets == b.0.to_be_bytes()) {
             self.jury.own.warned = self.now + self.jury.dwell;
         }
@@ -98,7 +98,7 @@
 
     fn wrong_answer(&mut self, at: ApplianceId, product: Product, sent_ago: Duration) {
         let sent = self.now.saturating_sub(sent_ago);
-        let Some(a) = self.roster.fleet.0.get(&at) else { return };
+        let Some(a) = self.membership.fleet.0.get(&at) else { return };
         // The outcome it names was counted as good.
         if !self.thaw.young(&a.line, sent) {
             let trial = self.jury.own.on_trial(a.line.build).then_some(at);
--- a/src/parts.rs
+++ b/src/parts.rs
@@ -8,7 +8,7 @@
 use crate::state::*;
 
 /// The agent's own list of appliances, and its upkeep.
-pub struct Roster {
+pub struct Membership {
     pub(crate) zone: Zone,
     pub(crate) ask_within: Option<Duration>,
     pub(crate) ask_at: Option<Duration>,
@@ -16,11 +16,11 @@
     pub(crate) fleet: Fleet,
 }
 
-impl Roster {
+impl Membership {
     /// `ask_within` is given where the list comes only when asked for.
     pub fn new(zone: Zone, ask_within: Option<Duration>) -> Self {
         let ask_at = ask_within.map(|_| Duration::ZERO);
-        Roster { zone, ask_within, ask_at, ask_pause: Duration::ZERO, fleet: Fleet::default() }
+        Membership { zone, ask_within, ask_at, ask_pause: Duration::ZERO, fleet: Fleet::default() }
     }
 }
 
--- a/src/port.rs
+++ b/src/port.rs
@@ -80,7 +80,7 @@
     }
 }
 
-/// What the roster says of an appliance.
+/// What the membership list says of an appliance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
     Ready,
@@ -88,7 +88,7 @@
     Gone,
 }
 
-/// How a roster update is to be read.
+/// How a membership update is to be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Listing {
     Changes,
@@ -165,7 +165,7 @@
     pub may_tell: bool,
 }
 
-/// A line of the roster.
+/// A line of the membership list.
 #[derive(Clone, Copy, Debug)]
 pub struct Line {
     pub appliance: ApplianceId,
@@ -192,7 +192,7 @@
     /// Asks whether an attempt may still go that waited for its connection. If not, it ends as unsent.
     fn may_go(&mut self, id: RequestId, attempt: AttemptNumber) -> bool;
     /// `lines` are the entries of this update, none if it failed.
-    fn roster(&mut self, listing: Listing, lines: &mut dyn Iterator<Item = Line>);
+    fn membership(&mut self, listing: Listing, lines: &mut dyn Iterator<Item = Line>);
     fn load(&mut self, _at: ApplianceId, _gauges: &[f32]) {}
     fn probed(&mut self, _at: ApplianceId, _ending: Ending, _took: Duration) {}
     fn peer(&mut self, _from: AgentId, _octets: &[u8]) {}
@@ -241,8 +241,8 @@
     /// To one peer, or to all of them.
     fn tell(&mut self, peer: Option<AgentId>, octets: &[u8]);
     fn log(&mut self, text: &str);
-    fn watch_roster(&mut self, on: bool);
-    fn fetch_roster(&mut self);
+    fn watch_membership(&mut self, on: bool);
+    fn fetch_membership(&mut self);
     fn vote(&mut self, build: Build, stage: Stage, verdict: Verdict);
     fn note(&mut self, _note: Note) {}
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -25,7 +25,7 @@
     let calls = Calls { lasts: ms(6000), wait: ms(1200) };
     Brain::new(
         seed + u64::from(me) * 7919,
-        Roster::new(Zone(0), Some(ASK_WITHIN)),
+        Membership::new(Zone(0), Some(ASK_WITHIN)),
         Thaw::new(0.34, ms(4000), 2.5, ms(1000)),
         Exposure::new(ms(4000), ms(5), 3.0, 0.1, false, 1, false),
         Jury::new(Gate::Single, vec![0.1, 0.5, 1.0], ms(900), calls, true, among, 1),
@@ -59,7 +59,8 @@
 /// A round in which a list came, or failed; whether the agent asks for one then.
 fn asks(brain: &mut Brain, now: Duration, told: Option<Listing>) -> bool {
     let mut decided = Decided::default();
-    let hear = |ears: &mut dyn Hears| told.into_iter().for_each(|l| ears.roster(l, &mut std::iter::empty()));
+    let hear =
+        |ears: &mut dyn Hears| told.into_iter().for_each(|l| ears.membership(l, &mut std::iter::empty()));
     brain.round(now, hear, &mut decided);
     decided.watches
 }
@@ -157,7 +158,7 @@
         let mut decided = Decided::default();
         let hear = |ears: &mut dyn Hears| {
             if let Some((lines, news)) = list(beat) {
-                ears.roster(Listing::Whole, &mut lines.into_iter());
+                ears.membership(Listing::Whole, &mut lines.into_iter());
                 ears.stage(news.0, Stage(2), news.1, news.2, Duration::ZERO);
             }
             let due = out.partition_point(|(at, ..): &(u32, _, _)| at + 10 <= beat);
--- a/tests/owed.rs
+++ b/tests/owed.rs
@@ -38,7 +38,7 @@
     let calls = Calls { lasts: ms(6000), wait: ms(1200) };
     Brain::new(
         seed,
-        Roster::new(Zone(0), None),
+        Membership::new(Zone(0), None),
         Thaw::new(0.34, ms(400), 2.5, ms(1000)),
         Exposure::new(ms(1000), STEP, 3.0, 0.2, false, 1, false),
         Jury::new(Gate::Single, vec![0.1, 1.0], ms(900), calls, true, among, 4),
@@ -106,7 +106,7 @@
         let hear = |ears: &mut dyn Hears| {
             if step == 0 {
                 ears.stage(Build(1), Stage(1), Course::Released, 1.0, Duration::ZERO);
-                ears.roster(Listing::Saved, &mut (0..4).map(|i| line(i, Mode::Ready, 1, None)));
+                ears.membership(Listing::Saved, &mut (0..4).map(|i| line(i, Mode::Ready, 1, None)));
             }
             for (_, what) in events.iter().filter(|(at, _)| *at == step) {
                 match what {
@@ -127,7 +127,10 @@
                     Event::Leaves(_) => {}
                     Event::Listed(i, mode, build, cold) => {
                         let started = cold.then_some(now);
-                        ears.roster(Listing::Changes, &mut [line(*i, *mode, *build, started)].into_iter());
+                        ears.membership(
+                            Listing::Changes,
+                            &mut [line(*i, *mode, *build, started)].into_iter(),
+                        );
                     }
                     Event::News(build, course, cap) => {
                         ears.stage(Build(*build), Stage(1), *course, *cap, Duration::ZERO);
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -3,7 +3,7 @@
 //!     set KEY VALUE                        before the first round, changes what a part is made with
 //!     product KIND SLA [GROUP REMEMBERED]  KIND is inquiry, referenced or once; times in ms
 //!     at MS                                begins a round; the events that follow come in with it
-//!     roster KIND ID:MODE:BUILD[:AGE[:ZONE]] ..   | request ID PRODUCT [DEADLINE] [MARK]   | left ID
+//!     membership KIND ID:MODE:BUILD[:AGE[:ZONE]] ..   | request ID PRODUCT [DEADLINE] [MARK]   | left ID
 //!     ended ID/ATTEMPT APPLIANCE ENDING TOOK [closed] | stage BUILD STAGE COURSE CAP         | voted ENDING
 //!     ends MS                              the agent ends then
 //!     burst MANY PRODUCT                   so many requests in one round
@@ -84,10 +84,10 @@
     fn log(&mut self, text: &str) {
         println!("{text}");
     }
-    fn watch_roster(&mut self, _: bool) {
+    fn watch_membership(&mut self, _: bool) {
         self.put("watch".into());
     }
-    fn fetch_roster(&mut self) {}
+    fn fetch_membership(&mut self) {}
     fn note(&mut self, note: Note) {
         self.noted.push(format!("{note:?}"));
         self.book.iter_mut().for_each(|book| book.note(self.at, note));
@@ -131,7 +131,7 @@
         let set = |key: &str, usual: f64| self.set.get(key).copied().unwrap_or(usual);
         let span = |key, usual| Duration::from_secs_f64(set(key, usual) / 1000.0);
         let asks = set("asks", 0.0) > 0.0;
-        let roster = Roster::new(Zone(0), asks.then_some(Duration::from_secs(10)));
+        let membership = Membership::new(Zone(0), asks.then_some(Duration::from_secs(10)));
         let thaw = Thaw::new(0.34, span("ramp", 4000.0), 2.5, Duration::from_secs(1));
         let tick = Duration::from_millis(5);
         let per_product = set("per-product", 0.0) > 0.0;
@@ -148,7 +148,7 @@
         let among = Among { me, agents, may_tell: true };
         let jury = Jury::new(gate, rings, dwell, calls, true, among, self.products.len());
         let desk = Desk::new(self.products.clone(), 3, true, Duration::from_secs(1), tick);
-        Brain::new(7, roster, thaw, exposure, jury, desk)
+        Brain::new(7, membership, thaw, exposure, jury, desk)
     }
 
     fn round(&mut self, intake: impl FnOnce(&mut dyn Hears)) {
@@ -166,7 +166,7 @@
         Request { product, tenant: Tenant(0), mark, deadline, hint, repeated: false }
     }
 
-    fn roster(&mut self, kind: &str, entries: &[&str]) {
+    fn membership(&mut self, kind: &str, entries: &[&str]) {
         let listing = match kind {
             "whole" => Listing::Whole,
             "changes" => Listing::Changes,
@@ -176,7 +176,7 @@
         let now = self.now;
         let lines: Vec<Line> = entries.iter().map(|e| line(e, now)).collect();
         self.lines.extend(lines.iter().map(|l| (l.appliance.0, *l)));
-        self.round(|ear| ear.roster(listing, &mut lines.into_iter()));
+        self.round(|ear| ear.membership(listing, &mut lines.into_iter()));
     }
 
     /// A request every 10 ms and the answers due; no queue, no load: just a script of outcomes.
@@ -238,7 +238,7 @@
                 self.written.now.clear();
                 self.round(|_| {});
             }
-            ["roster", kind, entries @ ..] => self.roster(kind, entries),
+            ["membership", kind, entries @ ..] => self.membership(kind, entries),
             ["request", id, product, rest @ ..] => {
                 let deadline = rest.first().map_or(self.now + Duration::from_secs(2), |e| ms(e));
                 let request = self.request(product, deadline, rest.get(1));
