--- a/crates/agent/src/discovery.rs
+++ b/crates/agent/src/discovery.rs
@@ -1,7 +1,6 @@
 //! Owns the talk with discovery: the list of appliances, once or as a watch on its changes, over HTTP with chunks. It
 //! must never pass on half a message, nor forget the last good list because of a bad one.
 use std::cell::RefCell;
-use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,6 +11,7 @@
 use lilacgate_start::Paths;
 
 use crate::appliances::Appliances;
+use crate::catalog::Catalog;
 use crate::hub::{Hub, Lists};
 use crate::json::{self, Json};
 use crate::log::{Count, End, count, say};
@@ -166,16 +166,12 @@
     hub: Rc<Hub>,
     appliances: Rc<Appliances>,
     pub place: Place,
-    zones: Vec<String>,
-    models: Vec<String>,
     connect_within: Duration,
     /// Whether the module asks for the list; elsewhere it is watched always.
     asked: bool,
     /// The largest message.
     most: usize,
-    version: std::cell::Cell<u64>,
-    /// The number of each appliance by its name, the same at every agent and over its restarts.
-    numbers: RefCell<HashMap<String, ApplianceId>>,
+    catalog: RefCell<Catalog>,
     wish: (Sender<bool>, Receiver<bool>),
 }
 
@@ -183,90 +179,38 @@
     pub fn new(
         hub: Rc<Hub>, appliances: Rc<Appliances>, at: SocketAddr, told: &Paths, most: usize,
     ) -> Result<Rc<Self>, String> {
-        let (version, numbers) = Default::default();
+        let catalog = RefCell::new(Catalog::new(told)?);
         Ok(Rc::new(Discovery {
             hub,
             appliances,
             place: Place::new(at),
-            zones: told.names("zones")?,
-            models: told.names("shapes")?,
             connect_within: told.period("limits.connect-timeout")?,
             asked: told.asks()?,
             most,
-            version,
-            numbers,
+            catalog,
             wish: async_channel::unbounded(),
         }))
     }
 
-    fn number(&self, name: &str) -> ApplianceId {
-        let mut numbers = self.numbers.borrow_mut();
-        if let Some(&number) = numbers.get(name) {
-            return number;
-        }
-        // Peers name appliances to each other: the number is made of the name alone.
-        let mix = |sum: u32, b: u8| (sum ^ u32::from(b)).wrapping_mul(0x0100_0193);
-        let mut number = ApplianceId(name.bytes().fold(0x811c_9dc5, mix));
-        while numbers.values().any(|taken| *taken == number) {
-            number.0 = number.0.wrapping_add(1);
-        }
-        numbers.insert(name.to_owned(), number);
-        let name = name.to_owned();
-        self.hub.tell(move |ear| ear.recorder.named(number, &name));
-        number
-    }
-
-    fn entry(&self, entry: &Json) -> Option<(Line, SocketAddr)> {
-        let text = |name: &str| entry.get(name).and_then(Json::text);
-        let place = |names: &[String], name: &str| {
-            let name = json::word(text(name)?);
-            names.iter().position(|n| *n == name).and_then(|i| u8::try_from(i).ok())
-        };
-        let whole = |name| entry.get(name).and_then(Json::whole);
-        let weight = entry.get("weight").and_then(Json::figure).filter(|w| *w >= 0.0)?;
-        let line = Line {
-            appliance: self.number(text("id").filter(|id| !id.is_empty())?),
-            mode: match text("state")? {
-                "ready" => Mode::Ready,
-                "draining" => Mode::Draining,
-                "gone" => Mode::Gone,
-                _ => return None,
-            },
-            model: Model(place(&self.models, "kind")?),
-            weight: weight as f32,
-            started: Some(Duration::from_millis(whole("started_ms")?)).filter(|s| !s.is_zero()),
-            build: Build(u16::try_from(whole("release")?).ok()?),
-            cell: Cell(u16::try_from(whole("cell")?).ok()?),
-            zone: Zone(place(&self.zones, "zone")?),
-        };
-        Some((line, text("addr")?.parse().ok()?))
-    }
-
     /// Passes a list or its changes on, if all of it can be read.
     pub fn told(&self, list: &Json, saved: bool) -> Option<()> {
-        let version = list.get("version").and_then(Json::whole)?;
-        let Json::Truth(whole) = *list.get("full")? else { return None };
-        let entries = list.get("servers").and_then(Json::list)?;
-        let entries = entries.iter().map(|entry| self.entry(entry)).collect::<Option<Vec<_>>>()?;
-        if !whole && version < self.version.get() {
-            return None;
-        }
-        self.version.set(version);
-        let listed: BTreeMap<_, _> = entries.iter().map(|(line, _)| (line.appliance, line.mode)).collect();
-        if whole {
-            self.appliances.keep_only(|id| listed.contains_key(id));
+        let hub = &self.hub;
+        let mut named = |number: ApplianceId, name: &str| {
+            let name = name.to_owned();
+            hub.tell(move |ear| ear.recorder.named(number, &name));
+        };
+        let update = self.catalog.borrow_mut().read(list, &mut named)?;
+        if update.whole {
+            self.appliances.keep_only(|id| update.names(*id));
         }
-        entries.iter().for_each(|(line, at)| self.appliances.place(line, *at));
-        // Names that are gone are forgotten: one that returns gets the same number.
-        let stays = |id: &ApplianceId| listed.get(id).map_or(!whole, |mode| *mode != Mode::Gone);
-        self.numbers.borrow_mut().retain(|_, id| stays(id));
+        update.entries.iter().for_each(|(line, at)| self.appliances.place(line, *at));
         count(Count::RosterUpdates);
-        let listing = match (saved, whole) {
+        let listing = match (saved, update.whole) {
             (true, _) => Listing::Saved,
             (false, true) => Listing::Whole,
             (false, false) => Listing::Changes,
         };
-        self.hub.tell(move |ear| ear.roster(listing, &mut entries.iter().map(|(line, _)| *line)));
+        self.hub.tell(move |ear| ear.roster(listing, &mut update.entries.iter().map(|(line, _)| *line)));
         Some(())
     }
 
@@ -286,7 +230,7 @@
                 on = self.wish.1.recv().await.unwrap_or(false);
             }
             let (at, heard) = (self.place.at(), std::cell::Cell::new(false));
-            let path = format!("/catalog/members?follow=1&since={}", self.version.get());
+            let path = format!("/catalog/members?follow=1&since={}", self.catalog.borrow().version());
             let call = self.call(path, false, &heard);
             let off = async {
                 while self.wish.1.recv().await.unwrap_or(true) {}
@@ -305,7 +249,7 @@
             }
             if end == Err(End::Moved) {
                 // Another service may count its versions otherwise: the whole list, at once.
-                self.version.set(0);
+                self.catalog.borrow_mut().restart();
                 pause = QUIET / 40;
             }
         }
@@ -326,7 +270,7 @@
             heard.set(true);
             if self.told(&list, false).is_none() {
                 // The whole list next time: what was missed here cannot be known.
-                self.version.set(0);
+                self.catalog.borrow_mut().restart();
                 return Err(End::Malformed);
             }
             if once {
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -4,6 +4,7 @@
 #![forbid(unsafe_code)]
 
 pub mod appliances;
+pub mod catalog;
 pub mod clients;
 pub mod desk;
 pub mod discovery;
