--- a/crates/capacity/src/result.rs
+++ b/crates/capacity/src/result.rs
@@ -113,12 +113,19 @@
     ControlCorePercent,
     /// The same in the worst single second.
     WorstSecondCorePercent,
+    /// Processor time of a whole agent process, its clients' requests included,
+    /// in percent of one core, on average over the agents.
+    ProcessCorePercent,
+    /// The same for the agent that used most.
+    WorstProcessCorePercent,
     /// Processor time of the longest round, in microseconds.
     WorstRoundMicros,
     /// Processor time of a round that 99 in 100 stay below, in microseconds.
     RoundP99Micros,
     /// Memory, in megabytes (10^6 bytes).
     MemoryMegabytes,
+    /// The most memory that any process has held, in megabytes (10^6 bytes).
+    PeakMemoryMegabytes,
     /// Bytes received per second for control.
     BytesInPerSecond,
     /// Bytes sent per second for control.
@@ -127,6 +134,10 @@
     MessagesInPerSecond,
     /// Messages sent per second for control.
     MessagesOutPerSecond,
+    /// Datagrams that an agent sent to its peers per second.
+    DatagramsOutPerSecond,
+    /// Bytes of those datagrams per second.
+    DatagramBytesOutPerSecond,
     /// Bytes of one whole list of appliances.
     ListBytes,
     /// Processor time to take in one whole list, in microseconds.
@@ -137,6 +148,11 @@
     RestartBytes,
     /// From a process's start until it is ready, in milliseconds.
     ReadyMillis,
+    /// The same for the ninth of ten processes that start together, in milliseconds.
+    ReadyNineInTenMillis,
+    /// Processor time of a process from its start until all are ready, in
+    /// milliseconds.
+    ReadyProcessorMillis,
     /// Most requests at one appliance, over the mean.
     SpreadMost,
     /// Fewest requests at one appliance, over the mean.
@@ -149,6 +165,8 @@
     Requests,
     /// Requests that were refused.
     RefusedRequests,
+    /// Requests without a whole answer in time.
+    LostRequests,
     /// Time added to a request that 99 in 100 stay below, in milliseconds.
     AddedLatencyMillis,
     /// Entries of the state that the role keeps.
--- /dev/null
+++ b/crates/loopback/src/appliance.rs
@@ -0,0 +1,107 @@
+//! Stand-ins for appliances: a few listeners that all listed appliances share. Each answers a request after a fixed
+//! time, and a probe at once.
+
+use std::net::{Ipv4Addr, SocketAddr};
+use std::sync::Arc;
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::time::Duration;
+
+use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
+use tokio::net::{TcpListener, TcpStream};
+use tokio::time::sleep;
+
+use crate::error::LoopbackError;
+
+/// The answer to a request: its value, no further keys, no load report.
+const SERVED: &[u8] = b"*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n";
+/// The answer to a probe.
+const LOAD: &[u8] = b"$10\r\nlat_ms=2.0\r\n";
+/// The most words of a command, and the longest word.
+const WORD_COUNT_LIMIT: usize = 16;
+const WORD_LENGTH_LIMIT: usize = 64 << 10;
+
+/// A listener that stands for one listed appliance or more.
+pub struct Appliance {
+    address: SocketAddr,
+    requests: Arc<AtomicU64>,
+}
+
+impl Appliance {
+    /// Where it listens.
+    pub fn address(&self) -> SocketAddr {
+        self.address
+    }
+
+    /// How many requests it has taken; probes are none.
+    pub fn requests(&self) -> u64 {
+        self.requests.load(Ordering::Relaxed)
+    }
+}
+
+/// Starts so many listeners at this host; each answers after `service_time`.
+pub async fn start(
+    host: Ipv4Addr,
+    count: usize,
+    service_time: Duration,
+) -> Result<Vec<Appliance>, LoopbackError> {
+    let mut appliances = Vec::with_capacity(count);
+    for _ in 0..count {
+        let listener = TcpListener::bind((host, 0))
+            .await
+            .map_err(LoopbackError::setup("an appliance"))?;
+        let address = listener
+            .local_addr()
+            .map_err(LoopbackError::setup("an appliance"))?;
+        let requests = Arc::<AtomicU64>::default();
+        tokio::spawn(accept(listener, service_time, requests.clone()));
+        appliances.push(Appliance { address, requests });
+    }
+    Ok(appliances)
+}
+
+async fn accept(listener: TcpListener, service_time: Duration, requests: Arc<AtomicU64>) {
+    loop {
+        // Too few descriptors is no reason to stop for good.
+        match listener.accept().await {
+            Ok((stream, _)) => drop(tokio::spawn(serve(stream, service_time, requests.clone()))),
+            Err(_) => sleep(Duration::from_millis(10)).await,
+        }
+    }
+}
+
+async fn serve(stream: TcpStream, service_time: Duration, requests: Arc<AtomicU64>) {
+    stream.set_nodelay(true).ok();
+    let mut stream = BufReader::new(stream);
+    while let Some(command) = read_command(&mut stream).await {
+        let is_probe = command.first().is_some_and(|word| word == b"INFO");
+        if !is_probe {
+            requests.fetch_add(1, Ordering::Relaxed);
+            sleep(service_time).await;
+        }
+        let answer = if is_probe { LOAD } else { SERVED };
+        if stream.write_all(answer).await.is_err() {
+            return;
+        }
+    }
+}
+
+/// Reads one command: an array of bulk strings. None at the end of the stream, or where it is no command.
+async fn read_command(stream: &mut BufReader<TcpStream>) -> Option<Vec<Vec<u8>>> {
+    let count = read_length(stream, '*', WORD_COUNT_LIMIT).await?;
+    let mut words = Vec::with_capacity(count);
+    for _ in 0..count {
+        let length = read_length(stream, '$', WORD_LENGTH_LIMIT).await?;
+        let mut word = vec![0; length + 2];
+        stream.read_exact(&mut word).await.ok()?;
+        word.truncate(length);
+        words.push(word);
+    }
+    Some(words)
+}
+
+async fn read_length(stream: &mut BufReader<TcpStream>, kind: char, limit: usize) -> Option<usize> {
+    let mut line = String::new();
+    stream.read_line(&mut line).await.ok()?;
+    let length = line.trim_end().strip_prefix(kind)?.parse().ok()?;
+    (length <= limit).then_some(length)
+}
--- /dev/null
+++ b/crates/loopback/src/client.rs
@@ -0,0 +1,193 @@
+//! Clients of one agent: a few connections that send requests at a steady rate, and time the answers.
+
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::time::Duration;
+
+use lilacgate_standin::post::command;
+use rand::{RngExt, SeedableRng};
+use rand_pcg::Pcg64Mcg;
+use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
+use tokio::net::TcpStream;
+use tokio::sync::mpsc::UnboundedSender;
+use tokio::task::JoinSet;
+use tokio::time::{Instant, MissedTickBehavior, interval_at, sleep, timeout};
+
+/// Connections that a client holds to its agent.
+const CONNECTIONS: usize = 4;
+/// How long a client waits for an answer, as its requests say.
+const DEADLINE: Duration = Duration::from_secs(1);
+/// How long a client waits beyond that before it takes the answer for lost.
+const GRACE: Duration = Duration::from_millis(300);
+/// How soon a client that waits for readiness tries again.
+const RETRY_PERIOD: Duration = Duration::from_millis(10);
+
+/// How a request ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Outcome {
+    /// It has an appliance's answer.
+    Served,
+    /// The agent refused it, or said that it failed.
+    Refused,
+    /// No whole answer came in time, or the connection ended.
+    Lost,
+}
+
+/// One request's end.
+#[derive(Clone, Copy, Debug)]
+pub struct Answered {
+    /// How it ended.
+    pub outcome: Outcome,
+    /// How long it took at the client.
+    pub took: Duration,
+}
+
+/// Gives each request of a run its own number.
+pub type RequestNumbers = Arc<AtomicU64>;
+
+/// The kinds of request that the start file's profiles name.
+#[derive(Clone, Copy)]
+enum Kind {
+    Read,
+    Post,
+    Book,
+}
+
+impl Kind {
+    /// Twelve in twenty are safe, five are keyed, three are unsafe.
+    fn draw(random: &mut Pcg64Mcg) -> Self {
+        match random.random_range(0..20) {
+            0..12 => Kind::Read,
+            12..17 => Kind::Post,
+            _ => Kind::Book,
+        }
+    }
+
+    fn request(self, number: u64) -> String {
+        let deadline = DEADLINE.as_millis();
+        let (key, id) = (format!("k{number}"), format!("t{number}"));
+        let (verb, pairs) = match self {
+            Kind::Read => ("SVC.QUERY", format!("c=read,d={deadline}")),
+            Kind::Post => ("SVC.SUBMIT", format!("c=post,d={deadline},k={key}")),
+            Kind::Book => ("SVC.SUBMIT", format!("c=book,d={deadline}")),
+        };
+        command(&[verb, &key, &id, &pairs])
+    }
+}
+
+/// Waits until the agent has served one request.
+pub async fn until_served(agent: SocketAddr, numbers: RequestNumbers) -> Instant {
+    loop {
+        if let Ok(mut connection) = connect(agent).await {
+            let number = numbers.fetch_add(1, Ordering::Relaxed);
+            let answered = ask(&mut connection, &Kind::Read.request(number)).await;
+            if answered.outcome == Outcome::Served {
+                return Instant::now();
+            }
+        }
+        sleep(RETRY_PERIOD).await;
+    }
+}
+
+/// Sends so many requests a second to an agent, until the set is dropped, and reports each one's end.
+pub fn drive(
+    tasks: &mut JoinSet<()>,
+    agent: SocketAddr,
+    rate: f64,
+    seed: u64,
+    numbers: &RequestNumbers,
+    report: &UnboundedSender<Answered>,
+) {
+    if rate <= 0.0 {
+        return;
+    }
+    let period = Duration::from_secs_f64(CONNECTIONS as f64 / rate);
+    for connection in 0..CONNECTIONS {
+        let random = Pcg64Mcg::seed_from_u64(seed.wrapping_mul(31).wrapping_add(connection as u64));
+        let driver = Driver {
+            agent,
+            period,
+            random,
+            numbers: numbers.clone(),
+            report: report.clone(),
+        };
+        tasks.spawn(driver.run());
+    }
+}
+
+/// One connection that sends requests at a steady pace, one at a time.
+struct Driver {
+    agent: SocketAddr,
+    period: Duration,
+    random: Pcg64Mcg,
+    numbers: RequestNumbers,
+    report: UnboundedSender<Answered>,
+}
+
+impl Driver {
+    async fn run(mut self) {
+        let offset = self.period.mul_f64(self.random.random::<f64>());
+        let mut ticks = interval_at(Instant::now() + offset, self.period);
+        ticks.set_missed_tick_behavior(MissedTickBehavior::Burst);
+        let mut connection = None;
+        loop {
+            ticks.tick().await;
+            let mut open = match connection.take() {
+                Some(open) => open,
+                None => match connect(self.agent).await {
+                    Ok(open) => open,
+                    Err(_) => continue,
+                },
+            };
+            let number = self.numbers.fetch_add(1, Ordering::Relaxed);
+            let request = Kind::draw(&mut self.random).request(number);
+            let answered = ask(&mut open, &request).await;
+            if answered.outcome != Outcome::Lost {
+                connection = Some(open);
+            }
+            if self.report.send(answered).is_err() {
+                return;
+            }
+        }
+    }
+}
+
+async fn connect(agent: SocketAddr) -> std::io::Result<BufReader<TcpStream>> {
+    let stream = TcpStream::connect(agent).await?;
+    stream.set_nodelay(true)?;
+    Ok(BufReader::new(stream))
+}
+
+async fn ask(connection: &mut BufReader<TcpStream>, request: &str) -> Answered {
+    let began = Instant::now();
+    let exchange = async {
+        connection.write_all(request.as_bytes()).await?;
+        read_answer(connection).await
+    };
+    let outcome = match timeout(DEADLINE + GRACE, exchange).await {
+        Ok(Ok(outcome)) => outcome,
+        _ => Outcome::Lost,
+    };
+    Answered {
+        outcome,
+        took: began.elapsed(),
+    }
+}
+
+/// Reads one answer: a bulk string, or one line.
+async fn read_answer(connection: &mut BufReader<TcpStream>) -> std::io::Result<Outcome> {
+    let mut line = String::new();
+    if connection.read_line(&mut line).await? == 0 {
+        return Err(std::io::ErrorKind::UnexpectedEof.into());
+    }
+    let Some(length) = line
+        .strip_prefix('$')
+        .and_then(|length| length.trim_end().parse::<usize>().ok())
+    else {
+        return Ok(Outcome::Refused);
+    };
+    let mut value = vec![0; length + 2];
+    connection.read_exact(&mut value).await?;
+    Ok(Outcome::Served)
+}
--- /dev/null
+++ b/crates/loopback/src/discovery.rs
@@ -0,0 +1,216 @@
+//! A stand-in for discovery: one HTTP server that answers each watcher with a chunked body, one JSON object a line, and
+//! an empty line every two seconds while there is nothing to say.
+
+use std::net::{Ipv4Addr, SocketAddr};
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::time::Duration;
+
+use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
+use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
+use tokio::net::{TcpListener, TcpStream};
+use tokio::sync::watch;
+use tokio::time::timeout;
+
+use crate::error::LoopbackError;
+use crate::membership::{Membership, Update, Version};
+use crate::traffic::Traffic;
+
+/// How often a watcher hears something, if only an empty line.
+const QUIET_PERIOD: Duration = Duration::from_secs(2);
+/// The head of each answer.
+const HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+/// The longest request head.
+const HEAD_LIMIT: u64 = 8 << 10;
+
+/// A running discovery server.
+pub struct Discovery {
+    address: SocketAddr,
+    shared: Arc<Shared>,
+}
+
+struct Shared {
+    membership: Mutex<Membership>,
+    versions: watch::Sender<Version>,
+    /// What whole lists took.
+    lists: Traffic,
+    /// What changes took.
+    changes: Traffic,
+    /// What heads and empty lines took; requests count here as what came in.
+    framing: Traffic,
+    /// The largest number of bytes written at once.
+    piece: usize,
+}
+
+impl Shared {
+    fn membership(&self) -> MutexGuard<'_, Membership> {
+        self.membership
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+    }
+}
+
+impl Discovery {
+    /// Listens at this host and serves the list; no write is longer than `piece` bytes, if that is given.
+    pub async fn start(
+        host: Ipv4Addr,
+        membership: Membership,
+        piece: Option<usize>,
+    ) -> Result<Self, LoopbackError> {
+        let listener = TcpListener::bind((host, 0))
+            .await
+            .map_err(LoopbackError::setup("discovery"))?;
+        let address = listener
+            .local_addr()
+            .map_err(LoopbackError::setup("discovery"))?;
+        let (versions, _) = watch::channel(membership.version());
+        let shared = Arc::new(Shared {
+            membership: Mutex::new(membership),
+            versions,
+            lists: Traffic::default(),
+            changes: Traffic::default(),
+            framing: Traffic::default(),
+            piece: piece.unwrap_or(usize::MAX),
+        });
+        tokio::spawn(accept(listener, shared.clone()));
+        Ok(Discovery { address, shared })
+    }
+
+    /// Where it listens.
+    pub fn address(&self) -> SocketAddr {
+        self.address
+    }
+
+    /// Changes the list, and tells all watchers.
+    pub fn change(&self, change: impl FnOnce(&mut Membership)) {
+        let mut membership = self.shared.membership();
+        change(&mut membership);
+        self.shared.versions.send_replace(membership.version());
+    }
+
+    /// The whole list as a start file has it.
+    pub fn whole_list(&self) -> String {
+        self.shared.membership().whole()
+    }
+
+    /// Whole lists: messages and bytes sent, chunk framing included.
+    pub fn lists(&self) -> &Traffic {
+        &self.shared.lists
+    }
+
+    /// Changes: messages and bytes sent, chunk framing included.
+    pub fn changes(&self) -> &Traffic {
+        &self.shared.changes
+    }
+
+    /// Heads and empty lines sent; requests received.
+    pub fn framing(&self) -> &Traffic {
+        &self.shared.framing
+    }
+}
+
+async fn accept(listener: TcpListener, shared: Arc<Shared>) {
+    while let Ok((stream, _)) = listener.accept().await {
+        tokio::spawn(serve(stream, shared.clone()));
+    }
+}
+
+/// Serves one watcher until it leaves.
+async fn serve(stream: TcpStream, shared: Arc<Shared>) {
+    stream.set_nodelay(true).ok();
+    let (reader, mut writer) = stream.into_split();
+    let mut reader = BufReader::new(reader);
+    let Some(request) = read_request(&mut reader, &shared.framing).await else {
+        return;
+    };
+    let versions = shared.versions.subscribe();
+    tokio::select! {
+        _ = watch_changes(&mut writer, request, versions, &shared) => {}
+        _ = left(&mut reader) => {}
+    }
+}
+
+/// What a request asks for.
+#[derive(Clone, Copy)]
+struct Request {
+    follows: bool,
+    since: Version,
+}
+
+async fn read_request(reader: &mut BufReader<OwnedReadHalf>, framing: &Traffic) -> Option<Request> {
+    let mut head = String::new();
+    let mut limited = reader.take(HEAD_LIMIT);
+    while !head.ends_with("\r\n\r\n") {
+        if limited.read_line(&mut head).await.ok()? == 0 {
+            return None;
+        }
+    }
+    framing.received(head.len());
+    let path = head.split(' ').nth(1)?;
+    let query = path.split_once('?').map_or("", |(_, query)| query);
+    let value = |name: &str| {
+        query
+            .split('&')
+            .find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='))
+    };
+    let since = value("since")
+        .and_then(|since| since.parse().ok())
+        .unwrap_or_default();
+    Some(Request {
+        follows: value("follow") == Some("1"),
+        since: Version(since),
+    })
+}
+
+/// Waits until the watcher has closed its side.
+async fn left(reader: &mut BufReader<OwnedReadHalf>) {
+    let mut ignored = [0; 64];
+    while reader.read(&mut ignored).await.is_ok_and(|count| count > 0) {}
+}
+
+async fn watch_changes(
+    writer: &mut OwnedWriteHalf,
+    request: Request,
+    mut versions: watch::Receiver<Version>,
+    shared: &Shared,
+) -> std::io::Result<()> {
+    writer.write_all(HEAD).await?;
+    shared.framing.sent(HEAD.len());
+    let mut known = request.since;
+    loop {
+        versions.borrow_and_update();
+        let update = shared.membership().since(known);
+        match update {
+            Update::None => send(writer, "", &shared.framing, shared.piece).await?,
+            Update::Changes(version, text) => {
+                send(writer, &text, &shared.changes, shared.piece).await?;
+                known = version;
+            }
+            Update::Whole(version, text) => {
+                send(writer, &text, &shared.lists, shared.piece).await?;
+                known = version;
+            }
+        }
+        if !request.follows {
+            return writer.write_all(b"0\r\n\r\n").await;
+        }
+        let next = timeout(QUIET_PERIOD, versions.changed()).await;
+        if matches!(next, Ok(Err(_))) {
+            return Ok(());
+        }
+    }
+}
+
+/// Sends one line as one chunk, and counts it once it is written.
+async fn send(
+    writer: &mut OwnedWriteHalf,
+    text: &str,
+    traffic: &Traffic,
+    piece: usize,
+) -> std::io::Result<()> {
+    let chunk = format!("{:x}\r\n{text}\n\r\n", text.len() + 1);
+    for part in chunk.as_bytes().chunks(piece) {
+        writer.write_all(part).await?;
+    }
+    traffic.sent(chunk.len());
+    Ok(())
+}
--- /dev/null
+++ b/crates/loopback/src/main.rs
@@ -0,0 +1,11 @@
+//! Measures a fleet of real agents on loopback.
+#![forbid(unsafe_code)]
+
+use std::process::ExitCode;
+
+use clap::Parser;
+use lilacgate_loopback::command::Arguments;
+
+fn main() -> ExitCode {
+    Arguments::parse().execute()
+}
--- /dev/null
+++ b/crates/loopback/src/platform.rs
@@ -0,0 +1,98 @@
+//! A stand-in for the release platform: JSON-RPC lines. Listeners get the news of the newest build and a ping every
+//! second; a vote changes nothing and is answered with the state as it is.
+
+use std::net::{Ipv4Addr, SocketAddr};
+use std::sync::Arc;
+use std::time::Duration;
+
+use lilacgate_standin::post::{LISTENS, PING, rollout};
+use serde_json::Value;
+use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
+use tokio::net::tcp::OwnedWriteHalf;
+use tokio::net::{TcpListener, TcpStream};
+use tokio::time::sleep;
+
+use crate::error::LoopbackError;
+use crate::traffic::Traffic;
+
+/// How often a listener hears a ping.
+const PING_PERIOD: Duration = Duration::from_secs(1);
+
+/// A running platform.
+pub struct Platform {
+    address: SocketAddr,
+    traffic: Arc<Traffic>,
+}
+
+impl Platform {
+    /// Listens at this host; `news` is the state of the newest build, as a JSON object.
+    pub async fn start(host: Ipv4Addr, news: Value) -> Result<Self, LoopbackError> {
+        let listener = TcpListener::bind((host, 0))
+            .await
+            .map_err(LoopbackError::setup("platform"))?;
+        let address = listener
+            .local_addr()
+            .map_err(LoopbackError::setup("platform"))?;
+        let traffic = Arc::new(Traffic::default());
+        tokio::spawn(accept(listener, news, traffic.clone()));
+        Ok(Platform { address, traffic })
+    }
+
+    /// Where it listens.
+    pub fn address(&self) -> SocketAddr {
+        self.address
+    }
+
+    /// News, pings and answers sent; calls received.
+    pub fn traffic(&self) -> &Traffic {
+        &self.traffic
+    }
+}
+
+async fn accept(listener: TcpListener, news: Value, traffic: Arc<Traffic>) {
+    while let Ok((stream, _)) = listener.accept().await {
+        tokio::spawn(serve(stream, news.clone(), traffic.clone()));
+    }
+}
+
+async fn serve(stream: TcpStream, news: Value, traffic: Arc<Traffic>) {
+    stream.set_nodelay(true).ok();
+    let (reader, mut writer) = stream.into_split();
+    let mut lines = BufReader::new(reader).lines();
+    while let Ok(Some(line)) = lines.next_line().await {
+        traffic.received(line.len() + 1);
+        let Ok(call) = serde_json::from_str::<Value>(&line) else {
+            return;
+        };
+        if call["method"] == "listen" {
+            tokio::select! {
+                _ = tell(&mut writer, &news, &traffic) => {}
+                _ = lines.next_line() => {}
+            }
+            return;
+        }
+        let answer = serde_json::json!({"jsonrpc": "2.0", "id": call["id"], "result": news});
+        if send(&mut writer, format!("{answer}\n").as_bytes(), &traffic)
+            .await
+            .is_err()
+        {
+            return;
+        }
+    }
+}
+
+/// Tells a listener the news, and pings it for as long as it stays.
+async fn tell(writer: &mut OwnedWriteHalf, news: &Value, traffic: &Traffic) -> std::io::Result<()> {
+    send(writer, LISTENS, traffic).await?;
+    send(writer, rollout(&news.to_string()).as_bytes(), traffic).await?;
+    loop {
+        sleep(PING_PERIOD).await;
+        send(writer, PING, traffic).await?;
+    }
+}
+
+async fn send(writer: &mut OwnedWriteHalf, bytes: &[u8], traffic: &Traffic) -> std::io::Result<()> {
+    writer.write_all(bytes).await?;
+    traffic.sent(bytes.len());
+    Ok(())
+}
--- /dev/null
+++ b/crates/loopback/src/relay.rs
@@ -0,0 +1,129 @@
+//! Carries the datagrams between agents, and counts them. Each agent has a socket here that stands for it: the others
+//! know that socket's address as the peer's, so that what goes between two agents passes here and still comes from a
+//! peer's address.
+
+use std::net::{Ipv4Addr, SocketAddr};
+use std::sync::Arc;
+
+use tokio::net::UdpSocket;
+
+use crate::error::LoopbackError;
+use crate::traffic::Traffic;
+
+/// Longer than any datagram of an agent's.
+const DATAGRAM_LIMIT: usize = 2048;
+
+/// A running relay.
+pub struct Relay {
+    /// What each agent takes for the others' addresses, by their numbers.
+    stand_ins: Vec<SocketAddr>,
+    /// What agents take for the address of all.
+    all: SocketAddr,
+    traffic: Arc<Traffic>,
+}
+
+struct Shared {
+    agents: Vec<SocketAddr>,
+    sockets: Vec<UdpSocket>,
+    traffic: Arc<Traffic>,
+}
+
+impl Shared {
+    fn number_of(&self, address: SocketAddr) -> Option<usize> {
+        self.agents.iter().position(|agent| *agent == address)
+    }
+
+    async fn carry(&self, from: usize, to: usize, datagram: &[u8]) {
+        let sent = self.sockets[from].send_to(datagram, self.agents[to]).await;
+        if sent.is_ok() {
+            self.traffic.sent(datagram.len());
+        }
+    }
+}
+
+impl Relay {
+    /// Starts a relay between agents that listen at these addresses.
+    pub async fn start(host: Ipv4Addr, agents: Vec<SocketAddr>) -> Result<Self, LoopbackError> {
+        let mut sockets = Vec::with_capacity(agents.len());
+        for _ in &agents {
+            sockets.push(bind(host).await?);
+        }
+        let to_all = bind(host).await?;
+        let all = address(&to_all)?;
+        let stand_ins = sockets.iter().map(address).collect::<Result<_, _>>()?;
+        let traffic = Arc::new(Traffic::default());
+        let shared = Arc::new(Shared {
+            agents,
+            sockets,
+            traffic: traffic.clone(),
+        });
+        for to in 0..shared.agents.len() {
+            tokio::spawn(carry_to_one(to, shared.clone()));
+        }
+        tokio::spawn(carry_to_all(to_all, shared));
+        Ok(Relay {
+            stand_ins,
+            all,
+            traffic,
+        })
+    }
+
+    /// The peers' addresses as the agent with this number is told them; its own is its own.
+    pub fn peers_of(&self, agent: usize, own: SocketAddr) -> Vec<SocketAddr> {
+        let mut peers = self.stand_ins.clone();
+        peers[agent] = own;
+        peers
+    }
+
+    /// The address that stands for all agents.
+    pub fn all(&self) -> SocketAddr {
+        self.all
+    }
+
+    /// Datagrams taken from agents, and passed on to them.
+    pub fn traffic(&self) -> &Traffic {
+        &self.traffic
+    }
+}
+
+async fn bind(host: Ipv4Addr) -> Result<UdpSocket, LoopbackError> {
+    UdpSocket::bind((host, 0))
+        .await
+        .map_err(LoopbackError::setup("the datagram relay"))
+}
+
+fn address(socket: &UdpSocket) -> Result<SocketAddr, LoopbackError> {
+    socket
+        .local_addr()
+        .map_err(LoopbackError::setup("the datagram relay"))
+}
+
+async fn carry_to_one(to: usize, shared: Arc<Shared>) {
+    let mut datagram = [0; DATAGRAM_LIMIT];
+    loop {
+        let Ok((length, sender)) = shared.sockets[to].recv_from(&mut datagram).await else {
+            continue;
+        };
+        let Some(from) = shared.number_of(sender) else {
+            continue;
+        };
+        shared.traffic.received(length);
+        shared.carry(from, to, &datagram[..length]).await;
+    }
+}
+
+async fn carry_to_all(socket: UdpSocket, shared: Arc<Shared>) {
+    let mut datagram = [0; DATAGRAM_LIMIT];
+    loop {
+        let Ok((length, sender)) = socket.recv_from(&mut datagram).await else {
+            continue;
+        };
+        let Some(from) = shared.number_of(sender) else {
+            continue;
+        };
+        shared.traffic.received(length);
+        for to in (0..shared.agents.len()).filter(|to| *to != from) {
+            shared.carry(from, to, &datagram[..length]).await;
+        }
+    }
+}
--- /dev/null
+++ b/crates/loopback/src/run.rs
@@ -0,0 +1,68 @@
+//! Runs one plan from its first process to its last figure.
+
+use std::io::Write;
+
+use lilacgate_capacity::Sample;
+use tokio::runtime::Builder;
+
+use crate::error::LoopbackError;
+use crate::fleet::{Fleet, Startup};
+use crate::plan::Plan;
+use crate::samples;
+use crate::window::Window;
+
+/// Threads of the stand-ins and clients.
+const THREADS: usize = 2;
+
+/// What a run has measured.
+#[derive(Clone, Debug)]
+pub struct Summary {
+    /// How the agents came up first.
+    pub startup: Startup,
+    /// A window for each request rate.
+    pub windows: Vec<Window>,
+    /// How the agents came up again, where the plan asks for it.
+    pub restart: Option<Startup>,
+    /// How many samples were written.
+    pub samples: usize,
+}
+
+/// Runs a plan, and writes each sample as a line of JSON as soon as it is there. All processes have ended when this
+/// returns, also with an error.
+pub fn run(plan: &Plan, output: &mut dyn Write) -> Result<Summary, LoopbackError> {
+    let mut runtime = Builder::new_multi_thread();
+    let runtime = runtime.worker_threads(THREADS).enable_all().build();
+    let runtime = runtime.map_err(LoopbackError::setup("the stand-ins' threads"))?;
+    runtime.block_on(measure(plan, output))
+}
+
+async fn measure(plan: &Plan, output: &mut dyn Write) -> Result<Summary, LoopbackError> {
+    let mut written = 0;
+    let mut write = |samples: Vec<Sample>| {
+        written += samples.len();
+        lilacgate_capacity::result::write(output, &samples)
+    };
+    let mut fleet = Fleet::new(plan.clone()).await?;
+    let startup = fleet.start().await?;
+    write(samples::of_startup(plan, &startup, None))?;
+    let mut windows = Vec::with_capacity(plan.request_rates.len());
+    for rate in &plan.request_rates {
+        let window = fleet.measure(*rate).await?;
+        write(samples::of_window(plan, &window))?;
+        windows.push(window);
+    }
+    let restart = if plan.restart {
+        Some(fleet.start().await?)
+    } else {
+        None
+    };
+    if let Some(restart) = &restart {
+        write(samples::of_startup(plan, restart, Some(samples::RESTART)))?;
+    }
+    Ok(Summary {
+        startup,
+        windows,
+        restart,
+        samples: written,
+    })
+}
--- /dev/null
+++ b/crates/loopback/src/start_file.rs
@@ -0,0 +1,79 @@
+//! The start file of one agent, made from the stand-ins' template.
+
+use std::net::SocketAddr;
+
+use lilacgate_standin::start::Start;
+use serde_json::{Value, json};
+
+/// The service's latency target and its clients' deadline, in microseconds.
+const LATENCY_TARGET_MICROS: u64 = 400_000;
+const DEADLINE_MICROS: u64 = 1_000_000;
+
+/// What differs between the start files of a fleet's agents, and what its plan says.
+pub struct StartFile {
+    /// The agent's number.
+    pub agent: usize,
+    /// How many agents there are.
+    pub agents: usize,
+    /// The seed of the agent's own chance.
+    pub seed: u64,
+    /// Where clients find it.
+    pub listen: SocketAddr,
+    /// Where its datagrams arrive.
+    pub peer_listen: SocketAddr,
+    /// Every agent's address for datagrams.
+    pub peers: Vec<SocketAddr>,
+    /// The address that stands for all of them.
+    pub all_peers: SocketAddr,
+    /// Where discovery listens.
+    pub discovery: SocketAddr,
+    /// Where the platform listens.
+    pub platform: SocketAddr,
+    /// The state of the newest build.
+    pub news: Value,
+    /// The list that the agent begins with, as discovery writes it.
+    pub known: Option<String>,
+    /// The bound of its memory.
+    pub memory_mb: u64,
+    /// The bound of its descriptors.
+    pub sockets: u64,
+}
+
+impl StartFile {
+    /// The file's text.
+    ///
+    /// # Panics
+    /// Where the template is no JSON.
+    pub fn text(&self) -> String {
+        let template = Start::default().0.replace("[KNOWN]", "[]");
+        let mut file: Value = serde_json::from_str(&template).expect("the template is JSON");
+        file["name"] = json!(format!("n{}", self.agent));
+        file["seed"] = json!(format!("{:016x}", self.seed));
+        file["listen"] = json!(self.listen);
+        file["discovery"] = json!(self.discovery);
+        file["limits"]["memory_mb"] = json!(self.memory_mb);
+        file["limits"]["sockets"] = json!(self.sockets);
+        file["peer_listen"] = json!(self.peer_listen);
+        file["peers"] = json!(self.peers);
+        file["peers_all"] = json!(self.all_peers);
+        file["pipeline"] = json!({"address": self.platform, "news": self.news});
+        file["known"] = self.known();
+        file["settings"]["me"] = json!(self.agent);
+        file["settings"]["instances"] = json!(self.agents);
+        let profiles = file["settings"]["profiles"]
+            .as_array_mut()
+            .expect("the template has profiles");
+        for profile in profiles {
+            profile["aim"] = json!(LATENCY_TARGET_MICROS);
+            profile["give-up"] = json!(DEADLINE_MICROS);
+        }
+        file.to_string()
+    }
+
+    fn known(&self) -> Value {
+        match &self.known {
+            Some(list) => serde_json::from_str(list).expect("the list is JSON"),
+            None => json!({"version": 0, "full": true, "servers": []}),
+        }
+    }
+}
