--- a/crates/agent/src/catalog.rs
+++ b/crates/agent/src/catalog.rs
@@ -1,6 +1,6 @@
 //! Reads messages of discovery, a whole list of appliances or changes to one, into lines of the membership. It does no
 //! input or output, and must read a message whole or not at all.
-use std::collections::{BTreeMap, HashMap};
+use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -8,10 +8,7 @@
 use lilacgate_start::Paths;
 
 use crate::json::{self, Json};
-
-/// The FNV-1a hash of a name, from which an appliance's number is made.
-const FNV_OFFSET: u32 = 0x811c_9dc5;
-const FNV_PRIME: u32 = 0x0100_0193;
+use crate::numbers::Numbers;
 
 /// A message of discovery that has been read.
 pub struct Update {
@@ -41,7 +38,7 @@
     models: Vec<String>,
     version: u64,
     /// The number of each appliance by its name, the same at every agent and over its restarts.
-    numbers: HashMap<String, ApplianceId>,
+    numbers: Numbers,
 }
 
 impl Catalog {
@@ -74,21 +71,15 @@
         let modes = entries.iter().map(|(line, _)| (line.appliance, line.mode)).collect();
         let update = Update { whole, entries, modes };
         // Names that are gone are forgotten: one that returns gets the same number.
-        self.numbers.retain(|_, id| update.keeps(*id));
+        self.numbers.retain(|id| update.keeps(id));
         Some(update)
     }
 
     fn number(&mut self, name: &str, named: &mut dyn FnMut(ApplianceId, &str)) -> ApplianceId {
-        if let Some(&number) = self.numbers.get(name) {
+        if let Some(number) = self.numbers.get(name) {
             return number;
         }
-        // Peers name appliances to each other: the number is made of the name alone.
-        let mix = |sum: u32, b: u8| (sum ^ u32::from(b)).wrapping_mul(FNV_PRIME);
-        let mut number = ApplianceId(name.bytes().fold(FNV_OFFSET, mix));
-        while self.numbers.values().any(|taken| *taken == number) {
-            number.0 = number.0.wrapping_add(1);
-        }
-        self.numbers.insert(name.to_owned(), number);
+        let number = self.numbers.assign(name);
         named(number, name);
         number
     }
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -12,6 +12,7 @@
 pub mod json;
 pub mod keeper;
 pub mod log;
+pub mod numbers;
 pub mod peers;
 pub mod platform;
 pub mod recorder;
--- /dev/null
+++ b/crates/agent/tests/numbers.rs
@@ -0,0 +1,96 @@
+//! Appliances' numbers: the same for the same order of names as by the plain search through all numbers, and at a
+//! cost that does not grow with how many there are.
+use std::collections::HashMap;
+use std::time::Duration;
+
+use lilacgate::port::ApplianceId;
+use lilacgate_agent::numbers::Numbers;
+use proptest::prelude::*;
+use rstest::rstest;
+
+/// Two pairs of names with one hash each.
+const ONE_HASH: [&str; 2] = ["s-000179bb", "s-00054848"];
+const ANOTHER_HASH: [&str; 2] = ["s-000179bc", "s-00054849"];
+const FIRST_NUMBER: u32 = 588_264_878;
+
+/// The rule without a shortcut: the hash, or the next number that no listed name has.
+#[derive(Default)]
+struct Reference(HashMap<String, u32>);
+
+impl Reference {
+    fn assign(&mut self, name: &str) -> u32 {
+        if let Some(&number) = self.0.get(name) {
+            return number;
+        }
+        let mix = |sum: u32, byte: u8| (sum ^ u32::from(byte)).wrapping_mul(0x0100_0193);
+        let mut number = name.bytes().fold(0x811c_9dc5, mix);
+        while self.0.values().any(|taken| *taken == number) {
+            number = number.wrapping_add(1);
+        }
+        self.0.insert(name.to_owned(), number);
+        number
+    }
+}
+
+#[rstest]
+fn names_with_one_hash_are_numbered_in_their_order() {
+    let mut numbers = Numbers::default();
+    assert_eq!(ONE_HASH.map(|name| numbers.assign(name).0), [FIRST_NUMBER, FIRST_NUMBER + 1]);
+    assert_eq!(numbers.assign(ONE_HASH[0]).0, FIRST_NUMBER);
+    // The first is gone: the second keeps its number, and the first gets its own again.
+    numbers.retain(|number| number != ApplianceId(FIRST_NUMBER));
+    assert_eq!(numbers.get(ONE_HASH[0]), None);
+    assert_eq!(numbers.assign(ONE_HASH[1]).0, FIRST_NUMBER + 1);
+    assert_eq!(numbers.assign(ONE_HASH[0]).0, FIRST_NUMBER);
+}
+
+#[derive(Clone, Debug)]
+enum Step {
+    Assign(String),
+    /// Only numbers with this remainder stay.
+    Retain(u32),
+}
+
+fn step() -> impl Strategy<Value = Step> {
+    let name = prop_oneof![
+        prop::sample::select([ONE_HASH, ANOTHER_HASH].concat()).prop_map(str::to_owned),
+        (0..40u32).prop_map(|index| format!("s-{index:08x}")),
+    ];
+    prop_oneof![9 => name.prop_map(Step::Assign), 1 => (0..2u32).prop_map(Step::Retain)]
+}
+
+proptest! {
+    #[test]
+    fn numbers_are_as_by_the_plain_search(steps in prop::collection::vec(step(), 1..120)) {
+        let (mut numbers, mut reference) = (Numbers::default(), Reference::default());
+        for step in steps {
+            match step {
+                Step::Assign(name) => prop_assert_eq!(numbers.assign(&name).0, reference.assign(&name)),
+                Step::Retain(remainder) => {
+                    numbers.retain(|number| number.0 % 2 == remainder);
+                    reference.0.retain(|_, number| *number % 2 == remainder);
+                }
+            }
+        }
+    }
+}
+
+/// Processor time of this thread so far.
+fn processor_time() -> Duration {
+    let text = std::fs::read_to_string("/proc/thread-self/schedstat").expect("the scheduler's figures");
+    let nanoseconds = text.split(' ').next().and_then(|field| field.parse().ok());
+    Duration::from_nanos(nanoseconds.expect("a number of nanoseconds"))
+}
+
+/// The plain search takes five thousand million steps here.
+#[rstest]
+fn a_hundred_thousand_names_take_no_time() {
+    let names: Vec<String> = (0..100_000).map(|index| format!("s-{index:08x}")).collect();
+    let began = processor_time();
+    let mut numbers = Numbers::default();
+    for name in &names {
+        numbers.assign(name);
+    }
+    let took = processor_time() - began;
+    assert!(took < Duration::from_secs(1), "it took {took:?}");
+}
