--- a/crates/loopback/src/command.rs
+++ b/crates/loopback/src/command.rs
@@ -67,7 +67,11 @@
         match self.try_execute() {
             Ok(summary) => {
                 report(&summary);
-                ExitCode::SUCCESS
+                if summary.interrupted {
+                    ExitCode::FAILURE
+                } else {
+                    ExitCode::SUCCESS
+                }
             }
             Err(error) => {
                 eprintln!("lilacgate-loopback: {error}");
@@ -139,6 +143,9 @@
     if let Some(restart) = &summary.restart {
         report_startup("restart", restart);
     }
+    if summary.interrupted {
+        eprintln!("interrupted: {} samples are kept", summary.samples);
+    }
 }
 
 fn report_startup(name: &str, startup: &Startup) {
--- a/crates/loopback/src/discovery.rs
+++ b/crates/loopback/src/discovery.rs
@@ -2,6 +2,7 @@
 //! an empty line every two seconds while there is nothing to say.
 
 use std::net::{Ipv4Addr, SocketAddr};
+use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
@@ -13,6 +14,7 @@
 
 use crate::error::LoopbackError;
 use crate::membership::{Membership, Update, Version};
+use crate::plan::Delivery;
 use crate::traffic::Traffic;
 
 /// How often a watcher hears something, if only an empty line.
@@ -37,8 +39,9 @@
     changes: Traffic,
     /// What heads and empty lines took; requests count here as what came in.
     framing: Traffic,
-    /// The largest number of bytes written at once.
-    piece: usize,
+    delivery: Delivery,
+    /// Whether a first whole list is still to break off.
+    is_cut_due: AtomicBool,
 }
 
 impl Shared {
@@ -50,11 +53,11 @@
 }
 
 impl Discovery {
-    /// Listens at this host and serves the list; no write is longer than `piece` bytes, if that is given.
+    /// Listens at this host and serves the list in this way.
     pub async fn start(
         host: Ipv4Addr,
         membership: Membership,
-        piece: Option<usize>,
+        delivery: Delivery,
     ) -> Result<Self, LoopbackError> {
         let listener = TcpListener::bind((host, 0))
             .await
@@ -69,7 +72,8 @@
             lists: Traffic::default(),
             changes: Traffic::default(),
             framing: Traffic::default(),
-            piece: piece.unwrap_or(usize::MAX),
+            delivery,
+            is_cut_due: AtomicBool::new(delivery.first_list_cut_at.is_some()),
         });
         tokio::spawn(accept(listener, shared.clone()));
         Ok(Discovery { address, shared })
@@ -180,13 +184,13 @@
         versions.borrow_and_update();
         let update = shared.membership().since(known);
         match update {
-            Update::None => send(writer, "", &shared.framing, shared.piece).await?,
+            Update::None => send(writer, "", &shared.framing, shared.delivery).await?,
             Update::Changes(version, text) => {
-                send(writer, &text, &shared.changes, shared.piece).await?;
+                send(writer, &text, &shared.changes, shared.delivery).await?;
                 known = version;
             }
             Update::Whole(version, text) => {
-                send(writer, &text, &shared.lists, shared.piece).await?;
+                send_list(writer, &text, shared).await?;
                 known = version;
             }
         }
@@ -200,15 +204,46 @@
     }
 }
 
+/// Sends a whole list. The first one breaks off where the plan says so, with an error that ends the connection.
+async fn send_list(
+    writer: &mut OwnedWriteHalf,
+    text: &str,
+    shared: &Shared,
+) -> std::io::Result<()> {
+    if shared.is_cut_due.swap(false, Ordering::Relaxed) {
+        let chunk = chunk(text);
+        let length = shared
+            .delivery
+            .first_list_cut_at
+            .unwrap_or_default()
+            .min(chunk.len());
+        writer.write_all(&chunk.as_bytes()[..length]).await?;
+        return Err(std::io::ErrorKind::ConnectionAborted.into());
+    }
+    send(writer, text, &shared.lists, shared.delivery).await?;
+    if shared.delivery.is_doubled {
+        send(writer, text, &shared.lists, shared.delivery).await?;
+    }
+    Ok(())
+}
+
+/// One line as one chunk of a chunked body.
+fn chunk(line: &str) -> String {
+    format!("{:x}\r\n{line}\n\r\n", line.len() + 1)
+}
+
 /// Sends one line as one chunk, and counts it once it is written.
 async fn send(
     writer: &mut OwnedWriteHalf,
     text: &str,
     traffic: &Traffic,
-    piece: usize,
+    delivery: Delivery,
 ) -> std::io::Result<()> {
-    let chunk = format!("{:x}\r\n{text}\n\r\n", text.len() + 1);
-    for part in chunk.as_bytes().chunks(piece) {
+    let chunk = chunk(text);
+    for part in chunk
+        .as_bytes()
+        .chunks(delivery.piece.unwrap_or(usize::MAX))
+    {
         writer.write_all(part).await?;
     }
     traffic.sent(chunk.len());
--- a/crates/loopback/src/error.rs
+++ b/crates/loopback/src/error.rs
@@ -72,6 +72,9 @@
         /// The last lines of its log.
         log: String,
     },
+    /// A signal ended the run while the agents were starting.
+    #[error("interrupted while the agents were starting")]
+    Interrupted,
     /// An agent's figures could not be read from the system.
     #[error("the figures of process {process}: {cause}")]
     Usage {
--- a/crates/loopback/src/fleet.rs
+++ b/crates/loopback/src/fleet.rs
@@ -20,11 +20,13 @@
 use crate::client::{self, Answered, Outcome, RequestNumbers};
 use crate::discovery::Discovery;
 use crate::error::LoopbackError;
+use crate::interrupt::Interrupt;
 use crate::membership::Membership;
 use crate::plan::{Plan, SavedList};
 use crate::platform::Platform;
 use crate::relay::Relay;
 use crate::start_file::StartFile;
+use crate::traffic::Counts;
 use crate::window::{Control, Requests, Window};
 
 /// The most listeners; more listed appliances share them.
@@ -55,6 +57,7 @@
     agents: Vec<Agent>,
     folder: TempDir,
     numbers: RequestNumbers,
+    interrupt: Interrupt,
 }
 
 /// How the agents came up.
@@ -91,7 +94,7 @@
 
 impl Fleet {
     /// Sets up the stand-ins, without an agent.
-    pub async fn new(plan: Plan) -> Result<Self, LoopbackError> {
+    pub async fn new(plan: Plan, interrupt: Interrupt) -> Result<Self, LoopbackError> {
         plan.check()?;
         let listeners = plan.listed_appliances.min(MOST_LISTENERS);
         check_descriptors(&plan, listeners)?;
@@ -104,7 +107,7 @@
             plan.trial_share,
             plan.seed,
         );
-        let discovery = Discovery::start(host, membership, plan.piece).await?;
+        let discovery = Discovery::start(host, membership, plan.delivery).await?;
         let platform = Platform::start(host, news(&plan)).await?;
         let places: Vec<Place> = (0..plan.agents).map(|_| place()).collect();
         let datagrams = places.iter().map(|place| place.datagrams).collect();
@@ -122,6 +125,7 @@
             agents,
             folder,
             numbers,
+            interrupt,
         })
     }
 
@@ -220,6 +224,9 @@
         let mut missing: Vec<usize> = (0..self.agents.len()).collect();
         let mut ready = Vec::with_capacity(self.agents.len());
         while let Some(&first_missing) = missing.first() {
+            if self.interrupt.is_set() {
+                return Err(LoopbackError::Interrupted);
+            }
             match timeout(LOOK_PERIOD, waiting.join_next()).await {
                 Ok(Some(Ok((number, took)))) => {
                     missing.retain(|other| *other != number);
@@ -262,28 +269,32 @@
         }
         self.pass(self.plan.warm_up).await;
         take_answers(&mut answers);
-        let (began, control, before) = (Instant::now(), self.control(), self.usage()?);
+        let begin = self.moment()?;
         self.pass(self.plan.window).await;
-        let (lasted, at_end) = (began.elapsed(), self.usage()?);
-        let control = self.control().since(&control);
+        let end = self.moment()?;
         let requests = take_answers(&mut answers);
-        self.check_running()?;
-        let pairs = before.iter().zip(&at_end);
-        let processor = pairs
-            .map(|(before, after)| after.processor - before.processor)
-            .collect();
-        Ok(Window {
-            request_rate,
-            lasted,
-            processor,
-            at_end,
-            control,
-            requests,
+        Ok(end.window_since(begin, request_rate, requests, !self.interrupt.is_set()))
+    }
+
+    fn moment(&mut self) -> Result<Moment, LoopbackError> {
+        Ok(Moment {
+            at: Instant::now(),
+            control: self.control(),
+            datagrams_to_each: self.relay.counts_to_each(),
+            usage: self.usage()?,
         })
     }
 
-    /// Lets time pass, while the list changes at the plan's rate.
+    /// Lets time pass, unless the run is interrupted.
     async fn pass(&self, time: Duration) {
+        tokio::select! {
+            () = self.change(time) => {}
+            () = self.interrupt.wait() => {}
+        }
+    }
+
+    /// Changes the list at the plan's rate for so long.
+    async fn change(&self, time: Duration) {
         let end = Instant::now() + time;
         if self.plan.change_rate <= 0.0 {
             return sleep(time).await;
@@ -316,6 +327,41 @@
     }
 }
 
+/// All figures at one moment.
+struct Moment {
+    at: Instant,
+    control: Control,
+    datagrams_to_each: Vec<Counts>,
+    usage: Vec<Usage>,
+}
+
+impl Moment {
+    fn window_since(
+        self,
+        begin: Moment,
+        request_rate: f64,
+        requests: Requests,
+        complete: bool,
+    ) -> Window {
+        let usage = begin.usage.iter().zip(&self.usage);
+        let processor = usage
+            .map(|(begin, end)| end.processor - begin.processor)
+            .collect();
+        let datagrams = begin.datagrams_to_each.iter().zip(&self.datagrams_to_each);
+        let datagrams_to_each = datagrams.map(|(begin, end)| *end - *begin).collect();
+        Window {
+            request_rate,
+            lasted: self.at - begin.at,
+            processor,
+            control: self.control.since(&begin.control),
+            datagrams_to_each,
+            at_end: self.usage,
+            requests,
+            complete,
+        }
+    }
+}
+
 fn place() -> Place {
     let host: Ipv4Addr = own_host();
     Place {
--- /dev/null
+++ b/crates/loopback/src/interrupt.rs
@@ -0,0 +1,72 @@
+//! SIGINT and SIGTERM end a run early: what has been measured by then is kept.
+
+use std::future::pending;
+
+use tokio::signal::unix::{Signal, SignalKind, signal};
+use tokio::sync::watch;
+
+use crate::error::LoopbackError;
+
+/// Tells whether the run is to end early.
+#[derive(Clone, Debug)]
+pub struct Interrupt(watch::Receiver<bool>);
+
+impl Interrupt {
+    /// One that the signals set from now on.
+    pub fn on_signals() -> Result<Self, LoopbackError> {
+        let interrupt = signal(SignalKind::interrupt()).map_err(LoopbackError::setup("signals"))?;
+        let terminate = signal(SignalKind::terminate()).map_err(LoopbackError::setup("signals"))?;
+        let (sender, receiver) = watch::channel(false);
+        tokio::spawn(wait_for_signal(interrupt, terminate, sender));
+        Ok(Interrupt(receiver))
+    }
+
+    /// One that nothing sets.
+    pub fn never() -> Self {
+        Interrupt(watch::channel(false).1)
+    }
+
+    /// One that its trigger sets.
+    pub fn by_trigger() -> (Trigger, Self) {
+        let (sender, receiver) = watch::channel(false);
+        (Trigger(sender), Interrupt(receiver))
+    }
+
+    /// Whether it is set.
+    pub fn is_set(&self) -> bool {
+        *self.0.borrow()
+    }
+
+    /// Waits until it is set.
+    pub async fn wait(&self) {
+        let mut receiver = self.0.clone();
+        if receiver.wait_for(|is_set| *is_set).await.is_err() {
+            pending().await
+        }
+    }
+}
+
+/// Sets an interrupt.
+#[derive(Debug)]
+pub struct Trigger(watch::Sender<bool>);
+
+impl Trigger {
+    /// The run ends as soon as it can.
+    pub fn set(&self) {
+        self.0.send_replace(true);
+    }
+}
+
+async fn wait_for_signal(
+    mut interrupt: Signal,
+    mut terminate: Signal,
+    sender: watch::Sender<bool>,
+) {
+    tokio::select! {
+        _ = interrupt.recv() => {}
+        _ = terminate.recv() => {}
+    }
+    sender.send_replace(true);
+    // The signals stay caught: a second one does not leave the agents behind.
+    sender.closed().await;
+}
--- a/crates/loopback/src/lib.rs
+++ b/crates/loopback/src/lib.rs
@@ -13,6 +13,7 @@
 pub mod discovery;
 pub mod error;
 pub mod fleet;
+pub mod interrupt;
 pub mod membership;
 pub mod plan;
 pub mod platform;
--- a/crates/loopback/src/plan.rs
+++ b/crates/loopback/src/plan.rs
@@ -22,6 +22,17 @@
     Whole,
 }
 
+/// How discovery sends its lists: whole, at once and once, unless this says otherwise.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct Delivery {
+    /// The largest number of bytes that it writes at once.
+    pub piece: Option<usize>,
+    /// The first whole list breaks off after so many bytes, with the end of its connection.
+    pub first_list_cut_at: Option<usize>,
+    /// Each whole list is sent twice.
+    pub is_doubled: bool,
+}
+
 /// One fleet, and what is measured on it.
 #[derive(Clone, Debug)]
 pub struct Plan {
@@ -53,8 +64,8 @@
     pub sockets: u64,
     /// How long an appliance takes to answer.
     pub service_time: Duration,
-    /// The largest number of bytes that discovery writes at once.
-    pub piece: Option<usize>,
+    /// How discovery sends its lists.
+    pub delivery: Delivery,
     /// The seed of all chance.
     pub seed: u64,
     /// The command line that stands for this plan in the results.
@@ -79,7 +90,7 @@
             memory_mb: 256,
             sockets: DEFAULT_SOCKETS,
             service_time: Duration::from_millis(2),
-            piece: None,
+            delivery: Delivery::default(),
             seed: 1,
             command: String::new(),
         }
@@ -109,8 +120,8 @@
                 "above 0",
             ));
         }
-        if self.piece == Some(0) {
-            return Err(out_of_range("piece", 0, "1 or more"));
+        if self.delivery.piece == Some(0) {
+            return Err(out_of_range("delivery.piece", 0, "1 or more"));
         }
         Ok(())
     }
--- a/crates/loopback/src/relay.rs
+++ b/crates/loopback/src/relay.rs
@@ -8,7 +8,7 @@
 use tokio::net::UdpSocket;
 
 use crate::error::LoopbackError;
-use crate::traffic::Traffic;
+use crate::traffic::{Counts, Traffic};
 
 /// Longer than any datagram of an agent's.
 const DATAGRAM_LIMIT: usize = 2048;
@@ -19,13 +19,15 @@
     stand_ins: Vec<SocketAddr>,
     /// What agents take for the address of all.
     all: SocketAddr,
-    traffic: Arc<Traffic>,
+    shared: Arc<Shared>,
 }
 
 struct Shared {
     agents: Vec<SocketAddr>,
     sockets: Vec<UdpSocket>,
-    traffic: Arc<Traffic>,
+    traffic: Traffic,
+    /// What each agent was sent.
+    to_each: Vec<Traffic>,
 }
 
 impl Shared {
@@ -37,6 +39,7 @@
         let sent = self.sockets[from].send_to(datagram, self.agents[to]).await;
         if sent.is_ok() {
             self.traffic.sent(datagram.len());
+            self.to_each[to].sent(datagram.len());
         }
     }
 }
@@ -51,20 +54,21 @@
         let to_all = bind(host).await?;
         let all = address(&to_all)?;
         let stand_ins = sockets.iter().map(address).collect::<Result<_, _>>()?;
-        let traffic = Arc::new(Traffic::default());
+        let to_each = agents.iter().map(|_| Traffic::default()).collect();
         let shared = Arc::new(Shared {
             agents,
             sockets,
-            traffic: traffic.clone(),
+            traffic: Traffic::default(),
+            to_each,
         });
         for to in 0..shared.agents.len() {
             tokio::spawn(carry_to_one(to, shared.clone()));
         }
-        tokio::spawn(carry_to_all(to_all, shared));
+        tokio::spawn(carry_to_all(to_all, shared.clone()));
         Ok(Relay {
             stand_ins,
             all,
-            traffic,
+            shared,
         })
     }
 
@@ -82,7 +86,12 @@
 
     /// Datagrams taken from agents, and passed on to them.
     pub fn traffic(&self) -> &Traffic {
-        &self.traffic
+        &self.shared.traffic
+    }
+
+    /// What each agent was sent so far, by its number.
+    pub fn counts_to_each(&self) -> Vec<Counts> {
+        self.shared.to_each.iter().map(Traffic::counts).collect()
     }
 }
 
--- a/crates/loopback/src/run.rs
+++ b/crates/loopback/src/run.rs
@@ -3,10 +3,11 @@
 use std::io::Write;
 
 use lilacgate_capacity::Sample;
-use tokio::runtime::Builder;
+use tokio::runtime::{Builder, Runtime};
 
 use crate::error::LoopbackError;
 use crate::fleet::{Fleet, Startup};
+use crate::interrupt::Interrupt;
 use crate::plan::Plan;
 use crate::samples;
 use crate::window::Window;
@@ -25,24 +26,35 @@
     pub restart: Option<Startup>,
     /// How many samples were written.
     pub samples: usize,
+    /// Whether a signal ended the run early.
+    pub interrupted: bool,
 }
 
 /// Runs a plan, and writes each sample as a line of JSON as soon as it is there. All processes have ended when this
 /// returns, also with an error.
 pub fn run(plan: &Plan, output: &mut dyn Write) -> Result<Summary, LoopbackError> {
-    let mut runtime = Builder::new_multi_thread();
-    let runtime = runtime.worker_threads(THREADS).enable_all().build();
-    let runtime = runtime.map_err(LoopbackError::setup("the stand-ins' threads"))?;
-    runtime.block_on(measure(plan, output))
+    runtime()?.block_on(async { measure(plan, output, Interrupt::on_signals()?).await })
 }
 
-async fn measure(plan: &Plan, output: &mut dyn Write) -> Result<Summary, LoopbackError> {
+/// The threads that stand-ins and clients run on.
+pub fn runtime() -> Result<Runtime, LoopbackError> {
+    let mut builder = Builder::new_multi_thread();
+    let runtime = builder.worker_threads(THREADS).enable_all().build();
+    runtime.map_err(LoopbackError::setup("the stand-ins' threads"))
+}
+
+/// The same as [`run`], within such a runtime; an interrupt ends it early and marks the window that it ends.
+pub async fn measure(
+    plan: &Plan,
+    output: &mut dyn Write,
+    interrupt: Interrupt,
+) -> Result<Summary, LoopbackError> {
     let mut written = 0;
     let mut write = |samples: Vec<Sample>| {
         written += samples.len();
         lilacgate_capacity::result::write(output, &samples)
     };
-    let mut fleet = Fleet::new(plan.clone()).await?;
+    let mut fleet = Fleet::new(plan.clone(), interrupt.clone()).await?;
     let startup = fleet.start().await?;
     write(samples::of_startup(plan, &startup, None))?;
     let mut windows = Vec::with_capacity(plan.request_rates.len());
@@ -50,8 +62,11 @@
         let window = fleet.measure(*rate).await?;
         write(samples::of_window(plan, &window))?;
         windows.push(window);
+        if interrupt.is_set() {
+            break;
+        }
     }
-    let restart = if plan.restart {
+    let restart = if plan.restart && !interrupt.is_set() {
         Some(fleet.start().await?)
     } else {
         None
@@ -64,5 +79,6 @@
         windows,
         restart,
         samples: written,
+        interrupted: interrupt.is_set(),
     })
 }
--- a/crates/loopback/src/samples.rs
+++ b/crates/loopback/src/samples.rs
@@ -41,26 +41,23 @@
     ]
 }
 
-/// One window: an agent's mean, and the sums at discovery and the platform.
+/// One window: an agent's mean, the sums at discovery and the platform, and the judge that hears most.
 pub fn of_window(plan: &Plan, window: &Window) -> Vec<Sample> {
     let rate = window.request_rate;
-    vec![
+    let discovery = server_figures(window.control.discovery(), window.lasted);
+    let platform = server_figures(window.control.platform, window.lasted);
+    let mut samples = vec![
         sample(plan, Role::Agent, rate, None, agent_figures(plan, window)),
-        sample(
-            plan,
-            Role::Discovery,
-            rate,
-            None,
-            server_figures(window.control.discovery(), window.lasted),
-        ),
-        sample(
-            plan,
-            Role::Platform,
-            rate,
-            None,
-            server_figures(window.control.platform, window.lasted),
-        ),
-    ]
+        sample(plan, Role::Discovery, rate, None, discovery),
+        sample(plan, Role::Platform, rate, None, platform),
+    ];
+    if plan.trial_share > 0.0 {
+        samples.push(sample(plan, Role::Judge, rate, None, judge_figures(window)));
+    }
+    for sample in &mut samples {
+        sample.complete = window.complete;
+    }
+    samples
 }
 
 fn agent_figures(plan: &Plan, window: &Window) -> Figures {
@@ -116,6 +113,23 @@
     figures
 }
 
+/// What the agent that hears most is sent by its peers.
+fn judge_figures(window: &Window) -> Figures {
+    let seconds = window.lasted.as_secs_f64();
+    let most = window
+        .datagrams_to_each
+        .iter()
+        .max_by_key(|counts| counts.bytes_out);
+    let most = most.copied().unwrap_or_default();
+    Figures::from([
+        (Quantity::BytesInPerSecond, most.bytes_out as f64 / seconds),
+        (
+            Quantity::MessagesInPerSecond,
+            most.messages_out as f64 / seconds,
+        ),
+    ])
+}
+
 /// Sums over all agents, as the server sees them.
 fn server_figures(counts: Counts, lasted: Duration) -> Figures {
     let each_second = |count: u64| count as f64 / lasted.as_secs_f64();
--- a/crates/loopback/src/window.rs
+++ b/crates/loopback/src/window.rs
@@ -111,8 +111,12 @@
     pub at_end: Vec<Usage>,
     /// What the control connections carried.
     pub control: Control,
+    /// The datagrams that each agent received.
+    pub datagrams_to_each: Vec<Counts>,
     /// What clients saw.
     pub requests: Requests,
+    /// False if it was interrupted.
+    pub complete: bool,
 }
 
 impl Window {
