--- a/crates/loopback/src/appliance.rs
+++ b/crates/loopback/src/appliance.rs
@@ -8,14 +8,17 @@
 
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::{TcpListener, TcpStream};
-use tokio::time::sleep;
+use tokio::time::{Instant, sleep};
 
 use crate::error::LoopbackError;
+use crate::served::ServedLog;
 
 /// The answer to a request: its value, no further keys, no load report.
 const SERVED: &[u8] = b"*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n";
 /// The answer to a probe.
 const LOAD: &[u8] = b"$10\r\nlat_ms=2.0\r\n";
+/// Which word of a request is its id.
+const ID_WORD: usize = 2;
 /// The most words of a command, and the longest word.
 const WORD_COUNT_LIMIT: usize = 16;
 const WORD_LENGTH_LIMIT: usize = 64 << 10;
@@ -38,14 +41,15 @@
     }
 }
 
-/// Starts so many listeners at this host; each answers after `service_time`.
+/// Starts so many listeners at this host; each answers after `service_time`, and notes it.
 pub async fn start(
     host: Ipv4Addr,
     count: usize,
     service_time: Duration,
+    log: &Arc<ServedLog>,
 ) -> Result<Vec<Appliance>, LoopbackError> {
     let mut appliances = Vec::with_capacity(count);
-    for _ in 0..count {
+    for number in 0..count {
         let listener = TcpListener::bind((host, 0))
             .await
             .map_err(LoopbackError::setup("an appliance"))?;
@@ -53,30 +57,61 @@
             .local_addr()
             .map_err(LoopbackError::setup("an appliance"))?;
         let requests = Arc::<AtomicU64>::default();
-        tokio::spawn(accept(listener, service_time, requests.clone()));
+        let service = Service {
+            number,
+            service_time,
+            requests: requests.clone(),
+            log: log.clone(),
+        };
+        tokio::spawn(accept(listener, service));
         appliances.push(Appliance { address, requests });
     }
     Ok(appliances)
 }
 
-async fn accept(listener: TcpListener, service_time: Duration, requests: Arc<AtomicU64>) {
+/// How one listener serves.
+#[derive(Clone)]
+struct Service {
+    number: usize,
+    service_time: Duration,
+    requests: Arc<AtomicU64>,
+    log: Arc<ServedLog>,
+}
+
+impl Service {
+    /// Takes the time that a request takes.
+    async fn serve(&self, command: &[Vec<u8>]) {
+        let began = Instant::now();
+        self.requests.fetch_add(1, Ordering::Relaxed);
+        if !self.service_time.is_zero() {
+            sleep(self.service_time).await;
+        }
+        let id = command
+            .get(ID_WORD)
+            .and_then(|word| std::str::from_utf8(word).ok());
+        if let Some(id) = id.and_then(|id| id.parse().ok()) {
+            self.log.note(id, self.number, began.elapsed());
+        }
+    }
+}
+
+async fn accept(listener: TcpListener, service: Service) {
     loop {
         // Too few descriptors is no reason to stop for good.
         match listener.accept().await {
-            Ok((stream, _)) => drop(tokio::spawn(serve(stream, service_time, requests.clone()))),
+            Ok((stream, _)) => drop(tokio::spawn(serve(stream, service.clone()))),
             Err(_) => sleep(Duration::from_millis(10)).await,
         }
     }
 }
 
-async fn serve(stream: TcpStream, service_time: Duration, requests: Arc<AtomicU64>) {
+async fn serve(stream: TcpStream, service: Service) {
     stream.set_nodelay(true).ok();
     let mut stream = BufReader::new(stream);
     while let Some(command) = read_command(&mut stream).await {
         let is_probe = command.first().is_some_and(|word| word == b"INFO");
         if !is_probe {
-            requests.fetch_add(1, Ordering::Relaxed);
-            sleep(service_time).await;
+            service.serve(&command).await;
         }
         let answer = if is_probe { LOAD } else { SERVED };
         if stream.write_all(answer).await.is_err() {
--- a/crates/loopback/src/client.rs
+++ b/crates/loopback/src/client.rs
@@ -2,7 +2,6 @@
 
 use std::net::SocketAddr;
 use std::sync::Arc;
-use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
 use lilacgate_standin::post::command;
@@ -14,6 +13,10 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, MissedTickBehavior, interval_at, sleep, timeout};
 
+use crate::agent::Agent;
+use crate::request::{RequestId, RequestIds};
+use crate::served::ServedLog;
+
 /// Connections that a client holds to its agent.
 const CONNECTIONS: usize = 4;
 /// How long a client waits for an answer, as its requests say.
@@ -41,11 +44,10 @@
     pub outcome: Outcome,
     /// How long it took at the client.
     pub took: Duration,
+    /// How much of that the appliance had it.
+    pub at_appliance: Duration,
 }
 
-/// Gives each request of a run its own number.
-pub type RequestNumbers = Arc<AtomicU64>;
-
 /// The kinds of request that the start file's profiles name.
 #[derive(Clone, Copy)]
 enum Kind {
@@ -64,9 +66,9 @@
         }
     }
 
-    fn request(self, number: u64) -> String {
+    fn request(self, id: RequestId) -> String {
         let deadline = DEADLINE.as_millis();
-        let (key, id) = (format!("k{number}"), format!("t{number}"));
+        let (key, id) = (format!("k{id}"), id.to_string());
         let (verb, pairs) = match self {
             Kind::Read => ("SVC.QUERY", format!("c=read,d={deadline}")),
             Kind::Post => ("SVC.SUBMIT", format!("c=post,d={deadline},k={key}")),
@@ -77,11 +79,11 @@
 }
 
 /// Waits until the agent has served one request.
-pub async fn until_served(agent: SocketAddr, numbers: RequestNumbers) -> Instant {
+pub async fn until_served(agent: SocketAddr, number: usize, ids: RequestIds) -> Instant {
     loop {
         if let Ok(mut connection) = connect(agent).await {
-            let number = numbers.fetch_add(1, Ordering::Relaxed);
-            let answered = ask(&mut connection, &Kind::Read.request(number)).await;
+            let id = ids.next(number);
+            let answered = ask(&mut connection, &Kind::Read.request(id)).await;
             if answered.outcome == Outcome::Served {
                 return Instant::now();
             }
@@ -90,39 +92,44 @@
     }
 }
 
-/// Sends so many requests a second to an agent, until the set is dropped, and reports each one's end.
-pub fn drive(
-    tasks: &mut JoinSet<()>,
-    agent: SocketAddr,
-    rate: f64,
-    seed: u64,
-    numbers: &RequestNumbers,
-    report: &UnboundedSender<Answered>,
-) {
-    if rate <= 0.0 {
-        return;
-    }
-    let period = Duration::from_secs_f64(CONNECTIONS as f64 / rate);
-    for connection in 0..CONNECTIONS {
-        let random = Pcg64Mcg::seed_from_u64(seed.wrapping_mul(31).wrapping_add(connection as u64));
-        let driver = Driver {
-            agent,
-            period,
-            random,
-            numbers: numbers.clone(),
-            report: report.clone(),
-        };
-        tasks.spawn(driver.run());
+/// Clients of a fleet: what they need to send requests and to tell how these end.
+#[derive(Clone)]
+pub struct Clients {
+    /// Where the requests' ids come from.
+    pub ids: RequestIds,
+    /// Where the appliances note how long they had a request.
+    pub served: Arc<ServedLog>,
+    /// Who is told how requests end.
+    pub report: UnboundedSender<Answered>,
+}
+
+impl Clients {
+    /// Sends so many requests a second to an agent, until the set is dropped.
+    pub fn drive(&self, tasks: &mut JoinSet<()>, agent: &Agent, rate: f64, seed: u64) {
+        if rate <= 0.0 {
+            return;
+        }
+        let period = Duration::from_secs_f64(CONNECTIONS as f64 / rate);
+        for connection in 0..CONNECTIONS as u64 {
+            let driver = Driver {
+                agent: agent.number(),
+                address: agent.listen(),
+                period,
+                random: Pcg64Mcg::seed_from_u64(seed.wrapping_mul(31).wrapping_add(connection)),
+                clients: self.clone(),
+            };
+            tasks.spawn(driver.run());
+        }
     }
 }
 
 /// One connection that sends requests at a steady pace, one at a time.
 struct Driver {
-    agent: SocketAddr,
+    agent: usize,
+    address: SocketAddr,
     period: Duration,
     random: Pcg64Mcg,
-    numbers: RequestNumbers,
-    report: UnboundedSender<Answered>,
+    clients: Clients,
 }
 
 impl Driver {
@@ -135,18 +142,19 @@
             ticks.tick().await;
             let mut open = match connection.take() {
                 Some(open) => open,
-                None => match connect(self.agent).await {
+                None => match connect(self.address).await {
                     Ok(open) => open,
                     Err(_) => continue,
                 },
             };
-            let number = self.numbers.fetch_add(1, Ordering::Relaxed);
-            let request = Kind::draw(&mut self.random).request(number);
-            let answered = ask(&mut open, &request).await;
+            let id = self.clients.ids.next(self.agent);
+            let request = Kind::draw(&mut self.random).request(id);
+            let mut answered = ask(&mut open, &request).await;
+            answered.at_appliance = self.clients.served.take_time(id).unwrap_or_default();
             if answered.outcome != Outcome::Lost {
                 connection = Some(open);
             }
-            if self.report.send(answered).is_err() {
+            if self.clients.report.send(answered).is_err() {
                 return;
             }
         }
@@ -172,6 +180,7 @@
     Answered {
         outcome,
         took: began.elapsed(),
+        at_appliance: Duration::ZERO,
     }
 }
 
--- a/crates/loopback/src/command.rs
+++ b/crates/loopback/src/command.rs
@@ -10,7 +10,7 @@
 
 use crate::error::LoopbackError;
 use crate::fleet::Startup;
-use crate::plan::{DEFAULT_SOCKETS, Plan, SavedList};
+use crate::plan::{DEFAULT_SOCKETS, MOST_LISTED, Plan, SavedList};
 use crate::run::{Summary, run};
 use crate::window::Window;
 
@@ -32,6 +32,9 @@
     /// Appliances that discovery lists
     #[arg(long, default_value_t = 35)]
     pub listed: usize,
+    /// The most listeners that the appliances share
+    #[arg(long, default_value_t = MOST_LISTED)]
+    pub listeners: usize,
     /// Requests a second at each agent; a window for each of them
     #[arg(long, value_delimiter = ',', default_value = "0,10,62")]
     pub rates: Vec<f64>,
@@ -95,6 +98,7 @@
     /// The plan that the arguments describe.
     pub fn plan(&self) -> Plan {
         let mut plan = Plan::new(self.program.clone(), self.agents, self.listed);
+        plan.listeners = self.listeners;
         plan.request_rates = self.rates.clone();
         plan.change_rate = self.changes;
         plan.trial_share = self.trial_share;
@@ -130,6 +134,9 @@
         if self.sockets != DEFAULT_SOCKETS {
             line += &format!(" --sockets {}", self.sockets);
         }
+        if self.listeners != MOST_LISTED {
+            line += &format!(" --listeners {}", self.listeners);
+        }
         if self.restart {
             line += " --restart";
         }
@@ -164,7 +171,7 @@
     let each_second = |count: u64| count as f64 / seconds / agents;
     eprintln!(
         "rate {}: core {:.3}% (most {:.3}%), memory {:.1} MB (peak {:.1}), control {:.0} B/s in, {:.0} B/s out, \
-         served {}, refused {}, lost {}, p99 {:.1?}",
+         served {}, refused {}, lost {}, added p99 {:.1?}, used {:.0}",
         window.request_rate,
         window.mean_core_percent(),
         window.most_core_percent(),
@@ -175,6 +182,7 @@
         window.requests.served,
         window.requests.refused,
         window.requests.lost,
-        window.requests.latency(0.99).unwrap_or_default(),
+        window.requests.added_latency(0.99).unwrap_or_default(),
+        window.requests.used_appliances.unwrap_or_default(),
     );
 }
--- a/crates/loopback/src/fleet.rs
+++ b/crates/loopback/src/fleet.rs
@@ -2,6 +2,7 @@
 
 use std::fs;
 use std::net::{Ipv4Addr, SocketAddr};
+use std::sync::Arc;
 use std::time::Duration;
 
 use lilacgate_standin::agent::{free_at, free_datagrams_at, own_host};
@@ -17,20 +18,20 @@
 
 use crate::agent::{Agent, Usage};
 use crate::appliance::{self, Appliance};
-use crate::client::{self, Answered, Outcome, RequestNumbers};
+use crate::client::{self, Answered, Clients, Outcome};
 use crate::discovery::Discovery;
 use crate::error::LoopbackError;
 use crate::interrupt::Interrupt;
 use crate::membership::Membership;
-use crate::plan::{Plan, SavedList};
+use crate::plan::{LEAST_LISTENERS, Plan, SavedList};
 use crate::platform::Platform;
 use crate::relay::Relay;
+use crate::request::RequestIds;
+use crate::served::ServedLog;
 use crate::start_file::StartFile;
 use crate::traffic::Counts;
 use crate::window::{Control, Requests, Window};
 
-/// The most listeners; more listed appliances share them.
-const MOST_LISTENERS: usize = 128;
 /// Descriptors of this process for each agent, beside its connections to appliances: clients, discovery, the platform,
 /// the relay's socket, and a log while it is being opened.
 const DESCRIPTORS_PER_AGENT: u64 = 16;
@@ -56,7 +57,8 @@
     places: Vec<Place>,
     agents: Vec<Agent>,
     folder: TempDir,
-    numbers: RequestNumbers,
+    ids: RequestIds,
+    served: Arc<ServedLog>,
     interrupt: Interrupt,
 }
 
@@ -96,10 +98,10 @@
     /// Sets up the stand-ins, without an agent.
     pub async fn new(plan: Plan, interrupt: Interrupt) -> Result<Self, LoopbackError> {
         plan.check()?;
-        let listeners = plan.listed_appliances.min(MOST_LISTENERS);
-        check_descriptors(&plan, listeners)?;
+        let listeners = listeners(&plan)?;
         let host = own_host();
-        let appliances = appliance::start(host, listeners, plan.service_time).await?;
+        let served = Arc::<ServedLog>::default();
+        let appliances = appliance::start(host, listeners, plan.service_time, &served).await?;
         let addresses: Vec<SocketAddr> = appliances.iter().map(Appliance::address).collect();
         let membership = Membership::new(
             plan.listed_appliances,
@@ -114,7 +116,7 @@
         let relay = Relay::start(host, datagrams).await?;
         let folder =
             tempfile::tempdir().map_err(LoopbackError::setup("a folder for start files"))?;
-        let (agents, numbers) = Default::default();
+        let (agents, ids) = Default::default();
         Ok(Fleet {
             plan,
             discovery,
@@ -124,7 +126,8 @@
             places,
             agents,
             folder,
-            numbers,
+            ids,
+            served,
             interrupt,
         })
     }
@@ -215,9 +218,9 @@
         let mut waiting = JoinSet::new();
         for agent in &self.agents {
             let (listen, number) = (agent.listen(), agent.number());
-            let (started, numbers) = (agent.started(), self.numbers.clone());
+            let (started, ids) = (agent.started(), self.ids.clone());
             waiting.spawn(async move {
-                let served = client::until_served(listen, numbers).await;
+                let served = client::until_served(listen, number, ids).await;
                 (number, served.into_std().duration_since(started))
             });
         }
@@ -251,31 +254,40 @@
     /// Measures one window at a request rate, after a warm-up at the same rate.
     pub async fn measure(&mut self, request_rate: f64) -> Result<Window, LoopbackError> {
         let (report, mut answers) = unbounded_channel();
-        let mut clients = JoinSet::new();
+        let (ids, served) = (self.ids.clone(), self.served.clone());
+        let clients = Clients {
+            ids,
+            served,
+            report,
+        };
+        let mut driving = JoinSet::new();
         for agent in &self.agents {
             let seed = self
                 .plan
                 .seed
                 .wrapping_mul(977)
                 .wrapping_add(agent.number() as u64);
-            client::drive(
-                &mut clients,
-                agent.listen(),
-                request_rate,
-                seed,
-                &self.numbers,
-                &report,
-            );
+            clients.drive(&mut driving, agent, request_rate, seed);
         }
         self.pass(self.plan.warm_up).await;
         take_answers(&mut answers);
+        self.served.take_uses();
         let begin = self.moment()?;
         self.pass(self.plan.window).await;
         let end = self.moment()?;
-        let requests = take_answers(&mut answers);
+        let mut requests = take_answers(&mut answers);
+        requests.used_appliances = self.used_appliances();
         Ok(end.window_since(begin, request_rate, requests, !self.interrupt.is_set()))
     }
 
+    /// How many appliances an agent used since this was last asked, on average; unknown where appliances share
+    /// listeners.
+    fn used_appliances(&self) -> Option<f64> {
+        let uses = self.served.take_uses() as f64;
+        let is_exact = self.appliances.len() == self.plan.listed_appliances;
+        is_exact.then_some(uses / self.plan.agents as f64)
+    }
+
     fn moment(&mut self) -> Result<Moment, LoopbackError> {
         Ok(Moment {
             at: Instant::now(),
@@ -385,7 +397,8 @@
         match answered.outcome {
             Outcome::Served => {
                 requests.served += 1;
-                requests.latencies.push(answered.took);
+                let added = answered.took.saturating_sub(answered.at_appliance);
+                requests.added_latencies.push(added);
             }
             Outcome::Refused => requests.refused += 1,
             Outcome::Lost => requests.lost += 1,
@@ -394,18 +407,24 @@
     requests
 }
 
-/// Refuses a fleet whose connections may not fit into this process.
-fn check_descriptors(plan: &Plan, listeners: usize) -> Result<(), LoopbackError> {
+/// How many listeners there are: as many as the plan says, or fewer, where this process may not have that many
+/// descriptors beside those of the agents' connections.
+fn listeners(plan: &Plan) -> Result<usize, LoopbackError> {
     let per_agent = plan.sockets / 2 + DESCRIPTORS_PER_AGENT;
-    let needed = OTHER_DESCRIPTORS + listeners as u64 + per_agent * plan.agents as u64;
+    let others = OTHER_DESCRIPTORS + per_agent * plan.agents as u64;
+    let least = plan.listed_appliances.min(LEAST_LISTENERS);
     let limits = Process::myself().and_then(|process| process.limits());
-    let Ok(limits) = limits else { return Ok(()) };
-    match limits.max_open_files.soft_limit {
-        LimitValue::Value(limit) if needed > limit => {
-            Err(LoopbackError::Descriptors { needed, limit })
-        }
-        _ => Ok(()),
+    let limit = match limits.map(|limits| limits.max_open_files.soft_limit) {
+        Ok(LimitValue::Value(limit)) => limit,
+        _ => u64::MAX,
+    };
+    let needed = others + least as u64;
+    if needed > limit {
+        return Err(LoopbackError::Descriptors { needed, limit });
     }
+    let spare = usize::try_from(limit - others).unwrap_or(usize::MAX);
+    let most = plan.listeners.max(LEAST_LISTENERS);
+    Ok(plan.listed_appliances.min(most).min(spare))
 }
 
 fn check_memory(used: u64) -> Result<(), LoopbackError> {
--- a/crates/loopback/src/plan.rs
+++ b/crates/loopback/src/plan.rs
@@ -13,6 +13,9 @@
 /// As many descriptors as an agent may use, by default: 48 agents' connections fit into this process's own 20,000.
 pub const DEFAULT_SOCKETS: u64 = 768;
 
+/// So many listeners there are at least, if as many appliances are listed.
+pub const LEAST_LISTENERS: usize = 128;
+
 /// Which list of appliances an agent's start file holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
 pub enum SavedList {
@@ -42,6 +45,9 @@
     pub agents: usize,
     /// How many appliances discovery lists.
     pub listed_appliances: usize,
+    /// The most listeners: where more appliances are listed, or this process may not have as many descriptors, they
+    /// share them.
+    pub listeners: usize,
     /// One window of measurement for each rate: requests a second at each agent. At 0 no client is connected.
     pub request_rates: Vec<f64>,
     /// Changes of the list a second, in each window.
@@ -79,6 +85,7 @@
             program,
             agents,
             listed_appliances,
+            listeners: LEAST_LISTENERS,
             request_rates: vec![0.0],
             change_rate: 0.0,
             trial_share: 0.0,
--- a/crates/loopback/src/samples.rs
+++ b/crates/loopback/src/samples.rs
@@ -56,6 +56,8 @@
     }
     for sample in &mut samples {
         sample.complete = window.complete;
+        sample.size.used_appliances =
+            window.requests.used_appliances.unwrap_or_default().round() as u32;
     }
     samples
 }
@@ -106,8 +108,7 @@
     figures.insert(Quantity::Requests, window.requests.served as f64);
     figures.insert(Quantity::RefusedRequests, window.requests.refused as f64);
     figures.insert(Quantity::LostRequests, window.requests.lost as f64);
-    if let Some(latency) = window.requests.latency(0.99) {
-        let added = latency.saturating_sub(plan.service_time);
+    if let Some(added) = window.requests.added_latency(0.99) {
         figures.insert(Quantity::AddedLatencyMillis, millis(added));
     }
     figures
--- a/crates/loopback/src/window.rs
+++ b/crates/loopback/src/window.rs
@@ -84,14 +84,16 @@
     pub refused: u64,
     /// Requests without a whole answer in time.
     pub lost: u64,
-    /// How long served ones took.
-    pub latencies: Vec<Duration>,
+    /// How long served ones took, without the time that an appliance had them.
+    pub added_latencies: Vec<Duration>,
+    /// How many appliances an agent used, on average, if that is known.
+    pub used_appliances: Option<f64>,
 }
 
 impl Requests {
-    /// The latency that this share of the served requests stays within.
-    pub fn latency(&self, share: f64) -> Option<Duration> {
-        let mut sorted = self.latencies.clone();
+    /// The added latency that this share of the served requests stays within.
+    pub fn added_latency(&self, share: f64) -> Option<Duration> {
+        let mut sorted = self.added_latencies.clone();
         sorted.sort_unstable();
         let last = sorted.len().checked_sub(1)?;
         Some(sorted[(last as f64 * share).round() as usize])
