--- a/crates/capacity/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -1,12 +1,30 @@
 //! What a fleet of a given size costs.
 //!
-//! [`result`] defines the records that measurements are kept in, one JSON
-//! object per line.
+//! [`target`] reads the file that describes a fleet, [`fleet`] draws one from
+//! it, and [`result`] defines the records that measurements are kept in.
+//! [`fit`] works out slopes, [`analysis`] holds them against the budgets of the
+//! target, and [`page`] and [`plot`] show the outcome. [`verdict`] models how
+//! long a release's test takes.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+pub mod analysis;
+pub mod budget;
+pub mod estimate;
+pub mod fit;
+pub mod fleet;
+mod markdown;
+pub mod page;
+pub mod plot;
 pub mod result;
+pub mod tables;
+pub mod target;
+pub mod verdict;
+mod verdict_table;
+pub mod words;
 
+pub use fleet::Fleet;
 pub use result::{
     EventKind, Experiment, Factor, Quantity, ResultError, Role, Sample, Size, Source,
 };
+pub use target::{Target, TargetError};
--- a/crates/capacity/src/result.rs
+++ b/crates/capacity/src/result.rs
@@ -171,11 +171,16 @@
     AddedLatencyMillis,
     /// Entries of the state that the role keeps.
     StateEntries,
-    /// From the first outcome at a bad build to the vote against it, in seconds.
+    /// From a bad build's first share of the requests to the vote against it,
+    /// in seconds; the median of several runs.
     VerdictSeconds,
+    /// The same, which nine in ten runs stay below.
+    VerdictSecondsP90,
+    /// Runs that a figure is drawn from.
+    Runs,
     /// Share of runs that came to a vote against the build.
     VerdictShare,
-    /// Share of requests that the bad build fails.
+    /// Share of requests that the bad build fails beyond what any build does.
     BadBuildFailureShare,
     /// Share of appliances that carry the build on trial.
     TrialShare,
@@ -262,6 +267,14 @@
     pub fn figure(&self, quantity: Quantity) -> Option<f64> {
         self.figures.get(&quantity).copied()
     }
+
+    /// The sum of some of its figures, if it has all of them.
+    pub fn sum(&self, quantities: &[Quantity]) -> Option<f64> {
+        quantities
+            .iter()
+            .map(|quantity| self.figure(*quantity))
+            .sum()
+    }
 }
 
 /// Why a result file cannot be read or written.
--- a/crates/loopback/src/client.rs
+++ b/crates/loopback/src/client.rs
@@ -16,6 +16,7 @@
 use crate::agent::Agent;
 use crate::request::{RequestId, RequestIds};
 use crate::served::ServedLog;
+use crate::start_file::SECOND_SAFE_ROUTE;
 
 /// Connections that a client holds to its agent.
 const CONNECTIONS: usize = 4;
@@ -52,15 +53,17 @@
 #[derive(Clone, Copy)]
 enum Kind {
     Read,
+    Scan,
     Post,
     Book,
 }
 
 impl Kind {
-    /// Twelve in twenty are safe, five are keyed, three are unsafe.
+    /// Twelve in twenty are safe, over two routes, five are keyed, three are unsafe.
     fn draw(random: &mut Pcg64Mcg) -> Self {
         match random.random_range(0..20) {
-            0..12 => Kind::Read,
+            0..6 => Kind::Read,
+            6..12 => Kind::Scan,
             12..17 => Kind::Post,
             _ => Kind::Book,
         }
@@ -71,6 +74,7 @@
         let (key, id) = (format!("k{id}"), id.to_string());
         let (verb, pairs) = match self {
             Kind::Read => ("SVC.QUERY", format!("c=read,d={deadline}")),
+            Kind::Scan => ("SVC.QUERY", format!("c={SECOND_SAFE_ROUTE},d={deadline}")),
             Kind::Post => ("SVC.SUBMIT", format!("c=post,d={deadline},k={key}")),
             Kind::Book => ("SVC.SUBMIT", format!("c=book,d={deadline}")),
         };
--- a/crates/loopback/src/plan.rs
+++ b/crates/loopback/src/plan.rs
@@ -96,7 +96,7 @@
             ready_within: Duration::from_secs(30),
             memory_mb: 256,
             sockets: DEFAULT_SOCKETS,
-            service_time: Duration::from_millis(2),
+            service_time: Duration::from_millis(5),
             delivery: Delivery::default(),
             seed: 1,
             command: String::new(),
--- a/crates/loopback/src/samples.rs
+++ b/crates/loopback/src/samples.rs
@@ -13,6 +13,9 @@
 /// The event that a restart of all agents together stands for.
 pub const RESTART: EventKind = EventKind::RegionRestart;
 
+/// The routes that the start file's profiles name.
+const ROUTES: u32 = 4;
+
 type Figures = BTreeMap<Quantity, f64>;
 
 /// How the agents came up: what one process needed, and what discovery served.
@@ -160,9 +163,8 @@
         agents: number(plan.agents),
         listed_appliances: number(plan.listed_appliances),
         services: 1,
-        routes: 3,
-        tenants: 1,
-        request_rate,
+        routes: ROUTES,
+        request_rate: request_rate * plan.agents as f64,
         change_rate: plan.change_rate,
         releases: u32::from(plan.trial_share > 0.0),
         ..Size::default()
--- a/crates/loopback/src/start_file.rs
+++ b/crates/loopback/src/start_file.rs
@@ -9,6 +9,9 @@
 const LATENCY_TARGET_MICROS: u64 = 400_000;
 const DEADLINE_MICROS: u64 = 1_000_000;
 
+/// The name of the route that the template lacks: the hollow agents of the scale test have four.
+pub const SECOND_SAFE_ROUTE: &str = "scan";
+
 /// What differs between the start files of a fleet's agents, and what its plan says.
 pub struct StartFile {
     /// The agent's number.
@@ -39,6 +42,13 @@
     pub sockets: u64,
 }
 
+/// A route like the first one, under another name.
+fn second_safe_route(first: &Value) -> Value {
+    let mut route = first.clone();
+    route["name"] = json!(SECOND_SAFE_ROUTE);
+    route
+}
+
 impl StartFile {
     /// The file's text.
     ///
@@ -63,6 +73,7 @@
         let profiles = file["settings"]["profiles"]
             .as_array_mut()
             .expect("the template has profiles");
+        profiles.push(second_safe_route(&profiles[0]));
         for profile in profiles {
             profile["aim"] = json!(LATENCY_TARGET_MICROS);
             profile["give-up"] = json!(DEADLINE_MICROS);
