--- /dev/null
+++ b/crates/scale/src/appliance.rs
@@ -0,0 +1,157 @@
+//! Hollow appliances: a queue before a few workers, cold after a start, and refusing when it is full.
+use std::time::Duration;
+
+use lilacgate::port::Ending;
+use rand::{RngExt, SeedableRng};
+use rand_distr::{Distribution, LogNormal};
+use rand_pcg::Pcg64Mcg;
+
+use crate::network::{ONE_WAY, ServiceIndex};
+use crate::settings::{COLD_FROM, RAMP_MICROS};
+use crate::wire::{Entry, ListedState};
+
+/// Workers of an appliance.
+const WORKERS: usize = 2;
+/// The longest wait that its queue holds; what would wait longer is refused.
+const QUEUE_LIMIT: Duration = Duration::from_secs(1);
+/// Spread of the time that the same work takes (sigma of a log-normal distribution).
+const TIME_SPREAD: f64 = 0.2;
+/// Share of requests that fail at a good build.
+const FAILURE_SHARE: f64 = 0.0005;
+/// How long an agent tries to connect before it gives up.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
+
+/// Whether an appliance's process runs.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Power {
+    /// It runs.
+    Up,
+    /// The process has ended; connections are refused.
+    Refusing,
+    /// The machine or its network is down; nothing answers.
+    Silent,
+}
+
+/// How an attempt ends, and when its agent hears of it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Reply {
+    /// How.
+    pub ending: Ending,
+    /// When.
+    pub at: Duration,
+}
+
+/// A hollow appliance.
+#[derive(Clone, Debug)]
+pub struct Appliance {
+    /// Its service.
+    pub service: ServiceIndex,
+    /// Its zone, counted over all regions.
+    pub zone: u32,
+    /// Its rack.
+    pub rack: u32,
+    /// Whether it runs.
+    pub power: Power,
+    /// What the list says of it.
+    pub entry: Entry,
+    /// Attempts that reached it while it ran.
+    pub asked: u64,
+    free_at: [Duration; WORKERS],
+    chance: Pcg64Mcg,
+    time: Option<LogNormal<f64>>,
+}
+
+impl Appliance {
+    /// A warm appliance; its draws depend on the seed and its place alone.
+    pub fn new(entry: Entry, service: ServiceIndex, zone: u32, rack: u32, seed: u64) -> Self {
+        let mix = u64::from(entry.index)
+            .wrapping_add(1)
+            .wrapping_mul(0x9e37_79b9_7f4a_7c15);
+        let chance = Pcg64Mcg::seed_from_u64(seed ^ mix);
+        // The mean of the factor is 1.
+        let time = LogNormal::new(-TIME_SPREAD * TIME_SPREAD / 2.0, TIME_SPREAD).ok();
+        let (free_at, asked) = Default::default();
+        Appliance {
+            service,
+            zone,
+            rack,
+            power: Power::Up,
+            entry,
+            asked,
+            free_at,
+            chance,
+            time,
+        }
+    }
+
+    /// Starts its process again, cold, with a build.
+    pub fn restart(&mut self, now: Duration, build: u16) {
+        self.power = Power::Up;
+        self.free_at = Default::default();
+        self.entry.started = now;
+        self.entry.build = build;
+        self.entry.state = ListedState::Ready;
+    }
+
+    /// Takes an attempt that was sent then; `until` is when its agent gives up waiting.
+    pub fn take(&mut self, sent: Duration, work: Duration, until: Duration) -> Reply {
+        let arrives = sent + ONE_WAY;
+        match self.power {
+            Power::Up => self.serve(arrives, work, until),
+            Power::Refusing => Reply {
+                ending: Ending::Unconnected,
+                at: arrives + ONE_WAY,
+            },
+            Power::Silent => Reply {
+                ending: Ending::Unconnected,
+                at: sent + CONNECT_TIMEOUT,
+            },
+        }
+    }
+
+    fn serve(&mut self, arrives: Duration, work: Duration, until: Duration) -> Reply {
+        self.asked += 1;
+        let factor = self.time.map_or(1.0, |time| time.sample(&mut self.chance));
+        let fails = self.chance.random::<f64>() < FAILURE_SHARE;
+        let Some(worker) = self.free_at.iter_mut().min() else {
+            return Reply {
+                ending: Ending::TurnedAway,
+                at: arrives + ONE_WAY,
+            };
+        };
+        let begins = arrives.max(*worker);
+        if begins - arrives > QUEUE_LIMIT {
+            return Reply {
+                ending: Ending::TurnedAway,
+                at: arrives + ONE_WAY,
+            };
+        }
+        let ends = begins + work.mul_f64(factor / warmth(self.entry.started, begins));
+        *worker = ends;
+        if ends + ONE_WAY > until {
+            return Reply {
+                ending: Ending::TimedOut,
+                at: until,
+            };
+        }
+        let ending = if fails {
+            Ending::Failed
+        } else {
+            Ending::Served
+        };
+        Reply {
+            ending,
+            at: ends + ONE_WAY,
+        }
+    }
+}
+
+/// The share of its full capacity that an appliance has, some time after its start.
+fn warmth(started: Duration, now: Duration) -> f64 {
+    let age = now.saturating_sub(started);
+    let ramp = Duration::from_micros(RAMP_MICROS);
+    if started.is_zero() || age >= ramp {
+        return 1.0;
+    }
+    COLD_FROM + (1.0 - COLD_FROM) * age.as_secs_f64() / ramp.as_secs_f64()
+}
--- /dev/null
+++ b/crates/scale/src/discovery.rs
@@ -0,0 +1,182 @@
+//! Hollow discovery: a list for each service, its versions, and who watches it. It counts what it is
+//! asked and what it sends, and sends whole lists at the rate of one machine's network interface.
+use std::collections::BTreeMap;
+use std::sync::Arc;
+use std::time::Duration;
+
+use lilacgate::port::AgentId;
+use rand::RngExt;
+use rand_pcg::Pcg64Mcg;
+
+use crate::meter::Traffic;
+use crate::network::{Incoming, ONE_WAY, ServiceIndex};
+use crate::wire::{self, Entry, ListedState};
+
+/// Bytes per second that discovery sends at most: one interface of 1 Gbit/s.
+pub const BYTES_PER_SECOND: f64 = 125e6;
+/// The longest random delay of a message beyond the network's, at the sending side.
+const LONGEST_DELAY: Duration = Duration::from_millis(4);
+
+/// A message to an agent's module.
+pub struct Delivery {
+    /// To which agent.
+    pub to: AgentId,
+    /// About which service.
+    pub service: ServiceIndex,
+    /// When it is there.
+    pub at: Duration,
+    /// The message.
+    pub what: Incoming,
+}
+
+/// The list of a service.
+#[derive(Default)]
+struct ServiceList {
+    version: u64,
+    entries: BTreeMap<u32, Entry>,
+    watchers: BTreeMap<AgentId, u32>,
+    whole: Option<Arc<[u8]>>,
+}
+
+/// Hollow discovery.
+pub struct Discovery {
+    lists: Vec<ServiceList>,
+    /// Whole lists and changes that it has sent.
+    pub sent: Traffic,
+    /// Calls that it has answered.
+    pub calls: u64,
+    /// Whether it sends no faster than its interface allows.
+    pub is_paced: bool,
+    free_at: Duration,
+    chance: Pcg64Mcg,
+}
+
+impl Discovery {
+    /// With empty lists for so many services.
+    pub fn new(services: u32, chance: Pcg64Mcg) -> Self {
+        let lists = (0..services).map(|_| ServiceList::default()).collect();
+        let (sent, calls, free_at) = Default::default();
+        Discovery {
+            lists,
+            sent,
+            calls,
+            is_paced: false,
+            free_at,
+            chance,
+        }
+    }
+
+    /// Puts an appliance on its list before anybody watches.
+    pub fn enlist(&mut self, service: ServiceIndex, entry: Entry) {
+        let list = &mut self.lists[service.0 as usize];
+        list.version = 1;
+        list.entries.insert(entry.index, entry);
+    }
+
+    /// Bytes of the whole list of a service.
+    pub fn whole(&mut self, service: ServiceIndex) -> Arc<[u8]> {
+        let list = &mut self.lists[service.0 as usize];
+        let version = list.version;
+        let entries = &list.entries;
+        let whole = list.whole.get_or_insert_with(|| {
+            let entries: Vec<Entry> = entries.values().cloned().collect();
+            wire::watch(version, &entries).into()
+        });
+        whole.clone()
+    }
+
+    /// The whole list of a service as a start file holds it.
+    pub fn saved(&self, service: ServiceIndex) -> Arc<[u8]> {
+        let list = &self.lists[service.0 as usize];
+        let entries: Vec<Entry> = list.entries.values().cloned().collect();
+        wire::list(list.version, true, &entries).into_bytes().into()
+    }
+
+    /// The version of a service's list.
+    pub fn version(&self, service: ServiceIndex) -> u64 {
+        self.lists[service.0 as usize].version
+    }
+
+    /// Opens a watch: the whole list, then its changes.
+    pub fn watch(
+        &mut self,
+        now: Duration,
+        service: ServiceIndex,
+        agent: AgentId,
+        connection: u32,
+    ) -> Delivery {
+        self.calls += 1;
+        let bytes = self.whole(service);
+        self.lists[service.0 as usize]
+            .watchers
+            .insert(agent, connection);
+        let at = self.send(now, bytes.len());
+        Delivery {
+            to: agent,
+            service,
+            at,
+            what: Incoming::List { connection, bytes },
+        }
+    }
+
+    /// Ends a watch.
+    pub fn unwatch(&mut self, service: ServiceIndex, agent: AgentId) {
+        self.lists[service.0 as usize].watchers.remove(&agent);
+    }
+
+    /// Changes entries of a list and tells all watchers that `reaches` accepts.
+    pub fn change(
+        &mut self,
+        now: Duration,
+        service: ServiceIndex,
+        changed: &[Entry],
+        reaches: impl Fn(AgentId) -> bool,
+    ) -> Vec<Delivery> {
+        let list = &mut self.lists[service.0 as usize];
+        list.version += 1;
+        list.whole = None;
+        for entry in changed {
+            if entry.state == ListedState::Gone {
+                list.entries.remove(&entry.index);
+            } else {
+                list.entries.insert(entry.index, entry.clone());
+            }
+        }
+        let text = wire::list(list.version, false, changed);
+        let bytes: Arc<[u8]> = wire::chunk(&text).into();
+        let watchers: Vec<_> = list
+            .watchers
+            .iter()
+            .map(|(&agent, &c)| (agent, c))
+            .collect();
+        let mut deliveries = Vec::new();
+        for (to, connection) in watchers {
+            if reaches(to) {
+                let at = self.send(now, bytes.len());
+                let what = Incoming::List {
+                    connection,
+                    bytes: bytes.clone(),
+                };
+                deliveries.push(Delivery {
+                    to,
+                    service,
+                    at,
+                    what,
+                });
+            }
+        }
+        deliveries
+    }
+
+    /// Sends so many bytes; returns when the last of them is there.
+    fn send(&mut self, now: Duration, bytes: usize) -> Duration {
+        self.sent.add(bytes);
+        let delay = LONGEST_DELAY.mul_f64(self.chance.random::<f64>());
+        if !self.is_paced {
+            return now + ONE_WAY + delay;
+        }
+        let takes = Duration::from_secs_f64(bytes as f64 / BYTES_PER_SECOND);
+        self.free_at = self.free_at.max(now) + takes;
+        self.free_at + ONE_WAY + delay
+    }
+}
--- /dev/null
+++ b/crates/scale/src/lib.rs
@@ -0,0 +1,31 @@
+//! A scale test for the control work of a large fleet, in virtual time on one machine.
+//!
+//! Each [`agent::Agent`] runs the real decision module, made from real start settings, the real
+//! parser of discovery's messages and the real codec of reports. Clients, appliances, discovery and
+//! the platform are hollow: the smallest models that answer correctly and count what is asked of
+//! them. Hundreds of agents share the process; a [`simulation::Simulation`] steps them in slices of
+//! virtual time on a pool of threads and exchanges their messages at the end of each slice, so that
+//! a seed gives the same counts whatever the number of threads.
+//!
+//! Processor time is read from the clock of the thread that does the work, around the module's
+//! rounds and the parsers only.
+#![forbid(unsafe_code)]
+#![warn(missing_docs)]
+
+pub mod agent;
+pub mod appliance;
+pub mod cli;
+pub mod decisions;
+pub mod discovery;
+pub mod error;
+pub mod fleet;
+pub mod meter;
+pub mod module;
+pub mod network;
+pub mod platform;
+pub mod report;
+pub mod resources;
+pub mod run;
+pub mod settings;
+pub mod simulation;
+pub mod wire;
--- /dev/null
+++ b/crates/scale/src/module.rs
@@ -0,0 +1,314 @@
+//! One decision module of an agent, with the parsers that feed it.
+use std::collections::HashMap;
+use std::time::Duration;
+
+use cpu_time::ThreadTime;
+use lilacgate::brain::Brain;
+use lilacgate::port::*;
+use lilacgate_agent::catalog::Catalog;
+use lilacgate_agent::desk;
+use lilacgate_agent::discovery::{Answer, Lines};
+use lilacgate_agent::json::{Json, Values};
+use lilacgate_agent::ring::Parse;
+use lilacgate_start::Paths;
+
+use crate::decisions::Decided;
+use crate::error::ScaleError;
+use crate::meter::Meter;
+
+/// The largest message of discovery that is read, in bytes.
+const LARGEST_MESSAGE: usize = 16 << 20;
+/// Bytes that one read of a socket gives at most.
+const READ_SIZE: usize = 64 << 10;
+
+/// What a module hears in a round.
+pub enum Heard {
+    /// A client's request.
+    Request(TxnId, Txn),
+    /// An attempt has ended.
+    Ended {
+        /// The request.
+        id: TxnId,
+        /// Which of its attempts.
+        leg: Leg,
+        /// Where.
+        at: ApplianceId,
+        /// How.
+        ending: Ending,
+        /// After which time.
+        took: Duration,
+        /// Whether the request is answered.
+        closed: bool,
+    },
+    /// A list or changes.
+    Membership(Listing, Vec<Line>),
+    /// Where a build stands.
+    News(desk::News),
+    /// A vote's answer.
+    VoteAnswered(Ending),
+    /// A datagram of a peer.
+    Datagram(AgentId, std::sync::Arc<[u8]>),
+    /// A wake-up.
+    Wake(Ticket),
+    /// What the operator's rules leave open.
+    Openings(std::sync::Arc<lilacgate::openings::Openings>),
+}
+
+/// A request that is owed its answer, or has attempts out.
+pub struct Owed {
+    /// When it was taken.
+    pub arrived: Duration,
+    /// Work that it asks.
+    pub work: Duration,
+    /// Until when its attempts wait.
+    pub until: Duration,
+    /// Whether its client has the answer.
+    pub answered: bool,
+    /// Whether it may run twice.
+    pub repeatable: bool,
+    /// Its attempts.
+    pub attempts: Vec<Attempt>,
+}
+
+/// An attempt of a request.
+pub struct Attempt {
+    /// Where it went.
+    pub to: ApplianceId,
+    /// When it was sent.
+    pub sent: Duration,
+    /// How it ended.
+    pub ending: Option<Ending>,
+}
+
+impl Attempt {
+    /// Whether the request may have run there.
+    pub fn may_have_run(&self) -> bool {
+        self.ending.is_none_or(Ending::may_have_run)
+    }
+}
+
+impl Owed {
+    /// Whether all its attempts have ended.
+    pub fn is_quiet(&self) -> bool {
+        self.attempts.iter().all(|attempt| attempt.ending.is_some())
+    }
+}
+
+/// What the last list or change that was acted on was, and when.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct InForce {
+    /// Its version.
+    pub version: u64,
+    /// When its last byte came.
+    pub at: Duration,
+    /// Processor time from then until the round that acted on it was over.
+    pub control: Duration,
+}
+
+/// A decision module and its parsers.
+pub struct Module {
+    /// The module.
+    pub brain: Brain,
+    /// Requests in hand.
+    pub owed: HashMap<TxnId, Owed>,
+    /// The state of each appliance on the list that is not ready, as told.
+    pub not_ready: HashMap<ApplianceId, Mode>,
+    /// The number of the watch's connection.
+    pub connection: u32,
+    /// What is in force.
+    pub in_force: InForce,
+    /// The last request's number.
+    pub last_request: u32,
+    catalog: Catalog,
+    list_parser: Lines,
+    news_parser: Values,
+}
+
+impl Module {
+    /// A module made from start settings.
+    ///
+    /// # Errors
+    /// The settings cannot be used.
+    pub fn new(seed: u64, settings: &Paths) -> Result<Self, ScaleError> {
+        let instance = lilacgate_start::instance(seed, settings).map_err(ScaleError::Settings)?;
+        let catalog = Catalog::new(settings).map_err(ScaleError::Settings)?;
+        let (owed, not_ready, in_force) = Default::default();
+        Ok(Module {
+            brain: instance.brain,
+            owed,
+            not_ready,
+            connection: 0,
+            in_force,
+            last_request: 0,
+            catalog,
+            list_parser: list_parser(),
+            news_parser: news_parser(),
+        })
+    }
+
+    /// Begins a new connection of the watch, and returns its number.
+    pub fn connect(&mut self) -> u32 {
+        self.connection += 1;
+        self.list_parser = list_parser();
+        self.connection
+    }
+
+    /// The version of the list that it has.
+    pub fn version(&self) -> u64 {
+        self.catalog.version()
+    }
+
+    /// Takes bytes of a watch; returns what the module is to hear of them.
+    pub fn take_list(&mut self, bytes: &[u8], meter: &mut Meter) -> Vec<Heard> {
+        meter.counts.lists_in.add(bytes.len());
+        let start = ThreadTime::now();
+        let read = self.read_lists(bytes);
+        meter.parse(start.elapsed());
+        let Ok(heard) = read else {
+            meter.counts.unreadable += 1;
+            self.catalog.restart();
+            self.connect();
+            return vec![Heard::Membership(Listing::Failed, vec![])];
+        };
+        heard.iter().for_each(|heard| self.note_modes(heard));
+        heard
+    }
+
+    /// A sign of life, which nothing is heard of.
+    pub fn take_signs_of_life(&mut self, quiet: Option<&[u8]>, ping: &[u8], meter: &mut Meter) {
+        let start = ThreadTime::now();
+        if let Some(quiet) = quiet {
+            self.read_lists(quiet).ok();
+        }
+        self.news_parser.take(ping).ok();
+        meter.parse(start.elapsed());
+        if let Some(quiet) = quiet {
+            meter.counts.lists_in.add(quiet.len());
+        }
+        meter.counts.news_in.add(ping.len());
+    }
+
+    /// Takes bytes of the platform; returns what the module is to hear of them.
+    pub fn take_news(&mut self, bytes: &[u8], meter: &mut Meter) -> Vec<Heard> {
+        meter.counts.news_in.add(bytes.len());
+        let start = ThreadTime::now();
+        let read = read_news(&mut self.news_parser, bytes);
+        meter.parse(start.elapsed());
+        if read.is_none() {
+            meter.counts.unreadable += 1;
+            self.news_parser = news_parser();
+        }
+        read.unwrap_or_default()
+    }
+
+    /// Takes a saved list, as a start file holds it.
+    pub fn take_saved(&mut self, text: &[u8], meter: &mut Meter) -> Option<Heard> {
+        let start = ThreadTime::now();
+        let list = Values::whole(text).ok()?;
+        let update = self.catalog.read(&list, &mut |_, _| {})?;
+        meter.parse(start.elapsed());
+        let lines = update.entries.iter().map(|(line, _)| *line).collect();
+        Some(Heard::Membership(Listing::Saved, lines))
+    }
+
+    /// One round with all that was heard; returns what it decided and its processor time.
+    pub fn round(&mut self, now: Duration, heard: Vec<Heard>) -> (Decided, Duration) {
+        let mut decided = Decided::default();
+        let brain = &mut self.brain;
+        let start = ThreadTime::now();
+        brain.round(
+            now,
+            |ears| heard.into_iter().for_each(|one| tell(ears, one)),
+            &mut decided,
+        );
+        (decided, start.elapsed())
+    }
+
+    fn read_lists(&mut self, bytes: &[u8]) -> Result<Vec<Heard>, Unreadable> {
+        let mut heard = Vec::new();
+        for part in bytes.chunks(READ_SIZE) {
+            let mut rest = part;
+            while !rest.is_empty() {
+                let (taken, item) = self.list_parser.take(rest).map_err(|_| Unreadable)?;
+                rest = &rest[taken..];
+                let Some(Some(list)) = item else { continue };
+                heard.push(self.read_list(&list)?);
+            }
+        }
+        Ok(heard)
+    }
+
+    fn read_list(&mut self, list: &Json) -> Result<Heard, Unreadable> {
+        let update = self.catalog.read(list, &mut |_, _| {}).ok_or(Unreadable)?;
+        let listing = if update.whole {
+            Listing::Whole
+        } else {
+            Listing::Changes
+        };
+        let lines = update.entries.iter().map(|(line, _)| *line).collect();
+        Ok(Heard::Membership(listing, lines))
+    }
+
+    fn note_modes(&mut self, heard: &Heard) {
+        let Heard::Membership(listing, lines) = heard else {
+            return;
+        };
+        if *listing == Listing::Whole {
+            self.not_ready.clear();
+        }
+        for line in lines {
+            match line.mode {
+                Mode::Ready => self.not_ready.remove(&line.appliance),
+                mode => self.not_ready.insert(line.appliance, mode),
+            };
+        }
+    }
+}
+
+/// A message that cannot be read.
+struct Unreadable;
+
+fn list_parser() -> Lines {
+    Lines(Answer::new(LARGEST_MESSAGE))
+}
+
+fn news_parser() -> Values {
+    Values::lines(desk::LINE)
+}
+
+fn read_news(parser: &mut Values, bytes: &[u8]) -> Option<Vec<Heard>> {
+    let (mut rest, mut heard) = (bytes, Vec::new());
+    while !rest.is_empty() {
+        let (taken, message) = parser.take(rest).ok()?;
+        rest = &rest[taken..];
+        let Some(message) = message else { continue };
+        if message.get("method").and_then(Json::text) == Some("ROLLOUT") {
+            heard.push(Heard::News(desk::news(message.get("params")?)?));
+        }
+    }
+    Some(heard)
+}
+
+fn tell(ears: &mut dyn Hears, heard: Heard) {
+    match heard {
+        Heard::Request(id, request) => ears.txn(id, request),
+        Heard::Ended {
+            id,
+            leg,
+            at,
+            ending,
+            took,
+            closed,
+        } => {
+            ears.ended(id, leg, at, ending, took, closed);
+        }
+        Heard::Membership(listing, lines) => ears.roster(listing, &mut lines.into_iter()),
+        Heard::News(news) => {
+            ears.stage(news.build, news.stage, news.course, news.cap, news.age);
+        }
+        Heard::VoteAnswered(ending) => ears.vote_answered(ending),
+        Heard::Datagram(from, octets) => ears.peer(from, &octets),
+        Heard::Wake(ticket) => ears.woken(ticket),
+        Heard::Openings(openings) => ears.openings(Some(openings)),
+    }
+}
--- /dev/null
+++ b/crates/scale/src/network.rs
@@ -0,0 +1,112 @@
+//! The messages between agents and everything hollow. They are exchanged at the ends of slices.
+use std::sync::Arc;
+use std::time::Duration;
+
+use lilacgate::port::*;
+
+/// The time that a message takes one way on the network.
+pub const ONE_WAY: Duration = Duration::from_micros(250);
+
+/// The place of a service in the fleet, and of its module in each agent.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct ServiceIndex(pub u32);
+
+/// Names one attempt of an agent.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct AttemptId {
+    /// The request.
+    pub request: TxnId,
+    /// Which of its attempts.
+    pub leg: Leg,
+}
+
+/// What an agent sends.
+#[derive(Clone, Debug)]
+pub enum Outgoing {
+    /// An attempt to an appliance.
+    Attempt {
+        /// Which.
+        attempt: AttemptId,
+        /// Where.
+        to: ApplianceId,
+        /// Work that it asks, on a warm core.
+        work: Duration,
+        /// Until when the agent waits for the answer.
+        until: Duration,
+    },
+    /// A datagram to one peer, or to all.
+    Datagram {
+        /// To whom.
+        to: Option<AgentId>,
+        /// Its bytes.
+        octets: Arc<[u8]>,
+    },
+    /// A vote to the platform.
+    Vote {
+        /// On what.
+        build: Build,
+        /// In which stage.
+        stage: Stage,
+        /// What it says.
+        verdict: Verdict,
+    },
+    /// A call that opens a watch.
+    Watch {
+        /// The number of the connection, which grows.
+        connection: u32,
+    },
+    /// The watch is given up.
+    Unwatch,
+}
+
+/// A message on its way from an agent.
+#[derive(Clone, Debug)]
+pub struct Sent {
+    /// When it was sent.
+    pub at: Duration,
+    /// The service it is about.
+    pub service: ServiceIndex,
+    /// The message.
+    pub what: Outgoing,
+}
+
+/// What reaches an agent's module.
+#[derive(Clone, Debug)]
+pub enum Incoming {
+    /// A client's request.
+    Request,
+    /// The end of an attempt.
+    Ended {
+        /// Which.
+        attempt: AttemptId,
+        /// How it ended.
+        ending: Ending,
+    },
+    /// Bytes of a watch.
+    List {
+        /// The connection that they come on.
+        connection: u32,
+        /// The bytes.
+        bytes: Arc<[u8]>,
+    },
+    /// The watch's connection has ended.
+    ListClosed {
+        /// Which.
+        connection: u32,
+    },
+    /// Bytes from the platform.
+    News(Arc<[u8]>),
+    /// A vote's answer.
+    VoteAnswered(Ending),
+    /// A datagram of a peer.
+    Datagram {
+        /// From whom.
+        from: AgentId,
+        /// Its bytes.
+        octets: Arc<[u8]>,
+    },
+    /// A wake-up that the module asked for.
+    Wake(Ticket),
+    /// Discovery's and the platform's signs of life.
+    SignsOfLife,
+}
--- /dev/null
+++ b/crates/scale/src/platform.rs
@@ -0,0 +1,111 @@
+//! A hollow platform: where each service's newest build stands, and the votes on it.
+use std::sync::Arc;
+use std::time::Duration;
+
+use lilacgate::port::{AgentId, Verdict};
+
+use crate::agent::OLD_BUILD;
+use crate::discovery::Delivery;
+use crate::meter::Traffic;
+use crate::network::{Incoming, ONE_WAY, ServiceIndex};
+use crate::settings::FIRST_CAP;
+use crate::wire;
+
+/// The build on trial.
+pub const TRIAL_BUILD: u16 = OLD_BUILD + 1;
+
+/// Votes that came in.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct Votes {
+    /// For the next stage.
+    pub on: u64,
+    /// For going back.
+    pub back: u64,
+    /// All others.
+    pub other: u64,
+    /// When the first for going back came.
+    pub first_back: Option<Duration>,
+}
+
+/// A hollow platform.
+pub struct Platform {
+    on_trial: Vec<bool>,
+    /// The votes, by service.
+    pub votes: Vec<Votes>,
+    /// News that it has sent.
+    pub sent: Traffic,
+}
+
+impl Platform {
+    /// For so many services, none with a release on trial.
+    pub fn new(services: u32) -> Self {
+        let services = services as usize;
+        let votes = vec![Votes::default(); services];
+        Platform {
+            on_trial: vec![false; services],
+            votes,
+            sent: Traffic::default(),
+        }
+    }
+
+    /// Puts a release of a service on trial.
+    pub fn begin_trial(&mut self, service: ServiceIndex) {
+        self.on_trial[service.0 as usize] = true;
+    }
+
+    /// Whether a release of a service is on trial.
+    pub fn is_on_trial(&self, service: ServiceIndex) -> bool {
+        self.on_trial[service.0 as usize]
+    }
+
+    fn news(&self, service: ServiceIndex) -> String {
+        if self.is_on_trial(service) {
+            wire::news(TRIAL_BUILD, 0, "Progressing", FIRST_CAP)
+        } else {
+            wire::news(OLD_BUILD, 0, "Healthy", 1.0)
+        }
+    }
+
+    /// What a new listener is told.
+    pub fn listen(&mut self, now: Duration, service: ServiceIndex, to: AgentId) -> Delivery {
+        let text = wire::LISTENS.to_owned() + &self.news(service);
+        self.deliver(now, service, to, text.into_bytes().into())
+    }
+
+    /// Tells the news of a service to so many agents.
+    pub fn tell(&mut self, now: Duration, service: ServiceIndex, agents: u32) -> Vec<Delivery> {
+        let bytes: Arc<[u8]> = self.news(service).into_bytes().into();
+        (0..agents)
+            .map(|to| self.deliver(now, service, AgentId(to), bytes.clone()))
+            .collect()
+    }
+
+    fn deliver(
+        &mut self,
+        now: Duration,
+        service: ServiceIndex,
+        to: AgentId,
+        bytes: Arc<[u8]>,
+    ) -> Delivery {
+        self.sent.add(bytes.len());
+        Delivery {
+            to,
+            service,
+            at: now + ONE_WAY,
+            what: Incoming::News(bytes),
+        }
+    }
+
+    /// Counts a vote.
+    pub fn vote(&mut self, now: Duration, service: ServiceIndex, verdict: Verdict) {
+        let votes = &mut self.votes[service.0 as usize];
+        match verdict {
+            Verdict::On => votes.on += 1,
+            Verdict::Back => {
+                votes.back += 1;
+                votes.first_back.get_or_insert(now);
+            }
+            Verdict::Hold | Verdict::Withdraw => votes.other += 1,
+        }
+    }
+}
--- /dev/null
+++ b/crates/scale/src/run.rs
@@ -0,0 +1,265 @@
+//! One measurement: a fleet of a size warms up, then is measured for a while.
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+use lilacgate_capacity::result::{Experiment, Factor, Quantity, Role, Sample, Source};
+
+use crate::error::ScaleError;
+use crate::fleet::FleetSize;
+use crate::meter::{Counts, Meter};
+use crate::network::ServiceIndex;
+use crate::resources::{Limits, MEGABYTE};
+use crate::simulation::Simulation;
+
+/// Judges of a build.
+const JUDGES: usize = 3;
+
+/// What is to be measured, and how.
+#[derive(Clone, Debug)]
+pub struct Plan {
+    /// The fleet.
+    pub size: FleetSize,
+    /// Seed of all draws.
+    pub seed: u64,
+    /// Threads to run on.
+    pub threads: usize,
+    /// Virtual time before the measurement.
+    pub warm_up: Duration,
+    /// Virtual time of the measurement.
+    pub window: Duration,
+}
+
+/// What was measured of a steady fleet.
+#[derive(Clone, Debug)]
+pub struct Steady {
+    /// The size that it was measured at.
+    pub size: FleetSize,
+    /// Virtual time that it was measured for.
+    pub span: Duration,
+    /// All agents' work in that time.
+    pub total: Meter,
+    /// The longest time that a whole list was parsed, before the measurement.
+    pub list_parse: Duration,
+    /// Bytes of one whole list, over all services.
+    pub list_bytes: u64,
+    /// Resident memory of an agent in bytes.
+    pub agent_bytes: f64,
+    /// Counts of the agents that heard the most reports.
+    pub judges: Vec<Counts>,
+    /// Mean number of appliances that an agent sent requests to.
+    pub used: f64,
+    /// Most and fewest attempts at one appliance, over the mean of its service.
+    pub spread: (f64, f64),
+    /// Whole lists and changes that discovery sent.
+    pub discovery: crate::meter::Traffic,
+    /// News that the platform sent.
+    pub platform: crate::meter::Traffic,
+    /// Whether the measurement ran to its end.
+    pub is_complete: bool,
+}
+
+/// Measures a steady fleet. If the run is stopped amid the measurement, what was measured by then is
+/// returned beside the reason.
+///
+/// # Errors
+/// The size cannot be simulated, or the run was stopped before the measurement began.
+pub fn steady(plan: &Plan, limits: &Limits) -> Result<(Steady, Option<ScaleError>), ScaleError> {
+    let mut simulation = warm(plan, limits)?;
+    let list_parse = simulation.total().worst_parse;
+    simulation.measure_memory();
+    simulation.reset_meters();
+    let begun = simulation.now;
+    let stopped = simulation.run_for(plan.window).err();
+    let span = simulation.now - begun;
+    let mut steady = read(&mut simulation, span);
+    steady.list_parse = list_parse;
+    steady.is_complete = stopped.is_none();
+    Ok((steady, stopped))
+}
+
+/// Creates a fleet and lets it warm up.
+///
+/// # Errors
+/// The size cannot be simulated, or the run was stopped.
+pub fn warm(plan: &Plan, limits: &Limits) -> Result<Simulation, ScaleError> {
+    let size = plan.size.clone();
+    let mut simulation = Simulation::new(size, plan.seed, plan.threads, limits.clone())?;
+    simulation.run_for(plan.warm_up)?;
+    Ok(simulation)
+}
+
+/// Reads what a fleet has done since its meters were reset.
+pub fn read(simulation: &mut Simulation, span: Duration) -> Steady {
+    let size = simulation.common.size.clone();
+    let services = (0..size.services).map(ServiceIndex);
+    let list_bytes = services
+        .map(|s| simulation.discovery.whole(s).len() as u64)
+        .sum();
+    let used: usize = simulation.agents.iter().map(|agent| agent.used.len()).sum();
+    let mut judges: Vec<Counts> = simulation.agents.iter().map(|a| a.meter.counts).collect();
+    judges.sort_by_key(|counts| std::cmp::Reverse(counts.reports_in.bytes));
+    judges.truncate(JUDGES);
+    judges.retain(|counts| counts.reports_in.messages > 0);
+    Steady {
+        span,
+        total: simulation.total(),
+        list_parse: Duration::ZERO,
+        list_bytes,
+        agent_bytes: simulation.agent_bytes,
+        judges,
+        used: used as f64 / simulation.agents.len() as f64,
+        spread: spread(simulation),
+        discovery: simulation.discovery.sent,
+        platform: simulation.platform.sent,
+        is_complete: true,
+        size,
+    }
+}
+
+/// Most and fewest attempts at one appliance, over the mean of its service.
+pub fn spread(simulation: &Simulation) -> (f64, f64) {
+    let mut sums: BTreeMap<ServiceIndex, (f64, f64)> = BTreeMap::new();
+    for appliance in &simulation.appliances {
+        let sum = sums.entry(appliance.service).or_default();
+        *sum = (sum.0 + appliance.asked as f64, sum.1 + 1.0);
+    }
+    let share = |appliance: &crate::appliance::Appliance| {
+        let (asked, count) = sums[&appliance.service];
+        appliance.asked as f64 * count / asked.max(1.0)
+    };
+    let shares = simulation.appliances.iter().map(share);
+    shares.fold((0.0, f64::MAX), |(most, least), one| {
+        (most.max(one), least.min(one))
+    })
+}
+
+impl Steady {
+    fn per_agent_second(&self, sum: f64) -> f64 {
+        sum / self.size.agents as f64 / self.span.as_secs_f64().max(1e-9)
+    }
+
+    /// Processor time for control, in percent of a core.
+    pub fn control_core_percent(&self) -> f64 {
+        100.0 * self.per_agent_second(self.total.control().as_secs_f64())
+    }
+
+    /// An agent's figures.
+    pub fn agent_figures(&self) -> BTreeMap<Quantity, f64> {
+        let counts = &self.total.counts;
+        let (incoming, outgoing) = (counts.incoming(), counts.outgoing());
+        let per = |sum: u64| self.per_agent_second(sum as f64);
+        BTreeMap::from([
+            (Quantity::ControlCorePercent, self.control_core_percent()),
+            (Quantity::WorstRoundMicros, micros(self.total.worst_round())),
+            (
+                Quantity::RoundP99Micros,
+                micros(self.total.round_quantile(0.99)),
+            ),
+            (
+                Quantity::MemoryMegabytes,
+                self.agent_bytes / MEGABYTE as f64,
+            ),
+            (Quantity::BytesInPerSecond, per(incoming.bytes)),
+            (Quantity::BytesOutPerSecond, per(outgoing.bytes)),
+            (Quantity::MessagesInPerSecond, per(incoming.messages)),
+            (Quantity::MessagesOutPerSecond, per(outgoing.messages)),
+            (Quantity::ListBytes, self.list_bytes as f64),
+            (Quantity::ListMicros, micros(self.list_parse)),
+            (Quantity::SpreadMost, self.spread.0),
+            (Quantity::SpreadLeast, self.spread.1),
+            (Quantity::BrokenRules, counts.broken_rules as f64),
+            (Quantity::Requests, counts.requests as f64),
+            (
+                Quantity::RefusedRequests,
+                (counts.refused + counts.failed) as f64,
+            ),
+        ])
+    }
+
+    /// The figures of a judge: the mean of those that heard the most reports.
+    pub fn judge_figures(&self) -> Option<BTreeMap<Quantity, f64>> {
+        if self.judges.is_empty() {
+            return None;
+        }
+        let seconds = self.span.as_secs_f64() * self.judges.len() as f64;
+        let sum = |value: fn(&Counts) -> u64| {
+            self.judges
+                .iter()
+                .map(|counts| value(counts) as f64)
+                .sum::<f64>()
+                / seconds
+        };
+        Some(BTreeMap::from([
+            (
+                Quantity::BytesInPerSecond,
+                sum(|counts| counts.reports_in.bytes),
+            ),
+            (
+                Quantity::BytesOutPerSecond,
+                sum(|counts| counts.reports_out.bytes),
+            ),
+            (
+                Quantity::MessagesInPerSecond,
+                sum(|counts| counts.reports_in.messages),
+            ),
+            (
+                Quantity::MessagesOutPerSecond,
+                sum(|counts| counts.reports_out.messages),
+            ),
+        ]))
+    }
+
+    fn sender_figures(&self, sent: crate::meter::Traffic) -> BTreeMap<Quantity, f64> {
+        let seconds = self.span.as_secs_f64().max(1e-9);
+        BTreeMap::from([
+            (Quantity::BytesOutPerSecond, sent.bytes as f64 / seconds),
+            (
+                Quantity::MessagesOutPerSecond,
+                sent.messages as f64 / seconds,
+            ),
+        ])
+    }
+
+    /// The samples of all roles.
+    pub fn samples(&self, label: &Label) -> Vec<Sample> {
+        let mut roles = vec![(Role::Agent, self.agent_figures())];
+        roles.extend(self.judge_figures().map(|figures| (Role::Judge, figures)));
+        roles.push((Role::Discovery, self.sender_figures(self.discovery)));
+        roles.push((Role::Platform, self.sender_figures(self.platform)));
+        let size = self.size.record(self.used.round() as u32);
+        let sample = |(role, figures)| Sample {
+            experiment: label.experiment,
+            command: label.command.clone(),
+            seed: label.seed,
+            source: Source::Hollow,
+            role,
+            factor: label.factor,
+            size,
+            event: None,
+            held_back: label.held_back,
+            complete: self.is_complete,
+            figures,
+        };
+        roles.into_iter().map(sample).collect()
+    }
+}
+
+/// What a sample says of where it comes from.
+#[derive(Clone, Debug)]
+pub struct Label {
+    /// The question it answers.
+    pub experiment: Experiment,
+    /// The command line.
+    pub command: String,
+    /// The seed.
+    pub seed: u64,
+    /// The size that varies.
+    pub factor: Option<Factor>,
+    /// Whether it is left out of the fit.
+    pub held_back: bool,
+}
+
+/// A time in microseconds.
+pub fn micros(time: Duration) -> f64 {
+    time.as_nanos() as f64 / 1e3
+}
