--- a/crates/scale/src/agent.rs
+++ b/crates/scale/src/agent.rs
@@ -17,7 +17,7 @@
 use crate::error::ScaleError;
 use crate::fleet::FleetSize;
 use crate::meter::Meter;
-use crate::module::{Attempt, Heard, InForce, Module, Owed};
+use crate::module::{Attempt, Heard, Module, Owed, Pending};
 use crate::network::{AttemptId, Incoming, ONE_WAY, Outgoing, Sent, ServiceIndex};
 use crate::settings::{self, ANSWER_SLACK_MICROS, GIVE_UP_MICROS, MAX_ATTEMPTS, Start};
 use crate::wire;
@@ -299,21 +299,28 @@
             Incoming::Ended { attempt, ending } => {
                 heard.extend(self.end_attempt(at, index, attempt, ending));
             }
-            Incoming::List { connection, bytes } => {
+            Incoming::List {
+                connection,
+                bytes,
+                since,
+                whole,
+            } => {
                 let module = &mut self.modules[index as usize];
                 if connection == module.connection {
-                    let before = self.meter.control();
+                    let before = self.meter.parsing;
                     heard.extend(module.take_list(&bytes, &mut self.meter));
-                    let control = self.meter.control() - before;
-                    module.in_force = InForce {
-                        version: module.version(),
-                        at,
-                        control,
-                    };
+                    let reading = self.meter.parsing - before;
+                    module.pending = Some(Pending {
+                        since,
+                        whole,
+                        reading,
+                    });
                 }
             }
             Incoming::ListClosed { connection } => {
-                if connection == self.modules[index as usize].connection {
+                let module = &mut self.modules[index as usize];
+                if connection == module.connection {
+                    module.has_list = false;
                     heard.push(Heard::Membership(Listing::Failed, vec![]));
                 }
             }
@@ -408,11 +415,11 @@
     }
 
     fn round(&mut self, index: u32, now: Duration, heard: Vec<Heard>) {
-        let lists = heard.iter().any(|h| matches!(h, Heard::Membership(..)));
         let module = &mut self.modules[index as usize];
         let (decided, took) = module.round(now, heard);
-        if lists {
-            module.in_force.control += took;
+        if let Some(pending) = module.pending.take() {
+            let after = now.saturating_sub(pending.since) + pending.reading + took;
+            self.meter.acted_on_list(pending.whole, after);
         }
         self.meter.round(took);
         for decision in decided.list {
--- a/crates/scale/src/appliance.rs
+++ b/crates/scale/src/appliance.rs
@@ -19,7 +19,7 @@
 /// Share of requests that fail at a good build.
 const FAILURE_SHARE: f64 = 0.0005;
 /// How long an agent tries to connect before it gives up.
-const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
+pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// Whether an appliance's process runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/scale/src/cli/mod.rs
+++ b/crates/scale/src/cli/mod.rs
@@ -1,5 +1,6 @@
 //! The command line: one file for each sub-command.
 pub mod check;
+pub mod events;
 pub mod point;
 pub mod session;
 pub mod slopes;
@@ -32,6 +33,8 @@
     Check(check::Arguments),
     /// Cost in one steady fleet.
     Point(point::Arguments),
+    /// What events cost at the target's size.
+    Events(events::Arguments),
     /// Cost against each size, one at a time; the largest is held back from the fit.
     Slopes(slopes::Arguments),
 }
@@ -57,6 +60,7 @@
     match arguments.command {
         Command::Check(arguments) => check::run(&arguments),
         Command::Point(arguments) => point::run(&mut session, &arguments),
+        Command::Events(arguments) => events::run(&mut session, &arguments),
         Command::Slopes(arguments) => slopes::run(&mut session, &arguments),
     }
 }
--- a/crates/scale/src/cli/session.rs
+++ b/crates/scale/src/cli/session.rs
@@ -1,7 +1,7 @@
 //! What all sub-commands share: options, limits, and the results on their way to a table and a file.
 use std::path::PathBuf;
 
-use lilacgate_capacity::result::{self, Experiment, Factor, Sample};
+use lilacgate_capacity::result::{self, EventKind, Experiment, Factor, Sample};
 use lilacgate_capacity::target::Target;
 
 use crate::error::ScaleError;
@@ -114,7 +114,7 @@
         let (steady, stopped) = match run::steady(plan, &self.limits) {
             Ok(measured) => measured,
             Err(fault) => {
-                self.keep_nothing(plan, label, &fault)?;
+                self.keep_nothing(plan, label, None, &fault)?;
                 return Err(fault);
             }
         };
@@ -139,10 +139,14 @@
     }
 
     /// A point that was stopped before its measurement began: a partial sample without figures.
-    fn keep_nothing(
+    ///
+    /// # Errors
+    /// Results cannot be written.
+    pub fn keep_nothing(
         &mut self,
         plan: &Plan,
         label: &Label,
+        event: Option<EventKind>,
         fault: &ScaleError,
     ) -> Result<(), ScaleError> {
         if !fault.is_stop() {
@@ -156,7 +160,7 @@
             role: result::Role::Agent,
             factor: label.factor,
             size: plan.size.record(0),
-            event: None,
+            event,
             held_back: label.held_back,
             complete: false,
             figures: Default::default(),
--- a/crates/scale/src/discovery.rs
+++ b/crates/scale/src/discovery.rs
@@ -115,7 +115,12 @@
             to: agent,
             service,
             at,
-            what: Incoming::List { connection, bytes },
+            what: Incoming::List {
+                connection,
+                bytes,
+                since: now,
+                whole: true,
+            },
         }
     }
 
@@ -156,6 +161,8 @@
                 let what = Incoming::List {
                     connection,
                     bytes: bytes.clone(),
+                    since: now,
+                    whole: false,
                 };
                 deliveries.push(Delivery {
                     to,
--- a/crates/scale/src/lib.rs
+++ b/crates/scale/src/lib.rs
@@ -18,6 +18,7 @@
 pub mod decisions;
 pub mod discovery;
 pub mod error;
+pub mod event;
 pub mod fleet;
 pub mod meter;
 pub mod module;
--- a/crates/scale/src/meter.rs
+++ b/crates/scale/src/meter.rs
@@ -106,6 +106,10 @@
     pub parsing: Duration,
     /// The longest time that one message was parsed.
     pub worst_parse: Duration,
+    /// The longest time from a change of a list until it was acted on.
+    pub change_in_force: Duration,
+    /// The longest time from the call for a whole list until it was acted on.
+    pub whole_in_force: Duration,
     /// Times of rounds, in nanoseconds.
     pub round_times: Option<Histogram<u32>>,
 }
@@ -114,11 +118,14 @@
     fn default() -> Self {
         let round_times = Histogram::new_with_bounds(1, LONGEST_ROUND, DIGITS).ok();
         let (rounds, parsing, worst_parse) = Default::default();
+        let (change_in_force, whole_in_force) = Default::default();
         Meter {
             counts: Counts::default(),
             rounds,
             parsing,
             worst_parse,
+            change_in_force,
+            whole_in_force,
             round_times,
         }
     }
@@ -140,6 +147,16 @@
         self.worst_parse = self.worst_parse.max(took);
     }
 
+    /// Notes that a list or a change is in force, after this time.
+    pub fn acted_on_list(&mut self, whole: bool, after: Duration) {
+        let worst = if whole {
+            &mut self.whole_in_force
+        } else {
+            &mut self.change_in_force
+        };
+        *worst = after.max(*worst);
+    }
+
     /// Processor time for control.
     pub fn control(&self) -> Duration {
         self.rounds + self.parsing
@@ -151,6 +168,8 @@
         self.rounds += other.rounds;
         self.parsing += other.parsing;
         self.worst_parse = self.worst_parse.max(other.worst_parse);
+        self.change_in_force = self.change_in_force.max(other.change_in_force);
+        self.whole_in_force = self.whole_in_force.max(other.whole_in_force);
         if let (Some(times), Some(others)) = (&mut self.round_times, &other.round_times) {
             times.add(others).ok();
         }
--- a/crates/scale/src/module.rs
+++ b/crates/scale/src/module.rs
@@ -94,15 +94,15 @@
     }
 }
 
-/// What the last list or change that was acted on was, and when.
-#[derive(Clone, Copy, Debug, Default)]
-pub struct InForce {
-    /// Its version.
-    pub version: u64,
-    /// When its last byte came.
-    pub at: Duration,
-    /// Processor time from then until the round that acted on it was over.
-    pub control: Duration,
+/// A list or change that the next round acts on.
+#[derive(Clone, Copy, Debug)]
+pub struct Pending {
+    /// When the change was made, or the whole list was asked for.
+    pub since: Duration,
+    /// Whether it is a whole list.
+    pub whole: bool,
+    /// Processor time to read it.
+    pub reading: Duration,
 }
 
 /// A decision module and its parsers.
@@ -115,8 +115,10 @@
     pub not_ready: HashMap<ApplianceId, Mode>,
     /// The number of the watch's connection.
     pub connection: u32,
-    /// What is in force.
-    pub in_force: InForce,
+    /// A list or change that the next round acts on.
+    pub pending: Option<Pending>,
+    /// Whether a whole list has come on the connection that it has now.
+    pub has_list: bool,
     /// The last request's number.
     pub last_request: u32,
     catalog: Catalog,
@@ -132,13 +134,14 @@
     pub fn new(seed: u64, settings: &Paths) -> Result<Self, ScaleError> {
         let instance = lilacgate_start::instance(seed, settings).map_err(ScaleError::Settings)?;
         let catalog = Catalog::new(settings).map_err(ScaleError::Settings)?;
-        let (owed, not_ready, in_force) = Default::default();
+        let (owed, not_ready, pending) = Default::default();
         Ok(Module {
             brain: instance.brain,
             owed,
             not_ready,
             connection: 0,
-            in_force,
+            pending,
+            has_list: false,
             last_request: 0,
             catalog,
             list_parser: list_parser(),
@@ -149,6 +152,7 @@
     /// Begins a new connection of the watch, and returns its number.
     pub fn connect(&mut self) -> u32 {
         self.connection += 1;
+        self.has_list = false;
         self.list_parser = list_parser();
         self.connection
     }
@@ -255,6 +259,7 @@
         };
         if *listing == Listing::Whole {
             self.not_ready.clear();
+            self.has_list = true;
         }
         for line in lines {
             match line.mode {
--- a/crates/scale/src/network.rs
+++ b/crates/scale/src/network.rs
@@ -88,6 +88,10 @@
         connection: u32,
         /// The bytes.
         bytes: Arc<[u8]>,
+        /// When the change was made, or the whole list was asked for.
+        since: Duration,
+        /// Whether they hold a whole list.
+        whole: bool,
     },
     /// The watch's connection has ended.
     ListClosed {
--- a/crates/scale/src/run.rs
+++ b/crates/scale/src/run.rs
@@ -220,11 +220,16 @@
         ])
     }
 
+    /// Discovery's figures.
+    pub fn discovery_figures(&self) -> BTreeMap<Quantity, f64> {
+        self.sender_figures(self.discovery)
+    }
+
     /// The samples of all roles.
     pub fn samples(&self, label: &Label) -> Vec<Sample> {
         let mut roles = vec![(Role::Agent, self.agent_figures())];
         roles.extend(self.judge_figures().map(|figures| (Role::Judge, figures)));
-        roles.push((Role::Discovery, self.sender_figures(self.discovery)));
+        roles.push((Role::Discovery, self.discovery_figures()));
         roles.push((Role::Platform, self.sender_figures(self.platform)));
         let size = self.size.record(self.used.round() as u32);
         let sample = |(role, figures)| Sample {
--- a/crates/scale/src/simulation.rs
+++ b/crates/scale/src/simulation.rs
@@ -16,7 +16,7 @@
 use rayon::prelude::*;
 
 use crate::agent::{Agent, Common, OLD_BUILD};
-use crate::appliance::{Appliance, Power, Reply};
+use crate::appliance::{Appliance, CONNECT_TIMEOUT, Power, Reply};
 use crate::discovery::{Delivery, Discovery};
 use crate::error::ScaleError;
 use crate::fleet::FleetSize;
@@ -89,7 +89,7 @@
     /// Resident memory of each agent after its first list, in bytes.
     pub agent_bytes: f64,
     /// Whether the regions cannot reach each other.
-    pub is_parted: bool,
+    is_parted: bool,
     pool: ThreadPool,
     limits: Limits,
     /// The appliance of each number, by service.
@@ -305,6 +305,9 @@
                 }
             }
             Outgoing::Vote { verdict, .. } => self.platform.vote(at, service, verdict),
+            Outgoing::Watch { connection } if !self.reaches_discovery(agent) => {
+                self.close_watch(agent, service, connection);
+            }
             Outgoing::Watch { connection } => {
                 let delivery = self.discovery.watch(at, service, agent, connection);
                 self.deliver(delivery);
@@ -350,6 +353,67 @@
         !self.is_parted || self.region(from) == self.region(to)
     }
 
+    /// Discovery stands in the first region.
+    fn reaches_discovery(&self, agent: AgentId) -> bool {
+        !self.is_parted || self.region(agent) == RegionId(0)
+    }
+
+    /// A watch's connection ends, or is never made.
+    fn close_watch(&mut self, to: AgentId, service: ServiceIndex, connection: u32) {
+        let what = Incoming::ListClosed { connection };
+        let at = self.now + CONNECT_TIMEOUT;
+        self.deliver(Delivery {
+            to,
+            service,
+            at,
+            what,
+        });
+    }
+
+    /// Parts the regions from each other: watches across the gap end, attempts and datagrams get
+    /// lost. What is on its way still arrives.
+    pub fn part_regions(&mut self) {
+        self.is_parted = true;
+        for id in (0..self.agents.len() as u32).map(AgentId) {
+            if self.reaches_discovery(id) {
+                continue;
+            }
+            for service in (0..self.common.size.services).map(ServiceIndex) {
+                self.discovery.unwatch(service, id);
+                let module = &self.agents[id.0 as usize].modules[service.0 as usize];
+                let connection = module.connection;
+                self.close_watch(id, service, connection);
+            }
+        }
+    }
+
+    /// Joins the regions again.
+    pub fn join_regions(&mut self) {
+        self.is_parted = false;
+    }
+
+    /// Modules whose list is not discovery's.
+    pub fn modules_behind(&self) -> usize {
+        let is_behind = |(service, module): (usize, &crate::module::Module)| {
+            module.version() != self.discovery.version(ServiceIndex(service as u32))
+        };
+        let behind = |agent: &Agent| {
+            agent
+                .modules
+                .iter()
+                .enumerate()
+                .filter(|one| is_behind(*one))
+                .count()
+        };
+        self.agents.iter().map(behind).sum()
+    }
+
+    /// Modules that have not had a whole list on the connection that they have now.
+    pub fn modules_unwatched(&self) -> usize {
+        let modules = self.agents.iter().flat_map(|agent| &agent.modules);
+        modules.filter(|module| !module.has_list).count()
+    }
+
     fn plan_change(&mut self) {
         let rate = self.common.size.change_rate;
         self.next_change = (rate > 0.0).then(|| self.now + Duration::from_secs_f64(1.0 / rate));
@@ -383,14 +447,10 @@
                 .push(appliance.entry.clone());
         }
         for (service, entries) in changes {
-            // Discovery stands in the first region.
-            let reaches = |to: AgentId| !self.is_parted || self.region(to) == RegionId(0);
-            let reached: Vec<bool> = (0..self.agents.len())
-                .map(|i| reaches(AgentId(i as u32)))
-                .collect();
-            let deliveries = self.discovery.change(self.now, service, &entries, |to| {
-                reached.get(to.0 as usize).copied().unwrap_or(false)
-            });
+            let agents = (0..self.agents.len() as u32).map(AgentId);
+            let reached: Vec<bool> = agents.map(|to| self.reaches_discovery(to)).collect();
+            let reaches = |to: AgentId| reached.get(to.0 as usize).copied().unwrap_or(false);
+            let deliveries = self.discovery.change(self.now, service, &entries, reaches);
             deliveries
                 .into_iter()
                 .for_each(|delivery| self.deliver(delivery));
