--- a/Makefile
+++ b/Makefile
@@ -1,7 +1,7 @@
 # What a developer does here. CI runs .ci/run, which is `lint` and `test` on a clean checkout.
 START ?= deploy/start.example.json
 
-.PHONY: build test lint run demo sites measure-releases measure-timeline
+.PHONY: build test lint run demo sites measure-releases measure-timeline measure-scale
 
 build:
 	cargo build --release
@@ -35,3 +35,8 @@
 measure-timeline:
 	cargo build --release -p lilacgate-agent -p lilacgate-standin
 	target/release/lilacgate-standin measure timeline
+
+# What control costs at the size of deploy/capacity.xml, in virtual time.
+measure-scale:
+	cargo build --release -p lilacgate-scale
+	target/release/lilacgate-scale measure --threads 4
--- a/crates/scale/src/cli/mod.rs
+++ b/crates/scale/src/cli/mod.rs
@@ -1,6 +1,7 @@
 //! The command line: one file for each sub-command.
 pub mod check;
 pub mod events;
+pub mod measure;
 pub mod point;
 pub mod session;
 pub mod slopes;
@@ -35,6 +36,8 @@
     Point(point::Arguments),
     /// What events cost at the target's size.
     Events(events::Arguments),
+    /// The target's figures beside its budgets, in under a minute.
+    Measure(measure::Arguments),
     /// Cost against each size, one at a time; the largest is held back from the fit.
     Slopes(slopes::Arguments),
 }
@@ -61,6 +64,7 @@
         Command::Check(arguments) => check::run(&arguments),
         Command::Point(arguments) => point::run(&mut session, &arguments),
         Command::Events(arguments) => events::run(&mut session, &arguments),
+        Command::Measure(arguments) => measure::run(&mut session, &arguments),
         Command::Slopes(arguments) => slopes::run(&mut session, &arguments),
     }
 }
--- a/crates/scale/src/fleet.rs
+++ b/crates/scale/src/fleet.rs
@@ -4,7 +4,9 @@
 
 use lilacgate_capacity::fleet::Fleet;
 use lilacgate_capacity::result::Size;
-use lilacgate_capacity::target::{Budgets, Changes, Failures, Places, Services, Target};
+use lilacgate_capacity::target::{
+    Budgets, Changes, Failures, NamedService, Places, Services, Target,
+};
 
 use crate::error::ScaleError;
 
@@ -28,6 +30,8 @@
     pub service_skew: f64,
     /// The least size of the largest service.
     pub largest: u32,
+    /// Sizes of services that are not drawn.
+    pub known_sizes: Vec<u32>,
     /// Routes over all services.
     pub routes: u32,
     /// Tenants in the operator's table; with 0 there is no such table.
@@ -55,6 +59,7 @@
             services: 1,
             service_skew: 1.1,
             largest: 1,
+            known_sizes: Vec::new(),
             routes: 4,
             tenants: 0,
             request_rate: 1246.0,
@@ -82,6 +87,12 @@
             services: target.services.count,
             service_skew: target.services.skew,
             largest: target.services.largest,
+            known_sizes: target
+                .services
+                .named
+                .iter()
+                .map(|named| named.appliances)
+                .collect(),
             routes: target.routes,
             tenants: 0,
             request_rate: target.request_rate,
@@ -101,6 +112,7 @@
         FleetSize {
             services,
             largest,
+            known_sizes: Vec::new(),
             routes,
             ..self.clone()
         }
@@ -128,6 +140,9 @@
         if self.services == 0 || self.services > self.appliances {
             return fault("each service needs an appliance at least");
         }
+        if self.known_sizes.is_empty() && self.largest + self.services - 1 > self.appliances {
+            return fault("the largest service leaves too few appliances for the others");
+        }
         if self.request_rate <= 0.0 || !self.request_rate.is_finite() {
             return fault("the request rate is not above 0");
         }
@@ -163,13 +178,18 @@
 
     /// A target of this size. Rates of failures and budgets play no part in a draw.
     fn target(&self) -> Target {
+        let named = |(place, &appliances): (usize, &u32)| NamedService {
+            name: format!("service-{place}"),
+            appliances,
+        };
+        let named = self.known_sizes.iter().enumerate().map(named).collect();
         let services = Services {
             count: self.services,
             appliances: self.appliances,
             largest: self.largest,
             skew: self.service_skew,
             list_cap: self.appliances,
-            named: Vec::new(),
+            named,
         };
         Target {
             today: Size::default(),
--- a/crates/scale/src/lib.rs
+++ b/crates/scale/src/lib.rs
@@ -20,6 +20,7 @@
 pub mod error;
 pub mod event;
 pub mod fleet;
+pub mod measure;
 pub mod meter;
 pub mod module;
 pub mod network;
--- a/crates/scale/src/meter.rs
+++ b/crates/scale/src/meter.rs
@@ -110,6 +110,8 @@
     pub change_in_force: Duration,
     /// The longest time from the call for a whole list until it was acted on.
     pub whole_in_force: Duration,
+    /// The time of each round in nanoseconds, where they are kept.
+    pub round_log: Option<Vec<u32>>,
     /// Times of rounds, in nanoseconds.
     pub round_times: Option<Histogram<u32>>,
 }
@@ -126,6 +128,7 @@
             worst_parse,
             change_in_force,
             whole_in_force,
+            round_log: None,
             round_times,
         }
     }
@@ -136,6 +139,9 @@
     pub fn round(&mut self, took: Duration) {
         self.counts.rounds += 1;
         self.rounds += took;
+        if let Some(log) = &mut self.round_log {
+            log.push(u32::try_from(took.as_nanos()).unwrap_or(u32::MAX));
+        }
         if let Some(times) = &mut self.round_times {
             times.saturating_record(took.as_nanos() as u64);
         }
--- a/crates/scale/src/simulation.rs
+++ b/crates/scale/src/simulation.rs
@@ -557,6 +557,13 @@
         self.platform.sent = Default::default();
     }
 
+    /// Keeps the time of each round from now on.
+    pub fn log_rounds(&mut self) {
+        for agent in &mut self.agents {
+            agent.meter.round_log = Some(Vec::new());
+        }
+    }
+
     /// What all agents together did and what that cost.
     pub fn total(&self) -> Meter {
         let mut total = Meter::default();
