--- a/crates/loopback/src/samples.rs
+++ b/crates/loopback/src/samples.rs
@@ -16,6 +16,10 @@
 /// The routes that the start file's profiles name.
 const ROUTES: u32 = 4;
 
+/// Up to so many requests a second what a process uses is taken for control alone. It is above 0, as a hollow fleet
+/// has no size without requests.
+const IDLE_RATE: f64 = 0.1;
+
 type Figures = BTreeMap<Quantity, f64>;
 
 /// How the agents came up: what one process needed, and what discovery served.
@@ -104,8 +108,10 @@
             each_second(control.datagrams.bytes_in),
         ),
     ]);
-    if window.request_rate <= 0.0 {
+    if window.request_rate <= IDLE_RATE {
         figures.insert(Quantity::ControlCorePercent, window.mean_core_percent());
+    }
+    if window.request_rate <= 0.0 {
         return figures;
     }
     figures.insert(Quantity::Requests, window.requests.served as f64);
