--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -4,6 +4,7 @@
 #![forbid(unsafe_code)]
 
 pub mod appliances;
+pub mod catalog;
 pub mod clients;
 pub mod desk;
 pub mod discovery;
@@ -11,6 +12,7 @@
 pub mod json;
 pub mod keeper;
 pub mod log;
+pub mod numbers;
 pub mod peers;
 pub mod platform;
 pub mod recorder;
