--- a/crates/agent/tests/agent.rs
+++ b/crates/agent/tests/agent.rs
@@ -43,7 +43,7 @@
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream, UdpSocket};
 use std::path::{Path, PathBuf};
 use std::sync::mpsc::Receiver;
-use std::sync::{Arc, Mutex};
+use std::sync::{Arc, Mutex, PoisonError};
 use std::thread;
 use std::time::Duration;
 
@@ -423,6 +423,16 @@
     }
 }
 
+/// A scenario that fails shows what its agent has logged, after the steps played so far.
+impl Drop for Play {
+    fn drop(&mut self) {
+        if thread::panicking() {
+            let log = self.log.lock().unwrap_or_else(PoisonError::into_inner);
+            println!("the agent's log:\n{log}");
+        }
+    }
+}
+
 #[rstest]
 fn scenario(#[files("tests/scenarios/*.txt")] path: PathBuf) {
     let text = std::fs::read_to_string(&path).expect("a scenario");
