--- a/crates/agent/src/discovery.rs
+++ b/crates/agent/src/discovery.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 use std::rc::Rc;
-use std::time::Duration;
+use std::time::{Duration, Instant};
 
 use async_channel::{Receiver, Sender};
 use futures_lite::{FutureExt, StreamExt, pin};
@@ -15,6 +15,7 @@
 use crate::hub::{Hub, Lists};
 use crate::json::{self, Json};
 use crate::log::{Count, End, count, say};
+use crate::pacing::{CallEnd, Pacing};
 use crate::ring::{Intake, Parse, Place, Ring, connect, items, within};
 
 /// A quiet watch sends an empty line this often.
@@ -177,6 +178,7 @@
     /// The number of each appliance by its name, the same at every agent and over its restarts.
     numbers: RefCell<HashMap<String, ApplianceId>>,
     wish: (Sender<bool>, Receiver<bool>),
+    pacing: RefCell<Pacing>,
 }
 
 impl Discovery {
@@ -184,18 +186,21 @@
         hub: Rc<Hub>, appliances: Rc<Appliances>, at: SocketAddr, told: &Paths, most: usize,
     ) -> Result<Rc<Self>, String> {
         let (version, numbers) = Default::default();
+        let connect_within = told.period("limits.connect-timeout")?;
         Ok(Rc::new(Discovery {
             hub,
             appliances,
             place: Place::new(at),
             zones: told.names("zones")?,
             models: told.names("shapes")?,
-            connect_within: told.period("limits.connect-timeout")?,
+            connect_within,
             asked: told.asks()?,
             most,
             version,
             numbers,
             wish: async_channel::unbounded(),
+            // Whoever answers at all goes on within the time in which a connection comes up.
+            pacing: RefCell::new(Pacing::new(connect_within, SILENT)),
         }))
     }
 
@@ -279,38 +284,48 @@
 
     /// Watches the list, where the module does not ask for it by itself, as long as the agent runs.
     pub async fn run(self: Rc<Self>) {
-        let mut pause = QUIET / 40;
         let mut on = !self.asked;
         loop {
             while !on {
                 on = self.wish.1.recv().await.unwrap_or(false);
             }
-            let (at, heard) = (self.place.at(), std::cell::Cell::new(false));
-            let path = format!("/catalog/members?follow=1&since={}", self.version.get());
-            let call = self.call(path, false, &heard);
-            let off = async {
-                while self.wish.1.recv().await.unwrap_or(true) {}
-                Err(End::GivenUp)
-            };
-            let mut end = call.or(off).or(self.place.moved()).await;
-            match end {
-                Err(End::Moved) => say!("discovery {at} ended: {}", End::Moved),
-                Err(end) => self.failed(end),
-                Ok(()) => {}
-            }
-            pause = if heard.get() { QUIET / 40 } else { (pause * 2).min(QUIET / 4) };
-            if end != Err(End::Moved) {
+            let (end, pause) = self.watched().await;
+            let mut moved = end == Err(End::Moved);
+            if !moved {
                 on = !self.asked;
-                end = if on { within(pause, self.place.moved()).await } else { end };
+                moved = on && within(pause, self.place.moved::<()>()).await == Err(End::Moved);
             }
-            if end == Err(End::Moved) {
+            if moved {
                 // Another service may count its versions otherwise: the whole list, at once.
                 self.version.set(0);
-                pause = QUIET / 40;
+                self.pacing.borrow_mut().moved();
             }
         }
     }
 
+    /// One watch, up to its end; how it ended, and the pause before the next one.
+    async fn watched(&self) -> (Result<(), End>, Duration) {
+        let (at, heard, began) = (self.place.at(), std::cell::Cell::new(false), Instant::now());
+        let path = format!("/catalog/members?follow=1&since={}", self.version.get());
+        let call = self.call(path, false, &heard);
+        let off = async {
+            while self.wish.1.recv().await.unwrap_or(true) {}
+            Err(End::GivenUp)
+        };
+        let end = call.or(off).or(self.place.moved()).await;
+        match end {
+            Err(End::Moved) => say!("discovery {at} ended: {}", End::Moved),
+            Err(end) => self.failed(end),
+            Ok(()) => {}
+        }
+        let how = match end {
+            _ if heard.get() => CallEnd::Answered,
+            Err(End::Stalled) => CallEnd::Stalled,
+            _ => CallEnd::Unanswered,
+        };
+        (end, self.pacing.borrow_mut().pause_after(how, began.elapsed()))
+    }
+
     /// One call, up to its end, or to its first message.
     async fn call(&self, path: String, once: bool, heard: &std::cell::Cell<bool>) -> Result<(), End> {
         let at = self.place.at();
@@ -318,7 +333,8 @@
         let mut ask = Ring::new(HEAD_LINE);
         ask.put(format!("GET {path} HTTP/1.1\r\nHost: {at}\r\nAccept: application/json\r\n\r\n").as_bytes());
         within(self.connect_within, ask.flush(&stream)).await?;
-        let lists = items(stream, Intake::new(Lines(Answer::new(self.most)), self.most, SILENT));
+        let intake = Intake::new(Lines(Answer::new(self.most)), self.most, SILENT);
+        let lists = items(stream, intake.stalls_after(self.pacing.borrow().stall()));
         pin!(lists);
         loop {
             let next = async { lists.next().await.unwrap_or(Err(End::Closed)) };
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -11,6 +11,7 @@
 pub mod json;
 pub mod keeper;
 pub mod log;
+pub mod pacing;
 pub mod peers;
 pub mod platform;
 pub mod recorder;
--- a/crates/agent/src/log.rs
+++ b/crates/agent/src/log.rs
@@ -135,6 +135,7 @@
     Refused "refused"
     Unreachable "unreachable"
     Silent "silent"
+    Stalled "stalled"
     Malformed "malformed"
     TooLong "too-long"
     Flood "flood"
--- a/crates/agent/src/ring.rs
+++ b/crates/agent/src/ring.rs
@@ -88,6 +88,8 @@
     parser: P,
     /// In which time an item must be whole, once begun.
     patience: Duration,
+    /// How long more bytes of an item are waited for, once it has begun, if that has a bound of its own.
+    stall: Option<Duration>,
     /// When bytes last came, and when those that began the present item did.
     came: Instant,
     begun: Instant,
@@ -98,7 +100,13 @@
 impl<P: Parse> Intake<P> {
     pub fn new(parser: P, most: usize, patience: Duration) -> Self {
         let now = Instant::now();
-        Intake { ring: Ring::new(most), parser, patience, came: now, begun: now, amid: Rc::default() }
+        let (ring, amid) = (Ring::new(most), Rc::default());
+        Intake { ring, parser, patience, stall: None, came: now, begun: now, amid }
+    }
+
+    /// The same, which ends as stalled once no more bytes of an item that has begun come for so long.
+    pub fn stalls_after(self, stall: Duration) -> Self {
+        Intake { stall: Some(stall), ..self }
     }
 
     /// The next item; nothing at the end of the stream.
@@ -123,7 +131,7 @@
                 }
             }
             self.ring.rest();
-            if from.read_with(|from| self.ring.fill(from)).await.map_err(End::from)? == 0 {
+            if self.read(from).await? == 0 {
                 return Ok(None);
             }
             self.came = Instant::now();
@@ -131,6 +139,20 @@
         }
     }
 
+    /// Reads what comes next, and waits for it no longer than an item that has begun may stall.
+    async fn read(&mut self, from: &Async<TcpStream>) -> Result<usize, End> {
+        let stall = self.stall.filter(|_| !self.parser.is_between());
+        let ring = &mut self.ring;
+        let read = async { from.read_with(|from| ring.fill(from)).await.map_err(End::from) };
+        let Some(stall) = stall else { return read.await };
+        let stalled = async {
+            Timer::after(stall).await;
+            Err(End::Stalled)
+        };
+        pin!(read);
+        read.or(stalled).await
+    }
+
     /// Whether a quiet connection is still open, with nothing left over on it.
     pub fn is_quiet(&mut self, from: &Async<TcpStream>) -> bool {
         let waits = |e: &io::Error| e.kind() == io::ErrorKind::WouldBlock;
--- a/crates/agent/tests/agent.rs
+++ b/crates/agent/tests/agent.rs
@@ -20,6 +20,7 @@
 //!     roster NAME[@WHERE]:STATE[:BUILD] ..  discovery tells changes, one may be where another listens
 //!     roster raw BYTES: a chunk as it is
 //!     roster asked TEXT / drops    the next call's path holds TEXT / the watch breaks
+//!     roster asked the end         a call's connection ends, whatever others bring meanwhile
 //!     news BUILD STAGE STATE CAP   the platform tells;  news raw BYTES: as it is;  news asked: a new listener came
 //!     vote gets TEXT / answers BYTES / ends   the next call for a vote
 //!     peer sends BYTES / stranger sends BYTES
@@ -332,6 +333,7 @@
             ("later", _) => thread::sleep(Duration::from_millis(rest.parse().expect("a number"))),
             ("files", _) => self.files = Some(rest.parse().expect("a number")),
             ("roster", ("raw", text)) => self.discovery.write(&bytes(text)),
+            ("roster", ("asked", THE_END)) => self.discovery.heard_end(),
             ("roster", ("asked", text)) => {
                 let got = self.discovery.heard();
                 assert!(got.contains(text), "asked {got}");
