--- a/crates/agent/tests/agent.rs
+++ b/crates/agent/tests/agent.rs
@@ -17,10 +17,10 @@
 //!     NAME turns ID                goes back to the connection that brought this one
 //!     NAME ends / vanishes / waits that connection breaks / it stops listening / no command is there
 //!     NAME links N                 so many connections have come so far
-//!     roster NAME[@WHERE]:STATE[:BUILD] ..  discovery tells changes, one may be where another listens
-//!     roster raw BYTES: a chunk as it is
-//!     roster asked TEXT / drops    the next call's path holds TEXT / the watch breaks
-//!     roster asked the end         a call's connection ends, whatever others bring meanwhile
+//!     membership NAME[@WHERE]:STATE[:BUILD] ..  discovery tells changes, one may be where another listens
+//!     membership raw BYTES: a chunk as it is
+//!     membership asked TEXT / drops    the next call's path holds TEXT / the watch breaks
+//!     membership asked the end         a call's connection ends, whatever others bring meanwhile
 //!     news BUILD STAGE STATE CAP   the platform tells;  news raw BYTES: as it is;  news asked: a new listener came
 //!     vote gets TEXT / answers BYTES / ends   the next call for a vote
 //!     peer sends BYTES / stranger sends BYTES
@@ -164,7 +164,7 @@
         self.log.lock().expect("a lock").clone()
     }
 
-    fn tell_roster(&mut self, entries: &str) {
+    fn tell_membership(&mut self, entries: &str) {
         self.version += 1;
         let entries: Vec<String> = entries
             .split(' ')
@@ -332,14 +332,14 @@
             ("told", _) => self.write_told(),
             ("later", _) => thread::sleep(Duration::from_millis(rest.parse().expect("a number"))),
             ("files", _) => self.files = Some(rest.parse().expect("a number")),
-            ("roster", ("raw", text)) => self.discovery.write(&bytes(text)),
-            ("roster", ("asked", THE_END)) => self.discovery.heard_end(),
-            ("roster", ("asked", text)) => {
+            ("membership", ("raw", text)) => self.discovery.write(&bytes(text)),
+            ("membership", ("asked", THE_END)) => self.discovery.heard_end(),
+            ("membership", ("asked", text)) => {
                 let got = self.discovery.heard();
                 assert!(got.contains(text), "asked {got}");
             }
-            ("roster", ("drops", _)) => self.discovery.end(),
-            ("roster", _) => self.tell_roster(rest),
+            ("membership", ("drops", _)) => self.discovery.end(),
+            ("membership", _) => self.tell_membership(rest),
             ("news", ("asked", _)) => {
                 self.listener = self.listeners.recv_timeout(PATIENCE).expect("a listener").0
             }
