--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -13,6 +13,7 @@
 pub mod keeper;
 pub mod log;
 pub mod numbers;
+pub mod pacing;
 pub mod peers;
 pub mod platform;
 pub mod recorder;
--- a/crates/agent/tests/agent.rs
+++ b/crates/agent/tests/agent.rs
@@ -20,6 +20,7 @@
 //!     membership NAME[@WHERE]:STATE[:BUILD] ..  discovery tells changes, one may be where another listens
 //!     membership raw BYTES: a chunk as it is
 //!     membership asked TEXT / drops    the next call's path holds TEXT / the watch breaks
+//!     membership asked the end         a call's connection ends, whatever others bring meanwhile
 //!     news BUILD STAGE STATE CAP   the platform tells;  news raw BYTES: as it is;  news asked: a new listener came
 //!     vote gets TEXT / answers BYTES / ends   the next call for a vote
 //!     peer sends BYTES / stranger sends BYTES
@@ -43,7 +44,7 @@
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream, UdpSocket};
 use std::path::{Path, PathBuf};
 use std::sync::mpsc::Receiver;
-use std::sync::{Arc, Mutex};
+use std::sync::{Arc, Mutex, PoisonError};
 use std::thread;
 use std::time::Duration;
 
@@ -332,6 +333,7 @@
             ("later", _) => thread::sleep(Duration::from_millis(rest.parse().expect("a number"))),
             ("files", _) => self.files = Some(rest.parse().expect("a number")),
             ("membership", ("raw", text)) => self.discovery.write(&bytes(text)),
+            ("membership", ("asked", THE_END)) => self.discovery.heard_end(),
             ("membership", ("asked", text)) => {
                 let got = self.discovery.heard();
                 assert!(got.contains(text), "asked {got}");
@@ -423,6 +425,16 @@
     }
 }
 
+/// A scenario that fails shows what its agent has logged, after the steps played so far.
+impl Drop for Play {
+    fn drop(&mut self) {
+        if thread::panicking() {
+            let log = self.log.lock().unwrap_or_else(PoisonError::into_inner);
+            println!("the agent's log:\n{log}");
+        }
+    }
+}
+
 #[rstest]
 fn scenario(#[files("tests/scenarios/*.txt")] path: PathBuf) {
     let text = std::fs::read_to_string(&path).expect("a scenario");
