--- /dev/null
+++ b/examples/round_cost.rs
@@ -0,0 +1,171 @@
+//! What the decision module costs by the length of its list: processor time a second, the worst round, and a whole list.
+//! `cargo run --release --example round_cost [SECONDS]`. One module in virtual time; every attempt is served.
+use std::collections::{BTreeMap, BTreeSet};
+use std::time::{Duration, Instant};
+
+use lilacgate::brain::Brain;
+use lilacgate::parts::*;
+use lilacgate::port::*;
+
+const DAWN: Duration = Duration::from_secs(100);
+const TICK: Duration = Duration::from_millis(5);
+const ANSWER_TIME: Duration = Duration::from_millis(100);
+const READ: Terms = Terms {
+    repeat: Repeat::InquiryLike,
+    sla: Duration::from_millis(500),
+    deadline: Duration::from_secs(2),
+    remembered: Duration::ZERO,
+    revenue: 1.0,
+    late_share: 0.0,
+};
+
+fn module() -> Brain {
+    let ms = Duration::from_millis;
+    let among = Among { me: AgentId(17), agents: 530, may_tell: true };
+    let calls = Calls { lasts: ms(6000), wait: ms(1200) };
+    Brain::new(
+        1,
+        Roster::new(Zone(0), None),
+        Thaw::new(0.34, ms(4000), 2.5, ms(1000)),
+        Exposure::new(ms(4000), TICK, 3.0, 0.1, false, 1, false),
+        Jury::new(Gate::Single, vec![0.1, 0.5, 1.0], ms(900), calls, true, among, 1),
+        Desk::new(vec![READ], 3, true, ms(2000), TICK),
+    )
+}
+
+fn line(i: u32) -> Line {
+    let appliance = ApplianceId(i.wrapping_mul(0x9E37_79B9));
+    let (model, build, mode) = (Model((i % 3) as u8), Build(1), Mode::Ready);
+    let (cell, zone) = (Cell((i / 5) as u16), Zone((i % 8) as u8));
+    Line { appliance, mode, model, weight: 4.0, started: None, build, cell, zone }
+}
+
+/// The attempts decided in a round, and when the module wants to be woken.
+#[derive(Default)]
+struct Decided {
+    sent: Vec<(TxnId, ApplianceId)>,
+    wakes: Vec<Duration>,
+}
+
+impl Decisions for Decided {
+    fn submit(&mut self, id: TxnId, to: ApplianceId, _: Duration) {
+        self.sent.push((id, to));
+    }
+    fn decline(&mut self, _: TxnId, _: Duration) {}
+    fn void(&mut self, _: TxnId) {}
+    fn call_off(&mut self, _: TxnId, _: Leg) {}
+    fn wake(&mut self, at: Duration, _: Ticket) {
+        self.wakes.push(at);
+    }
+    fn probe(&mut self, _: ApplianceId) {}
+    fn free_links(&mut self, _: ApplianceId) {}
+    fn tell(&mut self, _: Option<AgentId>, _: &[u8]) {}
+    fn log(&mut self, _: &str) {}
+    fn watch_roster(&mut self, _: bool) {}
+    fn fetch_roster(&mut self) {}
+    fn vote(&mut self, _: Build, _: Stage, _: Verdict) {}
+}
+
+/// What happens at a time, besides wake-ups.
+enum Event {
+    Request(u32),
+    Answer(TxnId, ApplianceId),
+    Change(u32),
+}
+
+#[derive(Default)]
+struct Cost {
+    rounds: Vec<Duration>,
+    used: BTreeSet<ApplianceId>,
+}
+
+/// Runs a module for so long with so many requests and changes of the list a second.
+fn run(listed: u32, requests: u32, changes: u32, seconds: u32) -> (Cost, Duration) {
+    let mut brain = module();
+    let mut cost = Cost::default();
+    let mut events: BTreeMap<(Duration, u32), Event> = BTreeMap::new();
+    let mut serial = 0;
+    let mut put = |events: &mut BTreeMap<_, _>, at, event| {
+        serial += 1;
+        events.insert((at, serial), event);
+    };
+    for i in 0..requests * seconds {
+        put(&mut events, DAWN + Duration::from_secs(1) * i / requests, Event::Request(i));
+    }
+    for i in 0..changes * seconds {
+        put(&mut events, DAWN + Duration::from_secs(1) * i / changes, Event::Change(i));
+    }
+    let whole: Vec<Line> = (0..listed).map(line).collect();
+    let mut decided = Decided::default();
+    let list = |brain: &mut Brain, now, decided: &mut Decided| {
+        let lines = whole.clone();
+        let began = Instant::now();
+        let hear = |ears: &mut dyn Hears| {
+            ears.stage(Build(1), Stage(2), Course::Released, 1.0, Duration::ZERO);
+            ears.roster(Listing::Whole, &mut lines.into_iter());
+        };
+        brain.round(now, hear, decided);
+        began.elapsed()
+    };
+    list(&mut brain, DAWN, &mut decided);
+    let again = list(&mut brain, DAWN + TICK, &mut decided);
+    let end = DAWN + Duration::from_secs(1) * seconds;
+    let mut wakes: BTreeSet<Duration> = decided.wakes.drain(..).collect();
+    loop {
+        let next = events.keys().next().map(|(at, _)| *at).into_iter().chain(wakes.first().copied()).min();
+        let Some(now) = next.filter(|at| *at < end) else { break };
+        wakes.retain(|at| *at > now);
+        let later = events.split_off(&(now, u32::MAX));
+        let due = std::mem::replace(&mut events, later);
+        let began = Instant::now();
+        let hear = |ears: &mut dyn Hears| {
+            for event in due.into_values() {
+                match event {
+                    Event::Request(i) => {
+                        let (product, tenant, mark) = (Product(0), Tenant(0), None);
+                        let (deadline, hint) = (now + READ.deadline, Some(ANSWER_TIME));
+                        ears.txn(TxnId(i), Txn { product, tenant, mark, deadline, hint, repeated: false });
+                    }
+                    Event::Answer(id, at) => ears.ended(id, Leg(0), at, Ending::Served, ANSWER_TIME, true),
+                    Event::Change(i) => {
+                        let started = Some(now);
+                        let one = Line { started, ..line(i.wrapping_mul(7919) % listed) };
+                        ears.roster(Listing::Changes, &mut [one].into_iter());
+                    }
+                }
+            }
+        };
+        brain.round(now, hear, &mut decided);
+        cost.rounds.push(began.elapsed());
+        wakes.extend(decided.wakes.drain(..));
+        for (id, to) in decided.sent.drain(..) {
+            cost.used.insert(to);
+            put(&mut events, now + ANSWER_TIME, Event::Answer(id, to));
+        }
+    }
+    cost.rounds.sort();
+    (cost, again)
+}
+
+fn main() {
+    let seconds: u32 = std::env::args().nth(1).map_or(20, |text| text.parse().expect("seconds"));
+    println!("listed requests/s changes/s rounds/s ms/s p99.9_us worst_us used whole_list_us");
+    for (requests, changes) in [(62, 0), (62, 1), (0, 0)] {
+        for listed in [35, 150, 600, 2_400, 7_400] {
+            let (cost, whole) = run(listed, requests, changes, seconds);
+            let all: Duration = cost.rounds.iter().sum();
+            let count = cost.rounds.len();
+            let high = cost.rounds.get((count - count / 1000).saturating_sub(1)).copied().unwrap_or_default();
+            let worst = cost.rounds.last().copied().unwrap_or_default();
+            println!(
+                "{listed:6} {requests:10} {changes:9} {:8} {:.3} {:8.1} {:8.1} {:4} {:8.1}",
+                count / seconds as usize,
+                all.as_secs_f64() * 1e3 / f64::from(seconds),
+                high.as_secs_f64() * 1e6,
+                worst.as_secs_f64() * 1e6,
+                cost.used.len(),
+                whole.as_secs_f64() * 1e6,
+            );
+        }
+    }
+}
