--- a/examples/round_cost.rs
+++ b/examples/round_cost.rs
@@ -1,11 +1,12 @@
 //! What the decision module costs by the length of its list: processor time a second, the worst round, and a whole list.
 //! `cargo run --release --example round_cost [SECONDS]`. One module in virtual time; every attempt is served.
 use std::collections::{BTreeMap, BTreeSet};
-use std::time::{Duration, Instant};
+use std::time::Duration;
 
 use lilacgate::brain::Brain;
 use lilacgate::parts::*;
 use lilacgate::port::*;
+use rustix::time::{ClockId, clock_gettime};
 
 const DAWN: Duration = Duration::from_secs(100);
 const TICK: Duration = Duration::from_millis(5);
@@ -66,6 +67,12 @@
     fn vote(&mut self, _: Build, _: Stage, _: Verdict) {}
 }
 
+/// Processor time of this thread.
+fn spent() -> Duration {
+    let now = clock_gettime(ClockId::ThreadCPUTime);
+    Duration::new(now.tv_sec as u64, now.tv_nsec as u32)
+}
+
 /// What happens at a time, besides wake-ups.
 enum Event {
     Request(u32),
@@ -77,6 +84,7 @@
 struct Cost {
     rounds: Vec<Duration>,
     used: BTreeSet<ApplianceId>,
+    visited: u64,
 }
 
 /// Runs a module for so long with so many requests and changes of the list a second.
@@ -99,13 +107,13 @@
     let mut decided = Decided::default();
     let list = |brain: &mut Brain, now, decided: &mut Decided| {
         let lines = whole.clone();
-        let began = Instant::now();
+        let began = spent();
         let hear = |ears: &mut dyn Hears| {
             ears.stage(Build(1), Stage(2), Course::Released, 1.0, Duration::ZERO);
             ears.roster(Listing::Whole, &mut lines.into_iter());
         };
         brain.round(now, hear, decided);
-        began.elapsed()
+        spent() - began
     };
     list(&mut brain, DAWN, &mut decided);
     let again = list(&mut brain, DAWN + TICK, &mut decided);
@@ -117,7 +125,7 @@
         wakes.retain(|at| *at > now);
         let later = events.split_off(&(now, u32::MAX));
         let due = std::mem::replace(&mut events, later);
-        let began = Instant::now();
+        let began = spent();
         let hear = |ears: &mut dyn Hears| {
             for event in due.into_values() {
                 match event {
@@ -136,7 +144,7 @@
             }
         };
         brain.round(now, hear, &mut decided);
-        cost.rounds.push(began.elapsed());
+        cost.rounds.push(spent() - began);
         wakes.extend(decided.wakes.drain(..));
         for (id, to) in decided.sent.drain(..) {
             cost.used.insert(to);
@@ -144,12 +152,13 @@
         }
     }
     cost.rounds.sort();
+    cost.visited = brain.visited();
     (cost, again)
 }
 
 fn main() {
     let seconds: u32 = std::env::args().nth(1).map_or(20, |text| text.parse().expect("seconds"));
-    println!("listed requests/s changes/s rounds/s ms/s p99.9_us worst_us used whole_list_us");
+    println!("listed requests/s changes/s rounds/s ms/s p99.9_us worst_us used whole_list_us rows/s");
     for (requests, changes) in [(62, 0), (62, 1), (0, 0)] {
         for listed in [35, 150, 600, 2_400, 7_400] {
             let (cost, whole) = run(listed, requests, changes, seconds);
@@ -158,13 +167,14 @@
             let high = cost.rounds.get((count - count / 1000).saturating_sub(1)).copied().unwrap_or_default();
             let worst = cost.rounds.last().copied().unwrap_or_default();
             println!(
-                "{listed:6} {requests:10} {changes:9} {:8} {:.3} {:8.1} {:8.1} {:4} {:8.1}",
+                "{listed:6} {requests:10} {changes:9} {:8} {:.3} {:8.1} {:8.1} {:4} {:8.1} {}",
                 count / seconds as usize,
                 all.as_secs_f64() * 1e3 / f64::from(seconds),
                 high.as_secs_f64() * 1e6,
                 worst.as_secs_f64() * 1e6,
                 cost.used.len(),
                 whole.as_secs_f64() * 1e6,
+                cost.visited / u64::from(seconds),
             );
         }
     }
--- a/src/brain.rs
+++ b/src/brain.rs
@@ -8,15 +8,21 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
+use crate::fleet::*;
+use crate::members::Segment;
 use crate::parts::*;
 use crate::port::*;
 use crate::report;
+pub use crate::state::Test;
 use crate::state::*;
+use crate::subset::Position;
 
 /// Outcomes and times fade by half in this long: a few answers of a small agent's share of an appliance.
 const RECENT: Duration = Duration::from_secs(1);
 /// What is usual fades by half in this long.
 pub(crate) const USUAL: Duration = Duration::from_secs(10);
+/// What reports bring fades by half in this long, a quarter of that.
+pub(crate) const POOLED: Duration = Duration::from_millis(2500);
 
 /// Its own pace in the long run, drawn to that of all while it is little known.
 fn usual(a: &Appliance, now: Duration, stock: &Stock) -> f64 {
@@ -70,7 +76,7 @@
 
 impl Thaw {
     /// The least share of its full capacity that an appliance can have now.
-    fn warmth(&self, age: Option<Duration>) -> f64 {
+    pub(crate) fn warmth(&self, age: Option<Duration>) -> f64 {
         let Some(age) = age.filter(|&a| a < self.ramp) else { return 1.0 };
         self.cold_from + (1.0 - self.cold_from) * age.as_secs_f64() / self.ramp.as_secs_f64()
     }
@@ -95,7 +101,7 @@
 
 impl Exposure {
     /// The stage and cap that bind for a build; nothing if it is not on trial.
-    fn bound(&self, build: Build) -> Option<(Stage, f64)> {
+    pub(crate) fn bound(&self, build: Build) -> Option<(Stage, f64)> {
         match self.news {
             Some(n) if build < n.build || (build == n.build && n.course == Course::Released) => None,
             Some(n) if build == n.build => Some((n.stage, n.cap)),
@@ -108,6 +114,16 @@
         self.openings.as_ref().is_none_or(|o| o.admits(build, zone, h.txn.tenant, h.txn.product))
     }
 
+    /// What is closed to all takes no part, or the share of the rest would be too large.
+    fn shows(&self, build: Build, zone: Zone) -> bool {
+        self.openings.as_ref().is_none_or(|o| o.any(build, zone))
+    }
+
+    /// Earlier builds are the first arm, those on trial the second.
+    fn arm(&self, build: Build) -> usize {
+        usize::from(self.bound(build).is_some())
+    }
+
     /// Whether a txn may go to a build at all.
     fn admits(&self, build: Build, zone: Zone, h: &Held) -> bool {
         if !self.open(build, zone, h) {
@@ -135,8 +151,8 @@
 }
 
 /// Mixing deviation of the test, and the tolerated worsening.
-const TAU: f64 = 0.05;
-const THETA0: f64 = 0.005;
+pub(crate) const TAU: f64 = 0.05;
+pub(crate) const THETA0: f64 = 0.005;
 /// After the release, going back costs some time without service: not for less than this.
 const GRAVE: f64 = 0.05;
 /// Level of the test, before it is divided among the tests.
@@ -147,6 +163,11 @@
 const ENOUGH: f64 = 20.0;
 /// So many appliances of an arm serve an agent with hardly a txn out: enough to choose and to lose some.
 const HOMES: f64 = 8.0;
+/// Of an arm with more appliances an agent works with a subset of so many, or a power of two times as many:
+/// twice its homes at least, to lose some, and less again beyond five times, so that it does not swing. The
+/// cost of a walk follows it. Room for the homes of a usual agent, whose place by rank may lie some way off
+/// its place.
+const MEMBERS: f64 = 20.0 * HOMES;
 /// How many agents gather the others' outcomes.
 const JUDGES: u32 = 3;
 /// Share of what is usually served in time, and of what is asked, that must be missing to convict a build
@@ -157,21 +178,7 @@
 /// Wait beyond the work, as a share of an SLA time, that counts as a queue.
 const QUEUE: f64 = 0.15;
 
-/// The paper's two-sample test: X at earlier builds, Y at the build on trial.
-pub struct Test {
-    theta0: f64,
-    tau: f64,
-    alpha: f64,
-    arms: Arms,
-    pub p: f64,
-    interval: (f64, f64),
-}
-
 impl Test {
-    pub fn new(theta0: f64, tau: f64, alpha: f64) -> Self {
-        Test { theta0, tau, alpha, arms: Arms::default(), p: 1.0, interval: (f64::MIN, f64::MAX) }
-    }
-
     /// Takes outcomes, how many of them bad, and the trial appliance they come from.
     pub fn observe(&mut self, trial: Option<ApplianceId>, many: f64, bad: f64) {
         self.arms.put(trial, many, bad);
@@ -199,11 +206,13 @@
     /// look worst. Guards against bad machines and noisy neighbours that happen to carry the build: a build
     /// is bad wherever it runs. It harms where only one machine will ever carry it.
     fn doubtful(&self) -> bool {
+        if self.arms.y.0 < ENOUGH || self.arms.worse() <= self.theta0 {
+            return false;
+        }
         let by = worst_first(self.arms.by.values().copied());
         let rest = by.iter().skip(by.len().div_ceil(4));
         let (n, sum) = rest.fold((0.0, 0.0), |all, one| (all.0 + one.0, all.1 + one.1));
-        let elsewhere = n * 2.0 >= ENOUGH && sum / n - self.arms.means().0 > self.theta0;
-        self.arms.y.0 >= ENOUGH && self.arms.worse() > self.theta0 && elsewhere
+        n * 2.0 >= ENOUGH && sum / n - self.arms.means().0 > self.theta0
     }
 }
 
@@ -214,98 +223,31 @@
     fn ages(&self, fleet: &Fleet, build: Build) -> bool {
         let test = self.own.tests.get(self.products).filter(|t| t.arms.worse() > THETA0);
         let Some(Test { arms, .. }) = test else { return false };
-        let trial = fleet.running(build);
-        let newest = trial.iter().filter_map(|(_, a)| a.line.started).max().unwrap_or_default();
-        let old = |a: &Appliance| a.line.started.is_some_and(|s| s + self.dwell < newest) && !a.barred();
-        let by = trial.iter().filter(|x| old(x.1)).filter_map(|x| arms.by.get(&x.0).copied());
-        let by = worst_first(by);
+        let newest = fleet.listed.newest(build).unwrap_or_default();
+        let running = |id| fleet.listed.get(id).filter(|l| l.mode == Mode::Ready && l.build == build);
+        let old = |id| running(id).is_some_and(|l| l.started.is_some_and(|s| s + self.dwell < newest));
+        let barred = |id| fleet.used.get(id).is_some_and(Appliance::barred);
+        let by = worst_first(arms.by.iter().filter(|b| old(*b.0) && !barred(b.0)).map(|b| *b.1));
         let rest = by.iter().skip((by.len() + 1) / 3);
         rest.filter(|b| b.1 / b.0 > arms.means().0 + 2.0 * THETA0).map(|b| b.1).sum::<f64>() >= ENOUGH / 6.0
     }
 
     /// Those that agents report to: a few, spread by the build, so that hundreds need not hear of each other.
-    fn judges(&self, build: Build) -> impl Iterator<Item = AgentId> + use<> {
+    pub(crate) fn judges(&self, build: Build) -> impl Iterator<Item = AgentId> + use<> {
         let (agents, some) = (self.among.agents.max(1), self.among.agents.clamp(1, JUDGES));
         (0..some).map(move |i| AgentId((u32::from(build.0) + i * agents / some) % agents))
     }
 
-    fn judging(&self, build: Build) -> bool {
+    pub(crate) fn judging(&self, build: Build) -> bool {
         self.judges(build).any(|judge| judge == self.among.me)
     }
 
     /// Who is not told the others' outcomes shares the chance of a false alarm with all agents.
-    fn level(&self) -> f64 {
+    pub(crate) fn level(&self) -> f64 {
         let alone = !self.own.build.is_some_and(|b| self.judging(b));
         ALPHA / (self.products + 2) as f64 / if alone { f64::from(self.among.agents) } else { 1.0 }
     }
 
-    fn learn(&mut self, trial: Option<ApplianceId>, product: Product, [many, bad, timed, late]: [u8; 4]) {
-        let (many, bad, last) = (f64::from(many), f64::from(bad), self.products + 1);
-        for i in [usize::from(product.0), self.products] {
-            self.own.tests[i].observe(trial, many, bad);
-        }
-        if timed > 0 {
-            self.own.tests[last].observe(trial, f64::from(timed), f64::from(late));
-        }
-    }
-
-    pub(crate) fn note(&mut self, trial: Option<ApplianceId>, product: Product, counts: [u8; 4]) {
-        if !self.own.tests.is_empty() {
-            self.learn(trial, product, counts);
-            self.own.noted(trial, product, counts);
-        }
-    }
-
-    /// Passes counts of outcomes on to the judges, with what work was served in time since, would usually be
-    /// and was asked: at most a short message a dwell, and none without an outcome of the trial's.
-    fn report(&mut self, now: Duration, woke: Duration, news: News, turn: f64, out: &mut dyn Decisions) {
-        let heard = self.own.report.keys().any(|(trial, _)| trial.is_some());
-        if !heard || now < self.own.report_at || self.own.build != Some(news.build) {
-            return;
-        }
-        self.own.report_at = now + self.dwell.mul_f64(turn);
-        // What an agent that stood still did not serve in time is its own doing.
-        let sums = self.own.take_sums().map(|sum| if now < woke + USUAL / 4 { 0 } else { sum });
-        self.own.pool(now, USUAL / 4, sums);
-        self.own.version.1 += 1;
-        let octets = report::write(news.build, self.own.version, sums, &mut self.own.report);
-        for judge in self.judges(news.build).filter(|judge| self.among.may_tell && *judge != self.among.me) {
-            out.tell(Some(judge), &octets);
-        }
-    }
-
-    /// Takes a report: only of the build in hand, newer than the last of its sender, about known products
-    /// and appliances. What is lost, late, doubled or malformed is left out and changes nothing.
-    pub(crate) fn told(&mut self, now: Duration, from: AgentId, octets: &[u8], fleet: &Fleet) {
-        let Some((build, version, sums, entries)) = report::read(octets) else { return };
-        let last = self.own.heard.get(&from).copied().unwrap_or_default();
-        let known = self.own.build == Some(build) && from.0 < self.among.agents;
-        if !known || !self.judging(build) || version <= last {
-            return;
-        }
-        self.own.heard.insert(from, version);
-        self.own.pool(now, USUAL / 4, sums);
-        for (trial, product, counts) in entries {
-            let at = |id| fleet.0.get(&id).is_some_and(|a: &Appliance| a.line.build == build);
-            if trial.is_none_or(at) && usize::from(product.0) < self.products {
-                self.learn(trial, product, counts);
-            }
-        }
-    }
-
-    pub(crate) fn begin(&mut self, now: Duration, build: Build, started: Duration, past: &Demand, turn: f64) {
-        // An agent that restarted amid a trial has no time before it to compare with.
-        let (borne, weight) = past.borne.read(now, USUAL);
-        self.own.bore = if started + USUAL / 4 < now { borne / weight.max(1e-9) } else { 0.0 };
-        (self.own.build, self.own.turn) = (Some(build), turn);
-        self.own.version.0 = started.as_millis() as u32;
-        self.own.report.clear();
-        (self.own.sums, self.own.kept, self.own.met, self.own.before, self.own.stage) = Default::default();
-        let level = self.level();
-        self.own.tests = (0..=self.products).map(|_| Test::new(THETA0, TAU, level)).collect();
-        self.own.tests.push(Test::new(40.0 * THETA0, 6.0 * TAU, level));
-    }
-
     /// `stays` while the operator's rules let no step on be asked for; a back is never held up.
     fn verdict(&self, now: Duration, roster: &Roster, news: News, lost: f64, stays: bool) -> Option<Verdict> {
         let News { build, stage, course, .. } = news;
@@ -328,11 +270,11 @@
             return (stays || doubt && now < news.since + self.dwell * 4 / 3).then_some(Verdict::Hold);
         }
         let ring = self.rings.get(usize::from(stage.0)).copied().unwrap_or(1.0);
-        let trial = roster.fleet.running(build);
-        let places = roster.fleet.ready().count() - if self.rolling { 0 } else { trial.len() };
-        let newest = trial.iter().filter_map(|(_, a)| a.line.started).max()?;
+        let (listed, trial) = (&roster.fleet.listed, roster.fleet.listed.running(build));
+        let places = listed.ready() - if self.rolling { 0 } else { trial };
+        let newest = listed.newest(build)?;
         // The list runs late: a stage whose machines it does not show has not begun to wait.
-        let shown = trial.len() as f64 + 0.5 >= ring * places as f64 || now >= news.since + self.dwell * 6;
+        let shown = trial as f64 + 0.5 >= ring * places as f64 || now >= news.since + self.dwell * 6;
         // In doubt, an agent and those it told wait for more outcomes; over failures, which a good build has
         // not, longer. Guards against agents that wave on what another is about to convict.
         let failing = self.own.tests.iter().rev().skip(1).any(Test::doubtful) || now < self.own.warned;
@@ -343,10 +285,11 @@
         (shown && !stays && now >= due && now >= news.since + self.dwell).then_some(Verdict::On)
     }
 
+    /// Warns and votes; whether there may be more to say before anything new is heard.
     fn round(
         &mut self, now: Duration, roster: &Roster, news: News, (lost, stays): (f64, bool),
         out: &mut dyn Decisions,
-    ) {
+    ) -> bool {
         self.own.well = if lost <= LOST { now } else { self.own.well };
         let tried = news.course == Course::OnTrial && self.own.build == Some(news.build);
         let ages = tried && self.ages(&roster.fleet, news.build);
@@ -356,7 +299,9 @@
             self.own.warn_at = now + self.dwell / 2;
             out.tell(None, &news.build.0.to_be_bytes());
         }
-        let Some(verdict) = self.verdict(now, roster, news, lost, stays) else { return };
+        let Some(verdict) = self.verdict(now, roster, news, lost, stays) else {
+            return news.course == Course::OnTrial || self.may_report(news);
+        };
         let ballot = (news.build, news.stage, verdict);
         if let Some(last) = self.own.vote.as_ref().filter(|v| v.ballot == ballot) {
             let again = match last.answer {
@@ -365,7 +310,7 @@
                 None => self.calls.wait * 2,
             };
             if now < last.sent + again {
-                return;
+                return true;
             }
         } else {
             let tests = self.own.tests.iter().map(|t| (t.arms.y.0, t.arms.worse(), t.p));
@@ -373,6 +318,7 @@
         }
         self.own.vote = Some(Vote { ballot, sent: now, answer: None });
         out.vote(news.build, news.stage, verdict);
+        true
     }
 }
 
@@ -400,7 +346,10 @@
 impl Brain {
     pub fn new(seed: u64, roster: Roster, thaw: Thaw, exposure: Exposure, jury: Jury, desk: Desk) -> Self {
         let (chance, now, demand) = (Pcg64Mcg::seed_from_u64(seed), Duration::ZERO, Demand::default());
-        let stock = Stock { usual_pace: 1.0, middle_pace: 1.0, usual_work: 1e-3, ..Stock::default() };
+        let (usual_pace, middle_pace, usual_work, members) = (1.0, 1.0, 1e-3, MEMBERS);
+        let stock = Stock { usual_pace, middle_pace, usual_work, members, ..Stock::default() };
+        let mut roster = roster;
+        roster.fleet.whole_up_to = MEMBERS as usize;
         Brain { now, chance, roster, thaw, exposure, jury, desk, demand, stock }
     }
 
@@ -409,7 +358,7 @@
         let started = *self.exposure.windows.started.get_or_insert(now);
         let passed = now.saturating_sub(before.max(started));
         // A wake-up far too late: the agent itself stood still, and takes none of it for others' troubles.
-        if before >= started && now > self.stock.wake_at + self.desk.tick * 20 {
+        if before >= started && now > self.stock.wake_at.saturating_add(self.desk.tick * 20) {
             self.stock.woke = now;
         }
         self.exposure.windows.trim(now.saturating_sub(self.exposure.span));
@@ -419,32 +368,32 @@
         }
         self.stock.passed += passed;
         // The walk over the fleet is made once a beat, or once for as many events as there are appliances.
-        if now >= self.stock.next || self.stock.heard > self.roster.fleet.0.len() {
+        if now >= self.stock.next || self.stock.heard > self.roster.fleet.used.len() {
             self.take_stock();
             // Where connections are refused, idle ones go back at once, to go round among agents. Guards
             // against appliances that accept far fewer than usual; costs handshakes.
             let short = self.demand.shut.share(now, USUAL, 2.0) > SHORT;
-            let idle = |a: &Appliance| short && a.linked && a.out.is_empty();
-            for (&id, a) in self.roster.fleet.0.iter_mut().filter(|(_, a)| idle(a)) {
-                a.linked = false;
-                out.free_links(id);
-            }
+            let idle = if short { self.roster.fleet.unlink_idle() } else { Vec::new() };
+            idle.into_iter().chain(self.stock.left.drain(..)).for_each(|id| out.free_links(id));
         }
         let order: BTreeSet<_> = self.desk.held.iter().map(|(&id, h)| (h.arrived, id)).collect();
         let mut beat = now + self.desk.tick * 20;
         for (_, id) in order {
             beat = self.attend(id, out).map_or(beat, |next| beat.min(next));
         }
+        let mut awake = !self.desk.held.is_empty() || self.stock.heard > 0;
         if let Some(news) = self.exposure.news {
             self.jury.report(now, self.stock.woke, news, self.chance.random_range(0.5..0.8), out);
             let stays = self.exposure.openings.as_ref().is_some_and(|o| !o.may_step(news.build, news.stage));
-            self.jury.round(now, &self.roster, news, (self.stock.lost, stays), out);
+            awake |= self.jury.round(now, &self.roster, news, (self.stock.lost, stays), out);
         }
         self.stock.notes.drain(..).for_each(|note| out.note(note));
-        let beat = beat.max(now + self.desk.tick * 2);
-        if self.stock.wake_at <= now || beat < self.stock.wake_at {
-            self.stock.wake_at = beat;
-            out.wake(beat, Ticket(0));
+        // With nothing in hand, out or on trial, what is heard next brings its own walk: until then, none.
+        let idle = !awake && self.roster.fleet.walk().all(|(_, a)| a.out.is_empty());
+        let next = if idle { self.roster.ask_at } else { Some(beat.max(now + self.desk.tick * 2)) };
+        if self.stock.wake_at <= now || next.is_some_and(|next| next < self.stock.wake_at) {
+            self.stock.wake_at = next.unwrap_or(Duration::MAX);
+            next.into_iter().for_each(|next| out.wake(next, Ticket(0)));
         }
     }
 
@@ -452,16 +401,16 @@
         let now = self.now;
         (self.stock.next, self.stock.heard) = (now + self.desk.tick * 20, 0);
         let fleet = &self.roster.fleet;
-        let listed = self.demand.lived(now, USUAL, std::mem::take(&mut self.stock.passed), fleet.weight());
+        let listed =
+            self.demand.lived(now, USUAL, std::mem::take(&mut self.stock.passed), fleet.listed.weight());
         self.jury.own.work([0.0, self.jury.own.bore * listed, 0.0]);
         self.stock.measure(now, (RECENT, USUAL), fleet, &self.demand);
-        let mut paces: Vec<f64> = fleet.ready().map(|(_, a)| pace(a, now, &self.stock)).collect();
-        paces.sort_by(f64::total_cmp);
-        self.stock.middle_pace = paces.get(paces.len() / 2).copied().unwrap_or(self.stock.usual_pace);
+        let middle = fleet.middle(|a| pace(a, now, &self.stock));
+        self.stock.middle_pace = middle.unwrap_or(self.stock.usual_pace);
         // Silence: several submissions wait far longer than usual, and nothing came since the oldest. Guards
         // against machines that vanished, froze or were cut off, long before the list tells.
         let patience = 6.0 * self.stock.middle_pace * self.stock.usual_work;
-        for (&at, a) in &mut self.roster.fleet.0 {
+        for (&at, a) in &mut self.roster.fleet.used {
             let silent = a.unheard_since().map(|o| now.saturating_sub(o.max(self.stock.woke)).as_secs_f64());
             if silent.is_some_and(|s| s > patience) {
                 self.stock.notes.extend(strike(&mut a.record, now, at, "silent"));
@@ -475,7 +424,7 @@
         // Lost against what was at the end of the stage before: a build that slows all does so in step with
         // its stages; what came earlier is not its doing. Only with enough traffic to tell, a past, and from
         // a judge: of hundreds one always has a bad day. It harms where another trouble comes with a stage.
-        let kept = self.jury.own.kept(now, USUAL / 4, stage, 1.25 * ENOUGH * self.stock.usual_work);
+        let kept = self.jury.own.kept(now, POOLED, stage, 1.25 * ENOUGH * self.stock.usual_work);
         self.stock.lost = kept.filter(|_| self.jury.judging(build)).map_or(0.0, |kept| 1.0 - kept);
     }
 
@@ -495,7 +444,7 @@
             let usual = (usual * 4).max(h.terms.sla / 4);
             // Given up for lost: nothing comes from there, or what was sent later has come back. Guards
             // against lost messages and stuck work as well as dead machines.
-            let a = self.roster.fleet.0.get(&to);
+            let a = self.roster.fleet.used.get(&to);
             let lost = a.is_none_or(|a| a.record.passed > sent || (a.barred() && a.record.heard < sent));
             if !more || sla_left.is_zero() {
                 return None;
@@ -574,34 +523,44 @@
         // When most are barred the trouble is not theirs: then bars mean nothing.
         let sick = fleet.ready().filter(|(_, a)| a.barred()).count();
         self.stock.panic = 2 * sick > fleet.ready().count();
-        let (mut listed, mut out) = ([0.0; 2], [0.0; 2]);
+        // An agent keeps to so many of an arm, even over all agents, more the more it has out; to the rest
+        // only in need. Guards against links that carry a txn or two; harms evenness where few ask much.
+        let homes = HOMES * (1.0 + self.stock.asked * self.stock.middle_pace * self.stock.usual_work);
+        let first = if fleet.split { self.choose_subset(homes) } else { [0; 2] };
+        let (fleet, mut seated, mut out) = (&self.roster.fleet, [0.0; 2], [0.0; 2]);
         let (mut seats, mut sums): ([Vec<Seat>; 2], _) = (Default::default(), [0.0; 2]);
-        // What is closed to all takes no part, or the share of the rest would be too large.
-        let open = |l: &Line| self.exposure.openings.as_ref().is_none_or(|o| o.any(l.build, l.zone));
-        for (id, a) in fleet.ready().filter(|(_, a)| !shut(a, now, self.stock.panic) && open(&a.line)) {
+        let open = |a: &Appliance| a.rank.is_some() && self.exposure.shows(a.line.build, a.line.zone);
+        for (id, a) in fleet.ready().filter(|(_, a)| !shut(a, now, self.stock.panic) && open(a)) {
             let weight = a.weight() * self.thaw.warmth(a.age(now));
-            let arm = usize::from(self.exposure.bound(a.line.build).is_some());
-            listed[arm] += weight;
+            let arm = self.exposure.arm(a.line.build);
+            seated[arm] += weight;
             out[arm] += a.out.len() as f64;
             let odds = weight / usual(a, now, &self.stock);
             sums[arm] += odds;
-            seats[arm].push(Seat { id, odds });
+            seats[arm].push(Seat { id, odds, rank: a.rank });
         }
+        // By what the list says of all, less what is shut, if there is a subset.
+        let arm = |build, zone| self.exposure.shows(build, zone).then(|| self.exposure.arm(build));
+        let weigh = || self.thaw.listed_weights(now, fleet, arm, |a| shut(a, now, self.stock.panic));
+        let listed = if fleet.split { weigh() } else { seated };
         // No share while more waits at the trial, for its size, than elsewhere. Guards against few, slow
         // machines that queue and look like a slow build: unlike loads do not compare.
         let queued = out[1] * listed[0] > 1.5 * (out[0] + 1.0) * listed[1] && listed[0] > 0.0;
         let trial = listed[1] / (listed[0] + listed[1]).max(1e-9);
         self.stock.share = if queued { 0.0 } else { trial };
-        // An agent keeps to so many of an arm, even over all agents, more the more it has out; to the rest
-        // only in need. Guards against links that carry a txn or two; harms evenness where few ask much.
-        let homes = HOMES * (1.0 + self.stock.asked * self.stock.middle_pace * self.stock.usual_work);
         let turn = f64::from(self.jury.among.me.0) / f64::from(self.jury.among.agents.max(1));
         // A cap, or a full window, keeps from the trial what is its share: at times all goes to others, which
         // are few and cold where a build goes back.
         for (arm, share) in [1.0, trial].into_iter().enumerate() {
             let many = seats[arm].len() as f64;
+            seats[arm].sort_by_key(|seat| seat.rank);
+            // Of a subset homes begin at a rank, and its part is that of what is listed.
+            let begins = seats[arm].partition_point(|seat| seat.rank < Some(first[arm])) as f64 - 0.5;
+            let of_all = seated[arm] / listed[arm].max(seated[arm]);
+            let (turn, of) = if self.roster.fleet.split { (begins / many, of_all) } else { (turn, 1.0) };
             for (i, seat) in seats[arm].iter_mut().enumerate() {
-                self.roster.fleet.0.entry(seat.id).and_modify(|a| a.part = share * seat.odds / sums[arm]);
+                let part = share * seat.odds / sums[arm] * of;
+                self.roster.fleet.used.entry(seat.id).and_modify(|a| a.part = part);
                 let home = (i as f64 / many - turn).rem_euclid(1.0) * many < homes;
                 seat.odds *= if home { 1.0 } else { 1e-3 };
             }
@@ -609,11 +568,66 @@
         let lately = self.exposure.windows.all_since(now.saturating_sub(self.thaw.span)) as f64;
         let due = lately.max(self.stock.asked * self.thaw.span.as_secs_f64()) + self.desk.held.len() as f64;
         self.stock.due = due * self.stock.usual_work;
-        self.stock.seats = seats;
+        (self.stock.seats, self.stock.listed) = (seats, listed);
+    }
+
+    /// Chooses the subset, where the list is long, and says at which rank of each arm the homes begin: at the
+    /// agent's place among all by rank, which is even. On each side of its place on the ring it takes as many
+    /// as hold half of the members that can serve now, so that what turns bad widens it with the next walk.
+    /// It narrows by a sixteenth a walk: what comes back all at once moves little.
+    fn choose_subset(&mut self, homes: f64) -> [usize; 2] {
+        let (now, fleet, stock) = (self.now, &self.roster.fleet, &mut self.stock);
+        // An agent that has just come up does not know yet what it is asked.
+        let known = self.exposure.windows.started.is_some_and(|s| s + RECENT <= now);
+        if known && stock.members < 2.0 * homes {
+            stock.members *= 2.0;
+        } else if stock.members > f64::max(MEMBERS, 5.0 * homes) {
+            stock.members /= 2.0;
+        }
+        let (panic, half) = (stock.panic, (stock.members / 2.0) as usize);
+        let warm = |l: &Line| self.thaw.warmth(l.started.map(|s| now.saturating_sub(s))) >= 1.0;
+        let serves = |id| {
+            let shut = fleet.used.get(&id).is_some_and(|a| shut(a, now, panic));
+            !shut && fleet.listed.get(id).is_some_and(warm)
+        };
+        // Where hardly any can serve, it does not look for all of them at once.
+        let enough = |taken, serving| serving >= half || serving > 0 && taken >= 8 * half;
+        let segments = [0, 1].map(|arm| {
+            let of = |build, zone| self.exposure.arm(build) == arm && self.exposure.shows(build, zone);
+            let least = stock.reach[arm].map(|reach| (reach * 15 / 16).max(1) - 1);
+            let part = Segment::new(&fleet.listed, self.jury.among, of, 2 * half, least, serves, enough);
+            stock.reach[arm] = part.reach;
+            part
+        });
+        // What was of use lately stays for as long as the longest bar.
+        let lately = |a: &Appliance| a.record.barred_until.max(a.record.heard) + RECENT * 8 > now;
+        let keep = |a: &Appliance| !a.out.is_empty() || lately(a) || a.pushed(now, self.thaw.span) > 0.0;
+        let first = segments.each_ref().map(|part| part.rank_of_own(homes));
+        stock.left = self.roster.fleet.choose_members(&segments.map(|part| part.members), keep);
+        first
+    }
+
+    /// Looks at a few outside the subset for a txn that none of it can take: from a drawn place on the ring,
+    /// or of the group to which it must keep. They have a record for as long as they are of use.
+    fn call_in(&mut self, id: TxnId, chance: &mut Pcg64Mcg) -> Option<ApplianceId> {
+        let h = self.desk.held.get(&id)?;
+        let (now, stock, fleet) = (self.now, &self.stock, &mut self.roster.fleet);
+        let admits = |build, zone| self.exposure.admits(build, zone, h);
+        let others = fleet.others(h.confined(), Position(chance.random()), HOMES as usize, admits);
+        for line in &others {
+            let (arm, warmth) = (self.exposure.arm(line.build), line.started.map(|s| now.saturating_sub(s)));
+            let part = [1.0, stock.share][arm] * f64::from(line.weight) * self.thaw.warmth(warmth);
+            let part = part / stock.listed[arm].max(1e-9);
+            let new = || Appliance { part, ..Appliance::new(*line, None) };
+            fleet.used.entry(line.appliance).or_insert_with(new);
+        }
+        let fresh = |id: &ApplianceId| h.legs.iter().all(|l| l.to != *id);
+        let open = others.iter().map(|l| l.appliance).filter(fresh).filter(|id| self.takes(h, *id));
+        open.collect::<Vec<_>>().choose(chance).copied()
     }
 
     fn takes(&self, h: &Held, to: ApplianceId) -> bool {
-        let Some(a) = self.roster.fleet.0.get(&to).filter(|a| a.line.mode == Mode::Ready) else {
+        let Some(a) = self.roster.fleet.used.get(&to).filter(|a| a.line.mode == Mode::Ready) else {
             return false;
         };
         // Listed sizes leave out how fast a model is; what the mean bears can push a slow one over.
@@ -628,9 +642,8 @@
     /// Whether the rules close all that could take a txn. Guards against holding it in vain.
     fn shut_out(&self, id: TxnId) -> bool {
         let Some(h) = self.desk.held.get(&id) else { return false };
-        let mut ready = self.roster.fleet.ready().filter(|(_, a)| h.in_group(&a.line)).peekable();
-        let open = |(_, a): (_, &Appliance)| self.exposure.open(a.line.build, a.line.zone, h);
-        ready.peek().is_some() && !ready.any(open)
+        let mut ready = self.roster.fleet.listed.places(h.confined()).peekable();
+        ready.peek().is_some() && !ready.any(|(build, zone)| self.exposure.open(build, zone, h))
     }
 
     /// Two random choices by weight within an arm; the arm by the trial build's share of the listed weight.
@@ -643,6 +656,7 @@
         // A txn that the trial build has failed is better served by an earlier one.
         let failed_there = h.legs.iter().any(|l| self.exposure.bound(l.build).is_some());
         let arm = usize::from(chance.random::<f64>() < self.stock.share && !failed_there);
+        let mut again = None;
         for seats in [&self.stock.seats[arm], &self.stock.seats[1 - arm]] {
             let tried = |id: ApplianceId| h.legs.iter().any(|l| l.to == id);
             let mut pick = |spare: bool| {
@@ -658,11 +672,16 @@
                 open.choose_weighted(&mut chance, odds).ok().map(|s| s.id)
             };
             let Some(one) = pick(true) else { continue };
+            // Outside the subset there may be one that it has not been to.
+            if self.roster.fleet.split && tried(one) {
+                again = again.or(Some(one));
+                continue;
+            }
             let two = pick(false).unwrap_or(one);
-            let cost = |id| self.roster.fleet.0.get(&id).map_or(f64::MAX, |a| self.cost(a));
+            let cost = |id| self.roster.fleet.used.get(&id).map_or(f64::MAX, |a| self.cost(a));
             return Some(if cost(two) < cost(one) { two } else { one });
         }
-        None
+        self.call_in(id, &mut chance).or(again)
     }
 
     /// What a txn may expect to wait there, against the usual there: speed and size are in the odds already.
@@ -678,29 +697,8 @@
         let Some(h) = self.desk.held.get(&id) else { return false };
         let Some(l) = h.legs.get(usize::from(leg.0)).filter(|l| !l.called_off) else { return false };
         let known = h.risk.is_none_or(|(first, ..)| first == l.sent) || resendable(h, self.now);
-        let same = |a: &Appliance| known && a.line.mode == Mode::Ready && a.line.build == l.build;
-        self.roster.fleet.0.get(&l.to).is_some_and(same) && self.exposure.admits(l.build, l.group.0, h)
-    }
-
-    fn submit(&mut self, id: TxnId, to: ApplianceId, out: &mut dyn Decisions) {
-        let now = self.now;
-        let (Some(h), Some(a)) = (self.desk.held.get_mut(&id), self.roster.fleet.0.get_mut(&to)) else {
-            return;
-        };
-        let (txn, build, work, group) = (h.txn, a.line.build, h.work, (a.line.zone, a.line.cell));
-        if self.exposure.bound(build).is_some() {
-            let lane = self.exposure.lane(txn.product);
-            self.exposure.windows.sent.entry((lane, build)).or_default().push_back(now);
-        }
-        let leg = Leg(h.legs.len() as u8);
-        let young = self.jury.own.on_trial(build) && self.thaw.young(&a.line, now);
-        let out_there = Out { sent: now, work, product: txn.product, build, young, mute: a.barred() };
-        self.stock.notes.extend(out_there.mute.then_some(Note::Tried(to)));
-        a.sent(now, self.thaw.span, (id, leg), out_there);
-        h.legs.push(Submission { to, build, group, sent: now, ending: None, called_off: false });
-        // Until it is proved not to have run, it may have: the group and window of a repeat are fixed by it.
-        h.risk = h.risk.or(Some((now, group.0, group.1)));
-        out.submit(id, to, Duration::ZERO);
+        let same = |line: &Line| known && line.mode == Mode::Ready && line.build == l.build;
+        self.roster.fleet.line(l.to).is_some_and(same) && self.exposure.admits(l.build, l.group.0, h)
     }
 
     /// Hands an outcome to the tests. No answer, or one turned away, says nothing of the build: machines die,
@@ -728,7 +726,7 @@
         };
         // Against its model's usual time at earlier builds, for work between the rough hint and the usual,
         // half as much again counts as late: a build that needs more work seldom passes twice the SLA time.
-        let model = self.roster.fleet.0.get(&at).and_then(|a| self.jury.own.paces.get(&a.line.model));
+        let model = self.roster.fleet.used.get(&at).and_then(|a| self.jury.own.paces.get(&a.line.model));
         let timed = model.filter(|_| fair && ending == Ending::Served);
         let slow = |pace: &f64| took.as_secs_f64() > 1.5 * pace * (o.work + self.stock.usual_work) / 2.0;
         let counts = [1, score, u8::from(timed.is_some()), u8::from(timed.is_some_and(slow))];
@@ -740,10 +738,10 @@
         &mut self, id: TxnId, leg: Leg, at: ApplianceId, o: &Out, ending: Ending, took: Duration,
     ) {
         let now = self.now;
-        let Some(build) = self.roster.fleet.0.get(&at).map(|a| a.line.build) else { return };
+        let Some(build) = self.roster.fleet.used.get(&at).map(|a| a.line.build) else { return };
         let served = ending == Ending::Served;
         let (many, sum) = if served { (0.0, 0.0) } else { self.roster.fleet.mates(now, RECENT, at, build) };
-        let Some(a) = self.roster.fleet.0.get_mut(&at) else { return };
+        let Some(a) = self.roster.fleet.used.get_mut(&at) else { return };
         let alive = a.record.heard > o.sent;
         let sla = self.desk.products.get(usize::from(o.product.0)).map_or(took, |terms| terms.sla);
         let blurred = o.sent < self.stock.woke;
--- a/src/ear.rs
+++ b/src/ear.rs
@@ -24,7 +24,7 @@
     }
 
     fn ended(&mut self, id: TxnId, leg: Leg, at: ApplianceId, ending: Ending, took: Duration, closed: bool) {
-        let out = self.roster.fleet.0.get_mut(&at).and_then(|a| a.out.remove(&(id, leg)));
+        let out = self.roster.fleet.used.get_mut(&at).and_then(|a| a.out.remove(&(id, leg)));
         if let Some(out) = out {
             self.outcome(id, leg, at, &out, ending, took);
         }
@@ -95,11 +95,19 @@
 
     fn wrong_answer(&mut self, at: ApplianceId, product: Product, sent_ago: Duration) {
         let sent = self.now.saturating_sub(sent_ago);
-        let Some(a) = self.roster.fleet.0.get(&at) else { return };
+        let Some(&line) = self.roster.fleet.line(at) else { return };
         // The outcome it names was counted as good.
-        if !self.thaw.young(&a.line, sent) {
-            let trial = self.jury.own.on_trial(a.line.build).then_some(at);
+        if !self.thaw.young(&line, sent) {
+            let trial = self.jury.own.on_trial(line.build).then_some(at);
             self.jury.note(trial, product, [0, 1, 0, 0]);
         }
     }
 }
+
+impl Brain {
+    /// Rows of the list and records looked at since the start, for tests and measurements. Nothing depends on
+    /// it.
+    pub fn visited(&self) -> u64 {
+        self.roster.fleet.listed.visited()
+    }
+}
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -6,10 +6,16 @@
 //! what they remember. The crate does no input or output of its own.
 #![forbid(unsafe_code)]
 
+mod attempts;
 pub mod brain;
+mod catalog;
 mod ear;
+mod evidence;
+mod fleet;
+mod members;
 pub mod openings;
 pub mod parts;
 pub mod port;
 mod report;
 mod state;
+mod subset;
--- a/src/parts.rs
+++ b/src/parts.rs
@@ -3,6 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use crate::fleet::{Appliance, Fleet};
 use crate::openings::Openings;
 use crate::port::*;
 use crate::state::*;
@@ -36,6 +37,29 @@
     pub fn new(cold_from: f64, ramp: Duration, multiple: f64, span: Duration) -> Self {
         Thaw { cold_from, ramp, multiple, span }
     }
+
+    /// The listed weight of each arm, as far as it belongs to one and is warm, less what is left alone.
+    pub(crate) fn listed_weights(
+        &self, now: Duration, fleet: &Fleet, arm: impl Fn(Build, Zone) -> Option<usize>,
+        left_alone: impl Fn(&Appliance) -> bool,
+    ) -> [f64; 2] {
+        let mut weights = [0.0; 2];
+        for (build, zone, pool) in fleet.listed.pools() {
+            let Some(arm) = arm(build, zone) else { continue };
+            let cold = pool.started_after(now.saturating_sub(self.ramp));
+            let lacks = cold.map(|(start, weight)| {
+                fleet.listed.visit(1);
+                weight * (1.0 - self.warmth(Some(now.saturating_sub(start))))
+            });
+            weights[arm] += pool.weight() - lacks.sum::<f64>();
+        }
+        for (_, a) in fleet.ready().filter(|(_, a)| left_alone(a)) {
+            if let Some(arm) = arm(a.line.build, a.line.zone) {
+                weights[arm] -= a.weight() * self.warmth(a.age(now));
+            }
+        }
+        weights.map(|weight| weight.max(0.0))
+    }
 }
 
 /// Keeps what is sent to builds on trial within the cap.
--- a/src/port.rs
+++ b/src/port.rs
@@ -166,7 +166,7 @@
 }
 
 /// A line of the roster.
-#[derive(Clone, Copy, Debug)]
+#[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Line {
     pub appliance: ApplianceId,
     pub mode: Mode,
--- a/src/state.rs
+++ b/src/state.rs
@@ -2,7 +2,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-use crate::brain::Test;
+use crate::fleet::Fleet;
 use crate::port::*;
 use crate::report::Version;
 
@@ -50,173 +50,6 @@
     }
 }
 
-/// A submission that is out, as its appliance's record has it.
-pub(crate) struct Out {
-    pub(crate) sent: Duration,
-    pub(crate) work: f64,
-    pub(crate) product: Product,
-    pub(crate) build: Build,
-    /// Slow as it may be cold, and not to be taken as evidence at all.
-    pub(crate) young: bool,
-    pub(crate) mute: bool,
-}
-
-/// What this agent has seen of an appliance since it last started.
-#[derive(Default)]
-pub(crate) struct Record {
-    /// Failures, and answers of any kind.
-    pub(crate) fails: Ratio,
-    /// Time taken and hinted work of served submissions: of late, and in the long run.
-    pub(crate) recent: Ratio,
-    pub(crate) usual: Ratio,
-    /// Its last sign of life, and when the latest of the submissions it has answered was sent.
-    pub(crate) heard: Duration,
-    pub(crate) passed: Duration,
-    /// When a submission last found no connection there.
-    pub(crate) unlinked: Option<Duration>,
-    /// While above 0 it is barred, and may not even be tried until the time beside it.
-    pub(crate) bar: Duration,
-    pub(crate) barred_until: Duration,
-}
-
-impl Record {
-    /// Notes how a submission ended that was sent then.
-    pub(crate) fn ended(&mut self, now: Duration, half: Duration, ending: Ending, sent: Duration) {
-        if matches!(
-            ending,
-            Ending::Served | Ending::TurnedAway | Ending::Failed | Ending::Broken | Ending::Spoilt
-        ) {
-            self.heard = now;
-            self.passed = self.passed.max(sent);
-        }
-        if ending == Ending::Unconnected {
-            self.unlinked = Some(now);
-        }
-        if !matches!(ending, Ending::CalledOff | Ending::Unsent) {
-            self.fails.add(now, half, f64::from(u8::from(ending != Ending::Served)), 1.0);
-        }
-    }
-
-    pub(crate) fn served(&mut self, now: Duration, halves: (Duration, Duration), took: Duration, work: f64) {
-        self.recent.add(now, halves.0, took.as_secs_f64(), work);
-        self.usual.add(now, halves.1, took.as_secs_f64(), work);
-    }
-}
-
-pub(crate) struct Appliance {
-    pub(crate) line: Line,
-    pub(crate) record: Record,
-    pub(crate) out: BTreeMap<(TxnId, Leg), Out>,
-    /// Work sent while it may be cold.
-    pub(crate) pushed: VecDeque<(Duration, f64)>,
-    /// What part of the agent's txns would go there.
-    pub(crate) part: f64,
-    /// Whether a connection there may be open.
-    pub(crate) linked: bool,
-}
-
-impl Appliance {
-    pub(crate) fn age(&self, now: Duration) -> Option<Duration> {
-        self.line.started.map(|s| now.saturating_sub(s))
-    }
-
-    /// Notes what is sent there, and forgets what was before this span.
-    pub(crate) fn sent(&mut self, now: Duration, span: Duration, which: (TxnId, Leg), out: Out) {
-        self.pushed.retain(|(t, _)| *t + span >= now);
-        self.pushed.push_back((now, out.work));
-        self.linked = true;
-        self.out.insert(which, out);
-    }
-
-    pub(crate) fn pushed(&self, now: Duration, span: Duration) -> f64 {
-        self.pushed.iter().filter(|(t, _)| *t + span >= now).map(|(_, w)| w).sum()
-    }
-
-    pub(crate) fn barred(&self) -> bool {
-        !self.record.bar.is_zero()
-    }
-
-    /// When the oldest of several submissions out was sent, if nothing came from there since.
-    pub(crate) fn unheard_since(&self) -> Option<Duration> {
-        let oldest = self.out.values().map(|o| o.sent).min();
-        oldest.filter(|&o| self.out.len() > 1 && self.record.heard < o)
-    }
-
-    pub(crate) fn weight(&self) -> f64 {
-        f64::from(self.line.weight)
-    }
-}
-
-/// The appliances that the agent's own list names.
-#[derive(Default)]
-pub(crate) struct Fleet(pub(crate) BTreeMap<ApplianceId, Appliance>);
-
-impl Fleet {
-    pub(crate) fn list(&mut self, listing: Listing, lines: &mut dyn Iterator<Item = Line>) {
-        let whole = matches!(listing, Listing::Whole | Listing::Saved);
-        // Of what is gone nothing is kept but what is out there still.
-        self.0.retain(|_, a| a.line.mode != Mode::Gone || !a.out.is_empty());
-        let mut missing: BTreeSet<_> = self.0.keys().copied().filter(|_| whole).collect();
-        for line in lines {
-            missing.remove(&line.appliance);
-            let fresh = || {
-                let (record, out, pushed, part, linked) = Default::default();
-                Appliance { line, record, out, pushed, part, linked }
-            };
-            let a = self.0.entry(line.appliance).or_insert_with(fresh);
-            if a.line.started != line.started || a.line.build != line.build {
-                // Another process: what the earlier one had or did is not its own.
-                (a.record, a.out) = Default::default();
-            }
-            a.line = line;
-        }
-        for id in missing {
-            self.0.entry(id).and_modify(|a| a.line.mode = Mode::Gone);
-        }
-    }
-
-    pub(crate) fn ready(&self) -> impl Iterator<Item = (ApplianceId, &Appliance)> {
-        self.0.iter().filter(|(_, a)| a.line.mode == Mode::Ready).map(|(&id, a)| (id, a))
-    }
-
-    pub(crate) fn running(&self, build: Build) -> Vec<(ApplianceId, &Appliance)> {
-        self.ready().filter(|(_, a)| a.line.build == build).collect()
-    }
-
-    /// How many others run this build, and the sum of their shares of failures.
-    pub(crate) fn mates(&self, now: Duration, half: Duration, at: ApplianceId, build: Build) -> (f64, f64) {
-        let mates = self.ready().filter(|(id, a)| *id != at && a.line.build == build);
-        mates.fold((0.0, 0.0), |(n, s), (_, a)| (n + 1.0, s + a.record.fails.share(now, half, 1.0)))
-    }
-
-    /// The usual pace of each model at builds before this one.
-    pub(crate) fn paces(&self, now: Duration, half: Duration, build: Build) -> BTreeMap<Model, f64> {
-        let mut sums = BTreeMap::<Model, (f64, f64)>::new();
-        for (_, a) in self.ready().filter(|(_, a)| a.line.build < build) {
-            let (took, worked) = a.record.usual.read(now, half);
-            let sum = sums.entry(a.line.model).or_default();
-            *sum = (sum.0 + took, sum.1 + worked);
-        }
-        sums.into_iter().filter(|(_, s)| s.1 > 0.0).map(|(m, s)| (m, s.0 / s.1)).collect()
-    }
-
-    /// How many submissions are out, but for those at barred appliances.
-    pub(crate) fn out(&self) -> usize {
-        self.0.values().filter(|a| !a.barred()).map(|a| a.out.len()).sum()
-    }
-
-    pub(crate) fn weight(&self) -> f64 {
-        self.ready().map(|(_, a)| a.weight()).sum()
-    }
-
-    /// Time taken for each unit of hinted work in the long run.
-    pub(crate) fn pace(&self, now: Duration, half: Duration) -> Option<f64> {
-        let taken = self.ready().map(|(_, a)| a.record.usual.read(now, half));
-        let (took, worked) = taken.fold((0.0, 0.0), |sum, one| (sum.0 + one.0, sum.1 + one.1));
-        (worked > 0.0).then(|| took / worked)
-    }
-}
-
 /// A submission, as its txn has it.
 pub(crate) struct Submission {
     pub(crate) to: ApplianceId,
@@ -243,10 +76,16 @@
 impl Held {
     /// Whether an appliance would drop this as a repeat, if it may have run before.
     pub(crate) fn in_group(&self, line: &Line) -> bool {
+        let (zone, cell) = self.confined();
+        zone.is_none_or(|zone| line.zone == zone) && cell.is_none_or(|cell| line.cell == cell)
+    }
+
+    /// The zone and the cell that this has to stay in, if it may have run before.
+    pub(crate) fn confined(&self) -> (Option<Zone>, Option<Cell>) {
         match (self.terms.repeat, self.risk) {
-            (Repeat::Referenced(Group::Zone), Some((_, zone, _))) => line.zone == zone,
-            (Repeat::Referenced(Group::Cell), Some((.., cell))) => line.cell == cell,
-            _ => true,
+            (Repeat::Referenced(Group::Zone), Some((_, zone, _))) => (Some(zone), None),
+            (Repeat::Referenced(Group::Cell), Some((.., cell))) => (None, Some(cell)),
+            _ => (None, None),
         }
     }
 
@@ -264,6 +103,15 @@
     }
 }
 
+/// What is left now of a stretch of time that was added up as it passed, fading by this half. Of a short one, all.
+fn faded(passed: Duration, half: Duration) -> f64 {
+    if passed < half / 8 {
+        return passed.as_secs_f64();
+    }
+    let mean_life = half.as_secs_f64() / std::f64::consts::LN_2;
+    mean_life * (1.0 - (-passed.as_secs_f64() / half.as_secs_f64()).exp2())
+}
+
 /// What txns ask of the fleet, and what of it was served.
 #[derive(Default)]
 pub(crate) struct Demand {
@@ -322,9 +170,9 @@
 
     /// Notes that time has passed at this listed weight, and returns their product.
     pub(crate) fn lived(&mut self, now: Duration, half: Duration, passed: Duration, weight: f64) -> f64 {
-        let (passed, listed) = (passed.as_secs_f64(), passed.as_secs_f64() * weight);
+        let listed = faded(passed, half) * weight;
         self.borne.add(now, half, 0.0, listed);
-        self.up.add(now, half / 2, passed);
+        self.up.add(now, half / 2, faded(passed, half / 2));
         listed
     }
 
@@ -424,6 +272,22 @@
     }
 }
 
+/// The paper's two-sample test: X at earlier builds, Y at the build on trial.
+pub struct Test {
+    pub(crate) theta0: f64,
+    pub(crate) tau: f64,
+    pub(crate) alpha: f64,
+    pub(crate) arms: Arms,
+    pub p: f64,
+    pub(crate) interval: (f64, f64),
+}
+
+impl Test {
+    pub fn new(theta0: f64, tau: f64, alpha: f64) -> Self {
+        Test { theta0, tau, alpha, arms: Arms::default(), p: 1.0, interval: (f64::MIN, f64::MAX) }
+    }
+}
+
 /// Appliances' outcomes and bad ones, those first of which most are bad.
 pub(crate) fn worst_first(by: impl Iterator<Item = (f64, f64)>) -> Vec<(f64, f64)> {
     let mut by: Vec<_> = by.collect();
@@ -471,6 +335,8 @@
 pub(crate) struct Seat {
     pub(crate) id: ApplianceId,
     pub(crate) odds: f64,
+    /// Its place in the subset.
+    pub(crate) rank: Option<usize>,
 }
 
 /// The fleet at a glance, as of the last walk over it.
@@ -485,6 +351,14 @@
     pub(crate) next: Duration,
     pub(crate) heard: usize,
     pub(crate) passed: Duration,
+    /// How many of an arm the subset is to have that can take a request, and how many it has on each side of the
+    /// agent's own place.
+    pub(crate) members: f64,
+    pub(crate) reach: [[usize; 2]; 2],
+    /// Where a connection may be given back, since it left the subset.
+    pub(crate) left: Vec<ApplianceId>,
+    /// Listed weight by arm, as far as it is open and warm.
+    pub(crate) listed: [f64; 2],
     /// Earlier builds' appliances and the trial's, and the trial's share of the listed weight.
     pub(crate) seats: [Vec<Seat>; 2],
     pub(crate) share: f64,
@@ -568,7 +442,7 @@
         &mut self, now: Duration, halves: (Duration, Duration), fleet: &Fleet, demand: &Demand,
     ) {
         let rate = |sum: f64, half: Duration| sum * std::f64::consts::LN_2 / half.as_secs_f64();
-        self.weight = fleet.weight() / fleet.ready().count().max(1) as f64;
+        self.weight = fleet.listed.weight() / fleet.listed.ready().max(1) as f64;
         self.usual_pace = fleet.pace(now, halves.1).unwrap_or(1.0);
         self.usual_work = demand.work(now, halves.1, |_| true).unwrap_or(1e-3).max(1e-4);
         self.served = rate(demand.lately.read(now, halves.0), halves.0);
