--- a/src/brain.rs
+++ b/src/brain.rs
@@ -520,13 +520,14 @@
     /// Lays out what txns choose from: the arms' appliances and odds, and the trial's share of listed weight.
     fn arrange(&mut self) {
         let (now, fleet) = (self.now, &self.roster.fleet);
-        // When most are barred the trouble is not theirs: then bars mean nothing.
-        let sick = fleet.ready().filter(|(_, a)| a.barred()).count();
-        self.stock.panic = 2 * sick > fleet.ready().count();
         // An agent keeps to so many of an arm, even over all agents, more the more it has out; to the rest
         // only in need. Guards against links that carry a txn or two; harms evenness where few ask much.
         let homes = HOMES * (1.0 + self.stock.asked * self.stock.middle_pace * self.stock.usual_work);
-        let first = if fleet.split { self.choose_subset(homes) } else { [0; 2] };
+        let (first, full) = if fleet.split { self.choose_subset(homes) } else { ([0; 2], false) };
+        self.stock.full = full;
+        // When most are barred the trouble is not theirs: then bars mean nothing. Not so if a subset found others.
+        let sick = self.roster.fleet.ready().filter(|(_, a)| a.barred()).count();
+        self.stock.panic = 2 * sick > self.roster.fleet.ready().count() && !full;
         let (fleet, mut seated, mut out) = (&self.roster.fleet, [0.0; 2], [0.0; 2]);
         let (mut seats, mut sums): ([Vec<Seat>; 2], _) = (Default::default(), [0.0; 2]);
         let open = |a: &Appliance| a.rank.is_some() && self.exposure.shows(a.line.build, a.line.zone);
@@ -575,7 +576,7 @@
     /// agent's place among all by rank, which is even. On each side of its place on the ring it takes as many
     /// as hold half of the members that can serve now, so that what turns bad widens it with the next walk.
     /// It narrows by a sixteenth a walk: what comes back all at once moves little.
-    fn choose_subset(&mut self, homes: f64) -> [usize; 2] {
+    fn choose_subset(&mut self, homes: f64) -> ([usize; 2], bool) {
         let (now, fleet, stock) = (self.now, &self.roster.fleet, &mut self.stock);
         // An agent that has just come up does not know yet what it is asked.
         let known = self.exposure.windows.started.is_some_and(|s| s + RECENT <= now);
@@ -584,12 +585,10 @@
         } else if stock.members > f64::max(MEMBERS, 5.0 * homes) {
             stock.members /= 2.0;
         }
-        let (panic, half) = (stock.panic, (stock.members / 2.0) as usize);
+        let half = (stock.members / 2.0) as usize;
         let warm = |l: &Line| self.thaw.warmth(l.started.map(|s| now.saturating_sub(s))) >= 1.0;
-        let serves = |id| {
-            let shut = fleet.used.get(&id).is_some_and(|a| shut(a, now, panic));
-            !shut && fleet.listed.get(id).is_some_and(warm)
-        };
+        let barred = |id| fleet.used.get(&id).is_some_and(Appliance::barred);
+        let serves = |id| !barred(id) && fleet.listed.get(id).is_some_and(warm);
         // Where hardly any can serve, it does not look for all of them at once.
         let enough = |taken, serving| serving >= half || serving > 0 && taken >= 8 * half;
         let segments = [0, 1].map(|arm| {
@@ -603,8 +602,9 @@
         let lately = |a: &Appliance| a.record.barred_until.max(a.record.heard) + RECENT * 8 > now;
         let keep = |a: &Appliance| !a.out.is_empty() || lately(a) || a.pushed(now, self.thaw.span) > 0.0;
         let first = segments.each_ref().map(|part| part.rank_of_own(homes));
+        let full = segments.iter().map(|part| part.serving).sum::<usize>() >= half;
         stock.left = self.roster.fleet.choose_members(&segments.map(|part| part.members), keep);
-        first
+        (first, full)
     }
 
     /// Looks at a few outside the subset for a txn that none of it can take: from a drawn place on the ring,
@@ -632,9 +632,11 @@
         };
         // Listed sizes leave out how fast a model is; what the mean bears can push a slow one over.
         let fair = self.stock.fair * a.weight() * self.jury.own.speed(a.line.model);
+        // A barred one is not tried with a resend while the subset has others.
+        let probes = h.terms.repeat != Repeat::OnceOnly && (h.legs.is_empty() || !self.stock.full);
         h.in_group(&a.line)
             && !shut(a, self.now, self.stock.panic)
-            && (!a.barred() || self.stock.panic || h.terms.repeat != Repeat::OnceOnly)
+            && (!a.barred() || self.stock.panic || probes)
             && self.thaw.bears(self.now, a, fair, h, self.stock.due)
             && self.exposure.permits(self.now, a.line, h)
     }
--- a/src/catalog.rs
+++ b/src/catalog.rs
@@ -152,11 +152,12 @@
         by_cell.chain(all).filter(move |(_, other)| zone.is_none_or(|zone| zone == *other))
     }
 
-    /// The first of these: at least so many, and on until it is enough, by how many were taken and can serve.
+    /// The first of these: at least so many, and on until it is enough, by how many were taken and can serve. How many
+    /// can is told beside them.
     pub(crate) fn take_until(
         &self, ids: impl Iterator<Item = ApplianceId>, least: usize, serves: impl Fn(ApplianceId) -> bool,
         enough: impl Fn(usize, usize) -> bool,
-    ) -> Vec<ApplianceId> {
+    ) -> (Vec<ApplianceId>, usize) {
         let (mut taken, mut serving) = (Vec::new(), 0);
         for id in ids {
             if taken.len() >= least && enough(taken.len(), serving) {
@@ -166,7 +167,7 @@
             taken.push(id);
         }
         self.visit(taken.len());
-        taken
+        (taken, serving)
     }
 
     /// Rows looked at since the start.
--- a/src/ear.rs
+++ b/src/ear.rs
@@ -105,6 +105,13 @@
 }
 
 impl Brain {
+    /// The appliances that this agent works with: all that are listed, or the subset of a long list. For tests and
+    /// measurements.
+    pub fn members(&self) -> impl Iterator<Item = ApplianceId> {
+        let used = self.roster.fleet.used.iter();
+        used.filter(|(_, a)| a.rank.is_some()).map(|(&id, _)| id)
+    }
+
     /// Rows of the list and records looked at since the start, for tests and measurements. Nothing depends on
     /// it.
     pub fn visited(&self) -> u64 {
--- a/src/members.rs
+++ b/src/members.rs
@@ -10,6 +10,8 @@
     pub(crate) members: Vec<ApplianceId>,
     /// How many of them stand before the agent's own place, and how many after.
     pub(crate) reach: [usize; 2],
+    /// How many of them can serve now.
+    pub(crate) serving: usize,
     /// How many appliances the arm has in all.
     count: usize,
     /// The rank among the members at which the agent's place among all appliances lies, counted by ranks.
@@ -33,15 +35,17 @@
             let ring = nearest(pools.iter().map(|pool| pool.ring()), place, side).take(limit);
             listed.take_until(ring, least, &serves, &enough)
         };
-        let (before, after) = if whole {
-            (Vec::new(), take(Side::After, count, count))
+        let ((before, serve_before), (after, serve_after)) = if whole {
+            ((Vec::new(), 0), take(Side::After, count, count))
         } else {
             (take(Side::Before, count / 2, least[0]), take(Side::After, count.div_ceil(2), least[1]))
         };
         let turn = f64::from(among.me.0) / f64::from(among.agents.max(1));
         let off = turn * count as f64 - rank_in(pools.iter().copied(), place) as f64;
         let (reach, own) = ([before.len(), after.len()], before.len() as f64 + off);
-        Segment { members: before.into_iter().rev().chain(after).collect(), reach, count, own }
+        let serving = serve_before + serve_after;
+        let members = before.into_iter().rev().chain(after).collect();
+        Segment { members, reach, serving, count, own }
     }
 
     /// The rank at which so many homes begin: at the agent's own, as far as the segment holds them.
--- a/src/state.rs
+++ b/src/state.rs
@@ -355,6 +355,8 @@
     /// agent's own place.
     pub(crate) members: f64,
     pub(crate) reach: [[usize; 2]; 2],
+    /// Whether the subset has as many as it is to have.
+    pub(crate) full: bool,
     /// Where a connection may be given back, since it left the subset.
     pub(crate) left: Vec<ApplianceId>,
     /// Listed weight by arm, as far as it is open and warm.
