--- a/examples/round_cost.rs
+++ b/examples/round_cost.rs
@@ -26,7 +26,7 @@
     let calls = Calls { lasts: ms(6000), wait: ms(1200) };
     Brain::new(
         1,
-        Roster::new(Zone(0), None),
+        Membership::new(Zone(0), None),
         Thaw::new(0.34, ms(4000), 2.5, ms(1000)),
         Exposure::new(ms(4000), TICK, 3.0, 0.1, false, 1, false),
         Jury::new(Gate::Single, vec![0.1, 0.5, 1.0], ms(900), calls, true, among, 1),
@@ -44,17 +44,17 @@
 /// The attempts decided in a round, and when the module wants to be woken.
 #[derive(Default)]
 struct Decided {
-    sent: Vec<(TxnId, ApplianceId)>,
+    sent: Vec<(RequestId, ApplianceId)>,
     wakes: Vec<Duration>,
 }
 
 impl Decisions for Decided {
-    fn submit(&mut self, id: TxnId, to: ApplianceId, _: Duration) {
+    fn send_attempt(&mut self, id: RequestId, to: ApplianceId, _: Duration) {
         self.sent.push((id, to));
     }
-    fn decline(&mut self, _: TxnId, _: Duration) {}
-    fn void(&mut self, _: TxnId) {}
-    fn call_off(&mut self, _: TxnId, _: Leg) {}
+    fn decline(&mut self, _: RequestId, _: Duration) {}
+    fn void(&mut self, _: RequestId) {}
+    fn call_off(&mut self, _: RequestId, _: AttemptNumber) {}
     fn wake(&mut self, at: Duration, _: Ticket) {
         self.wakes.push(at);
     }
@@ -62,8 +62,8 @@
     fn free_links(&mut self, _: ApplianceId) {}
     fn tell(&mut self, _: Option<AgentId>, _: &[u8]) {}
     fn log(&mut self, _: &str) {}
-    fn watch_roster(&mut self, _: bool) {}
-    fn fetch_roster(&mut self) {}
+    fn watch_membership(&mut self, _: bool) {}
+    fn fetch_membership(&mut self) {}
     fn vote(&mut self, _: Build, _: Stage, _: Verdict) {}
 }
 
@@ -76,7 +76,7 @@
 /// What happens at a time, besides wake-ups.
 enum Event {
     Request(u32),
-    Answer(TxnId, ApplianceId),
+    Answer(RequestId, ApplianceId),
     Change(u32),
 }
 
@@ -110,7 +110,7 @@
         let began = spent();
         let hear = |ears: &mut dyn Hears| {
             ears.stage(Build(1), Stage(2), Course::Released, 1.0, Duration::ZERO);
-            ears.roster(Listing::Whole, &mut lines.into_iter());
+            ears.membership(Listing::Whole, &mut lines.into_iter());
         };
         brain.round(now, hear, decided);
         spent() - began
@@ -132,13 +132,18 @@
                     Event::Request(i) => {
                         let (product, tenant, mark) = (Product(0), Tenant(0), None);
                         let (deadline, hint) = (now + READ.deadline, Some(ANSWER_TIME));
-                        ears.txn(TxnId(i), Txn { product, tenant, mark, deadline, hint, repeated: false });
+                        ears.request(
+                            RequestId(i),
+                            Request { product, tenant, mark, deadline, hint, repeated: false },
+                        );
+                    }
+                    Event::Answer(id, at) => {
+                        ears.ended(id, AttemptNumber(0), at, Ending::Served, ANSWER_TIME, true)
                     }
-                    Event::Answer(id, at) => ears.ended(id, Leg(0), at, Ending::Served, ANSWER_TIME, true),
                     Event::Change(i) => {
                         let started = Some(now);
                         let one = Line { started, ..line(i.wrapping_mul(7919) % listed) };
-                        ears.roster(Listing::Changes, &mut [one].into_iter());
+                        ears.membership(Listing::Changes, &mut [one].into_iter());
                     }
                 }
             }
