--- a/src/ear.rs
+++ b/src/ear.rs
@@ -27,7 +27,7 @@
         &mut self, id: RequestId, attempt: AttemptNumber, at: ApplianceId, ending: Ending, took: Duration,
         closed: bool,
     ) {
-        let out = self.membership.fleet.0.get_mut(&at).and_then(|a| a.out.remove(&(id, attempt)));
+        let out = self.membership.fleet.used.get_mut(&at).and_then(|a| a.out.remove(&(id, attempt)));
         if let Some(out) = out {
             self.outcome(id, attempt, at, &out, ending, took);
         }
@@ -98,11 +98,26 @@
 
     fn wrong_answer(&mut self, at: ApplianceId, product: Product, sent_ago: Duration) {
         let sent = self.now.saturating_sub(sent_ago);
-        let Some(a) = self.membership.fleet.0.get(&at) else { return };
+        let Some(&line) = self.membership.fleet.line(at) else { return };
         // The outcome it names was counted as good.
-        if !self.thaw.young(&a.line, sent) {
-            let trial = self.jury.own.on_trial(a.line.build).then_some(at);
+        if !self.thaw.young(&line, sent) {
+            let trial = self.jury.own.on_trial(line.build).then_some(at);
             self.jury.note(trial, product, [0, 1, 0, 0]);
         }
     }
 }
+
+impl Brain {
+    /// The appliances that this agent works with: all that are listed, or the subset of a long list. For tests and
+    /// measurements.
+    pub fn members(&self) -> impl Iterator<Item = ApplianceId> {
+        let used = self.membership.fleet.used.iter();
+        used.filter(|(_, a)| a.rank.is_some()).map(|(&id, _)| id)
+    }
+
+    /// Rows of the list and records looked at since the start, for tests and measurements. Nothing depends on
+    /// it.
+    pub fn visited(&self) -> u64 {
+        self.membership.fleet.listed.visited()
+    }
+}
