--- /dev/null
+++ b/crates/timeline/src/watch/attribution.rs
@@ -0,0 +1,109 @@
+//! Decides whom a confirmed departure concerns (the node, its build, or the fleet) and whether it shows in one product
+//! alone.
+use std::collections::BTreeSet;
+use std::time::Duration;
+
+use super::Watch;
+use super::settings::{LATENCY_PRIOR_WEIGHT, MIN_FLEET, MOST};
+use super::signals::{ALL_PRODUCTS, Signal};
+use crate::entry::{Departure, Kind, Whom};
+
+/// The fewest observations of other products from which one product can be told to be the only one.
+const MIN_OF_OTHER_PRODUCTS: f64 = LATENCY_PRIOR_WEIGHT;
+
+/// Some nodes, and how many of them are suspected.
+struct Group {
+    size: usize,
+    suspected: usize,
+}
+
+impl Group {
+    fn new(nodes: &[u32], suspects: &BTreeSet<u32>) -> Self {
+        let suspected = nodes.iter().filter(|node| suspects.contains(node)).count();
+        Group { size: nodes.len(), suspected }
+    }
+
+    fn is_mostly_suspected(&self) -> bool {
+        self.suspected as f64 >= MOST * self.size as f64
+    }
+}
+
+impl Watch {
+    /// Opens the departure that a node's evidence shows, or adds the node to one that is open.
+    pub(super) fn confirm_at_node(&mut self, now: Duration, node: u32, kind: Kind, threshold: f64) {
+        let Some(build) = self.nodes.get(&node).map(|watched| watched.build) else { return };
+        if let Some(number) = self.open_departure_of_group(build, kind) {
+            self.join(node, kind, number);
+            return;
+        }
+        let suspicious = threshold.sqrt();
+        let (whom, members) = self.attribute(now, node, build, kind, suspicious);
+        let Some(watched) = self.nodes.get(&node) else { return };
+        let place = place_of_departure(watched.signals.of(kind), suspicious);
+        let figures = self.figures(&watched.signals, kind, place, now);
+        let product = place.checked_sub(1).map(|product| product as u8);
+        self.open_departure(now, whom, kind, product, figures, &members);
+    }
+
+    /// The number of an open departure of the fleet or of a build.
+    fn open_departure_of_group(&self, build: u16, kind: Kind) -> Option<u32> {
+        let groups = [Whom::Fleet, Whom::Build(build)];
+        let includes = |open: &&Departure| open.kind == kind && groups.contains(&open.whom);
+        self.open.values().find(includes).map(|open| open.number)
+    }
+
+    fn join(&mut self, node: u32, kind: Kind, number: u32) {
+        if let Some(watched) = self.nodes.get_mut(&node) {
+            watched.open.insert(kind, number);
+        }
+    }
+
+    /// Whom a departure at `node` concerns, and its members: the fleet or the build if most others there are suspected
+    /// too, else the node.
+    fn attribute(
+        &self, now: Duration, node: u32, build: u16, kind: Kind, suspicious: f64,
+    ) -> (Whom, Vec<u32>) {
+        let active = self.active_nodes(now);
+        let suspects = self.suspects(&active, kind, suspicious);
+        let same_build = self.nodes_of_build(&active, build);
+        let fleet_group = Group::new(&active, &suspects);
+        let build_group = Group::new(&same_build, &suspects);
+        let only_build = fleet_group.size == build_group.size;
+
+        let beyond_build = only_build || fleet_group.suspected > build_group.suspected;
+        if fleet_group.size >= MIN_FLEET && fleet_group.is_mostly_suspected() && beyond_build {
+            return (Whom::Fleet, suspects.into_iter().collect());
+        }
+        if build_group.suspected >= 2 && build_group.is_mostly_suspected() && !only_build {
+            let members = same_build.into_iter().filter(|node| suspects.contains(node)).collect();
+            return (Whom::Build(build), members);
+        }
+        (Whom::Node(node), vec![node])
+    }
+
+    /// Those of the nodes for which there is some evidence.
+    fn suspects(&self, nodes: &[u32], kind: Kind, suspicious: f64) -> BTreeSet<u32> {
+        let is_suspect = |node: &u32| {
+            let watched = self.nodes.get(node);
+            watched.is_some_and(|watched| watched.signals.any_reaches(kind, suspicious))
+        };
+        nodes.iter().copied().filter(is_suspect).collect()
+    }
+
+    fn nodes_of_build(&self, nodes: &[u32], build: u16) -> Vec<u32> {
+        let runs_build = |node: &u32| self.nodes.get(node).is_some_and(|watched| watched.build == build);
+        nodes.iter().copied().filter(runs_build).collect()
+    }
+}
+
+/// The place of the one product that shows a departure while the others show nothing of it; else that of all products.
+fn place_of_departure(signals: &[Signal], suspicious: f64) -> usize {
+    let (showing, others): (Vec<usize>, Vec<usize>) =
+        (1..signals.len()).partition(|place| signals[*place].reaches(suspicious));
+    let others_known = others.iter().any(|place| signals[*place].usual.looks() >= MIN_OF_OTHER_PRODUCTS);
+    let others_show = others.iter().any(|place| signals[*place].reaches(suspicious.sqrt()));
+    match showing[..] {
+        [place] if others_known && !others_show => place,
+        _ => ALL_PRODUCTS,
+    }
+}
--- /dev/null
+++ b/crates/timeline/src/watch/confirm.rs
@@ -0,0 +1,85 @@
+//! Confirms departures: those of nodes whose evidence stayed above the threshold, and those that show only in the fleet
+//! as a whole.
+use std::time::Duration;
+
+use super::Watch;
+use super::node::WatchedNode;
+use super::settings::{CALM, CONFIRM_AFTER, MIN_FLEET, MOST};
+use super::signals::{ALL_PRODUCTS, KINDS};
+use crate::entry::{Kind, Whom};
+
+impl Watch {
+    /// Opens the departures that have become certain.
+    pub(super) fn confirm(&mut self, now: Duration) {
+        let threshold = self.threshold();
+        for (node, kind) in self.certain_nodes(now, threshold) {
+            // A departure opened a moment ago may include this node.
+            if self.nodes.get(&node).is_some_and(|watched| watched.would_be_news(kind)) {
+                self.confirm_at_node(now, node, kind, threshold);
+            }
+        }
+        for kind in KINDS {
+            if self.fleet_is_certain(kind, threshold) {
+                self.confirm_in_fleet(now, kind);
+            }
+        }
+    }
+
+    /// The nodes and kinds whose evidence has been above the threshold for long enough.
+    fn certain_nodes(&mut self, now: Duration, threshold: f64) -> Vec<(u32, Kind)> {
+        let mut certain = Vec::new();
+        for (&node, watched) in &mut self.nodes {
+            for kind in KINDS {
+                let since = update_alarms(watched, now, kind, threshold);
+                let long_enough = since.is_some_and(|at| now >= at + CONFIRM_AFTER);
+                if long_enough && watched.would_be_news(kind) {
+                    certain.push((node, kind));
+                }
+            }
+        }
+        certain
+    }
+
+    /// Whether the fleet as a whole is above the threshold and no departure of this kind is open anywhere.
+    fn fleet_is_certain(&self, kind: Kind, threshold: f64) -> bool {
+        let is_open = self.open.values().any(|open| open.kind == kind);
+        kind != Kind::Load && !is_open && self.fleet.any_reaches(kind, threshold)
+    }
+
+    /// Opens a departure of the fleet if most active nodes show more bad observations now than the fleet's limit;
+    /// compared with each other they may look alike.
+    fn confirm_in_fleet(&mut self, now: Duration, kind: Kind) {
+        let limit = self.fleet_limit(now, kind, ALL_PRODUCTS).unwrap_or(1.0);
+        let active = self.active_nodes(now);
+        let exceeds = |node: &u32| self.exceeds_now(now, *node, kind, limit);
+        let members: Vec<u32> = active.iter().copied().filter(exceeds).collect();
+        let most = members.len() as f64 >= MOST * active.len() as f64;
+        if active.len() >= MIN_FLEET && most {
+            let figures = self.figures(&self.fleet, kind, ALL_PRODUCTS, now);
+            self.open_departure(now, Whom::Fleet, kind, None, figures, &members);
+        }
+    }
+
+    /// Whether a node's recent share of bad observations is above `limit`.
+    fn exceeds_now(&self, now: Duration, node: u32, kind: Kind, limit: f64) -> bool {
+        let Some(watched) = self.nodes.get(&node) else { return false };
+        let recent = watched.signals.of(kind)[ALL_PRODUCTS].usual.lately(now);
+        recent.yes > limit * recent.all
+    }
+
+    /// The nodes that gave an observation a short while ago.
+    pub(super) fn active_nodes(&self, now: Duration) -> Vec<u32> {
+        let is_active = |watched: &WatchedNode| watched.last_observed + CALM > now;
+        let active = self.nodes.iter().filter(|(_, watched)| is_active(watched));
+        active.map(|(node, _)| *node).collect()
+    }
+}
+
+/// Notes which signals of a kind are above the threshold. Returns since when the first of them has been.
+fn update_alarms(watched: &mut WatchedNode, now: Duration, kind: Kind, threshold: f64) -> Option<Duration> {
+    let signals = watched.signals.of_mut(kind);
+    for signal in signals.iter_mut() {
+        signal.update_alarm(now, threshold);
+    }
+    signals.iter().filter_map(|signal| signal.alarming_since).min()
+}
--- /dev/null
+++ b/crates/timeline/src/watch/outstanding.rs
@@ -0,0 +1,67 @@
+//! Looks at the outstanding attempts of each node at every tick: whether an answer is overdue at a silent node, and
+//! whether a node has more outstanding than its share.
+use std::time::Duration;
+
+use super::Watch;
+use super::node::WatchedNode;
+use super::settings::{OVERDUE_FACTOR, OVERDUE_MARGIN, OVERDUE_MAX_SECONDS};
+use super::signals::{ALL_PRODUCTS, Observation};
+use crate::entry::Kind;
+use crate::usual::Sum;
+
+/// Fewer outstanding attempts than this are never too many.
+const MIN_HIGH_LOAD: usize = 4;
+/// More outstanding attempts than this multiple of the usual number are too many.
+const HIGH_LOAD_FACTOR: f64 = 3.0;
+
+impl Watch {
+    /// Observes load and silence at each node. After a pause only the mean numbers are noted, since nothing could be
+    /// heard meanwhile.
+    pub(super) fn check_outstanding(&mut self, now: Duration, after_pause: bool) {
+        let usual_seconds = self.longest_usual_answer();
+        let total: usize = self.nodes.values().map(|watched| watched.outstanding.len()).sum();
+        let other_nodes = self.nodes.len().saturating_sub(1).max(1);
+        let mut observed = Vec::new();
+        for (&node, watched) in &mut self.nodes {
+            let others_mean = (total - watched.outstanding.len()) as f64 / other_nodes as f64;
+            if let Some(high) = observe_load(watched, now, others_mean) {
+                observed.push((node, Kind::Load, high));
+            }
+            // Answers are the good observations of silence; while nothing is overdue there is nothing to observe.
+            if is_overdue(watched, now, self.resumed_at, usual_seconds) {
+                observed.push((node, Kind::Silence, true));
+            }
+        }
+        if after_pause {
+            return;
+        }
+        for (node, kind, bad) in observed {
+            self.observe(now, node, &[Observation { kind, place: ALL_PRODUCTS, bad }]);
+        }
+    }
+
+    /// The usual time to an answer of the product that takes longest, in seconds.
+    fn longest_usual_answer(&self) -> f64 {
+        self.answer_seconds.iter().map(|usual| usual.share(0.0, 1e-3)).fold(0.0, f64::max)
+    }
+}
+
+/// Notes how many attempts are outstanding. Returns whether they are too many, or nothing if there are none.
+fn observe_load(watched: &mut WatchedNode, now: Duration, others_mean: f64) -> Option<bool> {
+    let outstanding = watched.outstanding.len();
+    let own_mean = watched.usual_outstanding.share(1.0, 4.0);
+    watched.usual_outstanding.put(now, Sum { yes: outstanding as f64, all: 1.0 });
+    let usual = own_mean.max(others_mean).max(1.0);
+    let high = outstanding >= MIN_HIGH_LOAD && outstanding as f64 > HIGH_LOAD_FACTOR * usual;
+    (outstanding > 0).then_some(high)
+}
+
+/// Whether nothing was heard of a node since its oldest outstanding attempt was sent, for longer than is usual.
+fn is_overdue(watched: &WatchedNode, now: Duration, resumed_at: Duration, usual_seconds: f64) -> bool {
+    let Some(oldest) = watched.outstanding.values().min().copied() else { return false };
+    let relative = watched.usual_relative_latency().max(1.0);
+    let seconds = (usual_seconds * relative * OVERDUE_FACTOR).min(OVERDUE_MAX_SECONDS);
+    let patience = Duration::from_secs_f64(seconds) + OVERDUE_MARGIN;
+    let waiting_since = oldest.max(resumed_at);
+    watched.last_heard < oldest && now >= waiting_since + patience
+}
--- /dev/null
+++ b/crates/timeline/src/watch/recovery.rs
@@ -0,0 +1,73 @@
+//! Ends departures whose nodes are back to the usual.
+use std::time::Duration;
+
+use super::Watch;
+use super::baseline::raised;
+use super::settings::{CALM, MOST, PRIOR_WEIGHT};
+use super::signals::{ALL_PRODUCTS, Signal};
+use crate::entry::Kind;
+
+/// An open departure, and whether its members are back to the usual at this tick.
+struct Progress {
+    number: u32,
+    kind: Kind,
+    is_back: bool,
+}
+
+impl Watch {
+    /// Ends the departures that have been back to the usual for long enough.
+    pub(super) fn end_recovered(&mut self, now: Duration) {
+        let progress: Vec<Progress> = self
+            .open
+            .values()
+            .map(|open| {
+                let is_back = self.is_back(now, open.number, open.kind);
+                Progress { number: open.number, kind: open.kind, is_back }
+            })
+            .collect();
+        for one in progress {
+            if self.has_recovered(now, &one) {
+                self.end_departure(now, one.number);
+            }
+        }
+    }
+
+    /// Whether most members of a departure are back to the usual.
+    fn is_back(&self, now: Duration, number: u32, kind: Kind) -> bool {
+        let of_departure = self.nodes.iter().filter(|(_, watched)| watched.is_member(kind, number));
+        let members: Vec<u32> = of_departure.map(|(node, _)| *node).collect();
+        let calm = members.iter().filter(|node| self.is_calm(now, **node, kind)).count();
+        calm as f64 >= MOST * members.len() as f64
+    }
+
+    /// Notes at the first member since when the departure has been back to the usual. Returns whether that is long
+    /// enough, or whether no member is left.
+    fn has_recovered(&mut self, now: Duration, progress: &Progress) -> bool {
+        let (kind, number) = (progress.kind, progress.number);
+        let first = self.nodes.values_mut().find(|watched| watched.is_member(kind, number));
+        let Some(first) = first else { return true };
+        first.calm_since = if progress.is_back { first.calm_since.or(Some(now)) } else { None };
+        first.calm_since.is_some_and(|since| now >= since + CALM)
+    }
+
+    /// Whether a node shows no more bad observations of a kind now than is usual there.
+    fn is_calm(&self, now: Duration, node: u32, kind: Kind) -> bool {
+        let Some(watched) = self.nodes.get(&node) else { return true };
+        if kind == Kind::Silence {
+            return watched.heard_recently(now);
+        }
+        let signals = watched.signals.of(kind);
+        signals.iter().enumerate().all(|(place, signal)| self.signal_is_calm(now, signal, kind, place))
+    }
+
+    /// Whether a signal's recent observations are usual. Without any, that of one product is calm, and that of all
+    /// products is not: nothing shows that the node is back.
+    fn signal_is_calm(&self, now: Duration, signal: &Signal, kind: Kind, place: usize) -> bool {
+        let recent = signal.usual.lately(now);
+        if recent.all == 0.0 {
+            return place != ALL_PRODUCTS;
+        }
+        let usual = signal.usual.share(self.fleet_share(kind, place), PRIOR_WEIGHT);
+        recent.yes <= raised(usual, kind) * recent.all + 1.0
+    }
+}
--- /dev/null
+++ b/crates/timeline/src/watch/signals.rs
@@ -0,0 +1,153 @@
+//! The signals of a node, a build or the fleet: for each kind of departure a sequential test and a baseline, and the
+//! observations that feed them.
+use std::time::Duration;
+
+use crate::detect::{Bets, Detector};
+use crate::entry::Kind;
+use crate::usual::Usual;
+
+/// The kinds that are tested for; a restart is not tested for but heard of.
+pub(super) const KINDS: [Kind; 5] = [Kind::Silence, Kind::Links, Kind::Errors, Kind::Latency, Kind::Load];
+
+/// The place of the signal over all products; product `p` has place `p + 1`.
+pub(super) const ALL_PRODUCTS: usize = 0;
+
+/// The most observations one attempt gives.
+const MOST_PER_ATTEMPT: usize = 6;
+
+/// One outcome, good or bad, for one signal.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct Observation {
+    pub(super) kind: Kind,
+    pub(super) place: usize,
+    pub(super) bad: bool,
+}
+
+/// The observations that one attempt gives, kept without an allocation.
+pub(super) struct Observations {
+    list: [Observation; MOST_PER_ATTEMPT],
+    count: usize,
+}
+
+impl Observations {
+    pub(super) fn new() -> Self {
+        let unused = Observation { kind: Kind::Links, place: ALL_PRODUCTS, bad: false };
+        Observations { list: [unused; MOST_PER_ATTEMPT], count: 0 }
+    }
+
+    pub(super) fn push(&mut self, kind: Kind, place: usize, bad: bool) {
+        self.list[self.count] = Observation { kind, place, bad };
+        self.count += 1;
+    }
+
+    pub(super) fn as_slice(&self) -> &[Observation] {
+        &self.list[..self.count]
+    }
+}
+
+/// One signal: its test, and what is usual.
+#[derive(Clone, Debug, Default)]
+pub(super) struct Signal {
+    pub(super) detector: Detector,
+    pub(super) usual: Usual,
+    /// Since when the evidence has been above the threshold.
+    pub(super) alarming_since: Option<Duration>,
+    /// The bets for observations until the next tick; none while too little is known to test.
+    pub(super) bets: Option<Bets>,
+}
+
+impl Signal {
+    /// Takes an observation into the baseline and, if there are bets, into the test.
+    pub(super) fn observe(&mut self, now: Duration, bad: bool) {
+        self.usual.look(now, bad);
+        if let Some(bets) = &self.bets {
+            self.detector.look(now, bets, bad);
+        }
+    }
+
+    /// Whether the evidence has reached `threshold`.
+    pub(super) fn reaches(&self, threshold: f64) -> bool {
+        self.detector.evidence() >= threshold
+    }
+
+    /// Notes whether the evidence is above the threshold, and since when.
+    pub(super) fn update_alarm(&mut self, now: Duration, threshold: f64) {
+        let alarming = self.reaches(threshold);
+        self.alarming_since = if alarming { self.alarming_since.or(Some(now)) } else { None };
+    }
+
+    /// Starts the test anew; the baseline stays.
+    pub(super) fn reset_test(&mut self) {
+        self.detector = Detector::default();
+        self.alarming_since = None;
+    }
+}
+
+/// All signals of a node, a build or the fleet. Errors and latency have one over all products and one for each.
+#[derive(Clone, Debug)]
+pub(super) struct Signals {
+    errors: Vec<Signal>,
+    latency: Vec<Signal>,
+    links: Signal,
+    silence: Signal,
+    load: Signal,
+}
+
+impl Signals {
+    pub(super) fn new(products: usize) -> Self {
+        let by_product = vec![Signal::default(); products + 1];
+        Signals {
+            errors: by_product.clone(),
+            latency: by_product,
+            links: Signal::default(),
+            silence: Signal::default(),
+            load: Signal::default(),
+        }
+    }
+
+    /// The signals of a kind: the one over all products first, then by product.
+    pub(super) fn of(&self, kind: Kind) -> &[Signal] {
+        match kind {
+            Kind::Errors => &self.errors,
+            Kind::Latency => &self.latency,
+            Kind::Links => std::slice::from_ref(&self.links),
+            Kind::Silence => std::slice::from_ref(&self.silence),
+            Kind::Load | Kind::Restart => std::slice::from_ref(&self.load),
+        }
+    }
+
+    /// As [`Signals::of`], to be changed.
+    pub(super) fn of_mut(&mut self, kind: Kind) -> &mut [Signal] {
+        match kind {
+            Kind::Errors => &mut self.errors,
+            Kind::Latency => &mut self.latency,
+            Kind::Links => std::slice::from_mut(&mut self.links),
+            Kind::Silence => std::slice::from_mut(&mut self.silence),
+            Kind::Load | Kind::Restart => std::slice::from_mut(&mut self.load),
+        }
+    }
+
+    /// Whether the evidence of any signal of a kind has reached `threshold`.
+    pub(super) fn any_reaches(&self, kind: Kind, threshold: f64) -> bool {
+        self.of(kind).iter().any(|signal| signal.reaches(threshold))
+    }
+
+    /// Lets the baselines of a kind learn; while `held`, what they would learn is dropped.
+    pub(super) fn learn(&mut self, now: Duration, kind: Kind, held: bool) {
+        for signal in self.of_mut(kind) {
+            signal.usual.learn(now, held);
+        }
+    }
+
+    /// Starts the tests of a kind anew.
+    pub(super) fn reset_tests(&mut self, kind: Kind) {
+        for signal in self.of_mut(kind) {
+            signal.reset_test();
+        }
+    }
+
+    /// How many signals there are.
+    pub(super) fn count(&self) -> usize {
+        KINDS.iter().map(|kind| self.of(*kind).len()).sum()
+    }
+}
