--- a/crates/agent/src/discovery.rs
+++ b/crates/agent/src/discovery.rs
@@ -260,20 +260,20 @@
         // Names that are gone are forgotten: one that returns gets the same number.
         let stays = |id: &ApplianceId| listed.get(id).map_or(!whole, |mode| *mode != Mode::Gone);
         self.numbers.borrow_mut().retain(|_, id| stays(id));
-        count(Count::RosterUpdates);
+        count(Count::MembershipUpdates);
         let listing = match (saved, whole) {
             (true, _) => Listing::Saved,
             (false, true) => Listing::Whole,
             (false, false) => Listing::Changes,
         };
-        self.hub.tell(move |ear| ear.roster(listing, &mut entries.iter().map(|(line, _)| *line)));
+        self.hub.tell(move |ear| ear.membership(listing, &mut entries.iter().map(|(line, _)| *line)));
         Some(())
     }
 
     fn failed(&self, end: End) {
         say!("discovery {} ended: {end}", self.place.at());
         if self.asked {
-            self.hub.tell(|ear| ear.roster(Listing::Failed, &mut std::iter::empty()));
+            self.hub.tell(|ear| ear.membership(Listing::Failed, &mut std::iter::empty()));
         }
     }
 
--- a/examples/round_cost.rs
+++ b/examples/round_cost.rs
@@ -26,7 +26,7 @@
     let calls = Calls { lasts: ms(6000), wait: ms(1200) };
     Brain::new(
         1,
-        Roster::new(Zone(0), None),
+        Membership::new(Zone(0), None),
         Thaw::new(0.34, ms(4000), 2.5, ms(1000)),
         Exposure::new(ms(4000), TICK, 3.0, 0.1, false, 1, false),
         Jury::new(Gate::Single, vec![0.1, 0.5, 1.0], ms(900), calls, true, among, 1),
@@ -56,17 +56,17 @@
 /// The attempts decided in a round, and when the module wants to be woken.
 #[derive(Default)]
 struct Decided {
-    sent: Vec<(TxnId, ApplianceId)>,
+    sent: Vec<(RequestId, ApplianceId)>,
     wakes: Vec<Duration>,
 }
 
 impl Decisions for Decided {
-    fn submit(&mut self, id: TxnId, to: ApplianceId, _: Duration) {
+    fn send_attempt(&mut self, id: RequestId, to: ApplianceId, _: Duration) {
         self.sent.push((id, to));
     }
-    fn decline(&mut self, _: TxnId, _: Duration) {}
-    fn void(&mut self, _: TxnId) {}
-    fn call_off(&mut self, _: TxnId, _: Leg) {}
+    fn decline(&mut self, _: RequestId, _: Duration) {}
+    fn void(&mut self, _: RequestId) {}
+    fn call_off(&mut self, _: RequestId, _: AttemptNumber) {}
     fn wake(&mut self, at: Duration, _: Ticket) {
         self.wakes.push(at);
     }
@@ -74,8 +74,8 @@
     fn free_links(&mut self, _: ApplianceId) {}
     fn tell(&mut self, _: Option<AgentId>, _: &[u8]) {}
     fn log(&mut self, _: &str) {}
-    fn watch_roster(&mut self, _: bool) {}
-    fn fetch_roster(&mut self) {}
+    fn watch_membership(&mut self, _: bool) {}
+    fn fetch_membership(&mut self) {}
     fn vote(&mut self, _: Build, _: Stage, _: Verdict) {}
 }
 
@@ -88,7 +88,7 @@
 /// What happens at a time, besides wake-ups.
 enum Event {
     Request(u32),
-    Answer(TxnId, Leg, ApplianceId),
+    Answer(RequestId, AttemptNumber, ApplianceId),
     Change(u32),
     ZoneBack,
 }
@@ -101,7 +101,7 @@
 }
 
 /// How an attempt ends.
-fn ending(scene: Scene, id: TxnId, at: ApplianceId) -> Ending {
+fn ending(scene: Scene, id: RequestId, at: ApplianceId) -> Ending {
     match scene {
         Scene::Faults if at.0.is_multiple_of(20) => Ending::Unconnected,
         Scene::Faults if id.0.is_multiple_of(10) => Ending::Failed,
@@ -136,7 +136,7 @@
         put(&mut events, DAWN + Duration::from_secs(1) * seconds / 2, Event::ZoneBack);
     }
     let whole = listing(listed, scene);
-    let mut legs: BTreeMap<TxnId, u8> = BTreeMap::new();
+    let mut attempts: BTreeMap<RequestId, u8> = BTreeMap::new();
     let mut decided = Decided::default();
     let list = |brain: &mut Brain, now, decided: &mut Decided| {
         let lines = whole.clone();
@@ -146,7 +146,7 @@
             if scene == Scene::Trial {
                 ears.stage(Build(2), Stage(1), Course::OnTrial, 0.6, Duration::ZERO);
             }
-            ears.roster(Listing::Whole, &mut lines.into_iter());
+            ears.membership(Listing::Whole, &mut lines.into_iter());
         };
         brain.round(now, hear, decided);
         spent() - began
@@ -168,21 +168,24 @@
                     Event::Request(i) => {
                         let (product, tenant, mark) = (Product(0), Tenant(0), None);
                         let (deadline, hint) = (now + READ.deadline, Some(ANSWER_TIME));
-                        ears.txn(TxnId(i), Txn { product, tenant, mark, deadline, hint, repeated: false });
+                        ears.request(
+                            RequestId(i),
+                            Request { product, tenant, mark, deadline, hint, repeated: false },
+                        );
                     }
-                    Event::Answer(id, leg, at) => {
+                    Event::Answer(id, attempt, at) => {
                         let ending = ending(scene, id, at);
-                        ears.ended(id, leg, at, ending, ANSWER_TIME, ending == Ending::Served);
+                        ears.ended(id, attempt, at, ending, ANSWER_TIME, ending == Ending::Served);
                     }
                     Event::ZoneBack => {
                         let lost = whole.iter().filter(|line| line.zone == Zone(0));
                         let back: Vec<Line> = lost.map(|l| Line { started: Some(now), ..*l }).collect();
-                        ears.roster(Listing::Changes, &mut back.into_iter());
+                        ears.membership(Listing::Changes, &mut back.into_iter());
                     }
                     Event::Change(i) => {
                         let started = Some(now);
                         let one = Line { started, ..whole[(i.wrapping_mul(7919) % listed) as usize] };
-                        ears.roster(Listing::Changes, &mut [one].into_iter());
+                        ears.membership(Listing::Changes, &mut [one].into_iter());
                     }
                 }
             }
@@ -192,9 +195,9 @@
         wakes.extend(decided.wakes.drain(..));
         for (id, to) in decided.sent.drain(..) {
             cost.used.insert(to);
-            let leg = legs.entry(id).or_default();
-            put(&mut events, now + ANSWER_TIME, Event::Answer(id, Leg(*leg), to));
-            *leg += 1;
+            let attempt = attempts.entry(id).or_default();
+            put(&mut events, now + ANSWER_TIME, Event::Answer(id, AttemptNumber(*attempt), to));
+            *attempt += 1;
         }
     }
     cost.rounds.sort();
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -8,7 +8,7 @@
 use crate::state::Ratio;
 use crate::subset::{Position, Side, nearest};
 
-/// A submission that is out, as its appliance's record has it.
+/// An attempt that is out, as its appliance's record has it.
 pub(crate) struct Out {
     pub(crate) sent: Duration,
     pub(crate) work: f64,
@@ -24,13 +24,13 @@
 pub(crate) struct Record {
     /// Failures, and answers of any kind.
     pub(crate) fails: Ratio,
-    /// Time taken and hinted work of served submissions: of late, and in the long run.
+    /// Time taken and hinted work of served attempts: of late, and in the long run.
     pub(crate) recent: Ratio,
     pub(crate) usual: Ratio,
-    /// Its last sign of life, and when the latest of the submissions it has answered was sent.
+    /// Its last sign of life, and when the latest of the attempts it has answered was sent.
     pub(crate) heard: Duration,
     pub(crate) passed: Duration,
-    /// When a submission last found no connection there.
+    /// When an attempt last found no connection there.
     pub(crate) unlinked: Option<Duration>,
     /// While above 0 it is barred, and may not even be tried until the time beside it.
     pub(crate) bar: Duration,
@@ -38,7 +38,7 @@
 }
 
 impl Record {
-    /// Notes how a submission ended that was sent then.
+    /// Notes how an attempt ended that was sent then.
     pub(crate) fn ended(&mut self, now: Duration, half: Duration, ending: Ending, sent: Duration) {
         if matches!(
             ending,
@@ -64,10 +64,10 @@
 pub(crate) struct Appliance {
     pub(crate) line: Line,
     pub(crate) record: Record,
-    pub(crate) out: BTreeMap<(TxnId, Leg), Out>,
+    pub(crate) out: BTreeMap<(RequestId, AttemptNumber), Out>,
     /// Work sent while it may be cold.
     pub(crate) pushed: VecDeque<(Duration, f64)>,
-    /// What part of the agent's txns would go there.
+    /// What part of the agent's requests would go there.
     pub(crate) part: f64,
     /// Whether a connection there may be open.
     pub(crate) linked: bool,
@@ -95,7 +95,9 @@
     }
 
     /// Notes what is sent there, and forgets what was before this span.
-    pub(crate) fn sent(&mut self, now: Duration, span: Duration, which: (TxnId, Leg), out: Out) {
+    pub(crate) fn sent(
+        &mut self, now: Duration, span: Duration, which: (RequestId, AttemptNumber), out: Out,
+    ) {
         self.pushed.retain(|(t, _)| *t + span >= now);
         self.pushed.push_back((now, out.work));
         self.linked = true;
@@ -110,7 +112,7 @@
         !self.record.bar.is_zero()
     }
 
-    /// When the oldest of several submissions out was sent, if nothing came from there since.
+    /// When the oldest of several attempts out was sent, if nothing came from there since.
     pub(crate) fn unheard_since(&self) -> Option<Duration> {
         let oldest = self.out.values().map(|o| o.sent).min();
         oldest.filter(|&o| self.out.len() > 1 && self.record.heard < o)
@@ -279,7 +281,7 @@
         sums.into_iter().filter(|(_, s)| s.1 > 0.0).map(|(m, s)| (m, s.0 / s.1)).collect()
     }
 
-    /// How many submissions are out, but for those at barred appliances.
+    /// How many attempts are out, but for those at barred appliances.
     pub(crate) fn out(&self) -> usize {
         self.walk().filter(|(_, a)| !a.barred()).map(|(_, a)| a.out.len()).sum()
     }
--- a/tests/same_decisions.rs
+++ b/tests/same_decisions.rs
@@ -35,7 +35,7 @@
     let calls = Calls { lasts: ms(6000), wait: ms(1200) };
     Brain::new(
         seed,
-        Roster::new(Zone(0), Some(ms(10_000))),
+        Membership::new(Zone(0), Some(ms(10_000))),
         Thaw::new(0.34, ms(4000), 2.5, ms(1000)),
         Exposure::new(ms(4000), ms(5), 3.0, 0.1, true, 1, false),
         Jury::new(Gate::Single, vec![0.1, 0.5, 1.0], ms(900), calls, true, among, 4),
@@ -47,7 +47,7 @@
 struct Digest {
     sum: u64,
     decisions: u32,
-    sent: Vec<(TxnId, ApplianceId)>,
+    sent: Vec<(RequestId, ApplianceId)>,
 }
 
 impl Digest {
@@ -60,18 +60,18 @@
 }
 
 impl Decisions for Digest {
-    fn submit(&mut self, id: TxnId, to: ApplianceId, _: Duration) {
+    fn send_attempt(&mut self, id: RequestId, to: ApplianceId, _: Duration) {
         self.put(&format!("submit {} {}", id.0, to.0));
         self.sent.push((id, to));
     }
-    fn decline(&mut self, id: TxnId, wait: Duration) {
+    fn decline(&mut self, id: RequestId, wait: Duration) {
         self.put(&format!("decline {} {wait:?}", id.0));
     }
-    fn void(&mut self, id: TxnId) {
+    fn void(&mut self, id: RequestId) {
         self.put(&format!("void {}", id.0));
     }
-    fn call_off(&mut self, id: TxnId, leg: Leg) {
-        self.put(&format!("call off {} {}", id.0, leg.0));
+    fn call_off(&mut self, id: RequestId, attempt: AttemptNumber) {
+        self.put(&format!("call off {} {}", id.0, attempt.0));
     }
     fn wake(&mut self, _: Duration, _: Ticket) {}
     fn probe(&mut self, at: ApplianceId) {
@@ -86,10 +86,10 @@
     fn log(&mut self, text: &str) {
         self.put(&format!("log {text}"));
     }
-    fn watch_roster(&mut self, on: bool) {
+    fn watch_membership(&mut self, on: bool) {
         self.put(&format!("watch {on}"));
     }
-    fn fetch_roster(&mut self) {
+    fn fetch_membership(&mut self) {
         self.put("fetch");
     }
     fn vote(&mut self, build: Build, stage: Stage, verdict: Verdict) {
@@ -108,12 +108,12 @@
 }
 
 /// An attempt on its way: when it ends, which it is, where it is and how it ends.
-type Attempt = (Duration, TxnId, Leg, ApplianceId, Ending, Duration);
+type Attempt = (Duration, RequestId, AttemptNumber, ApplianceId, Ending, Duration);
 
 struct Minute {
     chance: Pcg64Mcg,
     lines: Vec<Line>,
-    legs: BTreeMap<TxnId, u8>,
+    attempts: BTreeMap<RequestId, u8>,
     out: Vec<Attempt>,
     next: u32,
 }
@@ -131,7 +131,7 @@
             3 => (one.mode, one.started) = (Mode::Ready, Some(now)),
             _ => one.mode = Mode::Ready,
         }
-        ears.roster(Listing::Changes, &mut [*one].into_iter());
+        ears.membership(Listing::Changes, &mut [*one].into_iter());
     }
 
     fn news(&mut self, beat: u32, ears: &mut dyn Hears) {
@@ -150,11 +150,11 @@
     fn hear(&mut self, now: Duration, beat: u32, ears: &mut dyn Hears) {
         self.news(beat, ears);
         if beat == 0 {
-            ears.roster(Listing::Saved, &mut self.lines.clone().into_iter());
+            ears.membership(Listing::Saved, &mut self.lines.clone().into_iter());
         }
         if beat.is_multiple_of(700) {
             let ready = self.lines.iter().filter(|line| line.mode != Mode::Gone);
-            ears.roster(Listing::Whole, &mut ready.copied().collect::<Vec<_>>().into_iter());
+            ears.membership(Listing::Whole, &mut ready.copied().collect::<Vec<_>>().into_iter());
         } else if beat.is_multiple_of(60) {
             self.change(now, beat, ears);
         }
@@ -165,23 +165,23 @@
         if beat == 5000 {
             ears.openings(None);
         }
-        for (_, id, leg, at, ending, took) in self.out.extract_if(.., |one| one.0 <= now) {
-            ears.ended(id, leg, at, ending, took, ending == Ending::Served);
+        for (_, id, attempt, at, ending, took) in self.out.extract_if(.., |one| one.0 <= now) {
+            ears.ended(id, attempt, at, ending, took, ending == Ending::Served);
         }
         if self.chance.random::<f64>() < 0.4 {
             self.next += 1;
             let (product, tenant) = (Product(self.chance.random_range(0..4)), Tenant(0));
             let (deadline, hint) = (now + ms(2000), Some(ms(self.chance.random_range(20..120))));
-            let txn = Txn { product, tenant, mark: Some(Mark(7)), deadline, hint, repeated: false };
-            ears.txn(TxnId(self.next), txn);
+            let request = Request { product, tenant, mark: Some(Mark(7)), deadline, hint, repeated: false };
+            ears.request(RequestId(self.next), request);
         }
     }
 
     /// How an attempt goes: a tenth of the appliances say nothing for ten seconds, others fail at times.
-    fn fate(&mut self, now: Duration, beat: u32, id: TxnId, to: ApplianceId) {
-        let leg = self.legs.entry(id).or_default();
-        let which = Leg(*leg);
-        *leg += 1;
+    fn fate(&mut self, now: Duration, beat: u32, id: RequestId, to: ApplianceId) {
+        let attempt = self.attempts.entry(id).or_default();
+        let which = AttemptNumber(*attempt);
+        *attempt += 1;
         let silent = (2500..3500).contains(&beat) && to.0 % 10 == 3;
         let (ending, took) = match self.chance.random_range(0..100) {
             _ if silent => (Ending::TimedOut, 1500),
@@ -201,7 +201,7 @@
     let mut brain = agent(1, 3, seed);
     let lines = (0..listed).map(|i| line(i, listed)).collect();
     let chance = Pcg64Mcg::seed_from_u64(seed);
-    let mut minute = Minute { chance, lines, legs: BTreeMap::new(), out: Vec::new(), next: 0 };
+    let mut minute = Minute { chance, lines, attempts: BTreeMap::new(), out: Vec::new(), next: 0 };
     let mut digest = Digest { sum: 0xcbf2_9ce4_8422_2325, decisions: 0, sent: Vec::new() };
     for beat in 0..BEATS {
         let now = DAWN + BEAT * beat;
--- a/tests/subset.rs
+++ b/tests/subset.rs
@@ -35,7 +35,7 @@
     let products = vec![terms(Repeat::InquiryLike), keyed(Group::Cell), keyed(Group::Zone)];
     Brain::new(
         u64::from(me) * 7919 + 1,
-        Roster::new(Zone((me % 8) as u8), None),
+        Membership::new(Zone((me % 8) as u8), None),
         Thaw::new(0.34, ms(4000), 2.5, ms(1000)),
         Exposure::new(ms(4000), ms(5), 3.0, 0.1, false, 1, false),
         Jury::new(Gate::Single, vec![0.1, 0.5, 1.0], ms(900), calls, true, among, 3),
@@ -58,22 +58,22 @@
 /// What a module decided in a round.
 #[derive(Default)]
 struct Decided {
-    sent: Vec<(TxnId, ApplianceId)>,
-    given_up: Vec<TxnId>,
+    sent: Vec<(RequestId, ApplianceId)>,
+    given_up: Vec<RequestId>,
     wakes: Vec<Duration>,
 }
 
 impl Decisions for Decided {
-    fn submit(&mut self, id: TxnId, to: ApplianceId, _: Duration) {
+    fn send_attempt(&mut self, id: RequestId, to: ApplianceId, _: Duration) {
         self.sent.push((id, to));
     }
-    fn decline(&mut self, id: TxnId, _: Duration) {
+    fn decline(&mut self, id: RequestId, _: Duration) {
         self.given_up.push(id);
     }
-    fn void(&mut self, id: TxnId) {
+    fn void(&mut self, id: RequestId) {
         self.given_up.push(id);
     }
-    fn call_off(&mut self, _: TxnId, _: Leg) {}
+    fn call_off(&mut self, _: RequestId, _: AttemptNumber) {}
     fn wake(&mut self, at: Duration, _: Ticket) {
         self.wakes.push(at);
     }
@@ -81,15 +81,15 @@
     fn free_links(&mut self, _: ApplianceId) {}
     fn tell(&mut self, _: Option<AgentId>, _: &[u8]) {}
     fn log(&mut self, _: &str) {}
-    fn watch_roster(&mut self, _: bool) {}
-    fn fetch_roster(&mut self) {}
+    fn watch_membership(&mut self, _: bool) {}
+    fn fetch_membership(&mut self) {}
     fn vote(&mut self, _: Build, _: Stage, _: Verdict) {}
 }
 
 struct Attempt {
     due: Duration,
-    id: TxnId,
-    leg: Leg,
+    id: RequestId,
+    attempt: AttemptNumber,
     at: ApplianceId,
     ending: Ending,
     took: Duration,
@@ -100,21 +100,22 @@
     brain: Brain,
     now: Duration,
     out: Vec<Attempt>,
-    legs: BTreeMap<TxnId, u8>,
+    attempts: BTreeMap<RequestId, u8>,
     requests: u32,
-    given_up: Vec<TxnId>,
+    given_up: Vec<RequestId>,
     wakes: BTreeSet<Duration>,
 }
 
 impl Play {
     /// An agent that has the list, where build 1 is released.
     fn new(me: u32, agents: u32, lines: &[Line]) -> Self {
-        let (out, legs, given_up, wakes) = Default::default();
-        let mut play = Play { brain: agent(me, agents), now: DAWN, out, legs, requests: 0, given_up, wakes };
+        let (out, attempts, given_up, wakes) = Default::default();
+        let mut play =
+            Play { brain: agent(me, agents), now: DAWN, out, attempts, requests: 0, given_up, wakes };
         play.round(
             |ears| {
                 ears.stage(Build(1), Stage(2), Course::Released, 1.0, Duration::ZERO);
-                ears.roster(Listing::Whole, &mut lines.iter().copied());
+                ears.membership(Listing::Whole, &mut lines.iter().copied());
             },
             |_, _| SERVED,
         );
@@ -126,30 +127,31 @@
     }
 
     fn change(&mut self, lines: Vec<Line>) {
-        self.round(|ears| ears.roster(Listing::Changes, &mut lines.into_iter()), |_, _| SERVED);
+        self.round(|ears| ears.membership(Listing::Changes, &mut lines.into_iter()), |_, _| SERVED);
     }
 
-    /// Plays what is due, and then a round; `fate` says how an attempt ends, by its leg and appliance, and after what time.
+    /// Plays what is due, and then a round; `fate` says how an attempt ends, by its attempt and appliance, and after
+    /// what time.
     fn round(
         &mut self, hear: impl FnOnce(&mut dyn Hears),
         mut fate: impl FnMut(u8, ApplianceId) -> (Ending, Duration),
-    ) -> Vec<(TxnId, ApplianceId)> {
+    ) -> Vec<(RequestId, ApplianceId)> {
         let (now, mut decided) = (self.now, Decided::default());
         let due: Vec<_> = self.out.extract_if(.., |one| one.due <= now).collect();
         let all = |ears: &mut dyn Hears| {
             for one in due {
                 let closed = one.ending == Ending::Served;
-                ears.ended(one.id, one.leg, one.at, one.ending, one.took, closed);
+                ears.ended(one.id, one.attempt, one.at, one.ending, one.took, closed);
             }
             hear(ears);
         };
         self.brain.round(now, all, &mut decided);
         for (id, at) in &decided.sent {
-            let leg = self.legs.entry(*id).or_default();
-            let (ending, took) = fate(*leg, *at);
+            let attempt = self.attempts.entry(*id).or_default();
+            let (ending, took) = fate(*attempt, *at);
             let (id, at, due) = (*id, *at, now + took);
-            self.out.push(Attempt { due, id, leg: Leg(*leg), at, ending, took });
-            *leg += 1;
+            self.out.push(Attempt { due, id, attempt: AttemptNumber(*attempt), at, ending, took });
+            *attempt += 1;
         }
         self.given_up.extend(decided.given_up);
         self.wakes.extend(decided.wakes);
@@ -159,7 +161,7 @@
     /// A beat in which so many requests of a product come.
     fn beat(
         &mut self, requests: u32, product: u8, fate: impl FnMut(u8, ApplianceId) -> (Ending, Duration),
-    ) -> Vec<(TxnId, ApplianceId)> {
+    ) -> Vec<(RequestId, ApplianceId)> {
         self.now += BEAT;
         let (now, first) = (self.now, self.requests);
         self.requests += requests;
@@ -167,7 +169,10 @@
             for id in first..first + requests {
                 let (product, tenant, mark) = (Product(product), Tenant(0), Some(Mark(7)));
                 let (deadline, hint) = (now + ms(2000), Some(WORK));
-                ears.txn(TxnId(id), Txn { product, tenant, mark, deadline, hint, repeated: false });
+                ears.request(
+                    RequestId(id),
+                    Request { product, tenant, mark, deadline, hint, repeated: false },
+                );
             }
         };
         self.round(hear, fate)
@@ -393,7 +398,7 @@
                 assert!(open.contains(&to), "{to:?} is closed");
             }
         }
-        assert_eq!((play.given_up.len(), play.legs.len()), (0, 30), "refused, and sent");
+        assert_eq!((play.given_up.len(), play.attempts.len()), (0, 30), "refused, and sent");
     }
 }
 
@@ -410,7 +415,7 @@
     let mut again = BTreeSet::new();
     for beat in 0..300 {
         // The first attempt of every second request fails, and no failure is blamed on so few.
-        let fate = |leg: u8, _: ApplianceId| if leg == 0 { (Ending::Failed, ms(20)) } else { SERVED };
+        let fate = |attempt: u8, _: ApplianceId| if attempt == 0 { (Ending::Failed, ms(20)) } else { SERVED };
         for (id, to) in play.beat(u32::from(beat % 10 == 0), product, fate) {
             let Some(before) = first.insert(id, to) else { continue };
             let ((zone, cell), (zone_before, cell_before)) = (of[&to], of[&before]);
@@ -444,7 +449,7 @@
             33 => play.change(all.clone()),
             66 => {
                 let ready = all.iter().copied().filter(|line| line.mode == Mode::Ready).collect::<Vec<_>>();
-                play.round(|ears| ears.roster(Listing::Whole, &mut ready.into_iter()), |_, _| SERVED);
+                play.round(|ears| ears.membership(Listing::Whole, &mut ready.into_iter()), |_, _| SERVED);
             }
             _ => play.change(changes),
         }
