--- a/src/brain.rs
+++ b/src/brain.rs
@@ -119,11 +119,6 @@
         self.openings.as_ref().is_none_or(|o| o.any(build, zone))
     }
 
-    /// Earlier builds are the first arm, those on trial the second.
-    fn arm(&self, build: Build) -> usize {
-        usize::from(self.bound(build).is_some())
-    }
-
     /// Whether a request may go to a build at all.
     fn admits(&self, build: Build, zone: Zone, h: &Held) -> bool {
         if !self.open(build, zone, h) {
@@ -527,7 +522,7 @@
         let homes = HOMES * (1.0 + self.stock.asked * self.stock.middle_pace * self.stock.usual_work);
         let (first, full) = if fleet.split { self.choose_subset(homes) } else { ([0; 2], false) };
         self.stock.full = full;
-        // When most are barred the trouble is not theirs: then bars mean nothing. Not so if a subset found others.
+        // When most are barred the trouble is not theirs: then bars mean nothing, unless a subset found others.
         let sick = self.membership.fleet.ready().filter(|(_, a)| a.barred()).count();
         self.stock.panic = 2 * sick > self.membership.fleet.ready().count() && !full;
         let (fleet, mut seated, mut out) = (&self.membership.fleet, [0.0; 2], [0.0; 2]);
--- a/src/parts.rs
+++ b/src/parts.rs
@@ -78,6 +78,11 @@
 }
 
 impl Exposure {
+    /// Earlier builds are the first arm, those on trial the second.
+    pub(crate) fn arm(&self, build: Build) -> usize {
+        usize::from(self.bound(build).is_some())
+    }
+
     /// Products are counted together or apart.
     pub(crate) fn lane(&self, product: Product) -> Product {
         if self.per_product { product } else { Product(0) }
