--- a/src/brain.rs
+++ b/src/brain.rs
@@ -119,11 +119,6 @@
         self.openings.as_ref().is_none_or(|o| o.any(build, zone))
     }
 
-    /// Earlier builds are the first arm, those on trial the second.
-    fn arm(&self, build: Build) -> usize {
-        usize::from(self.bound(build).is_some())
-    }
-
     /// Whether a request may go to a build at all.
     fn admits(&self, build: Build, zone: Zone, h: &Held) -> bool {
         if !self.open(build, zone, h) {
@@ -527,7 +522,7 @@
         let homes = HOMES * (1.0 + self.stock.asked * self.stock.middle_pace * self.stock.usual_work);
         let (first, full) = if fleet.split { self.choose_subset(homes) } else { ([0; 2], false) };
         self.stock.full = full;
-        // When most are barred the trouble is not theirs: then bars mean nothing. Not so if a subset found others.
+        // Most are barred: the trouble is not theirs and bars mean nothing, unless a subset found others.
         let sick = self.membership.fleet.ready().filter(|(_, a)| a.barred()).count();
         self.stock.panic = 2 * sick > self.membership.fleet.ready().count() && !full;
         let (fleet, mut seated, mut out) = (&self.membership.fleet, [0.0; 2], [0.0; 2]);
@@ -591,8 +586,8 @@
         let warm = |l: &Line| self.thaw.warmth(l.started.map(|s| now.saturating_sub(s))) >= 1.0;
         let barred = |id| fleet.used.get(&id).is_some_and(Appliance::barred);
         let serves = |id| !barred(id) && fleet.listed.get(id).is_some_and(warm);
-        // Where hardly any can serve, it does not look for all of them at once.
-        let enough = |taken, serving| serving >= half || serving > 0 && taken >= 8 * half;
+        // Where hardly any can serve, it does not look for them all over the list: `call_in` does, at need.
+        let enough = |taken, serving| serving >= half || taken >= 4 * half;
         let segments = [0, 1].map(|arm| {
             let of = |build, zone| self.exposure.arm(build) == arm && self.exposure.shows(build, zone);
             let least = stock.reach[arm].map(|reach| (reach * 15 / 16).max(1) - 1);
