--- a/crates/scale/src/cli/measure.rs
+++ b/crates/scale/src/cli/measure.rs
@@ -1,12 +1,14 @@
 //! `measure`: the figures of the target beside its budgets, in under a minute; the last line holds
 //! them all.
+use std::collections::BTreeMap;
 use std::path::PathBuf;
 use std::time::Duration;
 
+use lilacgate_capacity::analysis::{Analysis, ProcessPair};
 use lilacgate_capacity::result::{self, EventKind, Experiment, Factor, Quantity, Role, Sample};
 use lilacgate_capacity::{Source, Target};
 
-use crate::cli::session::Session;
+use crate::cli::session::{Options, Session};
 use crate::error::ScaleError;
 use crate::event::{self, Pace};
 use crate::fleet::FleetSize;
@@ -31,7 +33,7 @@
     #[arg(long)]
     agents: Option<u32>,
     /// Results of the same command before a change, to be printed beside.
-    #[arg(long, default_value = "measure/capacity/before-measure.jsonl")]
+    #[arg(long, default_value = "measure/capacity/before/measure.jsonl")]
     before: PathBuf,
     /// Results of real processes beside hollow ones of the same size.
     #[arg(long, default_value = "measure/capacity/processes.jsonl")]
@@ -41,6 +43,7 @@
 /// All that is measured.
 struct Figures {
     steady: Steady,
+    judged: Steady,
     services: Repeated,
     one_service: Repeated,
     evenness: Evenness,
@@ -62,26 +65,38 @@
         size = size.with_agents(agents);
     }
     session.heading();
-    let figures = measure(session, &target, &size, arguments)?;
+    let figures = match measure(session, &target, &size, arguments) {
+        Ok(figures) => figures,
+        Err(fault) => {
+            let label = session.label(Experiment::Budget, None, false);
+            let plan = plan_with(&session.options, size, WINDOW);
+            session.keep_nothing(&plan, &label, None, &fault)?;
+            return Err(fault);
+        }
+    };
     println!("{}", beside(&figures, arguments));
     println!("{}", last_line(&figures));
     Ok(())
 }
 
+fn plan_with(options: &Options, size: FleetSize, window: Duration) -> Plan {
+    Plan {
+        size,
+        seed: options.seed,
+        threads: options.threads,
+        warm_up: WARM_UP,
+        window,
+    }
+}
+
 fn measure(
     session: &mut Session,
     target: &Target,
     size: &FleetSize,
     arguments: &Arguments,
 ) -> Result<Figures, ScaleError> {
-    let (seed, threads) = (session.options.seed, session.options.threads);
-    let plan = |size: FleetSize, window: Duration| Plan {
-        size,
-        seed,
-        threads,
-        warm_up: WARM_UP,
-        window,
-    };
+    let options = session.options.clone();
+    let plan = |size: FleetSize, window: Duration| plan_with(&options, size, window);
     let label = session.label(Experiment::Budget, None, false);
 
     // The largest fleet goes first: its memory is the growth since the start.
@@ -119,11 +134,14 @@
         measure::predict_error(&services, services_cost.core_percent, &limits)?,
         measure::predict_error(&one, one_cost.core_percent, &limits)?,
     );
+    let judged = plan(one_release(size), WINDOW);
+    let judged = session.steady(&judged, &label)?;
     let spread = plan(measure::spread_size(size), WINDOW);
     let evenness = measure::evenness(&spread, &limits)?;
     session.keep(evenness_sample(&spread, &evenness, &label))?;
     Ok(Figures {
         steady,
+        judged,
         services: services_cost,
         one_service: one_cost,
         evenness,
@@ -131,7 +149,7 @@
         restart_bytes: restart.0,
         restart_broken_rules: restart.1,
         predict_error,
-        hollow_error: hollow_error(arguments),
+        hollow_error: hollow_error(arguments, target),
     })
 }
 
@@ -181,6 +199,17 @@
     ))
 }
 
+/// One service as large as the largest, which all requests go to, with a release on trial: what its
+/// judges hear is the most that one release can make them hear.
+fn one_release(size: &FleetSize) -> FleetSize {
+    FleetSize {
+        appliances: size.largest,
+        change_rate: 0.0,
+        releases: 1,
+        ..size.in_one_service()
+    }
+}
+
 fn steady(simulation: &mut Simulation, window: Duration) -> Result<Steady, ScaleError> {
     let list_parse = simulation.total().worst_parse;
     simulation.measure_memory();
@@ -250,15 +279,14 @@
     }
 
     fn judge_bytes_a_second(&self) -> f64 {
-        let figures = self.steady.judge_figures().unwrap_or_default();
-        figures
-            .get(&Quantity::BytesInPerSecond)
-            .copied()
-            .unwrap_or(0.0)
+        let judges = [&self.steady, &self.judged].map(Steady::judge_figures);
+        let bytes = |figures: BTreeMap<Quantity, f64>| figures[&Quantity::BytesInPerSecond];
+        judges.into_iter().flatten().map(bytes).fold(0.0, f64::max)
     }
 
     fn broken_rules(&self) -> u64 {
         self.steady.total.counts.broken_rules
+            + self.judged.total.counts.broken_rules
             + self.services.broken_rules
             + self.one_service.broken_rules
             + self.evenness.broken_rules
@@ -341,31 +369,14 @@
     lines.join("\n")
 }
 
-/// The largest relative difference of processor time between hollow agents and real processes of
-/// the same size, if both are on file.
-fn hollow_error(arguments: &Arguments) -> Option<f64> {
+/// By how much processor time of hollow agents differs from that of real processes, at the largest
+/// size where both are on file.
+fn hollow_error(arguments: &Arguments, target: &Target) -> Option<f64> {
     let samples = result::load(&arguments.processes).ok()?;
-    let core = |sample: &Sample| {
-        let is_agent = sample.role == Role::Agent && sample.complete;
-        sample
-            .figure(Quantity::ControlCorePercent)
-            .filter(|_| is_agent)
+    let analysis = Analysis::new(&samples, target);
+    let is_core = |pair: &&ProcessPair| {
+        (pair.role, pair.quantity) == (Role::Agent, Quantity::ControlCorePercent)
     };
-    let errors = samples
-        .iter()
-        .filter(|sample| sample.source == Source::Process)
-        .filter_map(|real| {
-            let is_twin = |sample: &&Sample| {
-                let (one, other) = (&sample.size, &real.size);
-                sample.source == Source::Hollow
-                    && (one.agents, one.listed_appliances, one.services)
-                        == (other.agents, other.listed_appliances, other.services)
-                    && one.request_rate == other.request_rate
-                    && core(sample).is_some()
-            };
-            let hollow = core(samples.iter().find(is_twin)?)?;
-            let real = core(real)?;
-            Some((hollow - real).abs() / real)
-        });
-    errors.reduce(f64::max)
+    let pair = analysis.pairs.iter().rev().find(is_core)?;
+    Some((pair.hollow - pair.process).abs() / pair.process)
 }
--- a/crates/scale/src/cli/point.rs
+++ b/crates/scale/src/cli/point.rs
@@ -74,8 +74,6 @@
     pub size: FleetSize,
     /// The size that varies.
     pub factor: Factor,
-    /// Whether it is a point of a slope, or else a point of another shape beside it.
-    pub is_slope: bool,
     /// Whether it is held back from the fit.
     pub held_back: bool,
     /// Virtual seconds of the measurement.
@@ -84,10 +82,10 @@
 
 impl Request {
     fn experiment(&self) -> Experiment {
-        match (self.is_slope, self.held_back) {
-            (true, false) => Experiment::Slope,
-            (true, true) => Experiment::Predict,
-            (false, _) => Experiment::Budget,
+        if self.held_back {
+            Experiment::Predict
+        } else {
+            Experiment::Slope
         }
     }
 }
--- a/crates/scale/src/cli/slopes.rs
+++ b/crates/scale/src/cli/slopes.rs
@@ -22,7 +22,7 @@
 /// Appliances of a service that may have a release on trial.
 const APPLIANCES_A_RELEASE: u32 = 60;
 /// Mean work of a request, which makes an agent use more appliances.
-const WORK_MILLIS: [u32; 5] = [1, 5, 20, 80, 160];
+const WORK_MILLIS: [u32; 5] = [5, 40, 80, 160, 320];
 /// Requests per second, in parts of the usual rate.
 const REQUEST_TIMES: [u32; 5] = [1, 3, 6, 12, 24];
 const USUAL_TIMES: u32 = 6;
@@ -199,7 +199,6 @@
         let request = Request {
             size,
             factor,
-            is_slope: slope != Slope::ListedInServices,
             held_back,
             window,
         };
--- a/crates/scale/tests/simulation.rs
+++ b/crates/scale/tests/simulation.rs
@@ -88,9 +88,7 @@
 #[test]
 fn a_run_stops_at_its_memory_limit_with_a_line_that_says_so() {
     let limits = Limits::new(Some(MEGABYTE));
-    let fault = run::steady(&plan(small(), 1), &limits)
-        .err()
-        .expect("a limit");
+    let fault = run::steady(&plan(small(), 1), &limits).expect_err("a limit");
     assert!(matches!(fault, ScaleError::MemoryLimit { .. }) && fault.is_stop());
     assert!(
         fault.to_string().contains("memory limit reached"),
@@ -116,9 +114,7 @@
         simulation.run_for(Duration::from_secs(1)),
         Err(ScaleError::Interrupted)
     ));
-    let before = run::steady(&plan(small(), 1), &limits)
-        .err()
-        .expect("interrupted");
+    let before = run::steady(&plan(small(), 1), &limits).expect_err("interrupted");
     assert!(matches!(before, ScaleError::Interrupted));
 }
 
