--- a/crates/scale/src/cli/measure.rs
+++ b/crates/scale/src/cli/measure.rs
@@ -4,6 +4,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
+use cpu_time::ProcessTime;
 use lilacgate_capacity::analysis::{Analysis, ProcessPair};
 use lilacgate_capacity::result::{self, EventKind, Experiment, Factor, Quantity, Role, Sample};
 use lilacgate_capacity::{Source, Target};
@@ -22,7 +23,7 @@
 const WARM_UP: Duration = Duration::from_secs(2);
 const WINDOW: Duration = Duration::from_secs(3);
 /// The same where runs are repeated.
-const REPEATED_WINDOW: Duration = Duration::from_secs(2);
+const REPEATED_WINDOW: Duration = Duration::from_secs(5);
 /// Agents of a fleet that is measured several times.
 const REPEATED_AGENTS: u32 = 12;
 
@@ -99,6 +100,7 @@
     let plan = |size: FleetSize, window: Duration| plan_with(&options, size, window);
     let label = session.label(Experiment::Budget, None, false);
 
+    let mut clock = StageClock::start();
     // The largest fleet goes first: its memory is the growth since the start.
     let main = plan(
         FleetSize {
@@ -109,6 +111,8 @@
     );
     let (steady, in_force_millis, restart) = main_fleet(session, &main, target, &label)?;
 
+    clock.end_stage("steady fleet, change and restart");
+
     let limits = session.limits.clone();
     let few = size.with_agents(REPEATED_AGENTS.min(size.agents));
     let services = plan(
@@ -118,7 +122,7 @@
         },
         REPEATED_WINDOW,
     );
-    let services_cost = measure::repeated(&services, &limits)?;
+    let (services_cost, services_predicted) = measure::cost_and_prediction(&services, &limits)?;
     session.keep(repeated_sample(&services, &services_cost, &label))?;
     let one = plan(
         FleetSize {
@@ -127,18 +131,23 @@
         },
         REPEATED_WINDOW,
     );
-    let one_cost = measure::repeated(&one, &limits)?;
+    let (one_cost, one_predicted) = measure::cost_and_prediction(&one, &limits)?;
     session.keep(repeated_sample(&one, &one_cost, &label))?;
 
+    clock.end_stage("repeated costs and their predictions");
+    let error =
+        |cost: &Repeated, predicted: f64| (predicted - cost.core_percent).abs() / cost.core_percent;
     let predict_error = f64::max(
-        measure::predict_error(&services, services_cost.core_percent, &limits)?,
-        measure::predict_error(&one, one_cost.core_percent, &limits)?,
+        error(&services_cost, services_predicted),
+        error(&one_cost, one_predicted),
     );
     let judged = plan(one_release(size), WINDOW);
     let judged = session.steady(&judged, &label)?;
+    clock.end_stage("judges");
     let spread = plan(measure::spread_size(size), WINDOW);
     let evenness = measure::evenness(&spread, &limits)?;
     session.keep(evenness_sample(&spread, &evenness, &label))?;
+    clock.end_stage("evenness");
     Ok(Figures {
         steady,
         judged,
@@ -153,6 +162,21 @@
     })
 }
 
+/// Logs the processor time of each stage.
+struct StageClock(ProcessTime);
+
+impl StageClock {
+    fn start() -> Self {
+        StageClock(ProcessTime::now())
+    }
+
+    fn end_stage(&mut self, name: &str) {
+        let spent = self.0.elapsed().as_secs_f64();
+        tracing::info!("{name}: {spent:.1} s of processor time");
+        self.0 = ProcessTime::now();
+    }
+}
+
 /// The steady fleet, one change of its list, and the restart of half of a region's agents.
 fn main_fleet(
     session: &mut Session,
@@ -199,11 +223,12 @@
     ))
 }
 
-/// One service as large as the largest, which all requests go to, with a release on trial: what its
-/// judges hear is the most that one release can make them hear.
+/// One service as large as the largest, with a service's share of the routes, which all requests go
+/// to: what its judges hear of a release on trial is the most that one release makes them hear.
 fn one_release(size: &FleetSize) -> FleetSize {
     FleetSize {
         appliances: size.largest,
+        routes: size.routes.div_ceil(size.services),
         change_rate: 0.0,
         releases: 1,
         ..size.in_one_service()
--- a/crates/scale/src/measure.rs
+++ b/crates/scale/src/measure.rs
@@ -17,7 +17,7 @@
 /// machine does makes times longer, never shorter.
 const REPEATS: usize = 3;
 /// Parts of the whole list that costs are predicted from.
-const PREDICTED_FROM: [f64; 4] = [0.1, 0.25, 0.45, 0.7];
+const PREDICTED_FROM: [f64; 5] = [0.1, 0.2, 0.35, 0.5, 0.7];
 /// Sizes of the services whose load is looked at.
 const SPREAD_SIZES: [u32; 4] = [600, 35, 5, 1];
 /// One in so many appliances is replaced before the load is looked at.
@@ -33,7 +33,7 @@
 /// Control cost of a fleet, freed of disturbances by repeating it.
 #[derive(Clone, Copy, Debug)]
 pub struct Repeated {
-    /// Processor time for control in percent of a core, the least of all runs.
+    /// Processor time for control in percent of a core, of each round the least time of all runs.
     pub core_percent: f64,
     /// The longest round, of each round the least time of all runs.
     pub worst_round: Duration,
@@ -41,78 +41,116 @@
     pub broken_rules: u64,
 }
 
-/// Measures a fleet several times with the same seed.
-///
-/// # Errors
-/// The size cannot be simulated, or the run was stopped.
-pub fn repeated(plan: &Plan, limits: &Limits) -> Result<Repeated, ScaleError> {
-    let mut least: Vec<Vec<u32>> = Vec::new();
-    let (mut core_percent, mut broken_rules) = (f64::MAX, 0);
-    for _ in 0..REPEATS {
-        let mut simulation = run::warm(plan, limits)?;
+/// Runs of one fleet with the same seed.
+struct Repeats {
+    plan: Plan,
+    /// The least time of each round in nanoseconds, by agent.
+    rounds: Vec<Vec<u32>>,
+    /// The least time that all agents' parsers took.
+    parsing: Duration,
+    broken_rules: u64,
+}
+
+impl Repeats {
+    fn new(plan: Plan) -> Self {
+        let (rounds, broken_rules) = Default::default();
+        Repeats {
+            plan,
+            rounds,
+            parsing: Duration::MAX,
+            broken_rules,
+        }
+    }
+
+    fn run(&mut self, limits: &Limits) -> Result<(), ScaleError> {
+        let mut simulation = run::warm(&self.plan, limits)?;
         simulation.reset_meters();
         simulation.log_rounds();
-        simulation.run_for(plan.window)?;
-        let steady = run::read(&mut simulation, plan.window);
-        core_percent = steady.control_core_percent().min(core_percent);
-        broken_rules = steady.total.counts.broken_rules;
-        take_least(&mut least, simulation);
+        simulation.run_for(self.plan.window)?;
+        let total = simulation.total();
+        self.parsing = self.parsing.min(total.parsing);
+        self.broken_rules = total.counts.broken_rules;
+        let agents = simulation.agents.into_iter();
+        self.take_least(agents.filter_map(|agent| agent.meter.round_log));
+        Ok(())
     }
-    let worst = least.iter().flatten().max().copied().unwrap_or(0);
-    let worst_round = Duration::from_nanos(worst.into());
-    Ok(Repeated {
-        core_percent,
-        worst_round,
-        broken_rules,
-    })
-}
 
-fn take_least(least: &mut Vec<Vec<u32>>, simulation: Simulation) {
-    let logs = simulation
-        .agents
-        .into_iter()
-        .filter_map(|agent| agent.meter.round_log);
-    if least.is_empty() {
-        return least.extend(logs);
+    fn take_least(&mut self, logs: impl Iterator<Item = Vec<u32>>) {
+        if self.rounds.is_empty() {
+            return self.rounds.extend(logs);
+        }
+        for (least, log) in self.rounds.iter_mut().zip(logs) {
+            least
+                .iter_mut()
+                .zip(log)
+                .for_each(|(least, time)| *least = time.min(*least));
+        }
     }
-    for (least, log) in least.iter_mut().zip(logs) {
-        least
-            .iter_mut()
-            .zip(log)
-            .for_each(|(least, time)| *least = time.min(*least));
+
+    fn result(&self) -> Repeated {
+        let times = || self.rounds.iter().flatten();
+        let rounds: u64 = times().map(|&time| u64::from(time)).sum();
+        let control = Duration::from_nanos(rounds) + self.parsing;
+        let agent_seconds = f64::from(self.plan.size.agents) * self.plan.window.as_secs_f64();
+        Repeated {
+            core_percent: 100.0 * control.as_secs_f64() / agent_seconds,
+            worst_round: Duration::from_nanos(times().max().copied().unwrap_or(0).into()),
+            broken_rules: self.broken_rules,
+        }
     }
 }
 
-/// By how much the cost with the whole list differs from what shorter lists predict, as a share.
+/// Measures a fleet several times with the same seed, and beside it the same fleet with shorter
+/// lists; returns its cost, and the cost that the shorter lists predict.
 ///
 /// # Errors
 /// The size cannot be simulated, the run was stopped, or nothing can be fitted.
-pub fn predict_error(plan: &Plan, whole: f64, limits: &Limits) -> Result<f64, ScaleError> {
-    let mut points = Vec::new();
-    for part in PREDICTED_FROM {
-        let scaled = |whole: u32| (f64::from(whole) * part).round() as u32;
-        let appliances = scaled(plan.size.appliances);
-        let size = FleetSize {
-            appliances,
-            largest: scaled(plan.size.largest).max(1),
-            ..plan.size.clone()
-        };
-        let figure = repeated(
-            &Plan {
-                size,
-                ..plan.clone()
-            },
-            limits,
-        )?
-        .core_percent;
-        points.push(Point {
-            size: f64::from(appliances),
-            figure,
-        });
+pub fn cost_and_prediction(plan: &Plan, limits: &Limits) -> Result<(Repeated, f64), ScaleError> {
+    let shorter = PREDICTED_FROM.map(|part| Repeats::new(shorten(plan, part)));
+    let mut all: Vec<Repeats> = shorter
+        .into_iter()
+        .chain([Repeats::new(plan.clone())])
+        .collect();
+    // All sizes in turn, so that what disturbs one run disturbs others too.
+    for _ in 0..REPEATS {
+        all.iter_mut().try_for_each(|repeats| repeats.run(limits))?;
+    }
+    let points: Vec<Point> = all.iter().map(point).collect();
+    let (whole, shorter) = points.split_last().ok_or_else(|| nothing("no sizes"))?;
+    let fit = Fit::new(shorter).map_err(|fault| nothing(&fault.to_string()))?;
+    let cost = all[shorter.len()].result();
+    Ok((cost, fit.at(whole.size)))
+}
+
+fn nothing(fault: &str) -> ScaleError {
+    ScaleError::Size(format!("nothing can be predicted: {fault}"))
+}
+
+fn point(repeats: &Repeats) -> Point {
+    let (size, figure) = (
+        f64::from(repeats.plan.size.appliances),
+        repeats.result().core_percent,
+    );
+    tracing::info!("{size} appliances: {figure:.4} percent of a core");
+    Point { size, figure }
+}
+
+/// The same fleet with a part of its list.
+fn shorten(plan: &Plan, part: f64) -> Plan {
+    let scaled = |whole: u32| (f64::from(whole) * part).round() as u32;
+    let (appliances, largest) = (
+        scaled(plan.size.appliances),
+        scaled(plan.size.largest).max(1),
+    );
+    let size = FleetSize {
+        appliances,
+        largest,
+        ..plan.size.clone()
+    };
+    Plan {
+        size,
+        ..plan.clone()
     }
-    let fit = Fit::new(&points).map_err(|fault| ScaleError::Size(fault.to_string()))?;
-    let predicted = fit.at(f64::from(plan.size.appliances));
-    Ok((predicted - whole).abs() / whole)
 }
 
 /// How evenly load is spread over appliances, and how much of it one change moves.
