--- a/crates/scale/src/cli/mod.rs
+++ b/crates/scale/src/cli/mod.rs
@@ -2,9 +2,11 @@
 pub mod check;
 pub mod events;
 pub mod measure;
+pub mod page;
 pub mod point;
 pub mod session;
 pub mod slopes;
+pub mod verdicts;
 
 use std::process::ExitCode;
 
@@ -38,6 +40,12 @@
     Events(events::Arguments),
     /// The target's figures beside its budgets, in under a minute.
     Measure(measure::Arguments),
+    /// How long a release's test takes to turn back a bad build.
+    Verdicts(verdicts::Arguments),
+    /// Makes the generated parts of the capacity page anew.
+    Page(page::PageArguments),
+    /// Draws the plots of the capacity page anew.
+    Plots(page::PlotArguments),
     /// Cost against each size, one at a time; the largest is held back from the fit.
     Slopes(slopes::Arguments),
 }
@@ -65,6 +73,9 @@
         Command::Point(arguments) => point::run(&mut session, &arguments),
         Command::Events(arguments) => events::run(&mut session, &arguments),
         Command::Measure(arguments) => measure::run(&mut session, &arguments),
+        Command::Verdicts(arguments) => verdicts::run(&mut session, &arguments),
+        Command::Page(arguments) => page::write_page(&session, &arguments),
+        Command::Plots(arguments) => page::draw_plots(&session, &arguments),
         Command::Slopes(arguments) => slopes::run(&mut session, &arguments),
     }
 }
--- a/crates/scale/src/error.rs
+++ b/crates/scale/src/error.rs
@@ -1,4 +1,8 @@
 //! Why a run fails or stops before its end.
+use std::path::PathBuf;
+
+use lilacgate_capacity::page::PageError;
+use lilacgate_capacity::plot::PlotError;
 use lilacgate_capacity::{ResultError, TargetError};
 
 /// Why a run fails or stops before its end.
@@ -36,6 +40,20 @@
     /// The target file cannot be used.
     #[error(transparent)]
     Target(#[from] TargetError),
+    /// The capacity page cannot be read or written.
+    #[error("{}: {source}", path.display())]
+    Page {
+        /// The page.
+        path: PathBuf,
+        /// What the system says.
+        source: std::io::Error,
+    },
+    /// The marks of the capacity page are wrong.
+    #[error(transparent)]
+    Marks(#[from] PageError),
+    /// A plot cannot be drawn.
+    #[error(transparent)]
+    Plot(#[from] PlotError),
     /// Results cannot be read or written.
     #[error(transparent)]
     Results(#[from] ResultError),
--- a/crates/scale/src/fleet.rs
+++ b/crates/scale/src/fleet.rs
@@ -173,7 +173,15 @@
     /// The size cannot be simulated.
     pub fn draw(&self, seed: u64) -> Result<Fleet, ScaleError> {
         self.check()?;
-        Ok(self.target().draw(seed))
+        let fleet = self.target().draw(seed);
+        let most = fleet.services.iter().max_by_key(|service| service.routes);
+        match most.filter(|service| service.routes > MOST_ROUTES) {
+            Some(service) => Err(ScaleError::Size(format!(
+                "{} has {} routes; a module can name {MOST_ROUTES} at most",
+                service.name, service.routes
+            ))),
+            None => Ok(fleet),
+        }
     }
 
     /// A target of this size. Rates of failures and budgets play no part in a draw.
--- a/crates/scale/tests/commands.rs
+++ b/crates/scale/tests/commands.rs
@@ -146,3 +146,104 @@
         "{errors}"
     );
 }
+
+/// The page and the plots of the repository are what the commands make of the results on file.
+#[test]
+fn page_and_plots_are_made_anew() {
+    let root = concat!(env!("CARGO_MANIFEST_DIR"), "/../..");
+    let (directory, path) = results();
+    let page = directory.path().join("page.md");
+    let committed = std::fs::read(format!("{root}/docs/CAPACITY.md")).expect("the page");
+    std::fs::write(&page, &committed).expect("a copy");
+    let results = format!("{root}/measure/capacity");
+    let page_text = page.to_string_lossy().into_owned();
+    let output = command(
+        &["page", "--results", &results, "--page", &page_text],
+        &path,
+    )
+    .output();
+    let output = output.expect("it runs");
+    assert!(output.status.success(), "{}", errors(&output));
+    assert!(
+        std::fs::read(&page).expect("the copy") == committed,
+        "the page differs"
+    );
+    let plots = directory.path().to_string_lossy().into_owned();
+    let output = command(&["plots", "--results", &results, "--plots", &plots], &path).output();
+    assert!(output.expect("it runs").status.success());
+    assert!(directory.path().join("budgets.svg").exists());
+}
+
+const KEYS: [&str; 16] = [
+    "agents",
+    "appliances",
+    "services",
+    "control_core_percent",
+    "worst_round_us",
+    "agent_mb",
+    "agent_bytes_s",
+    "judge_bytes_s",
+    "in_force_worst_ms",
+    "restart_bytes",
+    "spread_most",
+    "spread_least",
+    "moved_share",
+    "broken_rules",
+    "predict_error_percent",
+    "hollow_error_percent",
+];
+
+#[test]
+fn the_last_line_of_measure_holds_all_figures() {
+    let (directory, path) = results();
+    let small = directory.path().join("small.xml");
+    let target = include_str!("../../../deploy/capacity.xml")
+        .replace("<agents count=\"530\"", "<agents count=\"6\"")
+        .replace(
+            "count=\"210\" appliances=\"7400\" largest=\"600\"",
+            "count=\"3\" appliances=\"90\" largest=\"40\"",
+        )
+        .replace("<routes count=\"2700\"", "<routes count=\"30\"")
+        .replace("at-once=\"20\"", "at-once=\"2\"")
+        .replace("per-second=\"33000\"", "per-second=\"300\"");
+    std::fs::write(&small, target).expect("a target file");
+    let mut measure = Command::new(env!("CARGO_BIN_EXE_lilacgate-scale"));
+    measure
+        .args(["measure", "--threads", "2", "--target"])
+        .arg(&small);
+    let output = measure
+        .arg("--output")
+        .arg(&path)
+        .output()
+        .expect("it runs");
+    assert!(output.status.success(), "{}", errors(&output));
+    let text = String::from_utf8_lossy(&output.stdout).into_owned();
+    let line = text
+        .lines()
+        .last()
+        .and_then(|line| line.strip_prefix("measure scale: "));
+    let pairs = line
+        .expect("the last line")
+        .split(' ')
+        .filter_map(|pair| pair.split_once('='));
+    let pairs: Vec<(&str, &str)> = pairs.collect();
+    assert_eq!(pairs.iter().map(|(key, _)| *key).collect::<Vec<_>>(), KEYS);
+    assert_eq!(
+        pairs[..3],
+        [("agents", "6"), ("appliances", "90"), ("services", "3")]
+    );
+    assert_eq!(pairs[13], ("broken_rules", "0"));
+    let figures = pairs[3..15].iter().map(|(_, value)| value.parse::<f64>());
+    assert!(
+        figures
+            .into_iter()
+            .all(|figure| figure.is_ok_and(f64::is_finite)),
+        "{text}"
+    );
+    assert!(
+        result::load(&path)
+            .expect("results")
+            .iter()
+            .all(|sample| sample.complete)
+    );
+}
--- a/crates/scale/tests/simulation.rs
+++ b/crates/scale/tests/simulation.rs
@@ -136,7 +136,14 @@
         ..small()
     };
     let refused = Simulation::new(size, 1, 1, Limits::new(None));
-    assert!(matches!(refused.err(), Some(ScaleError::Settings(_))));
+    let fault = refused.err().expect("too many routes");
+    assert!(matches!(fault, ScaleError::Size(_)));
+    assert!(
+        fault
+            .to_string()
+            .contains("256 routes; a module can name 255"),
+        "{fault}"
+    );
 }
 
 fn module(me: u32) -> Module {
