--- a/crates/scale/src/simulation.rs
+++ b/crates/scale/src/simulation.rs
@@ -215,17 +215,23 @@
         let end = self.now + SLICE;
         self.change_lists(end);
         self.deliver_endings(end);
-        let common = &self.common;
-        let agents = &mut self.agents;
-        self.pool.install(|| {
-            agents
-                .par_iter_mut()
-                .for_each(|agent| agent.step(end, common))
-        });
+        self.step_agents(end);
         self.now = end;
         self.exchange();
     }
 
+    fn step_agents(&mut self, end: Duration) {
+        let common = &self.common;
+        let agents = &mut self.agents;
+        // A pool of one thread would only be woken and waited for.
+        if self.pool.current_num_threads() == 1 {
+            agents.iter_mut().for_each(|agent| agent.step(end, common));
+            return;
+        }
+        let step = |agent: &mut Agent| agent.step(end, common);
+        self.pool.install(|| agents.par_iter_mut().for_each(step));
+    }
+
     fn deliver_endings(&mut self, end: Duration) {
         while let Some(Reverse(first)) = self.pending.peek() {
             if first.at >= end {
