--- a/crates/loopback/src/fleet.rs
+++ b/crates/loopback/src/fleet.rs
@@ -6,8 +6,6 @@
 use std::time::Duration;
 
 use lilacgate_standin::agent::{free_at, free_datagrams_at, own_host};
-use procfs::Current;
-use procfs::process::{LimitValue, Process};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use serde_json::{Value, json};
@@ -22,8 +20,9 @@
 use crate::discovery::Discovery;
 use crate::error::LoopbackError;
 use crate::interrupt::Interrupt;
+use crate::limits;
 use crate::membership::Membership;
-use crate::plan::{LEAST_LISTENERS, Plan, SavedList};
+use crate::plan::{Plan, SavedList};
 use crate::platform::Platform;
 use crate::relay::Relay;
 use crate::request::RequestIds;
@@ -32,11 +31,6 @@
 use crate::traffic::Counts;
 use crate::window::{Control, Requests, Window};
 
-/// Descriptors of this process for each agent, beside its connections to appliances: clients, discovery, the platform,
-/// the relay's socket, and a log while it is being opened.
-const DESCRIPTORS_PER_AGENT: u64 = 16;
-/// Descriptors for everything else.
-const OTHER_DESCRIPTORS: u64 = 64;
 /// How often a fleet that is starting is looked at for agents that have ended.
 const LOOK_PERIOD: Duration = Duration::from_millis(200);
 
@@ -98,7 +92,7 @@
     /// Sets up the stand-ins, without an agent.
     pub async fn new(plan: Plan, interrupt: Interrupt) -> Result<Self, LoopbackError> {
         plan.check()?;
-        let listeners = listeners(&plan)?;
+        let listeners = limits::listeners(&plan, limits::descriptors())?;
         let host = own_host();
         let served = Arc::<ServedLog>::default();
         let appliances = appliance::start(host, listeners, plan.service_time, &served).await?;
@@ -334,7 +328,8 @@
             .iter()
             .map(Agent::usage)
             .collect::<Result<Vec<_>, _>>()?;
-        check_memory(usage.iter().map(|usage| usage.resident).sum())?;
+        let resident = usage.iter().map(|usage| usage.resident).sum();
+        limits::check_memory(resident, limits::machine_memory())?;
         Ok(usage)
     }
 }
@@ -406,37 +401,3 @@
     }
     requests
 }
-
-/// How many listeners there are: as many as the plan says, or fewer, where this process may not have that many
-/// descriptors beside those of the agents' connections.
-fn listeners(plan: &Plan) -> Result<usize, LoopbackError> {
-    let per_agent = plan.sockets / 2 + DESCRIPTORS_PER_AGENT;
-    let others = OTHER_DESCRIPTORS + per_agent * plan.agents as u64;
-    let least = plan.listed_appliances.min(LEAST_LISTENERS);
-    let limits = Process::myself().and_then(|process| process.limits());
-    let limit = match limits.map(|limits| limits.max_open_files.soft_limit) {
-        Ok(LimitValue::Value(limit)) => limit,
-        _ => u64::MAX,
-    };
-    let needed = others + least as u64;
-    if needed > limit {
-        return Err(LoopbackError::Descriptors { needed, limit });
-    }
-    let spare = usize::try_from(limit - others).unwrap_or(usize::MAX);
-    let most = plan.listeners.max(LEAST_LISTENERS);
-    Ok(plan.listed_appliances.min(most).min(spare))
-}
-
-fn check_memory(used: u64) -> Result<(), LoopbackError> {
-    let Ok(machine) = procfs::Meminfo::current() else {
-        return Ok(());
-    };
-    if used * 2 <= machine.mem_total {
-        return Ok(());
-    }
-    let megabyte = 1_000_000;
-    Err(LoopbackError::Memory {
-        used_mb: used / megabyte,
-        machine_mb: machine.mem_total / megabyte,
-    })
-}
--- a/crates/loopback/src/lib.rs
+++ b/crates/loopback/src/lib.rs
@@ -14,6 +14,7 @@
 pub mod error;
 pub mod fleet;
 pub mod interrupt;
+pub mod limits;
 pub mod membership;
 pub mod plan;
 pub mod platform;
--- a/crates/loopback/tests/stand_ins.rs
+++ b/crates/loopback/tests/stand_ins.rs
@@ -6,6 +6,7 @@
 
 use lilacgate_loopback::fleet::Fleet;
 use lilacgate_loopback::interrupt::Interrupt;
+use lilacgate_loopback::limits;
 use lilacgate_loopback::membership::{Membership, Update, Version};
 use lilacgate_loopback::relay::Relay;
 use lilacgate_loopback::run::runtime;
@@ -129,3 +130,28 @@
         .expect_err("no fleet");
     assert!(refused.contains(says), "{refused}");
 }
+
+#[rstest]
+#[case::all_have_their_own(20_000, 7_400)]
+#[case::some_share(8_000, 7_136)]
+fn listeners_are_as_many_as_descriptors_allow(#[case] descriptors: u64, #[case] listeners: usize) {
+    let mut plan = Plan::new(PathBuf::from("unused"), 2, 7_400);
+    plan.listeners = 7_400;
+    plan.sockets = 768;
+    let found = limits::listeners(&plan, descriptors).expect("they suffice");
+    assert_eq!(found, listeners);
+    let connections = 2 * (768 / 2);
+    assert!(found as u64 + connections < descriptors);
+}
+
+#[rstest]
+fn the_agents_may_hold_half_of_the_memory() {
+    assert!(limits::check_memory(500, 1_000).is_ok());
+    let refused = limits::check_memory(12_000_000_000, 23_000_000_000).expect_err("more than half");
+    assert!(
+        refused
+            .to_string()
+            .contains("12000 MB, more than half of the machine's 23000 MB"),
+        "{refused}"
+    );
+}
