--- a/crates/capacity/src/result.rs
+++ b/crates/capacity/src/result.rs
@@ -118,6 +118,10 @@
     ProcessCorePercent,
     /// The same for the agent that used most.
     WorstProcessCorePercent,
+    /// Time that a process's threads were ready to run and waited for a
+    /// processor, in percent of the window, on average over the agents: how
+    /// much the machine's other work disturbed the measurement.
+    RunQueueWaitPercent,
     /// Processor time of the longest round, in microseconds.
     WorstRoundMicros,
     /// Processor time of a round that 99 in 100 stay below, in microseconds.
--- a/crates/capacity/src/words.rs
+++ b/crates/capacity/src/words.rs
@@ -114,6 +114,7 @@
         Quantity::WorstProcessCorePercent => "busiest process, % of a core",
         Quantity::WorstRoundMicros => "worst round, µs",
         Quantity::RoundP99Micros => "round p99, µs",
+        Quantity::RunQueueWaitPercent => "waiting for a processor, %",
         Quantity::MemoryMegabytes => "memory, MB",
         Quantity::PeakMemoryMegabytes => "peak memory, MB",
         Quantity::BytesInPerSecond => "in, B/s",
--- a/crates/loopback/src/agent.rs
+++ b/crates/loopback/src/agent.rs
@@ -29,6 +29,8 @@
 pub struct Usage {
     /// Processor time of all its threads that still run, from the scheduler's own clock.
     pub processor: Duration,
+    /// How long its threads were ready to run and waited for a processor.
+    pub run_queue_wait: Duration,
     /// Resident memory now, in bytes.
     pub resident: u64,
     /// The largest resident memory so far, in bytes.
@@ -125,14 +127,17 @@
 
 fn usage_of(process_id: u32) -> Result<Usage, ProcError> {
     let process = Process::new(process_id.cast_signed())?;
-    let mut nanoseconds = 0;
+    let (mut running, mut waiting) = (0, 0);
     for task in process.tasks()? {
-        nanoseconds += task?.schedstat()?.sum_exec_runtime;
+        let schedule = task?.schedstat()?;
+        running += schedule.sum_exec_runtime;
+        waiting += schedule.run_delay;
     }
     let status = process.status()?;
     let bytes = |kilobytes: Option<u64>| kilobytes.unwrap_or_default() * 1024;
     Ok(Usage {
-        processor: Duration::from_nanos(nanoseconds),
+        processor: Duration::from_nanos(running),
+        run_queue_wait: Duration::from_nanos(waiting),
         resident: bytes(status.vmrss),
         peak_resident: bytes(status.vmhwm),
     })
--- a/crates/loopback/src/command.rs
+++ b/crates/loopback/src/command.rs
@@ -170,11 +170,12 @@
     let agents = window.at_end.len() as f64;
     let each_second = |count: u64| count as f64 / seconds / agents;
     eprintln!(
-        "rate {}: core {:.3}% (most {:.3}%), memory {:.1} MB (peak {:.1}), control {:.0} B/s in, {:.0} B/s out, \
+        "rate {}: core {:.3}% (most {:.3}%, waits {:.2}%), memory {:.1} MB (peak {:.1}), control {:.0} B/s in, {:.0} B/s out, \
          served {}, refused {}, lost {}, added p99 {:.1?}, used {:.0}",
         window.request_rate,
         window.mean_core_percent(),
         window.most_core_percent(),
+        window.mean_wait_percent(),
         window.mean_resident_megabytes(),
         window.peak_resident_megabytes(),
         each_second(window.control.bytes_to_agents()),
--- a/crates/loopback/src/fleet.rs
+++ b/crates/loopback/src/fleet.rs
@@ -350,16 +350,21 @@
         requests: Requests,
         complete: bool,
     ) -> Window {
-        let usage = begin.usage.iter().zip(&self.usage);
-        let processor = usage
-            .map(|(begin, end)| end.processor - begin.processor)
-            .collect();
+        let difference = |of: fn(&Usage) -> Duration| -> Vec<Duration> {
+            let pairs = begin.usage.iter().zip(&self.usage);
+            pairs
+                .map(|(begin, end)| of(end).saturating_sub(of(begin)))
+                .collect()
+        };
+        let processor = difference(|usage| usage.processor);
+        let run_queue_wait = difference(|usage| usage.run_queue_wait);
         let datagrams = begin.datagrams_to_each.iter().zip(&self.datagrams_to_each);
         let datagrams_to_each = datagrams.map(|(begin, end)| *end - *begin).collect();
         Window {
             request_rate,
             lasted: self.at - begin.at,
             processor,
+            run_queue_wait,
             control: self.control.since(&begin.control),
             datagrams_to_each,
             at_end: self.usage,
--- a/crates/loopback/src/samples.rs
+++ b/crates/loopback/src/samples.rs
@@ -78,6 +78,7 @@
             Quantity::WorstProcessCorePercent,
             window.most_core_percent(),
         ),
+        (Quantity::RunQueueWaitPercent, window.mean_wait_percent()),
         (Quantity::MemoryMegabytes, window.mean_resident_megabytes()),
         (
             Quantity::PeakMemoryMegabytes,
--- a/crates/loopback/src/window.rs
+++ b/crates/loopback/src/window.rs
@@ -109,6 +109,8 @@
     pub lasted: Duration,
     /// Each agent's processor time within it.
     pub processor: Vec<Duration>,
+    /// How long each agent waited for a processor within it.
+    pub run_queue_wait: Vec<Duration>,
     /// Each agent's usage at its end.
     pub at_end: Vec<Usage>,
     /// What the control connections carried.
@@ -124,12 +126,17 @@
 impl Window {
     /// The agents' mean share of one core, in percent.
     pub fn mean_core_percent(&self) -> f64 {
-        let sum: f64 = self
-            .processor
-            .iter()
-            .map(|time| self.core_percent(*time))
-            .sum();
-        sum / self.processor.len() as f64
+        self.mean_percent(&self.processor)
+    }
+
+    /// The share of the window that an agent waited for a processor, on average, in percent.
+    pub fn mean_wait_percent(&self) -> f64 {
+        self.mean_percent(&self.run_queue_wait)
+    }
+
+    fn mean_percent(&self, times: &[Duration]) -> f64 {
+        let sum: f64 = times.iter().map(|time| self.core_percent(*time)).sum();
+        sum / times.len() as f64
     }
 
     /// The largest share of one core among the agents, in percent.
