--- a/crates/agent/tests/fleet.rs
+++ b/crates/agent/tests/fleet.rs
@@ -60,7 +60,8 @@
     }
     assert_eq!(idle.requests.served, 0);
     assert!(busy.requests.served > 0);
-    assert_eq!((busy.requests.refused, busy.requests.lost), (0, 0));
+    let requests = &busy.requests;
+    assert_eq!((requests.refused, requests.lost, requests.closed), (0, 0, 0));
     let samples = samples(&output);
     assert_eq!(samples.len(), summary.samples);
     assert!(samples.iter().all(|sample| sample.complete));
--- a/crates/capacity/src/result.rs
+++ b/crates/capacity/src/result.rs
@@ -171,6 +171,8 @@
     RefusedRequests,
     /// Requests without a whole answer in time.
     LostRequests,
+    /// Requests whose connection ended before a whole answer.
+    ClosedRequests,
     /// Time added to a request that 99 in 100 stay below, in milliseconds.
     AddedLatencyMillis,
     /// Entries of the state that the role keeps.
--- a/crates/capacity/src/words.rs
+++ b/crates/capacity/src/words.rs
@@ -137,6 +137,7 @@
         Quantity::Requests => "requests",
         Quantity::RefusedRequests => "refused requests",
         Quantity::LostRequests => "lost requests",
+        Quantity::ClosedRequests => "requests with a closed connection",
         Quantity::AddedLatencyMillis => "added p99, ms",
         Quantity::StateEntries => "entries of state",
         Quantity::VerdictSeconds => "verdict, s",
--- a/crates/loopback/src/client.rs
+++ b/crates/loopback/src/client.rs
@@ -34,8 +34,10 @@
     Served,
     /// The agent refused it, or said that it failed.
     Refused,
-    /// No whole answer came in time, or the connection ended.
+    /// No whole answer came in time.
     Lost,
+    /// The connection ended before a whole answer: one that crosses the agent's end of an idle connection, or was broken.
+    Closed,
 }
 
 /// One request's end.
@@ -155,7 +157,7 @@
             let request = Kind::draw(&mut self.random).request(id);
             let mut answered = ask(&mut open, &request).await;
             answered.at_appliance = self.clients.served.take_time(id).unwrap_or_default();
-            if answered.outcome != Outcome::Lost {
+            if matches!(answered.outcome, Outcome::Served | Outcome::Refused) {
                 connection = Some(open);
             }
             if self.clients.report.send(answered).is_err() {
@@ -179,7 +181,8 @@
     };
     let outcome = match timeout(DEADLINE + GRACE, exchange).await {
         Ok(Ok(outcome)) => outcome,
-        _ => Outcome::Lost,
+        Ok(Err(_)) => Outcome::Closed,
+        Err(_) => Outcome::Lost,
     };
     Answered {
         outcome,
--- a/crates/loopback/src/command.rs
+++ b/crates/loopback/src/command.rs
@@ -171,7 +171,7 @@
     let each_second = |count: u64| count as f64 / seconds / agents;
     eprintln!(
         "rate {}: core {:.3}% (most {:.3}%, waits {:.2}%), memory {:.1} MB (peak {:.1}), control {:.0} B/s in, {:.0} B/s out, \
-         served {}, refused {}, lost {}, added p99 {:.1?}, used {:.0}",
+         served {}, refused {}, lost {}, closed {}, added p99 {:.1?}, used {:.0}",
         window.request_rate,
         window.mean_core_percent(),
         window.most_core_percent(),
@@ -183,6 +183,7 @@
         window.requests.served,
         window.requests.refused,
         window.requests.lost,
+        window.requests.closed,
         window.requests.added_latency(0.99).unwrap_or_default(),
         window.requests.used_appliances.unwrap_or_default(),
     );
--- a/crates/loopback/src/fleet.rs
+++ b/crates/loopback/src/fleet.rs
@@ -402,6 +402,7 @@
             }
             Outcome::Refused => requests.refused += 1,
             Outcome::Lost => requests.lost += 1,
+            Outcome::Closed => requests.closed += 1,
         }
     }
     requests
--- a/crates/loopback/src/samples.rs
+++ b/crates/loopback/src/samples.rs
@@ -118,6 +118,7 @@
     figures.insert(Quantity::Requests, window.requests.served as f64);
     figures.insert(Quantity::RefusedRequests, window.requests.refused as f64);
     figures.insert(Quantity::LostRequests, window.requests.lost as f64);
+    figures.insert(Quantity::ClosedRequests, window.requests.closed as f64);
     if let Some(added) = window.requests.added_latency(0.99) {
         figures.insert(Quantity::AddedLatencyMillis, millis(added));
     }
--- a/crates/loopback/src/window.rs
+++ b/crates/loopback/src/window.rs
@@ -84,6 +84,8 @@
     pub refused: u64,
     /// Requests without a whole answer in time.
     pub lost: u64,
+    /// Requests whose connection ended before a whole answer.
+    pub closed: u64,
     /// How long served ones took, without the time that an appliance had them.
     pub added_latencies: Vec<Duration>,
     /// How many appliances an agent used, on average, if that is known.
