--- a/crates/agent/src/appliances.rs
+++ b/crates/agent/src/appliances.rs
@@ -1,6 +1,7 @@
-//! Owns the links to appliances, and what goes over them: submissions, probes. One txn a link at a time, so that giving
-//! one up hurts no other. It must never send anything twice, say that a submission never ran when its last byte may
-//! have gone out, nor take for an answer what came behind another; which appliance serves what is not its to decide.
+//! Owns the links to appliances, and what goes over them: attempts, probes. One request a link at a time, so that
+//! giving one up hurts no other. It must never send anything twice, say that an attempt never ran when its last byte
+//! may have gone out, nor take for an answer what came behind another; which appliance serves what is not its to
+//! decide.
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::net::{SocketAddr, TcpStream};
@@ -71,7 +72,7 @@
 pub struct Appliances {
     hub: Rc<Hub>,
     homes: RefCell<HashMap<ApplianceId, Home>>,
-    out: RefCell<HashMap<(TxnId, Leg), Sender<()>>>,
+    out: RefCell<HashMap<(RequestId, AttemptNumber), Sender<()>>>,
     /// The fields of a load report, in the module's order.
     gauges: Vec<String>,
     connect_within: Duration,
@@ -128,7 +129,7 @@
         }
     }
 
-    /// Whether there is one that takes txns.
+    /// Whether there is one that takes requests.
     pub fn is_any_ready(&self) -> bool {
         self.homes.borrow().values().any(|home| home.mode == Mode::Ready)
     }
@@ -186,7 +187,7 @@
         oldest.map(|home| home.idle.remove(0).why = End::Crowded).is_some()
     }
 
-    /// Keeps a link for the next txn, if its appliance is still there.
+    /// Keeps a link for the next request, if its appliance is still there.
     fn keep(&self, id: ApplianceId, mut link: Link) {
         link.since = self.clock().now();
         match self.homes.borrow_mut().get_mut(&id) {
@@ -196,7 +197,8 @@
     }
 
     async fn attempt(
-        &self, which: (TxnId, Leg), to: ApplianceId, wording: Wording, until: Duration, written: &Cell<bool>,
+        &self, which: (RequestId, AttemptNumber), to: ApplianceId, wording: Wording, until: Duration,
+        written: &Cell<bool>,
     ) -> Result<Answered, Ending> {
         let mut link = match self.idle_link(to) {
             Some(link) => link,
@@ -270,9 +272,9 @@
 }
 
 impl Carries for Appliances {
-    fn submit(
-        self: Rc<Self>, which: (TxnId, Leg), to: ApplianceId, wording: Wording, began: Duration,
-        until: Duration,
+    fn send_attempt(
+        self: Rc<Self>, which: (RequestId, AttemptNumber), to: ApplianceId, wording: Wording,
+        began: Duration, until: Duration,
     ) {
         let (off, called_off) = async_channel::bounded::<()>(1);
         self.out.borrow_mut().insert(which, off);
@@ -304,7 +306,7 @@
         });
     }
 
-    fn call_off(&self, which: (TxnId, Leg)) {
+    fn call_off(&self, which: (RequestId, AttemptNumber)) {
         if let Some(off) = self.out.borrow().get(&which) {
             off.try_send(()).ok();
         }
--- a/crates/agent/src/clients.rs
+++ b/crates/agent/src/clients.rs
@@ -1,6 +1,6 @@
 //! Owns the clients' connections: their commands in, their answers out, in order, each once and whole. It must never
-//! answer for a txn by itself once the hub has taken it, nor let one client's trouble reach another. What is beyond
-//! its bounds (descriptors, memory, txns in hand) is turned away before the module hears of it.
+//! answer for a request by itself once the hub has taken it, nor let one client's trouble reach another. What is beyond
+//! its bounds (descriptors, memory, requests in hand) is turned away before the module hears of it.
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashSet, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -29,14 +29,14 @@
 /// passed since SIGTERM.
 const MOST_DEADLINE: Duration = Duration::from_secs(3);
 const LAST: Duration = Duration::from_millis(700);
-/// Of these, the last are for the way out: all txns have their answer, and connections end between requests.
+/// Of these, the last are for the way out: all requests have their answer, and connections end between requests.
 const WAY_OUT: Duration = LAST.checked_div(4).unwrap();
 /// How long it waits for a connection to be gone before it looks again.
 const LOOK: Duration = WAY_OUT.checked_div(8).unwrap();
 /// So many bytes are read at a time where they are dropped.
 const DISCARDED: usize = 4 << 10;
 
-/// Bytes that clients' txns and answers hold, of all that may be held.
+/// Bytes that clients' requests and answers hold, of all that may be held.
 #[derive(Clone, Default)]
 struct Held(Rc<Cell<usize>>);
 
@@ -59,7 +59,7 @@
     }
 }
 
-/// The ids of the txns in hand, as clients gave them.
+/// The ids of the requests in hand, as clients gave them.
 type Ids = Rc<RefCell<HashSet<Vec<u8>>>>;
 
 /// Holds one of them, as long as it lives.
@@ -73,7 +73,7 @@
 
 /// An answer that is due on a connection.
 enum Due {
-    Owed(TxnId),
+    Owed(RequestId),
     Ready { bytes: Vec<u8>, _held: Share },
 }
 
@@ -84,7 +84,7 @@
     first: Cell<u64>,
     bell: (Sender<()>, Receiver<()>),
     stream: Weak<Async<TcpStream>>,
-    /// Whether there is no place for its txns, or it has not asked for one yet, and whether a command has come.
+    /// Whether there is no place for its requests, or it has not asked for one yet, and whether a command has come.
     brief: Cell<bool>,
     used: Cell<bool>,
     /// Whether something was read that is no whole command yet.
@@ -193,7 +193,7 @@
     /// So many answers may be owed on one connection: one at least, as a client keeps its connection.
     most_due: usize,
     most_held: usize,
-    most_txns: usize,
+    most_requests: usize,
     /// How long a connection must have been idle to make room for another: as long as that may take to come up.
     settles: Duration,
     /// The longest that a client waits.
@@ -229,7 +229,7 @@
             most,
             most_due: told.num("limits.streams-per-conn").map(|most: usize| most.max(1))?,
             most_held,
-            most_txns: told.num("limits.max-open")?,
+            most_requests: told.num("limits.max-open")?,
             settles: told.period("limits.connect-timeout")?,
             patience: told.longest_deadline()?,
             held,
@@ -285,14 +285,14 @@
         self.deaf.ring();
     }
 
-    /// So many connections are for txns. One that has brought none yet takes no place of theirs.
+    /// So many connections are for requests. One that has brought none yet takes no place of theirs.
     fn has_room(&self) -> bool {
         let open = self.open.borrow();
         let many = open.values().filter(|c| !c.brief.get() && c.ending.get().is_none()).count();
         many < self.most - self.most.div_ceil(5)
     }
 
-    /// Whether there is no room for the txns that a connection brings.
+    /// Whether there is no room for the requests that a connection brings.
     fn is_brief(&self, counter: &Counter) -> bool {
         if counter.brief.get() {
             counter.brief.set(!self.has_room() && !self.make_room(true));
@@ -300,16 +300,16 @@
         counter.brief.get()
     }
 
-    /// Ends the longest idle connection, if there is one, or the longest idle of those for txns: rather one that has
-    /// said nothing while a first command had time to come, or only a part of one. Where even those without room are
-    /// all, any that stands between commands may go.
-    fn make_room(&self, for_txns: bool) -> bool {
+    /// Ends the longest idle connection, if there is one, or the longest idle of those for requests: rather one that
+    /// has said nothing while a first command had time to come, or only a part of one. Where even those without room
+    /// are all, any that stands between commands may go.
+    fn make_room(&self, for_requests: bool) -> bool {
         let now = self.hub.clock.now();
         let all = self.open.borrow().len() >= self.most;
         let idle = |counter: &&Rc<Counter>| {
             let settles = if all { Duration::ZERO } else { self.settles };
             let rest = if counter.used.get() { settles } else { WHOLE / 4 };
-            let among = !(for_txns && counter.brief.get());
+            let among = !(for_requests && counter.brief.get());
             let begun = !counter.used.get() && counter.ending.get().is_none();
             among && counter.since.get() + rest <= now && (begun || counter.is_idle())
         };
@@ -364,7 +364,7 @@
             self.moment().await;
         }
         let left = self.hub.in_hand();
-        say!("stopped after {} ms with {left} txns in hand", (self.hub.clock.now() - began).as_millis());
+        say!("stopped after {} ms with {left} requests in hand", (self.hub.clock.now() - began).as_millis());
     }
 
     /// Ends sooner: takes nothing from now on.
@@ -559,7 +559,7 @@
         }
         let mut hasher = DefaultHasher::new();
         key.hash(&mut hasher);
-        let txn = Txn {
+        let request = Request {
             product: named.product,
             tenant: Tenant(0),
             mark: Some(Mark(hasher.finish())).filter(|_| !key.is_empty()),
@@ -573,7 +573,7 @@
             repeated: value("r") == Some("1"),
         };
         let size = command.iter().map(|part| part.len() + size_of_val(part)).sum::<usize>();
-        let full = self.hub.in_hand() >= self.most_txns || self.held.0.get() + size > self.most_held;
+        let full = self.hub.in_hand() >= self.most_requests || self.held.0.get() + size > self.most_held;
         if full || self.is_brief(counter) {
             count(Count::TurnedAway);
             counter.say("-BUSY");
@@ -583,7 +583,7 @@
         let (to, advises) = (counter.clone(), self.advises);
         self.ids.borrow_mut().insert(id.clone());
         let in_hand = InHand(self.ids.clone(), id.clone());
-        let txn = self.hub.take(txn, wording(command, self.held.share(size)), move |answer| {
+        let request = self.hub.take(request, wording(command, self.held.share(size)), move |answer| {
             drop(in_hand);
             let answer = match answer {
                 Answer::Settled(value) => resp::bulk(&value),
@@ -595,7 +595,7 @@
             };
             to.ready(place, answer);
         });
-        counter.put(Due::Owed(txn));
+        counter.put(Due::Owed(request));
         Ok(())
     }
 }
--- a/crates/agent/src/desk.rs
+++ b/crates/agent/src/desk.rs
@@ -25,7 +25,7 @@
     pub build: Build,
     pub stage: Stage,
     pub course: Course,
-    /// The share of txns that may go to it.
+    /// The share of requests that may go to it.
     pub cap: f64,
     /// How long ago it came to stand so.
     pub age: Duration,
--- a/crates/agent/src/discovery.rs
+++ b/crates/agent/src/discovery.rs
@@ -204,20 +204,20 @@
             self.appliances.keep_only(|id| update.names(*id));
         }
         update.entries.iter().for_each(|(line, at)| self.appliances.place(line, *at));
-        count(Count::RosterUpdates);
+        count(Count::MembershipUpdates);
         let listing = match (saved, update.whole) {
             (true, _) => Listing::Saved,
             (false, true) => Listing::Whole,
             (false, false) => Listing::Changes,
         };
-        self.hub.tell(move |ear| ear.roster(listing, &mut update.entries.iter().map(|(line, _)| *line)));
+        self.hub.tell(move |ear| ear.membership(listing, &mut update.entries.iter().map(|(line, _)| *line)));
         Some(())
     }
 
     fn failed(&self, end: End) {
         say!("discovery {} ended: {end}", self.place.at());
         if self.asked {
-            self.hub.tell(|ear| ear.roster(Listing::Failed, &mut std::iter::empty()));
+            self.hub.tell(|ear| ear.membership(Listing::Failed, &mut std::iter::empty()));
         }
     }
 
--- a/crates/agent/src/hub.rs
+++ b/crates/agent/src/hub.rs
@@ -22,13 +22,13 @@
 /// Something that the module is to hear, or the gate beside it.
 type Call = Box<dyn FnOnce(&mut Ears)>;
 
-/// Carries submissions and probes to appliances.
+/// Carries attempts and probes to appliances.
 pub trait Carries {
-    fn submit(
-        self: Rc<Self>, which: (TxnId, Leg), to: ApplianceId, wording: Wording, began: Duration,
-        until: Duration,
+    fn send_attempt(
+        self: Rc<Self>, which: (RequestId, AttemptNumber), to: ApplianceId, wording: Wording,
+        began: Duration, until: Duration,
     );
-    fn call_off(&self, which: (TxnId, Leg));
+    fn call_off(&self, which: (RequestId, AttemptNumber));
     fn probe(self: Rc<Self>, to: ApplianceId);
     fn free_links(&self, id: ApplianceId);
 }
@@ -78,22 +78,22 @@
     }
 }
 
-/// A txn's one final answer.
+/// A request's one final answer.
 pub enum Answer {
     Settled(Vec<u8>),
     Declined(Duration),
     Voided,
 }
 
-/// What a submission says to an appliance, told how long its answer is waited for.
+/// What an attempt says to an appliance, told how long its answer is waited for.
 pub type Wording = Rc<dyn Fn(Duration) -> Vec<u8>>;
 
-/// A txn that is owed its answer, or of whose end the module has not heard yet.
+/// A request that is owed its answer, or of whose end the module has not heard yet.
 struct Owed {
     wording: Wording,
     /// When the last wait for it ends.
     until: Duration,
-    legs: u8,
+    attempts: u8,
     answer: Option<Box<dyn FnOnce(Answer)>>,
 }
 
@@ -101,7 +101,7 @@
     pub clock: Clock,
     tasks: LocalExecutor<'static>,
     queue: (Sender<Call>, Receiver<Call>),
-    owed: RefCell<HashMap<TxnId, Owed>>,
+    owed: RefCell<HashMap<RequestId, Owed>>,
     last: Cell<u32>,
     /// Room for an answer's way back before the client gives up.
     slack: Duration,
@@ -157,28 +157,32 @@
         future::or(self.clock.until(then), ending).await;
     }
 
-    /// Takes a txn; `answer` is called once, with its final answer, unless the client leaves before.
-    pub fn take(&self, txn: Txn, wording: Wording, answer: impl FnOnce(Answer) + 'static) -> TxnId {
-        count(Count::TxnsTaken);
-        let id = TxnId(self.last.replace(self.last.get().wrapping_add(1)));
-        let until = txn.deadline.min(self.ends.get()).saturating_sub(self.slack);
-        self.owed.borrow_mut().insert(id, Owed { wording, until, legs: 0, answer: Some(Box::new(answer)) });
-        self.tell(move |ear| ear.txn(id, txn));
+    /// Takes a request; `answer` is called once, with its final answer, unless the client leaves before.
+    pub fn take(
+        &self, request: Request, wording: Wording, answer: impl FnOnce(Answer) + 'static,
+    ) -> RequestId {
+        count(Count::RequestsTaken);
+        let id = RequestId(self.last.replace(self.last.get().wrapping_add(1)));
+        let until = request.deadline.min(self.ends.get()).saturating_sub(self.slack);
+        self.owed
+            .borrow_mut()
+            .insert(id, Owed { wording, until, attempts: 0, answer: Some(Box::new(answer)) });
+        self.tell(move |ear| ear.request(id, request));
         id
     }
 
-    /// How many txns are in hand.
+    /// How many requests are in hand.
     pub fn in_hand(&self) -> usize {
         self.owed.borrow().len()
     }
 
     /// The way to its client of an answer that is still owed; from then on it is not.
-    fn claim(&self, id: TxnId) -> Option<Box<dyn FnOnce(Answer)>> {
+    fn claim(&self, id: RequestId) -> Option<Box<dyn FnOnce(Answer)>> {
         self.owed.borrow_mut().get_mut(&id)?.answer.take()
     }
 
     /// Gives the final answer, if it is still owed.
-    fn answer(&self, id: TxnId, answer: Answer) {
+    fn answer(&self, id: RequestId, answer: Answer) {
         if let Some(give) = self.claim(id) {
             count(match answer {
                 Answer::Settled(_) => Count::Settled,
@@ -189,11 +193,11 @@
         }
     }
 
-    fn is_owed(&self, id: TxnId) -> bool {
+    fn is_owed(&self, id: RequestId) -> bool {
         self.owed.borrow().get(&id).is_some_and(|owed| owed.answer.is_some())
     }
 
-    pub fn client_left(self: &Rc<Self>, id: TxnId) {
+    pub fn client_left(self: &Rc<Self>, id: RequestId) {
         if self.claim(id).is_some() {
             count(Count::ClientsLeft);
             let hub = self.clone();
@@ -204,19 +208,19 @@
         }
     }
 
-    /// Whether a submission that has waited for its link may still go: the module says.
-    pub async fn may_go(&self, id: TxnId, leg: Leg) -> bool {
+    /// Whether an attempt that has waited for its link may still go: the module says.
+    pub async fn may_go(&self, id: RequestId, attempt: AttemptNumber) -> bool {
         let (say, said) = async_channel::bounded(1);
         self.tell(move |ear| {
-            say.try_send(ear.may_go(id, leg)).ok();
+            say.try_send(ear.may_go(id, attempt)).ok();
         });
         said.recv().await.unwrap_or(false)
     }
 
-    /// A submission has ended; a first answer goes to the client at once and ends the txn.
+    /// An attempt has ended; a first answer goes to the client at once and ends the request.
     pub fn ended(
-        self: &Rc<Self>, (id, leg): (TxnId, Leg), at: ApplianceId, ending: Ending, took: Duration,
-        value: Vec<u8>,
+        self: &Rc<Self>, (id, attempt): (RequestId, AttemptNumber), at: ApplianceId, ending: Ending,
+        took: Duration, value: Vec<u8>,
     ) {
         count(match ending {
             Ending::Served => Count::EndedServed,
@@ -238,7 +242,7 @@
             if closed {
                 hub.owed.borrow_mut().remove(&id);
             }
-            ear.ended(id, leg, at, ending, took, closed);
+            ear.ended(id, attempt, at, ending, took, closed);
         });
     }
 }
@@ -312,36 +316,36 @@
 }
 
 impl Decisions for Round<'_> {
-    fn submit(&mut self, id: TxnId, to: ApplianceId, give_up_after: Duration) {
-        count(Count::Submissions);
+    fn send_attempt(&mut self, id: RequestId, to: ApplianceId, give_up_after: Duration) {
+        count(Count::Attempts);
         let mut owed = self.hands.hub.owed.borrow_mut();
         let Some(owed) = owed.get_mut(&id) else {
-            return say!("a submission of txn {}, which has had its answer, stays here", id.0);
+            return say!("an attempt of request {}, which has had its answer, stays here", id.0);
         };
-        let leg = Leg(owed.legs);
-        owed.legs += 1;
+        let attempt = AttemptNumber(owed.attempts);
+        owed.attempts += 1;
         let until =
             if give_up_after.is_zero() { owed.until } else { owed.until.min(self.now + give_up_after) };
         let wording = owed.wording.clone();
-        self.hands.recorder.put(self.now, Deed::Submit(id, leg, to));
-        self.hands.appliances.clone().submit((id, leg), to, wording, self.now, until);
+        self.hands.recorder.put(self.now, Deed::Attempt(id, attempt, to));
+        self.hands.appliances.clone().send_attempt((id, attempt), to, wording, self.now, until);
     }
 
-    fn decline(&mut self, id: TxnId, come_back_in: Duration) {
+    fn decline(&mut self, id: RequestId, come_back_in: Duration) {
         self.hands.recorder.put(self.now, Deed::Closed(id));
         self.hands.hub.answer(id, Answer::Declined(come_back_in));
         self.hands.hub.owed.borrow_mut().remove(&id);
     }
 
-    fn void(&mut self, id: TxnId) {
+    fn void(&mut self, id: RequestId) {
         self.hands.recorder.put(self.now, Deed::Closed(id));
         self.hands.hub.answer(id, Answer::Voided);
         self.hands.hub.owed.borrow_mut().remove(&id);
     }
 
-    fn call_off(&mut self, id: TxnId, leg: Leg) {
-        self.hands.recorder.book(|book| book.called_off(self.now, id, leg));
-        self.hands.appliances.call_off((id, leg));
+    fn call_off(&mut self, id: RequestId, attempt: AttemptNumber) {
+        self.hands.recorder.book(|book| book.called_off(self.now, id, attempt));
+        self.hands.appliances.call_off((id, attempt));
     }
 
     fn wake(&mut self, at: Duration, ticket: Ticket) {
@@ -367,11 +371,11 @@
         say!("{text}");
     }
 
-    fn watch_roster(&mut self, on: bool) {
+    fn watch_membership(&mut self, on: bool) {
         self.hands.discovery.watch(on);
     }
 
-    fn fetch_roster(&mut self) {
+    fn fetch_membership(&mut self) {
         self.hands.discovery.clone().fetch();
     }
 
--- a/crates/agent/src/keeper.rs
+++ b/crates/agent/src/keeper.rs
@@ -120,7 +120,7 @@
 }
 
 impl Hears for Ears<'_> {
-    fn roster(&mut self, listing: Listing, lines: &mut dyn Iterator<Item = Line>) {
+    fn membership(&mut self, listing: Listing, lines: &mut dyn Iterator<Item = Line>) {
         let lines: Vec<Line> = lines.collect();
         if matches!(listing, Listing::Whole | Listing::Saved) {
             self.keeper.listed.clear();
@@ -131,10 +131,10 @@
                 _ => drop(self.keeper.listed.insert(line.appliance, line.build)),
             }
         }
-        self.recorder.book(|book| book.roster(self.now, listing, &lines));
+        self.recorder.book(|book| book.membership(self.now, listing, &lines));
         let builds: Vec<Build> = self.keeper.listed.values().copied().collect();
         self.gate(|gate, now| gate.list(now, builds.into_iter()));
-        self.module.roster(listing, &mut lines.into_iter());
+        self.module.membership(listing, &mut lines.into_iter());
     }
 
     fn stage(&mut self, build: Build, stage: Stage, course: Course, cap: f64, age: Duration) {
@@ -145,27 +145,30 @@
         self.module.stage(build, stage, course, cap, age);
     }
 
-    fn txn(&mut self, id: TxnId, txn: Txn) {
-        self.recorder.put(self.now, Deed::Txn(id, txn.product));
-        self.module.txn(id, txn);
+    fn request(&mut self, id: RequestId, request: Request) {
+        self.recorder.put(self.now, Deed::Request(id, request.product));
+        self.module.request(id, request);
     }
 
-    fn ended(&mut self, id: TxnId, leg: Leg, at: ApplianceId, ending: Ending, took: Duration, closed: bool) {
-        self.recorder.put(self.now, Deed::Ended((id, leg), at, ending, took, closed));
-        self.module.ended(id, leg, at, ending, took, closed);
+    fn ended(
+        &mut self, id: RequestId, attempt: AttemptNumber, at: ApplianceId, ending: Ending, took: Duration,
+        closed: bool,
+    ) {
+        self.recorder.put(self.now, Deed::Ended((id, attempt), at, ending, took, closed));
+        self.module.ended(id, attempt, at, ending, took, closed);
     }
 
-    fn stream_begun(&mut self, id: TxnId, leg: Leg, at: ApplianceId, took: Duration) {
-        self.module.stream_begun(id, leg, at, took);
+    fn stream_begun(&mut self, id: RequestId, attempt: AttemptNumber, at: ApplianceId, took: Duration) {
+        self.module.stream_begun(id, attempt, at, took);
     }
 
-    fn client_left(&mut self, id: TxnId) {
+    fn client_left(&mut self, id: RequestId) {
         self.recorder.put(self.now, Deed::Closed(id));
         self.module.client_left(id);
     }
 
-    fn may_go(&mut self, id: TxnId, leg: Leg) -> bool {
-        self.module.may_go(id, leg)
+    fn may_go(&mut self, id: RequestId, attempt: AttemptNumber) -> bool {
+        self.module.may_go(id, attempt)
     }
 
     fn load(&mut self, at: ApplianceId, gauges: &[f32]) {
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -47,7 +47,7 @@
 /// So long a log's reader may take for the last lines, once all else is over.
 const LAST_WORDS: Duration = Duration::from_secs(1);
 
-/// Routes its clients' txns to appliances of the old and the new build, and votes the new one on or back.
+/// Routes its clients' requests to appliances of the old and the new build, and votes the new one on or back.
 ///
 /// RELAY_CONFIG names the start file. Signals: USR1 writes the counters, and the releases' state where the operator's
 /// file wants it; HUP reads both files again; TERM and INT end it.
--- a/crates/agent/src/recorder.rs
+++ b/crates/agent/src/recorder.rs
@@ -1,6 +1,6 @@
 //! Owns the agent's time lines: what the module hears and decides goes into a book beside it, and from there, off the
-//! path of the txns, to the store that the operator's file names. It must never change a decision, wait for a disk, nor
-//! cost a txn: what the disk is too slow for is left out and counted.
+//! path of the requests, to the store that the operator's file names. It must never change a decision, wait for a disk,
+//! nor cost a request: what the disk is too slow for is left out and counted.
 use std::cell::{Cell, RefCell};
 use std::path::PathBuf;
 use std::time::Duration;
@@ -23,13 +23,13 @@
 /// They are handed over this often.
 const BATCH: Duration = Duration::from_secs(1);
 
-/// What happens with each txn: put aside as it is, and told to the book many at a time, which costs a third of it.
+/// What happens with each request: put aside as it is, and told to the book many at a time, which costs a third of it.
 #[derive(Clone, Copy)]
 pub enum Deed {
-    Txn(TxnId, Product),
-    Submit(TxnId, Leg, ApplianceId),
-    Ended((TxnId, Leg), ApplianceId, Ending, Duration, bool),
-    Closed(TxnId),
+    Request(RequestId, Product),
+    Attempt(RequestId, AttemptNumber, ApplianceId),
+    Ended((RequestId, AttemptNumber), ApplianceId, Ending, Duration, bool),
+    Closed(RequestId),
 }
 
 /// Deeds that are put aside at most.
@@ -153,8 +153,8 @@
     fn catch_up(&self, book: &mut Book) {
         for (now, deed) in self.aside.borrow_mut().drain(..) {
             match deed {
-                Deed::Txn(id, product) => book.txn(id, product),
-                Deed::Submit(id, leg, to) => book.submit(now, id, leg, to),
+                Deed::Request(id, product) => book.request(id, product),
+                Deed::Attempt(id, attempt, to) => book.attempt(now, id, attempt, to),
                 Deed::Ended(which, at, ending, took, closed) => {
                     book.ended(now, which, at, ending, took, closed)
                 }
--- a/crates/agent/src/releases.rs
+++ b/crates/agent/src/releases.rs
@@ -22,7 +22,7 @@
 /// News and signs of life that another service's desk may send in a second. One a second is due, and each change.
 const NOISE: u32 = 64;
 
-/// What a file orders: releases, with the firm whose txns are routed here, and time lines.
+/// What a file orders: releases, with the firm whose requests are routed here, and time lines.
 type Ordered = (Option<(Releases, Tenant)>, Option<Timeline>);
 
 /// The operator's file, and the desks that it names.
@@ -73,7 +73,7 @@
         Ok((file, gate, read.1))
     }
 
-    /// The releases that the file orders, with the firm whose txns this agent routes, and its time lines.
+    /// The releases that the file orders, with the firm whose requests this agent routes, and its time lines.
     fn read(&self) -> Result<Ordered, Vec<String>> {
         let Some(path) = &self.path else { return Ok((None, None)) };
         let named = |fault| format!("the operator's file {}: {fault}", path.display());
--- a/crates/agent/tests/agent.rs
+++ b/crates/agent/tests/agent.rs
@@ -17,9 +17,9 @@
 //!     NAME turns ID                goes back to the connection that brought this one
 //!     NAME ends / vanishes / waits that connection breaks / it stops listening / no command is there
 //!     NAME links N                 so many connections have come so far
-//!     roster NAME[@WHERE]:STATE[:BUILD] ..  discovery tells changes, one may be where another listens
-//!     roster raw BYTES: a chunk as it is
-//!     roster asked TEXT / drops    the next call's path holds TEXT / the watch breaks
+//!     membership NAME[@WHERE]:STATE[:BUILD] ..  discovery tells changes, one may be where another listens
+//!     membership raw BYTES: a chunk as it is
+//!     membership asked TEXT / drops    the next call's path holds TEXT / the watch breaks
 //!     news BUILD STAGE STATE CAP   the platform tells;  news raw BYTES: as it is;  news asked: a new listener came
 //!     vote gets TEXT / answers BYTES / ends   the next call for a vote
 //!     peer sends BYTES / stranger sends BYTES
@@ -163,7 +163,7 @@
         self.log.lock().expect("a lock").clone()
     }
 
-    fn tell_roster(&mut self, entries: &str) {
+    fn tell_membership(&mut self, entries: &str) {
         self.version += 1;
         let entries: Vec<String> = entries
             .split(' ')
@@ -331,13 +331,13 @@
             ("told", _) => self.write_told(),
             ("later", _) => thread::sleep(Duration::from_millis(rest.parse().expect("a number"))),
             ("files", _) => self.files = Some(rest.parse().expect("a number")),
-            ("roster", ("raw", text)) => self.discovery.write(&bytes(text)),
-            ("roster", ("asked", text)) => {
+            ("membership", ("raw", text)) => self.discovery.write(&bytes(text)),
+            ("membership", ("asked", text)) => {
                 let got = self.discovery.heard();
                 assert!(got.contains(text), "asked {got}");
             }
-            ("roster", ("drops", _)) => self.discovery.end(),
-            ("roster", _) => self.tell_roster(rest),
+            ("membership", ("drops", _)) => self.discovery.end(),
+            ("membership", _) => self.tell_membership(rest),
             ("news", ("asked", _)) => {
                 self.listener = self.listeners.recv_timeout(PATIENCE).expect("a listener").0
             }
--- a/crates/agent/tests/days.rs
+++ b/crates/agent/tests/days.rs
@@ -1,5 +1,5 @@
 //! One scripted day of releases of each kind, on loopback against the agent itself: nothing that is forbidden gets a
-//! submission, nothing is lost, doubled or wrongly closed. The same days without the operator's file show that they
+//! attempt, nothing is lost, doubled or wrongly closed. The same days without the operator's file show that they
 //! can tell.
 use std::path::Path;
 
--- a/crates/agent/tests/ends.rs
+++ b/crates/agent/tests/ends.rs
@@ -1,5 +1,5 @@
 //! Planned restarts on loopback: SIGTERM amid traffic on connections that are never idle, with new ones coming and a
-//! node that takes txns and says nothing. Whatever was taken has one whole answer in time, and the agent goes by
+//! node that takes requests and says nothing. Whatever was taken has one whole answer in time, and the agent goes by
 //! itself before it may be killed.
 use std::path::Path;
 use std::time::Duration;
@@ -33,7 +33,7 @@
     for _ in 0..2 {
         town.pass(Duration::from_millis(600));
         let (gone, log) = town.ends_within(MAY_BE_KILLED + SLACK);
-        assert!(gone && log.contains("with 0 txns in hand"), "{log}");
+        assert!(gone && log.contains("with 0 requests in hand"), "{log}");
         assert!(town.up(false));
     }
     town.pass(Duration::from_millis(300));
--- a/crates/agent/tests/inside.rs
+++ b/crates/agent/tests/inside.rs
@@ -102,7 +102,7 @@
     Recorder::new("n0", &told, None, Duration::ZERO).expect("a recorder")
 }
 
-/// Hears how submissions end, and says whether they may go.
+/// Hears how attempts end, and says whether they may go.
 #[derive(Default)]
 struct Ear {
     may_go: bool,
@@ -111,16 +111,18 @@
 }
 
 impl Hears for Ear {
-    fn txn(&mut self, _: TxnId, _: Txn) {}
-    fn ended(&mut self, _: TxnId, _: Leg, _: ApplianceId, ending: Ending, _: Duration, _: bool) {
+    fn request(&mut self, _: RequestId, _: Request) {}
+    fn ended(
+        &mut self, _: RequestId, _: AttemptNumber, _: ApplianceId, ending: Ending, _: Duration, _: bool,
+    ) {
         self.ended = Some(ending);
     }
-    fn stream_begun(&mut self, _: TxnId, _: Leg, _: ApplianceId, _: Duration) {}
-    fn client_left(&mut self, _: TxnId) {}
-    fn may_go(&mut self, _: TxnId, _: Leg) -> bool {
+    fn stream_begun(&mut self, _: RequestId, _: AttemptNumber, _: ApplianceId, _: Duration) {}
+    fn client_left(&mut self, _: RequestId) {}
+    fn may_go(&mut self, _: RequestId, _: AttemptNumber) -> bool {
         self.may_go
     }
-    fn roster(&mut self, _: Listing, _: &mut dyn Iterator<Item = Line>) {}
+    fn membership(&mut self, _: Listing, _: &mut dyn Iterator<Item = Line>) {}
     fn load(&mut self, at: ApplianceId, gauges: &[f32]) {
         self.loads.push((at, gauges.to_vec()));
     }
@@ -183,7 +185,13 @@
     });
     let now = hub.clock.now();
     let words: Wording = Rc::new(|_| b"hello".to_vec());
-    appliances.clone().submit((TxnId(0), Leg(0)), ApplianceId(to), words, now, now + Duration::from_secs(9));
+    appliances.clone().send_attempt(
+        (RequestId(0), AttemptNumber(0)),
+        ApplianceId(to),
+        words,
+        now,
+        now + Duration::from_secs(9),
+    );
     let mut ear = Ear { may_go, ..Ear::default() };
     assert_eq!(ear.until_ended(&hub), Some(want));
     if links > 0 && to == 1 {
@@ -211,7 +219,13 @@
         });
         let now = hub.clock.now();
         let words: Wording = Rc::new(|_| b"hello".to_vec());
-        appliances.submit((TxnId(0), Leg(0)), ApplianceId(1), words, now, now + Duration::from_secs(9));
+        appliances.send_attempt(
+            (RequestId(0), AttemptNumber(0)),
+            ApplianceId(1),
+            words,
+            now,
+            now + Duration::from_secs(9),
+        );
         let mut ear = Ear { may_go: true, ..Ear::default() };
         let want = if cut == answer.len() { whole } else { Ending::Broken };
         assert_eq!(ear.until_ended(&hub), Some(want), "cut at {cut}");
@@ -257,7 +271,7 @@
 }
 
 /// A fleet of this size goes through the start file, a list that comes indented and in pieces, and the module, on the
-/// smallest memory that is given; each txn finds its appliance.
+/// smallest memory that is given; each request finds its appliance.
 #[rstest]
 fn large_fleets_fit(#[values(1, 350, 1024)] agents: usize, #[values(1, 300, 1024)] appliances: usize) {
     let at = |i: usize| format!("127.1.{}.{}:6379", i / 250, 1 + i % 250).parse().expect("an address");
@@ -308,8 +322,8 @@
             module.stage(Build(2), Stage(3), Course::Released, 1.0, Duration::from_secs(9));
             let deadline = now + Duration::from_secs(9);
             let (product, tenant) = (Product(0), Tenant(0));
-            let txn = Txn { product, tenant, mark: None, deadline, hint: None, repeated: false };
-            (0..10).for_each(|id| module.txn(TxnId(id), txn));
+            let request = Request { product, tenant, mark: None, deadline, hint: None, repeated: false };
+            (0..10).for_each(|id| module.request(RequestId(id), request));
         },
         &mut out,
     );
--- a/crates/ctl/src/lines.rs
+++ b/crates/ctl/src/lines.rs
@@ -193,10 +193,10 @@
                 format!("listed {state} with build {build}{since}")
             }
             What::Barred { why, until } => format!("left alone until {}: {why}", self.clock(*until)),
-            What::Tried => "tried with a txn".into(),
+            What::Tried => "tried with a request".into(),
             What::Unbarred => "taken in again".into(),
-            What::CalledOff { product } => format!("a submission of {} called off", self.product(*product)),
-            What::GivenUp { why, many } => format!("{many} txns given up: {why}"),
+            What::CalledOff { product } => format!("an attempt of {} called off", self.product(*product)),
+            What::GivenUp { why, many } => format!("{many} requests given up: {why}"),
             What::Stage { build, stage, course } => format!("build {build} is {course} in stage {stage}"),
             What::Vote { build, stage, verdict, figures } => {
                 format!("voted {verdict} on build {build} in stage {stage}: {figures}")
--- a/crates/ctl/src/plot.rs
+++ b/crates/ctl/src/plot.rs
@@ -1,5 +1,5 @@
-//! Owns the picture of time lines: a small chart a node, one below another on one axis of time. Builds are bands, what
-//! was submitted is bars, what failed or was late is darker in them, the 95th percentile is a line, departures and
+//! Owns the picture of time lines: a small chart a node, one below another on one axis of time. Builds are bands,
+//! attempts are bars, what failed or was late is darker in them, the 95th percentile is a line, departures and
 //! decisions are marks.
 use std::path::Path;
 use std::time::Duration;
@@ -60,7 +60,7 @@
     let most = |of: fn(&Bar) -> f64| {
         all.iter().flat_map(|(_, bars)| bars.iter().map(of)).fold(0.0, f64::max).max(1e-6)
     };
-    let (tallest, slowest) = (most(|bar| f64::from(bar.2.submitted)), most(|bar| bar.3.unwrap_or(0.0)));
+    let (tallest, slowest) = (most(|bar| f64::from(bar.2.attempts)), most(|bar| bar.3.unwrap_or(0.0)));
     let title = format!("{} from {} for {whole:.0} s", lines.agents.join(", "), lines.show(lines.from));
     root.draw(&Text::new(title, (12, 10), ("sans-serif", 16))).map_err(fault)?;
     let secs = |at: Duration| at.saturating_sub(lines.from).as_secs_f64().clamp(0.0, whole);
@@ -105,8 +105,8 @@
             let mut low = 0.0;
             // Bad and late ones at the foot, so that they show.
             let bad = counts.failed + counts.unlinked + counts.timed_out;
-            let late = counts.late.min(counts.submitted.saturating_sub(bad));
-            let rest = counts.submitted.saturating_sub(bad + late);
+            let late = counts.late.min(counts.attempts.saturating_sub(bad));
+            let rest = counts.attempts.saturating_sub(bad + late);
             for (many, shade) in [(bad, BAD), (late, SLOW), (rest, BARS)] {
                 let tall = f64::from(many) / tallest * 0.85;
                 let bar = Rectangle::new([(*from, low), (*to, (low + tall).min(1.0))], shade.filled());
@@ -151,7 +151,7 @@
         root.draw(&Text::new(build, (12, top as i32 + 44), ("sans-serif", 12))).map_err(fault)?;
     }
     let legend = format!(
-        "bars: txns in {long:.0} s (red: bad, amber: late; the tallest {tallest:.0}); line: 95th percentile (highest {:.0} ms); \
+        "bars: requests in {long:.0} s (red: bad, amber: late; the tallest {tallest:.0}); line: 95th percentile (highest {:.0} ms); \
          red on top: departures, thin red: when they were sure; green: stages and votes; triangles: left alone; bands: builds",
         slowest * 1e3
     );
--- a/crates/ctl/src/timeline.rs
+++ b/crates/ctl/src/timeline.rs
@@ -113,15 +113,9 @@
         println!("{}", trimmed(&table));
         if let Some(node) = node {
             let mut table = Table::new();
-            table.load_preset(presets::NOTHING).set_header([
-                "from",
-                "submitted",
-                "served",
-                "failed",
-                "late",
-                "p50",
-                "p95",
-            ]);
+            table
+                .load_preset(presets::NOTHING)
+                .set_header(["from", "attempts", "served", "failed", "late", "p50", "p95"]);
             for (from, counts, latency) in spans(&lines, Some(node), 12) {
                 table.add_row(row(&lines, from, &counts, &latency));
             }
@@ -136,10 +130,10 @@
 }
 
 fn row(lines: &Lines, from: Duration, counts: &Counts, latency: &Latency) -> [String; 7] {
-    let Counts { submitted, served, failed, late, .. } = counts;
+    let Counts { attempts, served, failed, late, .. } = counts;
     [
         lines.show(from),
-        submitted.to_string(),
+        attempts.to_string(),
         served.to_string(),
         failed.to_string(),
         late.to_string(),
@@ -309,7 +303,7 @@
         println!("\nThe nodes, before and during it:");
         let mut table = Table::new();
         table.load_preset(presets::NOTHING).set_header([
-            "node", "build", "txns", "failed", "late", "p95", "", "txns", "failed", "late", "p95",
+            "node", "build", "requests", "failed", "late", "p95", "", "requests", "failed", "late", "p95",
         ]);
         let share = |part: u32, counts: &Counts| {
             let all = counts.ended().max(1);
@@ -318,7 +312,7 @@
         for (node, build, was, is) in &nodes {
             let four = |(counts, latency): &(Counts, Latency)| {
                 [
-                    counts.submitted.to_string(),
+                    counts.attempts.to_string(),
                     share(counts.failed, counts),
                     share(counts.late, counts),
                     millis(latency, 0.95),
--- a/crates/drill/src/main.rs
+++ b/crates/drill/src/main.rs
@@ -8,7 +8,7 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-use lilacgate::port::{Ending, Line, Listing, Product, Txn};
+use lilacgate::port::{Ending, Line, Listing, Product, Request};
 use lilacgate_start::{Instance, Paths};
 use wire::{EVENT, Field, Reply};
 
@@ -182,17 +182,17 @@
             let listing = r.listing(13)?;
             let number = r.u32(9);
             match pages.get(number as usize).and_then(Option::as_ref) {
-                _ if listing == Listing::Failed => ear.roster(listing, &mut std::iter::empty()),
+                _ if listing == Listing::Failed => ear.membership(listing, &mut std::iter::empty()),
                 Some(lines) => match lines.iter().find(|l| usize::from(l.zone.0) >= named.1) {
                     Some(line) => return Err(format!("zone {} was never named", line.zone.0)),
-                    None => ear.roster(listing, &mut lines.iter().copied()),
+                    None => ear.membership(listing, &mut lines.iter().copied()),
                 },
                 None => return Err(format!("UPDATE names list {number}, which was never given")),
             }
         }
         wire::INBOUND => {
             let bits = r.u8(5);
-            let txn = Txn {
+            let request = Request {
                 product: product(r, 14, named.0)?,
                 tenant: r.tenant(15),
                 mark: Some(r.u64(6)).filter(|&m| m != 0).map(lilacgate::port::Mark),
@@ -200,16 +200,16 @@
                 hint: (bits & 1 != 0).then(|| r.span(25)),
                 repeated: bits & 2 != 0,
             };
-            ear.txn(r.txn(1), txn);
+            ear.request(r.request(1), request);
         }
         wire::RESOLVED => {
             if r.u8(16) != 0 {
                 ear.load(r.appliance(6), &r.gauges(17, r.u8(16)));
             }
-            ear.ended(r.txn(1), r.leg(5), r.appliance(6), r.ending(10)?, r.span(11), r.u8(15) != 0);
+            ear.ended(r.request(1), r.attempt(5), r.appliance(6), r.ending(10)?, r.span(11), r.u8(15) != 0);
         }
-        wire::HEADERS => ear.stream_begun(r.txn(1), r.leg(5), r.appliance(6), r.span(10)),
-        wire::HANGUP => ear.client_left(r.txn(1)),
+        wire::HEADERS => ear.stream_begun(r.request(1), r.attempt(5), r.appliance(6), r.span(10)),
+        wire::HANGUP => ear.client_left(r.request(1)),
         wire::REMINDER => ear.woken(lilacgate::port::Ticket(r.u64(1))),
         wire::ECHO => {
             if r.u8(10) != 0 {
--- a/crates/drill/src/wire.rs
+++ b/crates/drill/src/wire.rs
@@ -53,8 +53,8 @@
     pub fn span64(self, at: usize) -> Duration {
         Duration::from_micros(self.u64(at))
     }
-    pub fn txn(self, at: usize) -> TxnId {
-        TxnId(self.u32(at))
+    pub fn request(self, at: usize) -> RequestId {
+        RequestId(self.u32(at))
     }
     pub fn appliance(self, at: usize) -> ApplianceId {
         ApplianceId(self.u32(at))
@@ -65,8 +65,8 @@
     pub fn tenant(self, at: usize) -> Tenant {
         Tenant(self.u16(at))
     }
-    pub fn leg(self, at: usize) -> Leg {
-        Leg(self.u8(at))
+    pub fn attempt(self, at: usize) -> AttemptNumber {
+        AttemptNumber(self.u8(at))
     }
     pub fn build(self, at: usize) -> Build {
         Build(self.u16(at))
@@ -227,17 +227,17 @@
 }
 
 impl Decisions for Reply {
-    fn submit(&mut self, id: TxnId, to: ApplianceId, give_up_after: Duration) {
+    fn send_attempt(&mut self, id: RequestId, to: ApplianceId, give_up_after: Duration) {
         self.action(1, &[&id.0.to_be_bytes(), &to.0.to_be_bytes(), &micros32(give_up_after)]);
     }
-    fn decline(&mut self, id: TxnId, come_back_in: Duration) {
+    fn decline(&mut self, id: RequestId, come_back_in: Duration) {
         self.action(2, &[&id.0.to_be_bytes(), &micros32(come_back_in)]);
     }
-    fn void(&mut self, id: TxnId) {
+    fn void(&mut self, id: RequestId) {
         self.action(3, &[&id.0.to_be_bytes()]);
     }
-    fn call_off(&mut self, id: TxnId, leg: Leg) {
-        self.action(4, &[&id.0.to_be_bytes(), &[leg.0]]);
+    fn call_off(&mut self, id: RequestId, attempt: AttemptNumber) {
+        self.action(4, &[&id.0.to_be_bytes(), &[attempt.0]]);
     }
     fn wake(&mut self, at: Duration, ticket: Ticket) {
         let at = u64::try_from(at.as_micros()).unwrap_or(u64::MAX);
@@ -255,10 +255,10 @@
     fn log(&mut self, text: &str) {
         self.with_tail(9, &[], text.as_bytes());
     }
-    fn watch_roster(&mut self, on: bool) {
+    fn watch_membership(&mut self, on: bool) {
         self.action(11, &[&[on.into()]]);
     }
-    fn fetch_roster(&mut self) {
+    fn fetch_membership(&mut self) {
         self.action(12, &[]);
     }
     fn vote(&mut self, build: Build, stage: Stage, verdict: Verdict) {
--- a/crates/operator/src/places.rs
+++ b/crates/operator/src/places.rs
@@ -1,5 +1,5 @@
-//! Owns the file's names: zones, member firms, products, and which firm's txns an agent routes. A name is resolved to
-//! its number here and nowhere else; one that is defined nowhere or twice is a fault.
+//! Owns the file's names: zones, member firms, products, and which firm's requests an agent routes. A name is resolved
+//! to its number here and nowhere else; one that is defined nowhere or twice is a fault.
 use lilacgate::openings::Openings;
 use lilacgate::port::Tenant;
 use roxmltree::Node;
@@ -27,7 +27,7 @@
 const FIRMS: usize = 1 << 16;
 
 impl Places {
-    /// The firm whose txns an agent routes.
+    /// The firm whose requests an agent routes.
     pub fn firm_of(&self, agent: &str) -> Option<Tenant> {
         self.agents.iter().find(|(name, _)| name == agent).map(|(_, firm)| *firm)
     }
--- a/crates/releases/src/gate.rs
+++ b/crates/releases/src/gate.rs
@@ -1,5 +1,5 @@
 //! Owns the decision where and for whom each build may be used, and whether a step on may be asked for. It weighs
-//! ladders, dependencies and freezes by what is heard, and makes the table that is looked up for each txn. It must
+//! ladders, dependencies and freezes by what is heard, and makes the table that is looked up for each request. It must
 //! never open what the decision module closes (the module asks it besides its own rules, not instead), never hold up
 //! a way back, and never believe what is unknown.
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -67,7 +67,7 @@
     Unmet(u16),
     Unknown(u16),
     OwnNews,
-    /// The build is open to none of this agent's txns: it has seen nothing of it.
+    /// The build is open to none of this agent's requests: it has seen nothing of it.
     NoView,
 }
 
@@ -143,7 +143,7 @@
     /// The needs, each after all that it rests on; and for each ladder, the first ring of each pair.
     order: Vec<usize>,
     firsts: Vec<Vec<Option<u8>>>,
-    /// The firm whose txns are routed here; all if none is given.
+    /// The firm whose requests are routed here; all if none is given.
     pub(crate) me: Option<Tenant>,
     pub(crate) now: Duration,
     pub(crate) facts: Vec<Fact>,
@@ -301,7 +301,7 @@
         self.facts[usize::from(self.rules.own.0)].last().map(|last| last.build)
     }
 
-    /// Whether a txn may go to a build in a zone, or why not.
+    /// Whether a request may go to a build in a zone, or why not.
     ///
     /// # Errors
     /// The reason.
@@ -674,7 +674,7 @@
             Hindrance::Unmet(i) => self.words(build, Why::Unmet(i)),
             Hindrance::Unknown(i) => self.words(build, Why::Unknown(i)),
             Hindrance::OwnNews => self.words(build, Why::OwnNews),
-            Hindrance::NoView => "the build is open to none of this agent's txns".into(),
+            Hindrance::NoView => "the build is open to none of this agent's requests".into(),
         }
     }
 }
--- a/crates/releases/src/table.rs
+++ b/crates/releases/src/table.rs
@@ -1,5 +1,5 @@
-//! Owns the table that answers for each txn: by build, zone and firm, which products are open and why the rest is not.
-//! It decides nothing; `gate` fills it in.
+//! Owns the table that answers for each request: by build, zone and firm, which products are open and why the rest is
+//! not. It decides nothing; `gate` fills it in.
 use lilacgate::openings::Openings;
 use lilacgate::port::{Build, Stage, Tenant};
 
--- a/crates/releases/tests/scenarios.rs
+++ b/crates/releases/tests/scenarios.rs
@@ -1,6 +1,6 @@
 //! Plays every scenario in `tests/scenarios` against a gate: first an operator's file, then, behind a line `==`, steps:
 //!
-//!     firm NAME                        whose txns are routed here; all, if this does not stand first
+//!     firm NAME                        whose requests are routed here; all, if this does not stand first
 //!     at SECONDS|INSTANT               the time from now on: since 2026-12-01T00:00Z, or as RFC 3339 has it
 //!     tell SERVICE BUILD STAGE trial|released|back|withdrawn [AGO]   news, so many seconds old
 //!     alive SERVICE / list BUILD ..    a sign of life / the builds that are listed
--- a/crates/scale/src/agent.rs
+++ b/crates/scale/src/agent.rs
@@ -356,7 +356,7 @@
         let tenant = self.chance.random_range(0..common.size.tenants.max(1));
         let work = common.work.sample(&mut self.chance);
         let hint = work * common.hint.sample(&mut self.chance);
-        let request = Txn {
+        let request = Request {
             product: Product(u8::try_from(route).unwrap_or(u8::MAX)),
             tenant: Tenant(u16::try_from(tenant).unwrap_or(u16::MAX)),
             mark: Some(Mark(self.chance.random())),
@@ -374,7 +374,7 @@
         };
         let module = &mut self.modules[index as usize];
         module.last_request = module.last_request.wrapping_add(1);
-        let id = TxnId(module.last_request);
+        let id = RequestId(module.last_request);
         module.owed.insert(id, owed);
         self.meter.counts.requests += 1;
         Heard::Request(id, request)
@@ -388,9 +388,12 @@
         ending: Ending,
     ) -> Option<Heard> {
         let module = &mut self.modules[index as usize];
-        let AttemptId { request: id, leg } = attempt;
+        let AttemptId {
+            request: id,
+            number,
+        } = attempt;
         let owed = module.owed.get_mut(&id)?;
-        let attempt = owed.attempts.get_mut(usize::from(leg.0))?;
+        let attempt = owed.attempts.get_mut(usize::from(number.0))?;
         if attempt.ending.is_some() {
             return None;
         }
@@ -406,7 +409,7 @@
         }
         Some(Heard::Ended {
             id,
-            leg,
+            number,
             at,
             ending,
             took,
@@ -438,8 +441,8 @@
                 self.meter.counts.failed += 1;
                 self.close(index, id);
             }
-            Decision::CallOff(request, leg) => {
-                let attempt = AttemptId { request, leg };
+            Decision::CallOff(request, number) => {
+                let attempt = AttemptId { request, number };
                 let ending = Ending::CalledOff;
                 self.push(now, index, Incoming::Ended { attempt, ending });
             }
@@ -498,7 +501,7 @@
         });
     }
 
-    fn send_attempt(&mut self, index: u32, now: Duration, id: TxnId, to: ApplianceId) {
+    fn send_attempt(&mut self, index: u32, now: Duration, id: RequestId, to: ApplianceId) {
         let module = &mut self.modules[index as usize];
         let Some(owed) = module.owed.get_mut(&id) else {
             return;
@@ -507,14 +510,17 @@
         self.meter.counts.broken_rules += u64::from(broken);
         self.meter.counts.attempts += 1;
         *self.used.entry((ServiceIndex(index), to)).or_default() += 1;
-        let leg = Leg(owed.attempts.len() as u8);
+        let number = AttemptNumber(owed.attempts.len() as u8);
         owed.attempts.push(Attempt {
             to,
             sent: now,
             ending: None,
         });
         let (work, until) = (owed.work, owed.until);
-        let attempt = AttemptId { request: id, leg };
+        let attempt = AttemptId {
+            request: id,
+            number,
+        };
         self.send(
             now,
             index,
@@ -528,7 +534,7 @@
     }
 
     /// The client has its answer, though none was served.
-    fn close(&mut self, index: u32, id: TxnId) {
+    fn close(&mut self, index: u32, id: RequestId) {
         let module = &mut self.modules[index as usize];
         let Some(owed) = module.owed.get_mut(&id) else {
             return;
--- a/crates/scale/src/decisions.rs
+++ b/crates/scale/src/decisions.rs
@@ -7,13 +7,13 @@
 #[derive(Clone, Debug)]
 pub enum Decision {
     /// An attempt goes to an appliance.
-    Attempt(TxnId, ApplianceId),
+    Attempt(RequestId, ApplianceId),
     /// A request is refused; its client may come again.
-    Decline(TxnId),
+    Decline(RequestId),
     /// A request fails: it may have run.
-    Void(TxnId),
+    Void(RequestId),
     /// An attempt's answer is not waited for any longer.
-    CallOff(TxnId, Leg),
+    CallOff(RequestId, AttemptNumber),
     /// The module wants a round then.
     Wake(Duration, Ticket),
     /// A report or warning to one peer, or to all.
@@ -34,20 +34,20 @@
 }
 
 impl Decisions for Decided {
-    fn submit(&mut self, id: TxnId, to: ApplianceId, _: Duration) {
+    fn send_attempt(&mut self, id: RequestId, to: ApplianceId, _: Duration) {
         self.list.push(Decision::Attempt(id, to));
     }
 
-    fn decline(&mut self, id: TxnId, _: Duration) {
+    fn decline(&mut self, id: RequestId, _: Duration) {
         self.list.push(Decision::Decline(id));
     }
 
-    fn void(&mut self, id: TxnId) {
+    fn void(&mut self, id: RequestId) {
         self.list.push(Decision::Void(id));
     }
 
-    fn call_off(&mut self, id: TxnId, leg: Leg) {
-        self.list.push(Decision::CallOff(id, leg));
+    fn call_off(&mut self, id: RequestId, number: AttemptNumber) {
+        self.list.push(Decision::CallOff(id, number));
     }
 
     fn wake(&mut self, at: Duration, ticket: Ticket) {
@@ -66,11 +66,11 @@
         tracing::trace!("{text}");
     }
 
-    fn watch_roster(&mut self, on: bool) {
+    fn watch_membership(&mut self, on: bool) {
         self.list.push(Decision::Watch(on));
     }
 
-    fn fetch_roster(&mut self) {
+    fn fetch_membership(&mut self) {
         self.list.push(Decision::Fetch);
     }
 
--- a/crates/scale/src/module.rs
+++ b/crates/scale/src/module.rs
@@ -24,13 +24,13 @@
 /// What a module hears in a round.
 pub enum Heard {
     /// A client's request.
-    Request(TxnId, Txn),
+    Request(RequestId, Request),
     /// An attempt has ended.
     Ended {
         /// The request.
-        id: TxnId,
+        id: RequestId,
         /// Which of its attempts.
-        leg: Leg,
+        number: AttemptNumber,
         /// Where.
         at: ApplianceId,
         /// How.
@@ -110,7 +110,7 @@
     /// The module.
     pub brain: Brain,
     /// Requests in hand.
-    pub owed: HashMap<TxnId, Owed>,
+    pub owed: HashMap<RequestId, Owed>,
     /// The state of each appliance on the list that is not ready, as told.
     pub not_ready: HashMap<ApplianceId, Mode>,
     /// The number of the watch's connection.
@@ -296,18 +296,18 @@
 
 fn tell(ears: &mut dyn Hears, heard: Heard) {
     match heard {
-        Heard::Request(id, request) => ears.txn(id, request),
+        Heard::Request(id, request) => ears.request(id, request),
         Heard::Ended {
             id,
-            leg,
+            number,
             at,
             ending,
             took,
             closed,
         } => {
-            ears.ended(id, leg, at, ending, took, closed);
+            ears.ended(id, number, at, ending, took, closed);
         }
-        Heard::Membership(listing, lines) => ears.roster(listing, &mut lines.into_iter()),
+        Heard::Membership(listing, lines) => ears.membership(listing, &mut lines.into_iter()),
         Heard::News(news) => {
             ears.stage(news.build, news.stage, news.course, news.cap, news.age);
         }
--- a/crates/scale/src/network.rs
+++ b/crates/scale/src/network.rs
@@ -15,9 +15,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AttemptId {
     /// The request.
-    pub request: TxnId,
+    pub request: RequestId,
     /// Which of its attempts.
-    pub leg: Leg,
+    pub number: AttemptNumber,
 }
 
 /// What an agent sends.
--- a/crates/standin/src/check.rs
+++ b/crates/standin/src/check.rs
@@ -10,7 +10,7 @@
 pub struct Terms {
     /// After so long nothing new goes where it may not.
     pub grace: Duration,
-    /// Exposure: the window, what is free in it, and how many stages are closed to all but inquiry-like txns.
+    /// Exposure: the window, what is free in it, and how many stages are closed to all but inquiry-like requests.
     pub span: Duration,
     pub free: f64,
     pub guarded: u8,
@@ -28,18 +28,18 @@
 /// What was found.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Verdict {
-    pub txns: usize,
+    pub requests: usize,
     pub settled: usize,
     pub declined: usize,
     pub voided: usize,
-    /// Submissions at a forbidden build after the grace, and the latest of all after the agent was told.
+    /// Attempts at a forbidden build after the grace, and the latest of all after the agent was told.
     pub forbidden: usize,
     pub worst_stop: Duration,
-    /// Txns without an answer in time, but for those that a killed agent held.
+    /// Requests without an answer in time, but for those that a killed agent held.
     pub lost: usize,
-    /// Once-only txns that ran twice, and submissions of a txn that overlapped.
+    /// Once-only requests that ran twice, and attempts of a request that overlapped.
     pub doubled: usize,
-    /// Txns declined though an allowed node was free.
+    /// Requests declined though an allowed node was free.
     pub wrongly_closed: usize,
     /// Other rules that broke, in words.
     pub broken: Vec<String>,
@@ -52,7 +52,7 @@
     }
 
     pub fn add(&mut self, other: &Verdict) {
-        self.txns += other.txns;
+        self.requests += other.requests;
         self.settled += other.settled;
         self.declined += other.declined;
         self.voided += other.voided;
@@ -70,12 +70,12 @@
     sent: Duration,
     deadline: Duration,
     answers: Vec<(Duration, Final)>,
-    /// Where submissions are out now, and how many have come whole.
+    /// Where attempts are out now, and how many have come whole.
     out: BTreeSet<usize>,
     got: usize,
     /// Whether an agent that held it was killed.
     orphan: bool,
-    /// Whether its connection ended without a byte: between txns the agent may end one, amid one it may not.
+    /// Whether its connection ended without a byte: between requests the agent may end one, amid one it may not.
     crossed: bool,
 }
 
@@ -90,7 +90,7 @@
 /// Reads a day's record.
 pub fn check(events: &[Event], terms: &Terms) -> Verdict {
     let mut found = Verdict::default();
-    let mut txns: BTreeMap<u32, Open> = BTreeMap::new();
+    let mut requests: BTreeMap<u32, Open> = BTreeMap::new();
     let mut nodes: BTreeMap<usize, Node> = BTreeMap::new();
     let mut forbidden: BTreeMap<(u16, Option<usize>), Duration> = BTreeMap::new();
     let mut allowed_since: BTreeMap<(u16, usize), Duration> = BTreeMap::new();
@@ -114,12 +114,12 @@
                     orphan: false,
                     crossed: false,
                 };
-                if txns.insert(*id, open).is_some() {
+                if requests.insert(*id, open).is_some() {
                     found.broken.push(format!("id {id} was sent twice: a fault of the stand-in"));
                 }
             }
             Seen::Answered { id, how } => {
-                let Some(open) = txns.get_mut(id) else { continue };
+                let Some(open) = requests.get_mut(id) else { continue };
                 open.answers.push((at, *how));
                 if *how == Final::Declined && !open.orphan {
                     let since = open.sent.saturating_sub(terms.grace);
@@ -135,7 +135,7 @@
                 }
             }
             Seen::Crossed { id } => {
-                if let Some(open) = txns.get_mut(id) {
+                if let Some(open) = requests.get_mut(id) {
                     open.crossed = true;
                 }
             }
@@ -149,14 +149,14 @@
                 }
                 if let Some(listed) = nodes.get(node).filter(|n| !n.ready && at > n.since + terms.grace) {
                     let late = (at - listed.since).as_millis();
-                    found.broken.push(format!("node {node} got txn {id} {late} ms after it was drained"));
+                    found.broken.push(format!("node {node} got request {id} {late} ms after it was drained"));
                 }
-                let Some(open) = txns.get_mut(id) else {
-                    found.broken.push(format!("node {node} got txn {id}, which nobody sent"));
+                let Some(open) = requests.get_mut(id) else {
+                    found.broken.push(format!("node {node} got request {id}, which nobody sent"));
                     continue;
                 };
                 if !open.answers.is_empty() {
-                    found.broken.push(format!("txn {id} went out after its answer"));
+                    found.broken.push(format!("request {id} went out after its answer"));
                 }
                 if !open.out.is_empty() || (open.kind == Kind::Book && open.got > 0 && !open.orphan) {
                     found.doubled += 1;
@@ -168,7 +168,7 @@
                     if stage < terms.guarded && open.kind != Kind::Read && at > told + terms.grace {
                         found
                             .broken
-                            .push(format!("txn {id} with an effect at build {newest} in stage {stage}"));
+                            .push(format!("request {id} with an effect at build {newest} in stage {stage}"));
                     }
                     let sent = exposed.entry(*build).or_default();
                     sent.push(at);
@@ -182,12 +182,12 @@
                     if many > terms.free + 2.0 + cap * 1.04 * asked {
                         found
                             .broken
-                            .push(format!("build {build} got {many} of {asked} txns at a cap of {cap}"));
+                            .push(format!("build {build} got {many} of {asked} requests at a cap of {cap}"));
                     }
                 }
             }
             Seen::Done { id, node, .. } => {
-                if let Some(open) = txns.get_mut(id) {
+                if let Some(open) = requests.get_mut(id) {
                     open.out.remove(node);
                 }
             }
@@ -205,13 +205,16 @@
                 allowed_since.extend(zones.into_iter().map(|zone| ((*build, zone), at)));
             }
             Seen::Killed => {
-                txns.values_mut().filter(|open| open.answers.is_empty()).for_each(|open| open.orphan = true);
+                requests
+                    .values_mut()
+                    .filter(|open| open.answers.is_empty())
+                    .for_each(|open| open.orphan = true);
             }
             Seen::Up | Seen::Vote { .. } | Seen::Note(_) => {}
         }
     }
-    found.txns = txns.len();
-    for (id, open) in &txns {
+    found.requests = requests.len();
+    for (id, open) in &requests {
         let last = open.sent + open.deadline + terms.slack;
         match open.answers[..] {
             [(at, how)] if at <= last && how != Final::Lost => match how {
@@ -222,7 +225,7 @@
             _ if open.orphan => {}
             [] if open.crossed && open.got == 0 => {}
             [] | [_] => found.lost += 1,
-            _ => found.broken.push(format!("txn {id} has {} answers", open.answers.len())),
+            _ => found.broken.push(format!("request {id} has {} answers", open.answers.len())),
         }
     }
     found
--- a/crates/standin/src/days.rs
+++ b/crates/standin/src/days.rs
@@ -27,7 +27,7 @@
     Withdrawn,
     /// One zone's ring opens a stage later.
     RingByZone,
-    /// A file replaced under load closes a ring with txns in it.
+    /// A file replaced under load closes a ring with requests in it.
     RingClosed,
     /// A node's address returns under a forbidden build.
     AddressReturns,
--- a/crates/standin/src/decided.rs
+++ b/crates/standin/src/decided.rs
@@ -8,33 +8,33 @@
 pub struct Decided {
     /// Whether the list is to be watched.
     pub watches: bool,
-    pub sent: Vec<(TxnId, ApplianceId)>,
+    pub sent: Vec<(RequestId, ApplianceId)>,
     /// What was given up, and whether its client is told that it may come again.
-    pub given_up: Vec<(TxnId, bool)>,
-    pub called_off: Vec<(TxnId, Leg)>,
+    pub given_up: Vec<(RequestId, bool)>,
+    pub called_off: Vec<(RequestId, AttemptNumber)>,
 }
 
 impl Decisions for Decided {
-    fn submit(&mut self, id: TxnId, to: ApplianceId, _: Duration) {
+    fn send_attempt(&mut self, id: RequestId, to: ApplianceId, _: Duration) {
         self.sent.push((id, to));
     }
-    fn decline(&mut self, id: TxnId, _: Duration) {
+    fn decline(&mut self, id: RequestId, _: Duration) {
         self.given_up.push((id, true));
     }
-    fn void(&mut self, id: TxnId) {
+    fn void(&mut self, id: RequestId) {
         self.given_up.push((id, false));
     }
-    fn call_off(&mut self, id: TxnId, leg: Leg) {
-        self.called_off.push((id, leg));
+    fn call_off(&mut self, id: RequestId, attempt: AttemptNumber) {
+        self.called_off.push((id, attempt));
     }
     fn wake(&mut self, _: Duration, _: Ticket) {}
     fn probe(&mut self, _: ApplianceId) {}
     fn free_links(&mut self, _: ApplianceId) {}
     fn tell(&mut self, _: Option<AgentId>, _: &[u8]) {}
     fn log(&mut self, _: &str) {}
-    fn watch_roster(&mut self, on: bool) {
+    fn watch_membership(&mut self, on: bool) {
         self.watches = on;
     }
-    fn fetch_roster(&mut self) {}
+    fn fetch_membership(&mut self) {}
     fn vote(&mut self, _: Build, _: Stage, _: Verdict) {}
 }
--- a/crates/standin/src/demo.rs
+++ b/crates/standin/src/demo.rs
@@ -148,7 +148,7 @@
     let second = show.offer(3, 0.4, &mut |_, _| false);
     let voted_back = second.course == "Aborting";
     show.say(if voted_back {
-        "build 3 fails four txns in ten: the agent voted it back"
+        "build 3 fails four requests in ten: the agent voted it back"
     } else {
         "build 3 was NOT voted back"
     });
@@ -186,20 +186,20 @@
     for line in log.lines().filter(|line| line.contains("releases: ") || line.contains(" vote ")) {
         println!("  {}", line.split_once(' ').map_or(line, |(_, rest)| rest));
     }
-    println!("\nWhat the checker found in {} steps and submissions on record:", events.len());
+    println!("\nWhat the checker found in {} steps and attempts on record:", events.len());
     println!(
-        "  {} txns: {} settled, {} declined, {} voided, {} lost",
-        verdict.txns, verdict.settled, verdict.declined, verdict.voided, verdict.lost
+        "  {} requests: {} settled, {} declined, {} voided, {} lost",
+        verdict.requests, verdict.settled, verdict.declined, verdict.voided, verdict.lost
     );
     for build in 1..=4 {
         println!(
-            "  build {build} got {} submissions, {} of them in zone b",
+            "  build {build} got {} attempts, {} of them in zone b",
             got(&events, build, None),
             got(&events, build, Some(1))
         );
     }
     println!(
-        "  last submission at build 4 after its dependency was gone: {} ms (250 are allowed)",
+        "  last attempt at build 4 after its dependency was gone: {} ms (250 are allowed)",
         verdict.worst_stop.as_millis()
     );
     println!(
--- a/crates/standin/src/gauge.rs
+++ b/crates/standin/src/gauge.rs
@@ -142,8 +142,8 @@
     let (check_ns, rebuild_us) = gate();
     let (without, _) = days(program, false);
     println!(
-        "baseline, the same days without the operator's file: txns={} forbidden={} worst_stop_ms={:.1} lost={} doubled={}",
-        without.txns,
+        "baseline, the same days without the operator's file: requests={} forbidden={} worst_stop_ms={:.1} lost={} doubled={}",
+        without.requests,
         without.forbidden,
         without.worst_stop.as_secs_f64() * 1e3,
         without.lost,
@@ -154,10 +154,10 @@
         println!("broken: {broken}");
     }
     println!(
-        "measure releases: days={played} txns={} settled={} declined={} voided={} forbidden={} worst_stop_ms={:.1} lost={} \
+        "measure releases: days={played} requests={} settled={} declined={} voided={} forbidden={} worst_stop_ms={:.1} lost={} \
          doubled={} broken_rules={} wrongly_closed={} check_ns={check_ns:.1} rebuild_us={rebuild_us:.0} \
          baseline_forbidden={} seconds={:.0}",
-        found.txns,
+        found.requests,
         found.settled,
         found.declined,
         found.voided,
--- a/crates/standin/src/lines.rs
+++ b/crates/standin/src/lines.rs
@@ -6,7 +6,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use lilacgate::port::{ApplianceId, Ending, Leg, Product, TxnId};
+use lilacgate::port::{ApplianceId, AttemptNumber, Ending, Product, RequestId};
 use lilacgate_store::reader::read;
 use lilacgate_timeline::entry::{Entry, Kind, Record, What, Whom};
 
@@ -153,7 +153,7 @@
 
 /// A rule of our own that is simpler: by node and second, what it says of failures and of latency.
 trait Rule: Default {
-    /// Looks at a second of a node: the share of failures, the mean latency as a multiple of its product's, txns.
+    /// Looks at a second of a node: the share of failures, the mean latency as a multiple of its product's, requests.
     fn second(&mut self, node: u32, fails: f64, latency: f64, many: u32) -> Option<Kind>;
 }
 
@@ -307,32 +307,33 @@
     (found, all)
 }
 
-/// The time that recording one txn takes, in nanoseconds.
+/// The time that recording one request takes, in nanoseconds.
 fn record_ns() -> f64 {
     let mut book = virtually::book(RATE);
     let lines: Vec<lilacgate::port::Line> = (0..14).map(|node| virtually::listed(node, 1, None)).collect();
-    book.roster(DAWN, lilacgate::port::Listing::Whole, &lines);
+    book.membership(DAWN, lilacgate::port::Listing::Whole, &lines);
     let many = 300_000u32;
     let mut spent = Vec::new();
     for chunk in 0..many / 1000 {
         let began = Instant::now();
         for i in 0..1000 {
-            let (id, node) = (TxnId(chunk * 1000 + i), ApplianceId(i % 14));
+            let (id, node) = (RequestId(chunk * 1000 + i), ApplianceId(i % 14));
             let now = DAWN + Duration::from_micros(u64::from(chunk * 1000 + i) * 500);
-            book.txn(id, Product((i % 3) as u8));
-            book.submit(now, id, Leg(0), node);
+            book.request(id, Product((i % 3) as u8));
+            book.attempt(now, id, AttemptNumber(0), node);
             let took = Duration::from_micros(20_000 + u64::from(i * 7 % 9000));
-            book.ended(now + took, (id, Leg(0)), node, Ending::Served, took, true);
+            book.ended(now + took, (id, AttemptNumber(0)), node, Ending::Served, took, true);
         }
         book.advance(DAWN + Duration::from_micros(u64::from(chunk + 1) * 500_000));
-        // A thousand txns, and the tick behind them.
+        // A thousand requests, and the tick behind them.
         spent.push(began.elapsed().as_secs_f64() * 1e9 / 1000.0);
     }
     spent.sort_by(f64::total_cmp);
     spent[spent.len() / 2]
 }
 
-/// How much more processor time a txn takes with lines than without, as a share: towns of both kinds beside each other.
+/// How much more processor time a request takes with lines than without, as a share: towns of both kinds beside each
+/// other.
 fn cpu_share(program: &Path) -> f64 {
     let one = |timeline: &str, seed: u64| {
         let mut town = town(program, seed, timeline)?;
@@ -341,9 +342,9 @@
             |town: &Town| town.record.events().iter().filter(|e| matches!(e.seen, Seen::Sent { .. })).count();
         let (from, before) = (town.cpu()?, sent(&town));
         town.pass(Duration::from_secs(11));
-        let (spent, txns) = (town.cpu()? - from, sent(&town) - before);
+        let (spent, requests) = (town.cpu()? - from, sent(&town) - before);
         town.close();
-        Some(spent.as_secs_f64() / txns.max(1) as f64)
+        Some(spent.as_secs_f64() / requests.max(1) as f64)
     };
     std::thread::scope(|scope| {
         let towns: Vec<_> = (0..12)
--- a/crates/standin/src/record.rs
+++ b/crates/standin/src/record.rs
@@ -1,9 +1,9 @@
-//! Owns what happened on a day: every step that a stand-in made and every submission that a desk node got, each with
+//! Owns what happened on a day: every step that a stand-in made and every attempt that a desk node got, each with
 //! its time. It judges nothing.
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// How a client's txn ended, as the client saw it.
+/// How a client's request ended, as the client saw it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Final {
     Settled,
@@ -13,7 +13,7 @@
     Lost,
 }
 
-/// What may be done again with a txn's product.
+/// What may be done again with a request's product.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
     Read,
@@ -23,7 +23,7 @@
 
 #[derive(Clone, Debug)]
 pub enum Seen {
-    /// A client has sent a txn, and waits so long.
+    /// A client has sent a request, and waits so long.
     Sent {
         id: u32,
         kind: Kind,
@@ -37,7 +37,7 @@
     Crossed {
         id: u32,
     },
-    /// A node got a submission whole, or has answered it; `end` is a number for each submission.
+    /// A node got an attempt whole, or has answered it; `end` is a number for each attempt.
     Got {
         id: u32,
         node: usize,
--- a/crates/standin/src/town.rs
+++ b/crates/standin/src/town.rs
@@ -70,15 +70,15 @@
 pub struct Manners {
     pub build: u16,
     pub zone: usize,
-    /// The share of txns that fail.
+    /// The share of requests that fail.
     pub fails: f64,
-    /// The mean time that a txn takes.
+    /// The mean time that a request takes.
     pub takes: Duration,
     /// So many times as long, and this share of failures besides, for one product: `read`, `post` or `book`.
     pub odd: Option<(&'static str, f64, f64)>,
     /// It takes what comes and says nothing.
     pub silent: bool,
-    /// It ends each connection as soon as a txn comes.
+    /// It ends each connection as soon as a request comes.
     pub refuses: bool,
 }
 
@@ -301,9 +301,9 @@
 /// What the clients ask for.
 #[derive(Clone, Copy, Debug)]
 pub struct Traffic {
-    /// Clients, each with a connection and one txn at a time.
+    /// Clients, each with a connection and one request at a time.
     pub clients: usize,
-    /// The mean time between a client's txns.
+    /// The mean time between a client's requests.
     pub pause: Duration,
     /// How long a client waits.
     pub deadline: Duration,
@@ -449,7 +449,7 @@
         }
     }
 
-    /// A node drains, or takes txns again.
+    /// A node drains, or takes requests again.
     pub fn ready(&mut self, number: usize, ready: bool) {
         self.nodes[number].ready = ready;
         self.list(&[number]);
@@ -564,7 +564,7 @@
         agent.signal("TERM");
         let gone = agent.ends_within(wait).is_some();
         // Its last words may still be on their way here.
-        logged(&agent.log, "txns in hand");
+        logged(&agent.log, "requests in hand");
         let log = locked(&agent.log).clone();
         (gone, log)
     }
@@ -641,9 +641,9 @@
         }
     }
 
-    /// One txn; whether the connection may be used again.
+    /// One request; whether the connection may be used again.
     fn ask(&mut self, conn: &mut BufReader<TcpStream>) -> bool {
-        // An idle connection that has ended takes no txn.
+        // An idle connection that has ended takes no request.
         let ended = conn.get_ref().set_nonblocking(true).is_err()
             || !conn.get_ref().peek(&mut [0]).is_err_and(|fault| fault.kind() == ErrorKind::WouldBlock);
         if conn.get_ref().set_nonblocking(false).is_err() || ended {
--- a/crates/standin/src/virtually.rs
+++ b/crates/standin/src/virtually.rs
@@ -1,6 +1,6 @@
 //! Owns a small fleet in virtual time, for what takes hours on sockets: nodes with cores and queues, clients that ask
 //! whatever comes of it, bursts, shifts of the mix, releases, and faults by script. It feeds a time line's book as an
-//! agent would. It is no model of any real machine, and no agent decides in it: txns go to the idler of two nodes.
+//! agent would. It is no model of any real machine, and no agent decides in it: requests go to the idler of two nodes.
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 use std::time::Duration;
@@ -15,7 +15,7 @@
 /// What befalls the fleet.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
-    /// This share of a node's txns fails; of one product's, if one is named.
+    /// This share of a node's requests fails; of one product's, if one is named.
     Errors { node: u32, share: f64, product: Option<u8> },
     /// A node takes so many times as long; for one product, if one is named.
     Slow { node: u32, times: f64, product: Option<u8> },
@@ -51,7 +51,7 @@
 #[derive(Clone, Debug)]
 pub struct Day {
     pub nodes: u32,
-    /// Txns a second.
+    /// Requests a second.
     pub rate: f64,
     pub long: Duration,
     pub events: Vec<Event>,
@@ -81,13 +81,13 @@
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum Due {
-    Txn,
+    Request,
     Ended { id: u32, node: u32, product: u8, sent: Duration, how: u8, life: Option<Duration> },
     Tick,
     List { node: u32, build: u16, started: Option<Duration> },
 }
 
-/// A line of the roster.
+/// A line of the membership list.
 pub fn listed(node: u32, build: u16, started: Option<Duration>) -> Line {
     Line {
         appliance: ApplianceId(node),
@@ -106,7 +106,7 @@
     Aims { false_per_hour, ramp: RAMP, products: WORK.len() }
 }
 
-/// Where a txn was sent, its answer, and what it took, for those who judge otherwise.
+/// Where a request was sent, its answer, and what it took, for those who judge otherwise.
 pub type Outcome = (Duration, u32, u8, Ending, Duration);
 
 /// Plays a day into a book. Returns what it said: each departure, whether it begins, and when; `also` sees each outcome.
@@ -120,9 +120,9 @@
         })
         .collect();
     let lines: Vec<Line> = nodes.keys().map(|node| listed(*node, 1, None)).collect();
-    book.roster(DAWN, Listing::Whole, &lines);
+    book.membership(DAWN, Listing::Whole, &lines);
     book.stage(DAWN, Build(1), Stage(3), Course::Released, Duration::from_secs(3600));
-    let mut queue = BinaryHeap::from([Reverse((DAWN, 0u64, Due::Txn)), Reverse((DAWN, 1, Due::Tick))]);
+    let mut queue = BinaryHeap::from([Reverse((DAWN, 0u64, Due::Request)), Reverse((DAWN, 1, Due::Tick))]);
     let (mut serial, mut last, mut said) = (2, 0u32, Vec::new());
     let mut replaced = vec![false; day.events.len()];
     let mut put = |queue: &mut BinaryHeap<_>, at: Duration, due: Due| {
@@ -165,14 +165,14 @@
                 put(&mut queue, now + TICK, Due::Tick);
             }
             Due::List { node, build, started } => {
-                book.roster(awake, Listing::Changes, &[listed(node, build, started)])
+                book.membership(awake, Listing::Changes, &[listed(node, build, started)])
             }
-            Due::Txn => {
+            Due::Request => {
                 let rate = faults.iter().fold(day.rate, |rate, (fault, _)| {
                     if let Fault::Burst { times } = fault { rate * times } else { rate }
                 });
                 let gap = -chance.random::<f64>().max(1e-12).ln() / rate;
-                put(&mut queue, now + Duration::from_secs_f64(gap), Due::Txn);
+                put(&mut queue, now + Duration::from_secs_f64(gap), Due::Request);
                 if awake > now {
                     continue;
                 }
@@ -193,8 +193,8 @@
                 let Some(of) = nodes.get_mut(&node) else { continue };
                 last += 1;
                 let id = last;
-                book.txn(TxnId(id), Product(product));
-                book.submit(now, TxnId(id), Leg(0), ApplianceId(node));
+                book.request(RequestId(id), Product(product));
+                book.attempt(now, RequestId(id), AttemptNumber(0), ApplianceId(node));
                 let mut times = 1.0;
                 let (mut share, mut mute, mut unlinked) = (0.0f64, false, false);
                 for (fault, way) in &faults {
@@ -250,7 +250,14 @@
                 if matches!(ending, Ending::TimedOut | Ending::Unconnected) {
                     of.barred = now + Duration::from_millis(700);
                 }
-                book.ended(now, (TxnId(id), Leg(0)), ApplianceId(node), ending, now - sent, true);
+                book.ended(
+                    now,
+                    (RequestId(id), AttemptNumber(0)),
+                    ApplianceId(node),
+                    ending,
+                    now - sent,
+                    true,
+                );
                 also((now, node, product, ending, now - sent));
             }
         }
--- a/crates/start/src/lib.rs
+++ b/crates/start/src/lib.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use lilacgate::brain::Brain;
-use lilacgate::parts::{Desk, Exposure, Jury, Roster, Thaw};
+use lilacgate::parts::{Desk, Exposure, Jury, Membership, Thaw};
 use lilacgate::port::*;
 
 /// What an agent is told at its start, by path.
@@ -83,7 +83,7 @@
             .try_fold(Duration::ZERO, |most, i| Ok(most.max(self.period(&format!("profiles.{i}.give-up"))?)))
     }
 
-    /// What may be done again with a txn of the i-th product.
+    /// What may be done again with a request of the i-th product.
     pub fn repeat(&self, i: usize) -> Result<Repeat, String> {
         let key = |field| format!("profiles.{i}.{field}");
         let groups = [("all", Group::All), ("zone", Group::Zone), ("cell", Group::Cell)];
@@ -124,7 +124,7 @@
     let zones = pairs.text("zones")?.split(',').count();
     let tick = pairs.period("tick")?;
     let ask_within = if pairs.asks()? { Some(pairs.period("rules.ask-within")?) } else { None };
-    let roster = Roster::new(Zone(pairs.num("zone")?), ask_within);
+    let membership = Membership::new(Zone(pairs.num("zone")?), ask_within);
     let thaw = Thaw::new(
         pairs.figure("rules.cold-from")?,
         pairs.span("rules.ramp-time")?,
@@ -167,6 +167,6 @@
         if pairs.num("limits.retry-after")? { pairs.span("limits.max-retry-after")? } else { Duration::ZERO },
         tick,
     );
-    let brain = Brain::new(seed, roster, thaw, exposure, jury, desk);
+    let brain = Brain::new(seed, membership, thaw, exposure, jury, desk);
     Ok(Instance { brain, products: count, zones })
 }
--- a/crates/timeline/src/book.rs
+++ b/crates/timeline/src/book.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use lilacgate::port::{
-    ApplianceId, Build, Course, Ending, Leg, Line as Listed, Listing, Mode, Note, Product, Stage, TxnId,
-    Verdict,
+    ApplianceId, AttemptNumber, Build, Course, Ending, Line as Listed, Listing, Mode, Note, Product,
+    RequestId, Stage, Verdict,
 };
 
 use crate::entry::{Departure, Entry, Record, StepRecord, What, Whom};
@@ -23,7 +23,7 @@
     pub records: usize,
 }
 
-/// A submission that is out.
+/// An attempt that is out.
 struct Out {
     node: u32,
     product: u8,
@@ -78,7 +78,7 @@
     }
 
     /// A list, whole or as changes; `lines` are its entries.
-    pub fn roster(&mut self, now: Duration, listing: Listing, lines: &[Listed]) {
+    pub fn membership(&mut self, now: Duration, listing: Listing, lines: &[Listed]) {
         if matches!(listing, Listing::Whole | Listing::Saved) {
             let gone: Vec<u32> =
                 self.lines.iter().filter(|(_, l)| l.1.mode != Mode::Gone).map(|(n, _)| *n).collect();
@@ -132,28 +132,28 @@
         }
     }
 
-    pub fn txn(&mut self, id: TxnId, product: Product) {
+    pub fn request(&mut self, id: RequestId, product: Product) {
         self.products.insert(id.0, product.0);
     }
 
-    /// A submission goes out.
-    pub fn submit(&mut self, now: Duration, id: TxnId, leg: Leg, to: ApplianceId) {
+    /// An attempt goes out.
+    pub fn attempt(&mut self, now: Duration, id: RequestId, attempt: AttemptNumber, to: ApplianceId) {
         let product = self.products.get(&id.0).copied().unwrap_or_default();
-        self.out.insert((id.0, leg.0), Out { node: to.0, product });
-        self.watch.sent(now, to.0, (id.0, leg.0));
+        self.out.insert((id.0, attempt.0), Out { node: to.0, product });
+        self.watch.sent(now, to.0, (id.0, attempt.0));
         self.count(now, to.0, |counts| {
-            counts.submitted += 1;
-            let out = counts.submitted.saturating_sub(counts.ended());
+            counts.attempts += 1;
+            let out = counts.attempts.saturating_sub(counts.ended());
             counts.most_out = counts.most_out.max(out);
         });
     }
 
-    /// A submission has ended; `closed` says that its txn has, too.
+    /// An attempt has ended; `closed` says that its request has, too.
     pub fn ended(
-        &mut self, now: Duration, (id, leg): (TxnId, Leg), at: ApplianceId, ending: Ending, took: Duration,
-        closed: bool,
+        &mut self, now: Duration, (id, attempt): (RequestId, AttemptNumber), at: ApplianceId, ending: Ending,
+        took: Duration, closed: bool,
     ) {
-        let product = match self.out.remove(&(id.0, leg.0)) {
+        let product = match self.out.remove(&(id.0, attempt.0)) {
             Some(out) => out.product,
             None => self.products.get(&id.0).copied().unwrap_or_default(),
         };
@@ -168,7 +168,7 @@
             Ending::TimedOut | Ending::CalledOff => Ended::Unanswered,
             Ending::Unsent => Ended::Unsent,
         };
-        let late = self.watch.ended(now, at.0, (id.0, leg.0), product, how, took);
+        let late = self.watch.ended(now, at.0, (id.0, attempt.0), product, how, took);
         self.count(now, at.0, |counts| {
             match how {
                 Ended::Served => counts.served += 1,
@@ -187,8 +187,8 @@
         }
     }
 
-    /// A txn has had its final answer, or its client has left.
-    pub fn closed(&mut self, id: TxnId) {
+    /// A request has had its final answer, or its client has left.
+    pub fn closed(&mut self, id: RequestId) {
         self.products.remove(&id.0);
     }
 
@@ -205,8 +205,8 @@
         }
     }
 
-    pub fn called_off(&mut self, now: Duration, id: TxnId, leg: Leg) {
-        if let Some(out) = self.out.get(&(id.0, leg.0)) {
+    pub fn called_off(&mut self, now: Duration, id: RequestId, attempt: AttemptNumber) {
+        if let Some(out) = self.out.get(&(id.0, attempt.0)) {
             let what = What::CalledOff { product: out.product };
             let entry = Entry { happened: now, known: now, node: Some(out.node), what };
             self.put(entry);
--- a/crates/timeline/src/entry.rs
+++ b/crates/timeline/src/entry.rs
@@ -8,11 +8,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Kind {
-    /// More submissions fail than usual.
+    /// More attempts fail than usual.
     Errors,
     /// Answers take longer than usual.
     Latency,
-    /// Submissions are out and nothing comes, not even a broken link.
+    /// Attempts are out and nothing comes, not even a broken link.
     Silence,
     /// Links to it cannot be opened, or break.
     Links,
@@ -52,11 +52,11 @@
     pub beside: Option<(u16, u8)>,
 }
 
-/// Why a txn was given up, or a node is left alone.
+/// Why a request was given up, or a node is left alone.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum What {
-    /// The roster: its state (`ready`, `draining`, `gone`), build, and when its process started.
+    /// The membership list: its state (`ready`, `draining`, `gone`), build, and when its process started.
     Listed {
         state: String,
         build: u16,
@@ -69,11 +69,11 @@
     },
     Tried,
     Unbarred,
-    /// A submission was called off: a second thought.
+    /// An attempt was called off: a second thought.
     CalledOff {
         product: u8,
     },
-    /// Txns given up, by reason; one entry a reason and step.
+    /// Requests given up, by reason; one entry a reason and step.
     GivenUp {
         why: String,
         many: u32,
@@ -113,7 +113,8 @@
 /// A span's counts at one node.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Counts {
-    pub submitted: u32,
+    #[serde(rename = "submitted")]
+    pub attempts: u32,
     pub served: u32,
     pub failed: u32,
     pub turned_away: u32,
@@ -127,7 +128,7 @@
 
 impl Counts {
     pub fn add(&mut self, other: &Counts) {
-        self.submitted += other.submitted;
+        self.attempts += other.attempts;
         self.served += other.served;
         self.failed += other.failed;
         self.turned_away += other.turned_away;
--- a/crates/timeline/src/watch.rs
+++ b/crates/timeline/src/watch.rs
@@ -30,7 +30,7 @@
 /// More traffic than usual, by this factor, excuses late answers: queues are no departure. So long after it, too.
 const JUMP: f64 = 1.25;
 const DRAINS: Duration = Duration::from_secs(6);
-/// Most of a group: this share of those that get txns.
+/// Most of a group: this share of those that get requests.
 const MOST: f64 = 0.6;
 /// A stage is named beside a departure that begins so soon after it.
 const BESIDE: Duration = Duration::from_secs(20);
@@ -129,7 +129,7 @@
     signals: Signals,
     /// What it takes, as a multiple of what is usual for the product.
     pace: Usual,
-    /// Submissions out there: how many, and when the oldest was sent.
+    /// Attempts out there: how many, and when the oldest was sent.
     out: BTreeMap<(u32, u8), Duration>,
     /// What is out there in the mean.
     usual_out: Usual,
@@ -140,7 +140,7 @@
     calm_since: Option<Duration>,
 }
 
-/// How a submission ended, as far as a watch is concerned.
+/// How an attempt ended, as far as a watch is concerned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ended {
     Served,
@@ -162,7 +162,7 @@
     builds: BTreeMap<u16, Signals>,
     /// What a product takes, in seconds.
     takes: Vec<Usual>,
-    /// Submissions a tick.
+    /// Attempts a tick.
     rate: Usual,
     sent: f64,
     jumped: Option<Duration>,
@@ -269,7 +269,7 @@
         }
     }
 
-    /// How a submission ended, and what it took since it was sent. Returns whether it was late.
+    /// How an attempt ended, and what it took since it was sent. Returns whether it was late.
     pub fn ended(
         &mut self, now: Duration, node: u32, which: (u32, u8), product: u8, how: Ended, took: Duration,
     ) -> bool {
--- a/crates/timeline/tests/lines.rs
+++ b/crates/timeline/tests/lines.rs
@@ -32,12 +32,12 @@
 fn late_news_go_to_their_place() {
     let mut book = book(1 << 20, 0);
     let line = |build, started: f64| listed(1, build, Some(secs(started)));
-    book.roster(secs(10.0), Listing::Whole, &[line(1, 1.0)]);
-    book.roster(secs(20.0), Listing::Changes, &[Line { mode: Mode::Draining, ..line(1, 1.0) }]);
+    book.membership(secs(10.0), Listing::Whole, &[line(1, 1.0)]);
+    book.membership(secs(20.0), Listing::Changes, &[Line { mode: Mode::Draining, ..line(1, 1.0) }]);
     // It came back at 15 under another build, which is told only now; then the list goes back a version, and on again.
-    book.roster(secs(25.0), Listing::Changes, &[line(2, 15.0)]);
-    book.roster(secs(26.0), Listing::Changes, &[line(1, 1.0)]);
-    book.roster(secs(27.0), Listing::Changes, &[line(2, 15.0)]);
+    book.membership(secs(25.0), Listing::Changes, &[line(2, 15.0)]);
+    book.membership(secs(26.0), Listing::Changes, &[line(1, 1.0)]);
+    book.membership(secs(27.0), Listing::Changes, &[line(2, 15.0)]);
     let ready = |at, build| (at, build, "ready".to_owned());
     let draining = (20, 1, "draining".to_owned());
     assert_eq!(told(&book, secs(12.0)), [ready(1, 1)]);
@@ -50,7 +50,7 @@
 fn a_node_that_restarts_within_one_step_has_both_lives() {
     let mut book = book(1 << 20, 0);
     for at in [10.0, 10.3, 10.6] {
-        book.roster(secs(at), Listing::Changes, &[listed(1, 1, Some(secs(at)))]);
+        book.membership(secs(at), Listing::Changes, &[listed(1, 1, Some(secs(at)))]);
     }
     assert_eq!(told(&book, Duration::MAX).len(), 3);
 }
@@ -63,12 +63,19 @@
     for id in 0..5000u32 {
         let now = secs(f64::from(id) * 0.72);
         let (old, new) = (listed(id.saturating_sub(3), 1, None), listed(id, (id % 7) as u16, Some(now)));
-        book.roster(now, Listing::Changes, &[new, Line { mode: Mode::Gone, ..old }]);
+        book.membership(now, Listing::Changes, &[new, Line { mode: Mode::Gone, ..old }]);
         for i in 0..20 {
-            let txn = TxnId(id * 20 + i);
-            book.txn(txn, Product(0));
-            book.submit(now, txn, Leg(0), ApplianceId(id));
-            book.ended(now, (txn, Leg(0)), ApplianceId(id), Ending::Served, Duration::from_millis(9), true);
+            let request = RequestId(id * 20 + i);
+            book.request(request, Product(0));
+            book.attempt(now, request, AttemptNumber(0), ApplianceId(id));
+            book.ended(
+                now,
+                (request, AttemptNumber(0)),
+                ApplianceId(id),
+                Ending::Served,
+                Duration::from_millis(9),
+                true,
+            );
         }
         book.advance(now);
         assert!(book.octets() < room + (1 << 20), "{} at {id}", book.octets());
@@ -79,11 +86,18 @@
 #[test]
 fn a_store_that_is_behind_costs_the_finest_detail_first() {
     let mut book = book(1 << 20, 50);
-    book.roster(DAWN, Listing::Whole, &[listed(1, 1, None)]);
+    book.membership(DAWN, Listing::Whole, &[listed(1, 1, None)]);
     for i in 0..200u32 {
         let now = secs(f64::from(i) * 0.5);
-        book.submit(now, TxnId(i), Leg(0), ApplianceId(1));
-        book.ended(now, (TxnId(i), Leg(0)), ApplianceId(1), Ending::Served, Duration::from_millis(5), true);
+        book.attempt(now, RequestId(i), AttemptNumber(0), ApplianceId(1));
+        book.ended(
+            now,
+            (RequestId(i), AttemptNumber(0)),
+            ApplianceId(1),
+            Ending::Served,
+            Duration::from_millis(5),
+            true,
+        );
         if i % 5 == 0 {
             book.vote(now, Build(2), Stage(0), Verdict::On);
         }
--- a/src/brain.rs
+++ b/src/brain.rs
@@ -31,7 +31,7 @@
     (took + prior * usual(a, now, stock)) / (worked + prior)
 }
 
-/// Whether a barred appliance is left alone; at times it is tried with one txn.
+/// Whether a barred appliance is left alone; at times it is tried with one request.
 fn shut(a: &Appliance, now: Duration, panic: bool) -> bool {
     a.barred() && !panic && (now < a.record.barred_until || !a.out.is_empty())
 }
@@ -45,7 +45,7 @@
     })
 }
 
-impl Roster {
+impl Membership {
     /// Agents that came up or were refused together ask one after another, by chance; many, over half of the
     /// time allowed. Guards against waves that a service of fixed capacity refuses whole, again and again.
     /// Harms, by as much, one that comes up alone amid a change. A watch that stood and broke is asked for in
@@ -80,10 +80,10 @@
         line.started.is_some_and(|s| sent < s + self.ramp * 9 / 8)
     }
 
-    /// Whether a txn keeps this agent's part of the budget: what it would send a warm one of its weight,
-    /// so that all parts add up to what such a one bears. A part below one txn is a chance of one: the luck a
-    /// txn draws once a span, against twice (for the two choices) what would go there of all `due` work.
-    /// Guards against the first txns of hundreds of agents.
+    /// Whether a request keeps this agent's part of the budget: what it would send a warm one of its weight,
+    /// so that all parts add up to what such a one bears. A part below one request is a chance of one: the
+    /// luck a request draws once a span, against twice (for the two choices) what would go there of all `due`
+    /// work. Guards against the first requests of hundreds of agents.
     fn bears(&self, now: Duration, a: &Appliance, fair_rate: f64, h: &Held, due: f64) -> bool {
         let warmth = self.warmth(a.age(now));
         let sent = || a.pushed(now, self.span);
@@ -103,19 +103,19 @@
         }
     }
 
-    /// Whether the operator's rules leave a build open there for a txn; without any all are.
+    /// Whether the operator's rules leave a build open there for a request; without any all are.
     fn open(&self, build: Build, zone: Zone, h: &Held) -> bool {
-        self.openings.as_ref().is_none_or(|o| o.admits(build, zone, h.txn.tenant, h.txn.product))
+        self.openings.as_ref().is_none_or(|o| o.admits(build, zone, h.request.tenant, h.request.product))
     }
 
-    /// Whether a txn may go to a build at all.
+    /// Whether a request may go to a build at all.
     fn admits(&self, build: Build, zone: Zone, h: &Held) -> bool {
         if !self.open(build, zone, h) {
             return false;
         }
         let Some((stage, cap)) = self.bound(build) else {
             let onward = |n: News| build < n.build && matches!(n.course, Course::OnTrial | Course::Released);
-            let answered = h.txn.mark.is_some_and(|m| self.windows.answered.contains(&m));
+            let answered = h.request.mark.is_some_and(|m| self.windows.answered.contains(&m));
             return !(self.forward_only && answered && self.news.is_some_and(onward));
         };
         cap > 0.0 && (stage.0 >= self.guarded || h.terms.repeat == Repeat::InquiryLike)
@@ -126,7 +126,7 @@
         let Some((_, cap)) = self.bound(build).filter(|_| admitted) else { return admitted };
         // Strictly inside the window, by a tick: an arrival at its very edge may not be counted.
         let edge = (now + self.tick + Duration::from_micros(1)).saturating_sub(self.span);
-        let (lane, from, w) = (self.lane(h.txn.product), now.saturating_sub(self.span), &self.windows);
+        let (lane, from, w) = (self.lane(h.request.product), now.saturating_sub(self.span), &self.windows);
         let (sent, taken) = (w.sent_since(lane, build, from), w.taken_since(lane, edge));
         // What an earlier life of this agent sent is not known: its free allowance may be used up.
         let free = if w.started.is_some_and(|s| s + self.span >= now) { 0.0 } else { self.free };
@@ -145,14 +145,14 @@
 const WAIT: Duration = Duration::from_millis(3500);
 /// Trial outcomes without which a test does not speak.
 const ENOUGH: f64 = 20.0;
-/// So many appliances of an arm serve an agent with hardly a txn out: enough to choose and to lose some.
+/// So many appliances of an arm serve an agent with hardly a request out: enough to choose and to lose some.
 const HOMES: f64 = 8.0;
 /// How many agents gather the others' outcomes.
 const JUDGES: u32 = 3;
 /// Share of what is usually served in time, and of what is asked, that must be missing to convict a build
 /// that slows old and new alike; half holds the on. Short slowdowns pass; after the release it must last.
 const LOST: f64 = 0.35;
-/// Share of submissions without a connection at which connections are short.
+/// Share of attempts without a connection at which connections are short.
 const SHORT: f64 = 0.05;
 /// Wait beyond the work, as a share of an SLA time, that counts as a queue.
 const QUEUE: f64 = 0.15;
@@ -376,7 +376,7 @@
     }
 }
 
-/// Whether the rules let one more submission go out, to an appliance of the right group.
+/// Whether the rules let one more attempt go out, to an appliance of the right group.
 fn resendable(h: &Held, now: Duration) -> bool {
     match (h.terms.repeat, h.risk) {
         (_, None) | (Repeat::InquiryLike, _) => true,
@@ -388,7 +388,7 @@
 pub struct Brain {
     pub(crate) now: Duration,
     pub(crate) chance: Pcg64Mcg,
-    pub(crate) roster: Roster,
+    pub(crate) membership: Membership,
     pub(crate) thaw: Thaw,
     pub(crate) exposure: Exposure,
     pub(crate) jury: Jury,
@@ -398,10 +398,12 @@
 }
 
 impl Brain {
-    pub fn new(seed: u64, roster: Roster, thaw: Thaw, exposure: Exposure, jury: Jury, desk: Desk) -> Self {
+    pub fn new(
+        seed: u64, membership: Membership, thaw: Thaw, exposure: Exposure, jury: Jury, desk: Desk,
+    ) -> Self {
         let (chance, now, demand) = (Pcg64Mcg::seed_from_u64(seed), Duration::ZERO, Demand::default());
         let stock = Stock { usual_pace: 1.0, middle_pace: 1.0, usual_work: 1e-3, ..Stock::default() };
-        Brain { now, chance, roster, thaw, exposure, jury, desk, demand, stock }
+        Brain { now, chance, membership, thaw, exposure, jury, desk, demand, stock }
     }
 
     pub fn round(&mut self, now: Duration, intake: impl FnOnce(&mut dyn Hears), out: &mut dyn Decisions) {
@@ -414,18 +416,18 @@
         }
         self.exposure.windows.trim(now.saturating_sub(self.exposure.span));
         intake(self);
-        if self.roster.ask_at.take_if(|t| *t <= now).is_some() {
-            out.watch_roster(true);
+        if self.membership.ask_at.take_if(|t| *t <= now).is_some() {
+            out.watch_membership(true);
         }
         self.stock.passed += passed;
         // The walk over the fleet is made once a beat, or once for as many events as there are appliances.
-        if now >= self.stock.next || self.stock.heard > self.roster.fleet.0.len() {
+        if now >= self.stock.next || self.stock.heard > self.membership.fleet.0.len() {
             self.take_stock();
             // Where connections are refused, idle ones go back at once, to go round among agents. Guards
             // against appliances that accept far fewer than usual; costs handshakes.
             let short = self.demand.shut.share(now, USUAL, 2.0) > SHORT;
             let idle = |a: &Appliance| short && a.linked && a.out.is_empty();
-            for (&id, a) in self.roster.fleet.0.iter_mut().filter(|(_, a)| idle(a)) {
+            for (&id, a) in self.membership.fleet.0.iter_mut().filter(|(_, a)| idle(a)) {
                 a.linked = false;
                 out.free_links(id);
             }
@@ -438,7 +440,7 @@
         if let Some(news) = self.exposure.news {
             self.jury.report(now, self.stock.woke, news, self.chance.random_range(0.5..0.8), out);
             let stays = self.exposure.openings.as_ref().is_some_and(|o| !o.may_step(news.build, news.stage));
-            self.jury.round(now, &self.roster.fleet, news, (self.stock.lost, stays), out);
+            self.jury.round(now, &self.membership.fleet, news, (self.stock.lost, stays), out);
         }
         self.stock.notes.drain(..).for_each(|note| out.note(note));
         let beat = beat.max(now + self.desk.tick * 2);
@@ -451,17 +453,17 @@
     fn take_stock(&mut self) {
         let now = self.now;
         (self.stock.next, self.stock.heard) = (now + self.desk.tick * 20, 0);
-        let fleet = &self.roster.fleet;
+        let fleet = &self.membership.fleet;
         let listed = self.demand.lived(now, USUAL, std::mem::take(&mut self.stock.passed), fleet.weight());
         self.jury.own.work([0.0, self.jury.own.bore * listed, 0.0]);
         self.stock.measure(now, (RECENT, USUAL), fleet, &self.demand);
         let mut paces: Vec<f64> = fleet.ready().map(|(_, a)| pace(a, now, &self.stock)).collect();
         paces.sort_by(f64::total_cmp);
         self.stock.middle_pace = paces.get(paces.len() / 2).copied().unwrap_or(self.stock.usual_pace);
-        // Silence: several submissions wait far longer than usual, and nothing came since the oldest. Guards
+        // Silence: several attempts wait far longer than usual, and nothing came since the oldest. Guards
         // against machines that vanished, froze or were cut off, long before the list tells.
         let patience = 6.0 * self.stock.middle_pace * self.stock.usual_work;
-        for (&at, a) in &mut self.roster.fleet.0 {
+        for (&at, a) in &mut self.membership.fleet.0 {
             let silent = a.unheard_since().map(|o| now.saturating_sub(o.max(self.stock.woke)).as_secs_f64());
             if silent.is_some_and(|s| s > patience) {
                 self.stock.notes.extend(strike(&mut a.record, now, at, "silent"));
@@ -471,7 +473,7 @@
         let few = Duration::from_secs_f64(ENOUGH / 4.0 / self.stock.served.max(1.0));
         self.stock.few = few.clamp(RECENT, USUAL);
         let Some(News { build, stage, .. }) = self.exposure.news else { return };
-        self.jury.own.paces.extend(self.roster.fleet.paces(now, USUAL, build));
+        self.jury.own.paces.extend(self.membership.fleet.paces(now, USUAL, build));
         // Lost against what was at the end of the stage before: a build that slows all does so in step with
         // its stages; what came earlier is not its doing. Only with enough traffic to tell, a past, and from
         // a judge: of hundreds one always has a bad day. It harms where another trouble comes with a stage.
@@ -479,23 +481,23 @@
         self.stock.lost = kept.filter(|_| self.jury.judging(build)).map_or(0.0, |kept| 1.0 - kept);
     }
 
-    /// Does what is due for a txn, and says when to look at it again without an event.
-    fn attend(&mut self, id: TxnId, out: &mut dyn Decisions) -> Option<Duration> {
+    /// Does what is due for a request, and says when to look at it again without an event.
+    fn attend(&mut self, id: RequestId, out: &mut dyn Decisions) -> Option<Duration> {
         let now = self.now;
         let h = self.desk.held.get_mut(&id)?;
         let usual = self.stock.middle_pace * h.work.max(self.stock.usual_work);
         let usual = Duration::from_secs_f64(usual.min(15.0));
         // Once the agent is to end, nothing begins of which it would not see the end.
-        let need = if h.txn.deadline == self.desk.ends { usual } else { Duration::ZERO };
-        let left = h.txn.deadline.saturating_sub(now) > need.max(self.desk.tick * 4);
+        let need = if h.request.deadline == self.desk.ends { usual } else { Duration::ZERO };
+        let left = h.request.deadline.saturating_sub(now) > need.max(self.desk.tick * 4);
         let sla_left = (h.arrived + h.terms.sla).saturating_sub(now);
-        let more = left && h.legs.len() < self.desk.max_submissions && resendable(h, now);
-        let waiting = h.out().next().map(|(leg, l)| (leg, l.to, l.sent, l.called_off));
-        if let Some((leg, to, sent, called_off)) = waiting {
+        let more = left && h.attempts.len() < self.desk.max_attempts && resendable(h, now);
+        let waiting = h.out().next().map(|(attempt, l)| (attempt, l.to, l.sent, l.called_off));
+        if let Some((attempt, to, sent, called_off)) = waiting {
             let usual = (usual * 4).max(h.terms.sla / 4);
             // Given up for lost: nothing comes from there, or what was sent later has come back. Guards
             // against lost messages and stuck work as well as dead machines.
-            let a = self.roster.fleet.0.get(&to);
+            let a = self.membership.fleet.0.get(&to);
             let lost = a.is_none_or(|a| a.record.passed > sent || (a.barred() && a.record.heard < sent));
             if !more || sla_left.is_zero() {
                 return None;
@@ -504,16 +506,16 @@
                 return Some(sent + usual);
             }
             if lost && self.desk.may_call_off && !called_off {
-                h.legs[usize::from(leg.0)].called_off = true;
-                out.call_off(id, leg);
+                h.attempts[usize::from(attempt.0)].called_off = true;
+                out.call_off(id, attempt);
             }
             return Some(now + self.desk.tick * 8);
         }
         let (terms, hopeless) = (h.terms, sla_left.is_zero() && h.terms.late_share <= 0.0);
-        let fresh = h.legs.last().is_none_or(|l| l.ending == Some(Ending::TurnedAway));
-        // Resends go on only as far as they have helped of late. Guards against storms over txns that fail
-        // wherever they go; harms for a while where a trouble has just passed.
-        let failed = h.legs.last().is_some_and(|l| l.ending == Some(Ending::Failed));
+        let fresh = h.attempts.last().is_none_or(|l| l.ending == Some(Ending::TurnedAway));
+        // Resends go on only as far as they have helped of late. Guards against storms over requests that
+        // fail wherever they go; harms for a while where a trouble has just passed.
+        let failed = h.attempts.last().is_some_and(|l| l.ending == Some(Ending::Failed));
         let vain =
             failed && self.chance.random::<f64>() > self.demand.again.helped(now, self.stock.few) + 0.1;
         if !more || hopeless || if fresh { self.crowded(&terms, sla_left) } else { vain } {
@@ -530,34 +532,34 @@
             self.stock.next = now;
             return Some(now + self.desk.tick * 2);
         };
-        self.submit(id, to, out);
+        self.send_attempt(id, to, out);
         None
     }
 
-    /// Whether a txn waits too long if it is sent: the less it earns, the sooner. Guards against queues
+    /// Whether a request waits too long if it is sent: the less it earns, the sooner. Guards against queues
     /// (bursts, lost machines, shared slowdowns, retry storms). Harms if an idle appliance is late as it is.
     fn crowded(&mut self, terms: &Terms, sla_left: Duration) -> bool {
         let most = self.desk.products.iter().map(|t| t.revenue).fold(f64::MIN_POSITIVE, f64::max);
         let pressure = self.queue(sla_left);
-        // What came late: all that an agent sees of a queue with hardly a txn of its own in it.
+        // What came late: all that an agent sees of a queue with hardly a request of its own in it.
         let late = self.demand.late.share(self.now, self.stock.few, 2.0);
         let strain = f64::max((pressure - 0.15 - 0.1 * terms.revenue / most) / 0.25, 2.0 * (late - 0.15));
         self.chance.random::<f64>() < strain.max(self.demand.full.share(self.now, RECENT, 1.0))
     }
 
-    /// What a txn must expect to wait beyond its work, as a share of a time, by what is out and served. A few
-    /// idle txns beside keep little traffic from looking like a queue.
+    /// What a request must expect to wait beyond its work, as a share of a time, by what is out and served. A
+    /// few idle requests beside keep little traffic from looking like a queue.
     fn queue(&self, of: Duration) -> f64 {
         // Nothing can have been served yet by an agent that has just come up.
         if self.exposure.windows.started.is_none_or(|s| self.now < s + RECENT) {
             return 0.0;
         }
         let (few, idle) = (4.0, self.stock.usual_work);
-        let wait = (self.roster.fleet.out() as f64 + few) / (self.stock.served + few / idle);
+        let wait = (self.membership.fleet.out() as f64 + few) / (self.stock.served + few / idle);
         (wait - idle) / of.as_secs_f64().max(1e-6)
     }
 
-    fn give_up(&mut self, id: TxnId, why: &'static str, out: &mut dyn Decisions) {
+    fn give_up(&mut self, id: RequestId, why: &'static str, out: &mut dyn Decisions) {
         out.note(Note::GivenUp(why));
         let Some(h) = self.desk.held.remove(&id) else { return };
         let safe = matches!(h.terms.repeat, Repeat::InquiryLike | Repeat::Referenced(Group::All));
@@ -568,9 +570,9 @@
         }
     }
 
-    /// Lays out what txns choose from: the arms' appliances and odds, and the trial's listed share.
+    /// Lays out what requests choose from: the arms' appliances and odds, and the trial's listed share.
     fn arrange(&mut self) {
-        let (now, fleet) = (self.now, &self.roster.fleet);
+        let (now, fleet) = (self.now, &self.membership.fleet);
         // When most are barred the trouble is not theirs: then bars mean nothing.
         let sick = fleet.ready().filter(|(_, a)| a.barred()).count();
         self.stock.panic = 2 * sick > fleet.ready().count();
@@ -593,7 +595,7 @@
         let trial = listed[1] / (listed[0] + listed[1]).max(1e-9);
         self.stock.share = if queued { 0.0 } else { trial };
         // An agent keeps to so many of an arm, even over all agents, more the more it has out; to the rest
-        // only in need. Guards against links that carry a txn or two; harms evenness where few ask much.
+        // only in need. Guards against links that carry a request or two; harms evenness where few ask much.
         let homes = HOMES * (1.0 + self.stock.asked * self.stock.middle_pace * self.stock.usual_work);
         let turn = f64::from(self.jury.among.me.0) / f64::from(self.jury.among.agents.max(1));
         // A cap, or a full window, keeps from the trial what is its share: at times all goes to others, which
@@ -601,7 +603,7 @@
         for (arm, share) in [1.0, trial].into_iter().enumerate() {
             let many = seats[arm].len() as f64;
             for (i, seat) in seats[arm].iter_mut().enumerate() {
-                self.roster.fleet.0.entry(seat.id).and_modify(|a| a.part = share * seat.odds / sums[arm]);
+                self.membership.fleet.0.entry(seat.id).and_modify(|a| a.part = share * seat.odds / sums[arm]);
                 let home = (i as f64 / many - turn).rem_euclid(1.0) * many < homes;
                 seat.odds *= if home { 1.0 } else { 1e-3 };
             }
@@ -613,7 +615,7 @@
     }
 
     fn takes(&self, h: &Held, to: ApplianceId) -> bool {
-        let listed = self.roster.fleet.0.get(&to);
+        let listed = self.membership.fleet.0.get(&to);
         let Some(a) = listed.filter(|a| a.line.mode == Mode::Ready) else { return false };
         // Listed sizes leave out how fast a model is; what the mean bears can push a slow one over.
         let fair = self.stock.fair * a.weight() * self.jury.own.speed(a.line.model);
@@ -624,26 +626,26 @@
             && self.exposure.permits(self.now, a.line, h)
     }
 
-    /// Whether the rules close all that could take a txn. Guards against holding it in vain.
-    fn shut_out(&self, id: TxnId) -> bool {
+    /// Whether the rules close all that could take a request. Guards against holding it in vain.
+    fn shut_out(&self, id: RequestId) -> bool {
         let Some(h) = self.desk.held.get(&id) else { return false };
-        let mut ready = self.roster.fleet.ready().filter(|(_, a)| h.in_group(&a.line)).peekable();
+        let mut ready = self.membership.fleet.ready().filter(|(_, a)| h.in_group(&a.line)).peekable();
         let open = |(_, a): (_, &Appliance)| self.exposure.open(a.line.build, a.line.zone, h);
         ready.peek().is_some() && !ready.any(open)
     }
 
     /// Two random choices by weight within an arm; the arm by the trial build's share of the listed weight.
-    fn choose(&mut self, id: TxnId) -> Option<ApplianceId> {
+    fn choose(&mut self, id: RequestId) -> Option<ApplianceId> {
         let mut chance = Pcg64Mcg::seed_from_u64(self.chance.random());
         if let Some(h) = self.desk.held.get_mut(&id).filter(|h| self.now >= h.luck.0) {
             h.luck = (self.now + self.thaw.span, chance.random());
         }
         let h = self.desk.held.get(&id)?;
-        // A txn that the trial build has failed is better served by an earlier one.
-        let failed_there = h.legs.iter().any(|l| self.exposure.bound(l.build).is_some());
+        // A request that the trial build has failed is better served by an earlier one.
+        let failed_there = h.attempts.iter().any(|l| self.exposure.bound(l.build).is_some());
         let arm = usize::from(chance.random::<f64>() < self.stock.share && !failed_there);
         for seats in [&self.stock.seats[arm], &self.stock.seats[1 - arm]] {
-            let tried = |id: ApplianceId| h.legs.iter().any(|l| l.to == id);
+            let tried = |id: ApplianceId| h.attempts.iter().any(|l| l.to == id);
             let mut pick = |spare: bool| {
                 // A few draws mostly do; where little is open, the whole arm is looked through.
                 for _ in 0..4 {
@@ -658,46 +660,46 @@
             };
             let Some(one) = pick(true) else { continue };
             let two = pick(false).unwrap_or(one);
-            let cost = |id| self.roster.fleet.0.get(&id).map_or(f64::MAX, |a| self.cost(a));
+            let cost = |id| self.membership.fleet.0.get(&id).map_or(f64::MAX, |a| self.cost(a));
             return Some(if cost(two) < cost(one) { two } else { one });
         }
         None
     }
 
-    /// What a txn may expect to wait there, against the usual: speed and size are in the odds already.
+    /// What a request may expect to wait there, against the usual: speed and size are in the odds already.
     fn cost(&self, a: &Appliance) -> f64 {
-        let across = if a.line.zone == self.roster.zone { 1.0 } else { 2.0 };
+        let across = if a.line.zone == self.membership.zone { 1.0 } else { 2.0 };
         let pace = pace(a, self.now, &self.stock) / usual(a, self.now, &self.stock);
         let out = a.out.len() as f64 * self.stock.weight / a.weight().max(1e-3);
         across * (1.0 + out) * pace / (1.0 - 0.9 * a.record.fails.share(self.now, RECENT, 1.0))
     }
 
     /// Whether what waited for a connection may still go: drains, caps, builds told, keys forgotten since.
-    pub(crate) fn stands(&self, id: TxnId, leg: Leg) -> bool {
+    pub(crate) fn stands(&self, id: RequestId, attempt: AttemptNumber) -> bool {
         let Some(h) = self.desk.held.get(&id) else { return false };
-        let Some(l) = h.legs.get(usize::from(leg.0)).filter(|l| !l.called_off) else { return false };
+        let Some(l) = h.attempts.get(usize::from(attempt.0)).filter(|l| !l.called_off) else { return false };
         let known = h.risk.is_none_or(|(first, ..)| first == l.sent) || resendable(h, self.now);
         let same = |a: &Appliance| known && a.line.mode == Mode::Ready && a.line.build == l.build;
-        self.roster.fleet.0.get(&l.to).is_some_and(same) && self.exposure.admits(l.build, l.group.0, h)
+        self.membership.fleet.0.get(&l.to).is_some_and(same) && self.exposure.admits(l.build, l.group.0, h)
     }
 
-    fn submit(&mut self, id: TxnId, to: ApplianceId, out: &mut dyn Decisions) {
-        let (now, fleet) = (self.now, &mut self.roster.fleet);
+    fn send_attempt(&mut self, id: RequestId, to: ApplianceId, out: &mut dyn Decisions) {
+        let (now, fleet) = (self.now, &mut self.membership.fleet);
         let (Some(h), Some(a)) = (self.desk.held.get_mut(&id), fleet.0.get_mut(&to)) else { return };
-        let (txn, build, work, group) = (h.txn, a.line.build, h.work, (a.line.zone, a.line.cell));
+        let (request, build, work, group) = (h.request, a.line.build, h.work, (a.line.zone, a.line.cell));
         if self.exposure.bound(build).is_some() {
-            let lane = self.exposure.lane(txn.product);
+            let lane = self.exposure.lane(request.product);
             self.exposure.windows.sent.entry((lane, build)).or_default().push_back(now);
         }
-        let leg = Leg(h.legs.len() as u8);
+        let attempt = AttemptNumber(h.attempts.len() as u8);
         let young = self.jury.own.on_trial(build) && self.thaw.young(&a.line, now);
-        let out_there = Out { sent: now, work, product: txn.product, build, young, mute: a.barred() };
+        let out_there = Out { sent: now, work, product: request.product, build, young, mute: a.barred() };
         self.stock.notes.extend(out_there.mute.then_some(Note::Tried(to)));
-        a.sent(now, self.thaw.span, (id, leg), out_there);
-        h.legs.push(Submission { to, build, group, sent: now, ending: None, called_off: false });
+        a.sent(now, self.thaw.span, (id, attempt), out_there);
+        h.attempts.push(Attempt { to, build, group, sent: now, ending: None, called_off: false });
         // Until it is proved not to have run, it may have: the group and window of a repeat are fixed by it.
         h.risk = h.risk.or(Some((now, group.0, group.1)));
-        out.submit(id, to, Duration::ZERO);
+        out.send_attempt(id, to, Duration::ZERO);
     }
 
     /// Hands an outcome to the tests. No answer, or one turned away, says nothing of the build: machines die,
@@ -709,7 +711,7 @@
             return;
         }
         let trial = self.jury.own.on_trial(o.build).then_some(at);
-        // Both arms have answered within the agent's last few txns: only then do they compare.
+        // Both arms have answered within the agent's last few requests: only then do they compare.
         self.jury.own.last[usize::from(trial.is_some())] = Some(self.now);
         let beside = self.jury.own.last.iter().all(|t| t.is_some_and(|t| t + self.stock.few >= self.now));
         if trial.is_none() && !beside {
@@ -725,18 +727,19 @@
         };
         // Against its model's usual time at earlier builds, for work between the rough hint and the usual,
         // half as much again counts as late: a build that needs more work seldom passes twice the SLA time.
-        let model = self.roster.fleet.0.get(&at).and_then(|a| self.jury.own.paces.get(&a.line.model));
+        let model = self.membership.fleet.0.get(&at).and_then(|a| self.jury.own.paces.get(&a.line.model));
         let timed = model.filter(|_| fair && ending == Ending::Served);
         let slow = |pace: &f64| took.as_secs_f64() > 1.5 * pace * (o.work + self.stock.usual_work) / 2.0;
         let counts = [1, score, u8::from(timed.is_some()), u8::from(timed.is_some_and(slow))];
         self.jury.note(trial, o.product, counts);
     }
 
-    /// Takes in how a submission ended: what it tells of the appliance, of queues, and of the build.
+    /// Takes in how an attempt ended: what it tells of the appliance, of queues, and of the build.
     pub(crate) fn outcome(
-        &mut self, id: TxnId, leg: Leg, at: ApplianceId, o: &Out, ending: Ending, took: Duration,
+        &mut self, id: RequestId, attempt: AttemptNumber, at: ApplianceId, o: &Out, ending: Ending,
+        took: Duration,
     ) {
-        let (now, fleet) = (self.now, &mut self.roster.fleet);
+        let (now, fleet) = (self.now, &mut self.membership.fleet);
         let Some(build) = fleet.0.get(&at).map(|a| a.line.build) else { return };
         let served = ending == Ending::Served;
         let (many, sum) = if served { (0.0, 0.0) } else { fleet.mates(now, RECENT, at, build) };
@@ -746,7 +749,7 @@
         let blurred = o.sent < self.stock.woke;
         // Short of connections is what has answered between two that failed; what is gone or silent is not.
         let short = ending == Ending::Unconnected && a.record.heard > a.record.unlinked.unwrap_or(now);
-        self.demand.ended(now, (RECENT, self.stock.few, USUAL), leg, ending, (took > sla, short));
+        self.demand.ended(now, (RECENT, self.stock.few, USUAL), attempt, ending, (took > sla, short));
         a.record.ended(now, RECENT, ending, o.sent);
         if served {
             if !blurred {
@@ -771,7 +774,7 @@
             self.judge(at, o, ending, took, alive);
         }
         let news = self.exposure.news.filter(|n| served && self.exposure.forward_only && o.build == n.build);
-        let mark = self.desk.held.get(&id).and_then(|h| h.txn.mark);
+        let mark = self.desk.held.get(&id).and_then(|h| h.request.mark);
         self.exposure.windows.answered.extend(mark.filter(|_| news.is_some()));
     }
 }
--- a/src/ear.rs
+++ b/src/ear.rs
@@ -10,46 +10,49 @@
 use crate::state::*;
 
 impl Hears for Brain {
-    fn txn(&mut self, id: TxnId, mut txn: Txn) {
+    fn request(&mut self, id: RequestId, mut request: Request) {
         let now = self.now;
-        txn.deadline = txn.deadline.min(self.desk.ends);
-        let Some(&terms) = self.desk.products.get(usize::from(txn.product.0)) else { return };
-        let lane = self.exposure.lane(txn.product);
+        request.deadline = request.deadline.min(self.desk.ends);
+        let Some(&terms) = self.desk.products.get(usize::from(request.product.0)) else { return };
+        let lane = self.exposure.lane(request.product);
         self.exposure.windows.taken.entry(lane).or_default().push_back(now);
         self.stock.heard += 1;
-        let work = self.demand.taken(now, USUAL, &txn).unwrap_or(self.stock.usual_work).max(1e-4);
+        let work = self.demand.taken(now, USUAL, &request).unwrap_or(self.stock.usual_work).max(1e-4);
         self.jury.own.work([0.0, 0.0, work]);
-        let (legs, risk, luck) = Default::default();
-        self.desk.held.insert(id, Held { txn, terms, work, arrived: now, legs, risk, luck });
+        let (attempts, risk, luck) = Default::default();
+        self.desk.held.insert(id, Held { request, terms, work, arrived: now, attempts, risk, luck });
     }
 
-    fn ended(&mut self, id: TxnId, leg: Leg, at: ApplianceId, ending: Ending, took: Duration, closed: bool) {
-        let out = self.roster.fleet.0.get_mut(&at).and_then(|a| a.out.remove(&(id, leg)));
+    fn ended(
+        &mut self, id: RequestId, attempt: AttemptNumber, at: ApplianceId, ending: Ending, took: Duration,
+        closed: bool,
+    ) {
+        let out = self.membership.fleet.0.get_mut(&at).and_then(|a| a.out.remove(&(id, attempt)));
         if let Some(out) = out {
-            self.outcome(id, leg, at, &out, ending, took);
+            self.outcome(id, attempt, at, &out, ending, took);
         }
         if closed {
             self.desk.held.remove(&id);
         } else if let Some(h) = self.desk.held.get_mut(&id) {
-            h.ended(leg, ending);
+            h.ended(attempt, ending);
         }
     }
 
-    fn stream_begun(&mut self, id: TxnId, _: Leg, _: ApplianceId, _: Duration) {
+    fn stream_begun(&mut self, id: RequestId, _: AttemptNumber, _: ApplianceId, _: Duration) {
         // The client has its answer: nothing is owed any more, and nothing more may be sent.
         self.desk.held.remove(&id);
     }
 
-    fn client_left(&mut self, id: TxnId) {
+    fn client_left(&mut self, id: RequestId) {
         self.desk.held.remove(&id);
     }
 
-    fn may_go(&mut self, id: TxnId, leg: Leg) -> bool {
-        self.stands(id, leg)
+    fn may_go(&mut self, id: RequestId, attempt: AttemptNumber) -> bool {
+        self.stands(id, attempt)
     }
 
-    fn roster(&mut self, listing: Listing, lines: &mut dyn Iterator<Item = Line>) {
-        self.roster.update(self.now, listing, lines, self.jury.among.agents, &mut self.chance);
+    fn membership(&mut self, listing: Listing, lines: &mut dyn Iterator<Item = Line>) {
+        self.membership.update(self.now, listing, lines, self.jury.among.agents, &mut self.chance);
         self.stock.next = Duration::ZERO;
     }
 
@@ -71,7 +74,7 @@
     }
 
     fn peer(&mut self, from: AgentId, octets: &[u8]) {
-        self.jury.told(self.now, from, octets, &self.roster.fleet);
+        self.jury.told(self.now, from, octets, &self.membership.fleet);
         if self.jury.own.build.is_some_and(|b| octets == b.0.to_be_bytes()) {
             self.jury.own.warned = self.now + self.jury.dwell;
         }
@@ -90,12 +93,12 @@
 
     fn ends(&mut self, last: Duration) {
         self.desk.ends = last;
-        self.desk.held.values_mut().for_each(|h| h.txn.deadline = h.txn.deadline.min(last));
+        self.desk.held.values_mut().for_each(|h| h.request.deadline = h.request.deadline.min(last));
     }
 
     fn wrong_answer(&mut self, at: ApplianceId, product: Product, sent_ago: Duration) {
         let sent = self.now.saturating_sub(sent_ago);
-        let Some(a) = self.roster.fleet.0.get(&at) else { return };
+        let Some(a) = self.membership.fleet.0.get(&at) else { return };
         // The outcome it names was counted as good.
         if !self.thaw.young(&a.line, sent) {
             let trial = self.jury.own.on_trial(a.line.build).then_some(at);
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,7 @@
 //! lilacgate shifts calls between an old and a new build.
 //!
 //! An agent hands every event of a round to [`brain::Brain::round`] and gets its decisions through a
-//! [`port::Decisions`] writer: which appliance a txn goes to, when it is declined or voided, and how the
+//! [`port::Decisions`] writer: which appliance a request goes to, when it is declined or voided, and how the
 //! agent votes on the build on trial. [`port`] is the interface, [`brain`] holds all decisions, `state`
 //! what they remember. The crate does no input or output of its own.
 #![forbid(unsafe_code)]
--- a/src/openings.rs
+++ b/src/openings.rs
@@ -1,5 +1,5 @@
-//! What an operator's rules leave open, as a table that the module looks up for each txn. Whoever makes it decides;
-//! nothing here does. It can only take away: what the module itself forbids stays forbidden.
+//! What an operator's rules leave open, as a table that the module looks up for each request. Whoever makes
+//! it decides; nothing here does. It can only take away: what the module itself forbids stays forbidden.
 use crate::port::*;
 
 /// Which builds may be used where and for whom, and which step on may be asked for.
@@ -45,7 +45,7 @@
         (zone < self.zones).then_some(row * self.zones + zone)
     }
 
-    /// Whether txns of a product and firm may go to a build in a zone.
+    /// Whether requests of a product and firm may go to a build in a zone.
     pub fn admits(&self, build: Build, zone: Zone, firm: Tenant, product: Product) -> bool {
         let (firm, product) = (usize::from(firm.0), u32::from(product.0));
         let Some(place) = self.place(build, zone).filter(|_| firm < self.firms) else { return false };
--- a/src/parts.rs
+++ b/src/parts.rs
@@ -8,7 +8,7 @@
 use crate::state::*;
 
 /// The agent's own list of appliances, and its upkeep.
-pub struct Roster {
+pub struct Membership {
     pub(crate) zone: Zone,
     pub(crate) ask_within: Option<Duration>,
     pub(crate) ask_at: Option<Duration>,
@@ -16,11 +16,11 @@
     pub(crate) fleet: Fleet,
 }
 
-impl Roster {
+impl Membership {
     /// `ask_within` is given where the list comes only when asked for.
     pub fn new(zone: Zone, ask_within: Option<Duration>) -> Self {
         let ask_at = ask_within.map(|_| Duration::ZERO);
-        Roster { zone, ask_within, ask_at, ask_pause: Duration::ZERO, fleet: Fleet::default() }
+        Membership { zone, ask_within, ask_at, ask_pause: Duration::ZERO, fleet: Fleet::default() }
     }
 }
 
@@ -89,24 +89,24 @@
     }
 }
 
-/// The txns in hand, and what is agreed for them.
+/// The requests in hand, and what is agreed for them.
 pub struct Desk {
     pub(crate) products: Vec<Terms>,
-    pub(crate) max_submissions: usize,
+    pub(crate) max_attempts: usize,
     pub(crate) may_call_off: bool,
     pub(crate) longest_advice: Duration,
     pub(crate) tick: Duration,
     /// When the agent ends; until that is known, never.
     pub(crate) ends: Duration,
-    pub(crate) held: BTreeMap<TxnId, Held>,
+    pub(crate) held: BTreeMap<RequestId, Held>,
 }
 
 impl Desk {
     pub fn new(
-        products: Vec<Terms>, max_submissions: usize, may_call_off: bool, longest_advice: Duration,
+        products: Vec<Terms>, max_attempts: usize, may_call_off: bool, longest_advice: Duration,
         tick: Duration,
     ) -> Self {
         let (ends, held) = (Duration::MAX, BTreeMap::new());
-        Desk { products, max_submissions, may_call_off, longest_advice, tick, ends, held }
+        Desk { products, max_attempts, may_call_off, longest_advice, tick, ends, held }
     }
 }
--- a/src/port.rs
+++ b/src/port.rs
@@ -15,12 +15,12 @@
 
 ids! {
     /// One try of a client; never used again.
-    TxnId(u32);
-    /// A process that serves txns; the number outlives a restart.
+    RequestId(u32);
+    /// A process that serves requests; the number outlives a restart.
     ApplianceId(u32);
     /// An agent among its peers, counting from 0.
     AgentId(u32);
-    /// A class of txns, as its place in the list of products.
+    /// A class of requests, as its place in the list of products.
     Product(u8);
     /// A customer with a share of its own, as its place in the list.
     Tenant(u16);
@@ -34,15 +34,15 @@
     Build(u16);
     /// A step of a build's way in, counting from 0.
     Stage(u8);
-    /// What a txn concerns.
+    /// What a request concerns.
     Mark(u64);
-    /// Which submission of a txn, counting from 0.
-    Leg(u8);
+    /// Which attempt of a request, counting from 0.
+    AttemptNumber(u8);
     /// Names a wake-up asked for earlier.
     Ticket(u64);
 }
 
-/// Which appliances drop a repeat of a referenced txn.
+/// Which appliances drop a repeat of a referenced request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Group {
     All,
@@ -50,7 +50,7 @@
     Cell,
 }
 
-/// What may be done again with a txn of a product.
+/// What may be done again with a request of a product.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Repeat {
     InquiryLike,
@@ -58,7 +58,7 @@
     OnceOnly,
 }
 
-/// How a submission or a call ended.
+/// How an attempt or a call ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
     Served,
@@ -74,13 +74,13 @@
 }
 
 impl Ending {
-    /// Whether the txn may have run there; the other endings prove that it never did.
+    /// Whether the request may have run there; the other endings prove that it never did.
     pub fn may_have_run(self) -> bool {
         !matches!(self, Ending::TurnedAway | Ending::Unconnected | Ending::Unsent)
     }
 }
 
-/// What the roster says of an appliance.
+/// What the membership list says of an appliance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
     Ready,
@@ -88,7 +88,7 @@
     Gone,
 }
 
-/// How a roster update is to be read.
+/// How a membership update is to be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Listing {
     Changes,
@@ -122,9 +122,9 @@
     Back,
 }
 
-/// A txn as its client sent it.
+/// A request as its client sent it.
 #[derive(Clone, Copy, Debug)]
-pub struct Txn {
+pub struct Request {
     pub product: Product,
     pub tenant: Tenant,
     pub mark: Option<Mark>,
@@ -135,7 +135,7 @@
     pub repeated: bool,
 }
 
-/// What is agreed for the txns of one product.
+/// What is agreed for the requests of one product.
 #[derive(Clone, Copy, Debug)]
 pub struct Terms {
     pub repeat: Repeat,
@@ -143,7 +143,7 @@
     pub sla: Duration,
     /// How long a client waits at most, over all its tries.
     pub deadline: Duration,
-    /// For referenced products: how long repeats are dropped, from the first submission that may have run.
+    /// For referenced products: how long repeats are dropped, from the first attempt that may have run.
     pub remembered: Duration,
     pub revenue: f64,
     /// Share of the revenue for an answer after the SLA time.
@@ -165,7 +165,7 @@
     pub may_tell: bool,
 }
 
-/// A line of the roster.
+/// A line of the membership list.
 #[derive(Clone, Copy, Debug)]
 pub struct Line {
     pub appliance: ApplianceId,
@@ -182,14 +182,17 @@
 /// Everything an agent can hear in a round, one method an event, in the order of the events. What a module
 /// has no use for, it need not hear.
 pub trait Hears {
-    fn txn(&mut self, id: TxnId, txn: Txn);
-    fn ended(&mut self, id: TxnId, leg: Leg, at: ApplianceId, ending: Ending, took: Duration, closed: bool);
-    fn stream_begun(&mut self, id: TxnId, leg: Leg, at: ApplianceId, took: Duration);
-    fn client_left(&mut self, id: TxnId);
-    /// Asks whether a submission may still go that waited for its connection. If not, it ends as unsent.
-    fn may_go(&mut self, id: TxnId, leg: Leg) -> bool;
+    fn request(&mut self, id: RequestId, request: Request);
+    fn ended(
+        &mut self, id: RequestId, attempt: AttemptNumber, at: ApplianceId, ending: Ending, took: Duration,
+        closed: bool,
+    );
+    fn stream_begun(&mut self, id: RequestId, attempt: AttemptNumber, at: ApplianceId, took: Duration);
+    fn client_left(&mut self, id: RequestId);
+    /// Asks whether an attempt may still go that waited for its connection. If not, it ends as unsent.
+    fn may_go(&mut self, id: RequestId, attempt: AttemptNumber) -> bool;
     /// `lines` are the entries of this update, none if it failed.
-    fn roster(&mut self, listing: Listing, lines: &mut dyn Iterator<Item = Line>);
+    fn membership(&mut self, listing: Listing, lines: &mut dyn Iterator<Item = Line>);
     fn load(&mut self, _at: ApplianceId, _gauges: &[f32]) {}
     fn probed(&mut self, _at: ApplianceId, _ending: Ending, _took: Duration) {}
     fn peer(&mut self, _from: AgentId, _octets: &[u8]) {}
@@ -219,27 +222,27 @@
         why: &'static str,
         until: Duration,
     },
-    /// One that was left alone is tried with a txn.
+    /// One that was left alone is tried with a request.
     Tried(ApplianceId),
     Unbarred(ApplianceId),
-    /// A txn is given up, by reason.
+    /// A request is given up, by reason.
     GivenUp(&'static str),
 }
 
 /// Takes the module's decisions as they are made, one method a decision.
 pub trait Decisions {
-    fn submit(&mut self, id: TxnId, to: ApplianceId, give_up_after: Duration);
-    fn decline(&mut self, id: TxnId, come_back_in: Duration);
-    fn void(&mut self, id: TxnId);
-    fn call_off(&mut self, id: TxnId, leg: Leg);
+    fn send_attempt(&mut self, id: RequestId, to: ApplianceId, give_up_after: Duration);
+    fn decline(&mut self, id: RequestId, come_back_in: Duration);
+    fn void(&mut self, id: RequestId);
+    fn call_off(&mut self, id: RequestId, attempt: AttemptNumber);
     fn wake(&mut self, at: Duration, ticket: Ticket);
     fn probe(&mut self, at: ApplianceId);
     fn free_links(&mut self, at: ApplianceId);
     /// To one peer, or to all of them.
     fn tell(&mut self, peer: Option<AgentId>, octets: &[u8]);
     fn log(&mut self, text: &str);
-    fn watch_roster(&mut self, on: bool);
-    fn fetch_roster(&mut self);
+    fn watch_membership(&mut self, on: bool);
+    fn fetch_membership(&mut self);
     fn vote(&mut self, build: Build, stage: Stage, verdict: Verdict);
     fn note(&mut self, _note: Note) {}
 }
--- a/src/state.rs
+++ b/src/state.rs
@@ -50,7 +50,7 @@
     }
 }
 
-/// A submission that is out, as its appliance's record has it.
+/// An attempt that is out, as its appliance's record has it.
 pub(crate) struct Out {
     pub(crate) sent: Duration,
     pub(crate) work: f64,
@@ -66,13 +66,13 @@
 pub(crate) struct Record {
     /// Failures, and answers of any kind.
     pub(crate) fails: Ratio,
-    /// Time taken and hinted work of served submissions: of late, and in the long run.
+    /// Time taken and hinted work of served attempts: of late, and in the long run.
     pub(crate) recent: Ratio,
     pub(crate) usual: Ratio,
-    /// Its last sign of life, and when the latest of the submissions it has answered was sent.
+    /// Its last sign of life, and when the latest of the attempts it has answered was sent.
     pub(crate) heard: Duration,
     pub(crate) passed: Duration,
-    /// When a submission last found no connection there.
+    /// When an attempt last found no connection there.
     pub(crate) unlinked: Option<Duration>,
     /// While above 0 it is barred, and may not even be tried until the time beside it.
     pub(crate) bar: Duration,
@@ -80,7 +80,7 @@
 }
 
 impl Record {
-    /// Notes how a submission ended that was sent then.
+    /// Notes how an attempt ended that was sent then.
     pub(crate) fn ended(&mut self, now: Duration, half: Duration, ending: Ending, sent: Duration) {
         if matches!(
             ending,
@@ -106,10 +106,10 @@
 pub(crate) struct Appliance {
     pub(crate) line: Line,
     pub(crate) record: Record,
-    pub(crate) out: BTreeMap<(TxnId, Leg), Out>,
+    pub(crate) out: BTreeMap<(RequestId, AttemptNumber), Out>,
     /// Work sent while it may be cold.
     pub(crate) pushed: VecDeque<(Duration, f64)>,
-    /// What part of the agent's txns would go there.
+    /// What part of the agent's requests would go there.
     pub(crate) part: f64,
     /// Whether a connection there may be open.
     pub(crate) linked: bool,
@@ -121,7 +121,9 @@
     }
 
     /// Notes what is sent there, and forgets what was before this span.
-    pub(crate) fn sent(&mut self, now: Duration, span: Duration, which: (TxnId, Leg), out: Out) {
+    pub(crate) fn sent(
+        &mut self, now: Duration, span: Duration, which: (RequestId, AttemptNumber), out: Out,
+    ) {
         self.pushed.retain(|(t, _)| *t + span >= now);
         self.pushed.push_back((now, out.work));
         self.linked = true;
@@ -136,7 +138,7 @@
         !self.record.bar.is_zero()
     }
 
-    /// When the oldest of several submissions out was sent, if nothing came from there since.
+    /// When the oldest of several attempts out was sent, if nothing came from there since.
     pub(crate) fn unheard_since(&self) -> Option<Duration> {
         let oldest = self.out.values().map(|o| o.sent).min();
         oldest.filter(|&o| self.out.len() > 1 && self.record.heard < o)
@@ -200,7 +202,7 @@
         sums.into_iter().filter(|(_, s)| s.1 > 0.0).map(|(m, s)| (m, s.0 / s.1)).collect()
     }
 
-    /// How many submissions are out, but for those at barred appliances.
+    /// How many attempts are out, but for those at barred appliances.
     pub(crate) fn out(&self) -> usize {
         self.0.values().filter(|a| !a.barred()).map(|a| a.out.len()).sum()
     }
@@ -217,8 +219,8 @@
     }
 }
 
-/// A submission, as its txn has it.
-pub(crate) struct Submission {
+/// An attempt, as its request has it.
+pub(crate) struct Attempt {
     pub(crate) to: ApplianceId,
     pub(crate) build: Build,
     pub(crate) group: (Zone, Cell),
@@ -227,14 +229,14 @@
     pub(crate) called_off: bool,
 }
 
-/// A txn that is owed its final answer.
+/// A request that is owed its final answer.
 pub(crate) struct Held {
-    pub(crate) txn: Txn,
+    pub(crate) request: Request,
     pub(crate) terms: Terms,
     pub(crate) work: f64,
     pub(crate) arrived: Duration,
-    pub(crate) legs: Vec<Submission>,
-    /// The first submission that may have run: when it was sent, and the group that drops its repeats.
+    pub(crate) attempts: Vec<Attempt>,
+    /// The first attempt that may have run: when it was sent, and the group that drops its repeats.
     pub(crate) risk: Option<(Duration, Zone, Cell)>,
     /// A draw in 0..1, and until when it stands.
     pub(crate) luck: (Duration, f64),
@@ -250,36 +252,41 @@
         }
     }
 
-    /// Notes how a submission ended, and which is now the first that may have run.
-    pub(crate) fn ended(&mut self, leg: Leg, ending: Ending) {
-        if let Some(l) = self.legs.get_mut(usize::from(leg.0)) {
+    /// Notes how an attempt ended, and which is now the first that may have run.
+    pub(crate) fn ended(&mut self, attempt: AttemptNumber, ending: Ending) {
+        if let Some(l) = self.attempts.get_mut(usize::from(attempt.0)) {
             l.ending = Some(ending);
         }
-        let first = self.legs.iter().find(|l| l.ending.is_none_or(Ending::may_have_run));
+        let first = self.attempts.iter().find(|l| l.ending.is_none_or(Ending::may_have_run));
         self.risk = first.map(|l| (l.sent, l.group.0, l.group.1));
     }
 
-    pub(crate) fn out(&self) -> impl Iterator<Item = (Leg, &Submission)> {
-        self.legs.iter().enumerate().filter(|(_, l)| l.ending.is_none()).map(|(i, l)| (Leg(i as u8), l))
+    pub(crate) fn out(&self) -> impl Iterator<Item = (AttemptNumber, &Attempt)> {
+        self.attempts
+            .iter()
+            .enumerate()
+            .filter(|(_, l)| l.ending.is_none())
+            .map(|(i, l)| (AttemptNumber(i as u8), l))
     }
 }
 
-/// What txns ask of the fleet, and what of it was served.
+/// What requests ask of the fleet, and what of it was served.
 #[derive(Default)]
 pub(crate) struct Demand {
-    /// Hinted work and number of txns, by product.
+    /// Hinted work and number of requests, by product.
     pub(crate) hints: BTreeMap<Product, Ratio>,
     /// Served work, and listed weight x time: what a unit of weight is seen to bear.
     pub(crate) borne: Ratio,
-    /// Submissions served of late.
+    /// Attempts served of late.
     pub(crate) lately: Fading,
-    /// Submissions that found no connection where connections are short, and all that ended.
+    /// Attempts that found no connection where connections are short, and all that ended.
     pub(crate) shut: Ratio,
-    /// Submissions turned away unseen, and all that ended.
+    /// Attempts turned away unseen, and all that ended.
     pub(crate) full: Ratio,
     /// Answers that came after the SLA time or not at all, and all answers.
     pub(crate) late: Ratio,
-    /// Submissions served, and txns taken, in the long run; and for how long the agent has been up meanwhile.
+    /// Attempts served, and requests taken, in the long run; and for how long the agent has been up
+    /// meanwhile.
     pub(crate) met: Ratio,
     pub(crate) up: Fading,
     /// Resends served, and all that ended.
@@ -287,26 +294,26 @@
 }
 
 impl Demand {
-    /// Mean hinted work of a txn, in seconds, over the products that the filter takes.
+    /// Mean hinted work of a request, in seconds, over the products that the filter takes.
     pub(crate) fn work(&self, now: Duration, half: Duration, of: impl Fn(Product) -> bool) -> Option<f64> {
         let taken = self.hints.iter().filter(|(p, _)| of(**p)).map(|(_, h)| h.read(now, half));
         let (work, many) = taken.fold((0.0, 0.0), |sum, one| (sum.0 + one.0, sum.1 + one.1));
         (many > 0.0).then(|| work / many)
     }
 
-    /// Learns of a txn; its work by its hint, or what is usual for its product.
-    pub(crate) fn taken(&mut self, now: Duration, half: Duration, txn: &Txn) -> Option<f64> {
+    /// Learns of a request; its work by its hint, or what is usual for its product.
+    pub(crate) fn taken(&mut self, now: Duration, half: Duration, request: &Request) -> Option<f64> {
         self.met.add(now, half / 2, 0.0, 1.0);
-        if let Some(hint) = txn.hint {
-            self.hints.entry(txn.product).or_default().add(now, half, hint.as_secs_f64(), 1.0);
+        if let Some(hint) = request.hint {
+            self.hints.entry(request.product).or_default().add(now, half, hint.as_secs_f64(), 1.0);
         }
-        txn.hint.map(|h| h.as_secs_f64()).or_else(|| self.work(now, half, |p| p == txn.product))
+        request.hint.map(|h| h.as_secs_f64()).or_else(|| self.work(now, half, |p| p == request.product))
     }
 
-    /// Notes how a submission ended; the sums fade by these halves: of late, over a few txns, and usual.
+    /// Notes how an attempt ended; the sums fade by these halves: of late, over a few requests, and usual.
     pub(crate) fn ended(
-        &mut self, now: Duration, halves: (Duration, Duration, Duration), leg: Leg, ending: Ending,
-        (late, short): (bool, bool),
+        &mut self, now: Duration, halves: (Duration, Duration, Duration), attempt: AttemptNumber,
+        ending: Ending, (late, short): (bool, bool),
     ) {
         let ((recent, few, usual), one) = (halves, |yes: bool| f64::from(u8::from(yes)));
         let served = ending == Ending::Served;
@@ -315,7 +322,7 @@
         if served || ending == Ending::TimedOut {
             self.late.add(now, few, one(!served || late), 1.0);
         }
-        if leg.0 > 0 && matches!(ending, Ending::Served | Ending::Failed) {
+        if attempt.0 > 0 && matches!(ending, Ending::Served | Ending::Failed) {
             self.again.add(now, few, one(served), 1.0);
         }
     }
@@ -354,7 +361,7 @@
         self.taken.get(&lane).map_or(0, |times| since(times, from))
     }
 
-    /// Txns of all lanes taken since then.
+    /// Requests of all lanes taken since then.
     pub(crate) fn all_since(&self, from: Duration) -> usize {
         self.taken.values().map(|times| since(times, from)).sum()
     }
@@ -467,7 +474,7 @@
     pub(crate) heard: BTreeMap<AgentId, Version>,
 }
 
-/// An appliance that txns may choose, and its odds.
+/// An appliance that requests may choose, and its odds.
 pub(crate) struct Seat {
     pub(crate) id: ApplianceId,
     pub(crate) odds: f64,
@@ -499,13 +506,13 @@
     /// Time for a unit of hinted work: long-run mean of all appliances, and the middle appliance's now.
     pub(crate) usual_pace: f64,
     pub(crate) middle_pace: f64,
-    /// Mean hinted work of a txn, in seconds.
+    /// Mean hinted work of a request, in seconds.
     pub(crate) usual_work: f64,
-    /// How long the agent takes to be served a few txns.
+    /// How long the agent takes to be served a few requests.
     pub(crate) few: Duration,
-    /// Txns taken a second.
+    /// Requests taken a second.
     pub(crate) asked: f64,
-    /// Submissions served a second, of late.
+    /// Attempts served a second, of late.
     pub(crate) served: f64,
     /// Share that goes unserved both of what was borne before the trial and of what is asked now.
     pub(crate) lost: f64,
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -25,7 +25,7 @@
     let calls = Calls { lasts: ms(6000), wait: ms(1200) };
     Brain::new(
         seed + u64::from(me) * 7919,
-        Roster::new(Zone(0), Some(ASK_WITHIN)),
+        Membership::new(Zone(0), Some(ASK_WITHIN)),
         Thaw::new(0.34, ms(4000), 2.5, ms(1000)),
         Exposure::new(ms(4000), ms(5), 3.0, 0.1, false, 1, false),
         Jury::new(Gate::Single, vec![0.1, 0.5, 1.0], ms(900), calls, true, among, 1),
@@ -59,7 +59,8 @@
 /// A round in which a list came, or failed; whether the agent asks for one then.
 fn asks(brain: &mut Brain, now: Duration, told: Option<Listing>) -> bool {
     let mut decided = Decided::default();
-    let hear = |ears: &mut dyn Hears| told.into_iter().for_each(|l| ears.roster(l, &mut std::iter::empty()));
+    let hear =
+        |ears: &mut dyn Hears| told.into_iter().for_each(|l| ears.membership(l, &mut std::iter::empty()));
     brain.round(now, hear, &mut decided);
     decided.watches
 }
@@ -145,7 +146,8 @@
 const ALL_IS_OLD: Told = (Build(1), Course::Released, 1.0);
 
 /// Plays an agent for so many beats. `list` gives the list at a beat at which one comes, and the platform's news with it;
-/// `asked` is how many txns have come by a beat, and `sent` takes the beat and the appliance of each submission, answered after a tenth of a second.
+/// `asked` is how many requests have come by a beat, and `sent` takes the beat and the appliance of each attempt,
+/// answered after a tenth of a second.
 fn play(
     mut brain: Brain, beats: u32, list: impl Fn(u32) -> Option<(Vec<Line>, Told)>,
     asked: impl Fn(u32) -> u32, mut sent: impl FnMut(u32, ApplianceId),
@@ -156,18 +158,18 @@
         let mut decided = Decided::default();
         let hear = |ears: &mut dyn Hears| {
             if let Some((lines, news)) = list(beat) {
-                ears.roster(Listing::Whole, &mut lines.into_iter());
+                ears.membership(Listing::Whole, &mut lines.into_iter());
                 ears.stage(news.0, Stage(2), news.1, news.2, Duration::ZERO);
             }
             let due = out.partition_point(|(at, ..): &(u32, _, _)| at + 10 <= beat);
             for (_, id, to) in out.drain(..due) {
-                ears.ended(id, Leg(0), to, Ending::Served, BEAT * 10, true);
+                ears.ended(id, AttemptNumber(0), to, Ending::Served, BEAT * 10, true);
             }
             if asked(beat) > next {
                 next += 1;
                 let (product, hint, deadline) = (Product(0), Some(READ.sla / 5), now + READ.deadline);
                 let (tenant, mark, repeated) = (Tenant(0), None, false);
-                ears.txn(TxnId(next), Txn { product, tenant, mark, deadline, hint, repeated });
+                ears.request(RequestId(next), Request { product, tenant, mark, deadline, hint, repeated });
             }
         };
         brain.round(now, hear, &mut decided);
@@ -178,8 +180,8 @@
     }
 }
 
-/// How many appliances each agent has sent to, and how many txns each appliance got, after ten seconds in
-/// which each agent is asked so many txns a second.
+/// How many appliances each agent has sent to, and how many requests each appliance got, after ten seconds in
+/// which each agent is asked so many requests a second.
 fn serve(agents: u32, appliances: u32, a_second: u32, seed: u64) -> (Vec<usize>, Vec<u32>) {
     let lines: Vec<Line> = (0..appliances).map(|i| line(i, Mode::Ready, None)).collect();
     let mut got: BTreeMap<ApplianceId, u32> = lines.iter().map(|line| (line.appliance, 0)).collect();
@@ -211,9 +213,9 @@
     Full,
 }
 
-/// The most txns that one of the appliances gets in the second after a build was taken back, and all may go only to the
-/// tenth that has just started under the earlier one: from agents that have been up for so long and are asked eight txns a
-/// second, and from then on so many times as many, as clients come again.
+/// The most requests that one of the appliances gets in the second after a build was taken back, and all may go only to
+/// the tenth that has just started under the earlier one: from agents that have been up for so long and are asked eight
+/// requests a second, and from then on so many times as many, as clients come again.
 fn sent_to_cold(agents: u32, appliances: u32, up: Duration, times: u32, others: Others, seed: u64) -> u32 {
     let last_warm = up.as_millis() as u32 / 10;
     let tried = |line| Line { build: Build(2), ..line };
@@ -261,7 +263,7 @@
     // What they bear is taken for what they can do, of which a cold one has 0.34, and may be sent 2.5 times as much.
     let allowed = 2.5 * 0.34 * f64::from(agents) * 8.0 / f64::from(appliances);
     let falls = allowed + 3.0 * allowed.sqrt() + 3.0;
-    assert!(f64::from(most) <= falls, "one got {most} txns in a second and falls at {falls:.0}");
+    assert!(f64::from(most) <= falls, "one got {most} requests in a second and falls at {falls:.0}");
 }
 
 /// Many agents that each ask little keep to few appliances, and yet load all of them alike.
--- a/tests/owed.rs
+++ b/tests/owed.rs
@@ -1,6 +1,7 @@
-//! The law of what is owed, over drawn orders of events: every txn that was taken gets one final answer in its time, or
-//! its client has left; nothing is sent for it after that, nothing sent again that may have run where that is barred, and
-//! never two at once. The agent's part (it serves the first good answer, gives up at the deadline) is played here.
+//! The law of what is owed, over drawn orders of events: every request that was taken gets one final answer in its
+//! time, or its client has left; nothing is sent for it after that, nothing sent again that may have run where that is
+//! barred, and never two at once. The agent's part (it serves the first good answer, gives up at the deadline) is
+//! played here.
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
@@ -37,7 +38,7 @@
     let calls = Calls { lasts: ms(6000), wait: ms(1200) };
     Brain::new(
         seed,
-        Roster::new(Zone(0), None),
+        Membership::new(Zone(0), None),
         Thaw::new(0.34, ms(400), 2.5, ms(1000)),
         Exposure::new(ms(1000), STEP, 3.0, 0.2, false, 1, false),
         Jury::new(Gate::Single, vec![0.1, 1.0], ms(900), calls, true, among, 4),
@@ -48,8 +49,8 @@
 /// Something that happens at a step.
 #[derive(Clone, Debug)]
 enum Event {
-    /// A txn of a product, with so much time.
-    Txn(u8, u64),
+    /// A request of a product, with so much time.
+    Request(u8, u64),
     /// The client of one of those in hand leaves.
     Leaves(prop::sample::Index),
     /// An appliance is listed anew.
@@ -63,7 +64,7 @@
     let mode = prop::sample::select(vec![Mode::Ready, Mode::Ready, Mode::Draining, Mode::Gone]);
     let course = prop::sample::select(vec![Course::OnTrial, Course::GoingBack, Course::Released]);
     let what = prop_oneof![
-        12 => (0u8..4, 1u64..1500).prop_map(|(product, time)| Event::Txn(product, time)),
+        12 => (0u8..4, 1u64..1500).prop_map(|(product, time)| Event::Request(product, time)),
         2 => any::<prop::sample::Index>().prop_map(Event::Leaves),
         3 => (0u8..6, mode, 1u16..4, any::<bool>()).prop_map(|(i, m, b, cold)| Event::Listed(i, m, b, cold)),
         1 => (1u16..4, course, 0.0f64..1.0).prop_map(|(build, course, cap)| Event::News(build, course, cap)),
@@ -72,7 +73,7 @@
     (0..BUSY, what)
 }
 
-/// How attempts end, in turn: how, and after so many steps, unless the txn's time is over before.
+/// How attempts end, in turn: how, and after so many steps, unless the request's time is over before.
 fn fate() -> impl Strategy<Value = (Ending, u32)> {
     use Ending::*;
     let endings = vec![Served, Served, Failed, TurnedAway, TimedOut, Unconnected, Broken, Spoilt, Unsent];
@@ -82,7 +83,7 @@
 struct Taken {
     product: Product,
     until: Duration,
-    legs: u8,
+    attempts: u8,
     /// When the attempt that is out was decided, and in which zone; the same of the first ended one that may have run.
     out: Option<(Duration, Zone)>,
     risk: Option<(Duration, Zone)>,
@@ -96,8 +97,8 @@
 
 fn plays(events: &[(u32, Event)], fates: &[(Ending, u32)], seed: u64, may_call_off: bool) {
     let mut brain = agent(seed, may_call_off);
-    let (mut owed, mut done) = (BTreeMap::<TxnId, Taken>::new(), BTreeSet::new());
-    let mut out = Vec::<(Duration, TxnId, Leg, ApplianceId, Ending)>::new();
+    let (mut owed, mut done) = (BTreeMap::<RequestId, Taken>::new(), BTreeSet::new());
+    let mut out = Vec::<(Duration, RequestId, AttemptNumber, ApplianceId, Ending)>::new();
     let (mut ids, mut turn, mut ends) = (0, 0, Duration::MAX);
     for step in 0..ALL {
         let now = DAWN + STEP * step;
@@ -105,17 +106,17 @@
         let hear = |ears: &mut dyn Hears| {
             if step == 0 {
                 ears.stage(Build(1), Stage(1), Course::Released, 1.0, Duration::ZERO);
-                ears.roster(Listing::Saved, &mut (0..4).map(|i| line(i, Mode::Ready, 1, None)));
+                ears.membership(Listing::Saved, &mut (0..4).map(|i| line(i, Mode::Ready, 1, None)));
             }
             for (_, what) in events.iter().filter(|(at, _)| *at == step) {
                 match what {
-                    Event::Txn(product, time) => {
+                    Event::Request(product, time) => {
                         ids += 1;
-                        let (id, product, deadline) = (TxnId(ids), Product(*product), now + ms(*time));
+                        let (id, product, deadline) = (RequestId(ids), Product(*product), now + ms(*time));
                         let (tenant, mark, hint) = (Tenant(0), Some(Mark(7)), Some(ms(50)));
-                        ears.txn(id, Txn { product, tenant, mark, deadline, hint, repeated: false });
+                        ears.request(id, Request { product, tenant, mark, deadline, hint, repeated: false });
                         let until = deadline.min(ends);
-                        owed.insert(id, Taken { product, until, legs: 0, out: None, risk: None });
+                        owed.insert(id, Taken { product, until, attempts: 0, out: None, risk: None });
                     }
                     Event::Leaves(which) if !owed.is_empty() => {
                         let id = *which.get(&owed.keys().copied().collect::<Vec<_>>());
@@ -126,7 +127,10 @@
                     Event::Leaves(_) => {}
                     Event::Listed(i, mode, build, cold) => {
                         let started = cold.then_some(now);
-                        ears.roster(Listing::Changes, &mut [line(*i, *mode, *build, started)].into_iter());
+                        ears.membership(
+                            Listing::Changes,
+                            &mut [line(*i, *mode, *build, started)].into_iter(),
+                        );
                     }
                     Event::News(build, course, cap) => {
                         ears.stage(Build(*build), Stage(1), *course, *cap, Duration::ZERO);
@@ -141,7 +145,7 @@
                     }
                 }
             }
-            for (_, id, leg, at, ending) in out.extract_if(.., |(due, ..)| *due <= now) {
+            for (_, id, attempt, at, ending) in out.extract_if(.., |(due, ..)| *due <= now) {
                 let served = ending == Ending::Served && owed.remove(&id).is_some();
                 if served {
                     done.insert(id);
@@ -151,7 +155,7 @@
                     let ran = taken.out.take().filter(|_| ending.may_have_run());
                     taken.risk = taken.risk.or(ran);
                 }
-                ears.ended(id, leg, at, ending, STEP, closed);
+                ears.ended(id, attempt, at, ending, STEP, closed);
             }
         };
         brain.round(now, hear, &mut decided);
@@ -176,11 +180,11 @@
             // An appliance that says nothing is given up in time for the answer.
             let (due, ending) =
                 if due < taken.until { (due, ending) } else { (taken.until, Ending::TimedOut) };
-            out.push((due, id, Leg(taken.legs), to, ending));
-            (taken.legs, taken.out) = (taken.legs + 1, Some((now, zone)));
+            out.push((due, id, AttemptNumber(taken.attempts), to, ending));
+            (taken.attempts, taken.out) = (taken.attempts + 1, Some((now, zone)));
         }
-        for (id, leg) in decided.called_off {
-            out.iter_mut().filter(|one| (one.1, one.2) == (id, leg)).for_each(|one| {
+        for (id, attempt) in decided.called_off {
+            out.iter_mut().filter(|one| (one.1, one.2) == (id, attempt)).for_each(|one| {
                 (one.0, one.4) = (now, Ending::CalledOff);
             });
         }
@@ -203,7 +207,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 1000, rng_seed: RngSeed::Fixed(0x0eed), failure_persistence: None, ..Default::default() })]
     #[test]
-    fn every_txn_has_one_answer(
+    fn every_request_has_one_answer(
         events in prop::collection::vec(event(), 1..120), fates in prop::collection::vec(fate(), 1..20),
         seed in any::<u64>(), may_call_off in any::<bool>(),
     ) {
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -3,18 +3,18 @@
 //!     set KEY VALUE                        before the first round, changes what a part is made with
 //!     product KIND SLA [GROUP REMEMBERED]  KIND is inquiry, referenced or once; times in ms
 //!     at MS                                begins a round; the events that follow come in with it
-//!     roster KIND ID:MODE:BUILD[:AGE[:ZONE]] ..   | txn ID PRODUCT [DEADLINE] [MARK]   | left ID
-//!     ended ID/LEG APPLIANCE ENDING TOOK [closed] | stage BUILD STAGE COURSE CAP     | voted ENDING
+//!     membership KIND ID:MODE:BUILD[:AGE[:ZONE]] ..   | request ID PRODUCT [DEADLINE] [MARK]   | left ID
+//!     ended ID/ATTEMPT APPLIANCE ENDING TOOK [closed] | stage BUILD STAGE COURSE CAP         | voted ENDING
 //!     ends MS                              the agent ends then
-//!     burst MANY PRODUCT                   so many txns in one round
-//!     go ID/LEG yes|no                     whether it may still go after a wait for its connection
+//!     burst MANY PRODUCT                   so many requests in one round
+//!     go ID/ATTEMPT yes|no                 whether it may still go after a wait for its connection
 //!     open on|hold [BUILD:ZONE[:PRODUCTS]] ..  all that is open, as a mask of products, with the step on or without;
 //!                                          open all: the operator's rules are gone
 //!     wrong APPLIANCE PRODUCT AGO          an answer sent so long ago was found wrong
 //!     report FROM BUILD SERIAL T/U/A [ID:PRODUCT:MANY:BAD ..]  a peer's report: work in time, usual, asked, counts
 //!     noted TEXT                                    a note since the start holds this
 //!     restart                                       the agent dies and comes back
-//!     flow MS PRODUCT SHARES               until then a txn every 10 ms, answered after 50 ms; of SHARES, as
+//!     flow MS PRODUCT SHARES               until then a request every 10 ms, answered after 50 ms; of SHARES, as
 //!                                          BUILD=N or @ID=N, every Nth fails
 //!     expect DECISION / never DECISION     what was, or was not, decided in this round (in the flow, after one)
 //!     most N DECISION                      so often at most since the start
@@ -45,8 +45,8 @@
     now: Vec<String>,
     ever: Vec<String>,
     noted: Vec<String>,
-    out: VecDeque<(TxnId, Leg, ApplianceId)>,
-    legs: BTreeMap<TxnId, u8>,
+    out: VecDeque<(RequestId, AttemptNumber, ApplianceId)>,
+    attempts: BTreeMap<RequestId, u8>,
 }
 
 impl Written {
@@ -57,21 +57,21 @@
 }
 
 impl Decisions for Written {
-    fn submit(&mut self, id: TxnId, to: ApplianceId, _: Duration) {
-        self.put(format!("submit {} {}", id.0, to.0));
-        let leg = self.legs.entry(id).or_default();
-        self.book.iter_mut().for_each(|book| book.submit(self.at, id, Leg(*leg), to));
-        self.out.push_back((id, Leg(*leg), to));
-        *leg += 1;
+    fn send_attempt(&mut self, id: RequestId, to: ApplianceId, _: Duration) {
+        self.put(format!("attempt {} {}", id.0, to.0));
+        let attempt = self.attempts.entry(id).or_default();
+        self.book.iter_mut().for_each(|book| book.attempt(self.at, id, AttemptNumber(*attempt), to));
+        self.out.push_back((id, AttemptNumber(*attempt), to));
+        *attempt += 1;
     }
-    fn decline(&mut self, id: TxnId, _: Duration) {
+    fn decline(&mut self, id: RequestId, _: Duration) {
         self.put(format!("decline {}", id.0));
     }
-    fn void(&mut self, id: TxnId) {
+    fn void(&mut self, id: RequestId) {
         self.put(format!("void {}", id.0));
     }
-    fn call_off(&mut self, id: TxnId, leg: Leg) {
-        self.put(format!("call-off {}/{}", id.0, leg.0));
+    fn call_off(&mut self, id: RequestId, attempt: AttemptNumber) {
+        self.put(format!("call-off {}/{}", id.0, attempt.0));
     }
     fn wake(&mut self, _: Duration, _: Ticket) {}
     fn probe(&mut self, _: ApplianceId) {}
@@ -84,10 +84,10 @@
     fn log(&mut self, text: &str) {
         println!("{text}");
     }
-    fn watch_roster(&mut self, _: bool) {
+    fn watch_membership(&mut self, _: bool) {
         self.put("watch".into());
     }
-    fn fetch_roster(&mut self) {}
+    fn fetch_membership(&mut self) {}
     fn note(&mut self, note: Note) {
         self.noted.push(format!("{note:?}"));
         self.book.iter_mut().for_each(|book| book.note(self.at, note));
@@ -131,7 +131,7 @@
         let set = |key: &str, usual: f64| self.set.get(key).copied().unwrap_or(usual);
         let span = |key, usual| Duration::from_secs_f64(set(key, usual) / 1000.0);
         let asks = set("asks", 0.0) > 0.0;
-        let roster = Roster::new(Zone(0), asks.then_some(Duration::from_secs(10)));
+        let membership = Membership::new(Zone(0), asks.then_some(Duration::from_secs(10)));
         let thaw = Thaw::new(0.34, span("ramp", 4000.0), 2.5, Duration::from_secs(1));
         let tick = Duration::from_millis(5);
         let per_product = set("per-product", 0.0) > 0.0;
@@ -148,7 +148,7 @@
         let among = Among { me, agents, may_tell: true };
         let jury = Jury::new(gate, rings, dwell, calls, true, among, self.products.len());
         let desk = Desk::new(self.products.clone(), 3, true, Duration::from_secs(1), tick);
-        Brain::new(7, roster, thaw, exposure, jury, desk)
+        Brain::new(7, membership, thaw, exposure, jury, desk)
     }
 
     fn round(&mut self, intake: impl FnOnce(&mut dyn Hears)) {
@@ -159,14 +159,14 @@
         self.brain = Some(brain);
     }
 
-    fn txn(&self, product: &str, deadline: Duration, mark: Option<&&str>) -> Txn {
+    fn request(&self, product: &str, deadline: Duration, mark: Option<&&str>) -> Request {
         let product = Product(product.parse().expect("a product"));
         let mark = mark.map(|m| Mark(m.parse().expect("a mark")));
         let hint = Some(Duration::from_millis(50));
-        Txn { product, tenant: Tenant(0), mark, deadline, hint, repeated: false }
+        Request { product, tenant: Tenant(0), mark, deadline, hint, repeated: false }
     }
 
-    fn roster(&mut self, kind: &str, entries: &[&str]) {
+    fn membership(&mut self, kind: &str, entries: &[&str]) {
         let listing = match kind {
             "whole" => Listing::Whole,
             "changes" => Listing::Changes,
@@ -176,39 +176,39 @@
         let now = self.now;
         let lines: Vec<Line> = entries.iter().map(|e| line(e, now)).collect();
         self.lines.extend(lines.iter().map(|l| (l.appliance.0, *l)));
-        self.round(|ear| ear.roster(listing, &mut lines.into_iter()));
+        self.round(|ear| ear.membership(listing, &mut lines.into_iter()));
     }
 
-    /// A txn every 10 ms and the answers due; no queue, no load: just a script of outcomes.
+    /// A request every 10 ms and the answers due; no queue, no load: just a script of outcomes.
     fn flow(&mut self, until: Duration, product: &str, fails: &BTreeMap<String, u32>) {
-        let mut due: VecDeque<(Duration, TxnId, Leg, ApplianceId)> = VecDeque::new();
+        let mut due: VecDeque<(Duration, RequestId, AttemptNumber, ApplianceId)> = VecDeque::new();
         self.written.out.clear();
         let mut count: BTreeMap<String, u32> = BTreeMap::new();
         while self.now < until {
             self.now += Duration::from_millis(10);
             self.flowing += 1;
-            let id = TxnId(1_000_000 + self.flowing);
-            let txn = self.txn(product, self.now + Duration::from_secs(2), None);
+            let id = RequestId(1_000_000 + self.flowing);
+            let request = self.request(product, self.now + Duration::from_secs(2), None);
             let mut answers = Vec::new();
             while due.front().is_some_and(|(at, ..)| *at <= self.now) {
-                let (_, txn, leg, to) = due.pop_front().expect("due");
+                let (_, request, attempt, to) = due.pop_front().expect("due");
                 let build = self.lines[&to.0].build.0.to_string();
                 let bad = [build, format!("@{}", to.0)].into_iter().any(|key| {
                     let many = count.entry(key.clone()).or_default();
                     *many += 1;
                     fails.get(&key).is_some_and(|n| many.is_multiple_of(*n))
                 });
-                answers.push((txn, leg, to, if bad { Ending::Failed } else { Ending::Served }));
+                answers.push((request, attempt, to, if bad { Ending::Failed } else { Ending::Served }));
             }
             self.written.now.clear();
             self.round(|ear| {
-                for (id, leg, to, ending) in answers {
-                    ear.ended(id, leg, to, ending, Duration::from_millis(50), ending == Ending::Served);
+                for (id, attempt, to, ending) in answers {
+                    ear.ended(id, attempt, to, ending, Duration::from_millis(50), ending == Ending::Served);
                 }
-                ear.txn(id, txn);
+                ear.request(id, request);
             });
             let at = self.now + Duration::from_millis(50);
-            due.extend(self.written.out.drain(..).map(|(id, leg, to)| (at, id, leg, to)));
+            due.extend(self.written.out.drain(..).map(|(id, attempt, to)| (at, id, attempt, to)));
         }
     }
 
@@ -238,30 +238,36 @@
                 self.written.now.clear();
                 self.round(|_| {});
             }
-            ["roster", kind, entries @ ..] => self.roster(kind, entries),
-            ["txn", id, product, rest @ ..] => {
+            ["membership", kind, entries @ ..] => self.membership(kind, entries),
+            ["request", id, product, rest @ ..] => {
                 let deadline = rest.first().map_or(self.now + Duration::from_secs(2), |e| ms(e));
-                let txn = self.txn(product, deadline, rest.get(1));
-                self.round(|ear| ear.txn(TxnId(id.parse().expect("an id")), txn));
+                let request = self.request(product, deadline, rest.get(1));
+                self.round(|ear| ear.request(RequestId(id.parse().expect("an id")), request));
             }
             ["burst", many, product] => {
-                let txn = self.txn(product, self.now + Duration::from_secs(2), None);
+                let request = self.request(product, self.now + Duration::from_secs(2), None);
                 let many = many.parse().expect("a number");
-                self.round(|ear| (0..many).for_each(|i| ear.txn(TxnId(2_000_000 + i), txn)));
+                self.round(|ear| (0..many).for_each(|i| ear.request(RequestId(2_000_000 + i), request)));
             }
             ["ends", last] => self.round(|ear| ear.ends(ms(last))),
-            ["left", id] => self.round(|ear| ear.client_left(TxnId(id.parse().expect("an id")))),
-            ["ended", leg, at, how, took, closed @ ..] => {
-                let (id, leg) = leg.split_once('/').expect("ID/LEG");
-                let (id, leg) = (TxnId(id.parse().expect("an id")), Leg(leg.parse().expect("a leg")));
+            ["left", id] => self.round(|ear| ear.client_left(RequestId(id.parse().expect("an id")))),
+            ["ended", attempt, at, how, took, closed @ ..] => {
+                let (id, attempt) = attempt.split_once('/').expect("ID/ATTEMPT");
+                let (id, attempt) = (
+                    RequestId(id.parse().expect("an id")),
+                    AttemptNumber(attempt.parse().expect("an attempt number")),
+                );
                 let (at, took, how) = (ApplianceId(at.parse().expect("an id")), ms(took), ending(how));
-                self.round(|ear| ear.ended(id, leg, at, how, took, !closed.is_empty()));
+                self.round(|ear| ear.ended(id, attempt, at, how, took, !closed.is_empty()));
             }
-            ["go", leg, want] => {
-                let (id, leg) = leg.split_once('/').expect("ID/LEG");
-                let (id, leg) = (TxnId(id.parse().expect("an id")), Leg(leg.parse().expect("a leg")));
+            ["go", attempt, want] => {
+                let (id, attempt) = attempt.split_once('/').expect("ID/ATTEMPT");
+                let (id, attempt) = (
+                    RequestId(id.parse().expect("an id")),
+                    AttemptNumber(attempt.parse().expect("an attempt number")),
+                );
                 let mut may = false;
-                self.round(|ear| may = ear.may_go(id, leg));
+                self.round(|ear| may = ear.may_go(id, attempt));
                 assert_eq!(may, *want == "yes");
             }
             ["stage", build, stage, course, cap] => {
