--- a/src/brain.rs
+++ b/src/brain.rs
@@ -224,7 +224,7 @@
     }
 
     /// Those that agents report to: a few, spread by the build, so that hundreds need not hear of each other.
-    fn judges(&self, build: Build) -> impl Iterator<Item = AgentId> + use<> {
+    pub(crate) fn judges(&self, build: Build) -> impl Iterator<Item = AgentId> + use<> {
         let (agents, some) = (self.among.agents.max(1), self.among.agents.clamp(1, JUDGES));
         (0..some).map(move |i| AgentId((u32::from(build.0) + i * agents / some) % agents))
     }
@@ -259,19 +259,15 @@
     /// Passes counts of outcomes on to the judges, with what work was served in time since, would usually be
     /// and was asked: at most a short message a dwell, and none without an outcome of the trial's.
     fn report(&mut self, now: Duration, woke: Duration, news: News, turn: f64, out: &mut dyn Decisions) {
+        self.pass_on(now, news.build, out);
         let heard = self.own.report.keys().any(|(trial, _)| trial.is_some());
         if !heard || now < self.own.report_at || self.own.build != Some(news.build) {
             return;
         }
-        self.own.report_at = now + self.dwell.mul_f64(turn);
         // What an agent that stood still did not serve in time is its own doing.
         let sums = self.own.take_sums().map(|sum| if now < woke + USUAL / 4 { 0 } else { sum });
         self.own.pool(now, USUAL / 4, sums);
-        self.own.version.1 += 1;
-        let octets = report::write(news.build, self.own.version, sums, &mut self.own.report);
-        for judge in self.judges(news.build).filter(|judge| self.among.may_tell && *judge != self.among.me) {
-            out.tell(Some(judge), &octets);
-        }
+        self.send_report(now, news.build, sums, turn, out);
     }
 
     /// Takes a report: only of the build in hand, newer than the last of its sender, about known products
@@ -280,17 +276,17 @@
         let Some((build, version, sums, entries)) = report::read(octets) else { return };
         let last = self.own.heard.get(&from).copied().unwrap_or_default();
         let known = self.own.build == Some(build) && from.0 < self.among.agents;
-        if !known || !self.judging(build) || version <= last {
+        if !known || version <= last {
             return;
         }
+        let (products, at) = (self.products, |id| fleet.0.get(&id).is_some_and(|a| a.line.build == build));
+        let entries = entries.filter(|e| e.0.is_none_or(at) && usize::from(e.1.0) < products);
+        if !self.judging(build) {
+            return self.pool_for_group(now, from, (build, version), sums, entries);
+        }
         self.own.heard.insert(from, version);
         self.own.pool(now, USUAL / 4, sums);
-        for (trial, product, counts) in entries {
-            let at = |id| fleet.0.get(&id).is_some_and(|a: &Appliance| a.line.build == build);
-            if trial.is_none_or(at) && usize::from(product.0) < self.products {
-                self.learn(trial, product, counts);
-            }
-        }
+        entries.for_each(|(trial, product, counts)| self.learn(trial, product, counts));
     }
 
     pub(crate) fn begin(&mut self, now: Duration, build: Build, started: Duration, past: &Demand, turn: f64) {
@@ -299,7 +295,7 @@
         self.own.bore = if started + USUAL / 4 < now { borne / weight.max(1e-9) } else { 0.0 };
         (self.own.build, self.own.turn) = (Some(build), turn);
         self.own.version.0 = started.as_millis() as u32;
-        self.own.report.clear();
+        (self.own.report, self.own.pooled) = Default::default();
         (self.own.sums, self.own.kept, self.own.met, self.own.before, self.own.stage) = Default::default();
         let level = self.level();
         self.own.tests = (0..=self.products).map(|_| Test::new(THETA0, TAU, level)).collect();
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -11,5 +11,6 @@
 pub mod openings;
 pub mod parts;
 pub mod port;
+mod relay;
 mod report;
 mod state;
--- a/src/report.rs
+++ b/src/report.rs
@@ -4,20 +4,23 @@
 
 const HEAD: usize = 16;
 const RECORD: usize = 9;
-const LONGEST: usize = 256;
+/// The longest report.
+pub(crate) const LONGEST: usize = 256;
+/// How many counts of outcomes a report can hold.
+pub(crate) const MOST_ENTRIES: usize = (LONGEST - HEAD) / RECORD;
 
 /// A life of an agent and a number that grows with each of its reports; later ones compare higher.
 pub(crate) type Version = (u32, u32);
 
-/// The build, the version, the sums, and as many counts of outcomes as fit, those at the trial build first.
-pub(crate) fn write(build: Build, version: Version, sums: [u16; 3], report: &mut Report) -> Vec<u8> {
+/// The build, the version, the sums, and as many counts of outcomes as fit.
+pub(crate) fn write(
+    build: Build, version: Version, sums: [u16; 3], entries: impl Iterator<Item = Entry>,
+) -> Vec<u8> {
     let mut octets = build.0.to_be_bytes().to_vec();
     octets.extend(version.0.to_be_bytes());
     octets.extend(version.1.to_be_bytes());
     octets.extend(sums.iter().flat_map(|sum| sum.to_be_bytes()));
-    while octets.len() + RECORD <= LONGEST
-        && let Some(((trial, product), counts)) = report.pop_last()
-    {
+    for (trial, product, counts) in entries.take(MOST_ENTRIES) {
         octets.extend(trial.map_or(u32::MAX, |a| a.0).to_be_bytes());
         octets.push(product.0);
         octets.extend(counts);
@@ -25,6 +28,11 @@
     octets
 }
 
+/// Takes counts out of a report, those at the trial build first.
+pub(crate) fn drain(report: &mut Report) -> impl Iterator<Item = Entry> {
+    std::iter::from_fn(|| report.pop_last().map(|((trial, product), counts)| (trial, product, counts)))
+}
+
 pub(crate) type Entry = (Option<ApplianceId>, Product, Counts);
 
 /// Reads such a message; nothing of one that is malformed or too long.
--- a/src/state.rs
+++ b/src/state.rs
@@ -4,6 +4,7 @@
 
 use crate::brain::Test;
 use crate::port::*;
+use crate::relay::Pool;
 use crate::report::Version;
 
 /// A sum whose older parts fade, brought up to date when it is read.
@@ -470,6 +471,8 @@
     pub(crate) before: Option<[f64; 2]>,
     pub(crate) stage: Stage,
     pub(crate) version: Version,
+    /// What this agent has to pass on for its group.
+    pub(crate) pooled: Pool,
     /// The version of the last report from each sender.
     pub(crate) heard: BTreeMap<AgentId, Version>,
 }
