--- a/tests/reports/relaying.rs
+++ b/tests/reports/relaying.rs
@@ -241,3 +241,20 @@
         }
     }
 }
+
+/// While more appliances are reported on than one datagram has room for, each has its turn.
+#[test]
+fn no_appliance_waits_for_others() {
+    let mut relay = Module::new(RELAY, AGENTS, true);
+    relay.after(SECOND * 2, |_| {});
+    let mut lately = Sums::new();
+    for round in 0..80 {
+        let entries: Vec<_> = (0..20).map(|i| (trial((round * 20 + i) % 40), [2, 1, 0, 0])).collect();
+        let octets = report(DAWN, relay.now + SECOND / 10, &entries);
+        let told = relay.after(SECOND / 10, |ears| ears.peer(AgentId(MEMBERS.start), &octets));
+        if round >= 60 {
+            passed_on(told, &mut lately);
+        }
+    }
+    assert_eq!(lately.len(), 40, "in two seconds all forty");
+}
