--- a/src/brain.rs
+++ b/src/brain.rs
@@ -295,7 +295,7 @@
             out.tell(None, &news.build.0.to_be_bytes());
         }
         let Some(verdict) = self.verdict(now, fleet, news, lost, stays) else {
-            return news.course == Course::OnTrial || self.may_report(news);
+            return news.course == Course::OnTrial || self.has_more_to_report(news);
         };
         let ballot = (news.build, news.stage, verdict);
         if let Some(last) = self.own.vote.as_ref().filter(|v| v.ballot == ballot) {
--- a/src/evidence.rs
+++ b/src/evidence.rs
@@ -17,15 +17,20 @@
         self.own.bore = if started + POOLED < now { borne / weight.max(1e-9) } else { 0.0 };
         (self.own.build, self.own.turn) = (Some(build), turn);
         self.own.version.0 = started.as_millis() as u32;
-        self.own.report.clear();
+        (self.own.report, self.own.pooled) = Default::default();
         (self.own.sums, self.own.kept, self.own.met, self.own.before, self.own.stage) = Default::default();
         let level = self.level();
         self.own.tests = (0..=self.products).map(|_| Test::new(THETA0, TAU, level)).collect();
         self.own.tests.push(Test::new(40.0 * THETA0, 6.0 * TAU, level));
     }
 
+    /// Whether there is anything to say to the judges without hearing more.
+    pub(crate) fn has_more_to_report(&self, news: News) -> bool {
+        self.may_report(news) || self.own.build == Some(news.build) && self.own.pooled.has_counts()
+    }
+
     /// Whether there are outcomes at the build on trial that were not passed on yet.
-    pub(crate) fn may_report(&self, news: News) -> bool {
+    fn may_report(&self, news: News) -> bool {
         self.own.build == Some(news.build) && self.own.report.keys().any(|(trial, _)| trial.is_some())
     }
 
@@ -34,18 +39,14 @@
     pub(crate) fn report(
         &mut self, now: Duration, woke: Duration, news: News, turn: f64, out: &mut dyn Decisions,
     ) {
+        self.pass_on(now, news.build, out);
         if now < self.own.report_at || !self.may_report(news) {
             return;
         }
-        self.own.report_at = now + self.dwell.mul_f64(turn);
         // What an agent that stood still did not serve in time is its own doing.
         let sums = self.own.take_sums().map(|sum| if now < woke + POOLED { 0 } else { sum });
         self.own.pool(now, POOLED, sums);
-        self.own.version.1 += 1;
-        let octets = report::write(news.build, self.own.version, sums, &mut self.own.report);
-        for judge in self.judges(news.build).filter(|judge| self.among.may_tell && *judge != self.among.me) {
-            out.tell(Some(judge), &octets);
-        }
+        self.send_report(now, news.build, sums, turn, out);
     }
 
     fn learn(&mut self, trial: Option<ApplianceId>, product: Product, [many, bad, timed, late]: [u8; 4]) {
@@ -71,16 +72,16 @@
         let Some((build, version, sums, entries)) = report::read(octets) else { return };
         let last = self.own.heard.get(&from).copied().unwrap_or_default();
         let known = self.own.build == Some(build) && from.0 < self.among.agents;
-        if !known || !self.judging(build) || version <= last {
+        if !known || version <= last {
             return;
         }
+        let (products, at) = (self.products, |id| fleet.line(id).is_some_and(|line| line.build == build));
+        let entries = entries.filter(|e| e.0.is_none_or(at) && usize::from(e.1.0) < products);
+        if !self.judging(build) {
+            return self.pool_for_group(now, from, (build, version), sums, entries);
+        }
         self.own.heard.insert(from, version);
         self.own.pool(now, POOLED, sums);
-        for (trial, product, counts) in entries {
-            let at = |id| fleet.line(id).is_some_and(|line| line.build == build);
-            if trial.is_none_or(at) && usize::from(product.0) < self.products {
-                self.learn(trial, product, counts);
-            }
-        }
+        entries.for_each(|(trial, product, counts)| self.learn(trial, product, counts));
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -16,6 +16,7 @@
 pub mod openings;
 pub mod parts;
 pub mod port;
+mod relay;
 mod report;
 mod state;
 mod subset;
