--- a/tests/subset.rs
+++ b/tests/subset.rs
@@ -122,6 +122,14 @@
         play
     }
 
+    /// When the next wake-up or answer is due.
+    fn next_event(&mut self) -> Option<Duration> {
+        let now = self.now;
+        self.wakes.retain(|at| *at > now);
+        let answers = self.out.iter().map(|attempt| attempt.due);
+        self.wakes.first().copied().into_iter().chain(answers).min()
+    }
+
     fn members(&self) -> BTreeSet<ApplianceId> {
         self.brain.members().collect()
     }
@@ -234,6 +242,24 @@
     assert_eq!(play.beat(1, READ, |_, _| SERVED).len(), 1, "what comes then is sent at once");
 }
 
+/// An agent with a request now and then, woken only when it asked for it or an answer comes, refuses none of them.
+#[rstest]
+fn a_nearly_idle_agent_refuses_nothing(#[values(35, 600, 7400)] listed: u32) {
+    for me in 0..30 {
+        let mut play = Play::new(me, AGENTS, &lines(listed));
+        for number in 0..30 {
+            let next = play.now + ms(700 + u64::from(me * 7 + number * 13) % 19 * 1000);
+            while let Some(event) = play.next_event().filter(|event| *event < next) {
+                play.now = event;
+                play.round(|_| {}, |_, _| SERVED);
+            }
+            play.now = next;
+            assert_eq!(play.beat(1, READ, |_, _| SERVED).len(), 1, "agent {me}, request {number}");
+        }
+        assert_eq!(play.given_up, [], "agent {me}");
+    }
+}
+
 /// What is out, or a build on trial, keeps the module awake.
 #[rstest]
 fn a_module_with_something_out_does_not_sleep() {
