--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -288,3 +288,28 @@
     let (met, _) = serve(agents, appliances, a_second, 1);
     assert!(met.iter().all(|links| *links as u32 > appliances * 9 / 10), "{met:?} of {appliances}");
 }
+
+/// What an agent could have asked for counts as told to it so long after the service had it and could be reached.
+const TOLD_AFTER: Duration = Duration::from_secs(6);
+
+/// However many calls have failed, an agent asks again so soon that the answer, which may take the service's patience,
+/// comes before a change counts as told: the service may have come back directly after the last failure.
+#[rstest]
+fn an_agent_asks_again_before_a_change_counts_as_told() {
+    let (step, mut longest) = (Duration::from_millis(20), Duration::ZERO);
+    for seed in 0..20 {
+        let mut now = Duration::from_secs(100);
+        let (mut brain, mut failures, mut waiting_since) = (agent(3, 30, seed), 0, now);
+        asks(&mut brain, now, Some(Listing::Saved));
+        while failures < 8 {
+            now += step;
+            if asks(&mut brain, now, None) {
+                longest = longest.max(now - waiting_since);
+                failures += 1;
+                waiting_since = now;
+                asks(&mut brain, now, Some(Listing::Failed));
+            }
+        }
+    }
+    assert!(longest + Service::PATIENCE <= TOLD_AFTER, "{longest:?} without a call");
+}
