--- a/src/parts.rs
+++ b/src/parts.rs
@@ -106,6 +106,8 @@
     pub(crate) rolling: bool,
     pub(crate) among: Among,
     pub(crate) products: usize,
+    /// Whether reports go through relays where there are many agents.
+    pub(crate) relayed: bool,
     pub(crate) own: Judged,
 }
 
@@ -114,7 +116,14 @@
         gate: Gate, rings: Vec<f64>, dwell: Duration, calls: Calls, rolling: bool, among: Among,
         products: usize,
     ) -> Self {
-        Jury { gate, rings, dwell, calls, rolling, among, products, own: Judged::default() }
+        let (relayed, own) = (false, Judged::default());
+        Jury { gate, rings, dwell, calls, rolling, among, products, relayed, own }
+    }
+
+    /// The same, whose reports go through relays in fleets of more than 300 agents. All agents of a fleet have to do
+    /// so, or none: what a relay hears from others is not for it.
+    pub fn with_relays(self) -> Self {
+        Jury { relayed: true, ..self }
     }
 }
 
--- a/src/relay.rs
+++ b/src/relay.rs
@@ -161,7 +161,7 @@
     fn groups(&self, now: Duration, build: Build) -> Option<Groups> {
         let term = (self.dwell * TERM).as_millis().max(1);
         let turn = u64::from(build.0) + (now.as_millis() / term) as u64;
-        Groups::new(self.among, self.judges(build).collect(), turn)
+        Groups::new(self.among, self.judges(build).collect(), turn).filter(|_| self.relayed)
     }
 
     /// Where this agent's own reports on a build go now.
@@ -184,7 +184,7 @@
     fn next_version(&mut self, now: Duration) -> Version {
         let (start, last) = self.own.version;
         let next = last.wrapping_add(1);
-        let relayed = self.among.may_tell && self.among.agents > MOST_DIRECT;
+        let relayed = self.relayed && self.among.may_tell && self.among.agents > MOST_DIRECT;
         let since_start = (now.as_millis() as u32).wrapping_sub(start);
         self.own.version.1 = if relayed { next.max(since_start) } else { next };
         self.own.version
--- a/tests/reports/fleet.rs
+++ b/tests/reports/fleet.rs
@@ -35,7 +35,7 @@
         Membership::new(Zone(0), None),
         Thaw::new(0.34, ms(4000), 2.5, ms(1000)),
         Exposure::new(ms(4000), ms(5), 3.0, 0.1, false, 1, false),
-        Jury::new(Gate::Single, vec![0.1, 0.5, 1.0], DWELL, calls, true, among, 1),
+        Jury::new(Gate::Single, vec![0.1, 0.5, 1.0], DWELL, calls, true, among, 1).with_relays(),
         Desk::new(vec![READ], 3, true, ms(2000), ms(5)),
     )
 }
