--- a/tests/reports/fleet.rs
+++ b/tests/reports/fleet.rs
@@ -26,7 +26,17 @@
     late_share: 0.0,
 };
 
+/// An agent whose reports go through relays.
 pub fn module(me: u32, agents: u32, may_tell: bool, seed: u64) -> Brain {
+    module_with(me, agents, may_tell, seed, Jury::with_relays)
+}
+
+/// An agent as it is made without asking for relays.
+pub fn module_without_relays(me: u32, agents: u32) -> Brain {
+    module_with(me, agents, true, 1, |jury| jury)
+}
+
+fn module_with(me: u32, agents: u32, may_tell: bool, seed: u64, change: impl FnOnce(Jury) -> Jury) -> Brain {
     let ms = Duration::from_millis;
     let among = Among { me: AgentId(me), agents, may_tell };
     let calls = Calls { lasts: ms(6000), wait: ms(1200) };
@@ -35,7 +45,7 @@
         Membership::new(Zone(0), None),
         Thaw::new(0.34, ms(4000), 2.5, ms(1000)),
         Exposure::new(ms(4000), ms(5), 3.0, 0.1, false, 1, false),
-        Jury::new(Gate::Single, vec![0.1, 0.5, 1.0], DWELL, calls, true, among, 1).with_relays(),
+        change(Jury::new(Gate::Single, vec![0.1, 0.5, 1.0], DWELL, calls, true, among, 1)),
         Desk::new(vec![READ], 3, true, ms(2000), ms(5)),
     )
 }
--- a/tests/reports/main.rs
+++ b/tests/reports/main.rs
@@ -73,23 +73,35 @@
     assert_eq!(run(scene, SECOND * 9, false).sent.len(), 0);
 }
 
-/// Octet by octet: to each judge but itself, with a serial number that counts, one appliance's outcome each time.
+/// What a member of a fleet tells: octet by octet, to each judge but itself, with a serial number that counts, one
+/// appliance's outcome each time.
+fn tells_the_judges(mut member: relaying::Module, me: u32, agents: u32) {
+    let judges = (0..agents.min(3)).map(|i| AgentId((2 + i * agents / agents.min(3)) % agents));
+    for serial in 1..4_u32 {
+        let told = member.after(DWELL, |ears| ears.wrong_answer(trial(0), Product(0), Duration::ZERO));
+        let mut octets = vec![0, 2];
+        octets.extend((DAWN.as_millis() as u32).to_be_bytes());
+        octets.extend(serial.to_be_bytes());
+        octets.extend([0; 6]);
+        octets.extend(trial(0).0.to_be_bytes());
+        octets.extend([0, 0, 1, 0, 0]);
+        let others = judges.clone().filter(|judge| judge.0 != me);
+        let expected: Vec<_> = others.map(|judge| (Some(judge), octets.clone())).collect();
+        assert_eq!(told, expected, "agent {me} of {agents}");
+    }
+}
+
 #[rstest]
 fn a_small_fleet_sends_what_it_always_did(#[values(1, 2, 3, 4, 30, 200, 300)] agents: u32) {
     for me in [0, agents / 2, agents - 1] {
-        let mut member = relaying::Module::new(me, agents, true);
-        let judges = (0..agents.min(3)).map(|i| AgentId((2 + i * agents / agents.min(3)) % agents));
-        for serial in 1..4_u32 {
-            let told = member.after(DWELL, |ears| ears.wrong_answer(trial(0), Product(0), Duration::ZERO));
-            let mut octets = vec![0, 2];
-            octets.extend((DAWN.as_millis() as u32).to_be_bytes());
-            octets.extend(serial.to_be_bytes());
-            octets.extend([0; 6]);
-            octets.extend(trial(0).0.to_be_bytes());
-            octets.extend([0, 0, 1, 0, 0]);
-            let others = judges.clone().filter(|judge| judge.0 != me);
-            let expected: Vec<_> = others.map(|judge| (Some(judge), octets.clone())).collect();
-            assert_eq!(told, expected, "agent {me} of {agents}");
-        }
+        tells_the_judges(relaying::Module::new(me, agents, true), me, agents);
+    }
+}
+
+/// A large fleet that was not asked to use relays reports as a small one does.
+#[rstest]
+fn without_relays_a_large_fleet_reports_to_the_judges(#[values(301, 530, 900)] agents: u32) {
+    for me in [0, agents / 2, agents - 1] {
+        tells_the_judges(relaying::Module::without_relays(me, agents), me, agents);
     }
 }
--- a/tests/reports/relaying.rs
+++ b/tests/reports/relaying.rs
@@ -27,8 +27,17 @@
         Module::started(DAWN, me, agents, may_tell)
     }
 
+    /// One that was not asked to report through relays.
+    pub fn without_relays(me: u32, agents: u32) -> Self {
+        Module::with_list(module_without_relays(me, agents), DAWN)
+    }
+
     fn started(now: Duration, me: u32, agents: u32, may_tell: bool) -> Self {
-        let mut module = Module { brain: module(me, agents, may_tell, 1), now };
+        Module::with_list(module(me, agents, may_tell, 1), now)
+    }
+
+    fn with_list(brain: Brain, now: Duration) -> Self {
+        let mut module = Module { brain, now };
         let scene = Scene { appliances: 400, on_trial: 40, ..Scene::default() };
         module.after(Duration::ZERO, |ears| tell_list(scene, Some(DAWN - SECOND * 10), ears));
         module
