--- a/crates/standin/src/decided.rs
+++ b/crates/standin/src/decided.rs
@@ -1,5 +1,5 @@
 //! Owns what a module decided, as far as tests over many modules ask for it: whether it wants the list, what it sent
-//! where, what it gave up or called off. It carries nothing out, and forgets the rest.
+//! where, what it gave up or called off, told its peers and voted, and when it wants to be woken. It carries nothing out, and forgets the rest.
 use std::time::Duration;
 
 use lilacgate::port::*;
@@ -12,6 +12,11 @@
     /// What was given up, and whether its client is told that it may come again.
     pub given_up: Vec<(RequestId, bool)>,
     pub called_off: Vec<(RequestId, AttemptNumber)>,
+    /// When it wants to be woken.
+    pub wakes: Vec<Duration>,
+    /// What it told one peer, or all.
+    pub told: Vec<(Option<AgentId>, Vec<u8>)>,
+    pub votes: Vec<Verdict>,
 }
 
 impl Decisions for Decided {
@@ -27,14 +32,20 @@
     fn call_off(&mut self, id: RequestId, attempt: AttemptNumber) {
         self.called_off.push((id, attempt));
     }
-    fn wake(&mut self, _: Duration, _: Ticket) {}
+    fn wake(&mut self, at: Duration, _: Ticket) {
+        self.wakes.push(at);
+    }
     fn probe(&mut self, _: ApplianceId) {}
     fn free_links(&mut self, _: ApplianceId) {}
-    fn tell(&mut self, _: Option<AgentId>, _: &[u8]) {}
+    fn tell(&mut self, peer: Option<AgentId>, octets: &[u8]) {
+        self.told.push((peer, octets.to_vec()));
+    }
     fn log(&mut self, _: &str) {}
     fn watch_membership(&mut self, on: bool) {
         self.watches = on;
     }
     fn fetch_membership(&mut self) {}
-    fn vote(&mut self, _: Build, _: Stage, _: Verdict) {}
+    fn vote(&mut self, _: Build, _: Stage, verdict: Verdict) {
+        self.votes.push(verdict);
+    }
 }
--- a/src/relay.rs
+++ b/src/relay.rs
@@ -34,13 +34,9 @@
 }
 
 impl Groups {
-    /// The groups, if there are too many agents for the judges to hear each of them.
-    fn new(among: Among, judges: Vec<AgentId>, turn: u64) -> Option<Self> {
-        if !among.may_tell || among.agents <= MOST_DIRECT {
-            return None;
-        }
-        let count = (among.agents / MEMBERS_PER_GROUP_COUNT).isqrt().max(1);
-        Some(Groups { agents: among.agents, count, judges, turn })
+    fn new(agents: u32, judges: Vec<AgentId>, turn: u64) -> Self {
+        let count = (agents / MEMBERS_PER_GROUP_COUNT).isqrt().max(1);
+        Groups { agents, count, judges, turn }
     }
 
     /// Neighbours in number prefer the same appliances, which keeps the sum of their reports short.
@@ -158,10 +154,18 @@
 }
 
 impl Jury {
+    /// Whether this fleet's reports go through relays: there are too many agents for the judges to hear each of them.
+    fn uses_relays(&self) -> bool {
+        self.relayed && self.among.may_tell && self.among.agents > MOST_DIRECT
+    }
+
     fn groups(&self, now: Duration, build: Build) -> Option<Groups> {
+        if !self.uses_relays() {
+            return None;
+        }
         let term = (self.dwell * TERM).as_millis().max(1);
         let turn = u64::from(build.0) + (now.as_millis() / term) as u64;
-        Groups::new(self.among, self.judges(build).collect(), turn).filter(|_| self.relayed)
+        Some(Groups::new(self.among.agents, self.judges(build).collect(), turn))
     }
 
     /// Where this agent's own reports on a build go now.
@@ -184,9 +188,8 @@
     fn next_version(&mut self, now: Duration) -> Version {
         let (start, last) = self.own.version;
         let next = last.wrapping_add(1);
-        let relayed = self.relayed && self.among.may_tell && self.among.agents > MOST_DIRECT;
         let since_start = (now.as_millis() as u32).wrapping_sub(start);
-        self.own.version.1 = if relayed { next.max(since_start) } else { next };
+        self.own.version.1 = if self.uses_relays() { next.max(since_start) } else { next };
         self.own.version
     }
 
--- a/tests/reports/fleet.rs
+++ b/tests/reports/fleet.rs
@@ -5,6 +5,7 @@
 use lilacgate::brain::Brain;
 use lilacgate::parts::*;
 use lilacgate::port::*;
+use lilacgate_standin::decided::Decided;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -96,38 +97,6 @@
     pub octets: Vec<u8>,
 }
 
-/// What one round decided, as far as it matters here.
-#[derive(Default)]
-pub struct Decided {
-    attempts: Vec<(RequestId, ApplianceId)>,
-    wake: Option<Duration>,
-    pub told: Vec<(Option<AgentId>, Vec<u8>)>,
-    votes: Vec<Verdict>,
-}
-
-impl Decisions for Decided {
-    fn send_attempt(&mut self, id: RequestId, to: ApplianceId, _: Duration) {
-        self.attempts.push((id, to));
-    }
-    fn decline(&mut self, _: RequestId, _: Duration) {}
-    fn void(&mut self, _: RequestId) {}
-    fn call_off(&mut self, _: RequestId, _: AttemptNumber) {}
-    fn wake(&mut self, at: Duration, _: Ticket) {
-        self.wake = Some(at);
-    }
-    fn probe(&mut self, _: ApplianceId) {}
-    fn free_links(&mut self, _: ApplianceId) {}
-    fn tell(&mut self, peer: Option<AgentId>, octets: &[u8]) {
-        self.told.push((peer, octets.to_vec()));
-    }
-    fn log(&mut self, _: &str) {}
-    fn watch_membership(&mut self, _: bool) {}
-    fn fetch_membership(&mut self) {}
-    fn vote(&mut self, _: Build, _: Stage, verdict: Verdict) {
-        self.votes.push(verdict);
-    }
-}
-
 struct Agent {
     brain: Brain,
     wake: Duration,
@@ -241,13 +210,13 @@
         }
     };
     brain.round(now, hear, &mut decided);
-    if let Some(at) = decided.wake {
+    if let Some(&at) = decided.wakes.last() {
         *wake = at;
     } else if *wake <= now {
         *wake = now + STEP;
     }
     let trials: Vec<_> = (0..scene.on_trial).map(trial).collect();
-    for (id, to) in decided.attempts.drain(..) {
+    for (id, to) in decided.sent.drain(..) {
         let attempt = attempts.entry(id).or_default();
         let fails = now >= RELEASED && trials.contains(&to) && luck.random::<f64>() < scene.failing;
         let ending = if fails { Ending::Failed } else { Ending::Served };
--- a/tests/reports/relaying.rs
+++ b/tests/reports/relaying.rs
@@ -4,6 +4,7 @@
 
 use lilacgate::brain::Brain;
 use lilacgate::port::*;
+use lilacgate_standin::decided::Decided;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, RngSeed, TestRng, TestRunner};
 
--- a/tests/subset.rs
+++ b/tests/subset.rs
@@ -8,6 +8,7 @@
 use lilacgate::openings::Openings;
 use lilacgate::parts::*;
 use lilacgate::port::*;
+use lilacgate_standin::decided::Decided;
 use rstest::rstest;
 
 const DAWN: Duration = Duration::from_secs(100);
@@ -55,37 +56,6 @@
     (0..many).map(line).collect()
 }
 
-/// What a module decided in a round.
-#[derive(Default)]
-struct Decided {
-    sent: Vec<(RequestId, ApplianceId)>,
-    given_up: Vec<RequestId>,
-    wakes: Vec<Duration>,
-}
-
-impl Decisions for Decided {
-    fn send_attempt(&mut self, id: RequestId, to: ApplianceId, _: Duration) {
-        self.sent.push((id, to));
-    }
-    fn decline(&mut self, id: RequestId, _: Duration) {
-        self.given_up.push(id);
-    }
-    fn void(&mut self, id: RequestId) {
-        self.given_up.push(id);
-    }
-    fn call_off(&mut self, _: RequestId, _: AttemptNumber) {}
-    fn wake(&mut self, at: Duration, _: Ticket) {
-        self.wakes.push(at);
-    }
-    fn probe(&mut self, _: ApplianceId) {}
-    fn free_links(&mut self, _: ApplianceId) {}
-    fn tell(&mut self, _: Option<AgentId>, _: &[u8]) {}
-    fn log(&mut self, _: &str) {}
-    fn watch_membership(&mut self, _: bool) {}
-    fn fetch_membership(&mut self) {}
-    fn vote(&mut self, _: Build, _: Stage, _: Verdict) {}
-}
-
 struct Attempt {
     due: Duration,
     id: RequestId,
@@ -161,7 +131,7 @@
             self.out.push(Attempt { due, id, attempt: AttemptNumber(*attempt), at, ending, took });
             *attempt += 1;
         }
-        self.given_up.extend(decided.given_up);
+        self.given_up.extend(decided.given_up.into_iter().map(|(id, _)| id));
         self.wakes.extend(decided.wakes);
         decided.sent
     }
