--- a/crates/agent/src/appliances.rs
+++ b/crates/agent/src/appliances.rs
@@ -112,7 +112,11 @@
     pub fn place(&self, line: &Line, at: SocketAddr) {
         let mut homes = self.homes.borrow_mut();
         let (life, mode) = ((at, line.build, line.started), line.mode);
-        let home = homes.entry(line.appliance).or_insert_with(|| Home { life, mode, idle: Vec::new() });
+        let home = homes.entry(line.appliance).or_insert_with(|| Home {
+            life,
+            mode,
+            idle: Vec::new(),
+        });
         if home.life != life || mode != Mode::Ready {
             close(&mut home.idle, End::Gone);
         }
@@ -131,7 +135,10 @@
 
     /// Whether there is one that takes requests.
     pub fn is_any_ready(&self) -> bool {
-        self.homes.borrow().values().any(|home| home.mode == Mode::Ready)
+        self.homes
+            .borrow()
+            .values()
+            .any(|home| home.mode == Mode::Ready)
     }
 
     /// Closes what has been idle for long, or was closed by the other side.
@@ -140,7 +147,8 @@
         while beat.next().await.is_some() {
             let now = self.clock().now();
             for home in self.homes.borrow_mut().values_mut() {
-                home.idle.retain_mut(|link| link.is_usable(now, self.idle_for));
+                home.idle
+                    .retain_mut(|link| link.is_usable(now, self.idle_for));
             }
         }
     }
@@ -150,13 +158,20 @@
         let mut homes = self.homes.borrow_mut();
         let idle = &mut homes.get_mut(&id)?.idle;
         idle.retain_mut(|link| link.is_usable(now, self.idle_for));
-        let rested = idle.iter().rposition(|link| link.since + self.rest <= now)?;
+        let rested = idle
+            .iter()
+            .rposition(|link| link.since + self.rest <= now)?;
         Some(idle.remove(rested))
     }
 
     /// Opens a link; the longest idle one elsewhere goes where no more may be open.
     async fn connect(&self, id: ApplianceId) -> Result<Link, Ending> {
-        let to = self.homes.borrow().get(&id).map(|home| home.life).ok_or(Ending::Unsent)?;
+        let to = self
+            .homes
+            .borrow()
+            .get(&id)
+            .map(|home| home.life)
+            .ok_or(Ending::Unsent)?;
         let at = to.0;
         if self.open.get() >= self.most_links && !self.close_one() {
             say!("no link to {at}: all {} are in use", self.most_links);
@@ -167,7 +182,11 @@
         let stream = connect(at, self.connect_within).await.map_err(|end| {
             say!("no link to {at}: {end}");
             // What is short here says nothing of the appliance.
-            if end == End::OwnLimit { Ending::Unsent } else { Ending::Unconnected }
+            if end == End::OwnLimit {
+                Ending::Unsent
+            } else {
+                Ending::Unconnected
+            }
         })?;
         count(Count::LinksOpened);
         Ok(Link {
@@ -183,8 +202,13 @@
 
     fn close_one(&self) -> bool {
         let mut homes = self.homes.borrow_mut();
-        let oldest = homes.values_mut().filter(|home| !home.idle.is_empty()).min_by_key(|h| h.idle[0].since);
-        oldest.map(|home| home.idle.remove(0).why = End::Crowded).is_some()
+        let oldest = homes
+            .values_mut()
+            .filter(|home| !home.idle.is_empty())
+            .min_by_key(|h| h.idle[0].since);
+        oldest
+            .map(|home| home.idle.remove(0).why = End::Crowded)
+            .is_some()
     }
 
     /// Keeps a link for the next request, if its appliance is still there.
@@ -197,7 +221,11 @@
     }
 
     async fn attempt(
-        &self, which: (RequestId, AttemptNumber), to: ApplianceId, wording: Wording, until: Duration,
+        &self,
+        which: (RequestId, AttemptNumber),
+        to: ApplianceId,
+        wording: Wording,
+        until: Duration,
         written: &Cell<bool>,
     ) -> Result<Answered, Ending> {
         let mut link = match self.idle_link(to) {
@@ -215,16 +243,32 @@
         let answer = self.exchange(&mut link, &bytes, written).await?;
         let (ending, value, load) = match answer {
             Resp::Array(Some(items)) => match <[Resp; 3]>::try_from(items) {
-                Ok([Resp::Bulk(Some(value)), Resp::Bulk(None) | Resp::Array(None), load]) => {
+                Ok(
+                    [
+                        Resp::Bulk(Some(value)),
+                        Resp::Bulk(None) | Resp::Array(None),
+                        load,
+                    ],
+                ) => {
                     // A report that cannot be read is none; the answer is good all the same.
-                    (Ending::Served, value, if let Resp::Bulk(load) = load { load } else { None })
+                    (
+                        Ending::Served,
+                        value,
+                        if let Resp::Bulk(load) = load {
+                            load
+                        } else {
+                            None
+                        },
+                    )
                 }
                 _ => return Err(malformed(&mut link)),
             },
             Resp::Error(line) => {
                 let words = String::from_utf8(line).map_err(|_| malformed(&mut link))?;
                 let (words, load) = match words.rsplit_once(' ') {
-                    Some((words, load)) if load.contains('=') => (words, Some(load.as_bytes().to_vec())),
+                    Some((words, load)) if load.contains('=') => {
+                        (words, Some(load.as_bytes().to_vec()))
+                    }
                     _ => (words.as_str(), None),
                 };
                 match words {
@@ -236,11 +280,20 @@
             _ => return Err(malformed(&mut link)),
         };
         self.keep(to, link);
-        Ok(Answered { ending, value, load })
+        Ok(Answered {
+            ending,
+            value,
+            load,
+        })
     }
 
     /// Writes a command and reads its answer. Before its last byte is written, nothing has run.
-    async fn exchange(&self, link: &mut Link, bytes: &[u8], written: &Cell<bool>) -> Result<Resp, Ending> {
+    async fn exchange(
+        &self,
+        link: &mut Link,
+        bytes: &[u8],
+        written: &Cell<bool>,
+    ) -> Result<Resp, Ending> {
         link.out.put(bytes);
         if let Err(end) = link.out.flush(&link.stream).await {
             link.why = end;
@@ -253,16 +306,25 @@
             Ok(None) => End::Closed,
             Err(end) => end,
         };
-        Err(if matches!(link.why, End::Malformed | End::TooLong) { Ending::Spoilt } else { Ending::Broken })
+        Err(if matches!(link.why, End::Malformed | End::TooLong) {
+            Ending::Spoilt
+        } else {
+            Ending::Broken
+        })
     }
 
     /// Passes a load report on; fields that it lacks are not numbers.
     fn tell_load(&self, from: ApplianceId, report: Option<Vec<u8>>) {
-        let Some(report) = report.and_then(|report| String::from_utf8(report).ok()) else { return };
+        let Some(report) = report.and_then(|report| String::from_utf8(report).ok()) else {
+            return;
+        };
         let field = |name: &String| {
-            let value =
-                report.split(',').find_map(|pair| pair.strip_prefix(name.as_str())?.strip_prefix('='));
-            value.and_then(|value| value.trim().parse().ok()).unwrap_or(f32::NAN)
+            let value = report
+                .split(',')
+                .find_map(|pair| pair.strip_prefix(name.as_str())?.strip_prefix('='));
+            value
+                .and_then(|value| value.trim().parse().ok())
+                .unwrap_or(f32::NAN)
         };
         let gauges: Vec<f32> = self.gauges.iter().map(field).collect();
         if gauges.iter().any(|gauge| gauge.is_finite()) {
@@ -273,8 +335,12 @@
 
 impl Carries for Appliances {
     fn send_attempt(
-        self: Rc<Self>, which: (RequestId, AttemptNumber), to: ApplianceId, wording: Wording,
-        began: Duration, until: Duration,
+        self: Rc<Self>,
+        which: (RequestId, AttemptNumber),
+        to: ApplianceId,
+        wording: Wording,
+        began: Duration,
+        until: Duration,
     ) {
         let (off, called_off) = async_channel::bounded::<()>(1);
         self.out.borrow_mut().insert(which, off);
@@ -298,7 +364,9 @@
                     (answered.ending, answered.value)
                 }
                 // What was never written whole has never run.
-                Err(Ending::TimedOut | Ending::CalledOff) if !written.get() => (Ending::Unsent, Vec::new()),
+                Err(Ending::TimedOut | Ending::CalledOff) if !written.get() => {
+                    (Ending::Unsent, Vec::new())
+                }
                 Err(ending) => (ending, Vec::new()),
             };
             let took = me.clock().now().saturating_sub(began);
@@ -336,7 +404,9 @@
             let answer = within(me.connect_within, async { Ok(ask.await) }).await;
             let answer = answer.unwrap_or(Err(Ending::TimedOut));
             let took = me.clock().now().saturating_sub(began);
-            let ending = answer.as_ref().map_or_else(|ending| *ending, |_| Ending::Served);
+            let ending = answer
+                .as_ref()
+                .map_or_else(|ending| *ending, |_| Ending::Served);
             me.tell_load(to, answer.ok().flatten());
             me.hub.tell(move |ear| ear.probed(to, ending, took));
         });
--- a/crates/agent/src/catalog.rs
+++ b/crates/agent/src/catalog.rs
@@ -28,7 +28,9 @@
 
     /// Whether an appliance that was listed before is listed after it.
     fn keeps(&self, id: ApplianceId) -> bool {
-        self.modes.get(&id).map_or(!self.whole, |mode| *mode != Mode::Gone)
+        self.modes
+            .get(&id)
+            .map_or(!self.whole, |mode| *mode != Mode::Gone)
     }
 }
 
@@ -45,7 +47,12 @@
     /// With the zones and machine types that the start settings name.
     pub fn new(told: &Paths) -> Result<Self, String> {
         let (version, numbers) = Default::default();
-        Ok(Catalog { zones: told.names("zones")?, models: told.names("shapes")?, version, numbers })
+        Ok(Catalog {
+            zones: told.names("zones")?,
+            models: told.names("shapes")?,
+            version,
+            numbers,
+        })
     }
 
     /// The version of the last message, 0 before any.
@@ -59,17 +66,33 @@
     }
 
     /// Reads a message, if all of it can be read; `named` is told of each name that gets a number.
-    pub fn read(&mut self, list: &Json, named: &mut dyn FnMut(ApplianceId, &str)) -> Option<Update> {
+    pub fn read(
+        &mut self,
+        list: &Json,
+        named: &mut dyn FnMut(ApplianceId, &str),
+    ) -> Option<Update> {
         let version = list.get("version").and_then(Json::whole)?;
-        let Json::Truth(whole) = *list.get("full")? else { return None };
+        let Json::Truth(whole) = *list.get("full")? else {
+            return None;
+        };
         let entries = list.get("servers").and_then(Json::list)?;
-        let entries = entries.iter().map(|entry| self.entry(entry, named)).collect::<Option<Vec<_>>>()?;
+        let entries = entries
+            .iter()
+            .map(|entry| self.entry(entry, named))
+            .collect::<Option<Vec<_>>>()?;
         if !whole && version < self.version {
             return None;
         }
         self.version = version;
-        let modes = entries.iter().map(|(line, _)| (line.appliance, line.mode)).collect();
-        let update = Update { whole, entries, modes };
+        let modes = entries
+            .iter()
+            .map(|(line, _)| (line.appliance, line.mode))
+            .collect();
+        let update = Update {
+            whole,
+            entries,
+            modes,
+        };
         // Names that are gone are forgotten: one that returns gets the same number.
         self.numbers.retain(|id| update.keeps(id));
         Some(update)
@@ -85,15 +108,23 @@
     }
 
     fn entry(
-        &mut self, entry: &Json, named: &mut dyn FnMut(ApplianceId, &str),
+        &mut self,
+        entry: &Json,
+        named: &mut dyn FnMut(ApplianceId, &str),
     ) -> Option<(Line, SocketAddr)> {
         let text = |name: &str| entry.get(name).and_then(Json::text);
         let place = |names: &[String], name: &str| {
             let name = json::word(text(name)?);
-            names.iter().position(|n| *n == name).and_then(|i| u8::try_from(i).ok())
+            names
+                .iter()
+                .position(|n| *n == name)
+                .and_then(|i| u8::try_from(i).ok())
         };
         let whole = |name| entry.get(name).and_then(Json::whole);
-        let weight = entry.get("weight").and_then(Json::figure).filter(|w| *w >= 0.0)?;
+        let weight = entry
+            .get("weight")
+            .and_then(Json::figure)
+            .filter(|w| *w >= 0.0)?;
         let line = Line {
             appliance: self.number(text("id").filter(|id| !id.is_empty())?, named),
             mode: match text("state")? {
--- a/crates/agent/src/clients.rs
+++ b/crates/agent/src/clients.rs
@@ -49,7 +49,10 @@
 impl Held {
     fn share(&self, many: usize) -> Share {
         self.0.set(self.0.get() + many);
-        Share { all: self.clone(), many }
+        Share {
+            all: self.clone(),
+            many,
+        }
     }
 }
 
@@ -106,7 +109,10 @@
 
     fn say(&self, answer: &str) {
         let bytes = format!("{answer}\r\n").into_bytes();
-        self.put(Due::Ready { bytes, _held: self.held.share(answer.len()) });
+        self.put(Due::Ready {
+            bytes,
+            _held: self.held.share(answer.len()),
+        });
     }
 
     fn end(&self, why: End) {
@@ -119,14 +125,18 @@
     /// with its first command still on its way has nobody's word for it.
     fn is_between(&self) -> bool {
         let quiet = |stream: Rc<Async<TcpStream>>| {
-            stream.get_ref().peek(&mut [0]).is_err_and(|e| e.kind() == ErrorKind::WouldBlock)
+            stream
+                .get_ref()
+                .peek(&mut [0])
+                .is_err_and(|e| e.kind() == ErrorKind::WouldBlock)
         };
         let deaf = match self.ending.get() {
             Some(End::Malformed | End::TooLong | End::Flood | End::Silent) => true,
             Some(End::Crowded) if !self.used.get() => true,
             _ => self.last.get(),
         };
-        self.due.borrow().is_empty() && (deaf || !self.amid.get() && self.stream.upgrade().is_some_and(quiet))
+        self.due.borrow().is_empty()
+            && (deaf || !self.amid.get() && self.stream.upgrade().is_some_and(quiet))
     }
 
     fn is_idle(&self) -> bool {
@@ -135,12 +145,17 @@
 
     /// Whether the module has yet to answer something that came here.
     fn owes(&self) -> bool {
-        self.due.borrow().iter().any(|due| matches!(due, Due::Owed(_)))
+        self.due
+            .borrow()
+            .iter()
+            .any(|due| matches!(due, Due::Owed(_)))
     }
 
     /// Fills the place of an answer, wherever in the order it stands.
     fn ready(&self, place: u64, bytes: Vec<u8>) {
-        let at = place.checked_sub(self.first.get()).and_then(|at| usize::try_from(at).ok());
+        let at = place
+            .checked_sub(self.first.get())
+            .and_then(|at| usize::try_from(at).ok());
         let mut due = self.due.borrow_mut();
         if let Some(due) = at.and_then(|at| due.get_mut(at)) {
             let _held = self.held.share(bytes.len());
@@ -213,11 +228,19 @@
 impl Clients {
     /// At most so many connections, and so many bytes held for them.
     pub fn new(
-        hub: Rc<Hub>, appliances: Rc<Appliances>, told: &Paths, most: usize, most_held: usize,
+        hub: Rc<Hub>,
+        appliances: Rc<Appliances>,
+        told: &Paths,
+        most: usize,
+        most_held: usize,
     ) -> Result<Rc<Self>, String> {
         let named = |i: usize| {
             let name = told.text(&format!("profiles.{i}.name"))?.to_owned();
-            Ok(Named { name, product: Product(i as u8), repeat: told.repeat(i)? })
+            Ok(Named {
+                name,
+                product: Product(i as u8),
+                repeat: told.repeat(i)?,
+            })
         };
         let indices = 0..usize::from(told.num::<u8>("profiles.count")?);
         let (held, ids, open) = Default::default();
@@ -227,7 +250,9 @@
             products: indices.map(named).collect::<Result<_, String>>()?,
             advises: told.num("limits.retry-after")?,
             most,
-            most_due: told.num("limits.streams-per-conn").map(|most: usize| most.max(1))?,
+            most_due: told
+                .num("limits.streams-per-conn")
+                .map(|most: usize| most.max(1))?,
             most_held,
             most_requests: told.num("limits.max-open")?,
             settles: told.period("limits.connect-timeout")?,
@@ -256,7 +281,10 @@
             None
         };
         pin!(leaving);
-        while let Some(next) = async { Some(listener.accept().await) }.or(&mut leaving).await {
+        while let Some(next) = async { Some(listener.accept().await) }
+            .or(&mut leaving)
+            .await
+        {
             match next {
                 Ok((stream, _)) => {
                     take(stream);
@@ -278,7 +306,11 @@
             }
         }
         // Nothing may come between the last look and the end.
-        while let Ok(stream) = listener.get_ref().accept().and_then(|(stream, _)| Async::new(stream)) {
+        while let Ok(stream) = listener
+            .get_ref()
+            .accept()
+            .and_then(|(stream, _)| Async::new(stream))
+        {
             take(stream);
         }
         drop(listener);
@@ -288,7 +320,10 @@
     /// So many connections are for requests. One that has brought none yet takes no place of theirs.
     fn has_room(&self) -> bool {
         let open = self.open.borrow();
-        let many = open.values().filter(|c| !c.brief.get() && c.ending.get().is_none()).count();
+        let many = open
+            .values()
+            .filter(|c| !c.brief.get() && c.ending.get().is_none())
+            .count();
         many < self.most - self.most.div_ceil(5)
     }
 
@@ -308,14 +343,26 @@
         let all = self.open.borrow().len() >= self.most;
         let idle = |counter: &&Rc<Counter>| {
             let settles = if all { Duration::ZERO } else { self.settles };
-            let rest = if counter.used.get() { settles } else { WHOLE / 4 };
+            let rest = if counter.used.get() {
+                settles
+            } else {
+                WHOLE / 4
+            };
             let among = !(for_requests && counter.brief.get());
             let begun = !counter.used.get() && counter.ending.get().is_none();
             among && counter.since.get() + rest <= now && (begun || counter.is_idle())
         };
         let first = |counter: &&Rc<Counter>| (counter.used.get(), counter.since.get());
-        let longest = self.open.borrow().values().filter(idle).min_by_key(first).cloned();
-        longest.inspect(|counter| counter.end(End::Crowded)).is_some()
+        let longest = self
+            .open
+            .borrow()
+            .values()
+            .filter(idle)
+            .min_by_key(first)
+            .cloned();
+        longest
+            .inspect(|counter| counter.end(End::Crowded))
+            .is_some()
     }
 
     /// Ends connections that have been idle for long, once a quarter of the places are in use, and much sooner once
@@ -325,10 +372,17 @@
         while beat.next().await.is_some() {
             let (open, now) = (self.open.borrow(), self.hub.clock.now());
             let used = open.values().filter(|c| c.used.get()).count();
-            let rest = if used * 2 >= self.most { self.settles } else { WHOLE };
-            let long = |c: &&Rc<Counter>| c.used.get() && c.since.get() + rest <= now && c.is_idle();
+            let rest = if used * 2 >= self.most {
+                self.settles
+            } else {
+                WHOLE
+            };
+            let long =
+                |c: &&Rc<Counter>| c.used.get() && c.since.get() + rest <= now && c.is_idle();
             if used * 4 >= self.most {
-                open.values().filter(long).for_each(|counter| counter.end(End::Idle));
+                open.values()
+                    .filter(long)
+                    .for_each(|counter| counter.end(End::Idle));
             }
         }
     }
@@ -346,7 +400,11 @@
         let last = began + self.patience.min(MOST_DEADLINE) + LAST;
         self.last.set(last - LOOK);
         self.hub.ends(last - WAY_OUT);
-        self.hub.clock.until(last - WAY_OUT).or(self.leaving.rung()).await;
+        self.hub
+            .clock
+            .until(last - WAY_OUT)
+            .or(self.leaving.rung())
+            .await;
         self.leaving.ring();
         self.deaf.rung().await;
         let way_out = self.hub.clock.now();
@@ -354,9 +412,18 @@
             let now = self.hub.clock.now();
             // What comes without a pause is not read any more; on a new connection a first command is due.
             let late = way_out + WAY_OUT * 3 / 4 <= now;
-            for counter in self.open.borrow().values().filter(|c| late || c.ending.get().is_none()) {
+            for counter in self
+                .open
+                .borrow()
+                .values()
+                .filter(|c| late || c.ending.get().is_none())
+            {
                 counter.last.set(late);
-                let rest = if counter.used.get() { Duration::ZERO } else { WAY_OUT / 4 };
+                let rest = if counter.used.get() {
+                    Duration::ZERO
+                } else {
+                    WAY_OUT / 4
+                };
                 if late || counter.since.get() + rest <= now {
                     counter.end(counter.ending.get().unwrap_or(End::Stopping));
                 }
@@ -364,7 +431,10 @@
             self.moment().await;
         }
         let left = self.hub.in_hand();
-        say!("stopped after {} ms with {left} requests in hand", (self.hub.clock.now() - began).as_millis());
+        say!(
+            "stopped after {} ms with {left} requests in hand",
+            (self.hub.clock.now() - began).as_millis()
+        );
     }
 
     /// Ends sooner: takes nothing from now on.
@@ -374,7 +444,10 @@
 
     async fn serve(self: Rc<Self>, serial: u64, stream: Async<TcpStream>) {
         stream.get_ref().set_nodelay(true).ok();
-        let who = stream.get_ref().peer_addr().map_or_else(|_| "unknown".into(), |at| at.to_string());
+        let who = stream
+            .get_ref()
+            .peer_addr()
+            .map_or_else(|_| "unknown".into(), |at| at.to_string());
         let stream = Rc::new(stream);
         let intake = Intake::new(resp::Commands::default(), resp::MESSAGE, WHOLE);
         let (due, first, used, ending, last) = Default::default();
@@ -409,7 +482,10 @@
                 counter.since.set(self.hub.clock.now());
             }
         };
-        let end = self.read(stream.clone(), intake, &counter).or(answers).await;
+        let end = self
+            .read(stream.clone(), intake, &counter)
+            .or(answers)
+            .await;
         for due in counter.due.take() {
             if let Due::Owed(id) = due {
                 self.hub.client_left(id);
@@ -464,7 +540,10 @@
     }
 
     async fn read(
-        &self, stream: Rc<Async<TcpStream>>, intake: Intake<resp::Commands>, counter: &Rc<Counter>,
+        &self,
+        stream: Rc<Async<TcpStream>>,
+        intake: Intake<resp::Commands>,
+        counter: &Rc<Counter>,
     ) -> End {
         let commands = items(stream.clone(), intake);
         pin!(commands);
@@ -473,7 +552,9 @@
             let next = if counter.used.get() {
                 next.await
             } else {
-                within(WHOLE, async { Ok(next.await) }).await.unwrap_or_else(|end| Some(Err(end)))
+                within(WHOLE, async { Ok(next.await) })
+                    .await
+                    .unwrap_or_else(|end| Some(Err(end)))
             };
             match next {
                 Some(Ok((came, command))) => {
@@ -504,10 +585,19 @@
         // Nothing more is taken; but a client that goes while it is owed an answer has to be noticed.
         counter.end(why);
         let gone = self.rest(&stream, why).await;
-        if gone != End::Flood && counter.owes() { gone } else { future::pending().await }
+        if gone != End::Flood && counter.owes() {
+            gone
+        } else {
+            future::pending().await
+        }
     }
 
-    fn command(&self, arrived: Duration, command: Vec<Vec<u8>>, counter: &Rc<Counter>) -> Result<(), String> {
+    fn command(
+        &self,
+        arrived: Duration,
+        command: Vec<Vec<u8>>,
+        counter: &Rc<Counter>,
+    ) -> Result<(), String> {
         counter.since.set(arrived);
         counter.used.set(true);
         let writes = match command[0].to_ascii_uppercase().as_slice() {
@@ -542,13 +632,18 @@
         }
         let value = |name: &str| values.get(name).copied();
         let class = json::word(value("c").ok_or("no class")?);
-        let named = self.products.iter().find(|named| named.name == class).ok_or("unknown class")?;
+        let named = self
+            .products
+            .iter()
+            .find(|named| named.name == class)
+            .ok_or("unknown class")?;
         if writes == (named.repeat == Repeat::InquiryLike) {
             return Err("this class takes the other command".into());
         }
         let digits = |value: &&str| value.bytes().all(|b| b.is_ascii_digit());
         let number = |value: &str| Some(value).filter(digits)?.parse::<u32>().ok();
-        let whole = |name| value(name).map(|value| number(value).ok_or_else(|| format!("bad {name}")));
+        let whole =
+            |name| value(name).map(|value| number(value).ok_or_else(|| format!("bad {name}")));
         let wait = whole("d").ok_or("no d")??;
         let hint = whole("h").transpose()?;
         if matches!(named.repeat, Repeat::Referenced(_)) && value("k").is_none_or(str::is_empty) {
@@ -572,8 +667,12 @@
             hint: hint.map(|micros| Duration::from_micros(micros.into())),
             repeated: value("r") == Some("1"),
         };
-        let size = command.iter().map(|part| part.len() + size_of_val(part)).sum::<usize>();
-        let full = self.hub.in_hand() >= self.most_requests || self.held.0.get() + size > self.most_held;
+        let size = command
+            .iter()
+            .map(|part| part.len() + size_of_val(part))
+            .sum::<usize>();
+        let full =
+            self.hub.in_hand() >= self.most_requests || self.held.0.get() + size > self.most_held;
         if full || self.is_brief(counter) {
             count(Count::TurnedAway);
             counter.say("-BUSY");
@@ -583,18 +682,22 @@
         let (to, advises) = (counter.clone(), self.advises);
         self.ids.borrow_mut().insert(id.clone());
         let in_hand = InHand(self.ids.clone(), id.clone());
-        let request = self.hub.take(request, wording(command, self.held.share(size)), move |answer| {
-            drop(in_hand);
-            let answer = match answer {
-                Answer::Settled(value) => resp::bulk(&value),
-                Answer::Declined(wait) if advises && !wait.is_zero() => {
-                    format!("-BUSY {}\r\n", wait.as_millis()).into_bytes()
-                }
-                Answer::Declined(_) => b"-BUSY\r\n".to_vec(),
-                Answer::Voided => b"-ERR failed\r\n".to_vec(),
-            };
-            to.ready(place, answer);
-        });
+        let request = self.hub.take(
+            request,
+            wording(command, self.held.share(size)),
+            move |answer| {
+                drop(in_hand);
+                let answer = match answer {
+                    Answer::Settled(value) => resp::bulk(&value),
+                    Answer::Declined(wait) if advises && !wait.is_zero() => {
+                        format!("-BUSY {}\r\n", wait.as_millis()).into_bytes()
+                    }
+                    Answer::Declined(_) => b"-BUSY\r\n".to_vec(),
+                    Answer::Voided => b"-ERR failed\r\n".to_vec(),
+                };
+                to.ready(place, answer);
+            },
+        );
         counter.put(Due::Owed(request));
         Ok(())
     }
@@ -605,10 +708,21 @@
     Rc::new(move |wait| {
         let _ = &held;
         let pairs = String::from_utf8_lossy(&command[3]);
-        let put =
-            |pair: &str| if pair.starts_with("d=") { format!("d={}", wait.as_millis()) } else { pair.into() };
+        let put = |pair: &str| {
+            if pair.starts_with("d=") {
+                format!("d={}", wait.as_millis())
+            } else {
+                pair.into()
+            }
+        };
         let pairs = pairs.split(',').map(put).collect::<Vec<String>>().join(",");
-        let part = |(i, part)| if i == 3 { pairs.as_bytes() } else { Vec::as_slice(part) };
+        let part = |(i, part)| {
+            if i == 3 {
+                pairs.as_bytes()
+            } else {
+                Vec::as_slice(part)
+            }
+        };
         resp::command(command.iter().enumerate().map(part))
     })
 }
--- a/crates/agent/src/desk.rs
+++ b/crates/agent/src/desk.rs
@@ -44,14 +44,25 @@
         _ => return None,
     };
     let cap = state.get("MaxShare")?.figure().filter(|cap| *cap >= 0.0)?;
-    let age = state.get("AgeMs")?.figure().filter(|ms| (0.0..1e15).contains(ms))?;
-    Some(News { build, stage, course, cap, age: Duration::from_secs_f64(age / 1e3) })
+    let age = state
+        .get("AgeMs")?
+        .figure()
+        .filter(|ms| (0.0..1e15).contains(ms))?;
+    Some(News {
+        build,
+        stage,
+        course,
+        cap,
+        age: Duration::from_secs_f64(age / 1e3),
+    })
 }
 
 /// A call as a line.
 pub fn call(id: u64, method: &str, params: &str) -> Ring {
     let mut ring = Ring::new(LINE);
-    ring.put(format!("{{\"jsonrpc\":\"2.0\",\"id\":{id},\"method\":\"{method}\"{params}}}\n").as_bytes());
+    ring.put(
+        format!("{{\"jsonrpc\":\"2.0\",\"id\":{id},\"method\":\"{method}\"{params}}}\n").as_bytes(),
+    );
     ring
 }
 
@@ -79,9 +90,19 @@
 
 impl Desk {
     pub fn new(
-        name: String, at: SocketAddr, connect_within: Duration, bound: Bound, ears: Rc<dyn Ears>,
+        name: String,
+        at: SocketAddr,
+        connect_within: Duration,
+        bound: Bound,
+        ears: Rc<dyn Ears>,
     ) -> Rc<Self> {
-        Rc::new(Desk { name, place: Place::new(at), connect_within, bound, ears })
+        Rc::new(Desk {
+            name,
+            place: Place::new(at),
+            connect_within,
+            bound,
+            ears,
+        })
     }
 
     /// Listens for as long as the agent runs.
@@ -94,7 +115,11 @@
             say!("{} {at} ended: {end}", self.name);
             // One that only makes noise is not asked again at once.
             let fine = heard.get() && !matches!(end, End::Malformed | End::TooLong | End::Flood);
-            pause = if fine || end == End::Moved { PING / 20 } else { (pause * 2).min(PING) };
+            pause = if fine || end == End::Moved {
+                PING / 20
+            } else {
+                (pause * 2).min(PING)
+            };
             if end != End::Moved {
                 within(pause, self.place.moved::<()>()).await.ok();
             }
@@ -105,7 +130,10 @@
         let stream = Rc::new(connect(at, self.connect_within).await?);
         let mut ask = call(1, "listen", "");
         within(self.connect_within, ask.flush(&stream)).await?;
-        let told = items(stream, Intake::new(json::Values::lines(LINE), LINE, PING * 3));
+        let told = items(
+            stream,
+            Intake::new(json::Values::lines(LINE), LINE, PING * 3),
+        );
         pin!(told);
         let (mut second, mut said) = (Instant::now(), 0);
         loop {
@@ -118,8 +146,13 @@
             if matches!(self.bound, Bound::ASecond(most) if said > most) {
                 return Err(End::Flood);
             }
-            let fine = match (message.get("method").and_then(Json::text), message.get("params")) {
-                (Some("ROLLOUT"), Some(state)) => news(state).map(|news| self.ears.news(news)).is_some(),
+            let fine = match (
+                message.get("method").and_then(Json::text),
+                message.get("params"),
+            ) {
+                (Some("ROLLOUT"), Some(state)) => {
+                    news(state).map(|news| self.ears.news(news)).is_some()
+                }
                 (Some("ping"), _) => {
                     self.ears.lives();
                     true
--- a/crates/agent/src/discovery.rs
+++ b/crates/agent/src/discovery.rs
@@ -61,7 +61,11 @@
 impl Answer {
     /// With values of at most so many bytes.
     pub fn new(most: usize) -> Self {
-        Answer { state: State::Head(0, Body::Open), line: vec![], values: json::Values::indented(most) }
+        Answer {
+            state: State::Head(0, Body::Open),
+            line: vec![],
+            values: json::Values::indented(most),
+        }
     }
 
     fn line(&mut self) -> Result<(), End> {
@@ -130,7 +134,10 @@
                 State::Chunk(left) | State::Counted(left) => left,
                 State::Open => &mut u64::MAX.clone(),
                 _ => {
-                    let many = rest.iter().position(|&b| b == b'\n').map_or(rest.len(), |i| i + 1);
+                    let many = rest
+                        .iter()
+                        .position(|&b| b == b'\n')
+                        .map_or(rest.len(), |i| i + 1);
                     self.line.extend_from_slice(&rest[..many]);
                     at += many;
                     if self.line.len() > HEAD_LINE {
@@ -179,7 +186,11 @@
 
 impl Discovery {
     pub fn new(
-        hub: Rc<Hub>, appliances: Rc<Appliances>, at: SocketAddr, told: &Paths, most: usize,
+        hub: Rc<Hub>,
+        appliances: Rc<Appliances>,
+        at: SocketAddr,
+        told: &Paths,
+        most: usize,
     ) -> Result<Rc<Self>, String> {
         let catalog = RefCell::new(Catalog::new(told)?);
         let connect_within = told.period("limits.connect-timeout")?;
@@ -208,21 +219,27 @@
         if update.whole {
             self.appliances.keep_only(|id| update.names(*id));
         }
-        update.entries.iter().for_each(|(line, at)| self.appliances.place(line, *at));
+        update
+            .entries
+            .iter()
+            .for_each(|(line, at)| self.appliances.place(line, *at));
         count(Count::MembershipUpdates);
         let listing = match (saved, update.whole) {
             (true, _) => Listing::Saved,
             (false, true) => Listing::Whole,
             (false, false) => Listing::Changes,
         };
-        self.hub.tell(move |ear| ear.membership(listing, &mut update.entries.iter().map(|(line, _)| *line)));
+        self.hub.tell(move |ear| {
+            ear.membership(listing, &mut update.entries.iter().map(|(line, _)| *line))
+        });
         Some(())
     }
 
     fn failed(&self, end: End) {
         say!("discovery {} ended: {end}", self.place.at());
         if self.asked {
-            self.hub.tell(|ear| ear.membership(Listing::Failed, &mut std::iter::empty()));
+            self.hub
+                .tell(|ear| ear.membership(Listing::Failed, &mut std::iter::empty()));
         }
     }
 
@@ -250,7 +267,10 @@
     /// One watch, up to its end; how it ended, and the pause before the next one.
     async fn watched(&self) -> (Result<(), End>, Duration) {
         let (at, heard, began) = (self.place.at(), std::cell::Cell::new(false), Instant::now());
-        let path = format!("/catalog/members?follow=1&since={}", self.catalog.borrow().version());
+        let path = format!(
+            "/catalog/members?follow=1&since={}",
+            self.catalog.borrow().version()
+        );
         let call = self.call(path, false, &heard);
         let off = async {
             while self.wish.1.recv().await.unwrap_or(true) {}
@@ -267,22 +287,35 @@
             Err(End::Stalled) => CallEnd::Stalled,
             _ => CallEnd::Unanswered,
         };
-        (end, self.pacing.borrow_mut().pause_after(how, began.elapsed()))
+        (
+            end,
+            self.pacing.borrow_mut().pause_after(how, began.elapsed()),
+        )
     }
 
     /// One call, up to its end, or to its first message.
-    async fn call(&self, path: String, once: bool, heard: &std::cell::Cell<bool>) -> Result<(), End> {
+    async fn call(
+        &self,
+        path: String,
+        once: bool,
+        heard: &std::cell::Cell<bool>,
+    ) -> Result<(), End> {
         let at = self.place.at();
         let stream = Rc::new(connect(at, self.connect_within).await?);
         let mut ask = Ring::new(HEAD_LINE);
-        ask.put(format!("GET {path} HTTP/1.1\r\nHost: {at}\r\nAccept: application/json\r\n\r\n").as_bytes());
+        ask.put(
+            format!("GET {path} HTTP/1.1\r\nHost: {at}\r\nAccept: application/json\r\n\r\n")
+                .as_bytes(),
+        );
         within(self.connect_within, ask.flush(&stream)).await?;
         let intake = Intake::new(Lines(Answer::new(self.most)), self.most, SILENT);
         let lists = items(stream, intake.stalls_after(self.pacing.borrow().stall()));
         pin!(lists);
         loop {
             let next = async { lists.next().await.unwrap_or(Err(End::Closed)) };
-            let (_, Some(list)) = within(SILENT, next).await? else { continue };
+            let (_, Some(list)) = within(SILENT, next).await? else {
+                continue;
+            };
             heard.set(true);
             if self.told(&list, false).is_none() {
                 // The whole list next time: what was missed here cannot be known.
@@ -304,7 +337,14 @@
     fn fetch(self: Rc<Self>) {
         let me = self.clone();
         self.hub.clone().spawn(async move {
-            match me.call("/catalog/members".into(), true, &std::cell::Cell::new(false)).await {
+            match me
+                .call(
+                    "/catalog/members".into(),
+                    true,
+                    &std::cell::Cell::new(false),
+                )
+                .await
+            {
                 Ok(()) => say!("discovery {} ended: {}", me.place.at(), End::Closed),
                 Err(end) => me.failed(end),
             }
--- a/crates/agent/src/hub.rs
+++ b/crates/agent/src/hub.rs
@@ -25,8 +25,12 @@
 /// Carries attempts and probes to appliances.
 pub trait Carries {
     fn send_attempt(
-        self: Rc<Self>, which: (RequestId, AttemptNumber), to: ApplianceId, wording: Wording,
-        began: Duration, until: Duration,
+        self: Rc<Self>,
+        which: (RequestId, AttemptNumber),
+        to: ApplianceId,
+        wording: Wording,
+        began: Duration,
+        until: Duration,
     );
     fn call_off(&self, which: (RequestId, AttemptNumber));
     fn probe(self: Rc<Self>, to: ApplianceId);
@@ -60,8 +64,13 @@
 impl Clock {
     /// Reads the machine's clock, once.
     pub fn start() -> Self {
-        let before = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { started: Instant::now(), before }
+        let before = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
+        Clock {
+            started: Instant::now(),
+            before,
+        }
     }
 
     pub fn now(&self) -> Duration {
@@ -115,7 +124,16 @@
         let (owed, last, tasks) = Default::default();
         let (queue, ending) = (async_channel::unbounded(), Bell::default());
         let ends = Cell::new(Duration::MAX);
-        Rc::new(Hub { clock: Clock::start(), tasks, queue, owed, last, slack, ends, ending })
+        Rc::new(Hub {
+            clock: Clock::start(),
+            tasks,
+            queue,
+            owed,
+            last,
+            slack,
+            ends,
+            ending,
+        })
     }
 
     pub fn spawn(&self, task: impl Future<Output = ()> + 'static) {
@@ -152,21 +170,35 @@
     pub async fn until(&self, then: Duration) {
         let ending = async {
             self.ending.rung().await;
-            self.clock.until(self.ends.get().saturating_sub(self.slack)).await;
+            self.clock
+                .until(self.ends.get().saturating_sub(self.slack))
+                .await;
         };
         future::or(self.clock.until(then), ending).await;
     }
 
     /// Takes a request; `answer` is called once, with its final answer, unless the client leaves before.
     pub fn take(
-        &self, request: Request, wording: Wording, answer: impl FnOnce(Answer) + 'static,
+        &self,
+        request: Request,
+        wording: Wording,
+        answer: impl FnOnce(Answer) + 'static,
     ) -> RequestId {
         count(Count::RequestsTaken);
         let id = RequestId(self.last.replace(self.last.get().wrapping_add(1)));
-        let until = request.deadline.min(self.ends.get()).saturating_sub(self.slack);
-        self.owed
-            .borrow_mut()
-            .insert(id, Owed { wording, until, attempts: 0, answer: Some(Box::new(answer)) });
+        let until = request
+            .deadline
+            .min(self.ends.get())
+            .saturating_sub(self.slack);
+        self.owed.borrow_mut().insert(
+            id,
+            Owed {
+                wording,
+                until,
+                attempts: 0,
+                answer: Some(Box::new(answer)),
+            },
+        );
         self.tell(move |ear| ear.request(id, request));
         id
     }
@@ -194,7 +226,10 @@
     }
 
     fn is_owed(&self, id: RequestId) -> bool {
-        self.owed.borrow().get(&id).is_some_and(|owed| owed.answer.is_some())
+        self.owed
+            .borrow()
+            .get(&id)
+            .is_some_and(|owed| owed.answer.is_some())
     }
 
     pub fn client_left(self: &Rc<Self>, id: RequestId) {
@@ -219,8 +254,12 @@
 
     /// An attempt has ended; a first answer goes to the client at once and ends the request.
     pub fn ended(
-        self: &Rc<Self>, (id, attempt): (RequestId, AttemptNumber), at: ApplianceId, ending: Ending,
-        took: Duration, value: Vec<u8>,
+        self: &Rc<Self>,
+        (id, attempt): (RequestId, AttemptNumber),
+        at: ApplianceId,
+        ending: Ending,
+        took: Duration,
+        value: Vec<u8>,
     ) {
         count(match ending {
             Ending::Served => Count::EndedServed,
@@ -268,7 +307,10 @@
         let (hub, clock) = (self.hub.clone(), self.hub.clock);
         loop {
             let wake = self.wakes.first().map(|(at, _)| *at);
-            let next = [wake, self.keeper.next(), self.recorder.next()].into_iter().flatten().min();
+            let next = [wake, self.keeper.next(), self.recorder.next()]
+                .into_iter()
+                .flatten()
+                .min();
             let alarm = async {
                 match next {
                     Some(at) => clock.until(at).await,
@@ -280,8 +322,16 @@
             // What else is ready to be read joins the same round.
             future::yield_now().await;
             let now = clock.now();
-            let due: Vec<_> = self.wakes.iter().take_while(|(at, _)| *at <= now).copied().collect();
-            if due.first().is_some_and(|(at, _)| *at + self.hub.slack < now) {
+            let due: Vec<_> = self
+                .wakes
+                .iter()
+                .take_while(|(at, _)| *at <= now)
+                .copied()
+                .collect();
+            if due
+                .first()
+                .is_some_and(|(at, _)| *at + self.hub.slack < now)
+            {
                 count(Count::LateRounds);
             }
             count(Count::Rounds);
@@ -296,13 +346,21 @@
             brain.round(
                 now,
                 |module| {
-                    let mut ears = Ears { module, keeper: &mut keeper, recorder: &recorder, now };
+                    let mut ears = Ears {
+                        module,
+                        keeper: &mut keeper,
+                        recorder: &recorder,
+                        now,
+                    };
                     ears.advance();
                     first.into_iter().for_each(|call: Call| call(&mut ears));
                     hub.hear(&mut ears);
                     due.iter().for_each(|(_, ticket)| ears.woken(*ticket));
                 },
-                &mut Round { hands: &mut self, now },
+                &mut Round {
+                    hands: &mut self,
+                    now,
+                },
             );
             self.keeper = keeper;
         }
@@ -320,15 +378,26 @@
         count(Count::Attempts);
         let mut owed = self.hands.hub.owed.borrow_mut();
         let Some(owed) = owed.get_mut(&id) else {
-            return say!("an attempt of request {}, which has had its answer, stays here", id.0);
+            return say!(
+                "an attempt of request {}, which has had its answer, stays here",
+                id.0
+            );
         };
         let attempt = AttemptNumber(owed.attempts);
         owed.attempts += 1;
-        let until =
-            if give_up_after.is_zero() { owed.until } else { owed.until.min(self.now + give_up_after) };
+        let until = if give_up_after.is_zero() {
+            owed.until
+        } else {
+            owed.until.min(self.now + give_up_after)
+        };
         let wording = owed.wording.clone();
-        self.hands.recorder.put(self.now, Deed::Attempt(id, attempt, to));
-        self.hands.appliances.clone().send_attempt((id, attempt), to, wording, self.now, until);
+        self.hands
+            .recorder
+            .put(self.now, Deed::Attempt(id, attempt, to));
+        self.hands
+            .appliances
+            .clone()
+            .send_attempt((id, attempt), to, wording, self.now, until);
     }
 
     fn decline(&mut self, id: RequestId, come_back_in: Duration) {
@@ -344,7 +413,9 @@
     }
 
     fn call_off(&mut self, id: RequestId, attempt: AttemptNumber) {
-        self.hands.recorder.book(|book| book.called_off(self.now, id, attempt));
+        self.hands
+            .recorder
+            .book(|book| book.called_off(self.now, id, attempt));
         self.hands.appliances.call_off((id, attempt));
     }
 
@@ -380,7 +451,9 @@
     }
 
     fn vote(&mut self, build: Build, stage: Stage, verdict: Verdict) {
-        self.hands.recorder.book(|book| book.vote(self.now, build, stage, verdict));
+        self.hands
+            .recorder
+            .book(|book| book.vote(self.now, build, stage, verdict));
         self.hands.platform.clone().vote(build, stage, verdict);
     }
 
--- a/crates/agent/src/json.rs
+++ b/crates/agent/src/json.rs
@@ -22,29 +22,46 @@
 impl Json {
     pub fn get(&self, name: &str) -> Option<&Json> {
         match self {
-            Json::Object(fields) => fields.iter().find(|(n, _)| n == name).map(|(_, value)| value),
+            Json::Object(fields) => fields
+                .iter()
+                .find(|(n, _)| n == name)
+                .map(|(_, value)| value),
             _ => None,
         }
     }
 
     pub fn text(&self) -> Option<&str> {
-        if let Json::Text(text) = self { Some(text) } else { None }
+        if let Json::Text(text) = self {
+            Some(text)
+        } else {
+            None
+        }
     }
 
     pub fn list(&self) -> Option<&[Json]> {
-        if let Json::List(list) = self { Some(list) } else { None }
+        if let Json::List(list) = self {
+            Some(list)
+        } else {
+            None
+        }
     }
 
     /// A finite number.
     pub fn figure(&self) -> Option<f64> {
-        if let Json::Number(text) = self { text.parse().ok().filter(|x: &f64| x.is_finite()) } else { None }
+        if let Json::Number(text) = self {
+            text.parse().ok().filter(|x: &f64| x.is_finite())
+        } else {
+            None
+        }
     }
 
     /// A whole number that is not negative, in whatever form.
     pub fn whole(&self) -> Option<u64> {
         if let Json::Number(text) = self {
             let whole = |x: &f64| x.fract() == 0.0 && (0.0..=9e15).contains(x);
-            text.parse().ok().or_else(|| self.figure().filter(whole).map(|x| x as u64))
+            text.parse()
+                .ok()
+                .or_else(|| self.figure().filter(whole).map(|x| x as u64))
         } else {
             None
         }
@@ -52,16 +69,27 @@
 
     /// As path=value: lists of objects by number with their count, lists of plain values joined.
     pub fn flatten(&self, path: &str, put: &mut dyn FnMut(String, String)) {
-        let under = |name: &str| if path.is_empty() { name.to_owned() } else { format!("{path}.{name}") };
+        let under = |name: &str| {
+            if path.is_empty() {
+                name.to_owned()
+            } else {
+                format!("{path}.{name}")
+            }
+        };
         match self {
-            Json::Object(fields) => fields.iter().for_each(|(name, value)| value.flatten(&under(name), put)),
+            Json::Object(fields) => fields
+                .iter()
+                .for_each(|(name, value)| value.flatten(&under(name), put)),
             Json::List(list) if list.iter().any(|item| matches!(item, Json::Object(_))) => {
                 put(under("count"), list.len().to_string());
-                list.iter().enumerate().for_each(|(i, item)| item.flatten(&under(&i.to_string()), put));
-            }
-            Json::List(list) => {
-                put(path.to_owned(), list.iter().map(Json::plain).collect::<Vec<_>>().join(","))
+                list.iter()
+                    .enumerate()
+                    .for_each(|(i, item)| item.flatten(&under(&i.to_string()), put));
             }
+            Json::List(list) => put(
+                path.to_owned(),
+                list.iter().map(Json::plain).collect::<Vec<_>>().join(","),
+            ),
             plain => put(path.to_owned(), plain.plain()),
         }
     }
@@ -161,12 +189,18 @@
 
     /// The same, one to a line.
     pub fn lines(most: usize) -> Self {
-        Values { cut: Cut::AtLineEnd, ..Values::new(most) }
+        Values {
+            cut: Cut::AtLineEnd,
+            ..Values::new(most)
+        }
     }
 
     /// The same, each on as many lines as it likes, but for empty ones.
     pub fn indented(most: usize) -> Self {
-        Values { cut: Cut::AtEmptyLine(0), ..Values::new(most) }
+        Values {
+            cut: Cut::AtEmptyLine(0),
+            ..Values::new(most)
+        }
     }
 
     /// Whether a line that ends here shows that the value it stands in was cut.
@@ -176,7 +210,11 @@
             Cut::AtLineEnd => b == b'\n',
             Cut::AtEmptyLine(len) => {
                 let empty = b == b'\n' && *len == 0;
-                *len = if b == b'\n' { 0 } else { *len + usize::from(!b.is_ascii_whitespace()) };
+                *len = if b == b'\n' {
+                    0
+                } else {
+                    *len + usize::from(!b.is_ascii_whitespace())
+                };
                 empty
             }
         }
@@ -187,9 +225,15 @@
         let mut values = Values::new(text.len() + 1);
         // The space ends a number.
         let (taken, value) = values.take(text)?;
-        let value = if let Some(value) = value { Some(value) } else { values.take(b" ")?.1 };
+        let value = if let Some(value) = value {
+            Some(value)
+        } else {
+            values.take(b" ")?.1
+        };
         let rest = text.get(taken..).unwrap_or_default();
-        value.filter(|_| rest.iter().all(u8::is_ascii_whitespace)).ok_or(End::Malformed)
+        value
+            .filter(|_| rest.iter().all(u8::is_ascii_whitespace))
+            .ok_or(End::Malformed)
     }
 
     fn byte(&mut self, b: u8) -> Result<Option<Json>, End> {
@@ -204,7 +248,10 @@
             (State::Escape, b'u') => (self.hex, self.state) = (0, State::Hex(4)),
             (State::Escape, b) => {
                 self.lone_half()?;
-                let at = b"\"\\/bfnrt".iter().position(|&c| c == b).ok_or(End::Malformed)?;
+                let at = b"\"\\/bfnrt"
+                    .iter()
+                    .position(|&c| c == b)
+                    .ok_or(End::Malformed)?;
                 self.word.push(b"\"\\/\x08\x0c\n\r\t"[at]);
                 self.state = State::Text;
             }
@@ -217,7 +264,9 @@
                     self.escaped(self.hex)?;
                 }
             }
-            (State::Bare, b) if b.is_ascii_alphanumeric() || b"+-.".contains(&b) => self.word.push(b),
+            (State::Bare, b) if b.is_ascii_alphanumeric() || b"+-.".contains(&b) => {
+                self.word.push(b)
+            }
             (State::Bare, b) => {
                 let value = bare(std::mem::take(&mut self.word))?;
                 let whole = self.put(value);
@@ -238,7 +287,11 @@
                     return Err(End::Malformed);
                 }
                 let list = b == b'[';
-                self.open.push(if list { Open::List(vec![]) } else { Open::Object(vec![], String::new()) });
+                self.open.push(if list {
+                    Open::List(vec![])
+                } else {
+                    Open::Object(vec![], String::new())
+                });
                 self.state = if list { State::First } else { State::Opened };
             }
             (State::Value | State::First, b'"') => (self.naming, self.state) = (false, State::Text),
@@ -258,7 +311,11 @@
     }
 
     fn lone_half(&self) -> Result<(), End> {
-        if self.half.is_some() { Err(End::Malformed) } else { Ok(()) }
+        if self.half.is_some() {
+            Err(End::Malformed)
+        } else {
+            Ok(())
+        }
     }
 
     fn escaped(&mut self, code: u32) -> Result<(), End> {
@@ -272,7 +329,8 @@
             (None, code) => code,
         };
         let c = char::from_u32(code).ok_or(End::Malformed)?;
-        self.word.extend_from_slice(c.encode_utf8(&mut [0; 4]).as_bytes());
+        self.word
+            .extend_from_slice(c.encode_utf8(&mut [0; 4]).as_bytes());
         Ok(())
     }
 
@@ -321,7 +379,11 @@
     }
     let text = String::from_utf8(word).map_err(|_| End::Malformed)?;
     let number = text.starts_with(['-', '0', '1', '2', '3', '4', '5', '6', '7', '8', '9']);
-    if number && text.parse::<f64>().is_ok() { Ok(Json::Number(text)) } else { Err(End::Malformed) }
+    if number && text.parse::<f64>().is_ok() {
+        Ok(Json::Number(text))
+    } else {
+        Err(End::Malformed)
+    }
 }
 
 impl Parse for Values {
--- a/crates/agent/src/keeper.rs
+++ b/crates/agent/src/keeper.rs
@@ -28,7 +28,10 @@
 
 impl Keeper {
     pub fn new(gate: Option<Gate>) -> Self {
-        Keeper { gate, ..Keeper::default() }
+        Keeper {
+            gate,
+            ..Keeper::default()
+        }
     }
 
     /// When something changes by time alone.
@@ -48,7 +51,9 @@
 impl Ears<'_> {
     /// Lets the gate hear something, and passes on what has changed by it.
     fn gate(&mut self, hear: impl FnOnce(&mut Gate, Duration)) {
-        let Some(gate) = &mut self.keeper.gate else { return };
+        let Some(gate) = &mut self.keeper.gate else {
+            return;
+        };
         hear(gate, self.now);
         self.keeper.next = gate.next_change();
         let (events, left_out) = gate.events();
@@ -60,12 +65,19 @@
             match event.what {
                 What::Opened(many) => say!("releases: build {build} open to {many} more"),
                 What::Closed(many, why) => say!("releases: build {build} closed to {many}: {why}"),
-                What::MayStep(stage) => say!("releases: build {build} may go on from stage {stage}"),
+                What::MayStep(stage) => {
+                    say!("releases: build {build} may go on from stage {stage}")
+                }
                 What::Stays(why) => say!("releases: build {build} stays: {why}"),
             }
         }
         let open = gate.openings();
-        if self.keeper.handed.as_ref().is_none_or(|handed| !Arc::ptr_eq(handed, &open)) {
+        if self
+            .keeper
+            .handed
+            .as_ref()
+            .is_none_or(|handed| !Arc::ptr_eq(handed, &open))
+        {
             count(Count::Openings);
             self.keeper.handed = Some(open.clone());
             self.module.openings(Some(open));
@@ -107,7 +119,8 @@
             let (own, listed) = (self.keeper.own, self.keeper.listed.clone());
             self.gate(|gate, now| {
                 let service = gate.rules().own;
-                own.into_iter().for_each(|told| gate.hear(now, service, told));
+                own.into_iter()
+                    .for_each(|told| gate.hear(now, service, told));
                 gate.list(now, listed.into_values());
             });
         }
@@ -131,34 +144,56 @@
                 _ => drop(self.keeper.listed.insert(line.appliance, line.build)),
             }
         }
-        self.recorder.book(|book| book.membership(self.now, listing, &lines));
+        self.recorder
+            .book(|book| book.membership(self.now, listing, &lines));
         let builds: Vec<Build> = self.keeper.listed.values().copied().collect();
         self.gate(|gate, now| gate.list(now, builds.into_iter()));
         self.module.membership(listing, &mut lines.into_iter());
     }
 
     fn stage(&mut self, build: Build, stage: Stage, course: Course, cap: f64, age: Duration) {
-        let told = Told { build, stage, course, since: self.now.saturating_sub(age) };
+        let told = Told {
+            build,
+            stage,
+            course,
+            since: self.now.saturating_sub(age),
+        };
         self.keeper.own = Some(told);
-        self.recorder.book(|book| book.stage(self.now, build, stage, course, age));
+        self.recorder
+            .book(|book| book.stage(self.now, build, stage, course, age));
         self.gate(|gate, now| gate.hear(now, gate.rules().own, told));
         self.module.stage(build, stage, course, cap, age);
     }
 
     fn request(&mut self, id: RequestId, request: Request) {
-        self.recorder.put(self.now, Deed::Request(id, request.product));
+        self.recorder
+            .put(self.now, Deed::Request(id, request.product));
         self.module.request(id, request);
     }
 
     fn ended(
-        &mut self, id: RequestId, attempt: AttemptNumber, at: ApplianceId, ending: Ending, took: Duration,
+        &mut self,
+        id: RequestId,
+        attempt: AttemptNumber,
+        at: ApplianceId,
+        ending: Ending,
+        took: Duration,
         closed: bool,
     ) {
-        self.recorder.put(self.now, Deed::Ended((id, attempt), at, ending, took, closed));
+        self.recorder.put(
+            self.now,
+            Deed::Ended((id, attempt), at, ending, took, closed),
+        );
         self.module.ended(id, attempt, at, ending, took, closed);
     }
 
-    fn stream_begun(&mut self, id: RequestId, attempt: AttemptNumber, at: ApplianceId, took: Duration) {
+    fn stream_begun(
+        &mut self,
+        id: RequestId,
+        attempt: AttemptNumber,
+        at: ApplianceId,
+        took: Duration,
+    ) {
         self.module.stream_begun(id, attempt, at, took);
     }
 
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -88,21 +88,40 @@
         return Err(unusable("limits.sockets"));
     }
     let appliances = appliances::Appliances::new(hub.clone(), settings, part)?;
-    let clients = clients::Clients::new(hub.clone(), appliances.clone(), settings, part, told.memory / 4)?;
+    let clients = clients::Clients::new(
+        hub.clone(),
+        appliances.clone(),
+        settings,
+        part,
+        told.memory / 4,
+    )?;
     let most = told.memory / 16;
-    let discovery =
-        discovery::Discovery::new(hub.clone(), appliances.clone(), told.discovery, settings, most)?;
+    let discovery = discovery::Discovery::new(
+        hub.clone(),
+        appliances.clone(),
+        told.discovery,
+        settings,
+        most,
+    )?;
     let platform = platform::Platform::new(hub.clone(), told.platform, settings)?;
-    let (releases, gate, timeline) = releases::File::new(asking.operator, &told.name, settings, hub.clone())?;
+    let (releases, gate, timeline) =
+        releases::File::new(asking.operator, &told.name, settings, hub.clone())?;
     let peers = match told.peer_listen {
-        Some(listen) => Some(peers::Peers::new(hub.clone(), listen, told.peers, told.peers_all)?),
+        Some(listen) => Some(peers::Peers::new(
+            hub.clone(),
+            listen,
+            told.peers,
+            told.peers_all,
+        )?),
         None => None,
     };
     let within = |path| told::field(&told.file, path).unwrap_or(&Json::Null);
     // The news first: what is listed is read by them.
     let news = desk::news(within("pipeline.news")).ok_or_else(|| unusable("pipeline.news"))?;
     hub.tell(platform::hear(news));
-    discovery.told(within("known"), true).ok_or_else(|| unusable("known"))?;
+    discovery
+        .told(within("known"), true)
+        .ok_or_else(|| unusable("known"))?;
     let listener = listen(told.listen, part).map_err(|e| format!("listen {}: {e}", told.listen))?;
     say!("{} listens at {}", told.name, told.listen);
     hub.spawn(discovery.clone().run());
@@ -112,12 +131,31 @@
     }
     hub.spawn(appliances.clone().sweep());
     let asked = (discovery.clone(), platform.clone());
-    let signals = Asked { heard, file, first: told.file, discovery: asked.0, platform: asked.1, releases };
+    let signals = Asked {
+        heard,
+        file,
+        first: told.file,
+        discovery: asked.0,
+        platform: asked.1,
+        releases,
+    };
     let peers = peers.map(|peers| peers as Rc<dyn hub::Tells>);
     let recorder = recorder::Recorder::new(&told.name, &told.settings, timeline, hub.clock.now())?;
-    let (keeper, recorder, wakes) = (keeper::Keeper::new(gate), Rc::new(recorder), BTreeSet::new());
-    let hands =
-        hub::Hands { hub: hub.clone(), appliances, discovery, platform, peers, keeper, recorder, wakes };
+    let (keeper, recorder, wakes) = (
+        keeper::Keeper::new(gate),
+        Rc::new(recorder),
+        BTreeSet::new(),
+    );
+    let hands = hub::Hands {
+        hub: hub.clone(),
+        appliances,
+        discovery,
+        platform,
+        peers,
+        keeper,
+        recorder,
+        wakes,
+    };
     hub.spawn(hands.host(brain));
     hub.spawn(clients.clone().sweep());
     hub.spawn(clients.clone().accept(listener));
@@ -196,7 +234,11 @@
         if !left.is_empty() {
             say!("reload: only a restart takes over {}", left.join(", "));
         }
-        say!("reload: discovery at {}, platform at {}", told.discovery, told.platform);
+        say!(
+            "reload: discovery at {}, platform at {}",
+            told.discovery,
+            told.platform
+        );
         self.discovery.place.move_to(told.discovery);
         self.platform.desk.place.move_to(told.platform);
     }
--- a/crates/agent/src/log.rs
+++ b/crates/agent/src/log.rs
@@ -26,7 +26,11 @@
 
 impl Place {
     pub const fn new() -> Self {
-        Place { second: AtomicU64::new(0), said: AtomicU64::new(0), left_out: AtomicU64::new(0) }
+        Place {
+            second: AtomicU64::new(0),
+            said: AtomicU64::new(0),
+            left_out: AtomicU64::new(0),
+        }
     }
 
     /// Whether a line may go out in this second; if so, how many were left out before it.
@@ -43,11 +47,16 @@
     }
 
     pub fn say(&self, line: impl Display) {
-        let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or(Duration::ZERO);
+        let now = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or(Duration::ZERO);
         match self.may_say(now.as_secs()) {
             Some(0) => write(format!("{:.3} {line}", now.as_secs_f64())),
             Some(left_out) => {
-                write(format!("{:.3} {line} (and {left_out} like it left out)", now.as_secs_f64()));
+                write(format!(
+                    "{:.3} {line} (and {left_out} like it left out)",
+                    now.as_secs_f64()
+                ));
             }
             None => {}
         }
@@ -103,7 +112,9 @@
         mark = back;
         thread::sleep(wait / 1000);
     }
-    is_done.recv_timeout(last.saturating_duration_since(Instant::now())).ok();
+    is_done
+        .recv_timeout(last.saturating_duration_since(Instant::now()))
+        .ok();
 }
 
 /// Writes a log line, unless its place has written too many in this second.
@@ -159,9 +170,9 @@
             | io::ErrorKind::BrokenPipe
             | io::ErrorKind::ConnectionAborted
             | io::ErrorKind::NotConnected => End::Reset,
-            io::ErrorKind::TimedOut | io::ErrorKind::HostUnreachable | io::ErrorKind::NetworkUnreachable => {
-                End::Unreachable
-            }
+            io::ErrorKind::TimedOut
+            | io::ErrorKind::HostUnreachable
+            | io::ErrorKind::NetworkUnreachable => End::Unreachable,
             // No port is free. EMFILE and ENFILE have no kind of their own.
             io::ErrorKind::AddrNotAvailable => End::OwnLimit,
             _ if matches!(fault.raw_os_error(), Some(23 | 24)) => End::OwnLimit,
--- a/crates/agent/src/pacing.rs
+++ b/crates/agent/src/pacing.rs
@@ -32,7 +32,12 @@
     /// grows to while messages go on stopping short.
     pub fn new(first_stall: Duration, longest_stall: Duration) -> Self {
         let first_stall = first_stall.min(longest_stall);
-        Pacing { gap: SHORTEST_GAP, first_stall, longest_stall, stall: first_stall }
+        Pacing {
+            gap: SHORTEST_GAP,
+            first_stall,
+            longest_stall,
+            stall: first_stall,
+        }
     }
 
     /// How long to wait for more bytes of a message that has begun.
--- a/crates/agent/src/peers.rs
+++ b/crates/agent/src/peers.rs
@@ -22,11 +22,20 @@
 
 impl Peers {
     pub fn new(
-        hub: Rc<Hub>, listen: SocketAddr, peers: Vec<SocketAddr>, all: Option<SocketAddr>,
+        hub: Rc<Hub>,
+        listen: SocketAddr,
+        peers: Vec<SocketAddr>,
+        all: Option<SocketAddr>,
     ) -> Result<Rc<Self>, String> {
-        let socket =
-            Async::<UdpSocket>::bind(listen).map_err(|fault| format!("peer_listen {listen}: {fault}"))?;
-        Ok(Rc::new(Peers { hub, socket, own: listen, peers, all }))
+        let socket = Async::<UdpSocket>::bind(listen)
+            .map_err(|fault| format!("peer_listen {listen}: {fault}"))?;
+        Ok(Rc::new(Peers {
+            hub,
+            socket,
+            own: listen,
+            peers,
+            all,
+        }))
     }
 
     pub async fn run(self: Rc<Self>) {
@@ -39,7 +48,8 @@
                     Some(peer) if (1..=MOST).contains(&len) => {
                         count(Count::PeersIn);
                         let octets = octets[..len].to_vec();
-                        self.hub.tell(move |ear| ear.peer(AgentId(peer as u32), &octets));
+                        self.hub
+                            .tell(move |ear| ear.peer(AgentId(peer as u32), &octets));
                     }
                     _ => {
                         count(Count::Strangers);
@@ -60,7 +70,10 @@
             None => self.all,
         };
         let (Some(to), true) = (to, octets.len() <= MOST) else {
-            return say!("a datagram of {} octets to {peer:?} stays here", octets.len());
+            return say!(
+                "a datagram of {} octets to {peer:?} stays here",
+                octets.len()
+            );
         };
         match self.socket.get_ref().send_to(octets, to) {
             Ok(_) => count(Count::PeersOut),
--- a/crates/agent/src/platform.rs
+++ b/crates/agent/src/platform.rs
@@ -55,10 +55,24 @@
         let connect_within = told.period("limits.connect-timeout")?;
         let answer_within = told.period("family-info.call-timeout")?;
         let told = Rc::new(Told(hub.clone()));
-        let desk = Desk::new("platform".into(), at, connect_within, Bound::None, told.clone());
+        let desk = Desk::new(
+            "platform".into(),
+            at,
+            connect_within,
+            Bound::None,
+            told.clone(),
+        );
         // The desk's own call is the first.
         let (kept, last) = (RefCell::default(), Cell::new(1));
-        Ok(Rc::new(Platform { hub, told, desk, connect_within, answer_within, kept, last }))
+        Ok(Rc::new(Platform {
+            hub,
+            told,
+            desk,
+            connect_within,
+            answer_within,
+            kept,
+            last,
+        }))
     }
 }
 
@@ -83,9 +97,16 @@
             let ending = match within(me.answer_within, me.ask(&params, &written)).await {
                 Ok(ending) => ending,
                 Err(end) => {
-                    say!("platform {}: a vote's connection ended: {end}", me.desk.place.at());
+                    say!(
+                        "platform {}: a vote's connection ended: {end}",
+                        me.desk.place.at()
+                    );
                     // It may have been carried out, once it was written.
-                    if written.get() { Ending::TimedOut } else { Ending::Unconnected }
+                    if written.get() {
+                        Ending::TimedOut
+                    } else {
+                        Ending::Unconnected
+                    }
                 }
             };
             me.hub.tell(move |ear| ear.vote_answered(ending));
--- a/crates/agent/src/recorder.rs
+++ b/crates/agent/src/recorder.rs
@@ -28,7 +28,13 @@
 pub enum Deed {
     Request(RequestId, Product),
     Attempt(RequestId, AttemptNumber, ApplianceId),
-    Ended((RequestId, AttemptNumber), ApplianceId, Ending, Duration, bool),
+    Ended(
+        (RequestId, AttemptNumber),
+        ApplianceId,
+        Ending,
+        Duration,
+        bool,
+    ),
     Closed(RequestId),
 }
 
@@ -64,11 +70,20 @@
 impl Recorder {
     /// # Errors
     /// A setting that cannot be used.
-    pub fn new(agent: &str, told: &Paths, set: Option<Timeline>, now: Duration) -> Result<Recorder, String> {
+    pub fn new(
+        agent: &str,
+        told: &Paths,
+        set: Option<Timeline>,
+        now: Duration,
+    ) -> Result<Recorder, String> {
         let count: u8 = told.num("profiles.count")?;
         let product = |i| told.text(&format!("profiles.{i}.name")).map(str::to_owned);
         let products = (0..count).map(product).collect::<Result<_, _>>()?;
-        let told = Told { agent: agent.into(), products, ramp: told.span("rules.ramp-time")? };
+        let told = Told {
+            agent: agent.into(),
+            products,
+            ramp: told.span("rules.ramp-time")?,
+        };
         let recorder = Recorder {
             told,
             open: RefCell::default(),
@@ -95,26 +110,58 @@
                 products: self.told.products.len(),
             };
             let records = if set.store.is_some() { WAITING } else { 0 };
-            let book = Book::new(now, aims, Room { octets: set.memory, records });
+            let book = Book::new(
+                now,
+                aims,
+                Room {
+                    octets: set.memory,
+                    records,
+                },
+            );
             let pump = set.store.as_ref().and_then(|store| {
-                let bounds = Bounds { bytes: store.keep, age: store.age };
+                let bounds = Bounds {
+                    bytes: store.keep,
+                    age: store.age,
+                };
                 let writer = Writer::new(&store.folder, bounds, Box::new(Real));
-                let fault =
-                    |fault| say!("timeline: nothing is kept on disk: {}: {fault}", store.folder.display());
+                let fault = |fault| {
+                    say!(
+                        "timeline: nothing is kept on disk: {}: {fault}",
+                        store.folder.display()
+                    )
+                };
                 writer.map_err(fault).ok().map(Pump::new)
             });
-            let behind = if pump.is_some() { self.beginning(now) } else { Vec::new() };
-            Open { book, set, pump, behind, next: now + BATCH }
+            let behind = if pump.is_some() {
+                self.beginning(now)
+            } else {
+                Vec::new()
+            };
+            Open {
+                book,
+                set,
+                pump,
+                behind,
+                next: now + BATCH,
+            }
         });
     }
 
     /// What stands first: the start, and the names known.
     fn beginning(&self, at: Duration) -> Vec<Record> {
-        let start =
-            Record::Start { agent: self.told.agent.clone(), at, products: self.told.products.clone() };
+        let start = Record::Start {
+            agent: self.told.agent.clone(),
+            at,
+            products: self.told.products.clone(),
+        };
         let names = self.names.borrow();
-        let name = |(node, name): &(ApplianceId, String)| Record::Name { node: node.0, name: name.clone() };
-        std::iter::once(start).chain(names.iter().map(name)).collect()
+        let name = |(node, name): &(ApplianceId, String)| Record::Name {
+            node: node.0,
+            name: name.clone(),
+        };
+        std::iter::once(start)
+            .chain(names.iter().map(name))
+            .collect()
     }
 
     /// A node's number and name.
@@ -126,8 +173,16 @@
                 names.remove(0);
             }
             names.push((node, name.into()));
-            if let Some(open) = self.open.borrow_mut().as_mut().filter(|open| open.pump.is_some()) {
-                open.behind.push(Record::Name { node: node.0, name: name.into() });
+            if let Some(open) = self
+                .open
+                .borrow_mut()
+                .as_mut()
+                .filter(|open| open.pump.is_some())
+            {
+                open.behind.push(Record::Name {
+                    node: node.0,
+                    name: name.into(),
+                });
             }
         }
     }
@@ -185,15 +240,22 @@
             let whom = match departure.whom {
                 Whom::Node(node) => {
                     let names = self.names.borrow();
-                    let name = names.iter().find(|(id, _)| id.0 == node).map(|(_, name)| name.as_str());
+                    let name = names
+                        .iter()
+                        .find(|(id, _)| id.0 == node)
+                        .map(|(_, name)| name.as_str());
                     format!("node {}", name.unwrap_or("?"))
                 }
                 Whom::Build(build) => format!("build {build}"),
                 Whom::Fleet => "the fleet".into(),
             };
             let (number, kind) = (departure.number, departure.kind);
-            let product = departure.product.and_then(|product| self.told.products.get(usize::from(product)));
-            let product = product.map(|name| format!(" for {name}")).unwrap_or_default();
+            let product = departure
+                .product
+                .and_then(|product| self.told.products.get(usize::from(product)));
+            let product = product
+                .map(|name| format!(" for {name}"))
+                .unwrap_or_default();
             let (usual, seen) = (departure.usual, departure.seen);
             say!(
                 "timeline: departure {number}: {whom}: {kind:?}{product}, {seen:.2} where {usual:.2} is usual"
@@ -209,26 +271,47 @@
     fn whole(&self, now: Duration) -> Vec<u8> {
         let mut records = self.beginning(now);
         if let Some(open) = self.open.borrow().as_ref() {
-            records.extend(open.book.own().as_of(Duration::MAX).cloned().map(Record::Entry));
+            records.extend(
+                open.book
+                    .own()
+                    .as_of(Duration::MAX)
+                    .cloned()
+                    .map(Record::Entry),
+            );
             for node in open.book.nodes() {
-                let Some(line) = open.book.line(node) else { continue };
+                let Some(line) = open.book.line(node) else {
+                    continue;
+                };
                 records.extend(line.as_of(Duration::MAX).cloned().map(Record::Entry));
                 let step = |(long, step): (Duration, Step)| {
                     let latency = step.latency.octets().to_vec();
                     let (from, counts) = (step.from, step.counts);
-                    Record::Step(StepRecord { node, from, long, build: 0, counts, latency })
+                    Record::Step(StepRecord {
+                        node,
+                        from,
+                        long,
+                        build: 0,
+                        counts,
+                        latency,
+                    })
                 };
                 records.extend(line.steps.since(Duration::ZERO).into_iter().map(step));
             }
         }
         let mut bytes = frames::head(now.as_secs()).to_vec();
-        records.iter().for_each(|record| frames::put(&mut bytes, record));
+        records
+            .iter()
+            .for_each(|record| frames::put(&mut bytes, record));
         bytes
     }
 
     /// Writes all lines where the file wants them, off the loop, by rename.
     pub fn dump(&self, now: Duration) {
-        let path: Option<PathBuf> = self.open.borrow().as_ref().and_then(|open| open.set.dump.clone());
+        let path: Option<PathBuf> = self
+            .open
+            .borrow()
+            .as_ref()
+            .and_then(|open| open.set.dump.clone());
         let Some(path) = path else { return };
         let bytes = self.whole(now);
         replace("timeline:", path, bytes);
@@ -262,7 +345,10 @@
                 if all > WAITING {
                     batch.retain(|record| !matches!(record, Record::Step(_)));
                     batch.truncate(WAITING);
-                    batch.push(Record::LeftOut { at: now, many: (all - batch.len()) as u64 });
+                    batch.push(Record::LeftOut {
+                        at: now,
+                        many: (all - batch.len()) as u64,
+                    });
                 }
                 self.behind = batch;
             }
--- a/crates/agent/src/releases.rs
+++ b/crates/agent/src/releases.rs
@@ -50,7 +50,10 @@
     /// # Errors
     /// All its faults, a line each.
     pub fn new(
-        path: Option<PathBuf>, agent: &str, told: &Paths, hub: Rc<Hub>,
+        path: Option<PathBuf>,
+        agent: &str,
+        told: &Paths,
+        hub: Rc<Hub>,
     ) -> Result<(File, Option<Gate>, Option<Timeline>), String> {
         let products: u8 = told.num("profiles.count")?;
         let product = |i| told.text(&format!("profiles.{i}.name")).map(str::to_owned);
@@ -60,7 +63,15 @@
         };
         let connect_within = told.period("limits.connect-timeout")?;
         let (state, desks) = Default::default();
-        let file = File { path, agent: agent.to_owned(), known, hub, connect_within, state, desks };
+        let file = File {
+            path,
+            agent: agent.to_owned(),
+            known,
+            hub,
+            connect_within,
+            state,
+            desks,
+        };
         let read = file.read().map_err(|faults| faults.join("\nlilacgate: "))?;
         let gate = match &read.0 {
             Some((releases, me)) => {
@@ -75,14 +86,29 @@
 
     /// The releases that the file orders, with the firm whose requests this agent routes, and its time lines.
     fn read(&self) -> Result<Ordered, Vec<String>> {
-        let Some(path) = &self.path else { return Ok((None, None)) };
+        let Some(path) = &self.path else {
+            return Ok((None, None));
+        };
         let named = |fault| format!("the operator's file {}: {fault}", path.display());
-        let Operator { places, releases, timeline } = lilacgate_operator::load(path, &self.known)
-            .map_err(|faults| faults.into_iter().map(|fault| named(fault.to_string())).collect::<Vec<_>>())?;
-        let Some(releases) = releases else { return Ok((None, timeline)) };
+        let Operator {
+            places,
+            releases,
+            timeline,
+        } = lilacgate_operator::load(path, &self.known).map_err(|faults| {
+            faults
+                .into_iter()
+                .map(|fault| named(fault.to_string()))
+                .collect::<Vec<_>>()
+        })?;
+        let Some(releases) = releases else {
+            return Ok((None, timeline));
+        };
         match places.firm_of(&self.agent) {
             Some(me) => Ok((Some((releases, me)), timeline)),
-            None => Err(vec![named(format!("<places>: no <agent> is named {:?}", self.agent))]),
+            None => Err(vec![named(format!(
+                "<places>: no <agent> is named {:?}",
+                self.agent
+            ))]),
         }
     }
 
@@ -100,16 +126,24 @@
                 });
                 self.attend(releases.as_ref());
             }
-            Err(faults) => faults.iter().for_each(|fault| say!("reload: {fault}; nothing changes")),
+            Err(faults) => faults
+                .iter()
+                .for_each(|fault| say!("reload: {fault}; nothing changes")),
         }
     }
 
     /// Talks with the desks that the file names, and no longer with others.
     fn attend(&self, releases: Option<&Releases>) {
-        self.state.replace(releases.and_then(|releases| releases.state.clone()));
+        self.state
+            .replace(releases.and_then(|releases| releases.state.clone()));
         let named = |releases: &Releases| {
-            let name = |desk: &lilacgate_operator::Desk| releases.rules.service(desk.service).to_owned();
-            releases.desks.iter().map(|desk| (name(desk), *desk)).collect::<HashMap<_, _>>()
+            let name =
+                |desk: &lilacgate_operator::Desk| releases.rules.service(desk.service).to_owned();
+            releases
+                .desks
+                .iter()
+                .map(|desk| (name(desk), *desk))
+                .collect::<HashMap<_, _>>()
         };
         let wanted = releases.map(named).unwrap_or_default();
         let mut desks = self.desks.borrow_mut();
@@ -121,10 +155,18 @@
                 continue;
             }
             let service = Rc::new(Cell::new(desk.service));
-            let ears = Rc::new(Service { hub: self.hub.clone(), service: service.clone() });
+            let ears = Rc::new(Service {
+                hub: self.hub.clone(),
+                service: service.clone(),
+            });
             let bound = Bound::ASecond(NOISE);
-            let listener =
-                Desk::new(format!("release desk of {name}"), desk.at, self.connect_within, bound, ears);
+            let listener = Desk::new(
+                format!("release desk of {name}"),
+                desk.at,
+                self.connect_within,
+                bound,
+                ears,
+            );
             let (stop, stopped) = async_channel::bounded::<()>(1);
             let task = listener.clone();
             self.hub.spawn(async move {
@@ -133,14 +175,23 @@
                 };
                 futures_lite::future::or(task.run(), until).await;
             });
-            desks.insert(name, Attended { service, desk: listener, _stop: stop });
+            desks.insert(
+                name,
+                Attended {
+                    service,
+                    desk: listener,
+                    _stop: stop,
+                },
+            );
         }
     }
 
     /// Writes the gate's state where the file wants it, off the loop, by rename.
     pub fn write_state(&self) {
         self.hub.tell(|ear| ear.recorder.dump(ear.now));
-        let Some(path) = self.state.borrow().clone() else { return };
+        let Some(path) = self.state.borrow().clone() else {
+            return;
+        };
         let agent = self.agent.clone();
         self.hub.tell(move |ear| {
             if let Some(text) = ear.state(&agent) {
@@ -160,7 +211,12 @@
     fn news(&self, news: News) {
         let service = self.service.get();
         let since = self.hub.clock.now().saturating_sub(news.age);
-        let told = Told { build: news.build, stage: news.stage, course: news.course, since };
+        let told = Told {
+            build: news.build,
+            stage: news.stage,
+            course: news.course,
+            since,
+        };
         self.hub.tell(move |ear| ear.service(service, told));
     }
 
--- a/crates/agent/src/resp.rs
+++ b/crates/agent/src/resp.rs
@@ -38,7 +38,12 @@
 
 impl Default for Values {
     fn default() -> Self {
-        Values { state: State::Line, held: vec![], seen: 0, open: vec![] }
+        Values {
+            state: State::Line,
+            held: vec![],
+            seen: 0,
+            open: vec![],
+        }
     }
 }
 
@@ -48,8 +53,11 @@
         let line = line.strip_suffix(b"\r\n").ok_or(End::Malformed)?;
         let (&kind, rest) = line.split_first().ok_or(End::Malformed)?;
         let number = || {
-            let text = std::str::from_utf8(rest).ok().filter(|text| !text.starts_with('+'));
-            text.and_then(|text| text.parse::<i64>().ok()).ok_or(End::Malformed)
+            let text = std::str::from_utf8(rest)
+                .ok()
+                .filter(|text| !text.starts_with('+'));
+            text.and_then(|text| text.parse::<i64>().ok())
+                .ok_or(End::Malformed)
         };
         Ok(Some(match kind {
             b'+' => Resp::Simple(rest.to_vec()),
@@ -105,7 +113,10 @@
         while at < bytes.len() {
             let rest = &bytes[at..];
             let many = match self.state {
-                State::Line => rest.iter().position(|&b| b == b'\n').map_or(rest.len(), |i| i + 1),
+                State::Line => rest
+                    .iter()
+                    .position(|&b| b == b'\n')
+                    .map_or(rest.len(), |i| i + 1),
                 State::Bulk(left) => left.min(rest.len()),
             };
             self.seen += many;
@@ -155,11 +166,25 @@
             return Err(End::Malformed);
         }
         let (taken, value) = self.0.take(bytes)?;
-        let Some(value) = value else { return Ok((taken, None)) };
-        let Resp::Array(Some(items)) = value else { return Err(End::Malformed) };
-        let item = |item| if let Resp::Bulk(Some(text)) = item { Ok(text) } else { Err(End::Malformed) };
+        let Some(value) = value else {
+            return Ok((taken, None));
+        };
+        let Resp::Array(Some(items)) = value else {
+            return Err(End::Malformed);
+        };
+        let item = |item| {
+            if let Resp::Bulk(Some(text)) = item {
+                Ok(text)
+            } else {
+                Err(End::Malformed)
+            }
+        };
         let command = items.into_iter().map(item).collect::<Result<Vec<_>, _>>()?;
-        if command.is_empty() { Err(End::Malformed) } else { Ok((taken, Some(command))) }
+        if command.is_empty() {
+            Err(End::Malformed)
+        } else {
+            Ok((taken, Some(command)))
+        }
     }
 }
 
--- a/crates/agent/src/ring.rs
+++ b/crates/agent/src/ring.rs
@@ -34,7 +34,10 @@
 
 impl Ring {
     pub fn new(most: usize) -> Self {
-        Ring { bytes: VecDeque::new(), most }
+        Ring {
+            bytes: VecDeque::new(),
+            most,
+        }
     }
 
     pub fn is_empty(&self) -> bool {
@@ -55,8 +58,17 @@
     /// Reads what is there, as far as there is room; 0 at the end of the stream.
     fn fill(&mut self, mut from: &TcpStream) -> io::Result<usize> {
         let had = self.bytes.len();
-        let room = self.bytes.capacity().max(SMALL).min(self.most).saturating_sub(had);
-        let room = if room == 0 { had.min(self.most - had) } else { room };
+        let room = self
+            .bytes
+            .capacity()
+            .max(SMALL)
+            .min(self.most)
+            .saturating_sub(had);
+        let room = if room == 0 {
+            had.min(self.most - had)
+        } else {
+            room
+        };
         self.bytes.resize(had + room, 0);
         let tail = &mut self.bytes.make_contiguous()[had..];
         let got = from.read(tail);
@@ -73,7 +85,12 @@
     /// Writes all that is in it.
     pub async fn flush(&mut self, to: &Async<TcpStream>) -> Result<(), End> {
         while !self.bytes.is_empty() {
-            if to.write_with(|to| self.drain(to)).await.map_err(End::from)? == 0 {
+            if to
+                .write_with(|to| self.drain(to))
+                .await
+                .map_err(End::from)?
+                == 0
+            {
                 return Err(End::Reset);
             }
         }
@@ -101,12 +118,23 @@
     pub fn new(parser: P, most: usize, patience: Duration) -> Self {
         let now = Instant::now();
         let (ring, amid) = (Ring::new(most), Rc::default());
-        Intake { ring, parser, patience, stall: None, came: now, begun: now, amid }
+        Intake {
+            ring,
+            parser,
+            patience,
+            stall: None,
+            came: now,
+            begun: now,
+            amid,
+        }
     }
 
     /// The same, which ends as stalled once no more bytes of an item that has begun come for so long.
     pub fn stalls_after(self, stall: Duration) -> Self {
-        Intake { stall: Some(stall), ..self }
+        Intake {
+            stall: Some(stall),
+            ..self
+        }
     }
 
     /// The next item; nothing at the end of the stream.
@@ -143,8 +171,14 @@
     async fn read(&mut self, from: &Async<TcpStream>) -> Result<usize, End> {
         let stall = self.stall.filter(|_| !self.parser.is_between());
         let ring = &mut self.ring;
-        let read = async { from.read_with(|from| ring.fill(from)).await.map_err(End::from) };
-        let Some(stall) = stall else { return read.await };
+        let read = async {
+            from.read_with(|from| ring.fill(from))
+                .await
+                .map_err(End::from)
+        };
+        let Some(stall) = stall else {
+            return read.await;
+        };
         let stalled = async {
             Timer::after(stall).await;
             Err(End::Stalled)
@@ -164,7 +198,8 @@
 
 /// A connection as a stream of items, each with the time at which its first byte was read.
 pub fn items<P: Parse>(
-    from: Rc<Async<TcpStream>>, intake: Intake<P>,
+    from: Rc<Async<TcpStream>>,
+    intake: Intake<P>,
 ) -> impl Stream<Item = Result<(Instant, P::Item), End>> {
     stream::try_unfold((from, intake), async |(from, mut intake)| {
         let item = intake.next(&from).await?;
@@ -173,7 +208,10 @@
 }
 
 /// Waits for something no longer than so: a silent peer sends no reset.
-pub async fn within<T>(wait: Duration, work: impl Future<Output = Result<T, End>>) -> Result<T, End> {
+pub async fn within<T>(
+    wait: Duration,
+    work: impl Future<Output = Result<T, End>>,
+) -> Result<T, End> {
     let late = async {
         Timer::after(wait).await;
         Err(End::Silent)
@@ -214,7 +252,10 @@
 
 impl Place {
     pub fn new(at: SocketAddr) -> Self {
-        Place { at: Cell::new(at), bell: async_channel::bounded(1) }
+        Place {
+            at: Cell::new(at),
+            bell: async_channel::bounded(1),
+        }
     }
 
     pub fn at(&self) -> SocketAddr {
@@ -235,7 +276,10 @@
 }
 
 pub async fn connect(to: SocketAddr, wait: Duration) -> Result<Async<TcpStream>, End> {
-    let stream = within(wait, async { Async::<TcpStream>::connect(to).await.map_err(End::from) }).await?;
+    let stream = within(wait, async {
+        Async::<TcpStream>::connect(to).await.map_err(End::from)
+    })
+    .await?;
     stream.get_ref().set_nodelay(true).map_err(End::from)?;
     Ok(stream)
 }
--- a/crates/agent/src/told.rs
+++ b/crates/agent/src/told.rs
@@ -29,10 +29,16 @@
 
 /// A field, by its path.
 pub fn field<'a>(file: &'a Json, path: &str) -> Option<&'a Json> {
-    path.split('.').try_fold(file, |at, name| at.get(name)).filter(|value| **value != Json::Null)
+    path.split('.')
+        .try_fold(file, |at, name| at.get(name))
+        .filter(|value| **value != Json::Null)
 }
 
-fn need<'a, T>(file: &'a Json, path: &str, read: impl FnOnce(&'a Json) -> Option<T>) -> Result<T, String> {
+fn need<'a, T>(
+    file: &'a Json,
+    path: &str,
+    read: impl FnOnce(&'a Json) -> Option<T>,
+) -> Result<T, String> {
     let value = field(file, path).ok_or_else(|| format!("the start file lacks {path}"))?;
     read(value).ok_or_else(|| format!("the start file's {path} cannot be used"))
 }
@@ -42,9 +48,15 @@
 }
 
 pub fn read(text: &[u8]) -> Result<Told, String> {
-    let file = json::Values::whole(text).map_err(|end| format!("the start file is no JSON object: {end}"))?;
-    let maybe =
-        |path| if field(&file, path).is_some() { need(&file, path, address).map(Some) } else { Ok(None) };
+    let file = json::Values::whole(text)
+        .map_err(|end| format!("the start file is no JSON object: {end}"))?;
+    let maybe = |path| {
+        if field(&file, path).is_some() {
+            need(&file, path, address).map(Some)
+        } else {
+            Ok(None)
+        }
+    };
     let mut pairs = Vec::new();
     let mut put = |path, value| pairs.push((path, value));
     need(&file, "settings", Some)?.flatten("", &mut put);
@@ -54,13 +66,21 @@
     let megabytes = |value: &Json| value.whole().and_then(|mb| usize::try_from(mb << 20).ok());
     Ok(Told {
         name: need(&file, "name", |value| value.text().map(str::to_owned))?,
-        seed: need(&file, "seed", |value| u64::from_str_radix(value.text()?, 16).ok())?,
+        seed: need(&file, "seed", |value| {
+            u64::from_str_radix(value.text()?, 16).ok()
+        })?,
         listen: need(&file, "listen", address)?,
         discovery: need(&file, "discovery", address)?,
         memory: need(&file, "limits.memory_mb", megabytes)?,
-        sockets: need(&file, "limits.sockets", |value| value.whole().and_then(|n| n.try_into().ok()))?,
+        sockets: need(&file, "limits.sockets", |value| {
+            value.whole().and_then(|n| n.try_into().ok())
+        })?,
         peer_listen: maybe("peer_listen")?,
-        peers: if field(&file, "peers").is_some() { need(&file, "peers", peers)? } else { Vec::new() },
+        peers: if field(&file, "peers").is_some() {
+            need(&file, "peers", peers)?
+        } else {
+            Vec::new()
+        },
         peers_all: maybe("peers_all")?,
         platform: need(&file, "pipeline.address", address)?,
         settings: pairs.into_iter().collect(),
@@ -83,9 +103,20 @@
         }
         return;
     };
-    let under = |name: &str| if path.is_empty() { name.to_owned() } else { format!("{path}.{name}") };
+    let under = |name: &str| {
+        if path.is_empty() {
+            name.to_owned()
+        } else {
+            format!("{path}.{name}")
+        }
+    };
     for (name, value) in fields {
-        differ(value, other.get(name).unwrap_or(&Json::Null), &under(name), found);
+        differ(
+            value,
+            other.get(name).unwrap_or(&Json::Null),
+            &under(name),
+            found,
+        );
     }
     let new = others.iter().filter(|(name, _)| one.get(name).is_none());
     found.extend(new.map(|(name, _)| under(name)));
--- a/crates/agent/tests/agent.rs
+++ b/crates/agent/tests/agent.rs
@@ -112,9 +112,15 @@
     }
 
     fn spawn(&mut self) {
-        self.start.0 = self.start.0.replace("PEER_LISTEN", &free_for_datagrams().to_string());
+        self.start.0 = self
+            .start
+            .0
+            .replace("PEER_LISTEN", &free_for_datagrams().to_string());
         self.write_told();
-        let operator = self.operator.is_some().then(|| self.folder.path().join("operator.xml"));
+        let operator = self
+            .operator
+            .is_some()
+            .then(|| self.folder.path().join("operator.xml"));
         let program = Path::new(env!("CARGO_BIN_EXE_lilacgate"));
         let agent = Agent::spawn(program, &self.file(), operator.as_deref(), self.files);
         self.log = agent.log.clone();
@@ -131,7 +137,10 @@
             ("LISTEN", self.listen.to_string()),
             ("DISCOVERY", self.discovery.at.to_string()),
             ("PLATFORM", self.platform.at.to_string()),
-            ("PEER", self.peers[0].local_addr().expect("its address").to_string()),
+            (
+                "PEER",
+                self.peers[0].local_addr().expect("its address").to_string(),
+            ),
             ("KNOWN", self.known.join(",")),
         ];
         std::fs::write(self.file(), self.start.with(&places)).expect("the start file");
@@ -140,7 +149,8 @@
                 text.replace(&format!("AT-{name}"), &desk.0.at.to_string())
             };
             let text = self.desks.iter().fold(rules.clone(), desks);
-            std::fs::write(self.folder.path().join("operator.xml"), text).expect("the operator's file");
+            std::fs::write(self.folder.path().join("operator.xml"), text)
+                .expect("the operator's file");
         }
     }
 
@@ -170,13 +180,26 @@
             .split(' ')
             .map(|one| {
                 let mut parts = one.split(':');
-                let (name, state) = (parts.next().expect("a name"), parts.next().expect("a state"));
+                let (name, state) = (
+                    parts.next().expect("a name"),
+                    parts.next().expect("a state"),
+                );
                 let (name, at) = name.split_once('@').unwrap_or((name, name));
-                entry(name, self.appliances[at].at, "x", state, parts.next().unwrap_or("1"), None)
+                entry(
+                    name,
+                    self.appliances[at].at,
+                    "x",
+                    state,
+                    parts.next().unwrap_or("1"),
+                    None,
+                )
             })
             .collect();
         let entries = entries.join(",");
-        let text = format!("{{\"version\":{},\"full\":false,\"servers\":[{entries}]}}\n", self.version);
+        let text = format!(
+            "{{\"version\":{},\"full\":false,\"servers\":[{entries}]}}\n",
+            self.version
+        );
         self.discovery.write(chunk(&text).as_bytes());
     }
 
@@ -188,14 +211,20 @@
         let conn = self.clients.get_mut(name).expect("a client");
         let (verb, rest) = what.split_once(' ').unwrap_or((what, ""));
         match verb {
-            "raw" => conn.get_ref().write_all(&bytes(rest)).expect("it is written"),
+            "raw" => conn
+                .get_ref()
+                .write_all(&bytes(rest))
+                .expect("it is written"),
             "reads" => {
                 let got = resp(conn).unwrap_or_else(|| "the end".into());
                 assert!(fits(rest, &got), "client {name} reads {got:.200}");
             }
             "opens" => {}
             "leaves" => drop(self.clients.remove(name)),
-            "stops" => conn.get_ref().shutdown(Shutdown::Write).expect("its side ends"),
+            "stops" => conn
+                .get_ref()
+                .shutdown(Shutdown::Write)
+                .expect("its side ends"),
             "reset" => {
                 // Behind the other side's end a reset shows in what is written next.
                 let broken = (0..100).any(|_| {
@@ -205,25 +234,43 @@
                 assert!(broken, "client {name}'s command was read");
             }
             "closed" => {
-                assert_eq!(conn.read(&mut [0]).expect("no reset"), 0, "client {name} is still served")
+                assert_eq!(
+                    conn.read(&mut [0]).expect("no reset"),
+                    0,
+                    "client {name} is still served"
+                )
             }
             "ended" => {
                 let within = rest.parse().map_or(PATIENCE, Duration::from_millis);
-                conn.get_ref().set_read_timeout(Some(within)).expect("a time-out");
+                conn.get_ref()
+                    .set_read_timeout(Some(within))
+                    .expect("a time-out");
                 let got = conn.read(&mut [0]);
                 let late = matches!(&got, Err(fault) if fault.kind() == ErrorKind::WouldBlock);
-                assert!(!late && got.unwrap_or(0) == 0, "client {name} is still served");
+                assert!(
+                    !late && got.unwrap_or(0) == 0,
+                    "client {name} is still served"
+                );
             }
             _ => {
-                let what = if what.contains(",d=") { what.into() } else { what.replace(",d", ",d=30000") };
+                let what = if what.contains(",d=") {
+                    what.into()
+                } else {
+                    what.replace(",d", ",d=30000")
+                };
                 let parts: Vec<_> = what.split(' ').collect();
-                conn.get_ref().write_all(command(&parts).as_bytes()).expect("it is written");
+                conn.get_ref()
+                    .write_all(command(&parts).as_bytes())
+                    .expect("it is written");
             }
         }
     }
 
     fn appliance(&mut self, name: &str, what: &str) {
-        let post = self.appliances.get_mut(name).unwrap_or_else(|| panic!("no step {name} {what}"));
+        let post = self
+            .appliances
+            .get_mut(name)
+            .unwrap_or_else(|| panic!("no step {name} {what}"));
         let (verb, rest) = what.split_once(' ').unwrap_or((what, ""));
         match verb {
             "gets" if rest == THE_END => post.heard_end(),
@@ -247,12 +294,15 @@
             ("appliance", (name, build)) => {
                 let post = Post::new(resp, "", b"", b"");
                 let build = if build.is_empty() { "1" } else { build };
-                self.known.push(entry(name, post.at, "x", "ready", build, None));
+                self.known
+                    .push(entry(name, post.at, "x", "ready", build, None));
                 self.appliances.insert(name.into(), post);
             }
             ("full", _) => {
                 let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
-                socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a free port");
+                socket
+                    .bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
+                    .expect("a free port");
                 socket.listen(1).expect("it listens");
                 let listener = TcpListener::from(socket);
                 let at = listener.local_addr().expect("its address");
@@ -281,7 +331,9 @@
             ("start", _) => {
                 self.spawn();
                 let mut conn = self.open();
-                conn.get_ref().write_all(b"*1\r\n$4\r\nPING\r\n").expect("it is written");
+                conn.get_ref()
+                    .write_all(b"*1\r\n$4\r\nPING\r\n")
+                    .expect("it is written");
                 assert_eq!(resp(&mut conn).as_deref(), Some("+PONG"));
                 self.discovery.heard();
                 self.listener = self.listeners.recv_timeout(PATIENCE).expect("a listener").0;
@@ -296,7 +348,9 @@
             ("crowd", _) => {
                 for _ in 0..rest.parse().expect("a number") {
                     let mut conn = self.open();
-                    conn.get_ref().write_all(b"*1\r\n$4\r\nPING\r\n").expect("it is written");
+                    conn.get_ref()
+                        .write_all(b"*1\r\n$4\r\nPING\r\n")
+                        .expect("it is written");
                     assert_eq!(resp(&mut conn).as_deref(), Some("+PONG"));
                     self.crowd.push(conn);
                 }
@@ -305,8 +359,9 @@
                 for i in 0..rest.parse().expect("a number") {
                     // A line that is full answers only to the next try, a second later.
                     let conn = TcpStream::connect_timeout(&self.listen, Duration::from_millis(900));
-                    let conn =
-                        conn.unwrap_or_else(|fault| panic!("client {i} finds no place in line: {fault}"));
+                    let conn = conn.unwrap_or_else(|fault| {
+                        panic!("client {i} finds no place in line: {fault}")
+                    });
                     conn.set_read_timeout(Some(PATIENCE)).expect("a time-out");
                     self.crowd.push(BufReader::new(conn));
                 }
@@ -314,20 +369,28 @@
             ("halves", _) => {
                 for _ in 0..rest.parse().expect("a number") {
                     let conn = self.open();
-                    conn.get_ref().write_all(b"*4\r\n$9\r\nSVC").expect("it is written");
+                    conn.get_ref()
+                        .write_all(b"*4\r\n$9\r\nSVC")
+                        .expect("it is written");
                     self.crowd.push(conn);
                 }
             }
             ("disperse", _) => self.crowd.clear(),
             ("discovery", (_, how)) => {
-                self.discovery = if how == "silent" { post::silent_discovery() } else { discovery() };
+                self.discovery = if how == "silent" {
+                    post::silent_discovery()
+                } else {
+                    discovery()
+                };
                 self.write_told();
             }
             ("platform", _) => {
                 (self.platform, self.listeners) = platform();
                 self.write_told();
             }
-            ("told", ("raw", text)) => std::fs::write(self.file(), bytes(text)).expect("the start file"),
+            ("told", ("raw", text)) => {
+                std::fs::write(self.file(), bytes(text)).expect("the start file")
+            }
             ("told", ("nothing", _)) => std::fs::remove_file(self.file()).expect("the start file"),
             ("told", _) => self.write_told(),
             ("later", _) => thread::sleep(Duration::from_millis(rest.parse().expect("a number"))),
@@ -359,8 +422,14 @@
             ("vote", _) => self.platform.end(),
             ("peer" | "stranger", (_, what)) => {
                 let from = &self.peers[usize::from(verb == "stranger")];
-                let to = self.start.0.split("\"peer_listen\":\"").nth(1).and_then(|s| s.split('"').next());
-                from.send_to(&bytes(what), to.expect("where peers listen")).expect("it is sent");
+                let to = self
+                    .start
+                    .0
+                    .split("\"peer_listen\":\"")
+                    .nth(1)
+                    .and_then(|s| s.split('"').next());
+                from.send_to(&bytes(what), to.expect("where peers listen"))
+                    .expect("it is sent");
             }
             ("signal", (name, _)) => self.agent().signal(name),
             ("unread", _) => {
@@ -369,7 +438,9 @@
                 let held = reading.lock().expect("a lock");
                 for _ in 0..rest.parse().expect("a number") {
                     self.agent().signal("USR1");
-                    conn.get_ref().write_all(b"*1\r\n$4\r\nPING\r\n").expect("it is written");
+                    conn.get_ref()
+                        .write_all(b"*1\r\n$4\r\nPING\r\n")
+                        .expect("it is written");
                     assert_eq!(resp(&mut conn).as_deref(), Some("+PONG"), "it stands still");
                 }
                 drop(held);
@@ -380,10 +451,16 @@
                     self.agent().signal("USR1");
                     thread::sleep(Duration::from_millis(50));
                     let log = self.log();
-                    log.lines().rfind(|line| line.contains("counters:")).is_some_and(|l| l.contains(&want))
+                    log.lines()
+                        .rfind(|line| line.contains("counters:"))
+                        .is_some_and(|l| l.contains(&want))
                 });
                 let log = self.log();
-                assert!(there, "no{want}in {}", log.lines().last().unwrap_or_default());
+                assert!(
+                    there,
+                    "no{want}in {}",
+                    log.lines().last().unwrap_or_default()
+                );
             }
             ("log", _) => assert!(logged(&self.log, rest), "{}", self.log()),
             ("ends", _) if !rest.is_empty() => {
@@ -394,13 +471,17 @@
             }
             ("timeline", _) => {
                 let text = self.operator.take().expect("an operator's file");
-                self.operator = Some(text.replace("</operator>", &format!("<timeline {rest}/></operator>")));
+                self.operator =
+                    Some(text.replace("</operator>", &format!("<timeline {rest}/></operator>")));
             }
             ("operator", _) => {
                 let places = r#"<places><zone name="x"/><firm name="f"/><firm name="g"/><product name="read"/>
 <product name="post"/><product name="book"/><agent name="n0" firm="f"/></places>"#;
-                let rules = format!(r#"<releases service="s"><service name="s"/>{rest}</releases>"#);
-                self.operator = Some(format!(r#"<operator version="1">{places}{rules}</operator>"#));
+                let rules =
+                    format!(r#"<releases service="s"><service name="s"/>{rest}</releases>"#);
+                self.operator = Some(format!(
+                    r#"<operator version="1">{places}{rules}</operator>"#
+                ));
             }
             ("desk", (name, _)) => {
                 let (post, listeners) = platform();
@@ -439,7 +520,11 @@
 fn scenario(#[files("tests/scenarios/*.txt")] path: PathBuf) {
     let text = std::fs::read_to_string(&path).expect("a scenario");
     let mut play = Play::new();
-    for (number, step) in text.lines().enumerate().filter(|(_, l)| !l.is_empty() && !l.starts_with('#')) {
+    for (number, step) in text
+        .lines()
+        .enumerate()
+        .filter(|(_, l)| !l.is_empty() && !l.starts_with('#'))
+    {
         println!("{}: {step}", number + 1);
         play.step(step);
     }
--- a/crates/agent/tests/days.rs
+++ b/crates/agent/tests/days.rs
@@ -17,7 +17,10 @@
             let verdict = verdict.unwrap_or_else(|fault| panic!("{kind:?}: {fault}"));
             println!("{kind:?}: {verdict:?}");
             assert!(verdict.settled > 200, "{kind:?}: {verdict:?}");
-            assert!(!with_operator || verdict.is_clean(), "{kind:?}: {verdict:?}");
+            assert!(
+                !with_operator || verdict.is_clean(),
+                "{kind:?}: {verdict:?}"
+            );
             all.add(&verdict);
         }
     }
--- a/crates/agent/tests/ends.rs
+++ b/crates/agent/tests/ends.rs
@@ -17,9 +17,18 @@
 #[case::busy(24, 0, false)]
 #[case::a_node_hangs(24, 0, true)]
 #[case::with_pauses(40, 40, true)]
-fn nothing_taken_is_lost_at_a_restart(#[case] clients: usize, #[case] pause: u64, #[case] hangs: bool) {
+fn nothing_taken_is_lost_at_a_restart(
+    #[case] clients: usize,
+    #[case] pause: u64,
+    #[case] hangs: bool,
+) {
     let program = Path::new(env!("CARGO_BIN_EXE_lilacgate"));
-    let released = State { build: 1, stage: 3, course: "Healthy", cap: 1.0 };
+    let released = State {
+        build: 1,
+        stage: 3,
+        course: "Healthy",
+        cap: 1.0,
+    };
     let mut town = Town::new(program, 11, released, Box::new(|_, _, _, _| None));
     for zone in [0, 0, 1, 1] {
         town.node(Manners::good(1, zone, Duration::from_millis(20)));
@@ -29,7 +38,11 @@
         town.change(3, |manners| manners.silent = true);
     }
     let (pause, deadline) = (Duration::from_millis(pause), Duration::from_millis(1000));
-    town.open(Traffic { clients, pause, deadline });
+    town.open(Traffic {
+        clients,
+        pause,
+        deadline,
+    });
     for _ in 0..2 {
         town.pass(Duration::from_millis(600));
         let (gone, log) = town.ends_within(MAY_BE_KILLED + SLACK);
@@ -39,6 +52,12 @@
     town.pass(Duration::from_millis(300));
     town.close();
     // Up to half a second after its time an answer is none too many on a loaded machine.
-    let verdict = check(&town.record.events(), &Terms { slack: SLACK, ..Terms::default() });
+    let verdict = check(
+        &town.record.events(),
+        &Terms {
+            slack: SLACK,
+            ..Terms::default()
+        },
+    );
     assert!(verdict.settled > 500 && verdict.lost == 0, "{verdict:?}");
 }
--- a/crates/agent/tests/fleet.rs
+++ b/crates/agent/tests/fleet.rs
@@ -21,7 +21,11 @@
 const CHUNK_ENDS: usize = 5;
 
 fn plan(agents: usize, listed: usize) -> Plan {
-    let mut plan = Plan::new(PathBuf::from(env!("CARGO_BIN_EXE_lilacgate")), agents, listed);
+    let mut plan = Plan::new(
+        PathBuf::from(env!("CARGO_BIN_EXE_lilacgate")),
+        agents,
+        listed,
+    );
     plan.window = Duration::from_secs(1);
     plan.warm_up = Duration::from_millis(200);
     plan
@@ -37,7 +41,9 @@
 
 fn samples(output: &[u8]) -> Vec<Sample> {
     let text = std::str::from_utf8(output).expect("text");
-    text.lines().map(|line| serde_json::from_str(line).expect("a sample")).collect()
+    text.lines()
+        .map(|line| serde_json::from_str(line).expect("a sample"))
+        .collect()
 }
 
 #[rstest]
@@ -48,20 +54,40 @@
     let mut output = Vec::new();
     let summary = run(&plan, &mut output).expect("a whole run");
     let list = chunk_length(summary.startup.list_bytes);
-    for startup in [&summary.startup, summary.restart.as_ref().expect("a restart")] {
+    for startup in [
+        &summary.startup,
+        summary.restart.as_ref().expect("a restart"),
+    ] {
         assert_eq!(startup.ready.len(), 2);
-        assert_eq!((startup.control.lists.messages_out, startup.control.lists.bytes_out), (2, 2 * list));
+        assert_eq!(
+            (
+                startup.control.lists.messages_out,
+                startup.control.lists.bytes_out
+            ),
+            (2, 2 * list)
+        );
     }
-    let [idle, busy] = &summary.windows[..] else { panic!("two windows") };
+    let [idle, busy] = &summary.windows[..] else {
+        panic!("two windows")
+    };
     for window in [idle, busy] {
-        assert_eq!((window.control.lists.bytes_out, window.control.changes.bytes_out), (0, 0));
+        assert_eq!(
+            (
+                window.control.lists.bytes_out,
+                window.control.changes.bytes_out
+            ),
+            (0, 0)
+        );
         assert!(window.processor.iter().all(|time| *time > Duration::ZERO));
         assert!(window.at_end.iter().all(|usage| usage.resident > 0));
     }
     assert_eq!(idle.requests.served, 0);
     assert!(busy.requests.served > 0);
     let requests = &busy.requests;
-    assert_eq!((requests.refused, requests.lost, requests.closed), (0, 0, 0));
+    assert_eq!(
+        (requests.refused, requests.lost, requests.closed),
+        (0, 0, 0)
+    );
     let samples = samples(&output);
     assert_eq!(samples.len(), summary.samples);
     assert!(samples.iter().all(|sample| sample.complete));
@@ -78,9 +104,16 @@
     let summary = run(&plan, &mut output).expect("a whole run");
     let control = summary.startup.control.lists;
     // The second copy may still be on its way when the agent is ready.
-    assert!((1..=lists).contains(&control.messages_out), "{} lists", control.messages_out);
+    assert!(
+        (1..=lists).contains(&control.messages_out),
+        "{} lists",
+        control.messages_out
+    );
     let later = summary.windows[0].control.lists.messages_out;
-    assert!(control.messages_out + later <= lists, "the list was asked for again");
+    assert!(
+        control.messages_out + later <= lists,
+        "the list was asked for again"
+    );
 }
 
 /// The reading of a list does not depend on where its bytes are cut: here after each of them.
@@ -91,26 +124,44 @@
     let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     let text = format!("{head}{:x}\r\n{line}\n\r\n", line.len() + 1);
     let mut answer = Answer::new(text.len());
-    let read = |byte: &u8| answer.take(std::slice::from_ref(byte)).expect("it can be read").1;
+    let read = |byte: &u8| {
+        answer
+            .take(std::slice::from_ref(byte))
+            .expect("it can be read")
+            .1
+    };
     let lists: Vec<Json> = text.as_bytes().iter().filter_map(read).collect();
     assert_eq!(lists, [Values::whole(line.as_bytes()).expect("JSON")]);
-    assert_eq!(lists[0].get("servers").and_then(Json::list).map(<[Json]>::len), Some(7_400));
+    assert_eq!(
+        lists[0]
+            .get("servers")
+            .and_then(Json::list)
+            .map(<[Json]>::len),
+        Some(7_400)
+    );
 }
 
 /// All appliances but those of the first listener drain, in one message of ten thousand changes, some of them twice.
 #[rstest]
 fn ten_thousand_changes_in_one_message_are_taken() {
     runtime().expect("threads").block_on(async {
-        let mut fleet = Fleet::new(plan(1, 9_000), Interrupt::never()).await.expect("stand-ins");
+        let mut fleet = Fleet::new(plan(1, 9_000), Interrupt::never())
+            .await
+            .expect("stand-ins");
         fleet.start().await.expect("an agent");
         let listeners = fleet.appliances().len();
         let before = fleet.control();
         fleet.discovery().change(|list| {
             let drained = (0..9_000).filter(|index| index % listeners != 0).cycle();
-            drained.take(10_000).for_each(|index| list.set_draining(index, true));
+            drained
+                .take(10_000)
+                .for_each(|index| list.set_draining(index, true));
         });
         let elsewhere = |fleet: &Fleet| -> u64 {
-            fleet.appliances()[1..].iter().map(|appliance| appliance.requests()).sum()
+            fleet.appliances()[1..]
+                .iter()
+                .map(|appliance| appliance.requests())
+                .sum()
         };
         // Requests go elsewhere until the changes are in force, and never afterwards.
         let mut is_in_force = false;
@@ -124,20 +175,30 @@
         }
         assert!(is_in_force, "drained appliances get requests");
         let control = fleet.control().since(&before);
-        assert_eq!((control.changes.messages_out, control.lists.messages_out), (1, 0));
+        assert_eq!(
+            (control.changes.messages_out, control.lists.messages_out),
+            (1, 0)
+        );
     });
 }
 
 #[rstest]
 fn an_agent_that_ends_fails_the_run_and_the_others_end() {
     runtime().expect("threads").block_on(async {
-        let mut fleet = Fleet::new(plan(2, 10), Interrupt::never()).await.expect("stand-ins");
+        let mut fleet = Fleet::new(plan(2, 10), Interrupt::never())
+            .await
+            .expect("stand-ins");
         fleet.start().await.expect("agents");
         let ids = fleet.process_ids();
-        let kill = std::process::Command::new("kill").args(["-KILL", &ids[1].to_string()]).status();
+        let kill = std::process::Command::new("kill")
+            .args(["-KILL", &ids[1].to_string()])
+            .status();
         assert!(kill.expect("kill runs").success());
         let error = fleet.measure(0.0).await.expect_err("an agent has ended");
-        assert!(matches!(error, LoopbackError::Ended { agent: 1, .. }), "{error}");
+        assert!(
+            matches!(error, LoopbackError::Ended { agent: 1, .. }),
+            "{error}"
+        );
         drop(fleet);
         assert!(!ids.into_iter().any(is_running));
     });
@@ -167,8 +228,13 @@
     plan.request_rates = vec![0.0, 0.0];
     plan.window = Duration::from_secs(600);
     plan.restart = true;
-    let mut output = InterruptingOutput { text: Vec::new(), trigger };
-    let measured = runtime().expect("threads").block_on(measure(&plan, &mut output, interrupt));
+    let mut output = InterruptingOutput {
+        text: Vec::new(),
+        trigger,
+    };
+    let measured = runtime()
+        .expect("threads")
+        .block_on(measure(&plan, &mut output, interrupt));
     let summary = measured.expect("a part of a run");
     assert!(summary.interrupted && summary.restart.is_none());
     assert_eq!(summary.windows.len(), 1);
--- a/crates/agent/tests/inside.rs
+++ b/crates/agent/tests/inside.rs
@@ -42,9 +42,17 @@
     out.join(" | ")
 }
 
-fn in_all_ways<P: Parse>(make: impl Fn() -> P, text: &[u8], show: impl Fn(P::Item) -> String) -> String {
+fn in_all_ways<P: Parse>(
+    make: impl Fn() -> P,
+    text: &[u8],
+    show: impl Fn(P::Item) -> String,
+) -> String {
     let whole = found(make(), &[text], &show);
-    assert_eq!(found(make(), &text.chunks(1).collect::<Vec<_>>(), &show), whole, "byte by byte");
+    assert_eq!(
+        found(make(), &text.chunks(1).collect::<Vec<_>>(), &show),
+        whole,
+        "byte by byte"
+    );
     // Every place of a short one, and some of a long one.
     for cut in (0..text.len()).step_by(1 + text.len() / 500) {
         let (a, b) = text.split_at(cut);
@@ -54,7 +62,11 @@
 }
 
 fn words(command: Vec<Vec<u8>>) -> String {
-    command.iter().map(|word| word.escape_ascii().to_string()).collect::<Vec<_>>().join(" ")
+    command
+        .iter()
+        .map(|word| word.escape_ascii().to_string())
+        .collect::<Vec<_>>()
+        .join(" ")
 }
 
 fn answer(value: Resp) -> String {
@@ -65,7 +77,10 @@
         Resp::Bulk(text) => text.map_or("$null".into(), |text| format!("${}", text.escape_ascii())),
         Resp::Array(None) => "*null".into(),
         Resp::Array(Some(items)) => {
-            format!("[{}]", items.into_iter().map(answer).collect::<Vec<_>>().join(" "))
+            format!(
+                "[{}]",
+                items.into_iter().map(answer).collect::<Vec<_>>().join(" ")
+            )
         }
     }
 }
@@ -79,7 +94,10 @@
 #[rstest]
 fn parser(#[files("tests/parsers/*.txt")] path: PathBuf) {
     let text = std::fs::read_to_string(&path).expect("a scenario");
-    for line in text.lines().filter(|line| !line.is_empty() && !line.starts_with('#')) {
+    for line in text
+        .lines()
+        .filter(|line| !line.is_empty() && !line.starts_with('#'))
+    {
         let (what, want) = line.split_once(" =>").expect("what it finds");
         let (kind, what) = what.split_once(' ').expect("a kind");
         let what = bytes(what);
@@ -113,7 +131,13 @@
 impl Hears for Ear {
     fn request(&mut self, _: RequestId, _: Request) {}
     fn ended(
-        &mut self, _: RequestId, _: AttemptNumber, _: ApplianceId, ending: Ending, _: Duration, _: bool,
+        &mut self,
+        _: RequestId,
+        _: AttemptNumber,
+        _: ApplianceId,
+        ending: Ending,
+        _: Duration,
+        _: bool,
     ) {
         self.ended = Some(ending);
     }
@@ -160,7 +184,16 @@
     let post = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let (model, build, cell, zone) = Default::default();
     let (appliance, mode, weight, started) = (ApplianceId(1), Mode::Ready, 1.0, None);
-    let line = Line { appliance, mode, model, weight, started, build, cell, zone };
+    let line = Line {
+        appliance,
+        mode,
+        model,
+        weight,
+        started,
+        build,
+        cell,
+        zone,
+    };
     appliances.place(&line, post.local_addr().expect("its address"));
     (hub, appliances, post)
 }
@@ -173,7 +206,10 @@
 #[case::no_link_left(true, 0, 1, Ending::Unsent)]
 #[case::no_address(true, 9, 2, Ending::Unsent)]
 fn asked_before_the_first_byte(
-    #[case] may_go: bool, #[case] links: usize, #[case] to: u32, #[case] want: Ending,
+    #[case] may_go: bool,
+    #[case] links: usize,
+    #[case] to: u32,
+    #[case] want: Ending,
 ) {
     let (hub, appliances, post) = linked(links);
     let came = std::thread::spawn(move || {
@@ -192,7 +228,10 @@
         now,
         now + Duration::from_secs(9),
     );
-    let mut ear = Ear { may_go, ..Ear::default() };
+    let mut ear = Ear {
+        may_go,
+        ..Ear::default()
+    };
     assert_eq!(ear.until_ended(&hub), Some(want));
     if links > 0 && to == 1 {
         drop((hub, appliances));
@@ -207,15 +246,19 @@
 #[case::failed("-ERR failed util=0.5\r\n", Ending::Failed)]
 #[case::turned_away("-BUSY\r\n", Ending::TurnedAway)]
 fn an_answer_cut_at_each_byte(
-    #[case] answer: &'static str, #[case] whole: Ending, #[values(false, true)] reset: bool,
+    #[case] answer: &'static str,
+    #[case] whole: Ending,
+    #[values(false, true)] reset: bool,
 ) {
     for cut in 0..=answer.len() {
         let (hub, appliances, post) = linked(9);
         std::thread::spawn(move || {
             let mut conn = post.accept().expect("a link").0;
             // What stands unread at the close resets the connection.
-            conn.read_exact(&mut [0; 5][usize::from(reset)..]).expect("the command");
-            conn.write_all(&answer.as_bytes()[..cut]).expect("it is written");
+            conn.read_exact(&mut [0; 5][usize::from(reset)..])
+                .expect("the command");
+            conn.write_all(&answer.as_bytes()[..cut])
+                .expect("it is written");
         });
         let now = hub.clock.now();
         let words: Wording = Rc::new(|_| b"hello".to_vec());
@@ -226,8 +269,15 @@
             now,
             now + Duration::from_secs(9),
         );
-        let mut ear = Ear { may_go: true, ..Ear::default() };
-        let want = if cut == answer.len() { whole } else { Ending::Broken };
+        let mut ear = Ear {
+            may_go: true,
+            ..Ear::default()
+        };
+        let want = if cut == answer.len() {
+            whole
+        } else {
+            Ending::Broken
+        };
         assert_eq!(ear.until_ended(&hub), Some(want), "cut at {cut}");
     }
 }
@@ -253,17 +303,36 @@
     appliances.clone().probe(ApplianceId(1));
     let mut ear = Ear::default();
     assert_eq!(ear.until_ended(&hub), Some(want));
-    let loads = ear.loads.iter().map(|(at, gauges)| (at.0, gauges.as_slice())).collect::<Vec<_>>();
-    assert_eq!(loads, if gauges.is_empty() { vec![] } else { vec![(1, gauges)] });
+    let loads = ear
+        .loads
+        .iter()
+        .map(|(at, gauges)| (at.0, gauges.as_slice()))
+        .collect::<Vec<_>>();
+    assert_eq!(
+        loads,
+        if gauges.is_empty() {
+            vec![]
+        } else {
+            vec![(1, gauges)]
+        }
+    );
 }
 
 /// An empty line between lists is a sign of life; what comes amid one is none, so that a cut one has its time.
 #[rstest]
 fn only_between_lists_is_a_watch_alive() {
     let mut watch = Lines(Answer::new(100));
-    let mut comes =
-        |text: &str| watch.take(text.as_bytes()).expect("it can be read").1.map(|list| list.is_some());
-    assert_eq!(comes("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"), Some(false));
+    let mut comes = |text: &str| {
+        watch
+            .take(text.as_bytes())
+            .expect("it can be read")
+            .1
+            .map(|list| list.is_some())
+    };
+    assert_eq!(
+        comes("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"),
+        Some(false)
+    );
     assert_eq!(comes("1\r\n\n\r\n"), Some(false));
     assert_eq!(comes("4\r\n{\n  \r\n"), None);
     assert_eq!(comes("6\r\n"), None);
@@ -273,36 +342,60 @@
 /// A fleet of this size goes through the start file, a list that comes indented and in pieces, and the module, on the
 /// smallest memory that is given; each request finds its appliance.
 #[rstest]
-fn large_fleets_fit(#[values(1, 350, 1024)] agents: usize, #[values(1, 300, 1024)] appliances: usize) {
-    let at = |i: usize| format!("127.1.{}.{}:6379", i / 250, 1 + i % 250).parse().expect("an address");
+fn large_fleets_fit(
+    #[values(1, 350, 1024)] agents: usize,
+    #[values(1, 300, 1024)] appliances: usize,
+) {
+    let at = |i: usize| {
+        format!("127.1.{}.{}:6379", i / 250, 1 + i % 250)
+            .parse()
+            .expect("an address")
+    };
     let entries = |build: &str| {
         let one = |i| entry(&format!("{i:08x}"), at(i), "x", "ready", build, None);
         (0..appliances).map(one).collect::<Vec<_>>().join(",")
     };
     let mut start = Start::default();
-    let peers: Vec<_> = (0..agents).map(|i| format!("\"127.2.{}.{}:7946\"", i / 250, 1 + i % 250)).collect();
-    start.0 = start.0.replace("\"PEER_LISTEN\",\"PEER\"", &peers.join(",\n"));
-    start.0 = start.0.replace("\"instances\":2", &format!("\"instances\":{agents}"));
+    let peers: Vec<_> = (0..agents)
+        .map(|i| format!("\"127.2.{}.{}:7946\"", i / 250, 1 + i % 250))
+        .collect();
+    start.0 = start
+        .0
+        .replace("\"PEER_LISTEN\",\"PEER\"", &peers.join(",\n"));
+    start.0 = start
+        .0
+        .replace("\"instances\":2", &format!("\"instances\":{agents}"));
     start.set("memory_mb", "32");
     let own = "127.0.0.1:1".to_owned();
-    let places = ["PEER_LISTEN", "LISTEN", "DISCOVERY", "PLATFORM", "PEER"].map(|name| (name, own.clone()));
+    let places =
+        ["PEER_LISTEN", "LISTEN", "DISCOVERY", "PLATFORM", "PEER"].map(|name| (name, own.clone()));
     let text = start.with(&[&places[..], &[("KNOWN", entries("1"))]].concat());
     let told = lilacgate_agent::told::read(text.as_bytes()).expect("a start file");
     assert_eq!(told.peers.len(), agents);
-    let mut brain = lilacgate_start::instance(told.seed, &told.settings).expect("a module").brain;
+    let mut brain = lilacgate_start::instance(told.seed, &told.settings)
+        .expect("a module")
+        .brain;
     let hub = Hub::new(Duration::ZERO);
     let links = Appliances::new(hub.clone(), &told.settings, 100).expect("links");
     let most = told.memory / 16;
-    let discovery =
-        Discovery::new(hub.clone(), links, told.discovery, &told.settings, most).expect("discovery");
+    let discovery = Discovery::new(hub.clone(), links, told.discovery, &told.settings, most)
+        .expect("discovery");
     discovery
-        .told(lilacgate_agent::told::field(&told.file, "known").expect("a list"), true)
+        .told(
+            lilacgate_agent::told::field(&told.file, "known").expect("a list"),
+            true,
+        )
         .expect("it can be used");
     // The same list again, under another build, with each field on a line of its own.
-    let list =
-        format!("{{\"version\":9,\"full\":true,\"servers\":[{}]}}", entries("2")).replace(',', ",\n    ");
-    let list =
-        format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{:x}\r\n{list}\n\r\n", list.len() + 1);
+    let list = format!(
+        "{{\"version\":9,\"full\":true,\"servers\":[{}]}}",
+        entries("2")
+    )
+    .replace(',', ",\n    ");
+    let list = format!(
+        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{:x}\r\n{list}\n\r\n",
+        list.len() + 1
+    );
     let (mut answer, mut lists) = (Answer::new(most), Vec::new());
     for mut piece in list.as_bytes().chunks(1400) {
         while !piece.is_empty() {
@@ -318,11 +411,29 @@
         now,
         |module| {
             let (keeper, recorder) = (&mut Keeper::default(), &no_record());
-            hub.hear(&mut Ears { module, keeper, recorder, now });
-            module.stage(Build(2), Stage(3), Course::Released, 1.0, Duration::from_secs(9));
+            hub.hear(&mut Ears {
+                module,
+                keeper,
+                recorder,
+                now,
+            });
+            module.stage(
+                Build(2),
+                Stage(3),
+                Course::Released,
+                1.0,
+                Duration::from_secs(9),
+            );
             let deadline = now + Duration::from_secs(9);
             let (product, tenant) = (Product(0), Tenant(0));
-            let request = Request { product, tenant, mark: None, deadline, hint: None, repeated: false };
+            let request = Request {
+                product,
+                tenant,
+                mark: None,
+                deadline,
+                hint: None,
+                repeated: false,
+            };
             (0..10).for_each(|id| module.request(RequestId(id), request));
         },
         &mut out,
@@ -334,7 +445,11 @@
 #[rstest]
 fn log_lines_are_bounded() {
     let place = Place::new();
-    let said = |second| (0..100).filter_map(|_| place.may_say(second)).collect::<Vec<_>>();
+    let said = |second| {
+        (0..100)
+            .filter_map(|_| place.may_say(second))
+            .collect::<Vec<_>>()
+    };
     let first = said(7);
     assert!(first.len() < 100 && first.iter().all(|left_out| *left_out == 0));
     assert_eq!(said(8)[0], 100 - first.len() as u64);
--- a/crates/agent/tests/numbers.rs
+++ b/crates/agent/tests/numbers.rs
@@ -35,7 +35,10 @@
 #[rstest]
 fn names_with_one_hash_are_numbered_in_their_order() {
     let mut numbers = Numbers::default();
-    assert_eq!(ONE_HASH.map(|name| numbers.assign(name).0), [FIRST_NUMBER, FIRST_NUMBER + 1]);
+    assert_eq!(
+        ONE_HASH.map(|name| numbers.assign(name).0),
+        [FIRST_NUMBER, FIRST_NUMBER + 1]
+    );
     assert_eq!(numbers.assign(ONE_HASH[0]).0, FIRST_NUMBER);
     // The first is gone: the second keeps its number, and the first gets its own again.
     numbers.retain(|number| number != ApplianceId(FIRST_NUMBER));
@@ -77,7 +80,8 @@
 
 /// Processor time of this thread so far.
 fn processor_time() -> Duration {
-    let text = std::fs::read_to_string("/proc/thread-self/schedstat").expect("the scheduler's figures");
+    let text =
+        std::fs::read_to_string("/proc/thread-self/schedstat").expect("the scheduler's figures");
     let nanoseconds = text.split(' ').next().and_then(|field| field.parse().ok());
     Duration::from_nanos(nanoseconds.expect("a number of nanoseconds"))
 }
--- a/crates/agent/tests/pacing.rs
+++ b/crates/agent/tests/pacing.rs
@@ -8,7 +8,11 @@
 const LONGEST_STALL: Duration = Duration::from_millis(2500);
 
 fn any_end() -> impl Strategy<Value = CallEnd> {
-    prop_oneof![Just(CallEnd::Answered), Just(CallEnd::Unanswered), Just(CallEnd::Stalled)]
+    prop_oneof![
+        Just(CallEnd::Answered),
+        Just(CallEnd::Unanswered),
+        Just(CallEnd::Stalled)
+    ]
 }
 
 fn any_calls() -> impl Strategy<Value = Vec<(CallEnd, Duration)>> {
@@ -65,5 +69,8 @@
     assert_eq!(pacing.stall(), LONGEST_STALL);
     pacing.moved();
     assert_eq!(pacing.stall(), FIRST_STALL);
-    assert_eq!(pacing.pause_after(CallEnd::Unanswered, Duration::ZERO), SHORTEST_GAP * 2);
+    assert_eq!(
+        pacing.pause_after(CallEnd::Unanswered, Duration::ZERO),
+        SHORTEST_GAP * 2
+    );
 }
--- a/crates/ctl/src/chart.rs
+++ b/crates/ctl/src/chart.rs
@@ -32,7 +32,13 @@
 }
 
 /// Draws a plan that begins at `start` into an SVG file.
-pub fn draw(file: &Path, rules: &Rules, plan: &Plan, start: Duration, zone: &TimeZone) -> Result<(), String> {
+pub fn draw(
+    file: &Path,
+    rules: &Rules,
+    plan: &Plan,
+    start: Duration,
+    zone: &TimeZone,
+) -> Result<(), String> {
     let mut builds: Vec<(ServiceId, Build)> = Vec::new();
     for planned in &plan.steps {
         if !builds.contains(&of(planned.step)) {
@@ -43,7 +49,10 @@
     // A plan that needs no time still wants an axis.
     let long = (end - start).as_secs_f64().max(60.0);
     // Ticks stand at whole days, hours or minutes from the start.
-    let unit = [86_400.0, 3600.0, 60.0].into_iter().find(|unit| long > 5.0 * unit).unwrap_or(60.0);
+    let unit = [86_400.0, 3600.0, 60.0]
+        .into_iter()
+        .find(|unit| long > 5.0 * unit)
+        .unwrap_or(60.0);
     let (rows, high) = (builds.len() as f64, 110 + ROW * builds.len() as u32);
     let root = SVGBackend::new(file, (WIDE, high)).into_drawing_area();
     let fault = |fault: DrawingAreaErrorKind<_>| fault.to_string();
@@ -51,15 +60,23 @@
     let mut chart = ChartBuilder::on(&root)
         .margin(12)
         .margin_right(30)
-        .caption(format!("from {}", time::show(start, zone)), ("sans-serif", 17))
+        .caption(
+            format!("from {}", time::show(start, zone)),
+            ("sans-serif", 17),
+        )
         .x_label_area_size(40)
         .y_label_area_size(150)
         .build_cartesian_2d(0.0..long * 1.02 / unit, 0.0..rows)
         .map_err(fault)?;
     let at = |x: f64| time::show(start + Duration::from_secs_f64(x.max(0.0)), zone);
     // The day where the plan takes days, the time where it takes hours.
-    let tick =
-        |x: &f64| if long > 3.0 * 86_400.0 { at(*x)[5..16].to_owned() } else { at(*x)[11..19].to_owned() };
+    let tick = |x: &f64| {
+        if long > 3.0 * 86_400.0 {
+            at(*x)[5..16].to_owned()
+        } else {
+            at(*x)[11..19].to_owned()
+        }
+    };
     chart
         .configure_mesh()
         .disable_y_mesh()
@@ -74,34 +91,52 @@
     for (row, (service, build)) in builds.iter().enumerate() {
         let (low, high) = (rows - row as f64 - 0.85, rows - row as f64 - 0.15);
         // Each window of each freeze of this service that touches the plan.
-        for freeze in rules.freezes.iter().filter(|f| f.service.is_none_or(|s| s == *service)) {
+        for freeze in rules
+            .freezes
+            .iter()
+            .filter(|f| f.service.is_none_or(|s| s == *service))
+        {
             let mut at = start;
             for _ in 0..WINDOWS {
                 if at > end {
                     break;
                 }
                 if let Some(force) = freeze.when.in_force(at) {
-                    let (from, to) = (force.since.unwrap_or(start), force.until.unwrap_or(Duration::MAX));
+                    let (from, to) = (
+                        force.since.unwrap_or(start),
+                        force.until.unwrap_or(Duration::MAX),
+                    );
                     let shade = [(secs(from), low - 0.15), (secs(to), high + 0.15)];
-                    chart.draw_series([Rectangle::new(shade, FROZEN.filled())]).map_err(fault)?;
+                    chart
+                        .draw_series([Rectangle::new(shade, FROZEN.filled())])
+                        .map_err(fault)?;
                 }
-                let Some(next) = freeze.when.next_change(at) else { break };
+                let Some(next) = freeze.when.next_change(at) else {
+                    break;
+                };
                 at = next;
             }
         }
-        let steps: Vec<_> =
-            plan.steps.iter().filter(|planned| of(planned.step) == (*service, *build)).collect();
+        let steps: Vec<_> = plan
+            .steps
+            .iter()
+            .filter(|planned| of(planned.step) == (*service, *build))
+            .collect();
         for (i, pair) in steps.windows(2).enumerate() {
             let bar = [(secs(pair[0].at), low), (secs(pair[1].at), high)];
             let shade = RINGS[i.min(RINGS.len() - 1)];
-            chart.draw_series([Rectangle::new(bar, shade.filled())]).map_err(fault)?;
+            chart
+                .draw_series([Rectangle::new(bar, shade.filled())])
+                .map_err(fault)?;
         }
         for planned in &steps {
             let on_chain = plan.chain.iter().any(|other| other.step == planned.step);
             let colour = if on_chain { CHAIN } else { BLACK };
             let x = secs(planned.at);
-            let line =
-                PathElement::new([(x, low), (x, high)], colour.stroke_width(if on_chain { 3 } else { 1 }));
+            let line = PathElement::new(
+                [(x, low), (x, high)],
+                colour.stroke_width(if on_chain { 3 } else { 1 }),
+            );
             chart.draw_series([line]).map_err(fault)?;
         }
         if let (Some(last), true) = (steps.last(), steps.len() == 1) {
@@ -110,9 +145,16 @@
         }
         let name = format!("{} {}", rules.service(*service), build.0);
         let place = chart.backend_coord(&(0.0, (low + high) / 2.0));
-        root.draw(&Text::new(name, (16, place.1 - 7), ("sans-serif", 15))).map_err(fault)?;
+        root.draw(&Text::new(name, (16, place.1 - 7), ("sans-serif", 15)))
+            .map_err(fault)?;
     }
-    let legend = "shades: rings from first to last; light blue: freezes; red: what the end rests on";
-    root.draw(&Text::new(legend, (150, high as i32 - 18), ("sans-serif", 13))).map_err(fault)?;
+    let legend =
+        "shades: rings from first to last; light blue: freezes; red: what the end rests on";
+    root.draw(&Text::new(
+        legend,
+        (150, high as i32 - 18),
+        ("sans-serif", 13),
+    ))
+    .map_err(fault)?;
     root.present().map_err(fault)
 }
--- a/crates/ctl/src/check.rs
+++ b/crates/ctl/src/check.rs
@@ -31,7 +31,9 @@
             } else if faults.is_empty() {
                 println!("{}: fine", file.display());
             } else {
-                faults.iter().for_each(|fault| println!("{}:{fault}", file.display()));
+                faults
+                    .iter()
+                    .for_each(|fault| println!("{}:{fault}", file.display()));
             }
         }
         if as_json {
--- a/crates/ctl/src/lines.rs
+++ b/crates/ctl/src/lines.rs
@@ -64,25 +64,61 @@
 
 impl Reading {
     pub fn read(&self) -> Result<Lines, Unusable> {
-        let zone = lilacgate_releases::calendar::time_zone(&self.zone_of_reader).map_err(Unusable)?;
+        let zone =
+            lilacgate_releases::calendar::time_zone(&self.zone_of_reader).map_err(Unusable)?;
         let named = |path: &Path, why: &str| format!("{}: {why}", path.display());
-        let read = reader::read(&self.path).map_err(|why| Unusable(named(&self.path, &why.to_string())))?;
-        let damaged: Vec<String> = read.damaged.iter().map(|(path, why)| named(path, why)).collect();
+        let read = reader::read(&self.path)
+            .map_err(|why| Unusable(named(&self.path, &why.to_string())))?;
+        let damaged: Vec<String> = read
+            .damaged
+            .iter()
+            .map(|(path, why)| named(path, why))
+            .collect();
         damaged.iter().for_each(|what| tracing::warn!("{what}"));
         if read.records.is_empty() && !damaged.is_empty() {
             return Err(Unusable(named(&self.path, "nothing can be read")));
         }
-        let end = read.records.iter().filter_map(at).map(|(_, known)| known).max().unwrap_or_default();
-        let begin = read.records.iter().filter_map(at).map(|(_, known)| known).min().unwrap_or_default();
-        let from = self.from.as_ref().map_or(Ok(begin), |text| moment(text, end, &zone))?;
-        let to = self.to.as_ref().map_or(Ok(end), |text| moment(text, end, &zone))?;
+        let end = read
+            .records
+            .iter()
+            .filter_map(at)
+            .map(|(_, known)| known)
+            .max()
+            .unwrap_or_default();
+        let begin = read
+            .records
+            .iter()
+            .filter_map(at)
+            .map(|(_, known)| known)
+            .min()
+            .unwrap_or_default();
+        let from = self
+            .from
+            .as_ref()
+            .map_or(Ok(begin), |text| moment(text, end, &zone))?;
+        let to = self
+            .to
+            .as_ref()
+            .map_or(Ok(end), |text| moment(text, end, &zone))?;
         let (agents, products, names, entries, steps, left_out) = Default::default();
-        let mut lines = Lines { zone, from, to, agents, products, names, entries, steps, left_out };
+        let mut lines = Lines {
+            zone,
+            from,
+            to,
+            agents,
+            products,
+            names,
+            entries,
+            steps,
+            left_out,
+        };
         for record in read.records {
             let (happened, known) = at(&record).unwrap_or((from, from));
             let within = happened <= to && known >= from;
             match record {
-                Record::Start { agent, products, .. } => {
+                Record::Start {
+                    agent, products, ..
+                } => {
                     lines.agents.push(agent);
                     lines.products = products;
                 }
@@ -94,7 +130,10 @@
             }
         }
         if lines.left_out > 0 {
-            tracing::warn!("{} records were left out by the agent: its disk was behind", lines.left_out);
+            tracing::warn!(
+                "{} records were left out by the agent: its disk was behind",
+                lines.left_out
+            );
         }
         lines.entries.sort_by_key(|entry| entry.happened);
         lines.steps.sort_by_key(|step| (step.from, step.node));
@@ -104,27 +143,44 @@
 
 impl Lines {
     pub fn name(&self, node: u32) -> String {
-        self.names.get(&node).cloned().unwrap_or_else(|| format!("{node:08x}"))
+        self.names
+            .get(&node)
+            .cloned()
+            .unwrap_or_else(|| format!("{node:08x}"))
     }
 
     /// The number of a node by its name, or by the number itself.
     pub fn node(&self, name: &str) -> Option<u32> {
-        let named = self.names.iter().find(|(_, n)| *n == name).map(|(node, _)| *node);
-        named.or_else(|| u32::from_str_radix(name, 16).ok().filter(|node| self.nodes().contains(node)))
+        let named = self
+            .names
+            .iter()
+            .find(|(_, n)| *n == name)
+            .map(|(node, _)| *node);
+        named.or_else(|| {
+            u32::from_str_radix(name, 16)
+                .ok()
+                .filter(|node| self.nodes().contains(node))
+        })
     }
 
     /// All nodes with anything in this span, by name.
     pub fn nodes(&self) -> Vec<u32> {
         let of_entries = self.entries.iter().filter_map(|entry| entry.node);
         let all = of_entries.chain(self.steps.iter().map(|step| step.node));
-        let mut found: Vec<u32> = all.collect::<std::collections::BTreeSet<_>>().into_iter().collect();
+        let mut found: Vec<u32> = all
+            .collect::<std::collections::BTreeSet<_>>()
+            .into_iter()
+            .collect();
         // Short names first: d2 stands before d10.
         found.sort_by_key(|node| (self.name(*node).len(), self.name(*node)));
         found
     }
 
     pub fn product(&self, product: u8) -> String {
-        self.products.get(usize::from(product)).cloned().unwrap_or_else(|| format!("product {product}"))
+        self.products
+            .get(usize::from(product))
+            .cloned()
+            .unwrap_or_else(|| format!("product {product}"))
     }
 
     pub fn show(&self, at: Duration) -> String {
@@ -134,7 +190,11 @@
     /// The time of day, to the tenth of a second.
     pub fn clock(&self, at: Duration) -> String {
         let text = self.show(at);
-        format!("{}.{}", text.get(11..19).unwrap_or(&text), at.subsec_millis() / 100)
+        format!(
+            "{}.{}",
+            text.get(11..19).unwrap_or(&text),
+            at.subsec_millis() / 100
+        )
     }
 
     /// Departures, each once: with its end, if that came in the span.
@@ -143,7 +203,9 @@
         for entry in &self.entries {
             match &entry.what {
                 What::Departed(departure) => {
-                    found.entry((departure.number, departure.confirmed)).or_insert_with(|| departure.clone());
+                    found
+                        .entry((departure.number, departure.confirmed))
+                        .or_insert_with(|| departure.clone());
                 }
                 What::Returned(departure) => {
                     found.insert((departure.number, departure.confirmed), departure.clone());
@@ -168,41 +230,68 @@
     pub fn words(&self, departure: &Departure) -> String {
         use lilacgate_timeline::entry::Kind;
         let whom = self.whom(departure.whom);
-        let of =
-            departure.product.map(|product| format!(" of {}", self.product(product))).unwrap_or_default();
+        let of = departure
+            .product
+            .map(|product| format!(" of {}", self.product(product)))
+            .unwrap_or_default();
         let (seen, usual) = (departure.seen * 100.0, departure.usual * 100.0);
         let text = match departure.kind {
             Kind::Errors => format!("{whom} failed {seen:.0}%{of}, where {usual:.0}% are usual"),
-            Kind::Latency => format!("{whom} was late with {seen:.0}%{of}, where {usual:.0}% are usual"),
+            Kind::Latency => {
+                format!("{whom} was late with {seen:.0}%{of}, where {usual:.0}% are usual")
+            }
             Kind::Silence => format!("{whom} owed answers and said nothing"),
             Kind::Links => format!("{whom} refused or broke {seen:.0}% of its links"),
             Kind::Load => format!("{whom} held far more than its share"),
             Kind::Restart => format!("{whom} came back as another process of the same build"),
         };
-        let beside = departure
-            .beside
-            .map(|(build, stage)| format!("; stage {stage} of build {build} had begun shortly before"));
+        let beside = departure.beside.map(|(build, stage)| {
+            format!("; stage {stage} of build {build} had begun shortly before")
+        });
         text + &beside.unwrap_or_default()
     }
 
     /// What an entry says.
     pub fn text(&self, entry: &Entry) -> String {
         match &entry.what {
-            What::Listed { state, build, started } => {
-                let since = started.map(|at| format!(", started {}", self.clock(at))).unwrap_or_default();
+            What::Listed {
+                state,
+                build,
+                started,
+            } => {
+                let since = started
+                    .map(|at| format!(", started {}", self.clock(at)))
+                    .unwrap_or_default();
                 format!("listed {state} with build {build}{since}")
             }
-            What::Barred { why, until } => format!("left alone until {}: {why}", self.clock(*until)),
+            What::Barred { why, until } => {
+                format!("left alone until {}: {why}", self.clock(*until))
+            }
             What::Tried => "tried with a request".into(),
             What::Unbarred => "taken in again".into(),
-            What::CalledOff { product } => format!("an attempt of {} called off", self.product(*product)),
+            What::CalledOff { product } => {
+                format!("an attempt of {} called off", self.product(*product))
+            }
             What::GivenUp { why, many } => format!("{many} requests given up: {why}"),
-            What::Stage { build, stage, course } => format!("build {build} is {course} in stage {stage}"),
-            What::Vote { build, stage, verdict, figures } => {
+            What::Stage {
+                build,
+                stage,
+                course,
+            } => format!("build {build} is {course} in stage {stage}"),
+            What::Vote {
+                build,
+                stage,
+                verdict,
+                figures,
+            } => {
                 format!("voted {verdict} on build {build} in stage {stage}: {figures}")
             }
-            What::StoodStill { long } => format!("this agent stood still for {:.1} s", long.as_secs_f64()),
-            What::Departed(departure) => format!("departure {}: {}", departure.number, self.words(departure)),
+            What::StoodStill { long } => {
+                format!("this agent stood still for {:.1} s", long.as_secs_f64())
+            }
+            What::Departed(departure) => {
+                format!("departure {}: {}", departure.number, self.words(departure))
+            }
             What::Returned(departure) => format!("departure {} has ended", departure.number),
         }
     }
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -64,13 +64,25 @@
 
 /// A table without blanks at its lines' ends.
 pub fn trimmed(table: &comfy_table::Table) -> String {
-    table.to_string().lines().map(str::trim_end).collect::<Vec<_>>().join("\n")
+    table
+        .to_string()
+        .lines()
+        .map(str::trim_end)
+        .collect::<Vec<_>>()
+        .join("\n")
 }
 
 fn main() -> ExitCode {
     let asking = Asking::parse();
-    let level = if asking.verbose { tracing::Level::DEBUG } else { tracing::Level::WARN };
-    let log = tracing_subscriber::fmt().with_max_level(level).with_writer(io::stderr).with_target(false);
+    let level = if asking.verbose {
+        tracing::Level::DEBUG
+    } else {
+        tracing::Level::WARN
+    };
+    let log = tracing_subscriber::fmt()
+        .with_max_level(level)
+        .with_writer(io::stderr)
+        .with_target(false);
     match asking.log {
         Form::Text => log.init(),
         Form::Json => log.json().init(),
--- a/crates/ctl/src/plot.rs
+++ b/crates/ctl/src/plot.rs
@@ -15,8 +15,12 @@
 const TOP: u32 = 46;
 const BOTTOM: u32 = 66;
 /// Bands of builds, in turn.
-const BANDS: [RGBColor; 4] =
-    [RGBColor(242, 240, 247), RGBColor(226, 236, 246), RGBColor(232, 244, 230), RGBColor(250, 238, 224)];
+const BANDS: [RGBColor; 4] = [
+    RGBColor(242, 240, 247),
+    RGBColor(226, 236, 246),
+    RGBColor(232, 244, 230),
+    RGBColor(250, 238, 224),
+];
 const BARS: RGBColor = RGBColor(150, 158, 190);
 const BAD: RGBColor = RGBColor(196, 60, 60);
 const SLOW: RGBColor = RGBColor(222, 160, 60);
@@ -34,12 +38,20 @@
     for i in 0..many {
         let (from, to) = (i as f64 * long, (i + 1) as f64 * long);
         let at = |step: Duration| step.saturating_sub(lines.from).as_secs_f64();
-        let of: Vec<_> =
-            lines.steps.iter().filter(|s| s.node == node && (from..to).contains(&at(s.from))).collect();
+        let of: Vec<_> = lines
+            .steps
+            .iter()
+            .filter(|s| s.node == node && (from..to).contains(&at(s.from)))
+            .collect();
         let mut counts = Counts::default();
         of.iter().for_each(|step| counts.add(&step.counts));
-        let latency: Vec<Latency> = of.iter().map(|s| Latency::from_octets(s.latency.clone())).collect();
-        let p95 = Latency::merged(latency.iter()).quantile(0.95).map(|took| took.as_secs_f64());
+        let latency: Vec<Latency> = of
+            .iter()
+            .map(|s| Latency::from_octets(s.latency.clone()))
+            .collect();
+        let p95 = Latency::merged(latency.iter())
+            .quantile(0.95)
+            .map(|took| took.as_secs_f64());
         if !counts.is_empty() {
             found.push((from, to, counts, p95));
         }
@@ -56,18 +68,38 @@
     root.fill(&WHITE).map_err(fault)?;
     let whole = lines.to.saturating_sub(lines.from).as_secs_f64().max(1.0);
     let long = (whole / f64::from(MOST)).ceil().max(1.0);
-    let all: Vec<(u32, Vec<Bar>)> = nodes.iter().map(|node| (*node, bars(lines, *node, long))).collect();
+    let all: Vec<(u32, Vec<Bar>)> = nodes
+        .iter()
+        .map(|node| (*node, bars(lines, *node, long)))
+        .collect();
     let most = |of: fn(&Bar) -> f64| {
-        all.iter().flat_map(|(_, bars)| bars.iter().map(of)).fold(0.0, f64::max).max(1e-6)
+        all.iter()
+            .flat_map(|(_, bars)| bars.iter().map(of))
+            .fold(0.0, f64::max)
+            .max(1e-6)
+    };
+    let (tallest, slowest) = (
+        most(|bar| f64::from(bar.2.attempts)),
+        most(|bar| bar.3.unwrap_or(0.0)),
+    );
+    let title = format!(
+        "{} from {} for {whole:.0} s",
+        lines.agents.join(", "),
+        lines.show(lines.from)
+    );
+    root.draw(&Text::new(title, (12, 10), ("sans-serif", 16)))
+        .map_err(fault)?;
+    let secs = |at: Duration| {
+        at.saturating_sub(lines.from)
+            .as_secs_f64()
+            .clamp(0.0, whole)
     };
-    let (tallest, slowest) = (most(|bar| f64::from(bar.2.attempts)), most(|bar| bar.3.unwrap_or(0.0)));
-    let title = format!("{} from {} for {whole:.0} s", lines.agents.join(", "), lines.show(lines.from));
-    root.draw(&Text::new(title, (12, 10), ("sans-serif", 16))).map_err(fault)?;
-    let secs = |at: Duration| at.saturating_sub(lines.from).as_secs_f64().clamp(0.0, whole);
     for (row, (node, bars)) in all.iter().enumerate() {
         let top = TOP + ROW * row as u32;
         let last = row + 1 == all.len();
-        let area = root.clone().shrink((0, top), (WIDE, ROW + if last { 24 } else { 0 }));
+        let area = root
+            .clone()
+            .shrink((0, top), (WIDE, ROW + if last { 24 } else { 0 }));
         let mut chart = ChartBuilder::on(&area)
             .margin_right(16)
             .margin_top(4)
@@ -81,16 +113,21 @@
             .iter()
             .filter(|entry| entry.node == Some(*node))
             .filter_map(|entry| match &entry.what {
-                What::Listed { state, build, .. } if state != "gone" => Some((secs(entry.happened), *build)),
+                What::Listed { state, build, .. } if state != "gone" => {
+                    Some((secs(entry.happened), *build))
+                }
                 _ => None,
             })
             .collect();
         for (i, (from, build)) in listed.iter().enumerate() {
             let to = listed.get(i + 1).map_or(whole, |next| next.0);
             let band = BANDS[usize::from(*build) % BANDS.len()];
-            chart.draw_series([Rectangle::new([(*from, 0.0), (to, 1.0)], band.filled())]).map_err(fault)?;
+            chart
+                .draw_series([Rectangle::new([(*from, 0.0), (to, 1.0)], band.filled())])
+                .map_err(fault)?;
         }
-        let tick = |x: &f64| lines.clock(lines.from + Duration::from_secs_f64(x.max(0.0)))[..8].to_owned();
+        let tick =
+            |x: &f64| lines.clock(lines.from + Duration::from_secs_f64(x.max(0.0)))[..8].to_owned();
         chart
             .configure_mesh()
             .disable_mesh()
@@ -109,24 +146,34 @@
             let rest = counts.attempts.saturating_sub(bad + late);
             for (many, shade) in [(bad, BAD), (late, SLOW), (rest, BARS)] {
                 let tall = f64::from(many) / tallest * 0.85;
-                let bar = Rectangle::new([(*from, low), (*to, (low + tall).min(1.0))], shade.filled());
+                let bar =
+                    Rectangle::new([(*from, low), (*to, (low + tall).min(1.0))], shade.filled());
                 chart.draw_series([bar]).map_err(fault)?;
                 low += tall;
             }
         }
-        let points = bars
-            .iter()
-            .filter_map(|(from, to, _, p95)| p95.map(|p95| ((from + to) / 2.0, p95 / slowest * 0.95)));
-        chart.draw_series(LineSeries::new(points, LINE.stroke_width(2))).map_err(fault)?;
+        let points = bars.iter().filter_map(|(from, to, _, p95)| {
+            p95.map(|p95| ((from + to) / 2.0, p95 / slowest * 0.95))
+        });
+        chart
+            .draw_series(LineSeries::new(points, LINE.stroke_width(2)))
+            .map_err(fault)?;
         let build = listed.last().map(|(_, build)| *build);
         let concerns = |whom: Whom| match whom {
             Whom::Node(of) => of == *node,
             Whom::Build(of) => listed.iter().any(|(_, build)| *build == of),
             Whom::Fleet => true,
         };
-        for departure in lines.departures().iter().filter(|departure| concerns(departure.whom)) {
+        for departure in lines
+            .departures()
+            .iter()
+            .filter(|departure| concerns(departure.whom))
+        {
             let (from, to) = (secs(departure.onset), departure.ended.map_or(whole, secs));
-            let span = Rectangle::new([(from, 0.93), (to.max(from + whole / 400.0), 1.0)], BAD.filled());
+            let span = Rectangle::new(
+                [(from, 0.93), (to.max(from + whole / 400.0), 1.0)],
+                BAD.filled(),
+            );
             chart.draw_series([span]).map_err(fault)?;
             let said = secs(departure.confirmed);
             let mark = PathElement::new([(said, 0.0), (said, 1.0)], BAD.stroke_width(1));
@@ -140,21 +187,37 @@
                     chart.draw_series([mark]).map_err(fault)?;
                 }
                 (What::Vote { .. } | What::Stage { .. }, None) => {
-                    let mark = PathElement::new([(x, 0.0), (x, 1.0)], RGBColor(90, 130, 90).stroke_width(1));
+                    let mark = PathElement::new(
+                        [(x, 0.0), (x, 1.0)],
+                        RGBColor(90, 130, 90).stroke_width(1),
+                    );
                     chart.draw_series([mark]).map_err(fault)?;
                 }
                 _ => {}
             }
         }
-        let build = build.map(|build| format!("build {build}")).unwrap_or_default();
-        root.draw(&Text::new(lines.name(*node), (12, top as i32 + 24), ("sans-serif", 14))).map_err(fault)?;
-        root.draw(&Text::new(build, (12, top as i32 + 44), ("sans-serif", 12))).map_err(fault)?;
+        let build = build
+            .map(|build| format!("build {build}"))
+            .unwrap_or_default();
+        root.draw(&Text::new(
+            lines.name(*node),
+            (12, top as i32 + 24),
+            ("sans-serif", 14),
+        ))
+        .map_err(fault)?;
+        root.draw(&Text::new(build, (12, top as i32 + 44), ("sans-serif", 12)))
+            .map_err(fault)?;
     }
     let legend = format!(
         "bars: requests in {long:.0} s (red: bad, amber: late; the tallest {tallest:.0}); line: 95th percentile (highest {:.0} ms); \
          red on top: departures, thin red: when they were sure; green: stages and votes; triangles: left alone; bands: builds",
         slowest * 1e3
     );
-    root.draw(&Text::new(legend, (12, high as i32 - 22), ("sans-serif", 11))).map_err(fault)?;
+    root.draw(&Text::new(
+        legend,
+        (12, high as i32 - 22),
+        ("sans-serif", 11),
+    ))
+    .map_err(fault)?;
     root.present().map_err(fault)
 }
--- a/crates/ctl/src/releases.rs
+++ b/crates/ctl/src/releases.rs
@@ -10,7 +10,9 @@
 use lilacgate_operator::{Known, load};
 use lilacgate_releases::gate::Gate;
 use lilacgate_releases::model::{Rules, ServiceId};
-use lilacgate_releases::planner::{Because, Clash, Given, Plan, Planned, Statement, Step, Wish, plan};
+use lilacgate_releases::planner::{
+    Because, Clash, Given, Plan, Planned, Statement, Step, Wish, plan,
+};
 use lilacgate_releases::record::State;
 use serde_json::{Value, json};
 
@@ -103,8 +105,14 @@
 
 /// The numbers of all names, or of the one that is asked for.
 fn wanted(names: &[String], kind: &str, one: Option<&String>) -> Result<Vec<usize>, Unusable> {
-    let found: Vec<usize> = (0..names.len()).filter(|i| one.is_none_or(|one| *one == names[*i])).collect();
-    if found.is_empty() { Err(Unusable(format!("{kind} {one:?} is not in the file"))) } else { Ok(found) }
+    let found: Vec<usize> = (0..names.len())
+        .filter(|i| one.is_none_or(|one| *one == names[*i]))
+        .collect();
+    if found.is_empty() {
+        Err(Unusable(format!("{kind} {one:?} is not in the file")))
+    } else {
+        Ok(found)
+    }
 }
 
 /// How long ahead it is looked for when something opens, and at how many changes at most.
@@ -127,7 +135,12 @@
 
     fn run(self, as_json: bool) -> Answer {
         let zone = zone_of(&self.zone_of_reader)?;
-        let at = self.at.as_ref().map(|at| time::read(at, &zone)).transpose().map_err(Unusable)?;
+        let at = self
+            .at
+            .as_ref()
+            .map(|at| time::read(at, &zone))
+            .transpose()
+            .map_err(Unusable)?;
         let gate = self.gate(at)?;
         let rules = gate.rules();
         let zones = wanted(&rules.zones, "zone", self.zone.as_ref())?;
@@ -157,31 +170,50 @@
             }
         };
         let all_open = rows.iter().all(|row| row["open"] == true);
-        let when =
-            |row: &Value| row["from_ms"].as_u64().map(|at| time::show(Duration::from_millis(at), &zone));
+        let when = |row: &Value| {
+            row["from_ms"]
+                .as_u64()
+                .map(|at| time::show(Duration::from_millis(at), &zone))
+        };
         if as_json {
-            println!("{}", json!({"at": time::show(gate.now(), &zone), "step": step, "cells": rows}));
+            println!(
+                "{}",
+                json!({"at": time::show(gate.now(), &zone), "step": step, "cells": rows})
+            );
             return Ok(all_open);
         }
         println!("at {}", time::show(gate.now(), &zone));
         match (step["may"].as_bool(), &step["why"]) {
             (Some(true), _) => {
-                println!("build {} may be voted on from stage {}", step["build"], step["stage"])
+                println!(
+                    "build {} may be voted on from stage {}",
+                    step["build"], step["stage"]
+                )
             }
             (_, why) => {
-                let until =
-                    step["until"].as_str().map(|until| format!("; not before {until}")).unwrap_or_default();
+                let until = step["until"]
+                    .as_str()
+                    .map(|until| format!("; not before {until}"))
+                    .unwrap_or_default();
                 println!("no step on: {}{until}", why.as_str().unwrap_or_default());
             }
         }
         let mut table = Table::new();
-        table
-            .load_preset(presets::NOTHING)
-            .set_header(["build", "zone", "firm", "product", "open", "code", "why", "from"]);
-        let text = |value: &Value| value.as_str().map_or_else(|| value.to_string(), str::to_owned);
+        table.load_preset(presets::NOTHING).set_header([
+            "build", "zone", "firm", "product", "open", "code", "why", "from",
+        ]);
+        let text = |value: &Value| {
+            value
+                .as_str()
+                .map_or_else(|| value.to_string(), str::to_owned)
+        };
         for row in &rows {
             let from = when(row).unwrap_or_else(|| {
-                if row["open"] == true { String::new() } else { "no time is known".into() }
+                if row["open"] == true {
+                    String::new()
+                } else {
+                    "no time is known".into()
+                }
             });
             let cells = ["build", "zone", "firm", "product"].map(|name| text(&row[name]));
             let open = if row["open"] == true { "yes" } else { "no" };
@@ -196,11 +228,21 @@
         let (build, zone, firm, product) = place;
         let rules = gate.rules();
         let admits = gate.admits(build, zone, firm, product);
-        let kept = gate.kept_in_spite_of(build, zone, firm).filter(|_| admits.is_ok());
+        let kept = gate
+            .kept_in_spite_of(build, zone, firm)
+            .filter(|_| admits.is_ok());
         let why = kept.or(admits.err());
         let words = why.map_or("open".into(), |why| gate.words(build, why));
-        let words = if kept.is_some() { format!("kept by who has it, though {words}") } else { words };
-        let from = if admits.is_err() { self.opens_at(gate.now(), place)? } else { None };
+        let words = if kept.is_some() {
+            format!("kept by who has it, though {words}")
+        } else {
+            words
+        };
+        let from = if admits.is_err() {
+            self.opens_at(gate.now(), place)?
+        } else {
+            None
+        };
         Ok(json!({
             "build": build.0,
             "zone": rules.zones[usize::from(zone.0)],
@@ -216,11 +258,15 @@
 
     /// When time alone opens it, if it does.
     fn opens_at(
-        &self, from: Duration, (build, zone, firm, product): (Build, Zone, Tenant, Product),
+        &self,
+        from: Duration,
+        (build, zone, firm, product): (Build, Zone, Tenant, Product),
     ) -> Result<Option<Duration>, Unusable> {
         let mut gate = self.gate(Some(from))?;
         for _ in 0..CHANGES {
-            let Some(next) = gate.next_ordered().filter(|next| *next < from + AHEAD) else { return Ok(None) };
+            let Some(next) = gate.next_ordered().filter(|next| *next < from + AHEAD) else {
+                return Ok(None);
+            };
             gate.live_on(next);
             if gate.admits(build, zone, firm, product).is_ok() {
                 return Ok(Some(next));
@@ -233,20 +279,36 @@
 fn service_build(rules: &Rules, text: &str) -> Result<(ServiceId, Build), Unusable> {
     let wrong = || Unusable(format!("{text:?} is no SERVICE:BUILD of the file"));
     let (name, build) = text.split_once(':').ok_or_else(wrong)?;
-    let service = rules.services.iter().position(|service| service.name == name).ok_or_else(wrong)?;
-    Ok((ServiceId(service as u8), Build(build.parse().map_err(|_| wrong())?)))
+    let service = rules
+        .services
+        .iter()
+        .position(|service| service.name == name)
+        .ok_or_else(wrong)?;
+    Ok((
+        ServiceId(service as u8),
+        Build(build.parse().map_err(|_| wrong())?),
+    ))
 }
 
 fn wish(rules: &Rules, text: &str, zone: &TimeZone) -> Result<Wish, Unusable> {
     let mut parts = text.split(',');
     let (service, build) = service_build(rules, parts.next().unwrap_or_default())?;
-    let mut wish = Wish { service, build, not_before: None, by: None };
+    let mut wish = Wish {
+        service,
+        build,
+        not_before: None,
+        by: None,
+    };
     for part in parts {
         let at = |text| time::read(text, zone).map_err(Unusable);
         match part.split_once('=') {
             Some(("from", text)) => wish.not_before = Some(at(text)?),
             Some(("by", text)) => wish.by = Some(at(text)?),
-            _ => return Err(Unusable(format!("{part:?} is neither from=TIME nor by=TIME"))),
+            _ => {
+                return Err(Unusable(format!(
+                    "{part:?} is neither from=TIME nor by=TIME"
+                )));
+            }
         }
     }
     Ok(wish)
@@ -256,10 +318,14 @@
     match step {
         Step::Ring(service, build, ring) => {
             let ladder = rules.ladder(service, build);
-            let name = ladder.and_then(|l| l.rings.get(usize::from(ring))).map_or("?", |r| &r.name);
+            let name = ladder
+                .and_then(|l| l.rings.get(usize::from(ring)))
+                .map_or("?", |r| &r.name);
             format!("{} {} opens ring {name}", rules.service(service), build.0)
         }
-        Step::Released(service, build) => format!("{} {} is released", rules.service(service), build.0),
+        Step::Released(service, build) => {
+            format!("{} {} is released", rules.service(service), build.0)
+        }
     }
 }
 
@@ -288,7 +354,10 @@
         }
         Statement::Freeze(i) => format!("the freeze {}", rules.freezes[i].name),
         Statement::Order(service) => {
-            format!("builds of {} come out one after another", rules.service(service))
+            format!(
+                "builds of {} come out one after another",
+                rules.service(service)
+            )
         }
     }
 }
@@ -303,14 +372,25 @@
         }
         if let Some(file) = &self.state {
             for kept in state(file)?.services {
-                let Some(id) = rules.services.iter().position(|service| service.name == kept.name) else {
+                let Some(id) = rules
+                    .services
+                    .iter()
+                    .position(|service| service.name == kept.name)
+                else {
                     continue;
                 };
-                given.extend(kept.released.iter().map(|build| (ServiceId(id as u8), Build(*build))));
+                given.extend(
+                    kept.released
+                        .iter()
+                        .map(|build| (ServiceId(id as u8), Build(*build))),
+                );
             }
         }
-        let wishes =
-            self.bring.iter().map(|text| wish(&rules, text, &zone)).collect::<Result<Vec<_>, _>>()?;
+        let wishes = self
+            .bring
+            .iter()
+            .map(|text| wish(&rules, text, &zone))
+            .collect::<Result<Vec<_>, _>>()?;
         let start = time::read(&self.from, &zone).map_err(Unusable)?;
         match plan(&rules, &given, &wishes, start) {
             Ok(found) => {
@@ -321,11 +401,19 @@
                 }
                 Ok(true)
             }
-            Err(Clash { statements, is_smallest }) => {
-                let words: Vec<String> =
-                    statements.iter().map(|one| statement_words(&rules, &wishes, *one)).collect();
+            Err(Clash {
+                statements,
+                is_smallest,
+            }) => {
+                let words: Vec<String> = statements
+                    .iter()
+                    .map(|one| statement_words(&rules, &wishes, *one))
+                    .collect();
                 if as_json {
-                    println!("{}", json!({"plan": null, "clash": words, "is_smallest": is_smallest}));
+                    println!(
+                        "{}",
+                        json!({"plan": null, "clash": words, "is_smallest": is_smallest})
+                    );
                 } else {
                     let how = if is_smallest {
                         "no smaller set of statements does"
@@ -342,7 +430,10 @@
 
     fn show(&self, rules: &Rules, plan: &Plan, zone: &TimeZone, as_json: bool) {
         let line = |planned: &Planned| {
-            let (step, because) = (step_words(rules, planned.step), because_words(rules, planned.because));
+            let (step, because) = (
+                step_words(rules, planned.step),
+                because_words(rules, planned.because),
+            );
             let on_chain = plan.chain.iter().any(|other| other.step == planned.step);
             json!({"at": time::show(planned.at, zone), "at_ms": planned.at.as_millis() as u64, "step": step,
                 "because": because, "determines_end": on_chain})
@@ -352,10 +443,16 @@
             return println!("{}", json!({"plan": lines}));
         }
         let mut table = Table::new();
-        table.load_preset(presets::NOTHING).set_header(["at", "", "step", "because"]);
+        table
+            .load_preset(presets::NOTHING)
+            .set_header(["at", "", "step", "because"]);
         for line in &lines {
             let text = |name: &str| line[name].as_str().unwrap_or_default().to_owned();
-            let mark = if line["determines_end"] == true { "*" } else { "" };
+            let mark = if line["determines_end"] == true {
+                "*"
+            } else {
+                ""
+            };
             table.add_row([text("at"), mark.to_owned(), text("step"), text("because")]);
         }
         println!("{}\n* what the end rests on", trimmed(&table));
--- a/crates/ctl/src/timeline.rs
+++ b/crates/ctl/src/timeline.rs
@@ -84,23 +84,30 @@
     fn run(self, as_json: bool) -> Answer {
         let lines = self.reading.read()?;
         let node = match &self.node {
-            Some(name) => {
-                Some(lines.node(name).ok_or_else(|| Unusable(format!("no node {name:?} in this span")))?)
-            }
+            Some(name) => Some(
+                lines
+                    .node(name)
+                    .ok_or_else(|| Unusable(format!("no node {name:?} in this span")))?,
+            ),
             None => None,
         };
         let known = match &self.as_of {
             Some(text) => time::read(text, &lines.zone).map_err(Unusable)?,
             None => Duration::MAX,
         };
-        let shown: Vec<&Entry> =
-            lines.entries.iter().filter(|e| e.node == node && e.known <= known).collect();
+        let shown: Vec<&Entry> = lines
+            .entries
+            .iter()
+            .filter(|e| e.node == node && e.known <= known)
+            .collect();
         if as_json {
             println!("{}", json!(shown));
             return Ok(!shown.is_empty());
         }
         let mut table = Table::new();
-        table.load_preset(presets::NOTHING).set_header(["happened", "known after", "what"]);
+        table
+            .load_preset(presets::NOTHING)
+            .set_header(["happened", "known after", "what"]);
         for entry in &shown {
             let late = entry.known.saturating_sub(entry.happened);
             let late = if late < Duration::from_millis(50) {
@@ -126,11 +133,20 @@
 }
 
 fn millis(latency: &Latency, share: f64) -> String {
-    latency.quantile(share).map_or_else(|| "-".into(), |took| format!("{:.1} ms", took.as_secs_f64() * 1e3))
+    latency.quantile(share).map_or_else(
+        || "-".into(),
+        |took| format!("{:.1} ms", took.as_secs_f64() * 1e3),
+    )
 }
 
 fn row(lines: &Lines, from: Duration, counts: &Counts, latency: &Latency) -> [String; 7] {
-    let Counts { attempts, served, failed, late, .. } = counts;
+    let Counts {
+        attempts,
+        served,
+        failed,
+        late,
+        ..
+    } = counts;
     [
         lines.show(from),
         attempts.to_string(),
@@ -164,7 +180,10 @@
         .collect();
     let mut counts = Counts::default();
     of.iter().for_each(|step| counts.add(&step.counts));
-    let latency: Vec<Latency> = of.iter().map(|step| Latency::from_octets(step.latency.clone())).collect();
+    let latency: Vec<Latency> = of
+        .iter()
+        .map(|step| Latency::from_octets(step.latency.clone()))
+        .collect();
     (counts, Latency::merged(latency.iter()))
 }
 
@@ -179,10 +198,17 @@
         return Ok(false);
     }
     let mut table = Table::new();
-    table.load_preset(presets::NOTHING).set_header(["", "onset", "sure after", "ended", "what"]);
+    table
+        .load_preset(presets::NOTHING)
+        .set_header(["", "onset", "sure after", "ended", "what"]);
     for departure in &all {
-        let sure = departure.confirmed.saturating_sub(departure.onset).as_secs_f64();
-        let ended = departure.ended.map_or_else(|| "goes on".into(), |at| lines.clock(at));
+        let sure = departure
+            .confirmed
+            .saturating_sub(departure.onset)
+            .as_secs_f64();
+        let ended = departure
+            .ended
+            .map_or_else(|| "goes on".into(), |at| lines.clock(at));
         let number = departure.number.to_string();
         table.add_row([
             number,
@@ -219,8 +245,17 @@
     fn span(&self, lines: &Lines) -> Option<(Duration, Duration, Option<String>)> {
         let mut found: Option<(Duration, Duration, Option<String>)> = None;
         for entry in &lines.entries {
-            let What::Stage { build, stage, course } = &entry.what else { continue };
-            let is = *build == self.build && course == "on-trial" && self.stage.is_none_or(|s| s == *stage);
+            let What::Stage {
+                build,
+                stage,
+                course,
+            } = &entry.what
+            else {
+                continue;
+            };
+            let is = *build == self.build
+                && course == "on-trial"
+                && self.stage.is_none_or(|s| s == *stage);
             match &mut found {
                 None if is => found = Some((entry.happened, lines.to, None)),
                 Some((_, to, after)) if !is && after.is_none() => {
@@ -253,20 +288,40 @@
             .into_iter()
             .filter(|d| d.onset <= until && d.ended.is_none_or(|at| at >= from))
             .collect();
-        let own = lines.entries.iter().filter(|e| e.node.is_none() && within(e.happened));
-        let told =
-            |e: &&Entry| matches!(e.what, What::Stage { .. } | What::Vote { .. } | What::StoodStill { .. });
+        let own = lines
+            .entries
+            .iter()
+            .filter(|e| e.node.is_none() && within(e.happened));
+        let told = |e: &&Entry| {
+            matches!(
+                e.what,
+                What::Stage { .. } | What::Vote { .. } | What::StoodStill { .. }
+            )
+        };
         let events: Vec<&Entry> = own.filter(told).collect();
         let before = from.saturating_sub(to.saturating_sub(from).max(Duration::from_secs(10)));
         let nodes: Vec<_> = lines
             .nodes()
             .into_iter()
             .map(|node| {
-                let listed = lines.entries.iter().filter(|e| e.node == Some(node) && e.happened <= until);
-                let builds = listed
-                    .filter_map(|e| if let What::Listed { build, .. } = e.what { Some(build) } else { None });
+                let listed = lines
+                    .entries
+                    .iter()
+                    .filter(|e| e.node == Some(node) && e.happened <= until);
+                let builds = listed.filter_map(|e| {
+                    if let What::Listed { build, .. } = e.what {
+                        Some(build)
+                    } else {
+                        None
+                    }
+                });
                 let build = builds.fold(None, |_, build| Some(build));
-                (node, build, sums(&lines, Some(node), before, from), sums(&lines, Some(node), from, until))
+                (
+                    node,
+                    build,
+                    sums(&lines, Some(node), before, from),
+                    sums(&lines, Some(node), from, until),
+                )
             })
             .filter(|(_, _, (was, _), (is, _))| !was.is_empty() || !is.is_empty())
             .collect();
@@ -282,7 +337,10 @@
             );
             return Ok(true);
         }
-        let stage = self.stage.map(|stage| format!(", stage {stage}")).unwrap_or_default();
+        let stage = self
+            .stage
+            .map(|stage| format!(", stage {stage}"))
+            .unwrap_or_default();
         println!(
             "Build {}{stage}: from {} for {:.1} s.",
             self.build,
@@ -290,20 +348,29 @@
             to.saturating_sub(from).as_secs_f64()
         );
         println!("\nWhat happened:");
-        let mut said: Vec<(Duration, String)> = events.iter().map(|e| (e.happened, lines.text(e))).collect();
+        let mut said: Vec<(Duration, String)> =
+            events.iter().map(|e| (e.happened, lines.text(e))).collect();
         for departure in &departures {
-            let sure = departure.confirmed.saturating_sub(departure.onset).as_secs_f64();
-            said.push((departure.onset, format!("{} (sure after {sure:.1} s)", lines.words(departure))));
+            let sure = departure
+                .confirmed
+                .saturating_sub(departure.onset)
+                .as_secs_f64();
+            said.push((
+                departure.onset,
+                format!("{} (sure after {sure:.1} s)", lines.words(departure)),
+            ));
         }
         said.sort();
-        said.iter().for_each(|(at, text)| println!("  {}  {text}", lines.clock(*at)));
+        said.iter()
+            .for_each(|(at, text)| println!("  {}  {text}", lines.clock(*at)));
         if departures.is_empty() {
             println!("  no node, build or fleet departed from its usual");
         }
         println!("\nThe nodes, before and during it:");
         let mut table = Table::new();
         table.load_preset(presets::NOTHING).set_header([
-            "node", "build", "requests", "failed", "late", "p95", "", "requests", "failed", "late", "p95",
+            "node", "build", "requests", "failed", "late", "p95", "", "requests", "failed", "late",
+            "p95",
         ]);
         let share = |part: u32, counts: &Counts| {
             let all = counts.ended().max(1);
@@ -319,8 +386,11 @@
                 ]
             };
             let build = build.map_or_else(|| "?".into(), |build| build.to_string());
-            let cells =
-                [lines.name(*node), build].into_iter().chain(four(was)).chain(["|".into()]).chain(four(is));
+            let cells = [lines.name(*node), build]
+                .into_iter()
+                .chain(four(was))
+                .chain(["|".into()])
+                .chain(four(is));
             table.add_row(cells);
         }
         println!("{}", trimmed(&table));
--- a/crates/ctl/tests/commands.rs
+++ b/crates/ctl/tests/commands.rs
@@ -41,19 +41,32 @@
             .args(line.split(' '))
             .current_dir(self.0.path())
             .output();
-        let Output { status, stdout, stderr } = call.expect("it runs");
+        let Output {
+            status,
+            stdout,
+            stderr,
+        } = call.expect("it runs");
         let text = |bytes| String::from_utf8(bytes).expect("text");
         (status.code().expect("a code"), text(stdout), text(stderr))
     }
 }
 
 const EXPLAIN: &str = "releases explain --file file.xml --state state.json";
-const PLAN: &str = "releases plan --file file.xml --from 2026-12-01T10:00 --zone-of-reader Asia/Tokyo";
+const PLAN: &str =
+    "releases plan --file file.xml --from 2026-12-01T10:00 --zone-of-reader Asia/Tokyo";
 
 #[rstest]
 #[case("check file.xml", 0, "file.xml: fine")]
-#[case("check bad.xml file.xml", 1, "bad.xml:1:1: <x>: the root is not <operator>")]
-#[case("check bad.xml --json", 1, r#""line":1,"what":"the root is not <operator>""#)]
+#[case(
+    "check bad.xml file.xml",
+    1,
+    "bad.xml:1:1: <x>: the root is not <operator>"
+)]
+#[case(
+    "check bad.xml --json",
+    1,
+    r#""line":1,"what":"the root is not <operator>""#
+)]
 #[case("check gone.xml", 1, "gone.xml")]
 #[case("check", 2, "")]
 #[case("nothing", 2, "")]
@@ -77,7 +90,11 @@
     0,
     "no step on: ring \"two\" has not had its time; not before 2026-12-01 03:00:00 UTC"
 )]
-#[case("{E} --build 2 --at 2026-12-01T03:00Z", 0, "build 2 may be voted on from stage 1")]
+#[case(
+    "{E} --build 2 --at 2026-12-01T03:00Z",
+    0,
+    "build 2 may be voted on from stage 1"
+)]
 #[case(
     "{E} --at 2026-12-01T21:00 --zone-of-reader Asia/Tokyo",
     1,
@@ -92,20 +109,32 @@
 #[case("{E} --zone c", 3, "zone Some(\"c\") is not in the file")]
 #[case("{E} --at soon", 3, "\"soon\" is no time such as")]
 #[case("releases explain --file gone.xml --state state.json", 3, "gone.xml")]
-#[case("releases explain --file file.xml --state bad.xml", 3, "bad.xml: expected value")]
+#[case(
+    "releases explain --file file.xml --state bad.xml",
+    3,
+    "bad.xml: expected value"
+)]
 #[case(
     "{P} --released d:5 --bring s:2",
     0,
     "2026-12-01 13:00:00 JST  *  s 2 is released     after s 2 opens ring two"
 )]
-#[case("{P} --bring d:5,from=2026-12-01T18:00 --bring s:2", 0, "2026-12-02 07:00:00 JST  *  s 2 is released")]
+#[case(
+    "{P} --bring d:5,from=2026-12-01T18:00 --bring s:2",
+    0,
+    "2026-12-02 07:00:00 JST  *  s 2 is released"
+)]
 #[case(
     "{P} --bring d:5,from=2026-12-01T18:00 --bring s:2,by=2026-12-01T22:00",
     1,
     "s 2 comes out by its time"
 )]
 #[case("{P} --bring s:2", 1, "s 2..65535 needs d 5 or later")]
-#[case("{P} --state state.json --bring s:2 --json", 0, r#""determines_end":true"#)]
+#[case(
+    "{P} --state state.json --bring s:2 --json",
+    0,
+    r#""determines_end":true"#
+)]
 #[case("{P} --bring x:2", 3, "\"x:2\" is no SERVICE:BUILD of the file")]
 fn calls(#[case] line: &str, #[case] code: i32, #[case] says: &str) {
     let desk = Desk::new();
@@ -113,7 +142,10 @@
     let (got, out, log) = desk.call(&line.replace("{E}", EXPLAIN).replace("{P}", PLAN));
     assert_eq!(got, code, "{out}{log}");
     let squeezed = |text: &str| text.split_whitespace().collect::<Vec<_>>().join(" ");
-    assert!(squeezed(&format!("{out}{log}")).contains(&squeezed(says)), "{out}{log}");
+    assert!(
+        squeezed(&format!("{out}{log}")).contains(&squeezed(says)),
+        "{out}{log}"
+    );
 }
 
 #[test]
@@ -128,6 +160,11 @@
             && svg.matches("<rect").count() > 2
             && svg.contains("<circle")
     );
-    let (code, _, log) = desk.call(&format!("{PLAN} --bring d:5 --svg gone/plan.svg --log json"));
-    assert!(code == 3 && log.starts_with('{') && log.contains("gone/plan.svg"), "{log}");
+    let (code, _, log) = desk.call(&format!(
+        "{PLAN} --bring d:5 --svg gone/plan.svg --log json"
+    ));
+    assert!(
+        code == 3 && log.starts_with('{') && log.contains("gone/plan.svg"),
+        "{log}"
+    );
 }
--- a/crates/ctl/tests/timeline.rs
+++ b/crates/ctl/tests/timeline.rs
@@ -18,19 +18,56 @@
 fn store() -> tempfile::TempDir {
     let folder = tempfile::tempdir().expect("a folder");
     let at = secs(60);
-    let start = |node| Event { at, long: secs(1), fault: Fault::Replace { node, build: 2 } };
-    let mut events = vec![Event { at, long: secs(40), fault: Fault::BadBuild { build: 2, share: 0.5 } }];
+    let start = |node| Event {
+        at,
+        long: secs(1),
+        fault: Fault::Replace { node, build: 2 },
+    };
+    let mut events = vec![Event {
+        at,
+        long: secs(40),
+        fault: Fault::BadBuild {
+            build: 2,
+            share: 0.5,
+        },
+    }];
     events.extend([1, 4, 8].map(start));
-    let day = Day { nodes: 10, rate: 100.0, long: secs(90), events, list_late: secs(1), seed: 7 };
-    let mut book = Book::new(DAWN, aims(0.5), Room { octets: 1 << 24, records: 1 << 20 });
+    let day = Day {
+        nodes: 10,
+        rate: 100.0,
+        long: secs(90),
+        events,
+        list_late: secs(1),
+        seed: 7,
+    };
+    let mut book = Book::new(
+        DAWN,
+        aims(0.5),
+        Room {
+            octets: 1 << 24,
+            records: 1 << 20,
+        },
+    );
     play(&day, &mut book, &mut |_| {});
     let products = ["read", "post", "book"].map(str::to_owned).to_vec();
-    let mut records = vec![Record::Start { agent: "n0".into(), at: DAWN, products }];
-    records.extend((0..10).map(|node| Record::Name { node, name: format!("d{node}") }));
+    let mut records = vec![Record::Start {
+        agent: "n0".into(),
+        at: DAWN,
+        products,
+    }];
+    records.extend((0..10).map(|node| Record::Name {
+        node,
+        name: format!("d{node}"),
+    }));
     records.extend(book.records());
-    let bounds = Bounds { bytes: 1 << 24, age: secs(1 << 20) };
+    let bounds = Bounds {
+        bytes: 1 << 24,
+        age: secs(1 << 20),
+    };
     let mut writer = Writer::new(folder.path(), bounds, Box::new(Real)).expect("a writer");
-    records.chunks(50).for_each(|batch| writer.append(DAWN, batch).expect("it is kept"));
+    records
+        .chunks(50)
+        .for_each(|batch| writer.append(DAWN, batch).expect("it is kept"));
     folder
 }
 
@@ -41,7 +78,11 @@
         .output();
     let call = call.expect("it runs");
     let text = |bytes| String::from_utf8(bytes).expect("text");
-    (call.status.code().expect("a code"), text(call.stdout), text(call.stderr))
+    (
+        call.status.code().expect("a code"),
+        text(call.stdout),
+        text(call.stderr),
+    )
 }
 
 #[rstest]
@@ -49,8 +90,16 @@
 #[case("events STORE", 0, "stage 0 of build 2 had begun shortly before")]
 #[case("events STORE --to 2026-12-01T00:00:50Z", 1, "no departures")]
 #[case("events STORE --json", 0, r#""whom":{"build":2}"#)]
-#[case("show STORE --node d4 --from -60s", 0, "listed ready with build 2, started 00:01:00")]
-#[case("show STORE --node d4 --as-of 2026-12-01T00:01:00.5Z", 0, "listed ready with build 1")]
+#[case(
+    "show STORE --node d4 --from -60s",
+    0,
+    "listed ready with build 2, started 00:01:00"
+)]
+#[case(
+    "show STORE --node d4 --as-of 2026-12-01T00:01:00.5Z",
+    0,
+    "listed ready with build 1"
+)]
 #[case("show STORE --node d77", 3, "no node \"d77\" in this span")]
 #[case("show STORE --zone-of-reader Asia/Tokyo", 0, "2026-12-01 09:01:00 JST")]
 #[case(
@@ -65,12 +114,18 @@
 #[case("events STORE --from soon", 3, "\"soon\" is no time")]
 fn calls(store: &tempfile::TempDir, #[case] line: &str, #[case] code: i32, #[case] says: &str) {
     let (got, out, log) = call(store.path(), &format!("timeline {line}"));
-    assert!(got == code && format!("{out}{log}").contains(says), "{got}: {out}{log}");
+    assert!(
+        got == code && format!("{out}{log}").contains(says),
+        "{got}: {out}{log}"
+    );
 }
 
 #[rstest]
 fn what_was_not_known_is_not_shown(store: &tempfile::TempDir) {
-    let (_, out, _) = call(store.path(), "timeline show STORE --node d4 --as-of 2026-12-01T00:01:00.5Z");
+    let (_, out, _) = call(
+        store.path(),
+        "timeline show STORE --node d4 --as-of 2026-12-01T00:01:00.5Z",
+    );
     assert!(!out.contains("build 2"), "{out}");
 }
 
@@ -78,7 +133,14 @@
 fn a_picture_is_drawn(store: &tempfile::TempDir) {
     let folder = tempfile::tempdir().expect("a folder");
     let file = folder.path().join("lines.svg");
-    assert_eq!(call(store.path(), &format!("timeline plot STORE --svg {}", file.display())).0, 0);
+    assert_eq!(
+        call(
+            store.path(),
+            &format!("timeline plot STORE --svg {}", file.display())
+        )
+        .0,
+        0
+    );
     let svg = std::fs::read_to_string(file).expect("it is drawn");
     assert!(svg.contains("d9") && svg.contains("build 2") && svg.matches("<rect").count() > 500);
 }
