--- a/crates/drill/src/main.rs
+++ b/crates/drill/src/main.rs
@@ -18,7 +18,10 @@
 const PAGES: usize = 16;
 
 fn main() -> ExitCode {
-    match serve(&mut BufReader::new(io::stdin().lock()), &mut BufWriter::new(io::stdout().lock())) {
+    match serve(
+        &mut BufReader::new(io::stdin().lock()),
+        &mut BufWriter::new(io::stdout().lock()),
+    ) {
         Ok(()) => ExitCode::SUCCESS,
         Err(fault) => {
             eprintln!("lilacgate-drill: {fault}");
@@ -33,7 +36,10 @@
 }
 
 fn serve(input: &mut impl Read, output: &mut impl Write) -> Result<(), String> {
-    let mut host = Host { instances: BTreeMap::new(), pages: vec![None; PAGES] };
+    let mut host = Host {
+        instances: BTreeMap::new(),
+        pages: vec![None; PAGES],
+    };
     let mut reply = Reply::default();
     loop {
         let mut header = [0; 16];
@@ -48,26 +54,50 @@
             }
         }
         let header = Field(&header);
-        let rest =
-            u64::from(header.u32(0)).checked_sub(16).ok_or("a frame's length is shorter than its header")?;
+        let rest = u64::from(header.u32(0))
+            .checked_sub(16)
+            .ok_or("a frame's length is shorter than its header")?;
         let mut frame = Vec::with_capacity(rest.min(FIRST_READ) as usize);
-        input.by_ref().take(rest).read_to_end(&mut frame).map_err(|e| format!("input: {e}"))?;
+        input
+            .by_ref()
+            .take(rest)
+            .read_to_end(&mut frame)
+            .map_err(|e| format!("input: {e}"))?;
         if frame.len() as u64 != rest {
             return Err("input ends inside a frame".into());
         }
         let records = header.u32(4) as usize;
-        if records.checked_mul(EVENT).is_none_or(|bytes| bytes > frame.len()) {
-            return Err(format!("a frame of {rest} bytes cannot hold {records} records"));
+        if records
+            .checked_mul(EVENT)
+            .is_none_or(|bytes| bytes > frame.len())
+        {
+            return Err(format!(
+                "a frame of {rest} bytes cannot hold {records} records"
+            ));
         }
         let (records, tail) = frame.split_at(records * EVENT);
         reply.clear();
-        host.batch(Duration::from_micros(header.u64(8)), records, tail, &mut reply)?;
-        reply.write(output).and_then(|()| output.flush()).map_err(|e| format!("output: {e}"))?;
+        host.batch(
+            Duration::from_micros(header.u64(8)),
+            records,
+            tail,
+            &mut reply,
+        )?;
+        reply
+            .write(output)
+            .and_then(|()| output.flush())
+            .map_err(|e| format!("output: {e}"))?;
     }
 }
 
 impl Host {
-    fn batch(&mut self, now: Duration, records: &[u8], tail: &[u8], reply: &mut Reply) -> Result<(), String> {
+    fn batch(
+        &mut self,
+        now: Duration,
+        records: &[u8],
+        tail: &[u8],
+        reply: &mut Reply,
+    ) -> Result<(), String> {
         let records: Vec<Field> = records.chunks_exact(EVENT).map(Field).collect();
         // Nothing that an instance heard before it died in this batch may lead to an action.
         let mut last_halt = BTreeMap::new();
@@ -92,13 +122,15 @@
             while at < records.len() && records[at].u8(0) != wire::ON {
                 at += 1;
             }
-            let dead_until =
-                last_halt.get(&on).copied().filter(|&h| h >= from).map_or(from, |h| h.min(at - 1) + 1);
+            let dead_until = last_halt
+                .get(&on)
+                .copied()
+                .filter(|&h| h >= from)
+                .map_or(from, |h| h.min(at - 1) + 1);
             for (i, r) in records[from..dead_until].iter().enumerate() {
                 match r.u8(0) {
-                    wire::PAGE => {
-                        page(*r, tail, &mut self.pages).map_err(|e| format!("record {}: {e}", from + i))?
-                    }
+                    wire::PAGE => page(*r, tail, &mut self.pages)
+                        .map_err(|e| format!("record {}: {e}", from + i))?,
                     wire::HALT => drop(on.and_then(|on| self.instances.remove(&on))),
                     _ => {}
                 }
@@ -110,20 +142,31 @@
 
     /// One instance's events without a break, as one round of its module.
     fn segment(
-        &mut self, now: Duration, on: Option<u16>, first: usize, records: &[Field], tail: &[u8],
+        &mut self,
+        now: Duration,
+        on: Option<u16>,
+        first: usize,
+        records: &[Field],
+        tail: &[u8],
         reply: &mut Reply,
     ) -> Result<(), String> {
         if records.iter().all(|r| r.u8(0) == wire::PAGE) {
             for (i, r) in records.iter().enumerate() {
-                page(*r, tail, &mut self.pages).map_err(|e| format!("record {}: {e}", first + i))?;
+                page(*r, tail, &mut self.pages)
+                    .map_err(|e| format!("record {}: {e}", first + i))?;
             }
             return Ok(());
         }
         let on = on.ok_or_else(|| format!("record {first}: an event before any ON"))?;
-        for (i, r) in records.iter().enumerate().filter(|(_, r)| r.u8(0) == wire::UP) {
+        for (i, r) in records
+            .iter()
+            .enumerate()
+            .filter(|(_, r)| r.u8(0) == wire::UP)
+        {
             let place = |e| format!("record {}, UP of instance {on}: {e}", first + i);
             let text = r.slice(9, 1, tail).map_err(place)?;
-            let text = std::str::from_utf8(text).map_err(|_| place("options are not UTF-8".into()))?;
+            let text =
+                std::str::from_utf8(text).map_err(|_| place("options are not UTF-8".into()))?;
             match lilacgate_start::instance(r.u64(1), &Paths::from_lines(text)) {
                 Ok(instance) => drop(self.instances.insert(on, instance)),
                 Err(fault) => {
@@ -132,7 +175,12 @@
                 }
             }
         }
-        let Some(Instance { brain, products, zones }) = self.instances.get_mut(&on) else {
+        let Some(Instance {
+            brain,
+            products,
+            zones,
+        }) = self.instances.get_mut(&on)
+        else {
             return Err(format!("record {first}: instance {on} was never started"));
         };
         let (pages, named) = (&mut self.pages, (*products, *zones));
@@ -155,9 +203,16 @@
 
 fn page(r: Field, tail: &[u8], pages: &mut [Option<Vec<Line>>]) -> Result<(), String> {
     let number = r.u32(1);
-    let page = pages.get_mut(number as usize).ok_or_else(|| format!("PAGE has the number {number}"))?;
+    let page = pages
+        .get_mut(number as usize)
+        .ok_or_else(|| format!("PAGE has the number {number}"))?;
     let entries = r.slice(5, wire::ENTRY, tail)?;
-    *page = Some(entries.chunks_exact(wire::ENTRY).map(|e| Field(e).line()).collect::<Result<_, _>>()?);
+    *page = Some(
+        entries
+            .chunks_exact(wire::ENTRY)
+            .map(|e| Field(e).line())
+            .collect::<Result<_, _>>()?,
+    );
     Ok(())
 }
 
@@ -172,7 +227,10 @@
 
 /// Hands one record to the module, field by field. `named` is how many products and zones there are.
 fn hear(
-    r: Field, tail: &[u8], pages: &mut [Option<Vec<Line>>], named: (usize, usize),
+    r: Field,
+    tail: &[u8],
+    pages: &mut [Option<Vec<Line>>],
+    named: (usize, usize),
     ear: &mut dyn lilacgate::port::Hears,
 ) -> Result<(), String> {
     match r.u8(0) {
@@ -195,7 +253,9 @@
             let request = Request {
                 product: product(r, 14, named.0)?,
                 tenant: r.tenant(15),
-                mark: Some(r.u64(6)).filter(|&m| m != 0).map(lilacgate::port::Mark),
+                mark: Some(r.u64(6))
+                    .filter(|&m| m != 0)
+                    .map(lilacgate::port::Mark),
                 deadline: r.span64(17),
                 hint: (bits & 1 != 0).then(|| r.span(25)),
                 repeated: bits & 2 != 0,
@@ -206,7 +266,14 @@
             if r.u8(16) != 0 {
                 ear.load(r.appliance(6), &r.gauges(17, r.u8(16)));
             }
-            ear.ended(r.request(1), r.attempt(5), r.appliance(6), r.ending(10)?, r.span(11), r.u8(15) != 0);
+            ear.ended(
+                r.request(1),
+                r.attempt(5),
+                r.appliance(6),
+                r.ending(10)?,
+                r.span(11),
+                r.u8(15) != 0,
+            );
         }
         wire::HEADERS => ear.stream_begun(r.request(1), r.attempt(5), r.appliance(6), r.span(10)),
         wire::HANGUP => ear.client_left(r.request(1)),
@@ -221,7 +288,13 @@
         wire::TRIAL_NEWS => {
             let ending = r.ending(6)?;
             if ending == Ending::Served || r.u8(5) == 0 {
-                ear.stage(r.build(1), r.stage(3), r.course(4)?, r.share(7)?, r.span(11));
+                ear.stage(
+                    r.build(1),
+                    r.stage(3),
+                    r.course(4)?,
+                    r.share(7)?,
+                    r.span(11),
+                );
             }
             if r.u8(5) != 0 {
                 ear.vote_answered(ending);
--- a/crates/drill/src/wire.rs
+++ b/crates/drill/src/wire.rs
@@ -77,7 +77,11 @@
 
     pub fn share(self, at: usize) -> Result<f64, String> {
         let share = f64::from(self.f32(at));
-        if share.is_finite() && share >= 0.0 { Ok(share) } else { Err(format!("a share of {share}")) }
+        if share.is_finite() && share >= 0.0 {
+            Ok(share)
+        } else {
+            Err(format!("a share of {share}"))
+        }
     }
 
     pub fn gauges(self, at: usize, many: u8) -> [f32; 4] {
@@ -223,12 +227,21 @@
 }
 
 fn micros32(span: Duration) -> [u8; 4] {
-    u32::try_from(span.as_micros()).unwrap_or(u32::MAX).to_be_bytes()
+    u32::try_from(span.as_micros())
+        .unwrap_or(u32::MAX)
+        .to_be_bytes()
 }
 
 impl Decisions for Reply {
     fn send_attempt(&mut self, id: RequestId, to: ApplianceId, give_up_after: Duration) {
-        self.action(1, &[&id.0.to_be_bytes(), &to.0.to_be_bytes(), &micros32(give_up_after)]);
+        self.action(
+            1,
+            &[
+                &id.0.to_be_bytes(),
+                &to.0.to_be_bytes(),
+                &micros32(give_up_after),
+            ],
+        );
     }
     fn decline(&mut self, id: RequestId, come_back_in: Duration) {
         self.action(2, &[&id.0.to_be_bytes(), &micros32(come_back_in)]);
--- a/crates/drill/tests/malformed.rs
+++ b/crates/drill/tests/malformed.rs
@@ -11,9 +11,18 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the drill starts");
-    child.stdin.take().expect("its input").write_all(input).expect("it reads");
+    child
+        .stdin
+        .take()
+        .expect("its input")
+        .write_all(input)
+        .expect("it reads");
     let done = child.wait_with_output().expect("it ends");
-    (done.status.success(), done.stdout, String::from_utf8_lossy(&done.stderr).into_owned())
+    (
+        done.status.success(),
+        done.stdout,
+        String::from_utf8_lossy(&done.stderr).into_owned(),
+    )
 }
 
 fn frame(records: &[&[u8]], tail: &[u8]) -> Vec<u8> {
--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -44,15 +44,30 @@
         file.fault(root, "the root is not <operator>");
         return None;
     }
-    let version = file.need(root, "version", |text| if text == VERSION { Ok(()) } else { Err("version 1") });
+    let version = file.need(root, "version", |text| {
+        if text == VERSION {
+            Ok(())
+        } else {
+            Err("version 1")
+        }
+    });
     file.attributes(root, &["version"]);
     let children = file.children(root, &["places", "releases", "timeline"]);
     file.at_most_one(&children);
-    let of = |name: &str| children.iter().find(|child| child.tag_name().name() == name).copied();
+    let of = |name: &str| {
+        children
+            .iter()
+            .find(|child| child.tag_name().name() == name)
+            .copied()
+    };
     let places = places::read(file, root, of("places"), known);
     let releases = of("releases").map(|node| releases::read(file, node, &places));
     let timeline = of("timeline").and_then(|node| timeline::read(file, node));
-    version.map(|()| Operator { places, releases: releases.flatten(), timeline })
+    version.map(|()| Operator {
+        places,
+        releases: releases.flatten(),
+        timeline,
+    })
 }
 
 /// Reads a file.
--- a/crates/operator/src/places.rs
+++ b/crates/operator/src/places.rs
@@ -29,14 +29,21 @@
 impl Places {
     /// The firm whose requests an agent routes.
     pub fn firm_of(&self, agent: &str) -> Option<Tenant> {
-        self.agents.iter().find(|(name, _)| name == agent).map(|(_, firm)| *firm)
+        self.agents
+            .iter()
+            .find(|(name, _)| name == agent)
+            .map(|(_, firm)| *firm)
     }
 }
 
 /// A name: without spaces, so that lists of them can be read.
 pub(crate) fn name(text: &str) -> Result<String, &'static str> {
     let fine = !text.is_empty() && !text.contains(char::is_whitespace);
-    if fine { Ok(text.to_owned()) } else { Err("a name without spaces") }
+    if fine {
+        Ok(text.to_owned())
+    } else {
+        Err("a name without spaces")
+    }
 }
 
 pub(crate) fn read(file: &File, root: Node, node: Option<Node>, known: &Known) -> Places {
@@ -50,12 +57,21 @@
     let kind = |element: &str, known: &[String], most: usize| {
         let mut found: Vec<String> = known.to_vec();
         let mut defined = Vec::new();
-        for child in children.iter().filter(|child| child.tag_name().name() == element) {
+        for child in children
+            .iter()
+            .filter(|child| child.tag_name().name() == element)
+        {
             file.attributes(*child, &["name"]);
             file.children(*child, &[]);
-            let Some(name) = file.need(*child, "name", name) else { continue };
+            let Some(name) = file.need(*child, "name", name) else {
+                continue;
+            };
             if defined.contains(&name) {
-                file.fault_at(*child, "name", format!("{element} {name:?} is defined twice"));
+                file.fault_at(
+                    *child,
+                    "name",
+                    format!("{element} {name:?} is defined twice"),
+                );
                 continue;
             }
             if !found.contains(&name) {
@@ -64,22 +80,35 @@
             defined.push(name);
         }
         for missing in known.iter().filter(|name| !defined.contains(name)) {
-            file.fault(node, format!("{element} {missing:?}, which the agent is told of, is not defined"));
+            file.fault(
+                node,
+                format!("{element} {missing:?}, which the agent is told of, is not defined"),
+            );
         }
         if found.len() > most {
-            file.fault(node, format!("{} of <{element}>; {most} are the most", found.len()));
+            file.fault(
+                node,
+                format!("{} of <{element}>; {most} are the most", found.len()),
+            );
         }
         found
     };
     places.zones = kind("zone", &known.zones, ZONES);
     places.firms = kind("firm", &[], FIRMS);
     places.products = kind("product", &known.products, Openings::PRODUCTS);
-    for (what, names) in [("zone", &places.zones), ("firm", &places.firms), ("product", &places.products)] {
+    for (what, names) in [
+        ("zone", &places.zones),
+        ("firm", &places.firms),
+        ("product", &places.products),
+    ] {
         if names.is_empty() {
             file.fault(node, format!("no <{what}> is defined"));
         }
     }
-    for child in children.iter().filter(|child| child.tag_name().name() == "agent") {
+    for child in children
+        .iter()
+        .filter(|child| child.tag_name().name() == "agent")
+    {
         file.attributes(*child, &["name", "firm"]);
         file.children(*child, &[]);
         let agent = file.need(*child, "name", name);
@@ -96,5 +125,8 @@
 
 /// The number of a name.
 pub(crate) fn find(names: &[String], kind: &str, text: &str) -> Result<usize, String> {
-    names.iter().position(|name| name == text).ok_or(format!("{kind} {text:?} is defined nowhere"))
+    names
+        .iter()
+        .position(|name| name == text)
+        .ok_or(format!("{kind} {text:?} is defined nowhere"))
 }
--- a/crates/operator/src/xml.rs
+++ b/crates/operator/src/xml.rs
@@ -25,7 +25,12 @@
 impl Fault {
     /// A fault of the file as a whole, without a place.
     pub fn whole(what: String) -> Fault {
-        Fault { line: 0, column: 0, element: String::new(), what }
+        Fault {
+            line: 0,
+            column: 0,
+            element: String::new(),
+            what,
+        }
     }
 }
 
@@ -46,14 +51,20 @@
 /// # Errors
 /// All faults, in the order of their places.
 pub fn parse<T>(
-    text: &str, read: impl for<'a> FnOnce(&File<'a>, Node<'a, 'a>) -> Option<T>,
+    text: &str,
+    read: impl for<'a> FnOnce(&File<'a>, Node<'a, 'a>) -> Option<T>,
 ) -> Result<T, Vec<Fault>> {
     if text.len() as u64 > LARGEST {
         let what = format!("the file has {} octets; {LARGEST} are the most", text.len());
         return Err(vec![Fault::whole(what)]);
     }
-    let options = ParsingOptions { allow_dtd: false, nodes_limit: MOST_NODES, ..Default::default() };
-    let document = Document::parse_with_options(text, options).map_err(|fault| vec![malformed(&fault)])?;
+    let options = ParsingOptions {
+        allow_dtd: false,
+        nodes_limit: MOST_NODES,
+        ..Default::default()
+    };
+    let document =
+        Document::parse_with_options(text, options).map_err(|fault| vec![malformed(&fault)])?;
     let file = File::new(&document);
     let value = read(&file, document.root_element());
     let faults = file.faults();
@@ -62,7 +73,12 @@
 
 fn malformed(fault: &roxmltree::Error) -> Fault {
     let (at, what) = (fault.pos(), format!("not well-formed: {fault}"));
-    Fault { line: at.row, column: at.col, element: String::new(), what }
+    Fault {
+        line: at.row,
+        column: at.col,
+        element: String::new(),
+        what,
+    }
 }
 
 /// Reads a file's text, up to one octet more than the most that [`parse`] takes.
@@ -73,7 +89,9 @@
     let whole = |fault: std::io::Error| vec![Fault::whole(format!("{}: {fault}", path.display()))];
     let file = std::fs::File::open(path).map_err(whole)?;
     let mut text = String::new();
-    file.take(LARGEST + 1).read_to_string(&mut text).map_err(whole)?;
+    file.take(LARGEST + 1)
+        .read_to_string(&mut text)
+        .map_err(whole)?;
     Ok(text)
 }
 
@@ -85,7 +103,10 @@
 
 impl<'a> File<'a> {
     fn new(document: &'a Document<'a>) -> Self {
-        File { document, faults: RefCell::default() }
+        File {
+            document,
+            faults: RefCell::default(),
+        }
     }
 
     fn faults(self) -> Vec<Fault> {
@@ -97,7 +118,12 @@
 
     fn note(&self, at: usize, element: &str, what: String) {
         let place = self.document.text_pos_at(at);
-        let fault = Fault { line: place.row, column: place.col, element: element.into(), what };
+        let fault = Fault {
+            line: place.row,
+            column: place.col,
+            element: element.into(),
+            what,
+        };
         self.faults.borrow_mut().push(fault);
     }
 
@@ -108,14 +134,23 @@
 
     /// Notes a fault at an attribute, or at its element where that lacks it.
     pub fn fault_at(&self, node: Node, attribute: &str, what: impl Into<String>) {
-        let at = node.attribute_node(attribute).map_or(node.range().start, |found| found.range().start);
+        let at = node
+            .attribute_node(attribute)
+            .map_or(node.range().start, |found| found.range().start);
         self.note(at, node.tag_name().name(), what.into());
     }
 
     /// Names all attributes but these.
     pub fn attributes(&self, node: Node, known: &[&str]) {
-        for attribute in node.attributes().filter(|found| !known.contains(&found.name())) {
-            let what = format!("attribute {} is unknown; expected {}", attribute.name(), one_of(known));
+        for attribute in node
+            .attributes()
+            .filter(|found| !known.contains(&found.name()))
+        {
+            let what = format!(
+                "attribute {} is unknown; expected {}",
+                attribute.name(),
+                one_of(known)
+            );
             self.fault_at(node, attribute.name(), what);
         }
     }
@@ -124,7 +159,11 @@
     pub fn children<'n>(&self, node: Node<'n, 'n>, known: &[&str]) -> Vec<Node<'n, 'n>> {
         for child in node.children().filter(|child| child.is_text()) {
             if child.text().is_some_and(|text| !text.trim().is_empty()) {
-                self.note(child.range().start, node.tag_name().name(), "text is not expected here".into());
+                self.note(
+                    child.range().start,
+                    node.tag_name().name(),
+                    "text is not expected here".into(),
+                );
             }
         }
         let (fine, other): (Vec<_>, Vec<_>) = node
@@ -132,8 +171,18 @@
             .filter(Node::is_element)
             .partition(|child| known.contains(&child.tag_name().name()));
         for child in other {
-            let expected = if known.is_empty() { "nothing".into() } else { one_of(known) };
-            self.fault(child, format!("not expected in <{}>; expected {expected}", node.tag_name().name()));
+            let expected = if known.is_empty() {
+                "nothing".into()
+            } else {
+                one_of(known)
+            };
+            self.fault(
+                child,
+                format!(
+                    "not expected in <{}>; expected {expected}",
+                    node.tag_name().name()
+                ),
+            );
         }
         fine
     }
@@ -141,7 +190,10 @@
     /// Names children that stand again.
     pub fn at_most_one(&self, children: &[Node]) {
         for (i, child) in children.iter().enumerate() {
-            if children[..i].iter().any(|other| other.tag_name().name() == child.tag_name().name()) {
+            if children[..i]
+                .iter()
+                .any(|other| other.tag_name().name() == child.tag_name().name())
+            {
                 self.fault(*child, "stands more than once");
             }
         }
@@ -149,10 +201,15 @@
 
     /// An attribute that may be left out.
     pub fn maybe<T, E: Into<String>>(
-        &self, node: Node, name: &str, read: impl FnOnce(&str) -> Result<T, E>,
+        &self,
+        node: Node,
+        name: &str,
+        read: impl FnOnce(&str) -> Result<T, E>,
     ) -> Option<T> {
         let text = node.attribute(name)?;
-        read(text).map_err(|expected| self.wrong(node, name, text, expected.into())).ok()
+        read(text)
+            .map_err(|expected| self.wrong(node, name, text, expected.into()))
+            .ok()
     }
 
     fn wrong(&self, node: Node, name: &str, text: &str, expected: String) {
@@ -166,7 +223,10 @@
 
     /// One that may not.
     pub fn need<T, E: Into<String>>(
-        &self, node: Node, name: &str, read: impl FnOnce(&str) -> Result<T, E>,
+        &self,
+        node: Node,
+        name: &str,
+        read: impl FnOnce(&str) -> Result<T, E>,
     ) -> Option<T> {
         if node.attribute(name).is_none() {
             self.fault(node, format!("attribute {name} is missing"));
--- a/crates/releases/src/climb.rs
+++ b/crates/releases/src/climb.rs
@@ -35,7 +35,10 @@
 
     /// Since when it stands at a stage or above.
     fn since(&self, stage: Stage) -> Option<Duration> {
-        self.reached.iter().find(|(s, _)| *s >= stage).map(|(_, at)| *at)
+        self.reached
+            .iter()
+            .find(|(s, _)| *s >= stage)
+            .map(|(_, at)| *at)
     }
 
     /// When the next ring is due, freezes aside; nothing if its stage is not reached, or there is none.
@@ -47,22 +50,33 @@
 
     /// When the ring that is open last has been open for as long as the next one, or the release, asks.
     pub(crate) fn earned(&self, ladder: &Ladder) -> Option<Duration> {
-        let after = ladder.rings.get(self.opened.len()).map_or(ladder.settles, |ring| ring.after);
+        let after = ladder
+            .rings
+            .get(self.opened.len())
+            .map_or(ladder.settles, |ring| ring.after);
         self.opened.last().map(|at| at.saturating_add(after))
     }
 
     /// Whether the first that was heard of it was its release: then no freeze that is in force now kept it from anyone.
     fn came_released(&self) -> bool {
-        self.reached.first().is_some_and(|(stage, _)| *stage == RELEASED)
+        self.reached
+            .first()
+            .is_some_and(|(stage, _)| *stage == RELEASED)
     }
 
     /// Opens what is due. `climbs` is whether the build still goes up.
     pub(crate) fn advance(
-        &mut self, now: Duration, rules: &Rules, service: ServiceId, ladder: &Ladder, climbs: bool,
+        &mut self,
+        now: Duration,
+        rules: &Rules,
+        service: ServiceId,
+        ladder: &Ladder,
+        climbs: bool,
     ) {
         while let Some(due) = self.due(ladder).filter(|due| climbs && *due <= now) {
             let ring = &ladder.rings[self.opened.len()];
-            let frozen = |at| !self.came_released() && rules.holds_ring(service, ring, at).is_some();
+            let frozen =
+                |at| !self.came_released() && rules.holds_ring(service, ring, at).is_some();
             match (frozen(due), frozen(now)) {
                 (true, true) => return,
                 // Frozen when it was due, it opens only now.
--- a/crates/releases/src/facts.rs
+++ b/crates/releases/src/facts.rs
@@ -76,8 +76,9 @@
             self.released.pop_first();
         }
         // News that only repeat what stands do not make it younger.
-        let same =
-            self.last.filter(|l| (l.build, l.stage, l.course) == (told.build, told.stage, told.course));
+        let same = self
+            .last
+            .filter(|l| (l.build, l.stage, l.course) == (told.build, told.stage, told.course));
         let since = same.map_or(told.since, |last| last.since.min(told.since));
         self.last = Some(Told { since, ..told });
     }
@@ -98,14 +99,18 @@
 
     /// Why nothing can be said of it now, if so.
     pub fn doubt(&self, now: Duration, silent_after: Option<Duration>) -> Option<Doubt> {
-        let Some(heard) = self.heard.filter(|_| self.last.is_some()) else { return Some(Doubt::Unheard) };
+        let Some(heard) = self.heard.filter(|_| self.last.is_some()) else {
+            return Some(Doubt::Unheard);
+        };
         let silent = silent_after.is_some_and(|most| now >= heard.saturating_add(most));
         self.odd.or(silent.then_some(Doubt::Silent))
     }
 
     /// Whether its newest released build is at or above another. Asked only where there is no doubt.
     pub fn stands(&self, at_least: Build) -> Standing {
-        let Some(last) = self.last else { return Standing::Unknown };
+        let Some(last) = self.last else {
+            return Standing::Unknown;
+        };
         match self.released.last() {
             Some(&newest) if newest >= at_least => Standing::Yes(newest),
             // What is released lies below the newest build, if that is not released itself.
@@ -117,9 +122,17 @@
 
     /// One that was kept, as [`crate::record`] has it.
     pub(crate) fn kept(
-        last: Option<Told>, heard: Option<Duration>, odd: Option<Doubt>, released: BTreeSet<Build>,
+        last: Option<Told>,
+        heard: Option<Duration>,
+        odd: Option<Doubt>,
+        released: BTreeSet<Build>,
     ) -> Self {
-        Fact { last, heard, odd, released }
+        Fact {
+            last,
+            heard,
+            odd,
+            released,
+        }
     }
 
     pub(crate) fn odd(&self) -> Option<Doubt> {
--- a/crates/releases/src/gate.rs
+++ b/crates/releases/src/gate.rs
@@ -163,10 +163,17 @@
     /// A circle of needs, by their places.
     pub fn new(rules: Rules, me: Option<Tenant>, now: Duration) -> Result<Gate, Vec<usize>> {
         let order = rules.needs_in_order()?;
-        let firsts = rules.ladders.iter().map(crate::model::Ladder::first_rings).collect();
+        let firsts = rules
+            .ladders
+            .iter()
+            .map(crate::model::Ladder::first_rings)
+            .collect();
         let facts = vec![Fact::default(); rules.services.len()];
         let (climbs, rows, listed, events, dropped, handed) = Default::default();
-        let step = Err(Stay { why: Hindrance::NoTrial, until: None });
+        let step = Err(Stay {
+            why: Hindrance::NoTrial,
+            until: None,
+        });
         let mut gate = Gate {
             rules,
             order,
@@ -195,10 +202,22 @@
     ///
     /// # Errors
     /// A circle of needs; nothing changes then.
-    pub fn replace(&mut self, now: Duration, rules: Rules, me: Option<Tenant>) -> Result<(), Vec<usize>> {
+    pub fn replace(
+        &mut self,
+        now: Duration,
+        rules: Rules,
+        me: Option<Tenant>,
+    ) -> Result<(), Vec<usize>> {
         let mut next = Gate::new(rules, me, now)?;
         for (id, service) in next.rules.services.iter().enumerate() {
-            let Some(old) = self.rules.services.iter().position(|s| s.name == service.name) else { continue };
+            let Some(old) = self
+                .rules
+                .services
+                .iter()
+                .position(|s| s.name == service.name)
+            else {
+                continue;
+            };
             next.facts[id] = self.facts[old].clone();
             let of = |(service, _): &(ServiceId, Build)| usize::from(service.0) == old;
             for ((_, build), climb) in self.climbs.iter().filter(|(key, _)| of(key)) {
@@ -212,13 +231,24 @@
                     one.rings.iter().zip(&two.rings).take_while(same).count()
                 });
                 let opened = climb.opened.iter().take(same).copied().collect();
-                let climb = Climb { reached: climb.reached.clone(), opened };
+                let climb = Climb {
+                    reached: climb.reached.clone(),
+                    opened,
+                };
                 next.climbs.insert((ServiceId(id as u8), *build), climb);
             }
         }
         let pair = |zone: usize, firm: usize| {
-            let zone = self.rules.zones.iter().position(|z| *z == next.rules.zones[zone])?;
-            let firm = self.rules.firms.iter().position(|f| *f == next.rules.firms[firm])?;
+            let zone = self
+                .rules
+                .zones
+                .iter()
+                .position(|z| *z == next.rules.zones[zone])?;
+            let firm = self
+                .rules
+                .firms
+                .iter()
+                .position(|f| *f == next.rules.firms[firm])?;
             Some(self.rules.pair(Zone(zone as u8), Tenant(firm as u16)))
         };
         let firms = next.rules.firms.len();
@@ -248,10 +278,18 @@
 
     /// News of a service.
     pub fn hear(&mut self, now: Duration, service: ServiceId, told: Told) {
-        let Some(fact) = self.facts.get_mut(usize::from(service.0)) else { return };
+        let Some(fact) = self.facts.get_mut(usize::from(service.0)) else {
+            return;
+        };
         fact.tell(now, told);
-        if fact.last().is_some_and(|last| (last.build, last.course) == (told.build, told.course)) {
-            self.climbs.entry((service, told.build)).or_default().told(told);
+        if fact
+            .last()
+            .is_some_and(|last| (last.build, last.course) == (told.build, told.course))
+        {
+            self.climbs
+                .entry((service, told.build))
+                .or_default()
+                .told(told);
         }
         self.rebuild(now);
     }
@@ -259,7 +297,9 @@
     /// A sign of life of a service.
     pub fn alive(&mut self, now: Duration, service: ServiceId) {
         let silent = self.doubt(service, now);
-        let Some(fact) = self.facts.get_mut(usize::from(service.0)) else { return };
+        let Some(fact) = self.facts.get_mut(usize::from(service.0)) else {
+            return;
+        };
         fact.alive(now);
         if silent == Some(Doubt::Silent) {
             self.rebuild(now);
@@ -298,14 +338,22 @@
 
     /// The newest build that its own service's news name.
     pub fn newest(&self) -> Option<Build> {
-        self.facts[usize::from(self.rules.own.0)].last().map(|last| last.build)
+        self.facts[usize::from(self.rules.own.0)]
+            .last()
+            .map(|last| last.build)
     }
 
     /// Whether a request may go to a build in a zone, or why not.
     ///
     /// # Errors
     /// The reason.
-    pub fn admits(&self, build: Build, zone: Zone, firm: Tenant, product: Product) -> Result<(), Why> {
+    pub fn admits(
+        &self,
+        build: Build,
+        zone: Zone,
+        firm: Tenant,
+        product: Product,
+    ) -> Result<(), Why> {
         let row = self.rows.get(&build).ok_or(Why::NotListed)?;
         let (zones, firms) = (self.rules.zones.len(), self.rules.firms.len());
         if usize::from(zone.0) >= zones || usize::from(firm.0) >= firms {
@@ -315,13 +363,21 @@
         if cell.open & Rules::product_bit(product) != 0 {
             Ok(())
         } else {
-            Err(if cell.open == 0 { cell.why } else { Why::Product })
+            Err(if cell.open == 0 {
+                cell.why
+            } else {
+                Why::Product
+            })
         }
     }
 
     /// What stands in the way of newcomers where a build is kept.
     pub fn kept_in_spite_of(&self, build: Build, zone: Zone, firm: Tenant) -> Option<Why> {
-        let cell = self.rows.get(&build)?.cells.get(self.rules.pair(zone, firm))?;
+        let cell = self
+            .rows
+            .get(&build)?
+            .cells
+            .get(self.rules.pair(zone, firm))?;
         (cell.open != 0 && cell.why != Why::Open).then_some(cell.why)
     }
 
@@ -340,29 +396,54 @@
 
     /// What changed since the last look, and how many changes were left out before.
     pub fn events(&mut self) -> (Vec<Event>, u64) {
-        (self.events.drain(..).collect(), std::mem::take(&mut self.dropped))
+        (
+            self.events.drain(..).collect(),
+            std::mem::take(&mut self.dropped),
+        )
     }
 
     /// The builds that are known here, and the pairs that each is open to.
     pub fn builds(&self) -> impl Iterator<Item = (Build, usize)> + '_ {
-        self.rows.iter().map(|(build, row)| (*build, row.cells.iter().filter(|cell| cell.open != 0).count()))
+        self.rows.iter().map(|(build, row)| {
+            (
+                *build,
+                row.cells.iter().filter(|cell| cell.open != 0).count(),
+            )
+        })
     }
 
     /// When something changes by time alone.
     pub fn next_change(&self) -> Option<Duration> {
-        let silent = self.rules.services.iter().zip(&self.facts).filter_map(|(service, fact)| {
-            fact.heard().zip(service.silent_after).map(|(heard, most)| heard.saturating_add(most))
-        });
-        silent.filter(|at| *at > self.now).chain(self.next_ordered()).min()
+        let silent = self
+            .rules
+            .services
+            .iter()
+            .zip(&self.facts)
+            .filter_map(|(service, fact)| {
+                fact.heard()
+                    .zip(service.silent_after)
+                    .map(|(heard, most)| heard.saturating_add(most))
+            });
+        silent
+            .filter(|at| *at > self.now)
+            .chain(self.next_ordered())
+            .min()
     }
 
     /// The same, but for services that fall silent.
     pub fn next_ordered(&self) -> Option<Duration> {
         let climbs = self.climbs.iter().flat_map(|((service, build), climb)| {
             let ladder = self.rules.ladder(*service, *build);
-            ladder.into_iter().flat_map(|ladder| [climb.due(ladder), climb.earned(ladder)]).flatten()
+            ladder
+                .into_iter()
+                .flat_map(|ladder| [climb.due(ladder), climb.earned(ladder)])
+                .flatten()
         });
-        let freezes = self.rules.freezes.iter().filter_map(|freeze| freeze.when.next_change(self.now));
+        let freezes = self
+            .rules
+            .freezes
+            .iter()
+            .filter_map(|freeze| freeze.when.next_change(self.now));
         climbs.chain(freezes).filter(|at| *at > self.now).min()
     }
 
@@ -374,7 +455,9 @@
 
     fn doubt(&self, service: ServiceId, now: Duration) -> Option<Doubt> {
         let i = usize::from(service.0);
-        self.facts.get(i)?.doubt(now, self.rules.services[i].silent_after)
+        self.facts
+            .get(i)?
+            .doubt(now, self.rules.services[i].silent_after)
     }
 
     fn footing(&self, build: Build) -> Footing {
@@ -410,10 +493,12 @@
         let facts = &self.facts;
         let told = |service: ServiceId, build: Build| {
             let fact = &facts[usize::from(service.0)];
-            fact.last().is_some_and(|last| last.build == build) || fact.released().any(|r| r == build)
+            fact.last().is_some_and(|last| last.build == build)
+                || fact.released().any(|r| r == build)
         };
-        self.climbs
-            .retain(|(service, build), _| told(*service, *build) || *service == own && named.contains(build));
+        self.climbs.retain(|(service, build), _| {
+            told(*service, *build) || *service == own && named.contains(build)
+        });
     }
 
     fn rebuild(&mut self, now: Duration) {
@@ -421,8 +506,11 @@
         let now = self.now;
         self.tidy(now);
         for ((service, build), climb) in &mut self.climbs {
-            let last = self.facts[usize::from(service.0)].last().filter(|last| last.build == *build);
-            let climbs = last.is_none_or(|l| matches!(l.course, Course::OnTrial | Course::Released));
+            let last = self.facts[usize::from(service.0)]
+                .last()
+                .filter(|last| last.build == *build);
+            let climbs =
+                last.is_none_or(|l| matches!(l.course, Course::OnTrial | Course::Released));
             if let Some(ladder) = self.rules.ladder(*service, *build) {
                 climb.advance(now, &self.rules, *service, ladder, climbs);
             }
@@ -439,7 +527,10 @@
                 Ok((build, stage)) => (build.0, What::MayStep(stage.0)),
                 Err(stay) => {
                     let newest = self.facts[usize::from(self.rules.own.0)].last();
-                    (newest.map_or(0, |last| last.build.0), What::Stays(stay.why.code().into()))
+                    (
+                        newest.map_or(0, |last| last.build.0),
+                        What::Stays(stay.why.code().into()),
+                    )
                 }
             };
             let same = matches!((&step, &self.step), (Err(one), Err(two)) if one.why == two.why);
@@ -461,7 +552,11 @@
             self.events.pop_front();
             self.dropped += 1;
         }
-        self.events.push_back(Event { at: self.now, build, what });
+        self.events.push_back(Event {
+            at: self.now,
+            build,
+            what,
+        });
     }
 
     /// By need and zone, each after all that it rests on.
@@ -478,9 +573,15 @@
                 Standing::Unknown => vec![Met::Unknown; self.rules.zones.len()],
                 Standing::Yes(build) => {
                     let at = |zone: Zone| {
-                        let deeper =
-                            self.rules.needs(need.of, build).map(|(j, _)| met[j][usize::from(zone.0)]);
-                        let own = if self.brought(need.of, build, zone) { Met::Yes } else { Met::No };
+                        let deeper = self
+                            .rules
+                            .needs(need.of, build)
+                            .map(|(j, _)| met[j][usize::from(zone.0)]);
+                        let own = if self.brought(need.of, build, zone) {
+                            Met::Yes
+                        } else {
+                            Met::No
+                        };
                         deeper.fold(own, Met::max)
                     };
                     self.rules.zone_ids().map(at).collect()
@@ -499,11 +600,18 @@
 
     /// Whether a service's released build has come to all firms of a zone.
     fn brought(&self, service: ServiceId, build: Build, zone: Zone) -> bool {
-        let Some(at) = self.rules.ladders.iter().position(|l| l.service == service && l.builds.holds(build))
+        let Some(at) = self
+            .rules
+            .ladders
+            .iter()
+            .position(|l| l.service == service && l.builds.holds(build))
         else {
             return true;
         };
-        let opened = self.climbs.get(&(service, build)).map_or(0, |climb| climb.opened.len());
+        let opened = self
+            .climbs
+            .get(&(service, build))
+            .map_or(0, |climb| climb.opened.len());
         self.rules
             .of_zone(zone)
             .all(|pair| self.firsts[at][pair].is_some_and(|ring| usize::from(ring) < opened))
@@ -523,20 +631,45 @@
                 (Met::Unknown, InDoubt::Hold) => Level::Hold(Why::Unknown(i as u16)),
             }
         };
-        self.rules.needs(self.rules.own, build).map(level).max().unwrap_or(Level::Open)
+        self.rules
+            .needs(self.rules.own, build)
+            .map(level)
+            .max()
+            .unwrap_or(Level::Open)
     }
 
     /// Fills in one build's row.
     fn fill(&mut self, build: Build, row: &mut Row, met: &[Vec<Met>]) {
         let (own, footing) = (self.rules.own, self.footing(build));
-        let (trial, goes_up) =
-            (matches!(footing, Footing::OnTrial | Footing::Back), footing != Footing::Earlier);
-        let ladder = self.rules.ladders.iter().position(|l| l.service == own && l.builds.holds(build));
-        let ladder = ladder.filter(|_| goes_up).map(|at| (&self.rules.ladders[at], &self.firsts[at]));
-        let opened = self.climbs.get(&(own, build)).map_or(0, |climb| climb.opened.len());
+        let (trial, goes_up) = (
+            matches!(footing, Footing::OnTrial | Footing::Back),
+            footing != Footing::Earlier,
+        );
+        let ladder = self
+            .rules
+            .ladders
+            .iter()
+            .position(|l| l.service == own && l.builds.holds(build));
+        let ladder = ladder
+            .filter(|_| goes_up)
+            .map(|at| (&self.rules.ladders[at], &self.firsts[at]));
+        let opened = self
+            .climbs
+            .get(&(own, build))
+            .map_or(0, |climb| climb.opened.len());
         // Which products the open rings allow: all, once it is released.
-        let mut allowed = vec![if trial && ladder.is_some() { 0 } else { u64::MAX }; row.cells.len()];
-        for ring in ladder.iter().flat_map(|(ladder, _)| &ladder.rings[..opened.min(ladder.rings.len())]) {
+        let mut allowed = vec![
+            if trial && ladder.is_some() {
+                0
+            } else {
+                u64::MAX
+            };
+            row.cells.len()
+        ];
+        for ring in ladder
+            .iter()
+            .flat_map(|(ladder, _)| &ladder.rings[..opened.min(ladder.rings.len())])
+        {
             for (allowed, _) in allowed.iter_mut().zip(&ring.pairs.0).filter(|(_, is)| **is) {
                 *allowed |= ring.products;
             }
@@ -544,8 +677,16 @@
         let mut frozen = vec![Level::Open; row.cells.len()];
         for (i, freeze, _) in self.rules.frozen(own, self.now).filter(|_| goes_up) {
             let why = Why::Frozen(i as u16);
-            let level = if freeze.closes && trial { Level::Closed(why) } else { Level::Hold(why) };
-            for (frozen, _) in frozen.iter_mut().zip(&freeze.pairs.0).filter(|(_, is)| **is) {
+            let level = if freeze.closes && trial {
+                Level::Closed(why)
+            } else {
+                Level::Hold(why)
+            };
+            for (frozen, _) in frozen
+                .iter_mut()
+                .zip(&freeze.pairs.0)
+                .filter(|(_, is)| **is)
+            {
                 *frozen = level.max(*frozen);
             }
         }
@@ -569,9 +710,15 @@
                 let cell = match needed.max(frozen[pair]).max(climbed) {
                     Level::Open => {
                         *had = true;
-                        Cell { open: allowed[pair], why: Why::Open }
+                        Cell {
+                            open: allowed[pair],
+                            why: Why::Open,
+                        }
                     }
-                    Level::Hold(why) => Cell { open: if *had { allowed[pair] } else { 0 }, why },
+                    Level::Hold(why) => Cell {
+                        open: if *had { allowed[pair] } else { 0 },
+                        why,
+                    },
                     Level::Closed(why) => {
                         *had = false;
                         Cell { open: 0, why }
@@ -597,8 +744,12 @@
     fn may_step(&self, met: &[Vec<Met>]) -> Result<(Build, Stage), Stay> {
         let own = self.rules.own;
         let stay = |why, until| Err(Stay { why, until });
-        let last = self.facts[usize::from(own.0)].last().filter(|last| last.course == Course::OnTrial);
-        let Some(Told { build, stage, .. }) = last else { return stay(Hindrance::NoTrial, None) };
+        let last = self.facts[usize::from(own.0)]
+            .last()
+            .filter(|last| last.course == Course::OnTrial);
+        let Some(Told { build, stage, .. }) = last else {
+            return stay(Hindrance::NoTrial, None);
+        };
         if self.doubt(own, self.now).is_some() {
             return stay(Hindrance::OwnNews, None);
         }
@@ -606,26 +757,56 @@
             return stay(Hindrance::Frozen(freeze as u16), force.until);
         }
         let zones = self.rules.zones_up_to(own, build, stage);
-        let worst = self.rules.needs(own, build).flat_map(|(i, _)| zones.iter().map(move |zone| (i, *zone)));
-        match worst.map(|(i, zone)| (met[i][usize::from(zone.0)], i as u16)).max() {
+        let worst = self
+            .rules
+            .needs(own, build)
+            .flat_map(|(i, _)| zones.iter().map(move |zone| (i, *zone)));
+        match worst
+            .map(|(i, zone)| (met[i][usize::from(zone.0)], i as u16))
+            .max()
+        {
             Some((Met::No, need)) => return stay(Hindrance::Unmet(need), None),
             Some((Met::Unknown, need)) => return stay(Hindrance::Unknown(need), None),
             _ => {}
         }
-        if let Some((ladder, climb)) = self.rules.ladder(own, build).zip(self.climbs.get(&(own, build))) {
+        if let Some((ladder, climb)) = self
+            .rules
+            .ladder(own, build)
+            .zip(self.climbs.get(&(own, build)))
+        {
             let opened = climb.opened.len();
-            if ladder.rings.get(opened).is_some_and(|ring| ring.stage <= stage) {
-                return stay(Hindrance::Ring(opened as u8), climb.due(ladder).filter(|due| *due > self.now));
+            if ladder
+                .rings
+                .get(opened)
+                .is_some_and(|ring| ring.stage <= stage)
+            {
+                return stay(
+                    Hindrance::Ring(opened as u8),
+                    climb.due(ladder).filter(|due| *due > self.now),
+                );
             }
             if let Some(earned) = climb.earned(ladder).filter(|earned| *earned > self.now) {
-                return stay(Hindrance::Ring(opened.saturating_sub(1) as u8), Some(earned));
+                return stay(
+                    Hindrance::Ring(opened.saturating_sub(1) as u8),
+                    Some(earned),
+                );
             }
         }
         let seen = |(pair, cell): (usize, &Cell)| {
-            cell.open != 0 && self.me.is_none_or(|me| pair % self.rules.firms.len() == usize::from(me.0))
+            cell.open != 0
+                && self
+                    .me
+                    .is_none_or(|me| pair % self.rules.firms.len() == usize::from(me.0))
         };
-        let seen = self.rows.get(&build).is_some_and(|row| row.cells.iter().enumerate().any(seen));
-        if seen { Ok((build, stage)) } else { stay(Hindrance::NoView, None) }
+        let seen = self
+            .rows
+            .get(&build)
+            .is_some_and(|row| row.cells.iter().enumerate().any(seen));
+        if seen {
+            Ok((build, stage))
+        } else {
+            stay(Hindrance::NoView, None)
+        }
     }
 
     /// What a reason means, in plain words.
@@ -633,8 +814,16 @@
         let rules = &self.rules;
         let need = |i: u16| {
             let need = &rules.needs[usize::from(i)];
-            let reach = if need.reach == Reach::SameZone { "in the same zone" } else { "everywhere" };
-            format!("{} {} or later, released {reach}", rules.service(need.of), need.at_least.0)
+            let reach = if need.reach == Reach::SameZone {
+                "in the same zone"
+            } else {
+                "everywhere"
+            };
+            format!(
+                "{} {} or later, released {reach}",
+                rules.service(need.of),
+                need.at_least.0
+            )
         };
         let freeze = |i: u16| format!("the freeze {:?}", rules.freezes[usize::from(i)].name);
         match why {
@@ -643,7 +832,9 @@
             Why::NoRing => "no ring of its ladder holds this zone and firm".into(),
             Why::RingShut(ring) => {
                 let ladder = rules.ladder(rules.own, build);
-                let name = ladder.and_then(|l| l.rings.get(usize::from(ring))).map_or("?", |r| &r.name);
+                let name = ladder
+                    .and_then(|l| l.rings.get(usize::from(ring)))
+                    .map_or("?", |r| &r.name);
                 format!("ring {name:?} is not open yet")
             }
             Why::Product => "open there, but not to this product".into(),
@@ -652,9 +843,15 @@
             Why::Unknown(i) => {
                 let of = rules.needs[usize::from(i)].of;
                 let doubt = self.doubt(of, self.now);
-                format!("it needs {}; whether that is so is unknown ({doubt:?})", need(i))
+                format!(
+                    "it needs {}; whether that is so is unknown ({doubt:?})",
+                    need(i)
+                )
             }
-            Why::OwnNews => format!("the news of {} cannot be relied on", rules.service(rules.own)),
+            Why::OwnNews => format!(
+                "the news of {} cannot be relied on",
+                rules.service(rules.own)
+            ),
             Why::GoingBack => "it is going back: nobody new gets it".into(),
         }
     }
@@ -665,11 +862,16 @@
             Hindrance::NoTrial => "no build is on trial".into(),
             Hindrance::Ring(ring) => {
                 let ladder = self.rules.ladder(self.rules.own, build);
-                let name = ladder.and_then(|l| l.rings.get(usize::from(ring))).map_or("?", |r| &r.name);
+                let name = ladder
+                    .and_then(|l| l.rings.get(usize::from(ring)))
+                    .map_or("?", |r| &r.name);
                 format!("ring {name:?} has not had its time")
             }
             Hindrance::Frozen(i) => {
-                format!("the freeze {:?} is in force", self.rules.freezes[usize::from(i)].name)
+                format!(
+                    "the freeze {:?} is in force",
+                    self.rules.freezes[usize::from(i)].name
+                )
             }
             Hindrance::Unmet(i) => self.words(build, Why::Unmet(i)),
             Hindrance::Unknown(i) => self.words(build, Why::Unknown(i)),
--- a/crates/releases/src/model.rs
+++ b/crates/releases/src/model.rs
@@ -20,7 +20,10 @@
 }
 
 impl Builds {
-    pub const ALL: Builds = Builds { from: Build(0), to: Build(u16::MAX) };
+    pub const ALL: Builds = Builds {
+        from: Build(0),
+        to: Build(u16::MAX),
+    };
 
     pub fn holds(self, build: Build) -> bool {
         self.from <= build && build <= self.to
@@ -73,7 +76,9 @@
     pub fn pairs(&self) -> Pairs {
         let mut all = vec![false; self.rings.first().map_or(0, |ring| ring.pairs.0.len())];
         for ring in &self.rings {
-            all.iter_mut().zip(&ring.pairs.0).for_each(|(all, one)| *all |= one);
+            all.iter_mut()
+                .zip(&ring.pairs.0)
+                .for_each(|(all, one)| *all |= one);
         }
         Pairs(all)
     }
@@ -81,7 +86,12 @@
     /// The first ring that holds each pair.
     pub fn first_rings(&self) -> Vec<Option<u8>> {
         let pairs = self.rings.first().map_or(0, |ring| ring.pairs.0.len());
-        let first = |pair| self.rings.iter().position(|ring| ring.pairs.0[pair]).map(|ring| ring as u8);
+        let first = |pair| {
+            self.rings
+                .iter()
+                .position(|ring| ring.pairs.0[pair])
+                .map(|ring| ring as u8)
+        };
         (0..pairs).map(first).collect()
     }
 }
@@ -160,7 +170,9 @@
     }
 
     pub fn service(&self, id: ServiceId) -> &str {
-        self.services.get(usize::from(id.0)).map_or("?", |service| &service.name)
+        self.services
+            .get(usize::from(id.0))
+            .map_or("?", |service| &service.name)
     }
 
     pub fn service_ids(&self) -> impl Iterator<Item = ServiceId> + use<> {
@@ -173,18 +185,23 @@
 
     /// The ladder that a build climbs: the first that holds it.
     pub fn ladder(&self, service: ServiceId, build: Build) -> Option<&Ladder> {
-        self.ladders.iter().find(|ladder| ladder.service == service && ladder.builds.holds(build))
+        self.ladders
+            .iter()
+            .find(|ladder| ladder.service == service && ladder.builds.holds(build))
     }
 
     /// What a build needs, with each need's place in the rules.
     pub fn needs(&self, service: ServiceId, build: Build) -> impl Iterator<Item = (usize, &Need)> {
-        let of = move |(_, need): &(usize, &Need)| need.service == service && need.builds.holds(build);
+        let of =
+            move |(_, need): &(usize, &Need)| need.service == service && need.builds.holds(build);
         self.needs.iter().enumerate().filter(of)
     }
 
     /// The freezes in force on a service, with their places and how long they last.
     pub fn frozen(
-        &self, service: ServiceId, now: Duration,
+        &self,
+        service: ServiceId,
+        now: Duration,
     ) -> impl Iterator<Item = (usize, &Freeze, InForce)> {
         let of = move |freeze: &Freeze| freeze.service.is_none_or(|s| s == service);
         let held = move |(i, freeze): (usize, &'_ Freeze)| {
@@ -192,34 +209,79 @@
             Some((i, force))
         };
         let found: Vec<_> = self.freezes.iter().enumerate().filter_map(held).collect();
-        found.into_iter().map(|(i, force)| (i, &self.freezes[i], force))
+        found
+            .into_iter()
+            .map(|(i, force)| (i, &self.freezes[i], force))
     }
 
     /// The freeze that holds up a step of a build: any that touches a pair the build may ever come to. The one that
     /// lasts longest counts.
-    pub fn holds_step(&self, service: ServiceId, build: Build, now: Duration) -> Option<(usize, InForce)> {
+    pub fn holds_step(
+        &self,
+        service: ServiceId,
+        build: Build,
+        now: Duration,
+    ) -> Option<(usize, InForce)> {
         let climbs = self.ladder(service, build).map(Ladder::pairs);
-        let touches = |freeze: &Freeze| climbs.as_ref().is_none_or(|pairs| pairs.meets(&freeze.pairs));
-        let all = self.frozen(service, now).filter(|(_, freeze, _)| touches(freeze));
-        all.map(|(i, _, force)| (i, force)).max_by_key(|(_, force)| force.until.unwrap_or(Duration::MAX))
+        let touches = |freeze: &Freeze| {
+            climbs
+                .as_ref()
+                .is_none_or(|pairs| pairs.meets(&freeze.pairs))
+        };
+        let all = self
+            .frozen(service, now)
+            .filter(|(_, freeze, _)| touches(freeze));
+        all.map(|(i, _, force)| (i, force))
+            .max_by_key(|(_, force)| force.until.unwrap_or(Duration::MAX))
     }
 
     /// The freeze that keeps a ring shut: all of its pairs are frozen. The one that ends first counts.
-    pub fn holds_ring(&self, service: ServiceId, ring: &Ring, now: Duration) -> Option<(usize, InForce)> {
+    pub fn holds_ring(
+        &self,
+        service: ServiceId,
+        ring: &Ring,
+        now: Duration,
+    ) -> Option<(usize, InForce)> {
         let frozen: Vec<_> = self.frozen(service, now).collect();
         let covered = |pair: usize| frozen.iter().any(|(_, freeze, _)| freeze.pairs.0[pair]);
-        let all = ring.pairs.0.iter().enumerate().filter(|(_, is)| **is).all(|(pair, _)| covered(pair));
+        let all = ring
+            .pairs
+            .0
+            .iter()
+            .enumerate()
+            .filter(|(_, is)| **is)
+            .all(|(pair, _)| covered(pair));
         let ends = |force: &InForce| force.until.unwrap_or(Duration::MAX);
-        let first = frozen.iter().filter(|(_, freeze, _)| freeze.pairs.meets(&ring.pairs));
-        first.map(|(i, _, force)| (*i, *force)).filter(|_| all).min_by_key(|(_, force)| ends(force))
+        let first = frozen
+            .iter()
+            .filter(|(_, freeze, _)| freeze.pairs.meets(&ring.pairs));
+        first
+            .map(|(i, _, force)| (*i, *force))
+            .filter(|_| all)
+            .min_by_key(|(_, force)| ends(force))
     }
 
     /// The zones in which a build is used, or would be after the next step from a stage.
     pub fn zones_up_to(&self, service: ServiceId, build: Build, stage: Stage) -> Vec<Zone> {
-        let Some(ladder) = self.ladder(service, build) else { return self.zone_ids().collect() };
-        let next = ladder.rings.iter().map(|ring| ring.stage).find(|s| *s > stage).unwrap_or(stage);
-        let rings: Vec<_> = ladder.rings.iter().filter(|ring| ring.stage <= next).collect();
-        let used = |zone: &Zone| rings.iter().any(|ring| self.of_zone(*zone).any(|pair| ring.pairs.0[pair]));
+        let Some(ladder) = self.ladder(service, build) else {
+            return self.zone_ids().collect();
+        };
+        let next = ladder
+            .rings
+            .iter()
+            .map(|ring| ring.stage)
+            .find(|s| *s > stage)
+            .unwrap_or(stage);
+        let rings: Vec<_> = ladder
+            .rings
+            .iter()
+            .filter(|ring| ring.stage <= next)
+            .collect();
+        let used = |zone: &Zone| {
+            rings
+                .iter()
+                .any(|ring| self.of_zone(*zone).any(|pair| ring.pairs.0[pair]))
+        };
         self.zone_ids().filter(used).collect()
     }
 
@@ -233,7 +295,12 @@
         for (i, need) in self.needs.iter().enumerate() {
             // A build that would do for this one may have needs of its own.
             let rests = |other: &Need| other.service == need.of && other.builds.to >= need.at_least;
-            for (j, _) in self.needs.iter().enumerate().filter(|(_, other)| rests(other)) {
+            for (j, _) in self
+                .needs
+                .iter()
+                .enumerate()
+                .filter(|(_, other)| rests(other))
+            {
                 graph.add_edge(nodes[j], nodes[i], ());
             }
         }
--- a/crates/releases/src/planner.rs
+++ b/crates/releases/src/planner.rs
@@ -96,11 +96,17 @@
 pub fn plan(rules: &Rules, given: &Given, wishes: &[Wish], start: Duration) -> Result<Plan, Clash> {
     let needs = (0..rules.needs.len()).map(Statement::Need);
     let freezes = (0..rules.freezes.len()).map(Statement::Freeze);
-    let wished = (0..wishes.len())
-        .flat_map(|i| std::iter::once(Statement::Comes(i)).chain(wishes[i].by.map(|_| Statement::By(i))));
+    let wished = (0..wishes.len()).flat_map(|i| {
+        std::iter::once(Statement::Comes(i)).chain(wishes[i].by.map(|_| Statement::By(i)))
+    });
     let orders = rules.service_ids().map(Statement::Order);
     let all: BTreeSet<Statement> = wished.chain(needs).chain(freezes).chain(orders).collect();
-    let search = Search { rules, given, wishes, start };
+    let search = Search {
+        rules,
+        given,
+        wishes,
+        start,
+    };
     match search.steps(&all) {
         Some(steps) => Ok(search.plan(steps)),
         None => Err(search.clash(&all)),
@@ -143,10 +149,12 @@
             left.retain(|other| *other != step);
         }
         let kept = |(i, wish): (usize, &Wish)| {
-            let out = times.get(&Step::Released(wish.service, wish.build)).map(|(at, _)| *at);
+            let out = times
+                .get(&Step::Released(wish.service, wish.build))
+                .map(|(at, _)| *at);
             let comes = !held.contains(&Statement::Comes(i)) || out.is_some();
-            let in_time =
-                !held.contains(&Statement::By(i)) || wish.by.is_none_or(|by| out.is_none_or(|out| out <= by));
+            let in_time = !held.contains(&Statement::By(i))
+                || wish.by.is_none_or(|by| out.is_none_or(|out| out <= by));
             comes && in_time
         };
         self.wishes.iter().enumerate().all(kept).then_some(times)
@@ -160,16 +168,26 @@
     fn of(&self, wish: &Wish) -> Vec<Step> {
         let rings = self.ladder(wish).map_or(0, |ladder| ladder.rings.len());
         let rings = (0..rings).map(|ring| Step::Ring(wish.service, wish.build, ring as u8));
-        rings.chain([Step::Released(wish.service, wish.build)]).collect()
+        rings
+            .chain([Step::Released(wish.service, wish.build)])
+            .collect()
     }
 
     /// When a step can be taken at the earliest, if all that it waits for has been.
-    fn ready(&self, step: Step, times: &Times, held: &BTreeSet<Statement>) -> Option<(Duration, Because)> {
+    fn ready(
+        &self,
+        step: Step,
+        times: &Times,
+        held: &BTreeSet<Statement>,
+    ) -> Option<(Duration, Because)> {
         let (service, build, ring) = match step {
             Step::Ring(service, build, ring) => (service, build, Some(usize::from(ring))),
             Step::Released(service, build) => (service, build, None),
         };
-        let wish = self.wishes.iter().find(|wish| (wish.service, wish.build) == (service, build))?;
+        let wish = self
+            .wishes
+            .iter()
+            .find(|wish| (wish.service, wish.build) == (service, build))?;
         let ladder = self.ladder(wish);
         let rings = ladder.map_or(0, |ladder| ladder.rings.len());
         let mut at = (self.start, Because::Start);
@@ -186,11 +204,17 @@
             (Some(before), Some(ladder)) => {
                 let step = Step::Ring(service, build, before as u8);
                 let after = ring.map_or(ladder.settles, |ring| ladder.rings[ring].after);
-                later(times.get(&step)?.0.saturating_add(after), Because::Before(step));
+                later(
+                    times.get(&step)?.0.saturating_add(after),
+                    Because::Before(step),
+                );
             }
             // The first of all: builds of a service come one after another.
             _ if held.contains(&Statement::Order(service)) => {
-                let earlier = self.wishes.iter().filter(|w| w.service == service && w.build < build);
+                let earlier = self
+                    .wishes
+                    .iter()
+                    .filter(|w| w.service == service && w.build < build);
                 if let Some(last) = earlier.max_by_key(|w| w.build) {
                     let step = Step::Released(service, last.build);
                     later(times.get(&step)?.0, Because::Before(step));
@@ -198,7 +222,10 @@
             }
             _ => {}
         }
-        for (i, need) in self.rules.needs(service, build).filter(|(i, _)| held.contains(&Statement::Need(*i)))
+        for (i, need) in self
+            .rules
+            .needs(service, build)
+            .filter(|(i, _)| held.contains(&Statement::Need(*i)))
         {
             let zones: Vec<Zone> = match need.reach {
                 Reach::SameZone => self.zones(wish, ring),
@@ -209,11 +236,16 @@
                 continue;
             }
             // A build that is out has come to every ring of its ladder: so it is in all zones that these hold.
-            let met = self.wishes.iter().filter(|other| does(other.service, other.build));
-            let met = met.filter(|other| self.reaches(other, &zones)).filter_map(|other| {
-                let step = Step::Released(other.service, other.build);
-                times.get(&step).map(|(at, _)| (*at, step))
-            });
+            let met = self
+                .wishes
+                .iter()
+                .filter(|other| does(other.service, other.build));
+            let met = met
+                .filter(|other| self.reaches(other, &zones))
+                .filter_map(|other| {
+                    let step = Step::Released(other.service, other.build);
+                    times.get(&step).map(|(at, _)| (*at, step))
+                });
             let (then, by) = met.min()?;
             later(then, Because::Need(i, by));
         }
@@ -224,8 +256,14 @@
     fn zones(&self, wish: &Wish, ring: Option<usize>) -> Vec<Zone> {
         match (self.ladder(wish), ring) {
             (Some(ladder), Some(ring)) => {
-                let before = ring.checked_sub(1).map_or(Stage(0), |before| ladder.rings[before].stage);
-                let stage = if ring == 0 { ladder.rings[0].stage } else { before };
+                let before = ring
+                    .checked_sub(1)
+                    .map_or(Stage(0), |before| ladder.rings[before].stage);
+                let stage = if ring == 0 {
+                    ladder.rings[0].stage
+                } else {
+                    before
+                };
                 self.rules.zones_up_to(wish.service, wish.build, stage)
             }
             _ => self.rules.zone_ids().collect(),
@@ -234,13 +272,21 @@
 
     /// Whether a build that is out is so for all firms of some zones.
     fn reaches(&self, wish: &Wish, zones: &[Zone]) -> bool {
-        let Some(pairs) = self.ladder(wish).map(Ladder::pairs) else { return true };
-        zones.iter().all(|zone| self.rules.of_zone(*zone).all(|pair| pairs.0[pair]))
+        let Some(pairs) = self.ladder(wish).map(Ladder::pairs) else {
+            return true;
+        };
+        zones
+            .iter()
+            .all(|zone| self.rules.of_zone(*zone).all(|pair| pairs.0[pair]))
     }
 
     /// The first instant from then on at which no freeze holds the step up.
     fn past_freezes(
-        &self, wish: &Wish, ring: Option<usize>, mut at: (Duration, Because), held: &BTreeSet<Statement>,
+        &self,
+        wish: &Wish,
+        ring: Option<usize>,
+        mut at: (Duration, Because),
+        held: &BTreeSet<Statement>,
     ) -> Option<(Duration, Because)> {
         let ladder = self.ladder(wish);
         let pairs = match (ladder, ring) {
@@ -250,10 +296,15 @@
         };
         for _ in 0..ROUNDS {
             let touches = |i: usize, freeze: &crate::model::Freeze| {
-                held.contains(&Statement::Freeze(i)) && pairs.as_ref().is_none_or(|p| p.meets(&freeze.pairs))
+                held.contains(&Statement::Freeze(i))
+                    && pairs.as_ref().is_none_or(|p| p.meets(&freeze.pairs))
             };
-            let frozen = self.rules.frozen(wish.service, at.0).filter(|(i, freeze, _)| touches(*i, freeze));
-            let Some((i, _, force)) = frozen.max_by_key(|(.., force)| force.until.unwrap_or(Duration::MAX))
+            let frozen = self
+                .rules
+                .frozen(wish.service, at.0)
+                .filter(|(i, freeze, _)| touches(*i, freeze));
+            let Some((i, _, force)) =
+                frozen.max_by_key(|(.., force)| force.until.unwrap_or(Duration::MAX))
             else {
                 return Some(at);
             };
@@ -264,7 +315,11 @@
 
     fn plan(&self, times: Times) -> Plan {
         let planned = |step: &Step| {
-            times.get(step).map(|(at, because)| Planned { step: *step, at: *at, because: *because })
+            times.get(step).map(|(at, because)| Planned {
+                step: *step,
+                at: *at,
+                because: *because,
+            })
         };
         let steps: Vec<Planned> = times.order.iter().filter_map(planned).collect();
         let mut chain = Vec::new();
@@ -277,7 +332,8 @@
                 Because::Freeze(_) => self.step_before(planned.step),
                 Because::Start | Because::NotBefore => None,
             };
-            next = before.and_then(|step| steps.iter().find(|planned| planned.step == step).copied());
+            next =
+                before.and_then(|step| steps.iter().find(|planned| planned.step == step).copied());
         }
         chain.reverse();
         Plan { steps, chain }
@@ -285,12 +341,17 @@
 
     fn step_before(&self, step: Step) -> Option<Step> {
         match step {
-            Step::Ring(service, build, ring) => {
-                ring.checked_sub(1).map(|ring| Step::Ring(service, build, ring))
-            }
+            Step::Ring(service, build, ring) => ring
+                .checked_sub(1)
+                .map(|ring| Step::Ring(service, build, ring)),
             Step::Released(service, build) => {
-                let rings = self.rules.ladder(service, build).map_or(0, |ladder| ladder.rings.len());
-                rings.checked_sub(1).map(|ring| Step::Ring(service, build, ring as u8))
+                let rings = self
+                    .rules
+                    .ladder(service, build)
+                    .map_or(0, |ladder| ladder.rings.len());
+                rings
+                    .checked_sub(1)
+                    .map(|ring| Step::Ring(service, build, ring as u8))
             }
         }
     }
@@ -313,17 +374,29 @@
         let mut tries = TRIES;
         for size in 1..set.len() {
             match self.smaller(&universe, size, &mut BTreeSet::new(), &mut tries) {
-                Some(found) => return Clash { statements: found.into_iter().collect(), is_smallest: true },
+                Some(found) => {
+                    return Clash {
+                        statements: found.into_iter().collect(),
+                        is_smallest: true,
+                    };
+                }
                 None if tries == 0 => break,
                 None => {}
             }
         }
-        Clash { statements: set.into_iter().collect(), is_smallest: tries > 0 }
+        Clash {
+            statements: set.into_iter().collect(),
+            is_smallest: tries > 0,
+        }
     }
 
     /// A clashing set of this size, if there is one and the tries last.
     fn smaller(
-        &self, rest: &[Statement], size: usize, held: &mut BTreeSet<Statement>, tries: &mut usize,
+        &self,
+        rest: &[Statement],
+        size: usize,
+        held: &mut BTreeSet<Statement>,
+        tries: &mut usize,
     ) -> Option<BTreeSet<Statement>> {
         if held.len() == size {
             *tries = tries.saturating_sub(1);
--- a/crates/releases/src/record.rs
+++ b/crates/releases/src/record.rs
@@ -77,7 +77,10 @@
     pub fn state(&self, agent: &str, events: Vec<Event>) -> State {
         let firms = self.rules.firms.len();
         let service = |(id, fact): (usize, &Fact)| {
-            let climbs = self.climbs.iter().filter(|((service, _), _)| usize::from(service.0) == id);
+            let climbs = self
+                .climbs
+                .iter()
+                .filter(|((service, _), _)| usize::from(service.0) == id);
             ServiceState {
                 name: self.rules.services[id].name.clone(),
                 news: fact.last().map(|last| NewsState {
@@ -96,7 +99,11 @@
                 climbs: climbs
                     .map(|((_, build), climb)| ClimbState {
                         build: build.0,
-                        reached_ms: climb.reached.iter().map(|(stage, at)| (stage.0, ms(*at))).collect(),
+                        reached_ms: climb
+                            .reached
+                            .iter()
+                            .map(|(stage, at)| (stage.0, ms(*at)))
+                            .collect(),
                         opened_ms: climb.opened.iter().map(|at| ms(*at)).collect(),
                     })
                     .collect(),
@@ -106,7 +113,9 @@
         State {
             form: FORM,
             agent: agent.into(),
-            firm: self.me.map(|me| self.rules.firms[usize::from(me.0)].clone()),
+            firm: self
+                .me
+                .map(|me| self.rules.firms[usize::from(me.0)].clone()),
             at_ms: ms(self.now),
             zones: self.rules.zones.clone(),
             firms: self.rules.firms.clone(),
@@ -129,24 +138,41 @@
     /// What of the state cannot be used, or that the rules' needs go in a circle.
     pub fn from_state(rules: Rules, state: &State) -> Result<Gate, String> {
         if state.form > FORM {
-            return Err(format!("the state has form {}, which is newer than {FORM}", state.form));
+            return Err(format!(
+                "the state has form {}, which is newer than {FORM}",
+                state.form
+            ));
         }
         let at = Duration::from_millis(state.at_ms);
         let me = match &state.firm {
             Some(name) => {
                 let firm = rules.firms.iter().position(|firm| firm == name);
-                Some(Tenant(firm.ok_or(format!("the state's firm {name:?} is not in the file"))? as u16))
+                Some(Tenant(
+                    firm.ok_or(format!("the state's firm {name:?} is not in the file"))? as u16,
+                ))
             }
             None => None,
         };
-        let mut gate = Gate::new(rules, me, at).map_err(|_| "the file's needs go in a circle".to_owned())?;
+        let mut gate =
+            Gate::new(rules, me, at).map_err(|_| "the file's needs go in a circle".to_owned())?;
         for kept in &state.services {
-            let Some(id) = gate.rules.services.iter().position(|s| s.name == kept.name) else { continue };
+            let Some(id) = gate.rules.services.iter().position(|s| s.name == kept.name) else {
+                continue;
+            };
             let told = kept.news.as_ref().map(|news| {
-                let course = COURSES.iter().find(|(name, _)| *name == news.course).map(|(_, course)| *course);
-                let course = course.ok_or(format!("the state's course {:?} is unknown", news.course))?;
+                let course = COURSES
+                    .iter()
+                    .find(|(name, _)| *name == news.course)
+                    .map(|(_, course)| *course);
+                let course =
+                    course.ok_or(format!("the state's course {:?} is unknown", news.course))?;
                 let (build, stage) = (Build(news.build), Stage(news.stage));
-                Ok::<_, String>(Told { build, stage, course, since: Duration::from_millis(news.since_ms) })
+                Ok::<_, String>(Told {
+                    build,
+                    stage,
+                    course,
+                    since: Duration::from_millis(news.since_ms),
+                })
             });
             let released = kept.released.iter().map(|build| Build(*build)).collect();
             let heard = kept.heard_ms.map(Duration::from_millis);
@@ -155,10 +181,18 @@
                 let since = |(stage, at): &(u8, u64)| (Stage(*stage), Duration::from_millis(*at));
                 let reached = climb.reached_ms.iter().map(since).collect();
                 let service = ServiceId(id as u8);
-                let most =
-                    gate.rules.ladder(service, Build(climb.build)).map_or(0, |ladder| ladder.rings.len());
-                let opened = climb.opened_ms.iter().take(most).map(|at| Duration::from_millis(*at)).collect();
-                gate.climbs.insert((service, Build(climb.build)), Climb { reached, opened });
+                let most = gate
+                    .rules
+                    .ladder(service, Build(climb.build))
+                    .map_or(0, |ladder| ladder.rings.len());
+                let opened = climb
+                    .opened_ms
+                    .iter()
+                    .take(most)
+                    .map(|at| Duration::from_millis(*at))
+                    .collect();
+                gate.climbs
+                    .insert((service, Build(climb.build)), Climb { reached, opened });
             }
         }
         let place = |names: &[String], name: &String| names.iter().position(|n| n == name);
@@ -169,7 +203,8 @@
                 for (firm, had) in state.firms.iter().zip(had.bytes()) {
                     let pair = place(&gate.rules.zones, zone).zip(place(&gate.rules.firms, firm));
                     if let Some((zone, firm)) = pair {
-                        row.had[gate.rules.pair(Zone(zone as u8), Tenant(firm as u16))] = had == b'1';
+                        row.had[gate.rules.pair(Zone(zone as u8), Tenant(firm as u16))] =
+                            had == b'1';
                     }
                 }
             }
--- a/crates/releases/src/table.rs
+++ b/crates/releases/src/table.rs
@@ -15,7 +15,10 @@
 }
 
 impl Cell {
-    pub(crate) const SHUT: Cell = Cell { open: 0, why: Why::NotListed };
+    pub(crate) const SHUT: Cell = Cell {
+        open: 0,
+        why: Why::NotListed,
+    };
 }
 
 /// One build's cells, and who has had it since it was last closed to them.
@@ -27,20 +30,33 @@
 
 impl Row {
     pub(crate) fn new(pairs: usize, had: bool) -> Self {
-        Row { had: vec![had; pairs], cells: vec![Cell::SHUT; pairs] }
+        Row {
+            had: vec![had; pairs],
+            cells: vec![Cell::SHUT; pairs],
+        }
     }
 }
 
 /// The table as the module takes it: for one firm, which is then number 0, or for all.
 pub(crate) fn openings<'a>(
-    rows: impl Iterator<Item = (Build, &'a Row)>, (zones, firms): (usize, usize), firm: Option<Tenant>,
+    rows: impl Iterator<Item = (Build, &'a Row)>,
+    (zones, firms): (usize, usize),
+    firm: Option<Tenant>,
     step: Option<(Build, Stage)>,
 ) -> Openings {
     let taken = |pair: usize| firm.is_none_or(|firm| pair % firms == usize::from(firm.0));
     let cells = |row: &Row| -> Vec<u64> {
-        row.cells.iter().enumerate().filter(|(pair, _)| taken(*pair)).map(|(_, cell)| cell.open).collect()
+        row.cells
+            .iter()
+            .enumerate()
+            .filter(|(pair, _)| taken(*pair))
+            .map(|(_, cell)| cell.open)
+            .collect()
     };
     let rows: Vec<(Build, Vec<u64>)> = rows.map(|(build, row)| (build, cells(row))).collect();
-    let slices: Vec<(Build, &[u64])> = rows.iter().map(|(build, cells)| (*build, &cells[..])).collect();
+    let slices: Vec<(Build, &[u64])> = rows
+        .iter()
+        .map(|(build, cells)| (*build, &cells[..]))
+        .collect();
     Openings::new(zones, if firm.is_some() { 1 } else { firms }, &slices, step)
 }
--- a/crates/releases/tests/laws.rs
+++ b/crates/releases/tests/laws.rs
@@ -28,42 +28,90 @@
 
 fn ladder() -> impl Strategy<Value = Ladder> {
     let ring = (0u8..2, 0u64..3, pairs(), 0u64..4);
-    (0..SERVICES, prop::collection::vec(ring, 1..4), 0u64..3).prop_map(|(service, rings, settles)| {
-        let mut stage = 0;
-        let rings = rings.into_iter().enumerate().map(|(i, (up, after, pairs, products))| {
-            stage += up;
-            Ring { name: format!("r{i}"), stage: Stage(stage), after: span(after), pairs, products }
-        });
-        let (service, builds) = (ServiceId(service), Builds { from: Build(2), to: Build(9) });
-        Ladder { service, builds, rings: rings.collect(), settles: span(settles) }
-    })
+    (0..SERVICES, prop::collection::vec(ring, 1..4), 0u64..3).prop_map(
+        |(service, rings, settles)| {
+            let mut stage = 0;
+            let rings = rings
+                .into_iter()
+                .enumerate()
+                .map(|(i, (up, after, pairs, products))| {
+                    stage += up;
+                    Ring {
+                        name: format!("r{i}"),
+                        stage: Stage(stage),
+                        after: span(after),
+                        pairs,
+                        products,
+                    }
+                });
+            let (service, builds) = (
+                ServiceId(service),
+                Builds {
+                    from: Build(2),
+                    to: Build(9),
+                },
+            );
+            Ladder {
+                service,
+                builds,
+                rings: rings.collect(),
+                settles: span(settles),
+            }
+        },
+    )
 }
 
 fn need() -> impl Strategy<Value = Need> {
     // A service needs later ones only: no circle.
-    (0..SERVICES - 1, 1u8..3, 0u16..4, 0u16..4, any::<[bool; 3]>()).prop_map(
-        |(service, on, from, at_least, flags)| {
+    (
+        0..SERVICES - 1,
+        1u8..3,
+        0u16..4,
+        0u16..4,
+        any::<[bool; 3]>(),
+    )
+        .prop_map(|(service, on, from, at_least, flags)| {
             let doubt = |close| if close { InDoubt::Close } else { InDoubt::Hold };
             Need {
                 service: ServiceId(service),
-                builds: Builds { from: Build(from), to: Build(9) },
+                builds: Builds {
+                    from: Build(from),
+                    to: Build(9),
+                },
                 of: ServiceId((service + on).min(SERVICES - 1)),
                 at_least: Build(at_least),
-                reach: if flags[0] { Reach::Everywhere } else { Reach::SameZone },
+                reach: if flags[0] {
+                    Reach::Everywhere
+                } else {
+                    Reach::SameZone
+                },
                 on_trial: doubt(flags[1]),
                 released: doubt(flags[2]),
             }
-        },
-    )
+        })
 }
 
 fn freeze() -> impl Strategy<Value = Freeze> {
-    (prop::option::of(0..SERVICES), pairs(), any::<bool>(), 0u64..8, 1u64..4).prop_map(
-        |(service, pairs, closes, at, long)| {
-            let when = When::Once { from: span(at), to: span(at + long) };
-            Freeze { name: "z".into(), service: service.map(ServiceId), pairs, closes, when }
-        },
+    (
+        prop::option::of(0..SERVICES),
+        pairs(),
+        any::<bool>(),
+        0u64..8,
+        1u64..4,
     )
+        .prop_map(|(service, pairs, closes, at, long)| {
+            let when = When::Once {
+                from: span(at),
+                to: span(at + long),
+            };
+            Freeze {
+                name: "z".into(),
+                service: service.map(ServiceId),
+                pairs,
+                closes,
+                when,
+            }
+        })
 }
 
 fn rules() -> impl Strategy<Value = Rules> {
@@ -77,7 +125,10 @@
         ladders.retain(|ladder: &Ladder| seen.insert(ladder.service));
         let names = |what: &str, many| (0..many).map(|i| format!("{what}{i}")).collect();
         let silent_after = (silent > 0).then(|| span(silent * 2));
-        let service = |i| Service { name: format!("s{i}"), silent_after: silent_after.filter(|_| i > 0) };
+        let service = |i| Service {
+            name: format!("s{i}"),
+            silent_after: silent_after.filter(|_| i > 0),
+        };
         Rules {
             zones: names("z", ZONES),
             firms: names("f", FIRMS),
@@ -104,7 +155,12 @@
         2 | 3 => Course::Released,
         _ => Course::GoingBack,
     };
-    Told { build: Build(build), stage: Stage(stage), course, since: now }
+    Told {
+        build: Build(build),
+        stage: Stage(stage),
+        course,
+        since: now,
+    }
 }
 
 fn play(gate: &mut Gate, one: Heard, now: Duration) {
@@ -145,9 +201,14 @@
 
 impl Plain<'_> {
     fn frozen(&self, service: u8, at: u64, pair: usize) -> Option<bool> {
-        let on =
-            self.rules.freezes.iter().filter(|f| f.service.is_none_or(|s| s.0 == service) && f.pairs.0[pair]);
-        on.filter(|f| f.when.in_force(span(at)).is_some()).map(|f| f.closes).max()
+        let on = self
+            .rules
+            .freezes
+            .iter()
+            .filter(|f| f.service.is_none_or(|s| s.0 == service) && f.pairs.0[pair]);
+        on.filter(|f| f.when.in_force(span(at)).is_some())
+            .map(|f| f.closes)
+            .max()
     }
 
     fn hear(&mut self, one: Heard) {
@@ -192,13 +253,18 @@
 
     fn unknown(&self, service: u8) -> bool {
         let silent = self.rules.services[usize::from(service)].silent_after;
-        let Some(heard) = self.heard.get(&service) else { return true };
-        self.odd.contains(&service) || silent.is_some_and(|most| span(self.now) >= span(*heard) + most)
+        let Some(heard) = self.heard.get(&service) else {
+            return true;
+        };
+        self.odd.contains(&service)
+            || silent.is_some_and(|most| span(self.now) >= span(*heard) + most)
     }
 
     fn climb(&mut self) {
         for ((service, build), reached) in self.reached.clone() {
-            let Some(ladder) = self.rules.ladder(ServiceId(service), Build(build)) else { continue };
+            let Some(ladder) = self.rules.ladder(ServiceId(service), Build(build)) else {
+                continue;
+            };
             let last = self.last.get(&service).filter(|last| last.build.0 == build);
             if last.is_some_and(|last| !matches!(last.course, Course::OnTrial | Course::Released)) {
                 continue;
@@ -206,10 +272,16 @@
             let came_released = reached[0].0 == u8::MAX;
             let mut opened = self.opened.remove(&(service, build)).unwrap_or_default();
             for ring in &ladder.rings[opened.len()..] {
-                let Some((_, since)) = reached.iter().find(|(s, _)| *s >= ring.stage.0) else { break };
-                let due = opened.last().map_or(*since, |at| (at + ring.after.as_secs()).max(*since));
+                let Some((_, since)) = reached.iter().find(|(s, _)| *s >= ring.stage.0) else {
+                    break;
+                };
+                let due = opened
+                    .last()
+                    .map_or(*since, |at| (at + ring.after.as_secs()).max(*since));
                 let all = |at| {
-                    let mut of = (0..ring.pairs.0.len()).filter(|pair| ring.pairs.0[*pair]).peekable();
+                    let mut of = (0..ring.pairs.0.len())
+                        .filter(|pair| ring.pairs.0[*pair])
+                        .peekable();
                     of.peek().is_some()
                         && of.all(|pair| self.frozen(service, at, pair).is_some())
                         && !came_released
@@ -235,16 +307,31 @@
         if self.unknown(of) {
             return 1;
         }
-        let newest = self.released.get(&of).and_then(|known| known.last().copied());
+        let newest = self
+            .released
+            .get(&of)
+            .and_then(|known| known.last().copied());
         let Some(build) = newest.filter(|build| *build >= need.at_least.0) else {
             let last = &self.last[&of];
-            return if last.course == Course::Released || last.build <= need.at_least { 2 } else { 1 };
+            return if last.course == Course::Released || last.build <= need.at_least {
+                2
+            } else {
+                1
+            };
+        };
+        let zones = if need.reach == Reach::Everywhere {
+            0..ZONES
+        } else {
+            zone..zone + 1
         };
-        let zones = if need.reach == Reach::Everywhere { 0..ZONES } else { zone..zone + 1 };
         let at = |zone: usize| {
-            let brought =
-                (zone * FIRMS..(zone + 1) * FIRMS).all(|pair| self.ring(of, build, pair) != Some(false));
-            let deeper = self.rules.needs(need.of, Build(build)).map(|(_, need)| self.need(need, zone)).max();
+            let brought = (zone * FIRMS..(zone + 1) * FIRMS)
+                .all(|pair| self.ring(of, build, pair) != Some(false));
+            let deeper = self
+                .rules
+                .needs(need.of, Build(build))
+                .map(|(_, need)| self.need(need, zone))
+                .max();
             deeper.unwrap_or(0).max(if brought { 0 } else { 2 })
         };
         zones.map(at).max().unwrap_or(0)
@@ -252,18 +339,26 @@
 
     fn admits(&mut self, build: u16, zone: usize, firm: usize, product: u8) -> bool {
         let newest = self.last.get(&0).copied();
-        let named = self.listed.contains(&build) || newest.is_some_and(|last| last.build.0 == build);
+        let named =
+            self.listed.contains(&build) || newest.is_some_and(|last| last.build.0 == build);
         if !named {
             return false;
         }
         let pair = zone * FIRMS + firm;
         let earlier = newest.is_some_and(|last| build < last.build.0);
-        let course = newest.filter(|last| last.build.0 == build).map(|last| last.course);
+        let course = newest
+            .filter(|last| last.build.0 == build)
+            .map(|last| last.course);
         let released = earlier || course == Some(Course::Released);
         let (mut close, mut hold) = (false, !earlier && self.unknown(0));
-        hold |= !earlier && course.is_some_and(|c| !matches!(c, Course::OnTrial | Course::Released));
+        hold |=
+            !earlier && course.is_some_and(|c| !matches!(c, Course::OnTrial | Course::Released));
         for (_, need) in self.rules.needs(ServiceId(0), Build(build)) {
-            let doubt = if released { need.released } else { need.on_trial };
+            let doubt = if released {
+                need.released
+            } else {
+                need.on_trial
+            };
             match (self.need(need, zone), doubt) {
                 (2, _) | (1, InDoubt::Close) => close = true,
                 (1, InDoubt::Hold) => hold = true,
@@ -280,7 +375,9 @@
             if let Some(ladder) = self.rules.ladder(ServiceId(0), Build(build)) {
                 close |= self.ring(0, build, pair) != Some(true);
                 let opened = self.opened.get(&(0, build)).map_or(0, Vec::len);
-                let rings = ladder.rings[..opened].iter().filter(|ring| ring.pairs.0[pair]);
+                let rings = ladder.rings[..opened]
+                    .iter()
+                    .filter(|ring| ring.pairs.0[pair]);
                 if !released {
                     products = rings.fold(0, |all, ring| all | ring.products);
                 }
@@ -373,7 +470,12 @@
 }
 
 fn wishes() -> impl Strategy<Value = Vec<Wish>> {
-    let wish = (0..SERVICES, 2u16..4, prop::option::of(0u64..4), prop::option::of(4u64..14));
+    let wish = (
+        0..SERVICES,
+        2u16..4,
+        prop::option::of(0u64..4),
+        prop::option::of(4u64..14),
+    );
     prop::collection::vec(wish, 1..4).prop_map(|list| {
         let mut seen = BTreeSet::new();
         let wish = |(service, build, from, by): (u8, u16, Option<u64>, Option<u64>)| Wish {
@@ -382,7 +484,10 @@
             not_before: from.map(span),
             by: by.map(span),
         };
-        list.into_iter().filter(|w| seen.insert((w.0, w.1))).map(wish).collect()
+        list.into_iter()
+            .filter(|w| seen.insert((w.0, w.1)))
+            .map(wish)
+            .collect()
     })
 }
 
@@ -391,47 +496,80 @@
     let Some(ladder) = rules.ladder(wish.service, wish.build) else {
         return vec![(Step::Released(wish.service, wish.build), 0)];
     };
-    let ring =
-        |(i, ring): (usize, &Ring)| (Step::Ring(wish.service, wish.build, i as u8), ring.after.as_secs());
+    let ring = |(i, ring): (usize, &Ring)| {
+        (
+            Step::Ring(wish.service, wish.build, i as u8),
+            ring.after.as_secs(),
+        )
+    };
     let mut way: Vec<_> = ladder.rings.iter().enumerate().map(ring).collect();
-    way.push((Step::Released(wish.service, wish.build), ladder.settles.as_secs()));
+    way.push((
+        Step::Released(wish.service, wish.build),
+        ladder.settles.as_secs(),
+    ));
     way
 }
 
 /// Whether a step may be taken at a time, given when others were: the rules once more, checked instead of solved.
 fn may(
-    rules: &Rules, given: &Given, wishes: &[Wish], times: &BTreeMap<Step, u64>, wish: &Wish, i: usize,
+    rules: &Rules,
+    given: &Given,
+    wishes: &[Wish],
+    times: &BTreeMap<Step, u64>,
+    wish: &Wish,
+    i: usize,
     at: u64,
 ) -> bool {
     let way = way(rules, wish);
     let ladder = rules.ladder(wish.service, wish.build);
     let early = if i > 0 {
-        times.get(&way[i - 1].0).is_none_or(|before| at < before + way[i].1)
+        times
+            .get(&way[i - 1].0)
+            .is_none_or(|before| at < before + way[i].1)
     } else {
-        let earlier = wishes.iter().filter(|w| w.service == wish.service && w.build < wish.build);
+        let earlier = wishes
+            .iter()
+            .filter(|w| w.service == wish.service && w.build < wish.build);
         let last = earlier.max_by_key(|w| w.build);
-        last.is_some_and(|w| times.get(&Step::Released(w.service, w.build)).is_none_or(|out| at < *out))
+        last.is_some_and(|w| {
+            times
+                .get(&Step::Released(w.service, w.build))
+                .is_none_or(|out| at < *out)
+        })
     };
-    let climbs = ladder.map(|ladder| if i == 0 { ladder.rings[0].pairs.clone() } else { ladder.pairs() });
+    let climbs = ladder.map(|ladder| {
+        if i == 0 {
+            ladder.rings[0].pairs.clone()
+        } else {
+            ladder.pairs()
+        }
+    });
     let frozen = rules
         .frozen(wish.service, span(at))
         .any(|(_, f, _)| climbs.as_ref().is_none_or(|p| p.meets(&f.pairs)));
     let unmet = rules.needs(wish.service, wish.build).any(|(_, need)| {
-        let stage = ladder.map_or(Stage(0), |l| l.rings[i.saturating_sub(1).min(l.rings.len() - 1)].stage);
-        let zones: Vec<Zone> = if need.reach == Reach::Everywhere || ladder.is_none_or(|l| i == l.rings.len())
-        {
-            rules.zone_ids().collect()
-        } else {
-            rules.zones_up_to(wish.service, wish.build, stage)
-        };
+        let stage = ladder.map_or(Stage(0), |l| {
+            l.rings[i.saturating_sub(1).min(l.rings.len() - 1)].stage
+        });
+        let zones: Vec<Zone> =
+            if need.reach == Reach::Everywhere || ladder.is_none_or(|l| i == l.rings.len()) {
+                rules.zone_ids().collect()
+            } else {
+                rules.zones_up_to(wish.service, wish.build, stage)
+            };
         let does = |of: ServiceId, build: Build| of == need.of && build >= need.at_least;
         let out = |w: &&Wish| {
             let covers = rules.ladder(w.service, w.build).map(Ladder::pairs);
-            let covers =
-                |zone: &Zone| covers.as_ref().is_none_or(|p| rules.of_zone(*zone).all(|pair| p.0[pair]));
+            let covers = |zone: &Zone| {
+                covers
+                    .as_ref()
+                    .is_none_or(|p| rules.of_zone(*zone).all(|pair| p.0[pair]))
+            };
             does(w.service, w.build)
                 && zones.iter().all(covers)
-                && times.get(&Step::Released(w.service, w.build)).is_some_and(|out| *out <= at)
+                && times
+                    .get(&Step::Released(w.service, w.build))
+                    .is_some_and(|out| *out <= at)
         };
         !given.iter().any(|(of, build)| does(*of, *build)) && !wishes.iter().any(|w| out(&w))
     });
@@ -443,14 +581,22 @@
     let mut times = BTreeMap::new();
     for at in 0..80 {
         loop {
-            let open = wishes.iter().flat_map(|wish| (0..way(rules, wish).len()).map(move |i| (wish, i)));
+            let open = wishes
+                .iter()
+                .flat_map(|wish| (0..way(rules, wish).len()).map(move |i| (wish, i)));
             let next = open.filter(|(wish, i)| !times.contains_key(&way(rules, wish)[*i].0));
             let may = |(wish, i): &(&Wish, usize)| may(rules, given, wishes, &times, wish, *i, at);
-            let Some((wish, i)) = next.into_iter().find(may) else { break };
+            let Some((wish, i)) = next.into_iter().find(may) else {
+                break;
+            };
             times.insert(way(rules, wish)[i].0, at);
         }
     }
-    let out = |wish: &Wish| times.get(&Step::Released(wish.service, wish.build)).copied();
+    let out = |wish: &Wish| {
+        times
+            .get(&Step::Released(wish.service, wish.build))
+            .copied()
+    };
     let kept = |wish: &Wish| out(wish).is_some_and(|out| wish.by.is_none_or(|by| span(out) <= by));
     wishes.iter().all(kept).then_some(times)
 }
--- a/crates/releases/tests/scenarios.rs
+++ b/crates/releases/tests/scenarios.rs
@@ -35,7 +35,10 @@
 
 fn time(text: &str) -> Duration {
     let instant = text.parse::<jiff::Timestamp>();
-    instant.map_or_else(|_| ZERO + secs(text), |at| Duration::from_nanos(at.as_nanosecond() as u64))
+    instant.map_or_else(
+        |_| ZERO + secs(text),
+        |at| Duration::from_nanos(at.as_nanosecond() as u64),
+    )
 }
 
 struct Play {
@@ -47,7 +50,8 @@
 
 fn gate(text: &str, firm: Option<&str>, now: Duration) -> Gate {
     let rules = rules(text);
-    let me = firm.map(|firm| Tenant(rules.firms.iter().position(|f| f == firm).expect("a firm") as u16));
+    let me =
+        firm.map(|firm| Tenant(rules.firms.iter().position(|f| f == firm).expect("a firm") as u16));
     Gate::new(rules, me, now).unwrap_or_else(|_| panic!("a circle"))
 }
 
@@ -60,7 +64,12 @@
 
 impl Play {
     fn service(&self, name: &str) -> ServiceId {
-        let found = self.gate.rules().services.iter().position(|service| service.name == name);
+        let found = self
+            .gate
+            .rules()
+            .services
+            .iter()
+            .position(|service| service.name == name);
         ServiceId(found.expect("a service") as u8)
     }
 
@@ -81,15 +90,31 @@
                     "back" => Course::GoingBack,
                     _ => Course::Withdrawn,
                 };
-                let (build, stage) =
-                    (Build(build.parse().expect("a build")), Stage(stage.parse().expect("a stage")));
+                let (build, stage) = (
+                    Build(build.parse().expect("a build")),
+                    Stage(stage.parse().expect("a stage")),
+                );
                 let since = self.now - ago.first().map_or(Duration::ZERO, |ago| secs(ago));
                 let service = self.service(service);
-                self.gate.hear(self.now, service, Told { build, stage, course, since });
+                self.gate.hear(
+                    self.now,
+                    service,
+                    Told {
+                        build,
+                        stage,
+                        course,
+                        since,
+                    },
+                );
             }
             ["alive", service] => self.gate.alive(self.now, self.service(service)),
             ["list", builds @ ..] => {
-                self.gate.list(self.now, builds.iter().map(|build| Build(build.parse().expect("a build"))));
+                self.gate.list(
+                    self.now,
+                    builds
+                        .iter()
+                        .map(|build| Build(build.parse().expect("a build"))),
+                );
             }
             ["restart"] => self.gate = gate(&self.text, self.firm.as_deref(), self.now),
             ["swap", rest @ ..] => {
@@ -99,8 +124,13 @@
                 assert!(self.text.contains(one), "no {one}");
                 self.text = self.text.replace(one, other);
                 let rules = rules(&self.text);
-                let me = self.firm.as_ref().and_then(|f| rules.firms.iter().position(|g| g == f));
-                self.gate.replace(self.now, rules, me.map(|me| Tenant(me as u16))).expect("no circle");
+                let me = self
+                    .firm
+                    .as_ref()
+                    .and_then(|f| rules.firms.iter().position(|g| g == f));
+                self.gate
+                    .replace(self.now, rules, me.map(|me| Tenant(me as u16)))
+                    .expect("no circle");
             }
             ["keep"] => {
                 let state = self.gate.state("n0", Vec::new());
@@ -110,23 +140,35 @@
                 assert_eq!(kept.openings(), self.gate.openings());
                 self.gate = kept;
             }
-            [what @ ("open" | "shut"), build, zone, firm, product, why @ ..] => {
+            [
+                what @ ("open" | "shut"),
+                build,
+                zone,
+                firm,
+                product,
+                why @ ..,
+            ] => {
                 let rules = self.gate.rules();
                 let build = Build(build.parse().expect("a build"));
                 for zone in all(&rules.zones, zone).map(|zone| Zone(zone as u8)) {
                     for firm in all(&rules.firms, firm).map(|firm| Tenant(firm as u16)) {
-                        for product in all(&rules.products, product).map(|product| Product(product as u8)) {
+                        for product in
+                            all(&rules.products, product).map(|product| Product(product as u8))
+                        {
                             let got = self.gate.admits(build, zone, firm, product);
                             let code = got.err().map_or("open", |why| why.code());
-                            let fine =
-                                (*what == "open") == got.is_ok() && why.first().is_none_or(|w| *w == code);
+                            let fine = (*what == "open") == got.is_ok()
+                                && why.first().is_none_or(|w| *w == code);
                             assert!(fine, "{code} in {zone:?} for {firm:?} and {product:?}");
                         }
                     }
                 }
             }
             ["step", build, stage] => {
-                let want = (Build(build.parse().expect("a build")), Stage(stage.parse().expect("a stage")));
+                let want = (
+                    Build(build.parse().expect("a build")),
+                    Stage(stage.parse().expect("a stage")),
+                );
                 assert_eq!(self.gate.step(), Ok(want));
                 assert!(self.gate.openings().may_step(want.0, want.1));
             }
@@ -138,9 +180,17 @@
             ["next", "never"] => assert_eq!(self.gate.next_change(), None),
             ["next", at] => assert_eq!(self.gate.next_change(), Some(time(at))),
             ["event", rest @ ..] => {
-                let events: Vec<String> =
-                    self.gate.events().0.iter().map(|event| format!("{event:?}")).collect();
-                assert!(events.iter().any(|event| event.contains(&rest.join(" "))), "{events:#?}");
+                let events: Vec<String> = self
+                    .gate
+                    .events()
+                    .0
+                    .iter()
+                    .map(|event| format!("{event:?}"))
+                    .collect();
+                assert!(
+                    events.iter().any(|event| event.contains(&rest.join(" "))),
+                    "{events:#?}"
+                );
             }
             _ => panic!("no such step"),
         }
@@ -151,7 +201,12 @@
 fn scenario(#[files("tests/scenarios/*.txt")] path: PathBuf) {
     let text = std::fs::read_to_string(&path).expect("a scenario");
     let (file, steps) = text.split_once("\n==\n").expect("a file, then steps");
-    let mut play = Play { text: file.into(), firm: None, now: ZERO, gate: gate(file, None, ZERO) };
+    let mut play = Play {
+        text: file.into(),
+        firm: None,
+        now: ZERO,
+        gate: gate(file, None, ZERO),
+    };
     for line in steps.lines() {
         println!("{}: {line}", path.display());
         for step in line.split('#').next().unwrap_or("").split(';') {
--- a/crates/standin/src/agent.rs
+++ b/crates/standin/src/agent.rs
@@ -12,7 +12,9 @@
 
 /// A port that is free now.
 pub fn free_at(host: Ipv4Addr) -> SocketAddr {
-    TcpListener::bind((host, 0)).and_then(|l| l.local_addr()).expect("a free port")
+    TcpListener::bind((host, 0))
+        .and_then(|l| l.local_addr())
+        .expect("a free port")
 }
 
 /// The same for datagrams.
@@ -21,7 +23,9 @@
 }
 
 pub fn free_datagrams_at(host: Ipv4Addr) -> SocketAddr {
-    UdpSocket::bind((host, 0)).and_then(|socket| socket.local_addr()).expect("a free port")
+    UdpSocket::bind((host, 0))
+        .and_then(|socket| socket.local_addr())
+        .expect("a free port")
 }
 
 /// A loopback address that nobody else here listens at, so that a port that one gives up is not at once another's.
@@ -29,7 +33,12 @@
     static LAST: AtomicU16 = AtomicU16::new(0);
     let number = LAST.fetch_add(1, Ordering::Relaxed);
     let process = std::process::id() % 200;
-    Ipv4Addr::new(127, 1 + process as u8, (number / 250) as u8, 1 + (number % 250) as u8)
+    Ipv4Addr::new(
+        127,
+        1 + process as u8,
+        (number / 250) as u8,
+        1 + (number % 250) as u8,
+    )
 }
 
 /// Whether a log comes to hold a text.
@@ -54,16 +63,29 @@
 
 impl Agent {
     /// Starts the program with a start file, an operator's file if there is one, and as many files as it may open.
-    pub fn spawn(program: &Path, start: &Path, operator: Option<&Path>, files: Option<u32>) -> Agent {
+    pub fn spawn(
+        program: &Path,
+        start: &Path,
+        operator: Option<&Path>,
+        files: Option<u32>,
+    ) -> Agent {
         let limit = files.map_or(String::new(), |files| format!("ulimit -n {files}; "));
         let mut shell = Command::new("/bin/sh");
-        shell.args(["-c", &format!("{limit}exec {}", program.display())]).env("RELAY_CONFIG", start);
+        shell
+            .args(["-c", &format!("{limit}exec {}", program.display())])
+            .env("RELAY_CONFIG", start);
         match operator {
             Some(file) => shell.env("LILACGATE_OPERATOR", file),
             None => shell.env_remove("LILACGATE_OPERATOR"),
         };
-        let mut child = shell.stderr(Stdio::piped()).spawn().expect("the agent starts");
-        let (from, log) = (child.stderr.take().expect("its log"), Arc::new(Mutex::new(String::new())));
+        let mut child = shell
+            .stderr(Stdio::piped())
+            .spawn()
+            .expect("the agent starts");
+        let (from, log) = (
+            child.stderr.take().expect("its log"),
+            Arc::new(Mutex::new(String::new())),
+        );
         let (kept, reading) = (log.clone(), Arc::new(Mutex::new(())));
         let reads = reading.clone();
         let reader = thread::spawn(move || {
@@ -73,13 +95,25 @@
                 kept.lock().expect("a lock").push_str(&format!("{said}\n"));
             }
         });
-        Agent { child, log, reading, reader: Some(reader) }
+        Agent {
+            child,
+            log,
+            reading,
+            reader: Some(reader),
+        }
     }
 
     /// The program beside the one that runs now, or where `LILACGATE_PROGRAM` says.
     pub fn program() -> PathBuf {
-        let beside = || std::env::current_exe().ok().map(|own| own.with_file_name("lilacgate"));
-        std::env::var_os("LILACGATE_PROGRAM").map(PathBuf::from).or_else(beside).unwrap_or_default()
+        let beside = || {
+            std::env::current_exe()
+                .ok()
+                .map(|own| own.with_file_name("lilacgate"))
+        };
+        std::env::var_os("LILACGATE_PROGRAM")
+            .map(PathBuf::from)
+            .or_else(beside)
+            .unwrap_or_default()
     }
 
     pub fn id(&self) -> u32 {
@@ -87,7 +121,9 @@
     }
 
     pub fn signal(&self, name: &str) {
-        let done = Command::new("kill").args([format!("-{name}"), self.child.id().to_string()]).status();
+        let done = Command::new("kill")
+            .args([format!("-{name}"), self.child.id().to_string()])
+            .status();
         assert!(done.expect("kill runs").success());
     }
 
@@ -101,7 +137,11 @@
         let last = Instant::now() + wait;
         loop {
             if let Some(status) = self.child.try_wait().expect("its status") {
-                return Some(status.code().map_or("killed".into(), |code| code.to_string()));
+                return Some(
+                    status
+                        .code()
+                        .map_or("killed".into(), |code| code.to_string()),
+                );
             }
             if Instant::now() >= last {
                 return None;
--- a/crates/standin/src/check.rs
+++ b/crates/standin/src/check.rs
@@ -21,7 +21,13 @@
 impl Default for Terms {
     fn default() -> Self {
         let ms = Duration::from_millis;
-        Terms { grace: ms(250), span: ms(4000), free: 3.0, guarded: 1, slack: ms(150) }
+        Terms {
+            grace: ms(250),
+            span: ms(4000),
+            free: 3.0,
+            guarded: 1,
+            slack: ms(150),
+        }
     }
 }
 
@@ -48,7 +54,8 @@
 impl Verdict {
     /// Whether nothing broke.
     pub fn is_clean(&self) -> bool {
-        self.forbidden + self.lost + self.doubled + self.wrongly_closed == 0 && self.broken.is_empty()
+        self.forbidden + self.lost + self.doubled + self.wrongly_closed == 0
+            && self.broken.is_empty()
     }
 
     pub fn add(&mut self, other: &Verdict) {
@@ -115,19 +122,30 @@
                     crossed: false,
                 };
                 if requests.insert(*id, open).is_some() {
-                    found.broken.push(format!("id {id} was sent twice: a fault of the stand-in"));
+                    found
+                        .broken
+                        .push(format!("id {id} was sent twice: a fault of the stand-in"));
                 }
             }
             Seen::Answered { id, how } => {
-                let Some(open) = requests.get_mut(id) else { continue };
+                let Some(open) = requests.get_mut(id) else {
+                    continue;
+                };
                 open.answers.push((at, *how));
                 if *how == Final::Declined && !open.orphan {
                     let since = open.sent.saturating_sub(terms.grace);
                     let free = |node: &Node| {
                         let zones = [Some(node.zone), None];
-                        let shut = zones.iter().any(|zone| forbidden.contains_key(&(node.build, *zone)));
-                        let opened = allowed_since.get(&(node.build, node.zone)).copied().unwrap_or_default();
-                        let stage = news.last().filter(|n| n.1 <= node.build && n.3 || n.1 < node.build);
+                        let shut = zones
+                            .iter()
+                            .any(|zone| forbidden.contains_key(&(node.build, *zone)));
+                        let opened = allowed_since
+                            .get(&(node.build, node.zone))
+                            .copied()
+                            .unwrap_or_default();
+                        let stage = news
+                            .last()
+                            .filter(|n| n.1 <= node.build && n.3 || n.1 < node.build);
                         let released = stage.is_none();
                         node.ready && node.since <= since && !shut && opened <= since && released
                     };
@@ -139,7 +157,12 @@
                     open.crossed = true;
                 }
             }
-            Seen::Got { id, node, build, zone } => {
+            Seen::Got {
+                id,
+                node,
+                build,
+                zone,
+            } => {
                 for key in [(*build, Some(*zone)), (*build, None)] {
                     if let Some(since) = forbidden.get(&key) {
                         let late = at - *since;
@@ -147,18 +170,28 @@
                         found.forbidden += usize::from(late > terms.grace);
                     }
                 }
-                if let Some(listed) = nodes.get(node).filter(|n| !n.ready && at > n.since + terms.grace) {
+                if let Some(listed) = nodes
+                    .get(node)
+                    .filter(|n| !n.ready && at > n.since + terms.grace)
+                {
                     let late = (at - listed.since).as_millis();
-                    found.broken.push(format!("node {node} got request {id} {late} ms after it was drained"));
+                    found.broken.push(format!(
+                        "node {node} got request {id} {late} ms after it was drained"
+                    ));
                 }
                 let Some(open) = requests.get_mut(id) else {
-                    found.broken.push(format!("node {node} got request {id}, which nobody sent"));
+                    found
+                        .broken
+                        .push(format!("node {node} got request {id}, which nobody sent"));
                     continue;
                 };
                 if !open.answers.is_empty() {
-                    found.broken.push(format!("request {id} went out after its answer"));
+                    found
+                        .broken
+                        .push(format!("request {id} went out after its answer"));
                 }
-                if !open.out.is_empty() || (open.kind == Kind::Book && open.got > 0 && !open.orphan) {
+                if !open.out.is_empty() || (open.kind == Kind::Book && open.got > 0 && !open.orphan)
+                {
                     found.doubled += 1;
                 }
                 open.got += 1;
@@ -166,9 +199,9 @@
                 let last = news.last().copied();
                 if let Some((told, newest, stage, true, _)) = last.filter(|n| n.1 == *build) {
                     if stage < terms.guarded && open.kind != Kind::Read && at > told + terms.grace {
-                        found
-                            .broken
-                            .push(format!("request {id} with an effect at build {newest} in stage {stage}"));
+                        found.broken.push(format!(
+                            "request {id} with an effect at build {newest} in stage {stage}"
+                        ));
                     }
                     let sent = exposed.entry(*build).or_default();
                     sent.push(at);
@@ -176,13 +209,18 @@
                     let many = sent.iter().rev().take_while(|t| **t > from).count() as f64;
                     let asked = taken.iter().rev().take_while(|t| **t > from).count() as f64;
                     // The highest cap that was in force somewhere in the window, its own grace behind it.
-                    let cap = |i: usize| news.get(i + 1).is_none_or(|next| next.0 + terms.grace > from);
-                    let caps = (0..news.len()).filter(|i| news[*i].1 == *build && cap(*i)).map(|i| news[i].4);
+                    let cap = |i: usize| {
+                        news.get(i + 1)
+                            .is_none_or(|next| next.0 + terms.grace > from)
+                    };
+                    let caps = (0..news.len())
+                        .filter(|i| news[*i].1 == *build && cap(*i))
+                        .map(|i| news[i].4);
                     let cap = caps.fold(0.0, f64::max);
                     if many > terms.free + 2.0 + cap * 1.04 * asked {
-                        found
-                            .broken
-                            .push(format!("build {build} got {many} of {asked} requests at a cap of {cap}"));
+                        found.broken.push(format!(
+                            "build {build} got {many} of {asked} requests at a cap of {cap}"
+                        ));
                     }
                 }
             }
@@ -191,10 +229,28 @@
                     open.out.remove(node);
                 }
             }
-            Seen::Listed { node, zone, build, ready } => {
-                nodes.insert(*node, Node { zone: *zone, build: *build, ready: *ready, since: at });
+            Seen::Listed {
+                node,
+                zone,
+                build,
+                ready,
+            } => {
+                nodes.insert(
+                    *node,
+                    Node {
+                        zone: *zone,
+                        build: *build,
+                        ready: *ready,
+                        since: at,
+                    },
+                );
             }
-            Seen::News { build, stage, on_trial, cap } => news.push((at, *build, *stage, *on_trial, *cap)),
+            Seen::News {
+                build,
+                stage,
+                on_trial,
+                cap,
+            } => news.push((at, *build, *stage, *on_trial, *cap)),
             Seen::Forbidden { build, zone } => {
                 forbidden.entry((*build, *zone)).or_insert(at);
             }
@@ -225,7 +281,9 @@
             _ if open.orphan => {}
             [] if open.crossed && open.got == 0 => {}
             [] | [_] => found.lost += 1,
-            _ => found.broken.push(format!("request {id} has {} answers", open.answers.len())),
+            _ => found
+                .broken
+                .push(format!("request {id} has {} answers", open.answers.len())),
         }
     }
     found
--- a/crates/standin/src/days.rs
+++ b/crates/standin/src/days.rs
@@ -61,7 +61,11 @@
 /// The operator's file of a town: its own service is `s`.
 pub fn order(town: &Town, rules: &str, more: &str) -> String {
     let at = |(name, desk): (&String, &crate::town::Desk)| {
-        format!("<service name=\"{name}\" desk=\"{}\" silent-after=\"{}ms\"/>", desk.at(), SILENT.as_millis())
+        format!(
+            "<service name=\"{name}\" desk=\"{}\" silent-after=\"{}ms\"/>",
+            desk.at(),
+            SILENT.as_millis()
+        )
     };
     let services: String = town.desks.iter().map(at).collect();
     format!(
@@ -72,11 +76,21 @@
 }
 
 fn released(build: u16) -> State {
-    State { build, stage: 3, course: "Healthy", cap: 1.0 }
+    State {
+        build,
+        stage: 3,
+        course: "Healthy",
+        cap: 1.0,
+    }
 }
 
 fn trial(build: u16, stage: u8, cap: f64) -> State {
-    State { build, stage, course: "Progressing", cap }
+    State {
+        build,
+        stage,
+        course: "Progressing",
+        cap,
+    }
 }
 
 struct Day {
@@ -94,7 +108,11 @@
     let mut town = Town::new(program, seed, trial(2, 1, 1.0), Box::new(|_, _, _, _| None));
     // No node is slow here but by the machine's doing: what it holds up must not be called off and sent again.
     town.set("aim", "4000000");
-    let mut day = Day { town, chance, with_operator };
+    let mut day = Day {
+        town,
+        chance,
+        with_operator,
+    };
     for (build, zone) in [(1, 0), (1, 1), (2, 0), (2, 1)] {
         let takes = Duration::from_millis(2);
         day.town.node(Manners::good(build, zone, takes));
@@ -127,21 +145,38 @@
         let text = order(&self.town, rules, "");
         self.town.order(&text);
         self.up()?;
-        let traffic =
-            Traffic { clients: 10, pause: Duration::from_millis(16), deadline: Duration::from_millis(1000) };
+        let traffic = Traffic {
+            clients: 10,
+            pause: Duration::from_millis(16),
+            deadline: Duration::from_millis(1000),
+        };
         self.town.open(traffic);
         Ok(())
     }
 
     fn up(&mut self) -> Result<(), String> {
         let up = self.town.up(self.with_operator);
-        let log = || self.town.agent.as_ref().map(|a| a.log.lock().map(|l| l.clone()).unwrap_or_default());
-        if up { Ok(()) } else { Err(format!("the agent does not come up: {}", log().unwrap_or_default())) }
+        let log = || {
+            self.town
+                .agent
+                .as_ref()
+                .map(|a| a.log.lock().map(|l| l.clone()).unwrap_or_default())
+        };
+        if up {
+            Ok(())
+        } else {
+            Err(format!(
+                "the agent does not come up: {}",
+                log().unwrap_or_default()
+            ))
+        }
     }
 
     /// A day with one dependency, which is met; what goes wrong, and what mends it.
     fn with_need(
-        &mut self, wrong: impl FnOnce(&mut Self), mend: impl FnOnce(&mut Self),
+        &mut self,
+        wrong: impl FnOnce(&mut Self),
+        mend: impl FnOnce(&mut Self),
     ) -> Result<(), String> {
         self.town.desk("d", released(5));
         self.open(NEEDS)?;
@@ -158,7 +193,12 @@
     }
 
     fn play(&mut self, kind: Kind) -> Result<(), String> {
-        let back = |build| State { build, stage: 3, course: "Aborting", cap: 0.0 };
+        let back = |build| State {
+            build,
+            stage: 3,
+            course: "Aborting",
+            cap: 0.0,
+        };
         match kind {
             Kind::RolledBack => self.with_need(
                 |day| {
@@ -169,7 +209,15 @@
             ),
             Kind::Withdrawn => self.with_need(
                 |day| {
-                    day.tell("d", State { build: 5, stage: 3, course: "Aborted", cap: 0.0 });
+                    day.tell(
+                        "d",
+                        State {
+                            build: 5,
+                            stage: 3,
+                            course: "Aborted",
+                            cap: 0.0,
+                        },
+                    );
                     day.forbid(None);
                 },
                 |day| day.tell("d", released(6)),
@@ -187,7 +235,13 @@
                     // Its last sign of life is this; then the file's time runs.
                     let silent = day.town.record.now() + SILENT;
                     day.town.pass(SILENT);
-                    day.town.record.put_at(silent, Seen::Forbidden { build: 2, zone: None });
+                    day.town.record.put_at(
+                        silent,
+                        Seen::Forbidden {
+                            build: 2,
+                            zone: None,
+                        },
+                    );
                 },
                 |day| day.town.desks["d"].come_back(released(5)),
             ),
@@ -210,7 +264,13 @@
                     day.town.desks["d"].die();
                     let silent = day.town.record.now() + SILENT;
                     day.town.pass(SILENT);
-                    day.town.record.put_at(silent, Seen::Forbidden { build: 2, zone: None });
+                    day.town.record.put_at(
+                        silent,
+                        Seen::Forbidden {
+                            build: 2,
+                            zone: None,
+                        },
+                    );
                     day.wait(100, 200);
                     day.town.kill();
                     day.up().ok();
--- a/crates/standin/src/demo.rs
+++ b/crates/standin/src/demo.rs
@@ -23,11 +23,23 @@
         "promote" if fits => {
             let next = stage + 1;
             Some(match CAPS.get(usize::from(next)) {
-                Some(&cap) => State { stage: next, cap, ..now },
-                None => State { course: "Healthy", cap: 1.0, ..now },
+                Some(&cap) => State {
+                    stage: next,
+                    cap,
+                    ..now
+                },
+                None => State {
+                    course: "Healthy",
+                    cap: 1.0,
+                    ..now
+                },
             })
         }
-        "abort" if fits => Some(State { course: "Aborting", cap: 0.0, ..now }),
+        "abort" if fits => Some(State {
+            course: "Aborting",
+            cap: 0.0,
+            ..now
+        }),
         _ => None,
     }
 }
@@ -45,19 +57,35 @@
     }
 
     fn manners(place: usize, build: u16, fails: f64) -> Manners {
-        Manners { fails, ..Manners::good(build, place % 2, Duration::from_millis(3)) }
+        Manners {
+            fails,
+            ..Manners::good(build, place % 2, Duration::from_millis(3))
+        }
     }
 
     /// Offers a build and follows what becomes of it, until it is released, taken off, or `until` says so.
-    fn offer(&mut self, build: u16, fails: f64, until: &mut dyn FnMut(&mut Self, State) -> bool) -> State {
+    fn offer(
+        &mut self,
+        build: u16,
+        fails: f64,
+        until: &mut dyn FnMut(&mut Self, State) -> bool,
+    ) -> State {
         self.new.clear();
-        self.town.platform.tell(State { build, stage: 0, course: "Progressing", cap: CAPS[0] });
+        self.town.platform.tell(State {
+            build,
+            stage: 0,
+            course: "Progressing",
+            cap: CAPS[0],
+        });
         self.say(&format!("build {build} is offered"));
         let began = self.town.record.now();
         let mut stage = None;
         loop {
             let state = self.town.platform.state();
-            if state.course != "Progressing" || until(self, state) || self.town.record.now() > began + MOST {
+            if state.course != "Progressing"
+                || until(self, state)
+                || self.town.record.now() > began + MOST
+            {
                 return state;
             }
             if stage != Some(state.stage) {
@@ -70,7 +98,10 @@
                 }
                 let started: Vec<usize> = (first..self.town.nodes.len()).collect();
                 self.town.list(&started);
-                self.say(&format!("stage {}: {many} of {PLACES} nodes run build {build}", state.stage));
+                self.say(&format!(
+                    "stage {}: {many} of {PLACES} nodes run build {build}",
+                    state.stage
+                ));
             }
             self.town.pass(Duration::from_millis(20));
         }
@@ -86,7 +117,9 @@
 
 /// What the operators' command line beside the agent prints.
 fn lgctl(program: &Path, line: &[&str]) -> Result<String, String> {
-    let call = std::process::Command::new(program.with_file_name("lgctl")).args(line).output();
+    let call = std::process::Command::new(program.with_file_name("lgctl"))
+        .args(line)
+        .output();
     let call = call.map_err(|fault| format!("no lgctl beside the agent: {fault}"))?;
     match call.status.success() {
         true => Ok(String::from_utf8_lossy(&call.stdout).into_owned()),
@@ -105,9 +138,22 @@
         "A fleet of {PLACES} desk nodes in the zones {} and {}, one agent, ten clients, on loopback.",
         ZONES[0], ZONES[1]
     );
-    let state = State { build: 1, stage: 3, course: "Healthy", cap: 1.0 };
+    let state = State {
+        build: 1,
+        stage: 3,
+        course: "Healthy",
+        cap: 1.0,
+    };
     let mut town = Town::new(program, 11, state, Box::new(on_vote));
-    town.desk("ledger", State { build: 5, stage: 3, course: "Healthy", cap: 1.0 });
+    town.desk(
+        "ledger",
+        State {
+            build: 5,
+            stage: 3,
+            course: "Healthy",
+            cap: 1.0,
+        },
+    );
     for (field, value) in [
         ("layout", "\"side_by_side\"".to_owned()),
         ("rings", format!("{RINGS:?}")),
@@ -115,7 +161,9 @@
     ] {
         town.set(field, &value);
     }
-    let old = (0..PLACES).map(|place| town.node(Show::manners(place, 1, 0.0))).collect();
+    let old = (0..PLACES)
+        .map(|place| town.node(Show::manners(place, 1, 0.0)))
+        .collect();
     let rules = r#"<ladder service="s" from="2"><ring name="first" stage="0"><pairs zones="a"/></ring>
 <ring name="all" stage="1" after="2s"><pairs/></ring></ladder>
 <needs service="s" from="4" of="ledger" at-least="5"/>"#;
@@ -131,7 +179,11 @@
         pause: Duration::from_millis(25),
         deadline: Duration::from_millis(1000),
     });
-    let mut show = Show { town, old, new: Vec::new() };
+    let mut show = Show {
+        town,
+        old,
+        new: Vec::new(),
+    };
     show.town.pass(Duration::from_millis(800));
 
     let first = show.offer(2, 0.0, &mut |_, _| false);
@@ -155,15 +207,28 @@
     let new = std::mem::take(&mut show.new);
     show.take_off(new);
     show.town.pass(Duration::from_millis(300));
-    show.town.platform.tell(State { build: 3, stage: second.stage, course: "Aborted", cap: 0.0 });
+    show.town.platform.tell(State {
+        build: 3,
+        stage: second.stage,
+        course: "Aborted",
+        cap: 0.0,
+    });
 
     // The third: once it stands in its second stage, the service that it needs is rolled back.
     let mut rolled = None;
     let third = show.offer(4, 0.0, &mut |show, state| {
         if state.stage >= 1 && rolled.is_none() && show.new.len() * 2 >= PLACES {
             show.town.pass(Duration::from_millis(1500));
-            show.town.desks["ledger"].tell(State { build: 5, stage: 3, course: "Aborting", cap: 0.0 });
-            show.town.record.put(Seen::Forbidden { build: 4, zone: None });
+            show.town.desks["ledger"].tell(State {
+                build: 5,
+                stage: 3,
+                course: "Aborting",
+                cap: 0.0,
+            });
+            show.town.record.put(Seen::Forbidden {
+                build: 4,
+                zone: None,
+            });
             rolled = Some(show.town.record.now());
             show.say("the ledger that build 4 needs is rolled back, mid-stage");
         }
@@ -176,17 +241,31 @@
         "build 4 did NOT stay"
     });
     let told = show.town.tells_its_lines();
-    let story =
-        lgctl(program, &["timeline", "story", &show.town.dump().display().to_string(), "--build", "3"]);
+    let story = lgctl(
+        program,
+        &[
+            "timeline",
+            "story",
+            &show.town.dump().display().to_string(),
+            "--build",
+            "3",
+        ],
+    );
     let log = show.town.close();
     let events = show.town.record.events();
     let verdict = check(&events, &Terms::default());
 
     println!("\nWhat the agent said of releases and votes:");
-    for line in log.lines().filter(|line| line.contains("releases: ") || line.contains(" vote ")) {
+    for line in log
+        .lines()
+        .filter(|line| line.contains("releases: ") || line.contains(" vote "))
+    {
         println!("  {}", line.split_once(' ').map_or(line, |(_, rest)| rest));
     }
-    println!("\nWhat the checker found in {} steps and attempts on record:", events.len());
+    println!(
+        "\nWhat the checker found in {} steps and attempts on record:",
+        events.len()
+    );
     println!(
         "  {} requests: {} settled, {} declined, {} voided, {} lost",
         verdict.requests, verdict.settled, verdict.declined, verdict.voided, verdict.lost
@@ -222,7 +301,11 @@
     let fine = told && story.is_ok() && went_through && voted_back && stayed && verdict.is_clean();
     println!(
         "\n{}",
-        if fine { "All went as it should; no rule broke." } else { "Something went wrong: see above." }
+        if fine {
+            "All went as it should; no rule broke."
+        } else {
+            "Something went wrong: see above."
+        }
     );
     fine
 }
--- a/crates/standin/src/gauge.rs
+++ b/crates/standin/src/gauge.rs
@@ -22,7 +22,9 @@
 
 /// Plays all days; their verdicts added up, and how many could be played.
 fn days(program: &Path, with_operator: bool) -> (Verdict, usize) {
-    let all: Vec<(Kind, u64)> = (0..EACH).flat_map(|seed| KINDS.map(|kind| (kind, 1000 + seed))).collect();
+    let all: Vec<(Kind, u64)> = (0..EACH)
+        .flat_map(|seed| KINDS.map(|kind| (kind, 1000 + seed)))
+        .collect();
     let (next, sum) = (AtomicUsize::new(0), Mutex::new((Verdict::default(), 0)));
     std::thread::scope(|scope| {
         for _ in 0..AT_A_TIME {
@@ -60,10 +62,17 @@
     };
     let need = |i: usize| Need {
         service: ServiceId(i as u8),
-        builds: Builds { from: Build(2), to: Build(99) },
+        builds: Builds {
+            from: Build(2),
+            to: Build(99),
+        },
         of: ServiceId(i as u8 + 1),
         at_least: Build(2),
-        reach: if i.is_multiple_of(2) { Reach::SameZone } else { Reach::Everywhere },
+        reach: if i.is_multiple_of(2) {
+            Reach::SameZone
+        } else {
+            Reach::Everywhere
+        },
         on_trial: InDoubt::Close,
         released: InDoubt::Hold,
     };
@@ -74,15 +83,25 @@
         service: None,
         pairs: some(i + 2),
         closes: i.is_multiple_of(2),
-        when: When::Weekly { zone: zone.clone(), from: at("Fri 18:00"), to: at("Mon 06:00") },
+        when: When::Weekly {
+            zone: zone.clone(),
+            from: at("Fri 18:00"),
+            to: at("Mon 06:00"),
+        },
     };
     let ladder = Ladder {
         service: ServiceId(0),
-        builds: Builds { from: Build(2), to: Build(99) },
+        builds: Builds {
+            from: Build(2),
+            to: Build(99),
+        },
         rings: (0..4).map(ring).collect(),
         settles: Duration::ZERO,
     };
-    let service = |name| Service { name, silent_after: None };
+    let service = |name| Service {
+        name,
+        silent_after: None,
+    };
     Rules {
         zones: names("z", zones),
         firms: names("f", firms),
@@ -99,7 +118,12 @@
 fn gate() -> (f64, f64) {
     let mut now = Duration::from_secs(1_796_083_200);
     let mut gate = Gate::new(large(), None, now).unwrap_or_else(|_| unreachable!("no circle"));
-    let told = |build, stage, course, since| Told { build: Build(build), stage: Stage(stage), course, since };
+    let told = |build, stage, course, since| Told {
+        build: Build(build),
+        stage: Stage(stage),
+        course,
+        since,
+    };
     for service in 1..5 {
         gate.hear(now, ServiceId(service), told(5, 0, Course::Released, now));
     }
@@ -108,14 +132,25 @@
     let mut chance = Pcg64Mcg::seed_from_u64(7);
     let asked: Vec<(Build, Zone, Tenant, Product)> = (0..4096)
         .map(|_| {
-            let (build, zone) = (Build(chance.random_range(0..32)), Zone(chance.random_range(0..8)));
-            (build, zone, Tenant(chance.random_range(0..200)), Product(chance.random_range(0..3)))
+            let (build, zone) = (
+                Build(chance.random_range(0..32)),
+                Zone(chance.random_range(0..8)),
+            );
+            (
+                build,
+                zone,
+                Tenant(chance.random_range(0..200)),
+                Product(chance.random_range(0..3)),
+            )
         })
         .collect();
     let mut looks: Vec<f64> = (0..101)
         .map(|_| {
             let began = Instant::now();
-            let open = asked.iter().filter(|(b, z, f, p)| gate.admits(*b, *z, *f, *p).is_ok()).count();
+            let open = asked
+                .iter()
+                .filter(|(b, z, f, p)| gate.admits(*b, *z, *f, *p).is_ok())
+                .count();
             std::hint::black_box(open);
             began.elapsed().as_secs_f64() * 1e9 / asked.len() as f64
         })
@@ -123,7 +158,11 @@
     let mut rebuilds: Vec<f64> = (0..101)
         .map(|i| {
             now += Duration::from_secs(1);
-            let course = if u16::is_multiple_of(i, 2) { Course::GoingBack } else { Course::Released };
+            let course = if u16::is_multiple_of(i, 2) {
+                Course::GoingBack
+            } else {
+                Course::Released
+            };
             let began = Instant::now();
             gate.hear(now, ServiceId(4), told(5 + i.div_ceil(2), 0, course, now));
             began.elapsed().as_secs_f64() * 1e6
--- a/crates/standin/src/kills.rs
+++ b/crates/standin/src/kills.rs
@@ -13,20 +13,35 @@
 
 fn record(number: u32) -> Record {
     let at = Duration::from_secs(u64::from(number));
-    let what = What::GivenUp { why: "x".repeat(number as usize % 300), many: number };
-    Record::Entry(Entry { happened: at, known: at, node: None, what })
+    let what = What::GivenUp {
+        why: "x".repeat(number as usize % 300),
+        many: number,
+    };
+    Record::Entry(Entry {
+        happened: at,
+        known: at,
+        node: None,
+        what,
+    })
 }
 
 /// Writes from a number on, in batches of drawn sizes, and prints the last number of each once it is synced.
 pub fn write(folder: &Path, first: u32) {
-    let bounds = Bounds { bytes: 1 << 28, age: Duration::from_secs(1 << 30) };
-    let Ok(mut writer) = Writer::new(folder, bounds, Box::new(Real)) else { return };
+    let bounds = Bounds {
+        bytes: 1 << 28,
+        age: Duration::from_secs(1 << 30),
+    };
+    let Ok(mut writer) = Writer::new(folder, bounds, Box::new(Real)) else {
+        return;
+    };
     let mut chance = Pcg64Mcg::seed_from_u64(u64::from(first));
     let mut next = first;
     loop {
         let many = chance.random_range(1..40);
         let batch: Vec<Record> = (next..next + many).map(record).collect();
-        let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let now = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
         if writer.append(now, &batch).is_err() {
             return;
         }
@@ -54,23 +69,35 @@
             .spawn()?;
         let mut said = BufReader::new(child.stdout.take().expect("its output")).lines();
         // It has begun once it says something; then it runs on for a drawn while.
-        let mut last = said.next().and_then(|line| line.ok()?.parse().ok()).unwrap_or(first);
+        let mut last = said
+            .next()
+            .and_then(|line| line.ok()?.parse().ok())
+            .unwrap_or(first);
         std::thread::sleep(Duration::from_micros(chance.random_range(0..9000)));
         child.kill()?;
         child.wait()?;
-        last = said.map_while(|line| line.ok()?.parse().ok()).last().unwrap_or(last);
+        last = said
+            .map_while(|line| line.ok()?.parse().ok())
+            .last()
+            .unwrap_or(last);
         kept.push((first, last));
         done += 1;
         let numbers: std::collections::BTreeSet<u32> = read(folder.path())?
             .records
             .iter()
             .filter_map(|record| match record {
-                Record::Entry(Entry { what: What::GivenUp { many, .. }, .. }) => Some(*many),
+                Record::Entry(Entry {
+                    what: What::GivenUp { many, .. },
+                    ..
+                }) => Some(*many),
                 _ => None,
             })
             .collect();
-        lost +=
-            kept.iter().flat_map(|(from, to)| *from..*to).filter(|number| !numbers.contains(number)).count();
+        lost += kept
+            .iter()
+            .flat_map(|(from, to)| *from..*to)
+            .filter(|number| !numbers.contains(number))
+            .count();
         // The next one goes on behind all that may be there.
         first = numbers.last().map_or(last, |number| number + 1).max(last) + 1;
         // What was found again once need not be looked for each time.
--- a/crates/standin/src/lines.rs
+++ b/crates/standin/src/lines.rs
@@ -41,11 +41,20 @@
 ];
 
 fn traffic() -> Traffic {
-    Traffic { clients: 10, pause: Duration::from_millis(30), deadline: Duration::from_millis(1000) }
+    Traffic {
+        clients: 10,
+        pause: Duration::from_millis(30),
+        deadline: Duration::from_millis(1000),
+    }
 }
 
 fn town(program: &Path, seed: u64, timeline: &str) -> Option<Town> {
-    let state = State { build: 1, stage: 3, course: "Healthy", cap: 1.0 };
+    let state = State {
+        build: 1,
+        stage: 3,
+        course: "Healthy",
+        cap: 1.0,
+    };
     let mut town = Town::new(program, seed, state, Box::new(|_, _, _, _| None));
     for place in 0..NODES {
         town.node(Manners::good(1, place % 2, Duration::from_millis(4)));
@@ -62,7 +71,9 @@
 fn set(town: &mut Town, cause: Option<&str>, node: usize) {
     for number in 0..NODES {
         let takes = Duration::from_millis(4);
-        town.change(number, |manners| *manners = Manners::good(1, number % 2, takes));
+        town.change(number, |manners| {
+            *manners = Manners::good(1, number % 2, takes)
+        });
     }
     let change = |manners: &mut Manners| match cause {
         Some("errors") => manners.fails = 0.6,
@@ -74,7 +85,9 @@
         _ => {}
     };
     match cause {
-        Some("all slow") => (0..NODES).for_each(|number| town.change(number, |manners| manners.takes *= 6)),
+        Some("all slow") => {
+            (0..NODES).for_each(|number| town.change(number, |manners| manners.takes *= 6))
+        }
         Some("restart") => town.start_anew(node),
         Some(_) => town.change(node, change),
         None => {}
@@ -89,11 +102,20 @@
 
 /// Plays a town with its faults, one after another.
 fn faults(program: &Path, seed: u64) -> (Vec<Found>, Vec<String>) {
-    let Some(mut town) = town(program, seed, &format!("<timeline false-events-per-hour=\"{RATE}\"/>")) else {
+    let Some(mut town) = town(
+        program,
+        seed,
+        &format!("<timeline false-events-per-hour=\"{RATE}\"/>"),
+    ) else {
         return (Vec::new(), vec!["the agent does not come up".into()]);
     };
     town.pass(SETTLED);
-    let wall = || SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs_f64();
+    let wall = || {
+        SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default()
+            .as_secs_f64()
+    };
     let mut injected = Vec::new();
     for i in 0..FAULTS {
         let (cause, names) = CAUSES[(seed as usize * FAULTS + i) % CAUSES.len()];
@@ -110,20 +132,33 @@
     // The log's lines begin with the time.
     let said = |line: &str| {
         let (at, text) = line.split_once(' ')?;
-        let text = text.strip_prefix("timeline: departure ")?.split_once(": ")?.1.to_owned();
+        let text = text
+            .strip_prefix("timeline: departure ")?
+            .split_once(": ")?
+            .1
+            .to_owned();
         Some((at.parse::<f64>().ok()?, text))
     };
     let mut said: Vec<(f64, String)> = log.lines().filter_map(said).collect();
     let mut found = Vec::new();
     for (at, cause, names, node) in injected {
-        let whom = if cause == "all slow" { "the fleet: ".into() } else { format!("node s-d{node}: ") };
+        let whom = if cause == "all slow" {
+            "the fleet: ".into()
+        } else {
+            format!("node s-d{node}: ")
+        };
         let named = |(when, text): &(f64, String)| {
-            let fits =
-                text.starts_with(&whom) && names.iter().any(|name| text[whom.len()..].starts_with(name));
+            let fits = text.starts_with(&whom)
+                && names
+                    .iter()
+                    .any(|name| text[whom.len()..].starts_with(name));
             fits && *when >= at && *when < at + (FAULT + MENDED).as_secs_f64()
         };
         let place = said.iter().position(named);
-        found.push(Found { cause, after: place.map(|place| said.remove(place).0 - at) });
+        found.push(Found {
+            cause,
+            after: place.map(|place| said.remove(place).0 - at),
+        });
     }
     (found, said.into_iter().map(|(_, text)| text).collect())
 }
@@ -145,9 +180,19 @@
     let log = town.close();
     // Killed as it was: what it had handed over is in the store.
     let kept = read(folder.path()).map_err(|fault| fault.to_string())?;
-    let still =
-        |record: &Record| matches!(record, Record::Entry(Entry { what: What::StoodStill { .. }, .. }));
-    let said = log.lines().filter(|line| line.contains("timeline: departure")).map(str::to_owned);
+    let still = |record: &Record| {
+        matches!(
+            record,
+            Record::Entry(Entry {
+                what: What::StoodStill { .. },
+                ..
+            })
+        )
+    };
+    let said = log
+        .lines()
+        .filter(|line| line.contains("timeline: departure"))
+        .map(str::to_owned);
     Ok((said.collect(), kept.records.iter().any(still)))
 }
 
@@ -179,7 +224,10 @@
     fn second(&mut self, node: u32, fails: f64, latency: f64, many: u32) -> Option<Kind> {
         let mut event = None;
         for (kind, x) in [(Kind::Errors, fails), (Kind::Latency, latency)] {
-            let (mean, var, seen) = self.0.entry((node, kind == Kind::Errors)).or_insert((x, 0.0, 0));
+            let (mean, var, seen) = self
+                .0
+                .entry((node, kind == Kind::Errors))
+                .or_insert((x, 0.0, 0));
             *seen += 1;
             if *seen > 30 && many >= 3 && x > *mean + 3.0 * var.sqrt().max(0.01) {
                 event = event.or(Some(kind));
@@ -204,7 +252,13 @@
 impl<R: Rule> Judge<R> {
     fn new() -> Self {
         let (second, sums, last, events) = Default::default();
-        Judge { rule: R::default(), second, sums, last, events }
+        Judge {
+            rule: R::default(),
+            second,
+            sums,
+            last,
+            events,
+        }
     }
 
     fn take(&mut self, (now, node, product, ending, took): virtually::Outcome) {
@@ -212,8 +266,14 @@
         if second != self.second {
             for (node, (fails, latency, many)) in std::mem::take(&mut self.sums) {
                 let all = f64::from(many.max(1));
-                let Some(kind) = self.rule.second(node, fails / all, latency / all, many) else { continue };
-                if self.last.insert((node, kind), second).is_none_or(|last| second > last + 10) {
+                let Some(kind) = self.rule.second(node, fails / all, latency / all, many) else {
+                    continue;
+                };
+                if self
+                    .last
+                    .insert((node, kind), second)
+                    .is_none_or(|last| second > last + 10)
+                {
                     self.events.push((now, node, kind));
                 }
             }
@@ -243,16 +303,22 @@
                     if seed >= HOURS {
                         return;
                     }
-                    let (mut fixed, mut weighted) = (Judge::<Fixed>::new(), Judge::<Weighted>::new());
+                    let (mut fixed, mut weighted) =
+                        (Judge::<Fixed>::new(), Judge::<Weighted>::new());
                     let mut book = virtually::book(RATE);
-                    let said = virtually::play(&virtually::quiet_hour(seed), &mut book, &mut |outcome| {
-                        fixed.take(outcome);
-                        weighted.take(outcome);
-                    });
+                    let said =
+                        virtually::play(&virtually::quiet_hour(seed), &mut book, &mut |outcome| {
+                            fixed.take(outcome);
+                            weighted.take(outcome);
+                        });
                     let own = said.iter().filter(|(_, _, begins)| *begins).count();
                     let octets = book.octets() / book.nodes().count().max(1);
                     let mut sum = sum.lock().expect("a lock");
-                    for (all, one) in sum.0.iter_mut().zip([own, fixed.events.len(), weighted.events.len()]) {
+                    for (all, one) in
+                        sum.0
+                            .iter_mut()
+                            .zip([own, fixed.events.len(), weighted.events.len()])
+                    {
                         *all += one as f64;
                     }
                     sum.1 = sum.1.max(octets);
@@ -267,18 +333,57 @@
 fn virtual_faults() -> ([usize; 3], usize) {
     let secs = Duration::from_secs;
     let kinds: [(Fault, Kind); 6] = [
-        (Fault::Errors { node: 3, share: 0.4, product: None }, Kind::Errors),
-        (Fault::Errors { node: 3, share: 0.6, product: Some(1) }, Kind::Errors),
-        (Fault::Slow { node: 3, times: 4.0, product: None }, Kind::Latency),
-        (Fault::Slow { node: 3, times: 5.0, product: Some(1) }, Kind::Latency),
+        (
+            Fault::Errors {
+                node: 3,
+                share: 0.4,
+                product: None,
+            },
+            Kind::Errors,
+        ),
+        (
+            Fault::Errors {
+                node: 3,
+                share: 0.6,
+                product: Some(1),
+            },
+            Kind::Errors,
+        ),
+        (
+            Fault::Slow {
+                node: 3,
+                times: 4.0,
+                product: None,
+            },
+            Kind::Latency,
+        ),
+        (
+            Fault::Slow {
+                node: 3,
+                times: 5.0,
+                product: Some(1),
+            },
+            Kind::Latency,
+        ),
         (Fault::Silent { node: 3 }, Kind::Silence),
         (Fault::Unlinked { node: 3 }, Kind::Links),
     ];
     let (mut found, mut all) = ([0; 3], 0);
     for seed in 0..5 {
         for (fault, kind) in kinds {
-            let events = vec![virtually::Event { at: secs(60), long: secs(15), fault }];
-            let day = Day { nodes: 10, rate: 100.0, long: secs(80), events, list_late: secs(1), seed };
+            let events = vec![virtually::Event {
+                at: secs(60),
+                long: secs(15),
+                fault,
+            }];
+            let day = Day {
+                nodes: 10,
+                rate: 100.0,
+                long: secs(80),
+                events,
+                list_late: secs(1),
+                seed,
+            };
             let (mut fixed, mut weighted) = (Judge::<Fixed>::new(), Judge::<Weighted>::new());
             let mut book = virtually::book(RATE);
             let said = virtually::play(&day, &mut book, &mut |outcome| {
@@ -286,21 +391,32 @@
                 weighted.take(outcome);
             });
             let soon = |at: Duration| at >= DAWN + secs(60) && at <= DAWN + secs(65);
-            let own =
-                said.iter().any(|(at, d, b)| *b && soon(*at) && d.whom == Whom::Node(3) && d.kind == kind);
+            let own = said
+                .iter()
+                .any(|(at, d, b)| *b && soon(*at) && d.whom == Whom::Node(3) && d.kind == kind);
             // Any word of the right node counts for the others: they know failures and latency only.
-            let of =
-                |events: &[(Duration, u32, Kind)]| events.iter().any(|(at, node, _)| *node == 3 && soon(*at));
+            let of = |events: &[(Duration, u32, Kind)]| {
+                events.iter().any(|(at, node, _)| *node == 3 && soon(*at))
+            };
             if !own {
                 println!(
                     "virtual, not named in 5 s: {fault:?} seed {seed}: {:?}",
                     said.iter()
-                        .map(|(at, d, b)| ((*at - DAWN).as_secs_f64(), d.whom, d.kind, d.product, *b))
+                        .map(|(at, d, b)| (
+                            (*at - DAWN).as_secs_f64(),
+                            d.whom,
+                            d.kind,
+                            d.product,
+                            *b
+                        ))
                         .collect::<Vec<_>>()
                 );
             }
             let hits = [own, of(&fixed.events), of(&weighted.events)];
-            found.iter_mut().zip(hits).for_each(|(sum, hit)| *sum += usize::from(hit));
+            found
+                .iter_mut()
+                .zip(hits)
+                .for_each(|(sum, hit)| *sum += usize::from(hit));
             all += 1;
         }
     }
@@ -310,7 +426,9 @@
 /// The time that recording one request takes, in nanoseconds.
 fn record_ns() -> f64 {
     let mut book = virtually::book(RATE);
-    let lines: Vec<lilacgate::port::Line> = (0..14).map(|node| virtually::listed(node, 1, None)).collect();
+    let lines: Vec<lilacgate::port::Line> = (0..14)
+        .map(|node| virtually::listed(node, 1, None))
+        .collect();
     book.membership(DAWN, lilacgate::port::Listing::Whole, &lines);
     let many = 300_000u32;
     let mut spent = Vec::new();
@@ -322,7 +440,14 @@
             book.request(id, Product((i % 3) as u8));
             book.attempt(now, id, AttemptNumber(0), node);
             let took = Duration::from_micros(20_000 + u64::from(i * 7 % 9000));
-            book.ended(now + took, (id, AttemptNumber(0)), node, Ending::Served, took, true);
+            book.ended(
+                now + took,
+                (id, AttemptNumber(0)),
+                node,
+                Ending::Served,
+                took,
+                true,
+            );
         }
         book.advance(DAWN + Duration::from_micros(u64::from(chunk + 1) * 500_000));
         // A thousand requests, and the tick behind them.
@@ -338,8 +463,13 @@
     let one = |timeline: &str, seed: u64| {
         let mut town = town(program, seed, timeline)?;
         town.pass(Duration::from_secs(2));
-        let sent =
-            |town: &Town| town.record.events().iter().filter(|e| matches!(e.seen, Seen::Sent { .. })).count();
+        let sent = |town: &Town| {
+            town.record
+                .events()
+                .iter()
+                .filter(|e| matches!(e.seen, Seen::Sent { .. }))
+                .count()
+        };
         let (from, before) = (town.cpu()?, sent(&town));
         town.pass(Duration::from_secs(11));
         let (spent, requests) = (town.cpu()? - from, sent(&town) - before);
@@ -348,9 +478,14 @@
     };
     std::thread::scope(|scope| {
         let towns: Vec<_> = (0..12)
-            .map(|seed| scope.spawn(move || one(if seed % 2 == 0 { "<timeline/>" } else { "" }, 500 + seed)))
+            .map(|seed| {
+                scope.spawn(move || one(if seed % 2 == 0 { "<timeline/>" } else { "" }, 500 + seed))
+            })
+            .collect();
+        let spent: Vec<Option<f64>> = towns
+            .into_iter()
+            .map(|town| town.join().ok().flatten())
             .collect();
-        let spent: Vec<Option<f64>> = towns.into_iter().map(|town| town.join().ok().flatten()).collect();
         let sum = |odd: usize| spent.iter().skip(odd).step_by(2).flatten().sum::<f64>();
         sum(0) / sum(1) - 1.0
     })
@@ -362,10 +497,15 @@
     let record_ns = record_ns();
     let own = std::env::current_exe().unwrap_or_default();
     let (played, (quiet, octets), (kills, lost)) = std::thread::scope(|scope| {
-        let towns: Vec<_> = (0..TOWNS).map(|seed| scope.spawn(move || faults(program, seed))).collect();
+        let towns: Vec<_> = (0..TOWNS)
+            .map(|seed| scope.spawn(move || faults(program, seed)))
+            .collect();
         let quiet = scope.spawn(|| quiet(3));
         let kills = scope.spawn(|| kills::trial(&own, KILLS, 7));
-        let played: Vec<_> = towns.into_iter().map(|town| town.join().expect("a town")).collect();
+        let played: Vec<_> = towns
+            .into_iter()
+            .map(|town| town.join().expect("a town"))
+            .collect();
         let kills = kills.join().expect("the trial").unwrap_or((0, usize::MAX));
         (played, quiet.join().expect("quiet hours"), kills)
     });
@@ -386,7 +526,9 @@
             }
         }
         strays += others.len();
-        others.iter().for_each(|text| println!("named besides: {text}"));
+        others
+            .iter()
+            .for_each(|text| println!("named besides: {text}"));
     }
     times.sort_by(f64::total_cmp);
     let worst = times.last().copied().unwrap_or(f64::NAN);
@@ -394,7 +536,11 @@
     // The upper bound at 95% of a Poisson rate, by its usual approximation.
     let hours = HOURS as f64;
     let upper = |events: f64| {
-        if events == 0.0 { 3.0 / hours } else { (events + 1.645 * (events + 1.0).sqrt() + 1.35) / hours }
+        if events == 0.0 {
+            3.0 / hours
+        } else {
+            (events + 1.645 * (events + 1.0).sqrt() + 1.35) / hours
+        }
     };
     for (name, i) in [("fixed bound", 1), ("weighted mean, three deviations", 2)] {
         println!(
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -51,5 +51,9 @@
         What::Measure { .. } => gauge::releases(&program),
         What::WriteStore { .. } => false,
     };
-    if fine { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+    if fine {
+        ExitCode::SUCCESS
+    } else {
+        ExitCode::FAILURE
+    }
 }
--- a/crates/standin/src/notation.rs
+++ b/crates/standin/src/notation.rs
@@ -3,10 +3,13 @@
     let mut out = Vec::new();
     let mut rest = text;
     while let Some(c) = rest.chars().next() {
-        let repeat = rest.strip_prefix('<').and_then(|r| r.split_once('>')).and_then(|(inner, after)| {
-            let (count, what) = inner.split_once('*')?;
-            Some((count.parse::<usize>().ok()?, what, after))
-        });
+        let repeat = rest
+            .strip_prefix('<')
+            .and_then(|r| r.split_once('>'))
+            .and_then(|(inner, after)| {
+                let (count, what) = inner.split_once('*')?;
+                Some((count.parse::<usize>().ok()?, what, after))
+            });
         if let Some((count, what, after)) = repeat {
             out.extend(bytes(what).repeat(count));
             rest = after;
@@ -33,7 +36,9 @@
     match want.split_once('*') {
         Some((start, "")) => got.starts_with(start),
         Some((start, rest)) => {
-            let Some(after) = got.strip_prefix(start) else { return false };
+            let Some(after) = got.strip_prefix(start) else {
+                return false;
+            };
             (0..=after.len()).any(|i| after.is_char_boundary(i) && fits(rest, &after[i..]))
         }
         None => want == got,
--- a/crates/standin/src/post.rs
+++ b/crates/standin/src/post.rs
@@ -15,7 +15,11 @@
 pub fn line(from: &mut impl BufRead) -> Option<String> {
     let mut line = Vec::new();
     from.read_until(b'\n', &mut line).ok().filter(|n| *n > 0)?;
-    Some(String::from_utf8_lossy(&line).trim_end_matches(['\r', '\n']).to_owned())
+    Some(
+        String::from_utf8_lossy(&line)
+            .trim_end_matches(['\r', '\n'])
+            .to_owned(),
+    )
 }
 
 /// A command or an answer, shown as a text.
@@ -23,10 +27,18 @@
     let head = line(from)?;
     if let Some(count) = head.strip_prefix('*') {
         let parts: Option<Vec<String>> = (0..count.parse().ok()?).map(|_| resp(from)).collect();
-        return Some(parts?.iter().map(|part| part.trim_start_matches('$')).collect::<Vec<_>>().join(" "));
+        return Some(
+            parts?
+                .iter()
+                .map(|part| part.trim_start_matches('$'))
+                .collect::<Vec<_>>()
+                .join(" "),
+        );
     }
     if let Some(len) = head.strip_prefix('$') {
-        let Ok(len) = len.parse::<usize>() else { return Some("$-1".into()) };
+        let Ok(len) = len.parse::<usize>() else {
+            return Some("$-1".into());
+        };
         let mut value = vec![0; len + 2];
         from.read_exact(&mut value).ok()?;
         return Some(format!("${}", String::from_utf8_lossy(&value[..len])));
@@ -37,7 +49,11 @@
 /// A command in the form of the wire.
 pub fn command(words: &[&str]) -> String {
     let bulk = |word: &&str| format!("${}\r\n{word}\r\n", word.len());
-    format!("*{}\r\n{}", words.len(), words.iter().map(bulk).collect::<String>())
+    format!(
+        "*{}\r\n{}",
+        words.len(),
+        words.iter().map(bulk).collect::<String>()
+    )
 }
 
 /// A head of HTTP: its first line.
@@ -70,7 +86,9 @@
 impl Post {
     /// `hello`, then `sign` again and again, is written to connections that have said `when`.
     pub fn new(
-        read: fn(&mut BufReader<TcpStream>) -> Option<String>, when: &'static str, hello: &'static [u8],
+        read: fn(&mut BufReader<TcpStream>) -> Option<String>,
+        when: &'static str,
+        hello: &'static [u8],
         sign: &'static [u8],
     ) -> Post {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
@@ -149,7 +167,10 @@
 
     /// Goes back to the connection that brought a command with this id.
     pub fn turn(&mut self, id: &str) {
-        let found = self.came.iter().rfind(|(_, said)| said.contains(&format!(" {id} ")));
+        let found = self
+            .came
+            .iter()
+            .rfind(|(_, said)| said.contains(&format!(" {id} ")));
         self.last = found.expect("it brought one").0;
     }
 
@@ -168,7 +189,9 @@
     }
 
     pub fn end_of(&self, number: usize) {
-        self.conns.lock().expect("a lock")[number].shutdown(Shutdown::Both).ok();
+        self.conns.lock().expect("a lock")[number]
+            .shutdown(Shutdown::Both)
+            .ok();
     }
 
     /// Stops listening, and breaks what is open.
@@ -176,13 +199,22 @@
         *self.listening.lock().expect("a lock") = false;
         TcpStream::connect(self.at).ok();
         self.life.take().map(|life| life.join().ok());
-        self.conns.lock().expect("a lock").iter().for_each(|conn| drop(conn.shutdown(Shutdown::Both)));
+        self.conns
+            .lock()
+            .expect("a lock")
+            .iter()
+            .for_each(|conn| drop(conn.shutdown(Shutdown::Both)));
     }
 }
 
 fn serve(
-    conn: TcpStream, number: usize, read: fn(&mut BufReader<TcpStream>) -> Option<String>, when: &str,
-    hello: &[u8], sign: &'static [u8], say: Sender<Said>,
+    conn: TcpStream,
+    number: usize,
+    read: fn(&mut BufReader<TcpStream>) -> Option<String>,
+    when: &str,
+    hello: &[u8],
+    sign: &'static [u8],
+    say: Sender<Said>,
 ) {
     let mut from = BufReader::new(conn.try_clone().expect("a second handle"));
     while let Some(said) = read(&mut from) {
@@ -216,7 +248,9 @@
 
 /// News as an object, and as a notification.
 pub fn news(build: &str, stage: &str, state: &str, cap: &str) -> String {
-    format!(r#"{{"Revision":{build},"Wave":{stage},"State":"{state}","MaxShare":{cap},"AgeMs":100}}"#)
+    format!(
+        r#"{{"Revision":{build},"Wave":{stage},"State":"{state}","MaxShare":{cap},"AgeMs":100}}"#
+    )
 }
 
 pub fn rollout(news: &str) -> String {
@@ -238,7 +272,11 @@
     let (both, (votes, voted), (listen, listeners)) = (platform.said, channel(), channel());
     thread::spawn(move || {
         for said in both.into_iter().filter(|said| said.1 != THE_END) {
-            let to = if said.1.contains("listen") { &listen } else { &votes };
+            let to = if said.1.contains("listen") {
+                &listen
+            } else {
+                &votes
+            };
             if to.send(said).is_err() {
                 return;
             }
--- a/crates/standin/src/record.rs
+++ b/crates/standin/src/record.rs
@@ -99,7 +99,10 @@
 
 impl Default for Record {
     fn default() -> Self {
-        Record { zero: Instant::now(), events: Arc::default() }
+        Record {
+            zero: Instant::now(),
+            events: Arc::default(),
+        }
     }
 }
 
--- a/crates/standin/src/start.rs
+++ b/crates/standin/src/start.rs
@@ -43,10 +43,20 @@
         while let Some(at) = self.0[done..].find(&key) {
             let from = done + at + key.len();
             // A list ends with its bracket, all else where the next thing begins.
-            let ends: &[char] = if self.0[from..].starts_with('[') { &[']'] } else { &[',', '}', ']'] };
-            let to = from + self.0[from..].find(ends).expect("it ends") + usize::from(ends.len() == 1);
-            let whole = if value == "none" { from - key.len()..to + 1 } else { from..to };
-            self.0.replace_range(whole, if value == "none" { "" } else { value });
+            let ends: &[char] = if self.0[from..].starts_with('[') {
+                &[']']
+            } else {
+                &[',', '}', ']']
+            };
+            let to =
+                from + self.0[from..].find(ends).expect("it ends") + usize::from(ends.len() == 1);
+            let whole = if value == "none" {
+                from - key.len()..to + 1
+            } else {
+                from..to
+            };
+            self.0
+                .replace_range(whole, if value == "none" { "" } else { value });
             done = from.min(self.0.len());
         }
         assert!(done > 0, "no field {field}");
@@ -54,17 +64,28 @@
 
     /// With its places filled in.
     pub fn with(&self, places: &[(&str, String)]) -> String {
-        places.iter().fold(self.0.clone(), |text, (name, value)| text.replace(name, value))
+        places.iter().fold(self.0.clone(), |text, (name, value)| {
+            text.replace(name, value)
+        })
     }
 }
 
 /// An entry of the list, of an appliance that started then, or has run for long, but not for ever.
 pub fn entry(
-    name: &str, at: SocketAddr, zone: &str, state: &str, build: &str, started: Option<SystemTime>,
+    name: &str,
+    at: SocketAddr,
+    zone: &str,
+    state: &str,
+    build: &str,
+    started: Option<SystemTime>,
 ) -> String {
     static NOW: OnceLock<SystemTime> = OnceLock::new();
     let long_ago = || *NOW.get_or_init(SystemTime::now) - Duration::from_secs(60);
-    let started = started.unwrap_or_else(long_ago).duration_since(UNIX_EPOCH).expect("a clock").as_millis();
+    let started = started
+        .unwrap_or_else(long_ago)
+        .duration_since(UNIX_EPOCH)
+        .expect("a clock")
+        .as_millis();
     format!(
         r#"{{"id":"s-{name}","addr":"{at}","zone":"{zone}","kind":"m","cell":0,"state":"{state}","weight":1.0,
 "started_ms":{started},"release":{build}}}"#
--- a/crates/standin/src/town.rs
+++ b/crates/standin/src/town.rs
@@ -34,7 +34,10 @@
     fn new(host: Ipv4Addr, serve: impl Fn(TcpStream) + Send + Sync + 'static) -> Listening {
         let listener = TcpListener::bind((host, 0)).expect("a free port");
         let at = listener.local_addr().expect("its address");
-        let (up, conns) = (Arc::new(AtomicBool::new(true)), Arc::<Mutex<Vec<TcpStream>>>::default());
+        let (up, conns) = (
+            Arc::new(AtomicBool::new(true)),
+            Arc::<Mutex<Vec<TcpStream>>>::default(),
+        );
         let (is_up, kept, serve) = (up.clone(), conns.clone(), Arc::new(serve));
         let life = thread::spawn(move || {
             for conn in listener.incoming().flatten() {
@@ -47,12 +50,19 @@
                 thread::spawn(move || serve(conn));
             }
         });
-        Listening { at, up, conns, life: Some(life) }
+        Listening {
+            at,
+            up,
+            conns,
+            life: Some(life),
+        }
     }
 
     /// Breaks all connections.
     fn cut(&self) {
-        locked(&self.conns).drain(..).for_each(|conn| drop(conn.shutdown(Shutdown::Both)));
+        locked(&self.conns)
+            .drain(..)
+            .for_each(|conn| drop(conn.shutdown(Shutdown::Both)));
     }
 }
 
@@ -85,7 +95,15 @@
 impl Manners {
     /// As a node should be.
     pub fn good(build: u16, zone: usize, takes: Duration) -> Manners {
-        Manners { build, zone, fails: 0.0, takes, odd: None, silent: false, refuses: false }
+        Manners {
+            build,
+            zone,
+            fails: 0.0,
+            takes,
+            odd: None,
+            silent: false,
+            refuses: false,
+        }
     }
 }
 
@@ -105,34 +123,66 @@
         let listening = Listening::new(host, move |conn| {
             let mut from = BufReader::new(conn.try_clone().expect("a second handle"));
             while let Some(said) = resp(&mut from) {
-                let id =
-                    said.split(' ').nth(2).and_then(|id| id.strip_prefix('t')).and_then(|id| id.parse().ok());
+                let id = said
+                    .split(' ')
+                    .nth(2)
+                    .and_then(|id| id.strip_prefix('t'))
+                    .and_then(|id| id.parse().ok());
                 let Some(id) = id else { return };
-                let Manners { build, zone, fails, takes, odd, silent, refuses } = *locked(&kept);
-                record.put(Seen::Got { id, node: number, build, zone });
+                let Manners {
+                    build,
+                    zone,
+                    fails,
+                    takes,
+                    odd,
+                    silent,
+                    refuses,
+                } = *locked(&kept);
+                record.put(Seen::Got {
+                    id,
+                    node: number,
+                    build,
+                    zone,
+                });
                 if refuses {
                     conn.shutdown(Shutdown::Both).ok();
                     return;
                 }
                 let odd = odd.filter(|(product, ..)| said.contains(&format!("c={product},")));
-                let (times, fails) = odd.map_or((1.0, fails), |(_, times, more)| (times, fails + more));
+                let (times, fails) =
+                    odd.map_or((1.0, fails), |(_, times, more)| (times, fails + more));
                 let (fine, factor) = {
                     let mut chance = locked(&chance);
-                    (chance.random::<f64>() >= fails, chance.random_range(0.5..1.5))
+                    (
+                        chance.random::<f64>() >= fails,
+                        chance.random_range(0.5..1.5),
+                    )
                 };
                 thread::sleep(takes.mul_f64(factor * times));
                 if silent || locked(&kept).silent {
                     continue;
                 }
-                record.put(Seen::Done { id, node: number, fine });
-                let answer: &[u8] =
-                    if fine { b"*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n" } else { b"-ERR failed\r\n" };
+                record.put(Seen::Done {
+                    id,
+                    node: number,
+                    fine,
+                });
+                let answer: &[u8] = if fine {
+                    b"*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n"
+                } else {
+                    b"-ERR failed\r\n"
+                };
                 if (&conn).write_all(answer).is_err() {
                     return;
                 }
             }
         });
-        Node { listening, manners, ready: true, started: None }
+        Node {
+            listening,
+            manners,
+            ready: true,
+            started: None,
+        }
     }
 
     pub fn manners(&self) -> Manners {
@@ -185,7 +235,11 @@
 
 impl State {
     fn object(self) -> String {
-        let (build, stage, cap) = (self.build.to_string(), self.stage.to_string(), self.cap.to_string());
+        let (build, stage, cap) = (
+            self.build.to_string(),
+            self.stage.to_string(),
+            self.cap.to_string(),
+        );
         post::news(&build, &stage, self.course, &cap)
     }
 }
@@ -227,13 +281,21 @@
                     }
                     continue;
                 }
-                let (Some(id), Some(build), Some(stage)) = (number("id"), number("Revision"), number("Wave"))
+                let (Some(id), Some(build), Some(stage)) =
+                    (number("id"), number("Revision"), number("Wave"))
                 else {
                     return;
                 };
-                let decision =
-                    said.split("\"Decision\":\"").nth(1).and_then(|d| d.split('"').next()).unwrap_or("");
-                noted.put(Seen::Vote { build, stage: stage as u8, decision: decision.into() });
+                let decision = said
+                    .split("\"Decision\":\"")
+                    .nth(1)
+                    .and_then(|d| d.split('"').next())
+                    .unwrap_or("");
+                noted.put(Seen::Vote {
+                    build,
+                    stage: stage as u8,
+                    decision: decision.into(),
+                });
                 let now = *locked(&kept);
                 let next = locked(&on_vote)(build, stage as u8, decision, now);
                 let answer = match next {
@@ -241,7 +303,10 @@
                         *locked(&kept) = state;
                         note_news(&noted, state);
                         all.tell(rollout(&state.object()).as_bytes());
-                        format!("{{\"jsonrpc\":\"2.0\",\"id\":{id},\"result\":{}}}\n", state.object())
+                        format!(
+                            "{{\"jsonrpc\":\"2.0\",\"id\":{id},\"result\":{}}}\n",
+                            state.object()
+                        )
                     }
                     None => format!(
                         "{{\"jsonrpc\":\"2.0\",\"id\":{id},\"error\":{{\"code\":-32602,\"message\":\"moot\"}}}}\n"
@@ -252,7 +317,13 @@
                 }
             }
         });
-        Desk { listening, audience, state, own, record }
+        Desk {
+            listening,
+            audience,
+            state,
+            own,
+            record,
+        }
     }
 
     pub fn at(&self) -> SocketAddr {
@@ -275,7 +346,8 @@
     /// Dies in the middle of a line; until it is back, whoever comes is sent away.
     pub fn die(&self) {
         self.audience.lives.store(false, Ordering::Relaxed);
-        self.audience.tell(&rollout(&self.state().object()).as_bytes()[..40]);
+        self.audience
+            .tell(&rollout(&self.state().object()).as_bytes()[..40]);
         self.listening.cut();
         locked(&self.audience.conns).clear();
     }
@@ -295,7 +367,12 @@
 
 fn note_news(record: &Record, state: State) {
     let on_trial = state.course != "Healthy";
-    record.put(Seen::News { build: state.build, stage: state.stage, on_trial, cap: state.cap });
+    record.put(Seen::News {
+        build: state.build,
+        stage: state.stage,
+        on_trial,
+        cap: state.cap,
+    });
 }
 
 /// What the clients ask for.
@@ -341,15 +418,20 @@
         let (record, host) = (Record::default(), own_host());
         let platform = Desk::new(host, state, true, record.clone(), on_vote);
         note_news(&record, state);
-        let (watchers, list) = (Audience::new(QUIET), Arc::new(Mutex::new((1, Vec::<String>::new()))));
+        let (watchers, list) = (
+            Audience::new(QUIET),
+            Arc::new(Mutex::new((1, Vec::<String>::new()))),
+        );
         let (all, whole) = (watchers.clone(), list.clone());
         let discovery = Listening::new(host, move |conn| {
             let mut from = BufReader::new(conn.try_clone().expect("a second handle"));
             while head(&mut from).is_some() {
                 let mut conns = locked(&all.conns);
                 let (version, entries) = &*locked(&whole);
-                let text =
-                    format!("{{\"version\":{version},\"full\":true,\"servers\":[{}]}}\n", entries.join(","));
+                let text = format!(
+                    "{{\"version\":{version},\"full\":true,\"servers\":[{}]}}\n",
+                    entries.join(",")
+                );
                 let hello = [WATCH, chunk(&text).as_bytes()].concat();
                 if (&conn).write_all(&hello).is_ok() {
                     conns.extend(conn.try_clone());
@@ -367,9 +449,10 @@
             start.set(field, value);
         }
         // The settings' own permission has the same name as the list of peers.
-        start.0 = start
-            .0
-            .replace(r#""may-cancel":true,"peers":["PEER_LISTEN"]"#, r#""may-cancel":true,"peers":true"#);
+        start.0 = start.0.replace(
+            r#""may-cancel":true,"peers":["PEER_LISTEN"]"#,
+            r#""may-cancel":true,"peers":true"#,
+        );
         start.set("Revision", &state.build.to_string());
         start.set("Wave", &state.stage.to_string());
         start.set("State", &format!("\"{}\"", state.course));
@@ -403,7 +486,13 @@
 
     /// A further service's desk.
     pub fn desk(&mut self, name: &str, state: State) {
-        let desk = Desk::new(self.host, state, false, self.record.clone(), Box::new(|_, _, _, _| None));
+        let desk = Desk::new(
+            self.host,
+            state,
+            false,
+            self.record.clone(),
+            Box::new(|_, _, _, _| None),
+        );
         self.desks.insert(name.into(), desk);
     }
 
@@ -411,7 +500,13 @@
     pub fn node(&mut self, manners: Manners) -> usize {
         let number = self.nodes.len();
         let seed = self.seed.wrapping_mul(31).wrapping_add(number as u64);
-        self.nodes.push(Node::new(self.host, number, manners, seed, self.record.clone()));
+        self.nodes.push(Node::new(
+            self.host,
+            number,
+            manners,
+            seed,
+            self.record.clone(),
+        ));
         number
     }
 
@@ -438,14 +533,22 @@
         list.0 += 1;
         list.1 = self.entries(0..self.nodes.len());
         let changes = self.entries(changed.iter().copied()).join(",");
-        let text = format!("{{\"version\":{},\"full\":false,\"servers\":[{changes}]}}\n", list.0);
+        let text = format!(
+            "{{\"version\":{},\"full\":false,\"servers\":[{changes}]}}\n",
+            list.0
+        );
         // The watchers' lock is taken before the list's elsewhere; here the list is done first.
         drop(list);
         self.watchers.tell(chunk(&text).as_bytes());
         for &number in changed {
             let node = &self.nodes[number];
             let Manners { build, zone, .. } = node.manners();
-            self.record.put(Seen::Listed { node: number, zone, build, ready: node.ready });
+            self.record.put(Seen::Listed {
+                node: number,
+                zone,
+                build,
+                ready: node.ready,
+            });
         }
     }
 
@@ -484,7 +587,9 @@
 
     /// The agent is asked for its lines; whether it has written them.
     pub fn tells_its_lines(&self) -> bool {
-        let Some(agent) = &self.agent else { return false };
+        let Some(agent) = &self.agent else {
+            return false;
+        };
         agent.signal("USR1");
         logged(&agent.log, "timeline: written")
     }
@@ -505,9 +610,15 @@
         locked(&self.list).1 = self.entries(all.iter().copied());
         for number in all {
             let Manners { build, zone, .. } = self.nodes[number].manners();
-            self.record.put(Seen::Listed { node: number, zone, build, ready: self.nodes[number].ready });
+            self.record.put(Seen::Listed {
+                node: number,
+                zone,
+                build,
+                ready: self.nodes[number].ready,
+            });
         }
-        let operator = Some(self.file("operator.xml")).filter(|_| with_operator && self.has_operator);
+        let operator =
+            Some(self.file("operator.xml")).filter(|_| with_operator && self.has_operator);
         let up = (0..5).any(|_| {
             if self.clients.is_empty() {
                 self.listen = free_at(self.host);
@@ -520,8 +631,14 @@
                 ("PEER", free_datagrams_at(self.host).to_string()),
                 ("KNOWN", locked(&self.list).1.join(",")),
             ];
-            std::fs::write(self.file("start.json"), self.start.with(&places)).expect("the start file");
-            let agent = Agent::spawn(&self.program, &self.file("start.json"), operator.as_deref(), None);
+            std::fs::write(self.file("start.json"), self.start.with(&places))
+                .expect("the start file");
+            let agent = Agent::spawn(
+                &self.program,
+                &self.file("start.json"),
+                operator.as_deref(),
+                None,
+            );
             self.agent = Some(agent);
             self.answers()
         });
@@ -538,7 +655,9 @@
             if !self.agent.as_mut().is_some_and(Agent::runs) {
                 return false;
             }
-            let Ok(mut conn) = TcpStream::connect(self.listen) else { continue };
+            let Ok(mut conn) = TcpStream::connect(self.listen) else {
+                continue;
+            };
             conn.set_read_timeout(Some(Duration::from_secs(1))).ok();
             let asked = conn.write_all(command(&["PING"]).as_bytes()).is_ok();
             if asked && resp(&mut BufReader::new(conn)).as_deref() == Some("+PONG") {
@@ -560,7 +679,9 @@
 
     /// The agent is asked to end, and may take so long; whether it has gone by itself, and its log.
     pub fn ends_within(&mut self, wait: Duration) -> (bool, String) {
-        let Some(mut agent) = self.agent.take() else { return (false, String::new()) };
+        let Some(mut agent) = self.agent.take() else {
+            return (false, String::new());
+        };
         agent.signal("TERM");
         let gone = agent.ends_within(wait).is_some();
         // Its last words may still be on their way here.
@@ -580,7 +701,9 @@
         for number in 0..traffic.clients {
             let client = Client {
                 chance: Pcg64Mcg::seed_from_u64(
-                    self.seed.wrapping_add(number as u64 + 1).wrapping_mul(0x9e37_79b9),
+                    self.seed
+                        .wrapping_add(number as u64 + 1)
+                        .wrapping_mul(0x9e37_79b9),
                 ),
                 to: self.listen,
                 traffic,
@@ -600,7 +723,9 @@
     /// Clients take their last answers and leave; the agent ends. Returns its log.
     pub fn close(&mut self) -> String {
         self.closing.store(true, Ordering::Relaxed);
-        self.clients.drain(..).for_each(|client| drop(client.join()));
+        self.clients
+            .drain(..)
+            .for_each(|client| drop(client.join()));
         let log = self.agent.as_ref().map(|agent| locked(&agent.log).clone());
         self.agent = None;
         log.unwrap_or_default()
@@ -627,11 +752,16 @@
     fn live(mut self) {
         let mut conn: Option<BufReader<TcpStream>> = None;
         while !self.closing.load(Ordering::Relaxed) {
-            thread::sleep(self.traffic.pause.mul_f64(self.chance.random_range(0.2..1.8)));
+            thread::sleep(
+                self.traffic
+                    .pause
+                    .mul_f64(self.chance.random_range(0.2..1.8)),
+            );
             let open = conn.take().or_else(|| {
                 let conn = TcpStream::connect(self.to).ok()?;
                 conn.set_nodelay(true).ok();
-                conn.set_read_timeout(Some(self.traffic.deadline + Duration::from_millis(300))).ok()?;
+                conn.set_read_timeout(Some(self.traffic.deadline + Duration::from_millis(300)))
+                    .ok()?;
                 Some(BufReader::new(conn))
             });
             let Some(mut open) = open else { continue };
@@ -645,7 +775,10 @@
     fn ask(&mut self, conn: &mut BufReader<TcpStream>) -> bool {
         // An idle connection that has ended takes no request.
         let ended = conn.get_ref().set_nonblocking(true).is_err()
-            || !conn.get_ref().peek(&mut [0]).is_err_and(|fault| fault.kind() == ErrorKind::WouldBlock);
+            || !conn
+                .get_ref()
+                .peek(&mut [0])
+                .is_err_and(|fault| fault.kind() == ErrorKind::WouldBlock);
         if conn.get_ref().set_nonblocking(false).is_err() || ended {
             return false;
         }
@@ -656,10 +789,18 @@
             _ => (Kind::Book, "SVC.SUBMIT", "book"),
         };
         let (name, key) = (format!("t{id}"), format!("k{id}"));
-        let mark = if kind == Kind::Post { format!(",k={key}") } else { String::new() };
+        let mark = if kind == Kind::Post {
+            format!(",k={key}")
+        } else {
+            String::new()
+        };
         let pairs = format!("c={product},d={}{mark}", self.traffic.deadline.as_millis());
         let words = command(&[verb, &key, &name, &pairs]);
-        self.record.put(Seen::Sent { id, kind, deadline: self.traffic.deadline });
+        self.record.put(Seen::Sent {
+            id,
+            kind,
+            deadline: self.traffic.deadline,
+        });
         let how = match answer(conn, &words) {
             Said::Text(text) if text.starts_with('$') => Final::Settled,
             Said::Text(text) if text.starts_with("-BUSY") => Final::Declined,
