--- a/crates/standin/src/virtually.rs
+++ b/crates/standin/src/virtually.rs
@@ -16,9 +16,17 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
     /// This share of a node's requests fails; of one product's, if one is named.
-    Errors { node: u32, share: f64, product: Option<u8> },
+    Errors {
+        node: u32,
+        share: f64,
+        product: Option<u8>,
+    },
     /// A node takes so many times as long; for one product, if one is named.
-    Slow { node: u32, times: f64, product: Option<u8> },
+    Slow {
+        node: u32,
+        times: f64,
+        product: Option<u8>,
+    },
     /// It slows from the usual to so many times as long, evenly over the fault's time.
     Drift { node: u32, times: f64 },
     /// It says nothing, and drops what it has.
@@ -61,7 +69,11 @@
 }
 
 /// Mean work by product.
-const WORK: [Duration; 3] = [Duration::from_millis(30), Duration::from_millis(45), Duration::from_millis(20)];
+const WORK: [Duration; 3] = [
+    Duration::from_millis(30),
+    Duration::from_millis(45),
+    Duration::from_millis(20),
+];
 const CORES: usize = 4;
 /// A node starts at a third of its speed, and is warm after this.
 const RAMP: Duration = Duration::from_secs(4);
@@ -82,9 +94,20 @@
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum Due {
     Request,
-    Ended { id: u32, node: u32, product: u8, sent: Duration, how: u8, life: Option<Duration> },
+    Ended {
+        id: u32,
+        node: u32,
+        product: u8,
+        sent: Duration,
+        how: u8,
+        life: Option<Duration>,
+    },
     Tick,
-    List { node: u32, build: u16, started: Option<Duration> },
+    List {
+        node: u32,
+        build: u16,
+        started: Option<Duration>,
+    },
 }
 
 /// A line of the membership list.
@@ -103,36 +126,68 @@
 
 /// The aims of an agent with this many false events an hour.
 pub fn aims(false_per_hour: f64) -> Aims {
-    Aims { false_per_hour, ramp: RAMP, products: WORK.len() }
+    Aims {
+        false_per_hour,
+        ramp: RAMP,
+        products: WORK.len(),
+    }
 }
 
 /// Where a request was sent, its answer, and what it took, for those who judge otherwise.
 pub type Outcome = (Duration, u32, u8, Ending, Duration);
 
 /// Plays a day into a book. Returns what it said: each departure, whether it begins, and when; `also` sees each outcome.
-pub fn play(day: &Day, book: &mut Book, also: &mut dyn FnMut(Outcome)) -> Vec<(Duration, Departure, bool)> {
+pub fn play(
+    day: &Day,
+    book: &mut Book,
+    also: &mut dyn FnMut(Outcome),
+) -> Vec<(Duration, Departure, bool)> {
     let mut chance = Pcg64Mcg::seed_from_u64(day.seed);
     let mut nodes: BTreeMap<u32, Node> = (0..day.nodes)
         .map(|number| {
             let speed = chance.random_range(0.85..1.2);
             let free = [DAWN; CORES];
-            (number, Node { build: 1, started: None, speed, free, out: 0, barred: DAWN })
+            (
+                number,
+                Node {
+                    build: 1,
+                    started: None,
+                    speed,
+                    free,
+                    out: 0,
+                    barred: DAWN,
+                },
+            )
         })
         .collect();
     let lines: Vec<Line> = nodes.keys().map(|node| listed(*node, 1, None)).collect();
     book.membership(DAWN, Listing::Whole, &lines);
-    book.stage(DAWN, Build(1), Stage(3), Course::Released, Duration::from_secs(3600));
-    let mut queue = BinaryHeap::from([Reverse((DAWN, 0u64, Due::Request)), Reverse((DAWN, 1, Due::Tick))]);
+    book.stage(
+        DAWN,
+        Build(1),
+        Stage(3),
+        Course::Released,
+        Duration::from_secs(3600),
+    );
+    let mut queue = BinaryHeap::from([
+        Reverse((DAWN, 0u64, Due::Request)),
+        Reverse((DAWN, 1, Due::Tick)),
+    ]);
     let (mut serial, mut last, mut said) = (2, 0u32, Vec::new());
     let mut replaced = vec![false; day.events.len()];
     let mut put = |queue: &mut BinaryHeap<_>, at: Duration, due: Due| {
         serial += 1;
         queue.push(Reverse((at, serial, due)));
     };
-    let on = |event: &Event, now: Duration| (DAWN + event.at..DAWN + event.at + event.long).contains(&now);
+    let on = |event: &Event, now: Duration| {
+        (DAWN + event.at..DAWN + event.at + event.long).contains(&now)
+    };
     // What came while the agent stood still comes to it at once afterwards.
     let still = |now: Duration| {
-        let stands = day.events.iter().find(|e| e.fault == Fault::Still && on(e, now));
+        let stands = day
+            .events
+            .iter()
+            .find(|e| e.fault == Fault::Still && on(e, now));
         stands.map_or(now, |event| DAWN + event.at + event.long)
     };
     while let Some(Reverse((now, _, due))) = queue.pop() {
@@ -140,57 +195,106 @@
             break;
         }
         let faults: Vec<(Fault, f64)> = (day.events.iter().filter(|event| on(event, now)))
-            .map(|event| (event.fault, (now - DAWN - event.at).as_secs_f64() / event.long.as_secs_f64()))
+            .map(|event| {
+                (
+                    event.fault,
+                    (now - DAWN - event.at).as_secs_f64() / event.long.as_secs_f64(),
+                )
+            })
             .collect();
         let awake = still(now);
         match due {
             Due::Tick => {
                 if awake == now {
                     book.advance(now);
-                    said.extend(book.said().into_iter().map(|(departure, begins)| (now, departure, begins)));
+                    said.extend(
+                        book.said()
+                            .into_iter()
+                            .map(|(departure, begins)| (now, departure, begins)),
+                    );
                 }
                 for (event, done) in day.events.iter().zip(&mut replaced) {
                     if let (Fault::Replace { node, build }, false) =
                         (event.fault, *done || now < DAWN + event.at)
                     {
                         *done = true;
-                        let Some(of) = nodes.get_mut(&node) else { continue };
+                        let Some(of) = nodes.get_mut(&node) else {
+                            continue;
+                        };
                         if of.build != build {
-                            book.stage(now, Build(build), Stage(0), Course::OnTrial, Duration::ZERO);
+                            book.stage(
+                                now,
+                                Build(build),
+                                Stage(0),
+                                Course::OnTrial,
+                                Duration::ZERO,
+                            );
                         }
-                        (of.build, of.started, of.free, of.out) = (build, Some(now), [now; CORES], 0);
-                        put(&mut queue, now + day.list_late, Due::List { node, build, started: Some(now) });
+                        (of.build, of.started, of.free, of.out) =
+                            (build, Some(now), [now; CORES], 0);
+                        put(
+                            &mut queue,
+                            now + day.list_late,
+                            Due::List {
+                                node,
+                                build,
+                                started: Some(now),
+                            },
+                        );
                     }
                 }
                 put(&mut queue, now + TICK, Due::Tick);
             }
-            Due::List { node, build, started } => {
-                book.membership(awake, Listing::Changes, &[listed(node, build, started)])
-            }
+            Due::List {
+                node,
+                build,
+                started,
+            } => book.membership(awake, Listing::Changes, &[listed(node, build, started)]),
             Due::Request => {
                 let rate = faults.iter().fold(day.rate, |rate, (fault, _)| {
-                    if let Fault::Burst { times } = fault { rate * times } else { rate }
+                    if let Fault::Burst { times } = fault {
+                        rate * times
+                    } else {
+                        rate
+                    }
                 });
                 let gap = -chance.random::<f64>().max(1e-12).ln() / rate;
                 put(&mut queue, now + Duration::from_secs_f64(gap), Due::Request);
                 if awake > now {
                     continue;
                 }
-                let first = faults
-                    .iter()
-                    .find_map(|(f, _)| if let Fault::Mix { first } = f { Some(*first) } else { None });
+                let first = faults.iter().find_map(|(f, _)| {
+                    if let Fault::Mix { first } = f {
+                        Some(*first)
+                    } else {
+                        None
+                    }
+                });
                 let draw: f64 = chance.random();
                 let first = first.unwrap_or(0.6);
-                let product = if draw < first { 0 } else { 1 + u8::from(draw > (1.0 + first) / 2.0) };
-                let open: Vec<u32> =
-                    nodes.iter().filter(|(_, n)| n.barred <= now).map(|(node, _)| *node).collect();
+                let product = if draw < first {
+                    0
+                } else {
+                    1 + u8::from(draw > (1.0 + first) / 2.0)
+                };
+                let open: Vec<u32> = nodes
+                    .iter()
+                    .filter(|(_, n)| n.barred <= now)
+                    .map(|(node, _)| *node)
+                    .collect();
                 if open.is_empty() {
                     continue;
                 }
                 let mut pick = || open[chance.random_range(0..open.len())];
                 let (one, two) = (pick(), pick());
-                let node = if nodes[&two].out < nodes[&one].out { two } else { one };
-                let Some(of) = nodes.get_mut(&node) else { continue };
+                let node = if nodes[&two].out < nodes[&one].out {
+                    two
+                } else {
+                    one
+                };
+                let Some(of) = nodes.get_mut(&node) else {
+                    continue;
+                };
                 last += 1;
                 let id = last;
                 book.request(RequestId(id), Product(product));
@@ -200,12 +304,22 @@
                 for (fault, way) in &faults {
                     let hits = |p: &Option<u8>| p.is_none_or(|p| p == product);
                     match fault {
-                        Fault::Errors { node: n, share: s, product: p } if *n == node && hits(p) => {
+                        Fault::Errors {
+                            node: n,
+                            share: s,
+                            product: p,
+                        } if *n == node && hits(p) => share = share.max(*s),
+                        Fault::BadBuild { build, share: s } if *build == of.build => {
                             share = share.max(*s)
                         }
-                        Fault::BadBuild { build, share: s } if *build == of.build => share = share.max(*s),
-                        Fault::Slow { node: n, times: t, product: p } if *n == node && hits(p) => times *= t,
-                        Fault::Drift { node: n, times: t } if *n == node => times *= 1.0 + (t - 1.0) * way,
+                        Fault::Slow {
+                            node: n,
+                            times: t,
+                            product: p,
+                        } if *n == node && hits(p) => times *= t,
+                        Fault::Drift { node: n, times: t } if *n == node => {
+                            times *= 1.0 + (t - 1.0) * way
+                        }
                         Fault::AllSlow { times: t } => times *= t,
                         Fault::Silent { node: n } if *n == node => mute = true,
                         Fault::Unlinked { node: n } if *n == node => unlinked = true,
@@ -214,7 +328,8 @@
                 }
                 of.out += 1;
                 let warm = of.started.map_or(1.0, |at| {
-                    (0.35 + 0.65 * (now.saturating_sub(at)).as_secs_f64() / RAMP.as_secs_f64()).min(1.0)
+                    (0.35 + 0.65 * (now.saturating_sub(at)).as_secs_f64() / RAMP.as_secs_f64())
+                        .min(1.0)
                 });
                 let noise = chance.random_range(0.6..1.4);
                 let work = WORK[usize::from(product)].mul_f64(noise * times / (of.speed * warm));
@@ -230,14 +345,45 @@
                         (at, how) = (now + GIVE_UP, 3);
                     }
                 }
-                put(&mut queue, at, Due::Ended { id, node, product, sent: now, how, life: of.started });
+                put(
+                    &mut queue,
+                    at,
+                    Due::Ended {
+                        id,
+                        node,
+                        product,
+                        sent: now,
+                        how,
+                        life: of.started,
+                    },
+                );
             }
-            Due::Ended { id, node, product, sent, how, life } => {
+            Due::Ended {
+                id,
+                node,
+                product,
+                sent,
+                how,
+                life,
+            } => {
                 if awake > now {
-                    put(&mut queue, awake, Due::Ended { id, node, product, sent, how, life });
+                    put(
+                        &mut queue,
+                        awake,
+                        Due::Ended {
+                            id,
+                            node,
+                            product,
+                            sent,
+                            how,
+                            life,
+                        },
+                    );
                     continue;
                 }
-                let Some(of) = nodes.get_mut(&node) else { continue };
+                let Some(of) = nodes.get_mut(&node) else {
+                    continue;
+                };
                 let ending = match how {
                     // Its process is gone: the link broke.
                     _ if of.started != life => Ending::Broken,
@@ -267,7 +413,14 @@
 
 /// A book for a day, with memory to spare.
 pub fn book(false_per_hour: f64) -> Book {
-    Book::new(DAWN, aims(false_per_hour), Room { octets: 64 << 20, records: 0 })
+    Book::new(
+        DAWN,
+        aims(false_per_hour),
+        Room {
+            octets: 64 << 20,
+            records: 0,
+        },
+    )
 }
 
 /// An hour without faults, but with bursts, shifts of the mix and good releases, drawn by its seed.
@@ -280,11 +433,21 @@
     while at < 3500 {
         let long = chance.random_range(3..12);
         let fault = match chance.random_range(0..3) {
-            0 => Fault::Burst { times: chance.random_range(1.4..2.5) },
-            1 => Fault::Mix { first: chance.random_range(0.3..0.85) },
-            _ => Fault::Burst { times: chance.random_range(0.4..1.0) },
+            0 => Fault::Burst {
+                times: chance.random_range(1.4..2.5),
+            },
+            1 => Fault::Mix {
+                first: chance.random_range(0.3..0.85),
+            },
+            _ => Fault::Burst {
+                times: chance.random_range(0.4..1.0),
+            },
         };
-        events.push(Event { at: secs(at), long: secs(long), fault });
+        events.push(Event {
+            at: secs(at),
+            long: secs(long),
+            fault,
+        });
         at += long + chance.random_range(20..240);
     }
     // A release an hour: all nodes, in three stages.
@@ -292,7 +455,11 @@
     for node in 0..nodes {
         let stage = u64::from(node * 3 / nodes);
         let at = secs(begins + stage * 15) + Duration::from_millis(chance.random_range(0..800));
-        events.push(Event { at, long: secs(1), fault: Fault::Replace { node, build: 2 } });
+        events.push(Event {
+            at,
+            long: secs(1),
+            fault: Fault::Replace { node, build: 2 },
+        });
     }
     let list_late = Duration::from_millis(chance.random_range(100..2500));
     Day {
--- a/crates/start/src/lib.rs
+++ b/crates/start/src/lib.rs
@@ -24,22 +24,33 @@
     /// From lines of the form path=value.
     pub fn from_lines(text: &str) -> Self {
         let pair = |(path, value): (&str, &str)| (path.to_owned(), value.to_owned());
-        text.lines().filter_map(|line| line.split_once('=')).map(pair).collect()
+        text.lines()
+            .filter_map(|line| line.split_once('='))
+            .map(pair)
+            .collect()
     }
 
     pub fn text(&self, key: &str) -> Result<&str, String> {
-        self.0.get(key).map(String::as_str).ok_or_else(|| format!("settings lack {key}"))
+        self.0
+            .get(key)
+            .map(String::as_str)
+            .ok_or_else(|| format!("settings lack {key}"))
     }
 
     pub fn num<T: FromStr>(&self, key: &str) -> Result<T, String> {
         let text = self.text(key)?;
-        text.parse().map_err(|_| format!("{key} is {text:?}, which cannot be read"))
+        text.parse()
+            .map_err(|_| format!("{key} is {text:?}, which cannot be read"))
     }
 
     /// A finite figure, not below 0.
     fn figure(&self, key: &str) -> Result<f64, String> {
         let x: f64 = self.num(key)?;
-        if x.is_finite() && x >= 0.0 { Ok(x) } else { Err(format!("{key} is {x}, which is out of range")) }
+        if x.is_finite() && x >= 0.0 {
+            Ok(x)
+        } else {
+            Err(format!("{key} is {x}, which is out of range"))
+        }
     }
 
     pub fn span(&self, key: &str) -> Result<Duration, String> {
@@ -49,19 +60,34 @@
     /// A span that something is divided by or repeated after.
     pub fn period(&self, key: &str) -> Result<Duration, String> {
         let span = self.span(key)?;
-        if span.is_zero() { Err(format!("{key} is 0, which is out of range")) } else { Ok(span) }
+        if span.is_zero() {
+            Err(format!("{key} is 0, which is out of range"))
+        } else {
+            Ok(span)
+        }
     }
 
     /// The names of a list, none if it is empty.
     pub fn names(&self, key: &str) -> Result<Vec<String>, String> {
-        Ok(self.text(key)?.split(',').filter(|name| !name.is_empty()).map(str::to_owned).collect())
+        Ok(self
+            .text(key)?
+            .split(',')
+            .filter(|name| !name.is_empty())
+            .map(str::to_owned)
+            .collect())
     }
 
     fn figures(&self, key: &str) -> Result<Vec<f64>, String> {
         let text = self.text(key)?;
-        let figure = |part: &str| part.parse().ok().filter(|x: &f64| x.is_finite() && *x >= 0.0);
+        let figure = |part: &str| {
+            part.parse()
+                .ok()
+                .filter(|x: &f64| x.is_finite() && *x >= 0.0)
+        };
         text.split(',')
-            .map(|part| figure(part).ok_or_else(|| format!("{key} holds {part:?}, which cannot be read")))
+            .map(|part| {
+                figure(part).ok_or_else(|| format!("{key} holds {part:?}, which cannot be read"))
+            })
             .collect()
     }
 
@@ -79,19 +105,29 @@
     /// The longest that a client waits, over all products.
     pub fn longest_deadline(&self) -> Result<Duration, String> {
         let count: u8 = self.num("profiles.count")?;
-        (0..count)
-            .try_fold(Duration::ZERO, |most, i| Ok(most.max(self.period(&format!("profiles.{i}.give-up"))?)))
+        (0..count).try_fold(Duration::ZERO, |most, i| {
+            Ok(most.max(self.period(&format!("profiles.{i}.give-up"))?))
+        })
     }
 
     /// What may be done again with a request of the i-th product.
     pub fn repeat(&self, i: usize) -> Result<Repeat, String> {
         let key = |field| format!("profiles.{i}.{field}");
-        let groups = [("all", Group::All), ("zone", Group::Zone), ("cell", Group::Cell)];
-        Ok(match self.word(&key("repeat"), &[("retryable", 0), ("dedup", 1), ("fragile", 2)])? {
-            0 => Repeat::InquiryLike,
-            1 => Repeat::Referenced(self.word(&key("group"), &groups)?),
-            _ => Repeat::OnceOnly,
-        })
+        let groups = [
+            ("all", Group::All),
+            ("zone", Group::Zone),
+            ("cell", Group::Cell),
+        ];
+        Ok(
+            match self.word(
+                &key("repeat"),
+                &[("retryable", 0), ("dedup", 1), ("fragile", 2)],
+            )? {
+                0 => Repeat::InquiryLike,
+                1 => Repeat::Referenced(self.word(&key("group"), &groups)?),
+                _ => Repeat::OnceOnly,
+            },
+        )
     }
 
     fn product(&self, i: usize) -> Result<Terms, String> {
@@ -102,7 +138,11 @@
             repeat,
             sla: self.period(&key("aim"))?,
             deadline: self.period(&key("give-up"))?,
-            remembered: if referenced { self.span(&key("window"))? } else { Duration::ZERO },
+            remembered: if referenced {
+                self.span(&key("window"))?
+            } else {
+                Duration::ZERO
+            },
             revenue: self.figure(&key("worth"))?,
             late_share: self.figure(&key("late-value"))?,
         })
@@ -119,11 +159,17 @@
 /// One instance, made from what it is told.
 pub fn instance(seed: u64, pairs: &Paths) -> Result<Instance, String> {
     let count: u8 = pairs.num("profiles.count")?;
-    let products = (0..count.into()).map(|i| pairs.product(i)).collect::<Result<Vec<_>, _>>()?;
+    let products = (0..count.into())
+        .map(|i| pairs.product(i))
+        .collect::<Result<Vec<_>, _>>()?;
     let count = products.len();
     let zones = pairs.text("zones")?.split(',').count();
     let tick = pairs.period("tick")?;
-    let ask_within = if pairs.asks()? { Some(pairs.period("rules.ask-within")?) } else { None };
+    let ask_within = if pairs.asks()? {
+        Some(pairs.period("rules.ask-within")?)
+    } else {
+        None
+    };
     let membership = Membership::new(Zone(pairs.num("zone")?), ask_within);
     let thaw = Thaw::new(
         pairs.figure("rules.cold-from")?,
@@ -142,7 +188,11 @@
         pairs.num("family-info.guarded-stages")?,
         pairs.num("family-info.forward-only")?,
     );
-    let gates = [("single", Gate::Single), ("majority", Gate::Majority), ("clocked", Gate::Clocked)];
+    let gates = [
+        ("single", Gate::Single),
+        ("majority", Gate::Majority),
+        ("clocked", Gate::Clocked),
+    ];
     let jury = Jury::new(
         pairs.word("family-info.gate-mode", &gates)?,
         pairs.figures("family-info.rings")?,
@@ -151,7 +201,10 @@
             lasts: pairs.period("family-info.vote-ttl")?,
             wait: pairs.period("family-info.call-timeout")?,
         },
-        pairs.word("family-info.layout", &[("side_by_side", false), ("rolling", true)])?,
+        pairs.word(
+            "family-info.layout",
+            &[("side_by_side", false), ("rolling", true)],
+        )?,
         Among {
             me: AgentId(pairs.num("me")?),
             agents: pairs.num("instances")?,
@@ -162,11 +215,21 @@
     let desk = Desk::new(
         products,
         // An attempt's number is an octet on every wire.
-        pairs.num("limits.max-attempts").map(|most: usize| most.min(u8::MAX.into()))?,
+        pairs
+            .num("limits.max-attempts")
+            .map(|most: usize| most.min(u8::MAX.into()))?,
         pairs.num("limits.may-cancel")?,
-        if pairs.num("limits.retry-after")? { pairs.span("limits.max-retry-after")? } else { Duration::ZERO },
+        if pairs.num("limits.retry-after")? {
+            pairs.span("limits.max-retry-after")?
+        } else {
+            Duration::ZERO
+        },
         tick,
     );
     let brain = Brain::new(seed, membership, thaw, exposure, jury, desk);
-    Ok(Instance { brain, products: count, zones })
+    Ok(Instance {
+        brain,
+        products: count,
+        zones,
+    })
 }
--- a/crates/store/src/frames.rs
+++ b/crates/store/src/frames.rs
@@ -25,17 +25,24 @@
 /// # Errors
 /// That it is no segment, or of a later version.
 pub fn begun(bytes: &[u8]) -> Result<u64, String> {
-    let head = bytes.get(..HEAD).filter(|head| head[..4] == MAGIC).ok_or("no segment of a time line")?;
+    let head = bytes
+        .get(..HEAD)
+        .filter(|head| head[..4] == MAGIC)
+        .ok_or("no segment of a time line")?;
     let version = u16::from_le_bytes([head[4], head[5]]);
     if version == 0 || version > VERSION {
-        return Err(format!("version {version}; {VERSION} is the last that is known here"));
+        return Err(format!(
+            "version {version}; {VERSION} is the last that is known here"
+        ));
     }
     Ok(u64::from_le_bytes(head[8..].try_into().unwrap_or_default()))
 }
 
 /// Adds a record's frame.
 pub fn put(to: &mut Vec<u8>, record: &Record) {
-    let Ok(body) = postcard::to_stdvec(record) else { return };
+    let Ok(body) = postcard::to_stdvec(record) else {
+        return;
+    };
     if body.len() > LONGEST {
         return;
     }
@@ -58,7 +65,11 @@
     let frame = bytes.get(at..at + FRAME)?;
     let long = u32::from_le_bytes(frame[..4].try_into().ok()?) as usize;
     let sum = u32::from_le_bytes(frame[4..].try_into().ok()?);
-    let body = bytes.get(at + FRAME..at + FRAME + long).filter(|_| long <= LONGEST)?;
-    let record = postcard::from_bytes(body).ok().filter(|_| crc32fast::hash(body) == sum)?;
+    let body = bytes
+        .get(at + FRAME..at + FRAME + long)
+        .filter(|_| long <= LONGEST)?;
+    let record = postcard::from_bytes(body)
+        .ok()
+        .filter(|_| crc32fast::hash(body) == sum)?;
     Some((record, at + FRAME + long))
 }
--- a/crates/store/src/pump.rs
+++ b/crates/store/src/pump.rs
@@ -36,23 +36,35 @@
         let life = thread::spawn(move || {
             for (now, batch) in from {
                 if let Err(why) = writer.append(now, &batch) {
-                    *said.lock().unwrap_or_else(std::sync::PoisonError::into_inner) = Some(why.to_string());
+                    *said
+                        .lock()
+                        .unwrap_or_else(std::sync::PoisonError::into_inner) = Some(why.to_string());
                     return;
                 }
             }
         });
-        Pump { to: Some(to), fault, life: Some(life) }
+        Pump {
+            to: Some(to),
+            fault,
+            life: Some(life),
+        }
     }
 
     /// Hands a batch over.
     pub fn hand(&mut self, now: Duration, batch: Vec<Record>) -> Handed {
-        let Some(to) = &self.to else { return Handed::Over(None) };
+        let Some(to) = &self.to else {
+            return Handed::Over(None);
+        };
         match to.try_send((now, batch)) {
             Ok(()) => Handed::Taken,
             Err(TrySendError::Full((_, batch))) => Handed::Behind(batch),
             Err(TrySendError::Disconnected(_)) => {
                 self.to = None;
-                let fault = self.fault.lock().unwrap_or_else(std::sync::PoisonError::into_inner).take();
+                let fault = self
+                    .fault
+                    .lock()
+                    .unwrap_or_else(std::sync::PoisonError::into_inner)
+                    .take();
                 Handed::Over(Some(fault.unwrap_or_else(|| "the writer has ended".into())))
             }
         }
--- a/crates/store/src/reader.rs
+++ b/crates/store/src/reader.rs
@@ -17,7 +17,10 @@
     for entry in fs::read_dir(folder)? {
         let path = entry?.path();
         let is = path.extension().is_some_and(|extension| extension == "seg");
-        let number = path.file_stem().and_then(|stem| stem.to_str()).and_then(|stem| stem.parse().ok());
+        let number = path
+            .file_stem()
+            .and_then(|stem| stem.to_str())
+            .and_then(|stem| stem.parse().ok());
         found.extend(number.filter(|_| is).map(|number| (number, path)));
     }
     found.sort();
@@ -50,7 +53,10 @@
                 let (records, end) = frames::records(&bytes);
                 read.records.extend(records);
                 if end < bytes.len() {
-                    read.damaged.push((file, format!("damaged at octet {end}; {} lost", bytes.len() - end)));
+                    read.damaged.push((
+                        file,
+                        format!("damaged at octet {end}; {} lost", bytes.len() - end),
+                    ));
                 }
             }
             Err(why) => read.damaged.push((file, why)),
--- a/crates/store/src/writer.rs
+++ b/crates/store/src/writer.rs
@@ -68,13 +68,26 @@
         let last = segments(folder)?.pop();
         if let Some((_, path)) = &last {
             let bytes = fs::read(path)?;
-            let end = if frames::begun(&bytes).is_ok() { frames::records(&bytes).1 } else { bytes.len() };
+            let end = if frames::begun(&bytes).is_ok() {
+                frames::records(&bytes).1
+            } else {
+                bytes.len()
+            };
             if end < bytes.len() {
-                OpenOptions::new().write(true).open(path)?.set_len(end as u64)?;
+                OpenOptions::new()
+                    .write(true)
+                    .open(path)?
+                    .set_len(end as u64)?;
             }
         }
         let number = last.map_or(0, |(number, _)| number + 1);
-        Ok(Writer { folder: folder.to_owned(), bounds, disk, open: None, number })
+        Ok(Writer {
+            folder: folder.to_owned(),
+            bounds,
+            disk,
+            open: None,
+            number,
+        })
     }
 
     /// Appends a batch and syncs it: when this returns, it is kept.
@@ -83,12 +96,17 @@
     /// What the file system says; of this batch anything may be there then.
     pub fn append(&mut self, now: Duration, batch: &[Record]) -> io::Result<()> {
         let mut bytes = Vec::new();
-        batch.iter().for_each(|record| frames::put(&mut bytes, record));
-        let full = |size: u64| size > HEAD as u64 && size + bytes.len() as u64 > self.bounds.segment();
+        batch
+            .iter()
+            .for_each(|record| frames::put(&mut bytes, record));
+        let full =
+            |size: u64| size > HEAD as u64 && size + bytes.len() as u64 > self.bounds.segment();
         if self.open.as_ref().is_none_or(|(_, size)| full(*size)) {
             self.begin(now)?;
         }
-        let Some((file, size)) = &mut self.open else { return Ok(()) };
+        let Some((file, size)) = &mut self.open else {
+            return Ok(());
+        };
         file.write_all(&bytes)?;
         file.sync()?;
         *size += bytes.len() as u64;
@@ -115,8 +133,13 @@
         for (_, path) in segments(&self.folder)? {
             let size = fs::metadata(&path)?.len();
             let mut head = [0; HEAD];
-            let begun = File::open(&path).and_then(|mut file| io::Read::read_exact(&mut file, &mut head));
-            all.push((path, size, begun.ok().and_then(|()| frames::begun(&head).ok())));
+            let begun =
+                File::open(&path).and_then(|mut file| io::Read::read_exact(&mut file, &mut head));
+            all.push((
+                path,
+                size,
+                begun.ok().and_then(|()| frames::begun(&head).ok()),
+            ));
         }
         let mut sum: u64 = all.iter().map(|(_, size, _)| size).sum::<u64>() + self.bounds.segment();
         for (path, size, begun) in all {
--- a/crates/store/tests/store.rs
+++ b/crates/store/tests/store.rs
@@ -11,12 +11,23 @@
 use lilacgate_timeline::entry::{Entry, Record, What};
 use proptest::prelude::*;
 
-const BOUNDS: Bounds = Bounds { bytes: 1 << 20, age: Duration::from_secs(3600) };
+const BOUNDS: Bounds = Bounds {
+    bytes: 1 << 20,
+    age: Duration::from_secs(3600),
+};
 
 fn record(number: u32) -> Record {
     let at = Duration::from_secs(number.into());
-    let what = What::GivenUp { why: "crowded".into(), many: number };
-    Record::Entry(Entry { happened: at, known: at, node: Some(number), what })
+    let what = What::GivenUp {
+        why: "crowded".into(),
+        many: number,
+    };
+    Record::Entry(Entry {
+        happened: at,
+        known: at,
+        node: Some(number),
+        what,
+    })
 }
 
 fn now(secs: u64) -> Duration {
@@ -29,10 +40,18 @@
 
 fn numbers(folder: &Path) -> Vec<u32> {
     let number = |record: &Record| match record {
-        Record::Entry(Entry { what: What::GivenUp { many, .. }, .. }) => *many,
+        Record::Entry(Entry {
+            what: What::GivenUp { many, .. },
+            ..
+        }) => *many,
         other => panic!("{other:?}"),
     };
-    read(folder).expect("it is read").records.iter().map(number).collect()
+    read(folder)
+        .expect("it is read")
+        .records
+        .iter()
+        .map(number)
+        .collect()
 }
 
 #[test]
@@ -42,7 +61,9 @@
         let mut writer = writer(folder.path(), BOUNDS);
         for batch in 0..4 {
             let first = life * 40 + batch * 10;
-            writer.append(now(0), &(first..first + 10).map(record).collect::<Vec<_>>()).expect("it is kept");
+            writer
+                .append(now(0), &(first..first + 10).map(record).collect::<Vec<_>>())
+                .expect("it is kept");
         }
     }
     assert_eq!(numbers(folder.path()), (0..120).collect::<Vec<_>>());
@@ -51,11 +72,17 @@
 #[test]
 fn bounds_hold_in_bytes_and_age() {
     let folder = tempfile::tempdir().expect("a folder");
-    let bounds = Bounds { bytes: 1 << 17, age: Duration::from_secs(100) };
+    let bounds = Bounds {
+        bytes: 1 << 17,
+        age: Duration::from_secs(100),
+    };
     let mut old = writer(folder.path(), bounds);
     for number in 0..40 {
-        old.append(now(u64::from(number)), &(0..200).map(|_| record(number)).collect::<Vec<_>>())
-            .expect("it is kept");
+        old.append(
+            now(u64::from(number)),
+            &(0..200).map(|_| record(number)).collect::<Vec<_>>(),
+        )
+        .expect("it is kept");
         let sum: u64 = segments(folder.path())
             .expect("files")
             .iter()
@@ -65,7 +92,9 @@
     }
     let kept = numbers(folder.path());
     assert!(kept.first() > Some(&0) && kept.last() == Some(&39) && kept.is_sorted());
-    writer(folder.path(), bounds).append(now(1000), &[record(99)]).expect("it is kept");
+    writer(folder.path(), bounds)
+        .append(now(1000), &[record(99)])
+        .expect("it is kept");
     assert_eq!(numbers(folder.path()), [99]);
 }
 
@@ -120,9 +149,14 @@
     drop(pump);
     // What was whole is there; the next life cuts the torn end off and goes on.
     let kept = numbers(folder.path());
-    assert!(!kept.is_empty() && kept.iter().copied().eq(0..kept.len() as u32), "{kept:?}");
+    assert!(
+        !kept.is_empty() && kept.iter().copied().eq(0..kept.len() as u32),
+        "{kept:?}"
+    );
     assert_eq!(read(folder.path()).expect("it is read").damaged.len(), 1);
-    self::writer(folder.path(), BOUNDS).append(now(0), &[record(7000)]).expect("it is kept");
+    self::writer(folder.path(), BOUNDS)
+        .append(now(0), &[record(7000)])
+        .expect("it is kept");
     assert!(read(folder.path()).expect("it is read").damaged.is_empty());
     assert_eq!(numbers(folder.path()).len(), kept.len() + 1);
 }
@@ -138,13 +172,18 @@
 #[test]
 fn foreign_and_later_files_cost_only_themselves() {
     let folder = tempfile::tempdir().expect("a folder");
-    std::fs::write(folder.path().join("000000000000.seg"), "something else altogether")
-        .expect("it is written");
+    std::fs::write(
+        folder.path().join("000000000000.seg"),
+        "something else altogether",
+    )
+    .expect("it is written");
     let mut later = frames::head(0);
     later[4] = 9;
     std::fs::write(folder.path().join("000000000001.seg"), later).expect("it is written");
     std::fs::write(folder.path().join("notes.txt"), "x").expect("it is written");
-    writer(folder.path(), BOUNDS).append(now(0), &[record(5)]).expect("it is kept");
+    writer(folder.path(), BOUNDS)
+        .append(now(0), &[record(5)])
+        .expect("it is kept");
     let read = read(folder.path()).expect("it is read");
     assert_eq!((read.records, read.damaged.len()), (vec![record(5)], 2));
 }
--- a/crates/timeline/src/book.rs
+++ b/crates/timeline/src/book.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use lilacgate::port::{
-    ApplianceId, AttemptNumber, Build, Course, Ending, Line as Listed, Listing, Mode, Note, Product,
-    RequestId, Stage, Verdict,
+    ApplianceId, AttemptNumber, Build, Course, Ending, Line as Listed, Listing, Mode, Note,
+    Product, RequestId, Stage, Verdict,
 };
 
 use crate::entry::{Departure, Entry, Record, StepRecord, What, Whom};
@@ -58,7 +58,8 @@
 
 impl Book {
     pub fn new(now: Duration, aims: Aims, room: Room) -> Self {
-        let (lines, out, products, given_up, records, left_out, dropped, said, figures) = Default::default();
+        let (lines, out, products, given_up, records, left_out, dropped, said, figures) =
+            Default::default();
         let (watch, own, next_tick) = (Watch::new(aims), Line::new(now), now);
         Book {
             room,
@@ -80,9 +81,16 @@
     /// A list, whole or as changes; `lines` are its entries.
     pub fn membership(&mut self, now: Duration, listing: Listing, lines: &[Listed]) {
         if matches!(listing, Listing::Whole | Listing::Saved) {
-            let gone: Vec<u32> =
-                self.lines.iter().filter(|(_, l)| l.1.mode != Mode::Gone).map(|(n, _)| *n).collect();
-            for node in gone.into_iter().filter(|node| !lines.iter().any(|line| line.appliance.0 == *node)) {
+            let gone: Vec<u32> = self
+                .lines
+                .iter()
+                .filter(|(_, l)| l.1.mode != Mode::Gone)
+                .map(|(n, _)| *n)
+                .collect();
+            for node in gone
+                .into_iter()
+                .filter(|node| !lines.iter().any(|line| line.appliance.0 == *node))
+            {
                 let mut line = self.lines[&node].1;
                 line.mode = Mode::Gone;
                 self.listed(now, line);
@@ -93,22 +101,40 @@
 
     fn listed(&mut self, now: Duration, line: Listed) {
         let node = line.appliance.0;
-        let known = self.lines.get(&node).map(|(_, known, _)| (known.mode, known.build, known.started));
+        let known = self
+            .lines
+            .get(&node)
+            .map(|(_, known, _)| (known.mode, known.build, known.started));
         if known == Some((line.mode, line.build, line.started)) {
             return;
         }
-        self.lines.entry(node).or_insert_with(|| (Line::new(now), line, 0)).1 = line;
+        self.lines
+            .entry(node)
+            .or_insert_with(|| (Line::new(now), line, 0))
+            .1 = line;
         // It happened when its process started, if that is news; else nobody knows better than now.
         let restarted =
             known.is_none_or(|(_, build, started)| (build, started) != (line.build, line.started));
-        let happened = line.started.filter(|_| restarted).map_or(now, |started| started.min(now));
+        let happened = line
+            .started
+            .filter(|_| restarted)
+            .map_or(now, |started| started.min(now));
         let state = match line.mode {
             Mode::Ready => "ready",
             Mode::Draining => "draining",
             Mode::Gone => "gone",
         };
-        let what = What::Listed { state: state.into(), build: line.build.0, started: line.started };
-        self.put(Entry { happened, known: now, node: Some(node), what });
+        let what = What::Listed {
+            state: state.into(),
+            build: line.build.0,
+            started: line.started,
+        };
+        self.put(Entry {
+            happened,
+            known: now,
+            node: Some(node),
+            what,
+        });
         if line.mode == Mode::Gone {
             self.watch.gone(now, node);
         } else {
@@ -120,13 +146,25 @@
     /// Where the build on trial stands.
     pub fn stage(&mut self, now: Duration, build: Build, stage: Stage, to: Course, age: Duration) {
         let happened = now.saturating_sub(age);
-        let what = What::Stage { build: build.0, stage: stage.0, course: course(to).into() };
-        let last =
-            self.own.as_of(Duration::MAX).filter(|entry| matches!(entry.what, What::Stage { .. })).last();
+        let what = What::Stage {
+            build: build.0,
+            stage: stage.0,
+            course: course(to).into(),
+        };
+        let last = self
+            .own
+            .as_of(Duration::MAX)
+            .filter(|entry| matches!(entry.what, What::Stage { .. }))
+            .last();
         if last.is_some_and(|entry| entry.what == what) {
             return;
         }
-        self.put(Entry { happened, known: now, node: None, what });
+        self.put(Entry {
+            happened,
+            known: now,
+            node: None,
+            what,
+        });
         if to == Course::OnTrial {
             self.watch.staged(build.0, stage.0, happened);
         }
@@ -137,9 +175,21 @@
     }
 
     /// An attempt goes out.
-    pub fn attempt(&mut self, now: Duration, id: RequestId, attempt: AttemptNumber, to: ApplianceId) {
+    pub fn attempt(
+        &mut self,
+        now: Duration,
+        id: RequestId,
+        attempt: AttemptNumber,
+        to: ApplianceId,
+    ) {
         let product = self.products.get(&id.0).copied().unwrap_or_default();
-        self.out.insert((id.0, attempt.0), Out { node: to.0, product });
+        self.out.insert(
+            (id.0, attempt.0),
+            Out {
+                node: to.0,
+                product,
+            },
+        );
         self.watch.sent(now, to.0, (id.0, attempt.0));
         self.count(now, to.0, |counts| {
             counts.attempts += 1;
@@ -150,8 +200,13 @@
 
     /// An attempt has ended; `closed` says that its request has, too.
     pub fn ended(
-        &mut self, now: Duration, (id, attempt): (RequestId, AttemptNumber), at: ApplianceId, ending: Ending,
-        took: Duration, closed: bool,
+        &mut self,
+        now: Duration,
+        (id, attempt): (RequestId, AttemptNumber),
+        at: ApplianceId,
+        ending: Ending,
+        took: Duration,
+        closed: bool,
     ) {
         let product = match self.out.remove(&(id.0, attempt.0)) {
             Some(out) => out.product,
@@ -168,7 +223,9 @@
             Ending::TimedOut | Ending::CalledOff => Ended::Unanswered,
             Ending::Unsent => Ended::Unsent,
         };
-        let late = self.watch.ended(now, at.0, (id.0, attempt.0), product, how, took);
+        let late = self
+            .watch
+            .ended(now, at.0, (id.0, attempt.0), product, how, took);
         self.count(now, at.0, |counts| {
             match how {
                 Ended::Served => counts.served += 1,
@@ -194,11 +251,24 @@
 
     /// What the module notes by the way.
     pub fn note(&mut self, now: Duration, note: Note) {
-        let at = |node: ApplianceId, what| Entry { happened: now, known: now, node: Some(node.0), what };
+        let at = |node: ApplianceId, what| Entry {
+            happened: now,
+            known: now,
+            node: Some(node.0),
+            what,
+        };
         match note {
-            Note::Barred { at: node, why, until } => {
-                self.put(at(node, What::Barred { why: why.into(), until }))
-            }
+            Note::Barred {
+                at: node,
+                why,
+                until,
+            } => self.put(at(
+                node,
+                What::Barred {
+                    why: why.into(),
+                    until,
+                },
+            )),
             Note::Tried(node) => self.put(at(node, What::Tried)),
             Note::Unbarred(node) => self.put(at(node, What::Unbarred)),
             Note::GivenUp(why) => *self.given_up.entry(why).or_default() += 1,
@@ -207,8 +277,15 @@
 
     pub fn called_off(&mut self, now: Duration, id: RequestId, attempt: AttemptNumber) {
         if let Some(out) = self.out.get(&(id.0, attempt.0)) {
-            let what = What::CalledOff { product: out.product };
-            let entry = Entry { happened: now, known: now, node: Some(out.node), what };
+            let what = What::CalledOff {
+                product: out.product,
+            };
+            let entry = Entry {
+                happened: now,
+                known: now,
+                node: Some(out.node),
+                what,
+            };
             self.put(entry);
         }
     }
@@ -226,8 +303,18 @@
             Verdict::Back => "back",
         };
         let figures = std::mem::take(&mut self.figures);
-        let what = What::Vote { build: build.0, stage: stage.0, verdict: verdict.into(), figures };
-        self.put(Entry { happened: now, known: now, node: None, what });
+        let what = What::Vote {
+            build: build.0,
+            stage: stage.0,
+            verdict: verdict.into(),
+            figures,
+        };
+        self.put(Entry {
+            happened: now,
+            known: now,
+            node: None,
+            what,
+        });
     }
 
     /// When [`Book::advance`] is due.
@@ -243,18 +330,43 @@
         self.next_tick = now + TICK;
         if let Some(long) = self.watch.tick(now) {
             let happened = now.saturating_sub(long);
-            self.put(Entry { happened, known: now, node: None, what: What::StoodStill { long } });
+            self.put(Entry {
+                happened,
+                known: now,
+                node: None,
+                what: What::StoodStill { long },
+            });
         }
         for (why, many) in std::mem::take(&mut self.given_up) {
-            let what = What::GivenUp { why: why.into(), many };
-            self.put(Entry { happened: now, known: now, node: None, what });
+            let what = What::GivenUp {
+                why: why.into(),
+                many,
+            };
+            self.put(Entry {
+                happened: now,
+                known: now,
+                node: None,
+                what,
+            });
         }
         for (departure, begins) in self.watch.said() {
-            let node = if let Whom::Node(node) = departure.whom { Some(node) } else { None };
+            let node = if let Whom::Node(node) = departure.whom {
+                Some(node)
+            } else {
+                None
+            };
             let happened = if begins { departure.onset } else { now };
-            let what =
-                if begins { What::Departed(departure.clone()) } else { What::Returned(departure.clone()) };
-            self.put(Entry { happened, known: now, node, what });
+            let what = if begins {
+                What::Departed(departure.clone())
+            } else {
+                What::Returned(departure.clone())
+            };
+            self.put(Entry {
+                happened,
+                known: now,
+                node,
+                what,
+            });
             self.said.push((departure, begins));
         }
         // Steps end by time, too.
@@ -270,7 +382,9 @@
     }
 
     fn count(&mut self, now: Duration, node: u32, count: impl FnOnce(&mut crate::entry::Counts)) {
-        let Some((line, listed, octets)) = self.lines.get_mut(&node) else { return };
+        let Some((line, listed, octets)) = self.lines.get_mut(&node) else {
+            return;
+        };
         let mut ended: Option<Step> = None;
         count(line.steps.now(now, &mut |step| ended = Some(step.clone())));
         if let Some(step) = ended {
@@ -308,7 +422,10 @@
             return;
         }
         if self.records.len() >= self.room.records {
-            let fine = self.records.iter().position(|record| matches!(record, Record::Step(_)));
+            let fine = self
+                .records
+                .iter()
+                .position(|record| matches!(record, Record::Step(_)));
             match (fine, &record) {
                 (Some(at), Record::Entry(_)) => drop(self.records.remove(at)),
                 _ => {
@@ -332,12 +449,18 @@
     /// Keeps all lines within their room: the one that has been quiet longest goes, those that are gone first.
     fn bound(&mut self) {
         let each = self.watch.octets_a_node();
-        let mut sum: usize = self.lines.values().map(|(.., octets)| octets.max(&(1 << 14)) + each).sum();
+        let mut sum: usize = self
+            .lines
+            .values()
+            .map(|(.., octets)| octets.max(&(1 << 14)) + each)
+            .sum();
         while sum > self.room.octets && self.lines.len() > 1 {
             let quiet = |(_, (line, listed, _)): &(&u32, &(Line, Listed, usize))| {
                 (listed.mode != Mode::Gone, line.touched)
             };
-            let Some(node) = self.lines.iter().min_by_key(quiet).map(|(node, _)| *node) else { return };
+            let Some(node) = self.lines.iter().min_by_key(quiet).map(|(node, _)| *node) else {
+                return;
+            };
             if let Some((line, _, octets)) = self.lines.remove(&node) {
                 self.dropped += 1 + line.as_of(Duration::MAX).count() as u64;
                 sum -= octets.max(1 << 14) + each;
@@ -354,7 +477,11 @@
     /// About how many octets all lines hold.
     pub fn octets(&self) -> usize {
         let each = self.watch.octets_a_node();
-        self.lines.values().map(|(line, ..)| line.octets() + each).sum::<usize>() + self.own.octets()
+        self.lines
+            .values()
+            .map(|(line, ..)| line.octets() + each)
+            .sum::<usize>()
+            + self.own.octets()
     }
 
     pub fn nodes(&self) -> impl Iterator<Item = u32> {
--- a/crates/timeline/src/detect.rs
+++ b/crates/timeline/src/detect.rs
@@ -26,7 +26,10 @@
         let p0 = p0.clamp(1e-4, 0.95);
         let p1 = BETS.map(|share| p0 + share * (1.0 - p0));
         let factors = [p1.map(|p1| (1.0 - p1) / (1.0 - p0)), p1.map(|p1| p1 / p0)];
-        Bets { factors, logs: [factors[0][1].ln(), factors[1][1].ln()] }
+        Bets {
+            factors,
+            logs: [factors[0][1].ln(), factors[1][1].ln()],
+        }
     }
 }
 
@@ -47,7 +50,9 @@
 impl Detector {
     /// Takes a look.
     pub fn look(&mut self, now: Duration, bets: &Bets, yes: bool) {
-        let passed = self.last.map_or(0.0, |last| now.saturating_sub(last).as_secs_f64());
+        let passed = self
+            .last
+            .map_or(0.0, |last| now.saturating_sub(last).as_secs_f64());
         self.last = Some(now);
         for (m, factor) in self.m.iter_mut().zip(bets.factors[usize::from(yes)]) {
             // A bound far above any threshold keeps it finite.
@@ -57,7 +62,10 @@
         if self.sum <= self.lowest || self.since.0 == 0 {
             (self.lowest, self.onset, self.since) = (self.sum, now, (0, 0));
         }
-        self.since = (self.since.0.saturating_add(1), self.since.1 + u32::from(yes));
+        self.since = (
+            self.since.0.saturating_add(1),
+            self.since.1 + u32::from(yes),
+        );
         // Only differences count: kept near 0, so that nothing grows with age.
         self.sum -= self.lowest;
         self.lowest = 0.0;
@@ -70,7 +78,10 @@
 
     /// When the change seems to have begun, and the share of yeses since.
     pub fn onset(&self) -> (Duration, f64) {
-        (self.onset, f64::from(self.since.1) / f64::from(self.since.0.max(1)))
+        (
+            self.onset,
+            f64::from(self.since.1) / f64::from(self.since.0.max(1)),
+        )
     }
 
     /// How many looks have come since the onset.
--- a/crates/timeline/src/line.rs
+++ b/crates/timeline/src/line.rs
@@ -21,13 +21,20 @@
 
 impl Line {
     pub fn new(now: Duration) -> Self {
-        Line { entries: VecDeque::new(), dropped: 0, steps: Steps::new(now), touched: now }
+        Line {
+            entries: VecDeque::new(),
+            dropped: 0,
+            steps: Steps::new(now),
+            touched: now,
+        }
     }
 
     /// Puts an entry to its place by when it happened; late news go between what is there.
     pub fn put(&mut self, entry: Entry) {
         self.touched = self.touched.max(entry.known);
-        let at = self.entries.partition_point(|other| other.happened <= entry.happened);
+        let at = self
+            .entries
+            .partition_point(|other| other.happened <= entry.happened);
         self.entries.insert(at, entry);
         if self.entries.len() > ENTRIES {
             self.entries.pop_front();
@@ -37,7 +44,9 @@
 
     /// What the agent knew at an instant, in the order in which it happened.
     pub fn as_of(&self, known: Duration) -> impl Iterator<Item = &Entry> {
-        self.entries.iter().filter(move |entry| entry.known <= known)
+        self.entries
+            .iter()
+            .filter(move |entry| entry.known <= known)
     }
 
     pub fn octets(&self) -> usize {
--- a/crates/timeline/src/steps.rs
+++ b/crates/timeline/src/steps.rs
@@ -16,9 +16,18 @@
 
 /// Two minutes by the second, an hour by fifteen, a day by five minutes.
 pub const LEVELS: [Level; 3] = [
-    Level { long: Duration::from_secs(1), kept: 120 },
-    Level { long: Duration::from_secs(15), kept: 240 },
-    Level { long: Duration::from_secs(300), kept: 288 },
+    Level {
+        long: Duration::from_secs(1),
+        kept: 120,
+    },
+    Level {
+        long: Duration::from_secs(15),
+        kept: 240,
+    },
+    Level {
+        long: Duration::from_secs(300),
+        kept: 288,
+    },
 ];
 
 /// Relative error of a latency that is read back, and the bins of a sketch at most.
@@ -40,7 +49,9 @@
         if sketch.count() == 0 {
             return Latency::default();
         }
-        Latency { octets: postcard::to_stdvec(sketch).unwrap_or_default() }
+        Latency {
+            octets: postcard::to_stdvec(sketch).unwrap_or_default(),
+        }
     }
 
     /// As it was kept. What cannot be read counts as nothing.
@@ -104,8 +115,16 @@
 
 impl Steps {
     pub fn new(now: Duration) -> Self {
-        let open = Open { from: floor(now, LEVELS[0].long), counts: Counts::default(), latency: empty() };
-        Steps { open, levels: Default::default(), folding: Default::default() }
+        let open = Open {
+            from: floor(now, LEVELS[0].long),
+            counts: Counts::default(),
+            latency: empty(),
+        };
+        Steps {
+            open,
+            levels: Default::default(),
+            folding: Default::default(),
+        }
     }
 
     /// The counts of the present step, brought up to date; a step that has ended is passed on.
@@ -114,7 +133,11 @@
         if from > self.open.from {
             let latency = Latency::pack(&self.open.latency);
             let counts = std::mem::take(&mut self.open.counts);
-            let step = Step { from: self.open.from, counts, latency };
+            let step = Step {
+                from: self.open.from,
+                counts,
+                latency,
+            };
             self.open.from = from;
             if self.open.latency.count() > 0 {
                 self.open.latency = empty();
@@ -135,7 +158,10 @@
         if let Some(coarser) = LEVELS.get(level + 1) {
             let gathered = &mut self.folding[level];
             let span = floor(step.from, coarser.long);
-            if gathered.first().is_some_and(|first| floor(first.from, coarser.long) != span) {
+            if gathered
+                .first()
+                .is_some_and(|first| floor(first.from, coarser.long) != span)
+            {
                 let all = std::mem::take(gathered);
                 let folded = fold(floor(all[0].from, coarser.long), &all);
                 self.folding[level].push(step.clone());
@@ -153,7 +179,9 @@
 
     /// The steps of a level, from an instant on, in their order.
     pub fn level(&self, level: usize, from: Duration) -> impl Iterator<Item = &Step> {
-        self.levels[level].iter().filter(move |step| step.from >= from)
+        self.levels[level]
+            .iter()
+            .filter(move |step| step.from >= from)
     }
 
     /// All that is known from an instant on: coarse where fine is gone already.
@@ -163,7 +191,9 @@
         for (level, kept) in self.levels.iter().enumerate() {
             let long = LEVELS[level].long;
             found.extend(
-                kept.iter().filter(|s| s.from + long <= until && s.from >= from).map(|s| (long, s.clone())),
+                kept.iter()
+                    .filter(|s| s.from + long <= until && s.from >= from)
+                    .map(|s| (long, s.clone())),
             );
             until = until.min(kept.front().map_or(until, |first| first.from));
         }
@@ -174,7 +204,13 @@
     /// About how many octets it holds.
     pub fn octets(&self) -> usize {
         let step = |step: &Step| size_of::<Step>() + step.latency.octets.capacity();
-        let kept: usize = self.levels.iter().flatten().chain(self.folding.iter().flatten()).map(step).sum();
+        let kept: usize = self
+            .levels
+            .iter()
+            .flatten()
+            .chain(self.folding.iter().flatten())
+            .map(step)
+            .sum();
         // The open sketch holds its bins as they are.
         kept + size_of::<Self>() + BINS as usize * size_of::<u64>()
     }
@@ -183,5 +219,9 @@
 fn fold(from: Duration, all: &[Step]) -> Step {
     let mut counts = Counts::default();
     all.iter().for_each(|step| counts.add(&step.counts));
-    Step { from, counts, latency: Latency::merged(all.iter().map(|step| &step.latency)) }
+    Step {
+        from,
+        counts,
+        latency: Latency::merged(all.iter().map(|step| &step.latency)),
+    }
 }
--- a/crates/timeline/src/usual.rs
+++ b/crates/timeline/src/usual.rs
@@ -41,7 +41,13 @@
 
 impl Usual {
     pub fn look(&mut self, now: Duration, yes: bool) {
-        self.put(now, Sum { yes: f64::from(u8::from(yes)), all: 1.0 });
+        self.put(
+            now,
+            Sum {
+                yes: f64::from(u8::from(yes)),
+                all: 1.0,
+            },
+        );
     }
 
     pub fn put(&mut self, now: Duration, sum: Sum) {
@@ -53,7 +59,12 @@
 
     /// Learns what has waited long enough. While `held`, a departure is going on, and it is forgotten instead.
     pub fn learn(&mut self, now: Duration, held: bool) {
-        while let Some((_, sum)) = self.waiting.front().copied().filter(|(from, _)| *from + DELAY <= now) {
+        while let Some((_, sum)) = self
+            .waiting
+            .front()
+            .copied()
+            .filter(|(from, _)| *from + DELAY <= now)
+        {
             self.waiting.pop_front();
             if !held {
                 self.learned.fade(now.saturating_sub(self.at));
@@ -76,7 +87,12 @@
     /// What was seen of late, learned or not.
     pub fn lately(&self, now: Duration) -> Sum {
         let mut sum = Sum::default();
-        for (_, one) in self.waiting.iter().rev().take_while(|(from, _)| *from + LATELY > now) {
+        for (_, one) in self
+            .waiting
+            .iter()
+            .rev()
+            .take_while(|(from, _)| *from + LATELY > now)
+        {
             sum.add(*one);
         }
         sum
--- a/crates/timeline/src/watch.rs
+++ b/crates/timeline/src/watch.rs
@@ -117,7 +117,13 @@
     /// Notes the attempts sent since the last tick, and whether their rate is well above the usual one.
     fn track_send_rate(&mut self, now: Duration, sent: f64, elapsed: Duration) {
         let seconds = elapsed.as_secs_f64().clamp(MIN_RATE_SECONDS, 1.0);
-        self.send_rate.put(now, Sum { yes: sent, all: seconds });
+        self.send_rate.put(
+            now,
+            Sum {
+                yes: sent,
+                all: seconds,
+            },
+        );
         let recent = self.send_rate.lately(now);
         let recent_rate = recent.yes / recent.all.max(MIN_RATE_SECONDS);
         let usual_rate = self.send_rate.share(0.0, 1e-6);
--- a/crates/timeline/src/watch/attempts.rs
+++ b/crates/timeline/src/watch/attempts.rs
@@ -51,17 +51,34 @@
 
     /// An attempt ended in the way `how`, and took `took` since it was sent. Returns whether its answer was late.
     pub fn ended(
-        &mut self, now: Duration, node: u32, which: (u32, u8), product: u8, how: Ended, took: Duration,
+        &mut self,
+        now: Duration,
+        node: u32,
+        which: (u32, u8),
+        product: u8,
+        how: Ended,
+        took: Duration,
     ) -> bool {
-        let Some(watched) = self.nodes.get_mut(&node) else { return false };
-        let sent = watched.outstanding.remove(&which).unwrap_or_else(|| now.saturating_sub(took));
+        let Some(watched) = self.nodes.get_mut(&node) else {
+            return false;
+        };
+        let sent = watched
+            .outstanding
+            .remove(&which)
+            .unwrap_or_else(|| now.saturating_sub(took));
         if how == Ended::Unsent {
             return false;
         }
         if how != Ended::Unanswered {
             watched.last_heard = watched.last_heard.max(now);
         }
-        let attempt = EndedAttempt { node, product, sent, took, how };
+        let attempt = EndedAttempt {
+            node,
+            product,
+            sent,
+            took,
+            how,
+        };
         let mut observations = Observations::new();
         self.observe_outcome(&attempt, &mut observations);
         let late = self.observe_answer_time(now, &attempt, &mut observations);
@@ -99,20 +116,30 @@
 
     /// Whether nothing was heard of the node since the attempt was sent, and the agent was not paused meanwhile.
     fn shows_silence(&self, attempt: &EndedAttempt) -> bool {
-        let unheard = self.nodes.get(&attempt.node).is_some_and(|watched| watched.last_heard < attempt.sent);
+        let unheard = self
+            .nodes
+            .get(&attempt.node)
+            .is_some_and(|watched| watched.last_heard < attempt.sent);
         unheard && attempt.sent >= self.resumed_at
     }
 
     /// Adds what the time to an answer says about latency. Returns whether the answer was late.
     fn observe_answer_time(
-        &mut self, now: Duration, attempt: &EndedAttempt, observations: &mut Observations,
+        &mut self,
+        now: Duration,
+        attempt: &EndedAttempt,
+        observations: &mut Observations,
     ) -> bool {
         // While the agent was paused, the time to an answer was not the node's.
         if attempt.how != Ended::Served || attempt.sent < self.resumed_at {
             return false;
         }
-        let Some(place) = self.place_of(attempt.product) else { return false };
-        let Some(answer) = self.compare_answer_time(now, attempt) else { return false };
+        let Some(place) = self.place_of(attempt.product) else {
+            return false;
+        };
+        let Some(answer) = self.compare_answer_time(now, attempt) else {
+            return false;
+        };
         if answer.counts {
             observations.push(Kind::Latency, ALL_PRODUCTS, answer.late);
             observations.push(Kind::Latency, place, answer.late);
@@ -127,20 +154,37 @@
         let seconds = attempt.took.as_secs_f64();
         let usual_seconds = usual.share(seconds, 1.0);
         let known = usual.looks() >= LATENCY_PRIOR_WEIGHT;
-        usual.put(now, Sum { yes: seconds, all: 1.0 });
+        usual.put(
+            now,
+            Sum {
+                yes: seconds,
+                all: 1.0,
+            },
+        );
         let ratio = seconds / usual_seconds.max(1e-6);
         let late = known && ratio > LATE_FACTOR * watched.usual_relative_latency();
-        watched.relative_latency.put(now, Sum { yes: ratio, all: 1.0 });
+        watched.relative_latency.put(
+            now,
+            Sum {
+                yes: ratio,
+                all: 1.0,
+            },
+        );
         let counts = known && !watched.is_ramping_up(attempt.sent, self.aims.ramp);
         Some(AnswerTime { late, counts })
     }
 
     /// Takes observations of a node into its signals, and into those of its build and of the fleet.
     pub(super) fn observe(&mut self, now: Duration, node: u32, observations: &[Observation]) {
-        let Some(watched) = self.nodes.get_mut(&node) else { return };
+        let Some(watched) = self.nodes.get_mut(&node) else {
+            return;
+        };
         watched.last_observed = now;
         let products = self.aims.products;
-        let build = self.builds.entry(watched.build).or_insert_with(|| Signals::new(products));
+        let build = self
+            .builds
+            .entry(watched.build)
+            .or_insert_with(|| Signals::new(products));
         for &Observation { kind, place, bad } in observations {
             build.of_mut(kind)[place].usual.look(now, bad);
             watched.signals.of_mut(kind)[place].observe(now, bad);
--- a/crates/timeline/src/watch/attribution.rs
+++ b/crates/timeline/src/watch/attribution.rs
@@ -20,7 +20,10 @@
 impl Group {
     fn new(nodes: &[u32], suspects: &BTreeSet<u32>) -> Self {
         let suspected = nodes.iter().filter(|node| suspects.contains(node)).count();
-        Group { size: nodes.len(), suspected }
+        Group {
+            size: nodes.len(),
+            suspected,
+        }
     }
 
     fn is_mostly_suspected(&self) -> bool {
@@ -31,14 +34,18 @@
 impl Watch {
     /// Opens the departure that a node's evidence shows, or adds the node to one that is open.
     pub(super) fn confirm_at_node(&mut self, now: Duration, node: u32, kind: Kind, threshold: f64) {
-        let Some(build) = self.nodes.get(&node).map(|watched| watched.build) else { return };
+        let Some(build) = self.nodes.get(&node).map(|watched| watched.build) else {
+            return;
+        };
         if let Some(number) = self.open_departure_of_group(build, kind) {
             self.join(node, kind, number);
             return;
         }
         let suspicious = threshold.sqrt();
         let (whom, members) = self.attribute(now, node, build, kind, suspicious);
-        let Some(watched) = self.nodes.get(&node) else { return };
+        let Some(watched) = self.nodes.get(&node) else {
+            return;
+        };
         let place = place_of_departure(watched.signals.of(kind), suspicious);
         let figures = self.figures(&watched.signals, kind, place, now);
         let product = place.checked_sub(1).map(|product| product as u8);
@@ -61,7 +68,12 @@
     /// Whom a departure at `node` concerns, and its members: the fleet or the build if most others there are suspected
     /// too, else the node.
     fn attribute(
-        &self, now: Duration, node: u32, build: u16, kind: Kind, suspicious: f64,
+        &self,
+        now: Duration,
+        node: u32,
+        build: u16,
+        kind: Kind,
+        suspicious: f64,
     ) -> (Whom, Vec<u32>) {
         let active = self.active_nodes(now);
         let suspects = self.suspects(&active, kind, suspicious);
@@ -75,7 +87,10 @@
             return (Whom::Fleet, suspects.into_iter().collect());
         }
         if build_group.suspected >= 2 && build_group.is_mostly_suspected() && !only_build {
-            let members = same_build.into_iter().filter(|node| suspects.contains(node)).collect();
+            let members = same_build
+                .into_iter()
+                .filter(|node| suspects.contains(node))
+                .collect();
             return (Whom::Build(build), members);
         }
         (Whom::Node(node), vec![node])
@@ -91,7 +106,11 @@
     }
 
     fn nodes_of_build(&self, nodes: &[u32], build: u16) -> Vec<u32> {
-        let runs_build = |node: &u32| self.nodes.get(node).is_some_and(|watched| watched.build == build);
+        let runs_build = |node: &u32| {
+            self.nodes
+                .get(node)
+                .is_some_and(|watched| watched.build == build)
+        };
         nodes.iter().copied().filter(runs_build).collect()
     }
 }
@@ -100,8 +119,12 @@
 fn place_of_departure(signals: &[Signal], suspicious: f64) -> usize {
     let (showing, others): (Vec<usize>, Vec<usize>) =
         (1..signals.len()).partition(|place| signals[*place].reaches(suspicious));
-    let others_known = others.iter().any(|place| signals[*place].usual.looks() >= MIN_OF_OTHER_PRODUCTS);
-    let others_show = others.iter().any(|place| signals[*place].reaches(suspicious.sqrt()));
+    let others_known = others
+        .iter()
+        .any(|place| signals[*place].usual.looks() >= MIN_OF_OTHER_PRODUCTS);
+    let others_show = others
+        .iter()
+        .any(|place| signals[*place].reaches(suspicious.sqrt()));
     match showing[..] {
         [place] if others_known && !others_show => place,
         _ => ALL_PRODUCTS,
--- a/crates/timeline/src/watch/baseline.rs
+++ b/crates/timeline/src/watch/baseline.rs
@@ -38,21 +38,37 @@
     }
 
     /// The recent share of bad observations at the nodes of other builds, or at all other nodes if those gave too few.
-    fn recent_share_of_others(&self, now: Duration, watched: &WatchedNode, kind: Kind, place: usize) -> f64 {
+    fn recent_share_of_others(
+        &self,
+        now: Duration,
+        watched: &WatchedNode,
+        kind: Kind,
+        place: usize,
+    ) -> f64 {
         let all = self.fleet.of(kind)[place].usual.lately(now);
-        let without = |some: Sum| Sum { yes: all.yes - some.yes, all: all.all - some.all };
+        let without = |some: Sum| Sum {
+            yes: all.yes - some.yes,
+            all: all.all - some.all,
+        };
         let build = self.builds.get(&watched.build);
         let other_builds = build.map(|signals| without(signals.of(kind)[place].usual.lately(now)));
         let others = other_builds
             .filter(|others| others.all >= MIN_RECENT)
             .unwrap_or_else(|| without(watched.signals.of(kind)[place].usual.lately(now)));
-        if others.all >= MIN_RECENT { others.yes / others.all } else { 0.0 }
+        if others.all >= MIN_RECENT {
+            others.yes / others.all
+        } else {
+            0.0
+        }
     }
 
     /// Whether a jump of the send rate explains bad observations of this kind.
     fn is_excused(&self, now: Duration, kind: Kind) -> bool {
         let from_queues = matches!(kind, Kind::Latency | Kind::Load | Kind::Silence);
-        from_queues && self.rate_jumped_at.is_some_and(|at| now < at + QUEUES_DRAIN)
+        from_queues
+            && self
+                .rate_jumped_at
+                .is_some_and(|at| now < at + QUEUES_DRAIN)
     }
 
     /// Works out the bets for observations until the next tick, from what came before.
@@ -108,15 +124,22 @@
 
     fn learn_fleet(&mut self, now: Duration) {
         for kind in KINDS {
-            let held = self.open.values().any(|open| open.whom == Whom::Fleet && open.kind == kind);
+            let held = self
+                .open
+                .values()
+                .any(|open| open.whom == Whom::Fleet && open.kind == kind);
             self.fleet.learn(now, kind, held);
         }
     }
 }
 
 fn learn_node(watched: &mut WatchedNode, now: Duration, suspicious: f64) {
-    watched.relative_latency.learn(now, watched.open.contains_key(&Kind::Latency));
-    watched.usual_outstanding.learn(now, !watched.open.is_empty());
+    watched
+        .relative_latency
+        .learn(now, watched.open.contains_key(&Kind::Latency));
+    watched
+        .usual_outstanding
+        .learn(now, !watched.open.is_empty());
     for kind in KINDS {
         let suspected = watched.signals.any_reaches(kind, suspicious);
         let held = watched.open.contains_key(&kind) || suspected;
--- a/crates/timeline/src/watch/confirm.rs
+++ b/crates/timeline/src/watch/confirm.rs
@@ -14,7 +14,11 @@
         let threshold = self.threshold();
         for (node, kind) in self.certain_nodes(now, threshold) {
             // A departure opened a moment ago may include this node.
-            if self.nodes.get(&node).is_some_and(|watched| watched.would_be_news(kind)) {
+            if self
+                .nodes
+                .get(&node)
+                .is_some_and(|watched| watched.would_be_news(kind))
+            {
                 self.confirm_at_node(now, node, kind, threshold);
             }
         }
@@ -62,7 +66,9 @@
 
     /// Whether a node's recent share of bad observations is above `limit`.
     fn exceeds_now(&self, now: Duration, node: u32, kind: Kind, limit: f64) -> bool {
-        let Some(watched) = self.nodes.get(&node) else { return false };
+        let Some(watched) = self.nodes.get(&node) else {
+            return false;
+        };
         let recent = watched.signals.of(kind)[ALL_PRODUCTS].usual.lately(now);
         recent.yes > limit * recent.all
     }
@@ -76,10 +82,18 @@
 }
 
 /// Notes which signals of a kind are above the threshold. Returns since when the first of them has been.
-fn update_alarms(watched: &mut WatchedNode, now: Duration, kind: Kind, threshold: f64) -> Option<Duration> {
+fn update_alarms(
+    watched: &mut WatchedNode,
+    now: Duration,
+    kind: Kind,
+    threshold: f64,
+) -> Option<Duration> {
     let signals = watched.signals.of_mut(kind);
     for signal in signals.iter_mut() {
         signal.update_alarm(now, threshold);
     }
-    signals.iter().filter_map(|signal| signal.alarming_since).min()
+    signals
+        .iter()
+        .filter_map(|signal| signal.alarming_since)
+        .min()
 }
--- a/crates/timeline/src/watch/departures.rs
+++ b/crates/timeline/src/watch/departures.rs
@@ -37,28 +37,61 @@
 
 impl Watch {
     /// The figures of a signal of a node or of the fleet.
-    pub(super) fn figures(&self, signals: &Signals, kind: Kind, place: usize, now: Duration) -> Figures {
+    pub(super) fn figures(
+        &self,
+        signals: &Signals,
+        kind: Kind,
+        place: usize,
+        now: Duration,
+    ) -> Figures {
         let signal = &signals.of(kind)[place];
         let (onset, seen) = signal.detector.onset();
-        let usual = signal.usual.share(self.fleet_share(kind, place), PRIOR_WEIGHT);
-        Figures { onset: onset.min(now), usual, seen }
+        let usual = signal
+            .usual
+            .share(self.fleet_share(kind, place), PRIOR_WEIGHT);
+        Figures {
+            onset: onset.min(now),
+            usual,
+            seen,
+        }
     }
 
     /// A departure with the next number; it is neither opened nor reported here.
     pub(super) fn new_departure(
-        &mut self, now: Duration, whom: Whom, kind: Kind, product: Option<u8>, figures: Figures,
+        &mut self,
+        now: Duration,
+        whom: Whom,
+        kind: Kind,
+        product: Option<u8>,
+        figures: Figures,
     ) -> Departure {
         let number = self.next_number;
         self.next_number += 1;
         let Figures { onset, usual, seen } = figures;
         let stage = self.latest_stage.filter(|stage| stage.is_near(now, onset));
         let beside = stage.map(|stage| (stage.build, stage.stage));
-        Departure { number, whom, kind, product, onset, confirmed: now, ended: None, usual, seen, beside }
+        Departure {
+            number,
+            whom,
+            kind,
+            product,
+            onset,
+            confirmed: now,
+            ended: None,
+            usual,
+            seen,
+            beside,
+        }
     }
 
     /// Opens and reports a departure.
     pub(super) fn open_departure(
-        &mut self, now: Duration, whom: Whom, kind: Kind, product: Option<u8>, figures: Figures,
+        &mut self,
+        now: Duration,
+        whom: Whom,
+        kind: Kind,
+        product: Option<u8>,
+        figures: Figures,
         members: &[u32],
     ) {
         let departure = self.new_departure(now, whom, kind, product, figures);
@@ -74,10 +107,15 @@
 
     /// Ends and reports a departure; the tests of its kind start anew at its members and for the fleet.
     pub(super) fn end_departure(&mut self, now: Duration, number: u32) {
-        let Some(mut departure) = self.open.remove(&number) else { return };
+        let Some(mut departure) = self.open.remove(&number) else {
+            return;
+        };
         departure.ended = Some(now);
         let kind = departure.kind;
-        let members = self.nodes.values_mut().filter(|watched| watched.is_member(kind, number));
+        let members = self
+            .nodes
+            .values_mut()
+            .filter(|watched| watched.is_member(kind, number));
         for watched in members {
             watched.open.remove(&kind);
             watched.calm_since = None;
@@ -89,10 +127,16 @@
 
     /// Ends the departures that concern this node alone.
     pub(super) fn end_all_of(&mut self, now: Duration, node: u32) {
-        let Some(watched) = self.nodes.get(&node) else { return };
+        let Some(watched) = self.nodes.get(&node) else {
+            return;
+        };
         let numbers: Vec<u32> = watched.open.values().copied().collect();
         for number in numbers {
-            if self.open.get(&number).is_some_and(|departure| departure.whom == Whom::Node(node)) {
+            if self
+                .open
+                .get(&number)
+                .is_some_and(|departure| departure.whom == Whom::Node(node))
+            {
                 self.end_departure(now, number);
             }
         }
--- a/crates/timeline/src/watch/membership.rs
+++ b/crates/timeline/src/watch/membership.rs
@@ -32,9 +32,16 @@
     }
 
     fn report_restart(&mut self, now: Duration, node: u32, started: Option<Duration>) {
-        let figures = Figures { onset: started.unwrap_or(now), usual: 0.0, seen: 1.0 };
+        let figures = Figures {
+            onset: started.unwrap_or(now),
+            usual: 0.0,
+            seen: 1.0,
+        };
         let departure = self.new_departure(now, Whom::Node(node), Kind::Restart, None, figures);
-        let departure = Departure { ended: Some(now), ..departure };
+        let departure = Departure {
+            ended: Some(now),
+            ..departure
+        };
         self.reports.push((departure, true));
     }
 
@@ -46,9 +53,15 @@
 
     /// A stage of a build began at `since`.
     pub fn staged(&mut self, build: u16, stage: u8, since: Duration) {
-        let known = self.latest_stage.is_some_and(|latest| (latest.build, latest.stage) == (build, stage));
+        let known = self
+            .latest_stage
+            .is_some_and(|latest| (latest.build, latest.stage) == (build, stage));
         if !known {
-            self.latest_stage = Some(StageStart { build, stage, since });
+            self.latest_stage = Some(StageStart {
+                build,
+                stage,
+                since,
+            });
         }
     }
 }
--- a/crates/timeline/src/watch/node.rs
+++ b/crates/timeline/src/watch/node.rs
@@ -31,7 +31,12 @@
 
 impl WatchedNode {
     /// A node of which nothing is known but its build and start.
-    pub(super) fn new(now: Duration, build: u16, started: Option<Duration>, products: usize) -> Self {
+    pub(super) fn new(
+        now: Duration,
+        build: u16,
+        started: Option<Duration>,
+        products: usize,
+    ) -> Self {
         WatchedNode {
             build,
             started,
@@ -53,7 +58,8 @@
 
     /// Whether an attempt sent at `sent` falls into the time after its start in which it may be slow.
     pub(super) fn is_ramping_up(&self, sent: Duration, ramp: Duration) -> bool {
-        self.started.is_some_and(|started| sent < started + ramp * 9 / 8)
+        self.started
+            .is_some_and(|started| sent < started + ramp * 9 / 8)
     }
 
     /// Whether it gave a sign of life a short while ago.
@@ -68,7 +74,9 @@
 
     /// Whether a departure of this kind would be news: none is open, nor one that explains it.
     pub(super) fn would_be_news(&self, kind: Kind) -> bool {
-        let explained = explained_by(kind).iter().any(|other| self.open.contains_key(other));
+        let explained = explained_by(kind)
+            .iter()
+            .any(|other| self.open.contains_key(other));
         !explained && !self.open.contains_key(&kind)
     }
 }
--- a/crates/timeline/src/watch/outstanding.rs
+++ b/crates/timeline/src/watch/outstanding.rs
@@ -19,7 +19,11 @@
     /// heard meanwhile.
     pub(super) fn check_outstanding(&mut self, now: Duration, after_pause: bool) {
         let usual_seconds = self.longest_usual_answer();
-        let total: usize = self.nodes.values().map(|watched| watched.outstanding.len()).sum();
+        let total: usize = self
+            .nodes
+            .values()
+            .map(|watched| watched.outstanding.len())
+            .sum();
         let other_nodes = self.nodes.len().saturating_sub(1).max(1);
         let mut observed = Vec::new();
         for (&node, watched) in &mut self.nodes {
@@ -36,13 +40,24 @@
             return;
         }
         for (node, kind, bad) in observed {
-            self.observe(now, node, &[Observation { kind, place: ALL_PRODUCTS, bad }]);
+            self.observe(
+                now,
+                node,
+                &[Observation {
+                    kind,
+                    place: ALL_PRODUCTS,
+                    bad,
+                }],
+            );
         }
     }
 
     /// The usual time to an answer of the product that takes longest, in seconds.
     fn longest_usual_answer(&self) -> f64 {
-        self.answer_seconds.iter().map(|usual| usual.share(0.0, 1e-3)).fold(0.0, f64::max)
+        self.answer_seconds
+            .iter()
+            .map(|usual| usual.share(0.0, 1e-3))
+            .fold(0.0, f64::max)
     }
 }
 
@@ -50,15 +65,28 @@
 fn observe_load(watched: &mut WatchedNode, now: Duration, others_mean: f64) -> Option<bool> {
     let outstanding = watched.outstanding.len();
     let own_mean = watched.usual_outstanding.share(1.0, 4.0);
-    watched.usual_outstanding.put(now, Sum { yes: outstanding as f64, all: 1.0 });
+    watched.usual_outstanding.put(
+        now,
+        Sum {
+            yes: outstanding as f64,
+            all: 1.0,
+        },
+    );
     let usual = own_mean.max(others_mean).max(1.0);
     let high = outstanding >= MIN_HIGH_LOAD && outstanding as f64 > HIGH_LOAD_FACTOR * usual;
     (outstanding > 0).then_some(high)
 }
 
 /// Whether nothing was heard of a node since its oldest outstanding attempt was sent, for longer than is usual.
-fn is_overdue(watched: &WatchedNode, now: Duration, resumed_at: Duration, usual_seconds: f64) -> bool {
-    let Some(oldest) = watched.outstanding.values().min().copied() else { return false };
+fn is_overdue(
+    watched: &WatchedNode,
+    now: Duration,
+    resumed_at: Duration,
+    usual_seconds: f64,
+) -> bool {
+    let Some(oldest) = watched.outstanding.values().min().copied() else {
+        return false;
+    };
     let relative = watched.usual_relative_latency().max(1.0);
     let seconds = (usual_seconds * relative * OVERDUE_FACTOR).min(OVERDUE_MAX_SECONDS);
     let patience = Duration::from_secs_f64(seconds) + OVERDUE_MARGIN;
--- a/crates/timeline/src/watch/recovery.rs
+++ b/crates/timeline/src/watch/recovery.rs
@@ -22,7 +22,11 @@
             .values()
             .map(|open| {
                 let is_back = self.is_back(now, open.number, open.kind);
-                Progress { number: open.number, kind: open.kind, is_back }
+                Progress {
+                    number: open.number,
+                    kind: open.kind,
+                    is_back,
+                }
             })
             .collect();
         for one in progress {
@@ -34,9 +38,15 @@
 
     /// Whether most members of a departure are back to the usual.
     fn is_back(&self, now: Duration, number: u32, kind: Kind) -> bool {
-        let of_departure = self.nodes.iter().filter(|(_, watched)| watched.is_member(kind, number));
+        let of_departure = self
+            .nodes
+            .iter()
+            .filter(|(_, watched)| watched.is_member(kind, number));
         let members: Vec<u32> = of_departure.map(|(node, _)| *node).collect();
-        let calm = members.iter().filter(|node| self.is_calm(now, **node, kind)).count();
+        let calm = members
+            .iter()
+            .filter(|node| self.is_calm(now, **node, kind))
+            .count();
         calm as f64 >= MOST * members.len() as f64
     }
 
@@ -44,20 +54,32 @@
     /// enough, or whether no member is left.
     fn has_recovered(&mut self, now: Duration, progress: &Progress) -> bool {
         let (kind, number) = (progress.kind, progress.number);
-        let first = self.nodes.values_mut().find(|watched| watched.is_member(kind, number));
+        let first = self
+            .nodes
+            .values_mut()
+            .find(|watched| watched.is_member(kind, number));
         let Some(first) = first else { return true };
-        first.calm_since = if progress.is_back { first.calm_since.or(Some(now)) } else { None };
+        first.calm_since = if progress.is_back {
+            first.calm_since.or(Some(now))
+        } else {
+            None
+        };
         first.calm_since.is_some_and(|since| now >= since + CALM)
     }
 
     /// Whether a node shows no more bad observations of a kind now than is usual there.
     fn is_calm(&self, now: Duration, node: u32, kind: Kind) -> bool {
-        let Some(watched) = self.nodes.get(&node) else { return true };
+        let Some(watched) = self.nodes.get(&node) else {
+            return true;
+        };
         if kind == Kind::Silence {
             return watched.heard_recently(now);
         }
         let signals = watched.signals.of(kind);
-        signals.iter().enumerate().all(|(place, signal)| self.signal_is_calm(now, signal, kind, place))
+        signals
+            .iter()
+            .enumerate()
+            .all(|(place, signal)| self.signal_is_calm(now, signal, kind, place))
     }
 
     /// Whether a signal's recent observations are usual. Without any, that of one product is calm, and that of all
@@ -67,7 +89,9 @@
         if recent.all == 0.0 {
             return place != ALL_PRODUCTS;
         }
-        let usual = signal.usual.share(self.fleet_share(kind, place), PRIOR_WEIGHT);
+        let usual = signal
+            .usual
+            .share(self.fleet_share(kind, place), PRIOR_WEIGHT);
         recent.yes <= raised(usual, kind) * recent.all + 1.0
     }
 }
--- a/crates/timeline/src/watch/signals.rs
+++ b/crates/timeline/src/watch/signals.rs
@@ -7,7 +7,13 @@
 use crate::usual::Usual;
 
 /// The kinds that are tested for; a restart is not tested for but heard of.
-pub(super) const KINDS: [Kind; 5] = [Kind::Silence, Kind::Links, Kind::Errors, Kind::Latency, Kind::Load];
+pub(super) const KINDS: [Kind; 5] = [
+    Kind::Silence,
+    Kind::Links,
+    Kind::Errors,
+    Kind::Latency,
+    Kind::Load,
+];
 
 /// The place of the signal over all products; product `p` has place `p + 1`.
 pub(super) const ALL_PRODUCTS: usize = 0;
@@ -31,8 +37,15 @@
 
 impl Observations {
     pub(super) fn new() -> Self {
-        let unused = Observation { kind: Kind::Links, place: ALL_PRODUCTS, bad: false };
-        Observations { list: [unused; MOST_PER_ATTEMPT], count: 0 }
+        let unused = Observation {
+            kind: Kind::Links,
+            place: ALL_PRODUCTS,
+            bad: false,
+        };
+        Observations {
+            list: [unused; MOST_PER_ATTEMPT],
+            count: 0,
+        }
     }
 
     pub(super) fn push(&mut self, kind: Kind, place: usize, bad: bool) {
@@ -73,7 +86,11 @@
     /// Notes whether the evidence is above the threshold, and since when.
     pub(super) fn update_alarm(&mut self, now: Duration, threshold: f64) {
         let alarming = self.reaches(threshold);
-        self.alarming_since = if alarming { self.alarming_since.or(Some(now)) } else { None };
+        self.alarming_since = if alarming {
+            self.alarming_since.or(Some(now))
+        } else {
+            None
+        };
     }
 
     /// Starts the test anew; the baseline stays.
--- a/crates/timeline/tests/lines.rs
+++ b/crates/timeline/tests/lines.rs
@@ -21,7 +21,9 @@
 fn told(book: &Book, known: Duration) -> Vec<(u64, u16, String)> {
     let line = book.line(1).expect("a line");
     let listed = line.as_of(known).filter_map(|entry| match &entry.what {
-        What::Listed { state, build, .. } => Some(((entry.happened - DAWN).as_secs(), *build, state.clone())),
+        What::Listed { state, build, .. } => {
+            Some(((entry.happened - DAWN).as_secs(), *build, state.clone()))
+        }
         _ => None,
     });
     listed.collect()
@@ -33,7 +35,14 @@
     let mut book = book(1 << 20, 0);
     let line = |build, started: f64| listed(1, build, Some(secs(started)));
     book.membership(secs(10.0), Listing::Whole, &[line(1, 1.0)]);
-    book.membership(secs(20.0), Listing::Changes, &[Line { mode: Mode::Draining, ..line(1, 1.0) }]);
+    book.membership(
+        secs(20.0),
+        Listing::Changes,
+        &[Line {
+            mode: Mode::Draining,
+            ..line(1, 1.0)
+        }],
+    );
     // It came back at 15 under another build, which is told only now; then the list goes back a version, and on again.
     book.membership(secs(25.0), Listing::Changes, &[line(2, 15.0)]);
     book.membership(secs(26.0), Listing::Changes, &[line(1, 1.0)]);
@@ -42,8 +51,20 @@
     let draining = (20, 1, "draining".to_owned());
     assert_eq!(told(&book, secs(12.0)), [ready(1, 1)]);
     assert_eq!(told(&book, secs(24.0)), [ready(1, 1), draining.clone()]);
-    assert_eq!(told(&book, secs(25.0)), [ready(1, 1), ready(15, 2), draining.clone()]);
-    assert_eq!(told(&book, secs(27.0)), [ready(1, 1), ready(1, 1), ready(15, 2), ready(15, 2), draining]);
+    assert_eq!(
+        told(&book, secs(25.0)),
+        [ready(1, 1), ready(15, 2), draining.clone()]
+    );
+    assert_eq!(
+        told(&book, secs(27.0)),
+        [
+            ready(1, 1),
+            ready(1, 1),
+            ready(15, 2),
+            ready(15, 2),
+            draining
+        ]
+    );
 }
 
 #[test]
@@ -62,8 +83,21 @@
     let mut book = book(room, 0);
     for id in 0..5000u32 {
         let now = secs(f64::from(id) * 0.72);
-        let (old, new) = (listed(id.saturating_sub(3), 1, None), listed(id, (id % 7) as u16, Some(now)));
-        book.membership(now, Listing::Changes, &[new, Line { mode: Mode::Gone, ..old }]);
+        let (old, new) = (
+            listed(id.saturating_sub(3), 1, None),
+            listed(id, (id % 7) as u16, Some(now)),
+        );
+        book.membership(
+            now,
+            Listing::Changes,
+            &[
+                new,
+                Line {
+                    mode: Mode::Gone,
+                    ..old
+                },
+            ],
+        );
         for i in 0..20 {
             let request = RequestId(id * 20 + i);
             book.request(request, Product(0));
@@ -78,7 +112,11 @@
             );
         }
         book.advance(now);
-        assert!(book.octets() < room + (1 << 20), "{} at {id}", book.octets());
+        assert!(
+            book.octets() < room + (1 << 20),
+            "{} at {id}",
+            book.octets()
+        );
     }
     assert!(book.dropped() > 3000 && book.nodes().count() < 1000);
 }
@@ -104,8 +142,10 @@
         book.advance(now);
     }
     let kept = book.records();
-    let votes =
-        kept.iter().filter(|r| matches!(r, Record::Entry(e) if matches!(e.what, What::Vote { .. }))).count();
+    let votes = kept
+        .iter()
+        .filter(|r| matches!(r, Record::Entry(e) if matches!(e.what, What::Vote { .. })))
+        .count();
     assert_eq!((kept.len(), votes), (50, 40));
     // What was left out is said as soon as there is room.
     book.vote(secs(300.0), Build(2), Stage(0), Verdict::On);
--- a/examples/round_cost.rs
+++ b/examples/round_cost.rs
@@ -22,14 +22,29 @@
 
 fn module() -> Brain {
     let ms = Duration::from_millis;
-    let among = Among { me: AgentId(17), agents: 530, may_tell: true };
-    let calls = Calls { lasts: ms(6000), wait: ms(1200) };
+    let among = Among {
+        me: AgentId(17),
+        agents: 530,
+        may_tell: true,
+    };
+    let calls = Calls {
+        lasts: ms(6000),
+        wait: ms(1200),
+    };
     Brain::new(
         1,
         Membership::new(Zone(0), None),
         Thaw::new(0.34, ms(4000), 2.5, ms(1000)),
         Exposure::new(ms(4000), TICK, 3.0, 0.1, false, 1, false),
-        Jury::new(Gate::Single, vec![0.1, 0.5, 1.0], ms(900), calls, true, among, 1),
+        Jury::new(
+            Gate::Single,
+            vec![0.1, 0.5, 1.0],
+            ms(900),
+            calls,
+            true,
+            among,
+            1,
+        ),
         Desk::new(vec![READ], 3, true, ms(2000), TICK),
     )
 }
@@ -50,7 +65,16 @@
     let appliance = ApplianceId(i.wrapping_mul(0x9E37_79B9));
     let (model, build, mode) = (Model((i % 3) as u8), Build(1), Mode::Ready);
     let (cell, zone) = (Cell((i / 5) as u16), Zone((i % 8) as u8));
-    Line { appliance, mode, model, weight: 4.0, started: None, build, cell, zone }
+    Line {
+        appliance,
+        mode,
+        model,
+        weight: 4.0,
+        started: None,
+        build,
+        cell,
+        zone,
+    }
 }
 
 /// The attempts decided in a round, and when the module wants to be woken.
@@ -111,13 +135,30 @@
 
 /// The list's lines for a scene.
 fn listing(listed: u32, scene: Scene) -> Vec<Line> {
-    let build = |i: u32| if scene == Scene::Trial && i.is_multiple_of(2) { Build(2) } else { Build(1) };
-    (0..listed).map(|i| Line { build: build(i), ..line(i) }).collect()
+    let build = |i: u32| {
+        if scene == Scene::Trial && i.is_multiple_of(2) {
+            Build(2)
+        } else {
+            Build(1)
+        }
+    };
+    (0..listed)
+        .map(|i| Line {
+            build: build(i),
+            ..line(i)
+        })
+        .collect()
 }
 
 /// Runs a module for so long with so many requests and changes of the list a second; the cost of each round, and of
 /// the first list and of one that changes nothing.
-fn run(listed: u32, requests: u32, changes: u32, scene: Scene, seconds: u32) -> (Cost, [Duration; 2]) {
+fn run(
+    listed: u32,
+    requests: u32,
+    changes: u32,
+    scene: Scene,
+    seconds: u32,
+) -> (Cost, [Duration; 2]) {
     let mut brain = module();
     let mut cost = Cost::default();
     let mut events: BTreeMap<(Duration, u32), Event> = BTreeMap::new();
@@ -127,13 +168,25 @@
         events.insert((at, serial), event);
     };
     for i in 0..requests * seconds {
-        put(&mut events, DAWN + Duration::from_secs(1) * i / requests, Event::Request(i));
+        put(
+            &mut events,
+            DAWN + Duration::from_secs(1) * i / requests,
+            Event::Request(i),
+        );
     }
     for i in 0..changes * seconds {
-        put(&mut events, DAWN + Duration::from_secs(1) * i / changes, Event::Change(i));
+        put(
+            &mut events,
+            DAWN + Duration::from_secs(1) * i / changes,
+            Event::Change(i),
+        );
     }
     if scene == Scene::ZoneBack {
-        put(&mut events, DAWN + Duration::from_secs(1) * seconds / 2, Event::ZoneBack);
+        put(
+            &mut events,
+            DAWN + Duration::from_secs(1) * seconds / 2,
+            Event::ZoneBack,
+        );
     }
     let whole = listing(listed, scene);
     let mut attempts: BTreeMap<RequestId, u8> = BTreeMap::new();
@@ -156,8 +209,16 @@
     let end = DAWN + Duration::from_secs(1) * seconds;
     let mut wakes: BTreeSet<Duration> = decided.wakes.drain(..).collect();
     loop {
-        let next = events.keys().next().map(|(at, _)| *at).into_iter().chain(wakes.first().copied()).min();
-        let Some(now) = next.filter(|at| *at < end) else { break };
+        let next = events
+            .keys()
+            .next()
+            .map(|(at, _)| *at)
+            .into_iter()
+            .chain(wakes.first().copied())
+            .min();
+        let Some(now) = next.filter(|at| *at < end) else {
+            break;
+        };
         wakes.retain(|at| *at > now);
         let later = events.split_off(&(now, u32::MAX));
         let due = std::mem::replace(&mut events, later);
@@ -170,21 +231,43 @@
                         let (deadline, hint) = (now + READ.deadline, Some(ANSWER_TIME));
                         ears.request(
                             RequestId(i),
-                            Request { product, tenant, mark, deadline, hint, repeated: false },
+                            Request {
+                                product,
+                                tenant,
+                                mark,
+                                deadline,
+                                hint,
+                                repeated: false,
+                            },
                         );
                     }
                     Event::Answer(id, attempt, at) => {
                         let ending = ending(scene, id, at);
-                        ears.ended(id, attempt, at, ending, ANSWER_TIME, ending == Ending::Served);
+                        ears.ended(
+                            id,
+                            attempt,
+                            at,
+                            ending,
+                            ANSWER_TIME,
+                            ending == Ending::Served,
+                        );
                     }
                     Event::ZoneBack => {
                         let lost = whole.iter().filter(|line| line.zone == Zone(0));
-                        let back: Vec<Line> = lost.map(|l| Line { started: Some(now), ..*l }).collect();
+                        let back: Vec<Line> = lost
+                            .map(|l| Line {
+                                started: Some(now),
+                                ..*l
+                            })
+                            .collect();
                         ears.membership(Listing::Changes, &mut back.into_iter());
                     }
                     Event::Change(i) => {
                         let started = Some(now);
-                        let one = Line { started, ..whole[(i.wrapping_mul(7919) % listed) as usize] };
+                        let one = Line {
+                            started,
+                            ..whole[(i.wrapping_mul(7919) % listed) as usize]
+                        };
                         ears.membership(Listing::Changes, &mut [one].into_iter());
                     }
                 }
@@ -196,7 +279,11 @@
         for (id, to) in decided.sent.drain(..) {
             cost.used.insert(to);
             let attempt = attempts.entry(id).or_default();
-            put(&mut events, now + ANSWER_TIME, Event::Answer(id, AttemptNumber(*attempt), to));
+            put(
+                &mut events,
+                now + ANSWER_TIME,
+                Event::Answer(id, AttemptNumber(*attempt), to),
+            );
             *attempt += 1;
         }
     }
@@ -206,18 +293,33 @@
 }
 
 fn main() {
-    let seconds: u32 = std::env::args().nth(1).map_or(20, |text| text.parse().expect("seconds"));
+    let seconds: u32 = std::env::args()
+        .nth(1)
+        .map_or(20, |text| text.parse().expect("seconds"));
     println!(
         "scene listed requests/s changes/s rounds/s ms/s p99.9_us worst_us used first_list_us same_list_us rows/s"
     );
-    let loads = [(Scene::Calm, 62, 0), (Scene::Calm, 62, 1), (Scene::Calm, 300, 0), (Scene::Calm, 0, 0)];
-    let scenes = [(Scene::Trial, 62, 1), (Scene::Faults, 62, 1), (Scene::ZoneBack, 62, 0)];
+    let loads = [
+        (Scene::Calm, 62, 0),
+        (Scene::Calm, 62, 1),
+        (Scene::Calm, 300, 0),
+        (Scene::Calm, 0, 0),
+    ];
+    let scenes = [
+        (Scene::Trial, 62, 1),
+        (Scene::Faults, 62, 1),
+        (Scene::ZoneBack, 62, 0),
+    ];
     for (scene, requests, changes) in loads.into_iter().chain(scenes) {
         for listed in [35, 150, 600, 2_400, 7_400] {
             let (cost, [first, again]) = run(listed, requests, changes, scene, seconds);
             let all: Duration = cost.rounds.iter().sum();
             let count = cost.rounds.len();
-            let high = cost.rounds.get((count - count / 1000).saturating_sub(1)).copied().unwrap_or_default();
+            let high = cost
+                .rounds
+                .get((count - count / 1000).saturating_sub(1))
+                .copied()
+                .unwrap_or_default();
             let worst = cost.rounds.last().copied().unwrap_or_default();
             let micros = |time: Duration| time.as_secs_f64() * 1e6;
             println!(
--- a/src/brain.rs
+++ b/src/brain.rs
@@ -47,7 +47,11 @@
     (now >= record.barred_until).then(|| {
         record.bar = (record.bar * 2).clamp(RECENT, RECENT * 8);
         record.barred_until = now + record.bar;
-        Note::Barred { at, why, until: record.barred_until }
+        Note::Barred {
+            at,
+            why,
+            until: record.barred_until,
+        }
     })
 }
 
@@ -57,11 +61,17 @@
     /// Harms, by as much, one that comes up alone amid a change. A watch that stood and broke is asked for in
     /// a fifth of that time at most: what it misses counts as told some seconds after it fell silent.
     pub(crate) fn update(
-        &mut self, now: Duration, listing: Listing, lines: &mut dyn Iterator<Item = Line>, agents: u32,
+        &mut self,
+        now: Duration,
+        listing: Listing,
+        lines: &mut dyn Iterator<Item = Line>,
+        agents: u32,
         chance: &mut Pcg64Mcg,
     ) {
         self.fleet.list(listing, lines);
-        let Some(within) = self.ask_within else { return };
+        let Some(within) = self.ask_within else {
+            return;
+        };
         let crowd = within * agents.min(20) / 40;
         let (least, pause, luck) = (within / 20 + crowd, self.ask_pause, chance.random::<f64>());
         let (wait, next) = match listing {
@@ -77,7 +87,9 @@
 impl Thaw {
     /// The least share of its full capacity that an appliance can have now.
     pub(crate) fn warmth(&self, age: Option<Duration>) -> f64 {
-        let Some(age) = age.filter(|&a| a < self.ramp) else { return 1.0 };
+        let Some(age) = age.filter(|&a| a < self.ramp) else {
+            return 1.0;
+        };
         self.cold_from + (1.0 - self.cold_from) * age.as_secs_f64() / self.ramp.as_secs_f64()
     }
 
@@ -103,7 +115,9 @@
     /// The stage and cap that bind for a build; nothing if it is not on trial.
     pub(crate) fn bound(&self, build: Build) -> Option<(Stage, f64)> {
         match self.news {
-            Some(n) if build < n.build || (build == n.build && n.course == Course::Released) => None,
+            Some(n) if build < n.build || (build == n.build && n.course == Course::Released) => {
+                None
+            }
             Some(n) if build == n.build => Some((n.stage, n.cap)),
             _ => Some((Stage(0), self.first_cap)),
         }
@@ -111,7 +125,9 @@
 
     /// Whether the operator's rules leave a build open there for a request; without any all are.
     fn open(&self, build: Build, zone: Zone, h: &Held) -> bool {
-        self.openings.as_ref().is_none_or(|o| o.admits(build, zone, h.request.tenant, h.request.product))
+        self.openings
+            .as_ref()
+            .is_none_or(|o| o.admits(build, zone, h.request.tenant, h.request.product))
     }
 
     /// What is closed to all takes no part, or the share of the rest would be too large.
@@ -125,8 +141,12 @@
             return false;
         }
         let Some((stage, cap)) = self.bound(build) else {
-            let onward = |n: News| build < n.build && matches!(n.course, Course::OnTrial | Course::Released);
-            let answered = h.request.mark.is_some_and(|m| self.windows.answered.contains(&m));
+            let onward =
+                |n: News| build < n.build && matches!(n.course, Course::OnTrial | Course::Released);
+            let answered = h
+                .request
+                .mark
+                .is_some_and(|m| self.windows.answered.contains(&m));
             return !(self.forward_only && answered && self.news.is_some_and(onward));
         };
         cap > 0.0 && (stage.0 >= self.guarded || h.terms.repeat == Repeat::InquiryLike)
@@ -134,13 +154,23 @@
 
     fn permits(&self, now: Duration, Line { build, zone, .. }: Line, h: &Held) -> bool {
         let admitted = self.admits(build, zone, h);
-        let Some((_, cap)) = self.bound(build).filter(|_| admitted) else { return admitted };
+        let Some((_, cap)) = self.bound(build).filter(|_| admitted) else {
+            return admitted;
+        };
         // Strictly inside the window, by a tick: an arrival at its very edge may not be counted.
         let edge = (now + self.tick + Duration::from_micros(1)).saturating_sub(self.span);
-        let (lane, from, w) = (self.lane(h.request.product), now.saturating_sub(self.span), &self.windows);
+        let (lane, from, w) = (
+            self.lane(h.request.product),
+            now.saturating_sub(self.span),
+            &self.windows,
+        );
         let (sent, taken) = (w.sent_since(lane, build, from), w.taken_since(lane, edge));
         // What an earlier life of this agent sent is not known: its free allowance may be used up.
-        let free = if w.started.is_some_and(|s| s + self.span >= now) { 0.0 } else { self.free };
+        let free = if w.started.is_some_and(|s| s + self.span >= now) {
+            0.0
+        } else {
+            self.free
+        };
         sent as f64 + 1.0 <= free + cap * taken as f64
     }
 }
@@ -191,7 +221,10 @@
         }
         // The running interval of the paper; when the estimate leaves it, inference begins anew.
         let half = (spread * ((1.0 / self.alpha).ln() + 0.5 * (mixed / v).ln())).sqrt();
-        self.interval = (self.interval.0.max(y - x - half), self.interval.1.min(y - x + half));
+        self.interval = (
+            self.interval.0.max(y - x - half),
+            self.interval.1.min(y - x + half),
+        );
         if y - x < self.interval.0 || y - x > self.interval.1 {
             (self.p, self.interval) = (1.0, (f64::MIN, f64::MAX));
         }
@@ -216,15 +249,35 @@
     /// Guards against builds that turn bad some time after their start. It harms, by a delay, where more of
     /// just these have a trouble of their own.
     fn ages(&self, fleet: &Fleet, build: Build) -> bool {
-        let test = self.own.tests.get(self.products).filter(|t| t.arms.worse() > THETA0);
-        let Some(Test { arms, .. }) = test else { return false };
+        let test = self
+            .own
+            .tests
+            .get(self.products)
+            .filter(|t| t.arms.worse() > THETA0);
+        let Some(Test { arms, .. }) = test else {
+            return false;
+        };
         let newest = fleet.listed.newest(build).unwrap_or_default();
-        let running = |id| fleet.listed.get(id).filter(|l| l.mode == Mode::Ready && l.build == build);
-        let old = |id| running(id).is_some_and(|l| l.started.is_some_and(|s| s + self.dwell < newest));
+        let running = |id| {
+            fleet
+                .listed
+                .get(id)
+                .filter(|l| l.mode == Mode::Ready && l.build == build)
+        };
+        let old =
+            |id| running(id).is_some_and(|l| l.started.is_some_and(|s| s + self.dwell < newest));
         let barred = |id| fleet.used.get(id).is_some_and(Appliance::barred);
-        let by = worst_first(arms.by.iter().filter(|b| old(*b.0) && !barred(b.0)).map(|b| *b.1));
+        let by = worst_first(
+            arms.by
+                .iter()
+                .filter(|b| old(*b.0) && !barred(b.0))
+                .map(|b| *b.1),
+        );
         let rest = by.iter().skip((by.len() + 1) / 3);
-        rest.filter(|b| b.1 / b.0 > arms.means().0 + 2.0 * THETA0).map(|b| b.1).sum::<f64>() >= ENOUGH / 6.0
+        rest.filter(|b| b.1 / b.0 > arms.means().0 + 2.0 * THETA0)
+            .map(|b| b.1)
+            .sum::<f64>()
+            >= ENOUGH / 6.0
     }
 
     /// Those that agents report to: a few, spread by the build, so that hundreds need not hear of each other.
@@ -240,17 +293,39 @@
     /// Who is not told the others' outcomes shares the chance of a false alarm with all agents.
     pub(crate) fn level(&self) -> f64 {
         let alone = !self.own.build.is_some_and(|b| self.judging(b));
-        ALPHA / (self.products + 2) as f64 / if alone { f64::from(self.among.agents) } else { 1.0 }
+        ALPHA
+            / (self.products + 2) as f64
+            / if alone {
+                f64::from(self.among.agents)
+            } else {
+                1.0
+            }
     }
 
     /// `stays` while the operator's rules let no step on be asked for; a back is never held up.
-    fn verdict(&self, now: Duration, fleet: &Fleet, news: News, lost: f64, stays: bool) -> Option<Verdict> {
-        let News { build, stage, course, .. } = news;
+    fn verdict(
+        &self,
+        now: Duration,
+        fleet: &Fleet,
+        news: News,
+        lost: f64,
+        stays: bool,
+    ) -> Option<Verdict> {
+        let News {
+            build,
+            stage,
+            course,
+            ..
+        } = news;
         if !matches!(course, Course::OnTrial | Course::Released) || self.own.build != Some(build) {
             return None;
         }
         let released = course == Course::Released;
-        let (grave, long) = if released { (GRAVE, USUAL * 3 / 2) } else { (0.0, Duration::ZERO) };
+        let (grave, long) = if released {
+            (GRAVE, USUAL * 3 / 2)
+        } else {
+            (0.0, Duration::ZERO)
+        };
         let worse = |t: &Test| t.p <= self.level() && t.doubtful() && t.arms.worse() > grave;
         // Slowness may lie on an agent's own way there: it convicts only for a judge, who hears of many.
         let spoken = self.products + 1 + usize::from(self.judging(build));
@@ -262,33 +337,48 @@
         }
         let doubt = self.own.tests.iter().any(Test::doubtful) || lost > LOST / 2.0;
         if self.gate == Gate::Clocked {
-            return (stays || doubt && now < news.since + self.dwell * 4 / 3).then_some(Verdict::Hold);
+            return (stays || doubt && now < news.since + self.dwell * 4 / 3)
+                .then_some(Verdict::Hold);
         }
         let ring = self.rings.get(usize::from(stage.0)).copied().unwrap_or(1.0);
         let (listed, trial) = (&fleet.listed, fleet.listed.running(build));
         let places = listed.ready() - if self.rolling { 0 } else { trial };
         let newest = listed.newest(build)?;
         // The list runs late: a stage whose machines it does not show has not begun to wait.
-        let shown = trial as f64 + 0.5 >= ring * places as f64 || now >= news.since + self.dwell * 6;
+        let shown =
+            trial as f64 + 0.5 >= ring * places as f64 || now >= news.since + self.dwell * 6;
         // In doubt, an agent and those it told wait for more outcomes; over failures, which a good build has
         // not, longer. Guards against agents that wave on what another is about to convict.
-        let failing = self.own.tests.iter().rev().skip(1).any(Test::doubtful) || now < self.own.warned;
+        let failing =
+            self.own.tests.iter().rev().skip(1).any(Test::doubtful) || now < self.own.warned;
         let waits = [1, 3, 6][usize::from(doubt).max(2 * usize::from(failing))];
         // The judges go first; others stand in, spread by chance, if none of them speaks.
-        let stand_in = if self.judging(build) { 0.0 } else { 1.0 + 2.0 * self.own.turn };
+        let stand_in = if self.judging(build) {
+            0.0
+        } else {
+            1.0 + 2.0 * self.own.turn
+        };
         let due = newest + WAIT * waits + WAIT.mul_f64(stand_in);
         (shown && !stays && now >= due && now >= news.since + self.dwell).then_some(Verdict::On)
     }
 
     /// Warns and votes; whether there may be more to say before anything new is heard.
     fn round(
-        &mut self, now: Duration, fleet: &Fleet, news: News, (lost, stays): (f64, bool),
+        &mut self,
+        now: Duration,
+        fleet: &Fleet,
+        news: News,
+        (lost, stays): (f64, bool),
         out: &mut dyn Decisions,
     ) -> bool {
         self.own.well = if lost <= LOST { now } else { self.own.well };
         let tried = news.course == Course::OnTrial && self.own.build == Some(news.build);
         let ages = tried && self.ages(fleet, news.build);
-        self.own.warned = if ages { now + self.dwell } else { self.own.warned };
+        self.own.warned = if ages {
+            now + self.dwell
+        } else {
+            self.own.warned
+        };
         let doubt = tried && (ages || self.own.tests.iter().any(Test::doubtful));
         if self.among.may_tell && doubt && self.judging(news.build) && now >= self.own.warn_at {
             self.own.warn_at = now + self.dwell / 2;
@@ -308,10 +398,18 @@
                 return true;
             }
         } else {
-            let tests = self.own.tests.iter().map(|t| (t.arms.y.0, t.arms.worse(), t.p));
+            let tests = self
+                .own
+                .tests
+                .iter()
+                .map(|t| (t.arms.y.0, t.arms.worse(), t.p));
             out.log(&report::ballot(ballot, lost, tests));
         }
-        self.own.vote = Some(Vote { ballot, sent: now, answer: None });
+        self.own.vote = Some(Vote {
+            ballot,
+            sent: now,
+            answer: None,
+        });
         out.vote(news.build, news.stage, verdict);
         true
     }
@@ -340,17 +438,47 @@
 
 impl Brain {
     pub fn new(
-        seed: u64, membership: Membership, thaw: Thaw, exposure: Exposure, jury: Jury, desk: Desk,
+        seed: u64,
+        membership: Membership,
+        thaw: Thaw,
+        exposure: Exposure,
+        jury: Jury,
+        desk: Desk,
     ) -> Self {
-        let (chance, now, demand) = (Pcg64Mcg::seed_from_u64(seed), Duration::ZERO, Demand::default());
+        let (chance, now, demand) = (
+            Pcg64Mcg::seed_from_u64(seed),
+            Duration::ZERO,
+            Demand::default(),
+        );
         let (usual_pace, middle_pace, usual_work, members) = (1.0, 1.0, 1e-3, MEMBERS);
-        let stock = Stock { usual_pace, middle_pace, usual_work, members, ..Stock::default() };
+        let stock = Stock {
+            usual_pace,
+            middle_pace,
+            usual_work,
+            members,
+            ..Stock::default()
+        };
         let mut membership = membership;
         membership.fleet.whole_up_to = MEMBERS as usize;
-        Brain { now, chance, membership, thaw, exposure, jury, desk, demand, stock }
+        Brain {
+            now,
+            chance,
+            membership,
+            thaw,
+            exposure,
+            jury,
+            desk,
+            demand,
+            stock,
+        }
     }
 
-    pub fn round(&mut self, now: Duration, intake: impl FnOnce(&mut dyn Hears), out: &mut dyn Decisions) {
+    pub fn round(
+        &mut self,
+        now: Duration,
+        intake: impl FnOnce(&mut dyn Hears),
+        out: &mut dyn Decisions,
+    ) {
         let before = std::mem::replace(&mut self.now, now);
         let started = *self.exposure.windows.started.get_or_insert(now);
         let passed = now.saturating_sub(before.max(started));
@@ -358,7 +486,9 @@
         if before >= started && now > self.stock.wake_at.saturating_add(self.desk.tick * 20) {
             self.stock.woke = now;
         }
-        self.exposure.windows.trim(now.saturating_sub(self.exposure.span));
+        self.exposure
+            .windows
+            .trim(now.saturating_sub(self.exposure.span));
         intake(self);
         if self.membership.ask_at.take_if(|t| *t <= now).is_some() {
             out.watch_membership(true);
@@ -370,24 +500,55 @@
             // Where connections are refused, idle ones go back at once, to go round among agents. Guards
             // against appliances that accept far fewer than usual; costs handshakes.
             let short = self.demand.shut.share(now, USUAL, 2.0) > SHORT;
-            let idle = if short { self.membership.fleet.unlink_idle() } else { Vec::new() };
-            idle.into_iter().chain(self.stock.left.drain(..)).for_each(|id| out.free_links(id));
+            let idle = if short {
+                self.membership.fleet.unlink_idle()
+            } else {
+                Vec::new()
+            };
+            idle.into_iter()
+                .chain(self.stock.left.drain(..))
+                .for_each(|id| out.free_links(id));
         }
-        let order: BTreeSet<_> = self.desk.held.iter().map(|(&id, h)| (h.arrived, id)).collect();
+        let order: BTreeSet<_> = self
+            .desk
+            .held
+            .iter()
+            .map(|(&id, h)| (h.arrived, id))
+            .collect();
         let mut beat = now + self.desk.tick * 20;
         for (_, id) in order {
             beat = self.attend(id, out).map_or(beat, |next| beat.min(next));
         }
         let mut awake = !self.desk.held.is_empty() || self.stock.heard > 0;
         if let Some(news) = self.exposure.news {
-            self.jury.report(now, self.stock.woke, news, self.chance.random_range(0.5..0.8), out);
-            let stays = self.exposure.openings.as_ref().is_some_and(|o| !o.may_step(news.build, news.stage));
-            awake |= self.jury.round(now, &self.membership.fleet, news, (self.stock.lost, stays), out);
+            self.jury.report(
+                now,
+                self.stock.woke,
+                news,
+                self.chance.random_range(0.5..0.8),
+                out,
+            );
+            let stays = self
+                .exposure
+                .openings
+                .as_ref()
+                .is_some_and(|o| !o.may_step(news.build, news.stage));
+            awake |= self.jury.round(
+                now,
+                &self.membership.fleet,
+                news,
+                (self.stock.lost, stays),
+                out,
+            );
         }
         self.stock.notes.drain(..).for_each(|note| out.note(note));
         // With nothing in hand, out or on trial, what is heard next brings its own walk: until then, none.
         let idle = !awake && self.membership.fleet.walk().all(|(_, a)| a.out.is_empty());
-        let next = if idle { self.membership.ask_at } else { Some(beat.max(now + self.desk.tick * 2)) };
+        let next = if idle {
+            self.membership.ask_at
+        } else {
+            Some(beat.max(now + self.desk.tick * 2))
+        };
         if self.stock.wake_at <= now || next.is_some_and(|next| next < self.stock.wake_at) {
             self.stock.wake_at = next.unwrap_or(Duration::MAX);
             next.into_iter().for_each(|next| out.wake(next, Ticket(0)));
@@ -398,31 +559,50 @@
         let now = self.now;
         (self.stock.next, self.stock.heard) = (now + self.desk.tick * 20, 0);
         let fleet = &self.membership.fleet;
-        let listed =
-            self.demand.lived(now, USUAL, std::mem::take(&mut self.stock.passed), fleet.listed.weight());
+        let listed = self.demand.lived(
+            now,
+            USUAL,
+            std::mem::take(&mut self.stock.passed),
+            fleet.listed.weight(),
+        );
         self.jury.own.work([0.0, self.jury.own.bore * listed, 0.0]);
-        self.stock.measure(now, (RECENT, USUAL), fleet, &self.demand);
+        self.stock
+            .measure(now, (RECENT, USUAL), fleet, &self.demand);
         let middle = fleet.middle(|a| pace(a, now, &self.stock));
         self.stock.middle_pace = middle.unwrap_or(self.stock.usual_pace);
         // Silence: several attempts wait far longer than usual, and nothing came since the oldest. Guards
         // against machines that vanished, froze or were cut off, long before the list tells.
         let patience = 6.0 * self.stock.middle_pace * self.stock.usual_work;
         for (&at, a) in &mut self.membership.fleet.used {
-            let silent = a.unheard_since().map(|o| now.saturating_sub(o.max(self.stock.woke)).as_secs_f64());
+            let silent = a
+                .unheard_since()
+                .map(|o| now.saturating_sub(o.max(self.stock.woke)).as_secs_f64());
             if silent.is_some_and(|s| s > patience) {
-                self.stock.notes.extend(strike(&mut a.record, now, at, "silent"));
+                self.stock
+                    .notes
+                    .extend(strike(&mut a.record, now, at, "silent"));
             }
         }
         self.arrange();
         let few = Duration::from_secs_f64(ENOUGH / 4.0 / self.stock.served.max(1.0));
         self.stock.few = few.clamp(RECENT, USUAL);
-        let Some(News { build, stage, .. }) = self.exposure.news else { return };
-        self.jury.own.paces.extend(self.membership.fleet.paces(now, USUAL, build));
+        let Some(News { build, stage, .. }) = self.exposure.news else {
+            return;
+        };
+        self.jury
+            .own
+            .paces
+            .extend(self.membership.fleet.paces(now, USUAL, build));
         // Lost against what was at the end of the stage before: a build that slows all does so in step with
         // its stages; what came earlier is not its doing. Only with enough traffic to tell, a past, and from
         // a judge: of hundreds one always has a bad day. It harms where another trouble comes with a stage.
-        let kept = self.jury.own.kept(now, POOLED, stage, 1.25 * ENOUGH * self.stock.usual_work);
-        self.stock.lost = kept.filter(|_| self.jury.judging(build)).map_or(0.0, |kept| 1.0 - kept);
+        let kept = self
+            .jury
+            .own
+            .kept(now, POOLED, stage, 1.25 * ENOUGH * self.stock.usual_work);
+        self.stock.lost = kept
+            .filter(|_| self.jury.judging(build))
+            .map_or(0.0, |kept| 1.0 - kept);
     }
 
     /// Does what is due for a request, and says when to look at it again without an event.
@@ -432,17 +612,25 @@
         let usual = self.stock.middle_pace * h.work.max(self.stock.usual_work);
         let usual = Duration::from_secs_f64(usual.min(15.0));
         // Once the agent is to end, nothing begins of which it would not see the end.
-        let need = if h.request.deadline == self.desk.ends { usual } else { Duration::ZERO };
+        let need = if h.request.deadline == self.desk.ends {
+            usual
+        } else {
+            Duration::ZERO
+        };
         let left = h.request.deadline.saturating_sub(now) > need.max(self.desk.tick * 4);
         let sla_left = (h.arrived + h.terms.sla).saturating_sub(now);
         let more = left && h.attempts.len() < self.desk.max_attempts && resendable(h, now);
-        let waiting = h.out().next().map(|(attempt, l)| (attempt, l.to, l.sent, l.called_off));
+        let waiting = h
+            .out()
+            .next()
+            .map(|(attempt, l)| (attempt, l.to, l.sent, l.called_off));
         if let Some((attempt, to, sent, called_off)) = waiting {
             let usual = (usual * 4).max(h.terms.sla / 4);
             // Given up for lost: nothing comes from there, or what was sent later has come back. Guards
             // against lost messages and stuck work as well as dead machines.
             let a = self.membership.fleet.used.get(&to);
-            let lost = a.is_none_or(|a| a.record.passed > sent || (a.barred() && a.record.heard < sent));
+            let lost =
+                a.is_none_or(|a| a.record.passed > sent || (a.barred() && a.record.heard < sent));
             if !more || sla_left.is_zero() {
                 return None;
             }
@@ -456,15 +644,32 @@
             return Some(now + self.desk.tick * 8);
         }
         let (terms, hopeless) = (h.terms, sla_left.is_zero() && h.terms.late_share <= 0.0);
-        let fresh = h.attempts.last().is_none_or(|l| l.ending == Some(Ending::TurnedAway));
+        let fresh = h
+            .attempts
+            .last()
+            .is_none_or(|l| l.ending == Some(Ending::TurnedAway));
         // Resends go on only as far as they have helped of late. Guards against storms over requests that
         // fail wherever they go; harms for a while where a trouble has just passed.
-        let failed = h.attempts.last().is_some_and(|l| l.ending == Some(Ending::Failed));
-        let vain =
-            failed && self.chance.random::<f64>() > self.demand.again.helped(now, self.stock.few) + 0.1;
-        if !more || hopeless || if fresh { self.crowded(&terms, sla_left) } else { vain } {
+        let failed = h
+            .attempts
+            .last()
+            .is_some_and(|l| l.ending == Some(Ending::Failed));
+        let vain = failed
+            && self.chance.random::<f64>() > self.demand.again.helped(now, self.stock.few) + 0.1;
+        if !more
+            || hopeless
+            || if fresh {
+                self.crowded(&terms, sla_left)
+            } else {
+                vain
+            }
+        {
             let late = if hopeless { "late" } else { "no-more" };
-            let why = if !more || hopeless { late } else { ["vain", "crowded"][usize::from(fresh)] };
+            let why = if !more || hopeless {
+                late
+            } else {
+                ["vain", "crowded"][usize::from(fresh)]
+            };
             self.give_up(id, why, out);
             return None;
         }
@@ -483,11 +688,19 @@
     /// Whether a request waits too long if it is sent: the less it earns, the sooner. Guards against queues
     /// (bursts, lost machines, shared slowdowns, retry storms). Harms if an idle appliance is late as it is.
     fn crowded(&mut self, terms: &Terms, sla_left: Duration) -> bool {
-        let most = self.desk.products.iter().map(|t| t.revenue).fold(f64::MIN_POSITIVE, f64::max);
+        let most = self
+            .desk
+            .products
+            .iter()
+            .map(|t| t.revenue)
+            .fold(f64::MIN_POSITIVE, f64::max);
         let pressure = self.queue(sla_left);
         // What came late: all that an agent sees of a queue with hardly a request of its own in it.
         let late = self.demand.late.share(self.now, self.stock.few, 2.0);
-        let strain = f64::max((pressure - 0.15 - 0.1 * terms.revenue / most) / 0.25, 2.0 * (late - 0.15));
+        let strain = f64::max(
+            (pressure - 0.15 - 0.1 * terms.revenue / most) / 0.25,
+            2.0 * (late - 0.15),
+        );
         self.chance.random::<f64>() < strain.max(self.demand.full.share(self.now, RECENT, 1.0))
     }
 
@@ -495,7 +708,12 @@
     /// few idle requests beside keep little traffic from looking like a queue.
     fn queue(&self, of: Duration) -> f64 {
         // Nothing can have been served yet by an agent that has just come up.
-        if self.exposure.windows.started.is_none_or(|s| self.now < s + RECENT) {
+        if self
+            .exposure
+            .windows
+            .started
+            .is_none_or(|s| self.now < s + RECENT)
+        {
             return 0.0;
         }
         let (few, idle) = (4.0, self.stock.usual_work);
@@ -505,8 +723,13 @@
 
     fn give_up(&mut self, id: RequestId, why: &'static str, out: &mut dyn Decisions) {
         out.note(Note::GivenUp(why));
-        let Some(h) = self.desk.held.remove(&id) else { return };
-        let safe = matches!(h.terms.repeat, Repeat::InquiryLike | Repeat::Referenced(Group::All));
+        let Some(h) = self.desk.held.remove(&id) else {
+            return;
+        };
+        let safe = matches!(
+            h.terms.repeat,
+            Repeat::InquiryLike | Repeat::Referenced(Group::All)
+        );
         if safe || h.risk.is_none() {
             out.decline(id, (h.terms.sla / 4).min(self.desk.longest_advice));
         } else {
@@ -519,27 +742,52 @@
         let (now, fleet) = (self.now, &self.membership.fleet);
         // An agent keeps to so many of an arm, even over all agents, more the more it has out; to the rest
         // only in need. Guards against links that carry a request or two; harms evenness where few ask much.
-        let homes = HOMES * (1.0 + self.stock.asked * self.stock.middle_pace * self.stock.usual_work);
-        let (first, full) = if fleet.split { self.choose_subset(homes) } else { ([0; 2], false) };
+        let homes =
+            HOMES * (1.0 + self.stock.asked * self.stock.middle_pace * self.stock.usual_work);
+        let (first, full) = if fleet.split {
+            self.choose_subset(homes)
+        } else {
+            ([0; 2], false)
+        };
         self.stock.full = full;
         // Most are barred: the trouble is not theirs and bars mean nothing, unless a subset found others.
-        let sick = self.membership.fleet.ready().filter(|(_, a)| a.barred()).count();
+        let sick = self
+            .membership
+            .fleet
+            .ready()
+            .filter(|(_, a)| a.barred())
+            .count();
         self.stock.panic = 2 * sick > self.membership.fleet.ready().count() && !full;
         let (fleet, mut seated, mut out) = (&self.membership.fleet, [0.0; 2], [0.0; 2]);
         let (mut seats, mut sums): ([Vec<Seat>; 2], _) = (Default::default(), [0.0; 2]);
-        let open = |a: &Appliance| a.rank.is_some() && self.exposure.shows(a.line.build, a.line.zone);
-        for (id, a) in fleet.ready().filter(|(_, a)| !shut(a, now, self.stock.panic) && open(a)) {
+        let open =
+            |a: &Appliance| a.rank.is_some() && self.exposure.shows(a.line.build, a.line.zone);
+        for (id, a) in fleet
+            .ready()
+            .filter(|(_, a)| !shut(a, now, self.stock.panic) && open(a))
+        {
             let weight = a.weight() * self.thaw.warmth(a.age(now));
             let arm = self.exposure.arm(a.line.build);
             seated[arm] += weight;
             out[arm] += a.out.len() as f64;
             let odds = weight / usual(a, now, &self.stock);
             sums[arm] += odds;
-            seats[arm].push(Seat { id, odds, rank: a.rank });
+            seats[arm].push(Seat {
+                id,
+                odds,
+                rank: a.rank,
+            });
         }
         // By what the list says of all, less what is shut, if there is a subset.
-        let arm = |build, zone| self.exposure.shows(build, zone).then(|| self.exposure.arm(build));
-        let weigh = || self.thaw.listed_weights(now, fleet, arm, |a| shut(a, now, self.stock.panic));
+        let arm = |build, zone| {
+            self.exposure
+                .shows(build, zone)
+                .then(|| self.exposure.arm(build))
+        };
+        let weigh = || {
+            self.thaw
+                .listed_weights(now, fleet, arm, |a| shut(a, now, self.stock.panic))
+        };
         let listed = if fleet.split { weigh() } else { seated };
         // No share while more waits at the trial, for its size, than elsewhere. Guards against few, slow
         // machines that queue and look like a slow build: unlike loads do not compare.
@@ -553,18 +801,31 @@
             let many = seats[arm].len() as f64;
             seats[arm].sort_by_key(|seat| seat.rank);
             // Of a subset homes begin at a rank, and its part is that of what is listed.
-            let begins = seats[arm].partition_point(|seat| seat.rank < Some(first[arm])) as f64 - 0.5;
+            let begins =
+                seats[arm].partition_point(|seat| seat.rank < Some(first[arm])) as f64 - 0.5;
             let of_all = seated[arm] / listed[arm].max(seated[arm]);
-            let (turn, of) = if self.membership.fleet.split { (begins / many, of_all) } else { (turn, 1.0) };
+            let (turn, of) = if self.membership.fleet.split {
+                (begins / many, of_all)
+            } else {
+                (turn, 1.0)
+            };
             for (i, seat) in seats[arm].iter_mut().enumerate() {
                 let part = share * seat.odds / sums[arm] * of;
-                self.membership.fleet.used.entry(seat.id).and_modify(|a| a.part = part);
+                self.membership
+                    .fleet
+                    .used
+                    .entry(seat.id)
+                    .and_modify(|a| a.part = part);
                 let home = (i as f64 / many - turn).rem_euclid(1.0) * many < homes;
                 seat.odds *= if home { 1.0 } else { 1e-3 };
             }
         }
-        let lately = self.exposure.windows.all_since(now.saturating_sub(self.thaw.span)) as f64;
-        let due = lately.max(self.stock.asked * self.thaw.span.as_secs_f64()) + self.desk.held.len() as f64;
+        let lately = self
+            .exposure
+            .windows
+            .all_since(now.saturating_sub(self.thaw.span)) as f64;
+        let due = lately.max(self.stock.asked * self.thaw.span.as_secs_f64())
+            + self.desk.held.len() as f64;
         self.stock.due = due * self.stock.usual_work;
         (self.stock.seats, self.stock.listed) = (seats, listed);
     }
@@ -576,7 +837,11 @@
     fn choose_subset(&mut self, homes: f64) -> ([usize; 2], bool) {
         let (now, fleet, stock) = (self.now, &self.membership.fleet, &mut self.stock);
         // An agent that has just come up does not know yet what it is asked.
-        let known = self.exposure.windows.started.is_some_and(|s| s + RECENT <= now);
+        let known = self
+            .exposure
+            .windows
+            .started
+            .is_some_and(|s| s + RECENT <= now);
         if known && stock.members < 2.0 * homes {
             stock.members *= 2.0;
         } else if stock.members > f64::max(MEMBERS, 5.0 * homes) {
@@ -589,18 +854,31 @@
         // Where hardly any can serve, it does not look for them all over the list: `call_in` does, at need.
         let enough = |taken, serving| serving >= half || taken >= 4 * half;
         let segments = [0, 1].map(|arm| {
-            let of = |build, zone| self.exposure.arm(build) == arm && self.exposure.shows(build, zone);
+            let of =
+                |build, zone| self.exposure.arm(build) == arm && self.exposure.shows(build, zone);
             let least = stock.reach[arm].map(|reach| (reach * 15 / 16).max(1) - 1);
-            let part = Segment::new(&fleet.listed, self.jury.among, of, 2 * half, least, serves, enough);
+            let part = Segment::new(
+                &fleet.listed,
+                self.jury.among,
+                of,
+                2 * half,
+                least,
+                serves,
+                enough,
+            );
             stock.reach[arm] = part.reach;
             part
         });
         // What was of use lately stays for as long as the longest bar.
         let lately = |a: &Appliance| a.record.barred_until.max(a.record.heard) + RECENT * 8 > now;
-        let keep = |a: &Appliance| !a.out.is_empty() || lately(a) || a.pushed(now, self.thaw.span) > 0.0;
+        let keep =
+            |a: &Appliance| !a.out.is_empty() || lately(a) || a.pushed(now, self.thaw.span) > 0.0;
         let first = segments.each_ref().map(|part| part.rank_of_own(homes));
         let full = segments.iter().map(|part| part.serving).sum::<usize>() >= half;
-        stock.left = self.membership.fleet.choose_members(&segments.map(|part| part.members), keep);
+        stock.left = self
+            .membership
+            .fleet
+            .choose_members(&segments.map(|part| part.members), keep);
         (first, full)
     }
 
@@ -610,26 +888,44 @@
         let h = self.desk.held.get(&id)?;
         let (now, stock, fleet) = (self.now, &self.stock, &mut self.membership.fleet);
         let admits = |build, zone| self.exposure.admits(build, zone, h);
-        let others = fleet.others(h.confined(), Position(chance.random()), HOMES as usize, admits);
+        let others = fleet.others(
+            h.confined(),
+            Position(chance.random()),
+            HOMES as usize,
+            admits,
+        );
         for line in &others {
-            let (arm, warmth) = (self.exposure.arm(line.build), line.started.map(|s| now.saturating_sub(s)));
+            let (arm, warmth) = (
+                self.exposure.arm(line.build),
+                line.started.map(|s| now.saturating_sub(s)),
+            );
             let part = [1.0, stock.share][arm] * f64::from(line.weight) * self.thaw.warmth(warmth);
             let part = part / stock.listed[arm].max(1e-9);
-            let new = || Appliance { part, ..Appliance::new(*line, None) };
+            let new = || Appliance {
+                part,
+                ..Appliance::new(*line, None)
+            };
             fleet.used.entry(line.appliance).or_insert_with(new);
         }
         let fresh = |id: &ApplianceId| h.attempts.iter().all(|l| l.to != *id);
-        let open = others.iter().map(|l| l.appliance).filter(fresh).filter(|id| self.takes(h, *id));
+        let open = others
+            .iter()
+            .map(|l| l.appliance)
+            .filter(fresh)
+            .filter(|id| self.takes(h, *id));
         open.collect::<Vec<_>>().choose(chance).copied()
     }
 
     fn takes(&self, h: &Held, to: ApplianceId) -> bool {
         let listed = self.membership.fleet.used.get(&to);
-        let Some(a) = listed.filter(|a| a.line.mode == Mode::Ready) else { return false };
+        let Some(a) = listed.filter(|a| a.line.mode == Mode::Ready) else {
+            return false;
+        };
         // Listed sizes leave out how fast a model is; what the mean bears can push a slow one over.
         let fair = self.stock.fair * a.weight() * self.jury.own.speed(a.line.model);
         // A barred one is not tried with a resend while the subset has others.
-        let probes = h.terms.repeat != Repeat::OnceOnly && (h.attempts.is_empty() || !self.stock.full);
+        let probes =
+            h.terms.repeat != Repeat::OnceOnly && (h.attempts.is_empty() || !self.stock.full);
         h.in_group(&a.line)
             && !shut(a, self.now, self.stock.panic)
             && (!a.barred() || self.stock.panic || probes)
@@ -639,7 +935,9 @@
 
     /// Whether the rules close all that could take a request. Guards against holding it in vain.
     fn shut_out(&self, id: RequestId) -> bool {
-        let Some(h) = self.desk.held.get(&id) else { return false };
+        let Some(h) = self.desk.held.get(&id) else {
+            return false;
+        };
         let mut ready = self.membership.fleet.listed.places(h.confined()).peekable();
         ready.peek().is_some() && !ready.any(|(build, zone)| self.exposure.open(build, zone, h))
     }
@@ -652,7 +950,10 @@
         }
         let h = self.desk.held.get(&id)?;
         // A request that the trial build has failed is better served by an earlier one.
-        let failed_there = h.attempts.iter().any(|l| self.exposure.bound(l.build).is_some());
+        let failed_there = h
+            .attempts
+            .iter()
+            .any(|l| self.exposure.bound(l.build).is_some());
         let arm = usize::from(chance.random::<f64>() < self.stock.share && !failed_there);
         let mut again = None;
         for seats in [&self.stock.seats[arm], &self.stock.seats[1 - arm]] {
@@ -665,7 +966,10 @@
                         return Some(seat.id);
                     }
                 }
-                let open: Vec<_> = seats.iter().filter(|s| spare && self.takes(h, s.id)).collect();
+                let open: Vec<_> = seats
+                    .iter()
+                    .filter(|s| spare && self.takes(h, s.id))
+                    .collect();
                 let odds = |s: &&Seat| if tried(s.id) { s.odds / 100.0 } else { s.odds };
                 open.choose_weighted(&mut chance, odds).ok().map(|s| s.id)
             };
@@ -676,7 +980,13 @@
                 continue;
             }
             let two = pick(false).unwrap_or(one);
-            let cost = |id| self.membership.fleet.used.get(&id).map_or(f64::MAX, |a| self.cost(a));
+            let cost = |id| {
+                self.membership
+                    .fleet
+                    .used
+                    .get(&id)
+                    .map_or(f64::MAX, |a| self.cost(a))
+            };
             return Some(if cost(two) < cost(one) { two } else { one });
         }
         self.call_in(id, &mut chance).or(again)
@@ -684,7 +994,11 @@
 
     /// What a request may expect to wait there, against the usual: speed and size are in the odds already.
     fn cost(&self, a: &Appliance) -> f64 {
-        let across = if a.line.zone == self.membership.zone { 1.0 } else { 2.0 };
+        let across = if a.line.zone == self.membership.zone {
+            1.0
+        } else {
+            2.0
+        };
         let pace = pace(a, self.now, &self.stock) / usual(a, self.now, &self.stock);
         let out = a.out.len() as f64 * self.stock.weight / a.weight().max(1e-3);
         across * (1.0 + out) * pace / (1.0 - 0.9 * a.record.fails.share(self.now, RECENT, 1.0))
@@ -692,25 +1006,41 @@
 
     /// Whether what waited for a connection may still go: drains, caps, builds told, keys forgotten since.
     pub(crate) fn stands(&self, id: RequestId, attempt: AttemptNumber) -> bool {
-        let Some(h) = self.desk.held.get(&id) else { return false };
-        let Some(l) = h.attempts.get(usize::from(attempt.0)).filter(|l| !l.called_off) else { return false };
+        let Some(h) = self.desk.held.get(&id) else {
+            return false;
+        };
+        let Some(l) = h
+            .attempts
+            .get(usize::from(attempt.0))
+            .filter(|l| !l.called_off)
+        else {
+            return false;
+        };
         let known = h.risk.is_none_or(|(first, ..)| first == l.sent) || resendable(h, self.now);
         let same = |line: &Line| known && line.mode == Mode::Ready && line.build == l.build;
-        self.membership.fleet.line(l.to).is_some_and(same) && self.exposure.admits(l.build, l.group.0, h)
+        self.membership.fleet.line(l.to).is_some_and(same)
+            && self.exposure.admits(l.build, l.group.0, h)
     }
 
     /// Hands an outcome to the tests. No answer, or one turned away, says nothing of the build: machines die,
     /// freeze or are cut off, queues fill. Slowness counts only without a queue, while both builds answer.
     /// Guards against bursts, cold starts, dead machines and shared slowdowns.
     fn judge(&mut self, at: ApplianceId, o: &Out, ending: Ending, took: Duration, alive: bool) {
-        let Some(terms) = self.desk.products.get(usize::from(o.product.0)) else { return };
+        let Some(terms) = self.desk.products.get(usize::from(o.product.0)) else {
+            return;
+        };
         if o.mute || self.jury.own.tests.is_empty() {
             return;
         }
         let trial = self.jury.own.on_trial(o.build).then_some(at);
         // Both arms have answered within the agent's last few requests: only then do they compare.
         self.jury.own.last[usize::from(trial.is_some())] = Some(self.now);
-        let beside = self.jury.own.last.iter().all(|t| t.is_some_and(|t| t + self.stock.few >= self.now));
+        let beside = self
+            .jury
+            .own
+            .last
+            .iter()
+            .all(|t| t.is_some_and(|t| t + self.stock.few >= self.now));
         if trial.is_none() && !beside {
             return;
         }
@@ -724,36 +1054,73 @@
         };
         // Against its model's usual time at earlier builds, for work between the rough hint and the usual,
         // half as much again counts as late: a build that needs more work seldom passes twice the SLA time.
-        let model = self.membership.fleet.used.get(&at).and_then(|a| self.jury.own.paces.get(&a.line.model));
+        let model = self
+            .membership
+            .fleet
+            .used
+            .get(&at)
+            .and_then(|a| self.jury.own.paces.get(&a.line.model));
         let timed = model.filter(|_| fair && ending == Ending::Served);
-        let slow = |pace: &f64| took.as_secs_f64() > 1.5 * pace * (o.work + self.stock.usual_work) / 2.0;
-        let counts = [1, score, u8::from(timed.is_some()), u8::from(timed.is_some_and(slow))];
+        let slow =
+            |pace: &f64| took.as_secs_f64() > 1.5 * pace * (o.work + self.stock.usual_work) / 2.0;
+        let counts = [
+            1,
+            score,
+            u8::from(timed.is_some()),
+            u8::from(timed.is_some_and(slow)),
+        ];
         self.jury.note(trial, o.product, counts);
     }
 
     /// Takes in how an attempt ended: what it tells of the appliance, of queues, and of the build.
     pub(crate) fn outcome(
-        &mut self, id: RequestId, attempt: AttemptNumber, at: ApplianceId, o: &Out, ending: Ending,
+        &mut self,
+        id: RequestId,
+        attempt: AttemptNumber,
+        at: ApplianceId,
+        o: &Out,
+        ending: Ending,
         took: Duration,
     ) {
         let (now, fleet) = (self.now, &mut self.membership.fleet);
-        let Some(build) = fleet.used.get(&at).map(|a| a.line.build) else { return };
+        let Some(build) = fleet.used.get(&at).map(|a| a.line.build) else {
+            return;
+        };
         let served = ending == Ending::Served;
-        let (many, sum) = if served { (0.0, 0.0) } else { fleet.mates(now, RECENT, at, build) };
-        let Some(a) = fleet.used.get_mut(&at) else { return };
+        let (many, sum) = if served {
+            (0.0, 0.0)
+        } else {
+            fleet.mates(now, RECENT, at, build)
+        };
+        let Some(a) = fleet.used.get_mut(&at) else {
+            return;
+        };
         let alive = a.record.heard > o.sent;
-        let sla = self.desk.products.get(usize::from(o.product.0)).map_or(took, |terms| terms.sla);
+        let sla = self
+            .desk
+            .products
+            .get(usize::from(o.product.0))
+            .map_or(took, |terms| terms.sla);
         let blurred = o.sent < self.stock.woke;
         // Short of connections is what has answered between two that failed; what is gone or silent is not.
-        let short = ending == Ending::Unconnected && a.record.heard > a.record.unlinked.unwrap_or(now);
-        self.demand.ended(now, (RECENT, self.stock.few, USUAL), attempt, ending, (took > sla, short));
+        let short =
+            ending == Ending::Unconnected && a.record.heard > a.record.unlinked.unwrap_or(now);
+        self.demand.ended(
+            now,
+            (RECENT, self.stock.few, USUAL),
+            attempt,
+            ending,
+            (took > sla, short),
+        );
         a.record.ended(now, RECENT, ending, o.sent);
         if served {
             if !blurred {
                 a.record.served(now, (RECENT, USUAL), took, o.work);
             }
             self.demand.served(now, (RECENT, USUAL), o.work);
-            self.jury.own.work([if took <= sla { o.work } else { 0.0 }, 0.0, 0.0]);
+            self.jury
+                .own
+                .work([if took <= sla { o.work } else { 0.0 }, 0.0, 0.0]);
             if a.barred() && now >= a.record.barred_until {
                 a.record.bar = Duration::ZERO;
                 self.stock.notes.push(Note::Unbarred(at));
@@ -762,16 +1129,28 @@
         // An appliance that breaks connections or fails far more than others of its build is left alone a
         // while, a build as a whole never: its failures are the test's evidence. Spoilt answers say less.
         let fails = a.record.fails.share(now, RECENT, 1.0);
-        let worse = many > 0.0 && fails > sum / many + if ending == Ending::Spoilt { 0.6 } else { 0.3 };
+        let worse =
+            many > 0.0 && fails > sum / many + if ending == Ending::Spoilt { 0.6 } else { 0.3 };
         if worse || matches!(ending, Ending::Unconnected | Ending::Broken) {
-            self.stock.notes.extend(strike(&mut a.record, now, at, if worse { "fails" } else { "unlinked" }));
+            self.stock.notes.extend(strike(
+                &mut a.record,
+                now,
+                at,
+                if worse { "fails" } else { "unlinked" },
+            ));
         }
         self.stock.heard += 1;
         if !blurred {
             self.judge(at, o, ending, took, alive);
         }
-        let news = self.exposure.news.filter(|n| served && self.exposure.forward_only && o.build == n.build);
+        let news = self
+            .exposure
+            .news
+            .filter(|n| served && self.exposure.forward_only && o.build == n.build);
         let mark = self.desk.held.get(&id).and_then(|h| h.request.mark);
-        self.exposure.windows.answered.extend(mark.filter(|_| news.is_some()));
+        self.exposure
+            .windows
+            .answered
+            .extend(mark.filter(|_| news.is_some()));
     }
 }
--- a/src/catalog.rs
+++ b/src/catalog.rs
@@ -32,19 +32,26 @@
     /// When each one that started after this time did so, and its weight.
     pub(crate) fn started_after(&self, after: Duration) -> impl Iterator<Item = (Duration, f64)> {
         let from = self.starts.partition_point(|(start, ..)| *start <= after);
-        self.starts[from..].iter().map(|(start, _, weight)| (*start, f64::from(*weight)))
+        self.starts[from..]
+            .iter()
+            .map(|(start, _, weight)| (*start, f64::from(*weight)))
     }
 
     /// Adds an appliance at the end of each index; the order is to be made afterwards.
     fn push(&mut self, line: &Line) {
-        self.ring.push((Position::of_appliance(line.appliance), line.appliance));
+        self.ring
+            .push((Position::of_appliance(line.appliance), line.appliance));
         self.weight += f64::from(line.weight);
-        self.starts.extend(line.started.map(|start| (start, line.appliance, line.weight)));
+        self.starts.extend(
+            line.started
+                .map(|start| (start, line.appliance, line.weight)),
+        );
     }
 
     fn sort(&mut self) {
         self.ring.sort_unstable();
-        self.starts.sort_unstable_by_key(|(start, id, _)| (*start, *id));
+        self.starts
+            .sort_unstable_by_key(|(start, id, _)| (*start, *id));
     }
 
     fn insert(&mut self, line: &Line) {
@@ -52,17 +59,25 @@
         insert_sorted(&mut self.ring, place);
         self.weight += f64::from(line.weight);
         if let Some(start) = line.started {
-            let at = self.starts.partition_point(|(s, id, _)| (*s, *id) < (start, line.appliance));
+            let at = self
+                .starts
+                .partition_point(|(s, id, _)| (*s, *id) < (start, line.appliance));
             self.starts.insert(at, (start, line.appliance, line.weight));
         }
     }
 
     fn remove(&mut self, line: &Line) {
-        remove_sorted(&mut self.ring, &(Position::of_appliance(line.appliance), line.appliance));
+        remove_sorted(
+            &mut self.ring,
+            &(Position::of_appliance(line.appliance), line.appliance),
+        );
         self.weight -= f64::from(line.weight);
         if let Some(start) = line.started {
             let key = (start, line.appliance);
-            if let Ok(at) = self.starts.binary_search_by_key(&key, |(s, id, _)| (*s, *id)) {
+            if let Ok(at) = self
+                .starts
+                .binary_search_by_key(&key, |(s, id, _)| (*s, *id))
+            {
                 self.starts.remove(at);
             }
         }
@@ -105,7 +120,10 @@
     }
 
     pub(crate) fn get(&self, id: ApplianceId) -> Option<&Line> {
-        self.rows.binary_search_by_key(&id, |line| line.appliance).ok().map(|at| &self.rows[at])
+        self.rows
+            .binary_search_by_key(&id, |line| line.appliance)
+            .ok()
+            .map(|at| &self.rows[at])
     }
 
     pub(crate) fn weight(&self) -> f64 {
@@ -118,11 +136,15 @@
 
     /// The ready ones by build and zone; none of these is empty.
     pub(crate) fn pools(&self) -> impl Iterator<Item = (Build, Zone, &Pool)> {
-        self.pools.iter().map(|((build, zone), pool)| (*build, *zone, pool))
+        self.pools
+            .iter()
+            .map(|((build, zone), pool)| (*build, *zone, pool))
     }
 
     fn of_build(&self, build: Build) -> impl Iterator<Item = &Pool> {
-        self.pools.range((build, Zone(0))..=(build, Zone(u8::MAX))).map(|(_, pool)| pool)
+        self.pools
+            .range((build, Zone(0))..=(build, Zone(u8::MAX)))
+            .map(|(_, pool)| pool)
     }
 
     /// How many ready ones run a build.
@@ -132,30 +154,47 @@
 
     /// When the latest of those that run a build started.
     pub(crate) fn newest(&self, build: Build) -> Option<Duration> {
-        self.of_build(build).filter_map(|pool| pool.starts.last()).map(|(start, ..)| *start).max()
+        self.of_build(build)
+            .filter_map(|pool| pool.starts.last())
+            .map(|(start, ..)| *start)
+            .max()
     }
 
     /// The ready ones of a cell, from a drawn one on, once round.
     pub(crate) fn in_cell(&self, cell: Cell, drawn: usize) -> impl Iterator<Item = &Line> {
         let from = self.cells.partition_point(|(other, _)| *other < cell);
         let to = self.cells.partition_point(|(other, _)| *other <= cell);
-        let (before, after) = self.cells[from..to].split_at(drawn.checked_rem(to - from).unwrap_or(0));
-        after.iter().chain(before).inspect(|_| self.visit(1)).filter_map(|(_, id)| self.get(*id))
+        let (before, after) =
+            self.cells[from..to].split_at(drawn.checked_rem(to - from).unwrap_or(0));
+        after
+            .iter()
+            .chain(before)
+            .inspect(|_| self.visit(1))
+            .filter_map(|(_, id)| self.get(*id))
     }
 
     /// The builds and zones of the ready ones in a zone or a cell, or of all.
     pub(crate) fn places(
-        &self, (zone, cell): (Option<Zone>, Option<Cell>),
+        &self,
+        (zone, cell): (Option<Zone>, Option<Cell>),
     ) -> impl Iterator<Item = (Build, Zone)> {
-        let by_cell = cell.into_iter().flat_map(|cell| self.in_cell(cell, 0)).map(|l| (l.build, l.zone));
+        let by_cell = cell
+            .into_iter()
+            .flat_map(|cell| self.in_cell(cell, 0))
+            .map(|l| (l.build, l.zone));
         let all = self.pools.keys().copied().filter(move |_| cell.is_none());
-        by_cell.chain(all).filter(move |(_, other)| zone.is_none_or(|zone| zone == *other))
+        by_cell
+            .chain(all)
+            .filter(move |(_, other)| zone.is_none_or(|zone| zone == *other))
     }
 
     /// The first of these: at least so many, and on until it is enough, by how many were taken and can serve. How many
     /// can is told beside them.
     pub(crate) fn take_until(
-        &self, ids: impl Iterator<Item = ApplianceId>, least: usize, serves: impl Fn(ApplianceId) -> bool,
+        &self,
+        ids: impl Iterator<Item = ApplianceId>,
+        least: usize,
+        serves: impl Fn(ApplianceId) -> bool,
         enough: impl Fn(usize, usize) -> bool,
     ) -> (Vec<ApplianceId>, usize) {
         let (mut taken, mut serving) = (Vec::new(), 0);
@@ -182,13 +221,22 @@
     /// Takes the lines of an update; `whole` if what they do not name is gone.
     pub(crate) fn update(&mut self, whole: bool, lines: &[Line]) {
         self.visit(lines.len());
-        let places = lines.iter().zip(0..).map(|(line, place)| (line.appliance, place));
+        let places = lines
+            .iter()
+            .zip(0..)
+            .map(|(line, place)| (line.appliance, place));
         let mut order: Vec<(ApplianceId, u32)> = places.collect();
         order.sort_unstable();
         // Of several lines for one appliance the last holds.
-        let last = order.chunk_by(|one, other| one.0 == other.0).filter_map(|same| same.last());
+        let last = order
+            .chunk_by(|one, other| one.0 == other.0)
+            .filter_map(|same| same.last());
         let told = last.map(|(_, place)| &lines[*place as usize]);
-        let changes = if whole { self.changes(told) } else { told.copied().collect() };
+        let changes = if whole {
+            self.changes(told)
+        } else {
+            told.copied().collect()
+        };
         if changes.len() <= FEW_CHANGES {
             changes.iter().for_each(|line| self.put(line));
         } else {
@@ -203,19 +251,27 @@
         let mut rows = self.rows.iter().peekable();
         for line in whole {
             while let Some(row) = rows.next_if(|row| row.appliance < line.appliance) {
-                changes.push(Line { mode: Mode::Gone, ..*row });
+                changes.push(Line {
+                    mode: Mode::Gone,
+                    ..*row
+                });
             }
             if rows.next_if(|row| row.appliance == line.appliance) != Some(line) {
                 changes.push(*line);
             }
         }
-        changes.extend(rows.map(|row| Line { mode: Mode::Gone, ..*row }));
+        changes.extend(rows.map(|row| Line {
+            mode: Mode::Gone,
+            ..*row
+        }));
         changes
     }
 
     /// Takes one line into the rows and all indexes.
     fn put(&mut self, line: &Line) {
-        let at = self.rows.binary_search_by_key(&line.appliance, |row| row.appliance);
+        let at = self
+            .rows
+            .binary_search_by_key(&line.appliance, |row| row.appliance);
         if let Ok(at) = at {
             let row = self.rows[at];
             self.remove_ready(&row);
@@ -233,7 +289,10 @@
         if line.mode != Mode::Ready {
             return;
         }
-        self.pools.entry((line.build, line.zone)).or_default().insert(line);
+        self.pools
+            .entry((line.build, line.zone))
+            .or_default()
+            .insert(line);
         insert_sorted(&mut self.cells, (line.cell, line.appliance));
         self.weight += f64::from(line.weight);
     }
@@ -246,7 +305,11 @@
         if let Some(pool) = self.pools.get_mut(&key) {
             pool.remove(line);
         }
-        if self.pools.get(&key).is_some_and(|pool| pool.ring.is_empty()) {
+        if self
+            .pools
+            .get(&key)
+            .is_some_and(|pool| pool.ring.is_empty())
+        {
             self.pools.remove(&key);
         }
         remove_sorted(&mut self.cells, &(line.cell, line.appliance));
@@ -277,7 +340,10 @@
         self.cells.clear();
         self.weight = 0.0;
         for line in self.rows.iter().filter(|line| line.mode == Mode::Ready) {
-            self.pools.entry((line.build, line.zone)).or_default().push(line);
+            self.pools
+                .entry((line.build, line.zone))
+                .or_default()
+                .push(line);
             self.cells.push((line.cell, line.appliance));
             self.weight += f64::from(line.weight);
         }
--- a/src/ear.rs
+++ b/src/ear.rs
@@ -13,21 +13,53 @@
     fn request(&mut self, id: RequestId, mut request: Request) {
         let now = self.now;
         request.deadline = request.deadline.min(self.desk.ends);
-        let Some(&terms) = self.desk.products.get(usize::from(request.product.0)) else { return };
+        let Some(&terms) = self.desk.products.get(usize::from(request.product.0)) else {
+            return;
+        };
         let lane = self.exposure.lane(request.product);
-        self.exposure.windows.taken.entry(lane).or_default().push_back(now);
+        self.exposure
+            .windows
+            .taken
+            .entry(lane)
+            .or_default()
+            .push_back(now);
         self.stock.heard += 1;
-        let work = self.demand.taken(now, USUAL, &request).unwrap_or(self.stock.usual_work).max(1e-4);
+        let work = self
+            .demand
+            .taken(now, USUAL, &request)
+            .unwrap_or(self.stock.usual_work)
+            .max(1e-4);
         self.jury.own.work([0.0, 0.0, work]);
         let (attempts, risk, luck) = Default::default();
-        self.desk.held.insert(id, Held { request, terms, work, arrived: now, attempts, risk, luck });
+        self.desk.held.insert(
+            id,
+            Held {
+                request,
+                terms,
+                work,
+                arrived: now,
+                attempts,
+                risk,
+                luck,
+            },
+        );
     }
 
     fn ended(
-        &mut self, id: RequestId, attempt: AttemptNumber, at: ApplianceId, ending: Ending, took: Duration,
+        &mut self,
+        id: RequestId,
+        attempt: AttemptNumber,
+        at: ApplianceId,
+        ending: Ending,
+        took: Duration,
         closed: bool,
     ) {
-        let out = self.membership.fleet.used.get_mut(&at).and_then(|a| a.out.remove(&(id, attempt)));
+        let out = self
+            .membership
+            .fleet
+            .used
+            .get_mut(&at)
+            .and_then(|a| a.out.remove(&(id, attempt)));
         if let Some(out) = out {
             self.outcome(id, attempt, at, &out, ending, took);
         }
@@ -52,7 +84,13 @@
     }
 
     fn membership(&mut self, listing: Listing, lines: &mut dyn Iterator<Item = Line>) {
-        self.membership.update(self.now, listing, lines, self.jury.among.agents, &mut self.chance);
+        self.membership.update(
+            self.now,
+            listing,
+            lines,
+            self.jury.among.agents,
+            &mut self.chance,
+        );
         self.stock.next = Duration::ZERO;
     }
 
@@ -65,17 +103,30 @@
         }
         if course == Course::OnTrial && self.jury.own.build != Some(build) {
             let started = self.exposure.windows.started.unwrap_or_default();
-            self.jury.begin(self.now, build, started, &self.demand, self.chance.random());
+            self.jury
+                .begin(self.now, build, started, &self.demand, self.chance.random());
         }
         let same = known.filter(|n| (n.build, n.stage) == (build, stage));
         let since = same.map_or(self.now.saturating_sub(age), |n| n.since);
         self.stock.next = Duration::ZERO;
-        self.exposure.news = Some(News { build, stage, course, cap, since });
+        self.exposure.news = Some(News {
+            build,
+            stage,
+            course,
+            cap,
+            since,
+        });
     }
 
     fn peer(&mut self, from: AgentId, octets: &[u8]) {
-        self.jury.told(self.now, from, octets, &self.membership.fleet);
-        if self.jury.own.build.is_some_and(|b| octets == b.0.to_be_bytes()) {
+        self.jury
+            .told(self.now, from, octets, &self.membership.fleet);
+        if self
+            .jury
+            .own
+            .build
+            .is_some_and(|b| octets == b.0.to_be_bytes())
+        {
             self.jury.own.warned = self.now + self.jury.dwell;
         }
     }
@@ -93,12 +144,17 @@
 
     fn ends(&mut self, last: Duration) {
         self.desk.ends = last;
-        self.desk.held.values_mut().for_each(|h| h.request.deadline = h.request.deadline.min(last));
+        self.desk
+            .held
+            .values_mut()
+            .for_each(|h| h.request.deadline = h.request.deadline.min(last));
     }
 
     fn wrong_answer(&mut self, at: ApplianceId, product: Product, sent_ago: Duration) {
         let sent = self.now.saturating_sub(sent_ago);
-        let Some(&line) = self.membership.fleet.line(at) else { return };
+        let Some(&line) = self.membership.fleet.line(at) else {
+            return;
+        };
         // The outcome it names was counted as good.
         if !self.thaw.young(&line, sent) {
             let trial = self.jury.own.on_trial(line.build).then_some(at);
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -51,11 +51,22 @@
             self.unlinked = Some(now);
         }
         if !matches!(ending, Ending::CalledOff | Ending::Unsent) {
-            self.fails.add(now, half, f64::from(u8::from(ending != Ending::Served)), 1.0);
+            self.fails.add(
+                now,
+                half,
+                f64::from(u8::from(ending != Ending::Served)),
+                1.0,
+            );
         }
     }
 
-    pub(crate) fn served(&mut self, now: Duration, halves: (Duration, Duration), took: Duration, work: f64) {
+    pub(crate) fn served(
+        &mut self,
+        now: Duration,
+        halves: (Duration, Duration),
+        took: Duration,
+        work: f64,
+    ) {
         self.recent.add(now, halves.0, took.as_secs_f64(), work);
         self.usual.add(now, halves.1, took.as_secs_f64(), work);
     }
@@ -78,7 +89,15 @@
 impl Appliance {
     pub(crate) fn new(line: Line, rank: Option<usize>) -> Self {
         let (record, out, pushed, part, linked) = Default::default();
-        Appliance { line, record, out, pushed, part, linked, rank }
+        Appliance {
+            line,
+            record,
+            out,
+            pushed,
+            part,
+            linked,
+            rank,
+        }
     }
 
     /// Takes a new line of the list.
@@ -96,7 +115,11 @@
 
     /// Notes what is sent there, and forgets what was before this span.
     pub(crate) fn sent(
-        &mut self, now: Duration, span: Duration, which: (RequestId, AttemptNumber), out: Out,
+        &mut self,
+        now: Duration,
+        span: Duration,
+        which: (RequestId, AttemptNumber),
+        out: Out,
     ) {
         self.pushed.retain(|(t, _)| *t + span >= now);
         self.pushed.push_back((now, out.work));
@@ -105,7 +128,11 @@
     }
 
     pub(crate) fn pushed(&self, now: Duration, span: Duration) -> f64 {
-        self.pushed.iter().filter(|(t, _)| *t + span >= now).map(|(_, w)| w).sum()
+        self.pushed
+            .iter()
+            .filter(|(t, _)| *t + span >= now)
+            .map(|(_, w)| w)
+            .sum()
     }
 
     pub(crate) fn barred(&self) -> bool {
@@ -142,14 +169,18 @@
     pub(crate) fn list(&mut self, listing: Listing, lines: &mut dyn Iterator<Item = Line>) {
         let whole = matches!(listing, Listing::Whole | Listing::Saved);
         // Of what is gone nothing is kept but what is out there still.
-        self.used.retain(|_, a| a.line.mode != Mode::Gone || !a.out.is_empty());
+        self.used
+            .retain(|_, a| a.line.mode != Mode::Gone || !a.out.is_empty());
         let lines: Vec<Line> = lines.collect();
         self.listed.update(whole, &lines);
         self.split_or_join();
         self.relist(lines);
         if whole {
             let listed = &self.listed;
-            let gone = self.used.iter_mut().filter(|(id, _)| listed.get(**id).is_none());
+            let gone = self
+                .used
+                .iter_mut()
+                .filter(|(id, _)| listed.get(**id).is_none());
             gone.for_each(|(_, a)| a.line.mode = Mode::Gone);
         }
     }
@@ -167,7 +198,9 @@
         }
         for line in lines {
             if !self.split {
-                self.used.entry(line.appliance).or_insert_with(|| Appliance::new(line, Some(0)));
+                self.used
+                    .entry(line.appliance)
+                    .or_insert_with(|| Appliance::new(line, Some(0)));
             }
             if let Some(a) = self.used.get_mut(&line.appliance) {
                 a.relist(line);
@@ -183,7 +216,10 @@
         self.split = many > self.whole_up_to || (was && many * 4 > self.whole_up_to * 3);
         if was && !self.split {
             for line in self.listed.rows() {
-                let a = self.used.entry(line.appliance).or_insert_with(|| Appliance::new(*line, None));
+                let a = self
+                    .used
+                    .entry(line.appliance)
+                    .or_insert_with(|| Appliance::new(*line, None));
                 a.rank = Some(0);
             }
         }
@@ -192,12 +228,17 @@
     /// Makes these the members of the subset, each with its rank, and drops the records of others but those
     /// to be kept. Returns what was dropped with a connection that may be open.
     pub(crate) fn choose_members(
-        &mut self, members: &[Vec<ApplianceId>; 2], keep: impl Fn(&Appliance) -> bool,
+        &mut self,
+        members: &[Vec<ApplianceId>; 2],
+        keep: impl Fn(&Appliance) -> bool,
     ) -> Vec<ApplianceId> {
         self.used.values_mut().for_each(|a| a.rank = None);
         for (rank, id) in members.iter().flat_map(|arm| arm.iter().enumerate()) {
             if let Some(line) = self.listed.get(*id) {
-                let a = self.used.entry(*id).or_insert_with(|| Appliance::new(*line, None));
+                let a = self
+                    .used
+                    .entry(*id)
+                    .or_insert_with(|| Appliance::new(*line, None));
                 a.rank = Some(rank);
             }
         }
@@ -212,7 +253,10 @@
 
     /// Notes that the connections of all that have nothing out are given back, and which these are.
     pub(crate) fn unlink_idle(&mut self) -> Vec<ApplianceId> {
-        let idle = self.used.iter_mut().filter(|(_, a)| a.linked && a.out.is_empty());
+        let idle = self
+            .used
+            .iter_mut()
+            .filter(|(_, a)| a.linked && a.out.is_empty());
         let unlinked = idle.map(|(id, a)| {
             a.linked = false;
             *id
@@ -229,28 +273,51 @@
 
     /// Up to so many ready ones outside the subset, of a zone, a cell or all, from a drawn place on.
     pub(crate) fn others(
-        &self, (zone, cell): (Option<Zone>, Option<Cell>), drawn: Position, many: usize,
+        &self,
+        (zone, cell): (Option<Zone>, Option<Cell>),
+        drawn: Position,
+        many: usize,
         admits: impl Fn(Build, Zone) -> bool,
     ) -> Vec<Line> {
         if !self.split {
             return Vec::new();
         }
-        let member = |line: &&Line| self.used.get(&line.appliance).is_some_and(|a| a.rank.is_some());
+        let member = |line: &&Line| {
+            self.used
+                .get(&line.appliance)
+                .is_some_and(|a| a.rank.is_some())
+        };
         if let Some(cell) = cell {
-            let lines = self.listed.in_cell(cell, drawn.0 as usize).take(many * LOOKED_AT);
+            let lines = self
+                .listed
+                .in_cell(cell, drawn.0 as usize)
+                .take(many * LOOKED_AT);
             let others = lines.filter(|line| !member(line) && admits(line.build, line.zone));
             return others.take(many).copied().collect();
         }
         let fits = |b: Build, z: Zone| zone.is_none_or(|zone| zone == z) && admits(b, z);
-        let rings = self.listed.pools().filter(|(b, z, _)| fits(*b, *z)).map(|(.., pool)| pool.ring());
+        let rings = self
+            .listed
+            .pools()
+            .filter(|(b, z, _)| fits(*b, *z))
+            .map(|(.., pool)| pool.ring());
         let ids = nearest(rings, drawn, Side::After).take(many * LOOKED_AT);
-        let lines = ids.inspect(|_| self.listed.visit(1)).filter_map(|id| self.listed.get(id));
-        lines.filter(|line| !member(line)).take(many).copied().collect()
+        let lines = ids
+            .inspect(|_| self.listed.visit(1))
+            .filter_map(|id| self.listed.get(id));
+        lines
+            .filter(|line| !member(line))
+            .take(many)
+            .copied()
+            .collect()
     }
 
     /// What the list says of an appliance, as the record of it has it, if there is one.
     pub(crate) fn line(&self, id: ApplianceId) -> Option<&Line> {
-        self.used.get(&id).map(|a| &a.line).or_else(|| self.listed.get(id))
+        self.used
+            .get(&id)
+            .map(|a| &a.line)
+            .or_else(|| self.listed.get(id))
     }
 
     /// All that have a record; each walk is counted.
@@ -261,29 +328,52 @@
 
     /// Those with a record that are ready.
     pub(crate) fn ready(&self) -> impl Iterator<Item = (ApplianceId, &Appliance)> {
-        self.walk().filter(|(_, a)| a.line.mode == Mode::Ready).map(|(&id, a)| (id, a))
+        self.walk()
+            .filter(|(_, a)| a.line.mode == Mode::Ready)
+            .map(|(&id, a)| (id, a))
     }
 
     /// How many others run this build, and the sum of their shares of failures.
-    pub(crate) fn mates(&self, now: Duration, half: Duration, at: ApplianceId, build: Build) -> (f64, f64) {
-        let mates = self.ready().filter(|(id, a)| *id != at && a.line.build == build);
-        mates.fold((0.0, 0.0), |(n, s), (_, a)| (n + 1.0, s + a.record.fails.share(now, half, 1.0)))
+    pub(crate) fn mates(
+        &self,
+        now: Duration,
+        half: Duration,
+        at: ApplianceId,
+        build: Build,
+    ) -> (f64, f64) {
+        let mates = self
+            .ready()
+            .filter(|(id, a)| *id != at && a.line.build == build);
+        mates.fold((0.0, 0.0), |(n, s), (_, a)| {
+            (n + 1.0, s + a.record.fails.share(now, half, 1.0))
+        })
     }
 
     /// The usual pace of each model at builds before this one.
-    pub(crate) fn paces(&self, now: Duration, half: Duration, build: Build) -> BTreeMap<Model, f64> {
+    pub(crate) fn paces(
+        &self,
+        now: Duration,
+        half: Duration,
+        build: Build,
+    ) -> BTreeMap<Model, f64> {
         let mut sums = BTreeMap::<Model, (f64, f64)>::new();
         for (_, a) in self.ready().filter(|(_, a)| a.line.build < build) {
             let (took, worked) = a.record.usual.read(now, half);
             let sum = sums.entry(a.line.model).or_default();
             *sum = (sum.0 + took, sum.1 + worked);
         }
-        sums.into_iter().filter(|(_, s)| s.1 > 0.0).map(|(m, s)| (m, s.0 / s.1)).collect()
+        sums.into_iter()
+            .filter(|(_, s)| s.1 > 0.0)
+            .map(|(m, s)| (m, s.0 / s.1))
+            .collect()
     }
 
     /// How many attempts are out, but for those at barred appliances.
     pub(crate) fn out(&self) -> usize {
-        self.walk().filter(|(_, a)| !a.barred()).map(|(_, a)| a.out.len()).sum()
+        self.walk()
+            .filter(|(_, a)| !a.barred())
+            .map(|(_, a)| a.out.len())
+            .sum()
     }
 
     /// Time taken for each unit of hinted work in the long run.
--- a/src/members.rs
+++ b/src/members.rs
@@ -23,11 +23,19 @@
     /// until it is `enough` by how many were taken and how many of these `serve`. An arm of up to
     /// `whole_up_to` is taken whole.
     pub(crate) fn new(
-        listed: &Catalog, among: Among, of: impl Fn(Build, Zone) -> bool, whole_up_to: usize,
-        least: [usize; 2], serves: impl Fn(ApplianceId) -> bool, enough: impl Fn(usize, usize) -> bool,
+        listed: &Catalog,
+        among: Among,
+        of: impl Fn(Build, Zone) -> bool,
+        whole_up_to: usize,
+        least: [usize; 2],
+        serves: impl Fn(ApplianceId) -> bool,
+        enough: impl Fn(usize, usize) -> bool,
     ) -> Self {
-        let pools: Vec<&Pool> =
-            listed.pools().filter(|(build, zone, _)| of(*build, *zone)).map(|(.., pool)| pool).collect();
+        let pools: Vec<&Pool> = listed
+            .pools()
+            .filter(|(build, zone, _)| of(*build, *zone))
+            .map(|(.., pool)| pool)
+            .collect();
         let place = Position::of_agent(among.me, among.agents);
         let count = pools.iter().map(|pool| pool.ring().len()).sum::<usize>();
         let whole = count <= whole_up_to;
@@ -38,14 +46,23 @@
         let ((before, serve_before), (after, serve_after)) = if whole {
             ((Vec::new(), 0), take(Side::After, count, count))
         } else {
-            (take(Side::Before, count / 2, least[0]), take(Side::After, count.div_ceil(2), least[1]))
+            (
+                take(Side::Before, count / 2, least[0]),
+                take(Side::After, count.div_ceil(2), least[1]),
+            )
         };
         let turn = f64::from(among.me.0) / f64::from(among.agents.max(1));
         let off = turn * count as f64 - rank_in(pools.iter().copied(), place) as f64;
         let (reach, own) = ([before.len(), after.len()], before.len() as f64 + off);
         let serving = serve_before + serve_after;
         let members = before.into_iter().rev().chain(after).collect();
-        Segment { members, reach, serving, count, own }
+        Segment {
+            members,
+            reach,
+            serving,
+            count,
+            own,
+        }
     }
 
     /// The rank at which so many homes begin: at the agent's own, as far as the segment holds them.
--- a/src/openings.rs
+++ b/src/openings.rs
@@ -26,17 +26,41 @@
     ///
     /// # Panics
     /// Where a row has another number of cells, or rows are out of order: a fault of the caller's.
-    pub fn new(zones: usize, firms: usize, rows: &[(Build, &[u64])], step: Option<(Build, Stage)>) -> Self {
-        assert!(rows.is_sorted_by(|a, b| a.0 < b.0), "rows in the order of their builds");
-        assert!(rows.iter().all(|(_, cells)| cells.len() == zones * firms), "a cell for each zone and firm");
+    pub fn new(
+        zones: usize,
+        firms: usize,
+        rows: &[(Build, &[u64])],
+        step: Option<(Build, Stage)>,
+    ) -> Self {
+        assert!(
+            rows.is_sorted_by(|a, b| a.0 < b.0),
+            "rows in the order of their builds"
+        );
+        assert!(
+            rows.iter().all(|(_, cells)| cells.len() == zones * firms),
+            "a cell for each zone and firm"
+        );
         let builds = rows.iter().map(|(build, _)| *build).collect();
-        let cells: Vec<u64> = rows.iter().flat_map(|(_, cells)| cells.iter().copied()).collect();
+        let cells: Vec<u64> = rows
+            .iter()
+            .flat_map(|(_, cells)| cells.iter().copied())
+            .collect();
         let unions = if firms == 0 {
             Vec::new()
         } else {
-            cells.chunks(firms).map(|zone| zone.iter().fold(0, |all, cell| all | cell)).collect()
+            cells
+                .chunks(firms)
+                .map(|zone| zone.iter().fold(0, |all, cell| all | cell))
+                .collect()
         };
-        Openings { builds, zones, firms, cells, unions, step }
+        Openings {
+            builds,
+            zones,
+            firms,
+            cells,
+            unions,
+            step,
+        }
     }
 
     fn place(&self, build: Build, zone: Zone) -> Option<usize> {
@@ -48,13 +72,18 @@
     /// Whether requests of a product and firm may go to a build in a zone.
     pub fn admits(&self, build: Build, zone: Zone, firm: Tenant, product: Product) -> bool {
         let (firm, product) = (usize::from(firm.0), u32::from(product.0));
-        let Some(place) = self.place(build, zone).filter(|_| firm < self.firms) else { return false };
-        self.cells[place * self.firms + firm].checked_shr(product).is_some_and(|bits| bits & 1 == 1)
+        let Some(place) = self.place(build, zone).filter(|_| firm < self.firms) else {
+            return false;
+        };
+        self.cells[place * self.firms + firm]
+            .checked_shr(product)
+            .is_some_and(|bits| bits & 1 == 1)
     }
 
     /// Whether a build in a zone is open to anyone.
     pub fn any(&self, build: Build, zone: Zone) -> bool {
-        self.place(build, zone).is_some_and(|place| self.unions[place] != 0)
+        self.place(build, zone)
+            .is_some_and(|place| self.unions[place] != 0)
     }
 
     /// Whether it may be asked that a build goes on from this stage.
--- a/src/parts.rs
+++ b/src/parts.rs
@@ -21,7 +21,13 @@
     /// `ask_within` is given where the list comes only when asked for.
     pub fn new(zone: Zone, ask_within: Option<Duration>) -> Self {
         let ask_at = ask_within.map(|_| Duration::ZERO);
-        Membership { zone, ask_within, ask_at, ask_pause: Duration::ZERO, fleet: Fleet::default() }
+        Membership {
+            zone,
+            ask_within,
+            ask_at,
+            ask_pause: Duration::ZERO,
+            fleet: Fleet::default(),
+        }
     }
 }
 
@@ -35,17 +41,27 @@
 
 impl Thaw {
     pub fn new(cold_from: f64, ramp: Duration, multiple: f64, span: Duration) -> Self {
-        Thaw { cold_from, ramp, multiple, span }
+        Thaw {
+            cold_from,
+            ramp,
+            multiple,
+            span,
+        }
     }
 
     /// The listed weight of each arm, as far as it belongs to one and is warm, less what is left alone.
     pub(crate) fn listed_weights(
-        &self, now: Duration, fleet: &Fleet, arm: impl Fn(Build, Zone) -> Option<usize>,
+        &self,
+        now: Duration,
+        fleet: &Fleet,
+        arm: impl Fn(Build, Zone) -> Option<usize>,
         left_alone: impl Fn(&Appliance) -> bool,
     ) -> [f64; 2] {
         let mut weights = [0.0; 2];
         for (build, zone, pool) in fleet.listed.pools() {
-            let Some(arm) = arm(build, zone) else { continue };
+            let Some(arm) = arm(build, zone) else {
+                continue;
+            };
             let cold = pool.started_after(now.saturating_sub(self.ramp));
             let lacks = cold.map(|(start, weight)| {
                 fleet.listed.visit(1);
@@ -85,15 +101,35 @@
 
     /// Products are counted together or apart.
     pub(crate) fn lane(&self, product: Product) -> Product {
-        if self.per_product { product } else { Product(0) }
+        if self.per_product {
+            product
+        } else {
+            Product(0)
+        }
     }
 
     pub fn new(
-        span: Duration, tick: Duration, free: f64, first_cap: f64, per_product: bool, guarded: u8,
+        span: Duration,
+        tick: Duration,
+        free: f64,
+        first_cap: f64,
+        per_product: bool,
+        guarded: u8,
         forward_only: bool,
     ) -> Self {
         let (openings, news, windows) = Default::default();
-        Exposure { span, tick, free, first_cap, per_product, guarded, forward_only, openings, news, windows }
+        Exposure {
+            span,
+            tick,
+            free,
+            first_cap,
+            per_product,
+            guarded,
+            forward_only,
+            openings,
+            news,
+            windows,
+        }
     }
 }
 
@@ -113,17 +149,35 @@
 
 impl Jury {
     pub fn new(
-        gate: Gate, rings: Vec<f64>, dwell: Duration, calls: Calls, rolling: bool, among: Among,
+        gate: Gate,
+        rings: Vec<f64>,
+        dwell: Duration,
+        calls: Calls,
+        rolling: bool,
+        among: Among,
         products: usize,
     ) -> Self {
         let (relayed, own) = (false, Judged::default());
-        Jury { gate, rings, dwell, calls, rolling, among, products, relayed, own }
+        Jury {
+            gate,
+            rings,
+            dwell,
+            calls,
+            rolling,
+            among,
+            products,
+            relayed,
+            own,
+        }
     }
 
     /// The same, whose reports go through relays in fleets of more than 300 agents. All agents of a fleet have to do
     /// so, or none: what a relay hears from others is not for it.
     pub fn with_relays(self) -> Self {
-        Jury { relayed: true, ..self }
+        Jury {
+            relayed: true,
+            ..self
+        }
     }
 }
 
@@ -141,10 +195,21 @@
 
 impl Desk {
     pub fn new(
-        products: Vec<Terms>, max_attempts: usize, may_call_off: bool, longest_advice: Duration,
+        products: Vec<Terms>,
+        max_attempts: usize,
+        may_call_off: bool,
+        longest_advice: Duration,
         tick: Duration,
     ) -> Self {
         let (ends, held) = (Duration::MAX, BTreeMap::new());
-        Desk { products, max_attempts, may_call_off, longest_advice, tick, ends, held }
+        Desk {
+            products,
+            max_attempts,
+            may_call_off,
+            longest_advice,
+            tick,
+            ends,
+            held,
+        }
     }
 }
--- a/src/port.rs
+++ b/src/port.rs
@@ -76,7 +76,10 @@
 impl Ending {
     /// Whether the request may have run there; the other endings prove that it never did.
     pub fn may_have_run(self) -> bool {
-        !matches!(self, Ending::TurnedAway | Ending::Unconnected | Ending::Unsent)
+        !matches!(
+            self,
+            Ending::TurnedAway | Ending::Unconnected | Ending::Unsent
+        )
     }
 }
 
@@ -184,10 +187,21 @@
 pub trait Hears {
     fn request(&mut self, id: RequestId, request: Request);
     fn ended(
-        &mut self, id: RequestId, attempt: AttemptNumber, at: ApplianceId, ending: Ending, took: Duration,
+        &mut self,
+        id: RequestId,
+        attempt: AttemptNumber,
+        at: ApplianceId,
+        ending: Ending,
+        took: Duration,
         closed: bool,
     );
-    fn stream_begun(&mut self, id: RequestId, attempt: AttemptNumber, at: ApplianceId, took: Duration);
+    fn stream_begun(
+        &mut self,
+        id: RequestId,
+        attempt: AttemptNumber,
+        at: ApplianceId,
+        took: Duration,
+    );
     fn client_left(&mut self, id: RequestId);
     /// Asks whether an attempt may still go that waited for its connection. If not, it ends as unsent.
     fn may_go(&mut self, id: RequestId, attempt: AttemptNumber) -> bool;
@@ -201,7 +215,12 @@
     fn vote_answered(&mut self, ending: Ending);
     /// The platform's own count of a past period.
     fn tally(
-        &mut self, _build: Build, _product: Product, _count: u32, _failed: u32, _mean: Duration,
+        &mut self,
+        _build: Build,
+        _product: Product,
+        _count: u32,
+        _failed: u32,
+        _mean: Duration,
         _age: Duration,
     ) {
     }
--- a/src/relay.rs
+++ b/src/relay.rs
@@ -36,13 +36,19 @@
 impl Groups {
     fn new(agents: u32, judges: Vec<AgentId>, turn: u64) -> Self {
         let count = (agents / MEMBERS_PER_GROUP_COUNT).isqrt().max(1);
-        Groups { agents, count, judges, turn }
+        Groups {
+            agents,
+            count,
+            judges,
+            turn,
+        }
     }
 
     /// Neighbours in number prefer the same appliances, which keeps the sum of their reports short.
     fn members(&self, agent: AgentId) -> Range<u32> {
         let group = u64::from(agent.0) * u64::from(self.count) / u64::from(self.agents);
-        let first = |group: u64| (group * u64::from(self.agents)).div_ceil(u64::from(self.count)) as u32;
+        let first =
+            |group: u64| (group * u64::from(self.agents)).div_ceil(u64::from(self.count)) as u32;
         first(group)..first(group + 1)
     }
 
@@ -51,7 +57,11 @@
         if self.judges.contains(&agent) {
             return None;
         }
-        let members = || self.members(agent).map(AgentId).filter(|member| !self.judges.contains(member));
+        let members = || {
+            self.members(agent)
+                .map(AgentId)
+                .filter(|member| !self.judges.contains(member))
+        };
         let size = members().count() as u64;
         members().nth((self.turn % size) as usize)
     }
@@ -80,7 +90,9 @@
 impl Route {
     /// How long an agent waits after a report of this length before its next one.
     fn pause(&self, octets: usize, dwell: Duration, direct: f64) -> Duration {
-        self.senders.map_or(dwell.mul_f64(direct), |senders| pause(octets, dwell, senders))
+        self.senders.map_or(dwell.mul_f64(direct), |senders| {
+            pause(octets, dwell, senders)
+        })
     }
 }
 
@@ -107,7 +119,10 @@
     fn add(&mut self, sums: [u16; 3], entries: impl Iterator<Item = Entry>) {
         add_each(&mut self.sums, sums.map(u32::from));
         for (trial, product, counts) in entries {
-            add_each(self.counts.entry((trial, product)).or_default(), counts.map(u32::from));
+            add_each(
+                self.counts.entry((trial, product)).or_default(),
+                counts.map(u32::from),
+            );
         }
     }
 
@@ -119,11 +134,18 @@
     /// What fits into one report, in turn by key; the rest stays. A sum that no single entry can hold takes
     /// several.
     fn take(&mut self) -> ([u16; 3], Vec<Entry>) {
-        let behind = self.counts.range((Bound::Excluded(self.last), Bound::Unbounded));
-        let keys: Vec<Key> = behind.chain(self.counts.range(..=self.last)).map(|(&key, _)| key).collect();
+        let behind = self
+            .counts
+            .range((Bound::Excluded(self.last), Bound::Unbounded));
+        let keys: Vec<Key> = behind
+            .chain(self.counts.range(..=self.last))
+            .map(|(&key, _)| key)
+            .collect();
         let mut entries = Vec::new();
         for (trial, product) in keys {
-            let Some(counts) = self.counts.get_mut(&(trial, product)) else { continue };
+            let Some(counts) = self.counts.get_mut(&(trial, product)) else {
+                continue;
+            };
             while *counts != [0; 4] && entries.len() < MOST_ENTRIES {
                 let part = take_part(counts, u8::MAX.into());
                 entries.push((trial, product, part.map(|count| count as u8)));
@@ -131,12 +153,17 @@
             }
         }
         self.counts.retain(|_, counts| *counts != [0; 4]);
-        (take_part(&mut self.sums, u16::MAX.into()).map(|sum| sum as u16), entries)
+        (
+            take_part(&mut self.sums, u16::MAX.into()).map(|sum| sum as u16),
+            entries,
+        )
     }
 }
 
 fn add_each<const N: usize>(sums: &mut [u32; N], numbers: [u32; N]) {
-    sums.iter_mut().zip(numbers).for_each(|(sum, number)| *sum = sum.saturating_add(number));
+    sums.iter_mut()
+        .zip(numbers)
+        .for_each(|(sum, number)| *sum = sum.saturating_add(number));
 }
 
 /// Takes as much as the largest of these numbers allows, of all the same share, so that what is taken and what
@@ -165,7 +192,11 @@
         }
         let term = (self.dwell * TERM).as_millis().max(1);
         let turn = u64::from(build.0) + (now.as_millis() / term) as u64;
-        Some(Groups::new(self.among.agents, self.judges(build).collect(), turn))
+        Some(Groups::new(
+            self.among.agents,
+            self.judges(build).collect(),
+            turn,
+        ))
     }
 
     /// Where this agent's own reports on a build go now.
@@ -176,11 +207,19 @@
         {
             let members = groups.members(self.among.me);
             let senders = Some(members.end - members.start);
-            return Route { to: vec![relay], relay: Some(relay), senders };
+            return Route {
+                to: vec![relay],
+                relay: Some(relay),
+                senders,
+            };
         }
         let senders = groups.map(|groups| groups.senders_to_judge());
         let to = self.judges(build).filter(|_| self.among.may_tell).collect();
-        Route { to, relay: None, senders }
+        Route {
+            to,
+            relay: None,
+            senders,
+        }
     }
 
     /// The version of the next report. Where there are relays its number tells when the report was made, in
@@ -189,14 +228,23 @@
         let (start, last) = self.own.version;
         let next = last.wrapping_add(1);
         let since_start = (now.as_millis() as u32).wrapping_sub(start);
-        self.own.version.1 = if self.uses_relays() { next.max(since_start) } else { next };
+        self.own.version.1 = if self.uses_relays() {
+            next.max(since_start)
+        } else {
+            next
+        };
         self.own.version
     }
 
     /// Sends an own report on its way; a relay keeps its own with those of its group. `direct` is the pause
     /// until the next one as a share of a `min-dwell`, where there are no relays.
     pub(crate) fn send_report(
-        &mut self, now: Duration, build: Build, sums: [u16; 3], direct: f64, out: &mut dyn Decisions,
+        &mut self,
+        now: Duration,
+        build: Build,
+        sums: [u16; 3],
+        direct: f64,
+        out: &mut dyn Decisions,
     ) {
         let route = self.route(now, build);
         let version = self.next_version(now);
@@ -215,7 +263,11 @@
     /// Takes in a report that is for this agent to pass on. What was made before it started, an earlier life
     /// of it may have passed on already: a `min-dwell` is left for clocks that differ.
     pub(crate) fn pool_for_group(
-        &mut self, now: Duration, from: AgentId, (build, version): (Build, Version), sums: [u16; 3],
+        &mut self,
+        now: Duration,
+        from: AgentId,
+        (build, version): (Build, Version),
+        sums: [u16; 3],
         entries: impl Iterator<Item = Entry>,
     ) {
         let made = version.0.wrapping_add(version.1);
@@ -230,10 +282,15 @@
 
     /// Passes on to the judges what this agent has heard from its group, when that is due.
     pub(crate) fn pass_on(&mut self, now: Duration, build: Build, out: &mut dyn Decisions) {
-        if self.own.build != Some(build) || !self.own.pooled.has_counts() || now < self.own.pooled.due {
+        if self.own.build != Some(build)
+            || !self.own.pooled.has_counts()
+            || now < self.own.pooled.due
+        {
             return;
         }
-        let Some(groups) = self.groups(now, build) else { return };
+        let Some(groups) = self.groups(now, build) else {
+            return;
+        };
         let (sums, entries) = self.own.pooled.take();
         let octets = report::write(build, self.next_version(now), sums, entries.into_iter());
         self.own.pooled.due = now + pause(octets.len(), self.dwell, groups.senders_to_judge());
