--- a/src/state.rs
+++ b/src/state.rs
@@ -20,7 +20,10 @@
     }
 
     pub(crate) fn add(&mut self, now: Duration, half: Duration, x: f64) {
-        *self = Fading { sum: self.read(now, half) + x, at: now };
+        *self = Fading {
+            sum: self.read(now, half) + x,
+            at: now,
+        };
     }
 }
 
@@ -95,7 +98,10 @@
         if let Some(l) = self.attempts.get_mut(usize::from(attempt.0)) {
             l.ending = Some(ending);
         }
-        let first = self.attempts.iter().find(|l| l.ending.is_none_or(Ending::may_have_run));
+        let first = self
+            .attempts
+            .iter()
+            .find(|l| l.ending.is_none_or(Ending::may_have_run));
         self.risk = first.map(|l| (l.sent, l.group.0, l.group.1));
     }
 
@@ -142,29 +148,54 @@
 
 impl Demand {
     /// Mean hinted work of a request, in seconds, over the products that the filter takes.
-    pub(crate) fn work(&self, now: Duration, half: Duration, of: impl Fn(Product) -> bool) -> Option<f64> {
-        let taken = self.hints.iter().filter(|(p, _)| of(**p)).map(|(_, h)| h.read(now, half));
+    pub(crate) fn work(
+        &self,
+        now: Duration,
+        half: Duration,
+        of: impl Fn(Product) -> bool,
+    ) -> Option<f64> {
+        let taken = self
+            .hints
+            .iter()
+            .filter(|(p, _)| of(**p))
+            .map(|(_, h)| h.read(now, half));
         let (work, many) = taken.fold((0.0, 0.0), |sum, one| (sum.0 + one.0, sum.1 + one.1));
         (many > 0.0).then(|| work / many)
     }
 
     /// Learns of a request; its work by its hint, or what is usual for its product.
-    pub(crate) fn taken(&mut self, now: Duration, half: Duration, request: &Request) -> Option<f64> {
+    pub(crate) fn taken(
+        &mut self,
+        now: Duration,
+        half: Duration,
+        request: &Request,
+    ) -> Option<f64> {
         self.met.add(now, half / 2, 0.0, 1.0);
         if let Some(hint) = request.hint {
-            self.hints.entry(request.product).or_default().add(now, half, hint.as_secs_f64(), 1.0);
+            self.hints
+                .entry(request.product)
+                .or_default()
+                .add(now, half, hint.as_secs_f64(), 1.0);
         }
-        request.hint.map(|h| h.as_secs_f64()).or_else(|| self.work(now, half, |p| p == request.product))
+        request
+            .hint
+            .map(|h| h.as_secs_f64())
+            .or_else(|| self.work(now, half, |p| p == request.product))
     }
 
     /// Notes how an attempt ended; the sums fade by these halves: of late, over a few requests, and usual.
     pub(crate) fn ended(
-        &mut self, now: Duration, halves: (Duration, Duration, Duration), attempt: AttemptNumber,
-        ending: Ending, (late, short): (bool, bool),
+        &mut self,
+        now: Duration,
+        halves: (Duration, Duration, Duration),
+        attempt: AttemptNumber,
+        ending: Ending,
+        (late, short): (bool, bool),
     ) {
         let ((recent, few, usual), one) = (halves, |yes: bool| f64::from(u8::from(yes)));
         let served = ending == Ending::Served;
-        self.full.add(now, recent, one(ending == Ending::TurnedAway), 1.0);
+        self.full
+            .add(now, recent, one(ending == Ending::TurnedAway), 1.0);
         self.shut.add(now, usual, one(short), 1.0);
         if served || ending == Ending::TimedOut {
             self.late.add(now, few, one(!served || late), 1.0);
@@ -175,7 +206,13 @@
     }
 
     /// Notes that time has passed at this listed weight, and returns their product.
-    pub(crate) fn lived(&mut self, now: Duration, half: Duration, passed: Duration, weight: f64) -> f64 {
+    pub(crate) fn lived(
+        &mut self,
+        now: Duration,
+        half: Duration,
+        passed: Duration,
+        weight: f64,
+    ) -> f64 {
         let listed = faded(passed, half) * weight;
         self.borne.add(now, half, 0.0, listed);
         self.up.add(now, half / 2, faded(passed, half / 2));
@@ -201,7 +238,9 @@
 
 impl Windows {
     pub(crate) fn sent_since(&self, lane: Product, build: Build, from: Duration) -> usize {
-        self.sent.get(&(lane, build)).map_or(0, |times| since(times, from))
+        self.sent
+            .get(&(lane, build))
+            .map_or(0, |times| since(times, from))
     }
 
     pub(crate) fn taken_since(&self, lane: Product, from: Duration) -> usize {
@@ -262,7 +301,11 @@
 impl Arms {
     pub(crate) fn put(&mut self, trial: Option<ApplianceId>, many: f64, bad: f64) {
         let put = |arm: &mut (f64, f64)| *arm = (arm.0 + many, (arm.1 + bad).min(arm.0 + many));
-        put(if trial.is_some() { &mut self.y } else { &mut self.x });
+        put(if trial.is_some() {
+            &mut self.y
+        } else {
+            &mut self.x
+        });
         if let Some(at) = trial {
             put(self.by.entry(at).or_default());
         }
@@ -290,7 +333,14 @@
 
 impl Test {
     pub fn new(theta0: f64, tau: f64, alpha: f64) -> Self {
-        Test { theta0, tau, alpha, arms: Arms::default(), p: 1.0, interval: (f64::MIN, f64::MAX) }
+        Test {
+            theta0,
+            tau,
+            alpha,
+            arms: Arms::default(),
+            p: 1.0,
+            interval: (f64::MIN, f64::MAX),
+        }
     }
 }
 
@@ -403,7 +453,9 @@
     /// A model's speed over that of the mean model, 1 at most.
     pub(crate) fn speed(&self, model: Model) -> f64 {
         let mean = self.paces.values().sum::<f64>() / self.paces.len().max(1) as f64;
-        self.paces.get(&model).map_or(1.0, |pace| (mean / pace).min(1.0))
+        self.paces
+            .get(&model)
+            .map_or(1.0, |pace| (mean / pace).min(1.0))
     }
 
     /// The whole part of the sums; the rest stays for the next time.
@@ -417,7 +469,9 @@
 
     pub(crate) fn noted(&mut self, trial: Option<ApplianceId>, product: Product, counts: Counts) {
         let sums = self.report.entry((trial, product)).or_default();
-        sums.iter_mut().zip(counts).for_each(|(sum, one)| *sum = sum.saturating_add(one));
+        sums.iter_mut()
+            .zip(counts)
+            .for_each(|(sum, one)| *sum = sum.saturating_add(one));
     }
 
     pub(crate) fn pool(&mut self, now: Duration, half: Duration, sums: [u16; 3]) {
@@ -427,21 +481,34 @@
     }
 
     /// The better of the two shares over what they were when the last stage ended, if this much was asked.
-    pub(crate) fn kept(&mut self, now: Duration, half: Duration, stage: Stage, least: f64) -> Option<f64> {
+    pub(crate) fn kept(
+        &mut self,
+        now: Duration,
+        half: Duration,
+        stage: Stage,
+        least: f64,
+    ) -> Option<f64> {
         let ((timely, usual), (_, asked)) = (self.kept.read(now, half), self.met.read(now, half));
-        let shares = [timely / usual.max(1e-9), timely / asked.max(1e-9)].map(|share| share.min(1.0));
+        let shares =
+            [timely / usual.max(1e-9), timely / asked.max(1e-9)].map(|share| share.min(1.0));
         let enough = asked > 100.0 * least && usual > 0.0;
         if std::mem::replace(&mut self.stage, stage) != stage {
             self.before = enough.then_some(shares);
         }
         let before = self.before.filter(|_| enough)?;
-        Some(f64::max(shares[0] / before[0].max(0.1), shares[1] / before[1].max(0.1)))
+        Some(f64::max(
+            shares[0] / before[0].max(0.1),
+            shares[1] / before[1].max(0.1),
+        ))
     }
 
     /// Learns of own work in seconds, served in time, usual and asked, if there is a past to compare with.
     pub(crate) fn work(&mut self, work: [f64; 3]) {
         if self.bore > 0.0 {
-            self.sums.iter_mut().zip(work).for_each(|(sum, one)| *sum += 100.0 * one);
+            self.sums
+                .iter_mut()
+                .zip(work)
+                .for_each(|(sum, one)| *sum += 100.0 * one);
         }
     }
 }
@@ -449,15 +516,23 @@
 impl Stock {
     /// Brings what is measured of fleet and demand up to date; the sums fade by these halves.
     pub(crate) fn measure(
-        &mut self, now: Duration, halves: (Duration, Duration), fleet: &Fleet, demand: &Demand,
+        &mut self,
+        now: Duration,
+        halves: (Duration, Duration),
+        fleet: &Fleet,
+        demand: &Demand,
     ) {
         let rate = |sum: f64, half: Duration| sum * std::f64::consts::LN_2 / half.as_secs_f64();
         self.weight = fleet.listed.weight() / fleet.listed.ready().max(1) as f64;
         self.usual_pace = fleet.pace(now, halves.1).unwrap_or(1.0);
-        self.usual_work = demand.work(now, halves.1, |_| true).unwrap_or(1e-3).max(1e-4);
+        self.usual_work = demand
+            .work(now, halves.1, |_| true)
+            .unwrap_or(1e-3)
+            .max(1e-4);
         self.served = rate(demand.lately.read(now, halves.0), halves.0);
         // Over the time that the agent has been up: one that has just started is asked no less than others.
-        self.asked = demand.met.read(now, halves.1 / 2).1 / demand.up.read(now, halves.1 / 2).max(1e-3);
+        self.asked =
+            demand.met.read(now, halves.1 / 2).1 / demand.up.read(now, halves.1 / 2).max(1e-3);
         let (borne, weight) = demand.borne.read(now, halves.1);
         self.fair = borne / weight.max(1e-9);
     }
--- a/src/subset.rs
+++ b/src/subset.rs
@@ -44,12 +44,17 @@
 
 /// All appliances of several rings as one, by their distance from a place on one side.
 pub(crate) fn nearest<'a>(
-    rings: impl Iterator<Item = &'a Ring>, from: Position, side: Side,
+    rings: impl Iterator<Item = &'a Ring>,
+    from: Position,
+    side: Side,
 ) -> impl Iterator<Item = ApplianceId> {
-    let mut rings: Vec<_> = rings.map(|ring| one_round(ring, from, side).peekable()).collect();
+    let mut rings: Vec<_> = rings
+        .map(|ring| one_round(ring, from, side).peekable())
+        .collect();
     std::iter::from_fn(move || {
         let heads = rings.iter_mut().enumerate();
-        let heads = heads.filter_map(|(i, ring)| ring.peek().map(|(at, _)| (from.distance(*at, side), i)));
+        let heads =
+            heads.filter_map(|(i, ring)| ring.peek().map(|(at, _)| (from.distance(*at, side), i)));
         let (_, nearest) = heads.min()?;
         rings[nearest].next().map(|(_, id)| id)
     })
@@ -61,7 +66,11 @@
 }
 
 /// One ring from a place on, once round.
-fn one_round(ring: &Ring, from: Position, side: Side) -> impl Iterator<Item = (Position, ApplianceId)> {
+fn one_round(
+    ring: &Ring,
+    from: Position,
+    side: Side,
+) -> impl Iterator<Item = (Position, ApplianceId)> {
     let split = rank(ring, from);
     let count = ring.len();
     (0..count).map(move |i| match side {
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -21,14 +21,29 @@
 
 fn agent(me: u32, agents: u32, seed: u64) -> Brain {
     let ms = Duration::from_millis;
-    let among = Among { me: AgentId(me), agents, may_tell: true };
-    let calls = Calls { lasts: ms(6000), wait: ms(1200) };
+    let among = Among {
+        me: AgentId(me),
+        agents,
+        may_tell: true,
+    };
+    let calls = Calls {
+        lasts: ms(6000),
+        wait: ms(1200),
+    };
     Brain::new(
         seed + u64::from(me) * 7919,
         Membership::new(Zone(0), Some(ASK_WITHIN)),
         Thaw::new(0.34, ms(4000), 2.5, ms(1000)),
         Exposure::new(ms(4000), ms(5), 3.0, 0.1, false, 1, false),
-        Jury::new(Gate::Single, vec![0.1, 0.5, 1.0], ms(900), calls, true, among, 1),
+        Jury::new(
+            Gate::Single,
+            vec![0.1, 0.5, 1.0],
+            ms(900),
+            calls,
+            true,
+            among,
+            1,
+        ),
         Desk::new(vec![READ], 3, true, ms(2000), ms(5)),
     )
 }
@@ -51,16 +66,21 @@
 
     /// Who has got an answer by now, and whether it was the list.
     fn answers(&mut self, now: Duration) -> Vec<(usize, bool)> {
-        let due = self.line.extract_if(.., |(_, at, done)| now >= *done || now >= *at + Self::PATIENCE);
-        due.map(|(who, at, done)| (who, done < at + Self::PATIENCE)).collect()
+        let due = self.line.extract_if(.., |(_, at, done)| {
+            now >= *done || now >= *at + Self::PATIENCE
+        });
+        due.map(|(who, at, done)| (who, done < at + Self::PATIENCE))
+            .collect()
     }
 }
 
 /// A round in which a list came, or failed; whether the agent asks for one then.
 fn asks(brain: &mut Brain, now: Duration, told: Option<Listing>) -> bool {
     let mut decided = Decided::default();
-    let hear =
-        |ears: &mut dyn Hears| told.into_iter().for_each(|l| ears.membership(l, &mut std::iter::empty()));
+    let hear = |ears: &mut dyn Hears| {
+        told.into_iter()
+            .for_each(|l| ears.membership(l, &mut std::iter::empty()))
+    };
     brain.round(now, hear, &mut decided);
     decided.watches
 }
@@ -70,8 +90,13 @@
     let (mut now, step) = (Duration::from_secs(100), Duration::from_millis(20));
     let began = now;
     let mut fleet: Vec<_> = (0..agents).map(|me| agent(me, agents, seed)).collect();
-    let mut service = Service { a_call, free_at: now, line: Vec::new() };
-    let (mut without, mut failed, mut heard) = (agents as usize, 0, vec![Some(Listing::Saved); fleet.len()]);
+    let mut service = Service {
+        a_call,
+        free_at: now,
+        line: Vec::new(),
+    };
+    let (mut without, mut failed, mut heard) =
+        (agents as usize, 0, vec![Some(Listing::Saved); fleet.len()]);
     while without > 0 && now < began + ASK_WITHIN * 6 {
         for (who, brain) in fleet.iter_mut().enumerate() {
             if asks(brain, now, heard[who].take()) {
@@ -80,7 +105,11 @@
         }
         now += step;
         for (who, fine) in service.answers(now) {
-            heard[who] = Some(if fine { Listing::Whole } else { Listing::Failed });
+            heard[who] = Some(if fine {
+                Listing::Whole
+            } else {
+                Listing::Failed
+            });
             (without, failed) = (without - usize::from(fine), failed + usize::from(!fine));
         }
     }
@@ -91,19 +120,27 @@
 /// list for twice the time allowed for asking, and no more calls fail than there are agents.
 #[rstest]
 fn those_that_come_up_together_get_the_list(
-    #[values(1, 3, 10, 30, 100, 200)] agents: u32, #[values(1, 2, 3)] seed: u64,
+    #[values(1, 3, 10, 30, 100, 200)] agents: u32,
+    #[values(1, 2, 3)] seed: u64,
 ) {
     let a_call = Duration::from_secs(8) / agents.max(20);
     let (last, failed) = come_up(agents, a_call, seed);
-    assert!(last <= ASK_WITHIN * 2, "{agents} agents: the last had it after {last:?}");
-    assert!(failed <= agents as usize, "{agents} agents: {failed} calls failed");
+    assert!(
+        last <= ASK_WITHIN * 2,
+        "{agents} agents: the last had it after {last:?}"
+    );
+    assert!(
+        failed <= agents as usize,
+        "{agents} agents: {failed} calls failed"
+    );
 }
 
 /// A watch falls silent at all agents at once. What is missed counts as told 6 s later, and it takes 2.5 s to see it:
 /// each asks again within 2 s, and they do not ask all at once.
 #[rstest]
 fn a_watch_that_broke_is_asked_for_in_time(
-    #[values(1, 3, 10, 100, 350)] agents: u32, #[values(1, 2, 3)] seed: u64,
+    #[values(1, 3, 10, 100, 350)] agents: u32,
+    #[values(1, 2, 3)] seed: u64,
 ) {
     let (began, step) = (Duration::from_secs(100), Duration::from_millis(20));
     let mut asked = Vec::new();
@@ -115,19 +152,31 @@
         let (mut at, mut told) = (broke, Some(Listing::Failed));
         while !asks(&mut brain, at, told.take()) {
             at += step;
-            assert!(at <= broke + ASK_WITHIN / 5 + step, "agent {me} of {agents} has not asked");
+            assert!(
+                at <= broke + ASK_WITHIN / 5 + step,
+                "agent {me} of {agents} has not asked"
+            );
         }
         asked.push(at - broke);
     }
-    let most = (0..=100).map(|i| asked.iter().filter(|at| **at == step * i).count()).max().unwrap_or(0);
-    assert!(most <= 3 + asked.len() / 20, "{most} of {agents} asked at once");
+    let most = (0..=100)
+        .map(|i| asked.iter().filter(|at| **at == step * i).count())
+        .max()
+        .unwrap_or(0);
+    assert!(
+        most <= 3 + asked.len() / 20,
+        "{most} of {agents} asked at once"
+    );
 }
 
 /// Few agents need hardly wait for each other.
 #[rstest]
 fn few_ask_soon(#[values(1, 2, 3, 4, 5)] agents: u32, #[values(1, 2, 3)] seed: u64) {
     let (last, failed) = come_up(agents, Duration::from_millis(20), seed);
-    assert!(last <= ASK_WITHIN / 7 && failed == 0, "the last had it after {last:?}");
+    assert!(
+        last <= ASK_WITHIN / 7 && failed == 0,
+        "the last had it after {last:?}"
+    );
 }
 
 /// The agents' zero point in what follows, and the time from one beat to the next.
@@ -138,7 +187,16 @@
 fn line(i: u32, mode: Mode, started: Option<Duration>) -> Line {
     let appliance = ApplianceId(i.wrapping_mul(0x9E37_79B9));
     let (model, build, cell, zone) = (Model(0), Build(1), Cell(0), Zone(0));
-    Line { appliance, mode, model, weight: 4.0, started, build, cell, zone }
+    Line {
+        appliance,
+        mode,
+        model,
+        weight: 4.0,
+        started,
+        build,
+        cell,
+        zone,
+    }
 }
 
 /// Where a build stands, and its cap.
@@ -149,8 +207,11 @@
 /// `asked` is how many requests have come by a beat, and `sent` takes the beat and the appliance of each attempt,
 /// answered after a tenth of a second.
 fn play(
-    mut brain: Brain, beats: u32, list: impl Fn(u32) -> Option<(Vec<Line>, Told)>,
-    asked: impl Fn(u32) -> u32, mut sent: impl FnMut(u32, ApplianceId),
+    mut brain: Brain,
+    beats: u32,
+    list: impl Fn(u32) -> Option<(Vec<Line>, Told)>,
+    asked: impl Fn(u32) -> u32,
+    mut sent: impl FnMut(u32, ApplianceId),
 ) {
     let (mut out, mut next) = (VecDeque::new(), 0);
     for beat in 0..beats {
@@ -167,9 +228,20 @@
             }
             if asked(beat) > next {
                 next += 1;
-                let (product, hint, deadline) = (Product(0), Some(READ.sla / 5), now + READ.deadline);
+                let (product, hint, deadline) =
+                    (Product(0), Some(READ.sla / 5), now + READ.deadline);
                 let (tenant, mark, repeated) = (Tenant(0), None, false);
-                ears.request(RequestId(next), Request { product, tenant, mark, deadline, hint, repeated });
+                ears.request(
+                    RequestId(next),
+                    Request {
+                        product,
+                        tenant,
+                        mark,
+                        deadline,
+                        hint,
+                        repeated,
+                    },
+                );
             }
         };
         brain.round(now, hear, &mut decided);
@@ -183,8 +255,11 @@
 /// How many appliances each agent has sent to, and how many requests each appliance got, after ten seconds in
 /// which each agent is asked so many requests a second.
 fn serve(agents: u32, appliances: u32, a_second: u32, seed: u64) -> (Vec<usize>, Vec<u32>) {
-    let lines: Vec<Line> = (0..appliances).map(|i| line(i, Mode::Ready, None)).collect();
-    let mut got: BTreeMap<ApplianceId, u32> = lines.iter().map(|line| (line.appliance, 0)).collect();
+    let lines: Vec<Line> = (0..appliances)
+        .map(|i| line(i, Mode::Ready, None))
+        .collect();
+    let mut got: BTreeMap<ApplianceId, u32> =
+        lines.iter().map(|line| (line.appliance, 0)).collect();
     let mut met = Vec::new();
     for me in 0..agents {
         let mut links = BTreeSet::new();
@@ -216,9 +291,19 @@
 /// The most requests that one of the appliances gets in the second after a build was taken back, and all may go only to
 /// the tenth that has just started under the earlier one: from agents that have been up for so long and are asked eight
 /// requests a second, and from then on so many times as many, as clients come again.
-fn sent_to_cold(agents: u32, appliances: u32, up: Duration, times: u32, others: Others, seed: u64) -> u32 {
+fn sent_to_cold(
+    agents: u32,
+    appliances: u32,
+    up: Duration,
+    times: u32,
+    others: Others,
+    seed: u64,
+) -> u32 {
     let last_warm = up.as_millis() as u32 / 10;
-    let tried = |line| Line { build: Build(2), ..line };
+    let tried = |line| Line {
+        build: Build(2),
+        ..line
+    };
     let before = |i| match others {
         Others::Full => tried(line(i, Mode::Ready, None)),
         _ => line(i, Mode::Ready, None),
@@ -231,7 +316,10 @@
     let (from, to) = match others {
         Others::Drained => (ALL_IS_OLD, ALL_IS_OLD),
         Others::Closed => (ALL_IS_OLD, (Build(2), Course::GoingBack, 0.0)),
-        Others::Full => ((Build(2), Course::OnTrial, 1.0), (Build(2), Course::GoingBack, 0.75)),
+        Others::Full => (
+            (Build(2), Course::OnTrial, 1.0),
+            (Build(2), Course::GoingBack, 0.75),
+        ),
     };
     let list = |beat| match beat {
         0 => Some(((0..appliances).map(before).collect(), from)),
@@ -239,8 +327,10 @@
         _ => None,
     };
     let asked = |beat: u32| 8 * (beat + (times - 1) * beat.saturating_sub(last_warm)) / 100;
-    let cold: BTreeSet<_> =
-        (0..appliances).step_by(10).map(|i| line(i, Mode::Ready, None).appliance).collect();
+    let cold: BTreeSet<_> = (0..appliances)
+        .step_by(10)
+        .map(|i| line(i, Mode::Ready, None).appliance)
+        .collect();
     let mut got = BTreeMap::<ApplianceId, u32>::new();
     for me in 0..agents {
         let beats = last_warm + 101;
@@ -255,21 +345,35 @@
 /// know little of their own traffic.
 #[rstest]
 fn no_cold_appliance_falls(
-    #[values(100, 350)] agents: u32, #[values(1, 2, 8)] up: u64, #[values(1, 4)] times: u32,
+    #[values(100, 350)] agents: u32,
+    #[values(1, 2, 8)] up: u64,
+    #[values(1, 4)] times: u32,
     #[values(Others::Drained, Others::Closed, Others::Full)] others: Others,
 ) {
     let appliances = agents / 3;
-    let most = sent_to_cold(agents, appliances, Duration::from_secs(up), times, others, 1);
+    let most = sent_to_cold(
+        agents,
+        appliances,
+        Duration::from_secs(up),
+        times,
+        others,
+        1,
+    );
     // What they bear is taken for what they can do, of which a cold one has 0.34, and may be sent 2.5 times as much.
     let allowed = 2.5 * 0.34 * f64::from(agents) * 8.0 / f64::from(appliances);
     let falls = allowed + 3.0 * allowed.sqrt() + 3.0;
-    assert!(f64::from(most) <= falls, "one got {most} requests in a second and falls at {falls:.0}");
+    assert!(
+        f64::from(most) <= falls,
+        "one got {most} requests in a second and falls at {falls:.0}"
+    );
 }
 
 /// Many agents that each ask little keep to few appliances, and yet load all of them alike.
 #[rstest]
 fn many_agents_spread_evenly_over_few_links_each(
-    #[values(20, 50, 100, 200)] agents: u32, #[values(30, 60)] appliances: u32, #[values(1, 2)] seed: u64,
+    #[values(20, 50, 100, 200)] agents: u32,
+    #[values(30, 60)] appliances: u32,
+    #[values(1, 2)] seed: u64,
 ) {
     let (met, got) = serve(agents, appliances, 8, seed);
     let links = met.iter().sum::<usize>() as f64 / f64::from(agents);
@@ -277,7 +381,10 @@
     assert!(links < 20.0, "{links} appliances an agent");
     let most = f64::from(*got.iter().max().expect("some")) / mean;
     let least = f64::from(*got.iter().min().expect("some")) / mean;
-    assert!(most < 1.6 && least > 0.5, "the most loaded has {most:.2} of the mean, the least {least:.2}");
+    assert!(
+        most < 1.6 && least > 0.5,
+        "the most loaded has {most:.2} of the mean, the least {least:.2}"
+    );
 }
 
 /// An agent that asks much goes to all, and so do a few that share a small fleet.
@@ -286,7 +393,10 @@
 #[case::hot(6, 60, 90)]
 fn who_asks_much_uses_all(#[case] agents: u32, #[case] appliances: u32, #[case] a_second: u32) {
     let (met, _) = serve(agents, appliances, a_second, 1);
-    assert!(met.iter().all(|links| *links as u32 > appliances * 9 / 10), "{met:?} of {appliances}");
+    assert!(
+        met.iter().all(|links| *links as u32 > appliances * 9 / 10),
+        "{met:?} of {appliances}"
+    );
 }
 
 /// What an agent could have asked for counts as told to it so long after the service had it and could be reached.
@@ -311,5 +421,8 @@
             }
         }
     }
-    assert!(longest + Service::PATIENCE <= TOLD_AFTER, "{longest:?} without a call");
+    assert!(
+        longest + Service::PATIENCE <= TOLD_AFTER,
+        "{longest:?} without a call"
+    );
 }
--- a/tests/owed.rs
+++ b/tests/owed.rs
@@ -24,18 +24,37 @@
 
 fn terms(repeat: Repeat, remembered: u64) -> Terms {
     let (sla, deadline) = (ms(300), ms(1500));
-    Terms { repeat, sla, deadline, remembered: ms(remembered), revenue: 1.0, late_share: 0.1 }
+    Terms {
+        repeat,
+        sla,
+        deadline,
+        remembered: ms(remembered),
+        revenue: 1.0,
+        late_share: 0.1,
+    }
 }
 
 /// The four kinds of products; keys are remembered for less than a client waits.
 fn products() -> Vec<Terms> {
     let keyed = |group| terms(Repeat::Referenced(group), 200);
-    vec![terms(Repeat::InquiryLike, 0), keyed(Group::All), keyed(Group::Zone), terms(Repeat::OnceOnly, 0)]
+    vec![
+        terms(Repeat::InquiryLike, 0),
+        keyed(Group::All),
+        keyed(Group::Zone),
+        terms(Repeat::OnceOnly, 0),
+    ]
 }
 
 fn agent(seed: u64, may_call_off: bool) -> Brain {
-    let among = Among { me: AgentId(0), agents: 3, may_tell: false };
-    let calls = Calls { lasts: ms(6000), wait: ms(1200) };
+    let among = Among {
+        me: AgentId(0),
+        agents: 3,
+        may_tell: false,
+    };
+    let calls = Calls {
+        lasts: ms(6000),
+        wait: ms(1200),
+    };
     Brain::new(
         seed,
         Membership::new(Zone(0), None),
@@ -76,7 +95,17 @@
 /// How attempts end, in turn: how, and after so many steps, unless the request's time is over before.
 fn fate() -> impl Strategy<Value = (Ending, u32)> {
     use Ending::*;
-    let endings = vec![Served, Served, Failed, TurnedAway, TimedOut, Unconnected, Broken, Spoilt, Unsent];
+    let endings = vec![
+        Served,
+        Served,
+        Failed,
+        TurnedAway,
+        TimedOut,
+        Unconnected,
+        Broken,
+        Spoilt,
+        Unsent,
+    ];
     (prop::sample::select(endings), 0u32..400)
 }
 
@@ -92,7 +121,16 @@
 fn line(i: u8, mode: Mode, build: u16, started: Option<Duration>) -> Line {
     let (appliance, zone) = (ApplianceId(i.into()), Zone(i % 2));
     let (model, cell, build) = (Model(0), Cell(0), Build(build));
-    Line { appliance, mode, model, weight: 1.0, started, build, cell, zone }
+    Line {
+        appliance,
+        mode,
+        model,
+        weight: 1.0,
+        started,
+        build,
+        cell,
+        zone,
+    }
 }
 
 fn plays(events: &[(u32, Event)], fates: &[(Ending, u32)], seed: u64, may_call_off: bool) {
@@ -106,17 +144,40 @@
         let hear = |ears: &mut dyn Hears| {
             if step == 0 {
                 ears.stage(Build(1), Stage(1), Course::Released, 1.0, Duration::ZERO);
-                ears.membership(Listing::Saved, &mut (0..4).map(|i| line(i, Mode::Ready, 1, None)));
+                ears.membership(
+                    Listing::Saved,
+                    &mut (0..4).map(|i| line(i, Mode::Ready, 1, None)),
+                );
             }
             for (_, what) in events.iter().filter(|(at, _)| *at == step) {
                 match what {
                     Event::Request(product, time) => {
                         ids += 1;
-                        let (id, product, deadline) = (RequestId(ids), Product(*product), now + ms(*time));
+                        let (id, product, deadline) =
+                            (RequestId(ids), Product(*product), now + ms(*time));
                         let (tenant, mark, hint) = (Tenant(0), Some(Mark(7)), Some(ms(50)));
-                        ears.request(id, Request { product, tenant, mark, deadline, hint, repeated: false });
+                        ears.request(
+                            id,
+                            Request {
+                                product,
+                                tenant,
+                                mark,
+                                deadline,
+                                hint,
+                                repeated: false,
+                            },
+                        );
                         let until = deadline.min(ends);
-                        owed.insert(id, Taken { product, until, attempts: 0, out: None, risk: None });
+                        owed.insert(
+                            id,
+                            Taken {
+                                product,
+                                until,
+                                attempts: 0,
+                                out: None,
+                                risk: None,
+                            },
+                        );
                     }
                     Event::Leaves(which) if !owed.is_empty() => {
                         let id = *which.get(&owed.keys().copied().collect::<Vec<_>>());
@@ -138,7 +199,8 @@
                     Event::Ends(wait) => {
                         ends = now + ms(*wait);
                         ears.ends(ends);
-                        owed.values_mut().for_each(|taken| taken.until = taken.until.min(ends));
+                        owed.values_mut()
+                            .for_each(|taken| taken.until = taken.until.min(ends));
                         for one in out.iter_mut().filter(|one| one.0 >= ends) {
                             (one.0, one.4) = (ends, Ending::TimedOut);
                         }
@@ -160,7 +222,9 @@
         };
         brain.round(now, hear, &mut decided);
         for (id, to) in decided.sent {
-            let taken = owed.get_mut(&id).expect("nothing is sent for what has its answer");
+            let taken = owed
+                .get_mut(&id)
+                .expect("nothing is sent for what has its answer");
             assert!(taken.out.is_none(), "two attempts at once");
             let zone = Zone(to.0 as u8 % 2);
             let risk = taken.risk;
@@ -178,15 +242,20 @@
             turn += 1;
             let due = now + STEP * after;
             // An appliance that says nothing is given up in time for the answer.
-            let (due, ending) =
-                if due < taken.until { (due, ending) } else { (taken.until, Ending::TimedOut) };
+            let (due, ending) = if due < taken.until {
+                (due, ending)
+            } else {
+                (taken.until, Ending::TimedOut)
+            };
             out.push((due, id, AttemptNumber(taken.attempts), to, ending));
             (taken.attempts, taken.out) = (taken.attempts + 1, Some((now, zone)));
         }
         for (id, attempt) in decided.called_off {
-            out.iter_mut().filter(|one| (one.1, one.2) == (id, attempt)).for_each(|one| {
-                (one.0, one.4) = (now, Ending::CalledOff);
-            });
+            out.iter_mut()
+                .filter(|one| (one.1, one.2) == (id, attempt))
+                .for_each(|one| {
+                    (one.0, one.4) = (now, Ending::CalledOff);
+                });
         }
         for (id, again) in decided.given_up {
             let taken = owed.remove(&id).expect("one answer, and no second");
@@ -199,7 +268,11 @@
             );
         }
         let late = owed.values().find(|taken| taken.until + STEP < now);
-        assert!(late.is_none(), "no answer {:?} after its time", late.map(|taken| now - taken.until));
+        assert!(
+            late.is_none(),
+            "no answer {:?} after its time",
+            late.map(|taken| now - taken.until)
+        );
     }
     assert_eq!((owed.len(), done.len()), (0, ids as usize));
 }
--- a/tests/reports/fleet.rs
+++ b/tests/reports/fleet.rs
@@ -37,16 +37,37 @@
     module_with(me, agents, true, 1, |jury| jury)
 }
 
-fn module_with(me: u32, agents: u32, may_tell: bool, seed: u64, change: impl FnOnce(Jury) -> Jury) -> Brain {
+fn module_with(
+    me: u32,
+    agents: u32,
+    may_tell: bool,
+    seed: u64,
+    change: impl FnOnce(Jury) -> Jury,
+) -> Brain {
     let ms = Duration::from_millis;
-    let among = Among { me: AgentId(me), agents, may_tell };
-    let calls = Calls { lasts: ms(6000), wait: ms(1200) };
+    let among = Among {
+        me: AgentId(me),
+        agents,
+        may_tell,
+    };
+    let calls = Calls {
+        lasts: ms(6000),
+        wait: ms(1200),
+    };
     Brain::new(
         seed + u64::from(me) * 7919,
         Membership::new(Zone(0), None),
         Thaw::new(0.34, ms(4000), 2.5, ms(1000)),
         Exposure::new(ms(4000), ms(5), 3.0, 0.1, false, 1, false),
-        change(Jury::new(Gate::Single, vec![0.1, 0.5, 1.0], DWELL, calls, true, among, 1)),
+        change(Jury::new(
+            Gate::Single,
+            vec![0.1, 0.5, 1.0],
+            DWELL,
+            calls,
+            true,
+            among,
+            1,
+        )),
         Desk::new(vec![READ], 3, true, ms(2000), ms(5)),
     )
 }
@@ -54,7 +75,16 @@
 fn line(i: u32, build: Build, started: Option<Duration>) -> Line {
     let (mode, model, cell, zone) = (Mode::Ready, Model(0), Cell(0), Zone(0));
     let appliance = ApplianceId(i.wrapping_mul(0x9E37_79B9));
-    Line { appliance, mode, model, weight: 4.0, started, build, cell, zone }
+    Line {
+        appliance,
+        mode,
+        model,
+        weight: 4.0,
+        started,
+        build,
+        cell,
+        zone,
+    }
 }
 
 /// The i-th appliance that runs the build on trial.
@@ -84,7 +114,18 @@
     fn default() -> Self {
         let (agents, may_tell, appliances, on_trial, failing, rate) = (530, true, 60, 6, 0.0, 8.0);
         let (lost, doubled, slowest, seed) = (0.0, 0.0, Duration::from_millis(5), 1);
-        Scene { agents, may_tell, appliances, on_trial, failing, rate, lost, doubled, slowest, seed }
+        Scene {
+            agents,
+            may_tell,
+            appliances,
+            on_trial,
+            failing,
+            rate,
+            lost,
+            doubled,
+            slowest,
+            seed,
+        }
     }
 }
 
@@ -131,7 +172,9 @@
 /// Runs a release for so long, or until the build is convicted if that ends it.
 pub fn run(scene: Scene, lasts: Duration, ends_on_conviction: bool) -> Outcome {
     let mut luck = Pcg64Mcg::seed_from_u64(scene.seed);
-    let mut agents: Vec<_> = (0..scene.agents).map(|me| agent(me, scene, &mut luck)).collect();
+    let mut agents: Vec<_> = (0..scene.agents)
+        .map(|me| agent(me, scene, &mut luck))
+        .collect();
     let mut network = BTreeMap::<(Duration, u64), Datagram>::new();
     let mut outcome = Outcome::default();
     let (mut now, mut sent) = (DAWN, 0);
@@ -144,15 +187,25 @@
         for (me, agent) in agents.iter_mut().enumerate() {
             let me = AgentId(me as u32);
             let inbox = inboxes.remove(&me).unwrap_or_default();
-            let Some(decided) = round(agent, now, scene, inbox, &mut luck) else { continue };
+            let Some(decided) = round(agent, now, scene, inbox, &mut luck) else {
+                continue;
+            };
             if decided.votes.contains(&Verdict::Back) {
                 outcome.convicted.get_or_insert((now, me));
             }
             for (to, octets) in decided.told {
                 let Some(to) = to else { continue };
-                let datagram = Datagram { at: now, from: me, to, octets };
-                let copies = if luck.random::<f64>() < scene.lost { 0 } else { 1 }
-                    + u32::from(luck.random::<f64>() < scene.doubled);
+                let datagram = Datagram {
+                    at: now,
+                    from: me,
+                    to,
+                    octets,
+                };
+                let copies = if luck.random::<f64>() < scene.lost {
+                    0
+                } else {
+                    1
+                } + u32::from(luck.random::<f64>() < scene.doubled);
                 for _ in 0..copies {
                     sent += 1;
                     let arrives = now + STEP.max(scene.slowest.mul_f64(luck.random()));
@@ -180,7 +233,11 @@
 
 /// A round of an agent, if anything is due.
 fn round(
-    agent: &mut Agent, now: Duration, scene: Scene, inbox: Vec<Datagram>, luck: &mut Pcg64Mcg,
+    agent: &mut Agent,
+    now: Duration,
+    scene: Scene,
+    inbox: Vec<Datagram>,
+    luck: &mut Pcg64Mcg,
 ) -> Option<Decided> {
     let lists = now == DAWN || now == RELEASED;
     let answered = agent.out.front().is_some_and(|out| out.0 <= now);
@@ -188,7 +245,14 @@
         return None;
     }
     let mut decided = Decided::default();
-    let Agent { brain, wake, next_request, requests, attempts, out } = agent;
+    let Agent {
+        brain,
+        wake,
+        next_request,
+        requests,
+        attempts,
+        out,
+    } = agent;
     let hear = |ears: &mut dyn Hears| {
         if lists {
             tell_list(scene, (now >= RELEASED).then_some(now), ears);
@@ -201,11 +265,19 @@
             ears.ended(id, attempt, at, ending, ANSWER, ending == Ending::Served);
         }
         while *next_request <= now {
-            *next_request += Duration::from_secs_f64(-luck.random::<f64>().max(1e-9).ln() / scene.rate);
+            *next_request +=
+                Duration::from_secs_f64(-luck.random::<f64>().max(1e-9).ln() / scene.rate);
             *requests += 1;
             let (product, hint, deadline) = (Product(0), Some(ANSWER), now + READ.deadline);
             let (tenant, mark, repeated) = (Tenant(0), None, false);
-            let request = Request { product, tenant, mark, deadline, hint, repeated };
+            let request = Request {
+                product,
+                tenant,
+                mark,
+                deadline,
+                hint,
+                repeated,
+            };
             ears.request(RequestId(*requests), request);
         }
     };
@@ -219,7 +291,11 @@
     for (id, to) in decided.sent.drain(..) {
         let attempt = attempts.entry(id).or_default();
         let fails = now >= RELEASED && trials.contains(&to) && luck.random::<f64>() < scene.failing;
-        let ending = if fails { Ending::Failed } else { Ending::Served };
+        let ending = if fails {
+            Ending::Failed
+        } else {
+            Ending::Served
+        };
         out.push_back((now + ANSWER, id, AttemptNumber(*attempt), to, ending));
         *attempt += 1;
     }
--- a/tests/reports/main.rs
+++ b/tests/reports/main.rs
@@ -28,9 +28,18 @@
 #[case::just_relayed(301, 60, 6, 62.0)]
 #[case::more_agents(900, 60, 6, 8.0)]
 fn what_an_agent_hears_is_bounded(
-    #[case] agents: u32, #[case] appliances: u32, #[case] on_trial: u32, #[case] rate: f64,
+    #[case] agents: u32,
+    #[case] appliances: u32,
+    #[case] on_trial: u32,
+    #[case] rate: f64,
 ) {
-    let heard = heard(Scene { agents, appliances, on_trial, rate, ..Scene::default() });
+    let heard = heard(Scene {
+        agents,
+        appliances,
+        on_trial,
+        rate,
+        ..Scene::default()
+    });
     println!("{agents} agents, {appliances} appliances, {rate}/s: {heard:.0} octets a min-dwell");
     assert!(heard <= BUDGET * 1.1, "{heard:.0} octets a min-dwell");
 }
@@ -53,23 +62,49 @@
 #[case::a_twentieth(0.05, 1.814)]
 #[case::a_fifth(0.2, 1.152)]
 fn a_verdict_is_as_soon_as_without_relays(#[case] failing: f64, #[case] direct: f64) {
-    let relayed = verdict(Scene { failing, ..Scene::default() });
+    let relayed = verdict(Scene {
+        failing,
+        ..Scene::default()
+    });
     println!("{failing} failing: {relayed:.3} s, directly {direct:.3} s");
-    assert!(relayed <= direct * 1.1, "{relayed:.3} s, directly {direct:.3} s");
+    assert!(
+        relayed <= direct * 1.1,
+        "{relayed:.3} s, directly {direct:.3} s"
+    );
 }
 
 /// Loss and doubling cost what they did: no good build is convicted, and a bad one is.
 #[rstest]
 fn a_bad_network_convicts_no_good_build(#[values(1, 2)] seed: u64) {
     let slowest = SECOND / 2;
-    let bad = Scene { lost: 0.1, doubled: 0.3, slowest, seed, ..Scene::default() };
+    let bad = Scene {
+        lost: 0.1,
+        doubled: 0.3,
+        slowest,
+        seed,
+        ..Scene::default()
+    };
     assert_eq!(run(bad, SECOND * 12, true).convicted, None);
-    assert!(run(Scene { failing: 0.2, ..bad }, SECOND * 12, true).convicted.is_some());
+    assert!(
+        run(
+            Scene {
+                failing: 0.2,
+                ..bad
+            },
+            SECOND * 12,
+            true
+        )
+        .convicted
+        .is_some()
+    );
 }
 
 #[test]
 fn where_agents_may_not_talk_none_does() {
-    let scene = Scene { may_tell: false, ..Scene::default() };
+    let scene = Scene {
+        may_tell: false,
+        ..Scene::default()
+    };
     assert_eq!(run(scene, SECOND * 9, false).sent.len(), 0);
 }
 
@@ -78,7 +113,9 @@
 fn tells_the_judges(mut member: relaying::Module, me: u32, agents: u32) {
     let judges = (0..agents.min(3)).map(|i| AgentId((2 + i * agents / agents.min(3)) % agents));
     for serial in 1..4_u32 {
-        let told = member.after(DWELL, |ears| ears.wrong_answer(trial(0), Product(0), Duration::ZERO));
+        let told = member.after(DWELL, |ears| {
+            ears.wrong_answer(trial(0), Product(0), Duration::ZERO)
+        });
         let mut octets = vec![0, 2];
         octets.extend((DAWN.as_millis() as u32).to_be_bytes());
         octets.extend(serial.to_be_bytes());
--- a/tests/reports/relaying.rs
+++ b/tests/reports/relaying.rs
@@ -39,14 +39,22 @@
 
     fn with_list(brain: Brain, now: Duration) -> Self {
         let mut module = Module { brain, now };
-        let scene = Scene { appliances: 400, on_trial: 40, ..Scene::default() };
-        module.after(Duration::ZERO, |ears| tell_list(scene, Some(DAWN - SECOND * 10), ears));
+        let scene = Scene {
+            appliances: 400,
+            on_trial: 40,
+            ..Scene::default()
+        };
+        module.after(Duration::ZERO, |ears| {
+            tell_list(scene, Some(DAWN - SECOND * 10), ears)
+        });
         module
     }
 
     /// What it tells others in a round so much later.
     pub fn after(
-        &mut self, later: Duration, hear: impl FnOnce(&mut dyn Hears),
+        &mut self,
+        later: Duration,
+        hear: impl FnOnce(&mut dyn Hears),
     ) -> Vec<(Option<AgentId>, Vec<u8>)> {
         self.now += later;
         let mut decided = Decided::default();
@@ -77,9 +85,13 @@
 fn add(sums: &mut Sums, octets: &[u8]) {
     assert!(octets.len() <= 256, "a datagram of {} octets", octets.len());
     for record in octets[16..].chunks_exact(9) {
-        let at = ApplianceId(u32::from_be_bytes([record[0], record[1], record[2], record[3]]));
+        let at = ApplianceId(u32::from_be_bytes([
+            record[0], record[1], record[2], record[3],
+        ]));
         let sum = sums.entry(at).or_default();
-        sum.iter_mut().zip(&record[5..]).for_each(|(sum, one)| *sum += u32::from(*one));
+        sum.iter_mut()
+            .zip(&record[5..])
+            .for_each(|(sum, one)| *sum += u32::from(*one));
     }
 }
 
@@ -128,8 +140,12 @@
 #[test]
 fn nothing_counts_twice() {
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]);
-    let config =
-        Config { cases: 200, rng_seed: RngSeed::Fixed(7), failure_persistence: None, ..Config::default() };
+    let config = Config {
+        cases: 200,
+        rng_seed: RngSeed::Fixed(7),
+        failure_persistence: None,
+        ..Config::default()
+    };
     let mut runner = TestRunner::new_with_rng(config, rng);
     let law = |events: Vec<Event>| {
         let mut relay = Module::new(RELAY, AGENTS, true);
@@ -137,14 +153,25 @@
         let (mut made, mut reported, mut passed) = (Vec::new(), Sums::new(), Sums::new());
         for event in events {
             let told = match event {
-                Event::Report { member, entries, arrives } => {
+                Event::Report {
+                    member,
+                    entries,
+                    arrives,
+                } => {
                     relay.now += Duration::from_millis(2);
-                    let entries: Vec<_> = entries.iter().map(|(i, counts)| (trial(*i), *counts)).collect();
+                    let entries: Vec<_> = entries
+                        .iter()
+                        .map(|(i, counts)| (trial(*i), *counts))
+                        .collect();
                     let octets = report(DAWN - SECOND, relay.now, &entries);
                     add(&mut reported, &octets);
                     made.push((AgentId(member), octets.clone()));
                     let hear = |ears: &mut dyn Hears| ears.peer(AgentId(member), &octets);
-                    if arrives { relay.after(Duration::ZERO, hear) } else { Vec::new() }
+                    if arrives {
+                        relay.after(Duration::ZERO, hear)
+                    } else {
+                        Vec::new()
+                    }
                 }
                 Event::Again(which) if !made.is_empty() => {
                     let (from, octets) = which.get(&made);
@@ -152,7 +179,8 @@
                 }
                 Event::Again(_) => Vec::new(),
                 Event::Restart => {
-                    relay = Module::started(relay.now + Duration::from_millis(50), RELAY, AGENTS, true);
+                    relay =
+                        Module::started(relay.now + Duration::from_millis(50), RELAY, AGENTS, true);
                     Vec::new()
                 }
                 Event::Wait(ms) => relay.after(Duration::from_millis(ms.into()), |_| {}),
@@ -164,11 +192,16 @@
         }
         for (at, sums) in &passed {
             let most = reported.get(at).copied().unwrap_or_default();
-            prop_assert!(sums.iter().zip(most).all(|(sum, most)| *sum <= most), "{sums:?} of {most:?}");
+            prop_assert!(
+                sums.iter().zip(most).all(|(sum, most)| *sum <= most),
+                "{sums:?} of {most:?}"
+            );
         }
         Ok(())
     };
-    runner.run(&prop::collection::vec(event(), 1..60), law).unwrap();
+    runner
+        .run(&prop::collection::vec(event(), 1..60), law)
+        .unwrap();
 }
 
 /// Also of more appliances than one datagram has room for, and of more outcomes than an entry can hold.
@@ -178,11 +211,16 @@
     relay.after(SECOND * 2, |_| {});
     let (mut reported, mut passed) = (Sums::new(), Sums::new());
     for round in 0..60 {
-        let entries: Vec<_> = (0..20).map(|i| (trial((round * 20 + i) % 40), [250, 50, 100, 10])).collect();
+        let entries: Vec<_> = (0..20)
+            .map(|i| (trial((round * 20 + i) % 40), [250, 50, 100, 10]))
+            .collect();
         let octets = report(DAWN, relay.now + SECOND / 10, &entries);
         add(&mut reported, &octets);
         let from = AgentId(MEMBERS.start + round % 5);
-        passed_on(relay.after(SECOND / 10, |ears| ears.peer(from, &octets)), &mut passed);
+        passed_on(
+            relay.after(SECOND / 10, |ears| ears.peer(from, &octets)),
+            &mut passed,
+        );
     }
     for _ in 0..100 {
         passed_on(relay.after(DWELL, |_| {}), &mut passed);
@@ -197,14 +235,28 @@
     relay.after(SECOND * 2, |_| {});
     let mut told = Vec::new();
     for i in 0..100 {
-        let octets = report(DAWN, relay.now + SECOND / 100, &[(trial(i % 2), [200, 40, 0, 0])]);
-        told.extend(relay.after(SECOND / 100, |ears| ears.peer(AgentId(MEMBERS.start), &octets)));
+        let octets = report(
+            DAWN,
+            relay.now + SECOND / 100,
+            &[(trial(i % 2), [200, 40, 0, 0])],
+        );
+        told.extend(relay.after(SECOND / 100, |ears| {
+            ears.peer(AgentId(MEMBERS.start), &octets)
+        }));
     }
-    let records: Vec<_> = told.iter().flat_map(|(_, octets)| octets[16..].chunks_exact(9)).collect();
+    let records: Vec<_> = told
+        .iter()
+        .flat_map(|(_, octets)| octets[16..].chunks_exact(9))
+        .collect();
     assert!(records.iter().any(|record| record[5] > 200));
     for record in records {
         let share = f64::from(record[6]) / f64::from(record[5]);
-        assert!((share - 0.2).abs() < 0.03, "{} bad of {}", record[6], record[5]);
+        assert!(
+            (share - 0.2).abs() < 0.03,
+            "{} bad of {}",
+            record[6],
+            record[5]
+        );
     }
 }
 
@@ -217,11 +269,19 @@
 #[case::made_before_the_start(RELAY, MEMBERS.start, true, 0, false)]
 #[case::where_none_may_talk(RELAY, MEMBERS.start, false, 2000, false)]
 fn others_reports_change_nothing(
-    #[case] me: u32, #[case] from: u32, #[case] may_tell: bool, #[case] made: u64, #[case] passes: bool,
+    #[case] me: u32,
+    #[case] from: u32,
+    #[case] may_tell: bool,
+    #[case] made: u64,
+    #[case] passes: bool,
 ) {
     let mut relay = Module::new(me, AGENTS, may_tell);
     relay.after(SECOND * 3, |_| {});
-    let octets = report(DAWN, DAWN + Duration::from_millis(made), &[(trial(0), [9, 1, 0, 0])]);
+    let octets = report(
+        DAWN,
+        DAWN + Duration::from_millis(made),
+        &[(trial(0), [9, 1, 0, 0])],
+    );
     let mut told = relay.after(SECOND / 10, |ears| ears.peer(AgentId(from), &octets));
     told.extend(relay.after(DWELL, |_| {}));
     assert_eq!(!told.is_empty(), passes, "{told:?}");
@@ -235,10 +295,14 @@
         let mut member = Module::new(me, AGENTS, true);
         let mut relays = Vec::new();
         for _ in 0..300 {
-            let wrong = |ears: &mut dyn Hears| ears.wrong_answer(trial(0), Product(0), Duration::ZERO);
+            let wrong =
+                |ears: &mut dyn Hears| ears.wrong_answer(trial(0), Product(0), Duration::ZERO);
             let told = member.after(DWELL / 3, wrong);
             // As a relay itself it reports to the judges.
-            let relay = told.iter().filter_map(|(to, _)| *to).find(|to| !judges.contains(to));
+            let relay = told
+                .iter()
+                .filter_map(|(to, _)| *to)
+                .find(|to| !judges.contains(to));
             if !told.is_empty() {
                 relays.push((relay.unwrap_or(AgentId(me)), member.now));
             }
@@ -259,9 +323,13 @@
     relay.after(SECOND * 2, |_| {});
     let mut lately = Sums::new();
     for round in 0..80 {
-        let entries: Vec<_> = (0..20).map(|i| (trial((round * 20 + i) % 40), [2, 1, 0, 0])).collect();
+        let entries: Vec<_> = (0..20)
+            .map(|i| (trial((round * 20 + i) % 40), [2, 1, 0, 0]))
+            .collect();
         let octets = report(DAWN, relay.now + SECOND / 10, &entries);
-        let told = relay.after(SECOND / 10, |ears| ears.peer(AgentId(MEMBERS.start), &octets));
+        let told = relay.after(SECOND / 10, |ears| {
+            ears.peer(AgentId(MEMBERS.start), &octets)
+        });
         if round >= 60 {
             passed_on(told, &mut lately);
         }
--- a/tests/same_decisions.rs
+++ b/tests/same_decisions.rs
@@ -22,23 +22,50 @@
 
 fn terms(repeat: Repeat, remembered: u64) -> Terms {
     let (sla, deadline) = (ms(400), ms(2000));
-    Terms { repeat, sla, deadline, remembered: ms(remembered), revenue: 1.0, late_share: 0.1 }
+    Terms {
+        repeat,
+        sla,
+        deadline,
+        remembered: ms(remembered),
+        revenue: 1.0,
+        late_share: 0.1,
+    }
 }
 
 fn products() -> Vec<Terms> {
     let keyed = |group| terms(Repeat::Referenced(group), 1000);
-    vec![terms(Repeat::InquiryLike, 0), keyed(Group::Zone), keyed(Group::Cell), terms(Repeat::OnceOnly, 0)]
+    vec![
+        terms(Repeat::InquiryLike, 0),
+        keyed(Group::Zone),
+        keyed(Group::Cell),
+        terms(Repeat::OnceOnly, 0),
+    ]
 }
 
 fn agent(me: u32, agents: u32, seed: u64) -> Brain {
-    let among = Among { me: AgentId(me), agents, may_tell: true };
-    let calls = Calls { lasts: ms(6000), wait: ms(1200) };
+    let among = Among {
+        me: AgentId(me),
+        agents,
+        may_tell: true,
+    };
+    let calls = Calls {
+        lasts: ms(6000),
+        wait: ms(1200),
+    };
     Brain::new(
         seed,
         Membership::new(Zone(0), Some(ms(10_000))),
         Thaw::new(0.34, ms(4000), 2.5, ms(1000)),
         Exposure::new(ms(4000), ms(5), 3.0, 0.1, true, 1, false),
-        Jury::new(Gate::Single, vec![0.1, 0.5, 1.0], ms(900), calls, true, among, 4),
+        Jury::new(
+            Gate::Single,
+            vec![0.1, 0.5, 1.0],
+            ms(900),
+            calls,
+            true,
+            among,
+            4,
+        ),
         Desk::new(products(), 3, true, ms(2000), ms(5)),
     )
 }
@@ -104,11 +131,27 @@
     let appliance = ApplianceId(i.wrapping_mul(0x9E37_79B9));
     let (model, build, mode) = (Model((i % 3) as u8), Build(1), Mode::Ready);
     let (cell, zone) = (Cell((i / 3) as u16), Zone((i * 4 / listed) as u8));
-    Line { appliance, mode, model, weight: [1.0, 2.5, 4.0][i as usize % 3], started: None, build, cell, zone }
+    Line {
+        appliance,
+        mode,
+        model,
+        weight: [1.0, 2.5, 4.0][i as usize % 3],
+        started: None,
+        build,
+        cell,
+        zone,
+    }
 }
 
 /// An attempt on its way: when it ends, which it is, where it is and how it ends.
-type Attempt = (Duration, RequestId, AttemptNumber, ApplianceId, Ending, Duration);
+type Attempt = (
+    Duration,
+    RequestId,
+    AttemptNumber,
+    ApplianceId,
+    Ending,
+    Duration,
+);
 
 struct Minute {
     chance: Pcg64Mcg,
@@ -127,7 +170,9 @@
         match self.chance.random_range(0..6) {
             0 => one.mode = Mode::Draining,
             1 if i > 0 => one.mode = Mode::Gone,
-            2 if beat > 1000 => (one.mode, one.build, one.started) = (Mode::Ready, Build(2), Some(now)),
+            2 if beat > 1000 => {
+                (one.mode, one.build, one.started) = (Mode::Ready, Build(2), Some(now))
+            }
             3 => (one.mode, one.started) = (Mode::Ready, Some(now)),
             _ => one.mode = Mode::Ready,
         }
@@ -154,13 +199,24 @@
         }
         if beat.is_multiple_of(700) {
             let ready = self.lines.iter().filter(|line| line.mode != Mode::Gone);
-            ears.membership(Listing::Whole, &mut ready.copied().collect::<Vec<_>>().into_iter());
+            ears.membership(
+                Listing::Whole,
+                &mut ready.copied().collect::<Vec<_>>().into_iter(),
+            );
         } else if beat.is_multiple_of(60) {
             self.change(now, beat, ears);
         }
         if beat == 4500 {
-            let rows = [(Build(1), &[15, 15, 0, 3][..]), (Build(2), &[15, 7, 15, 0][..])];
-            ears.openings(Some(Arc::new(Openings::new(4, 1, &rows, Some((Build(2), Stage(0)))))));
+            let rows = [
+                (Build(1), &[15, 15, 0, 3][..]),
+                (Build(2), &[15, 7, 15, 0][..]),
+            ];
+            ears.openings(Some(Arc::new(Openings::new(
+                4,
+                1,
+                &rows,
+                Some((Build(2), Stage(0))),
+            ))));
         }
         if beat == 5000 {
             ears.openings(None);
@@ -172,7 +228,14 @@
             self.next += 1;
             let (product, tenant) = (Product(self.chance.random_range(0..4)), Tenant(0));
             let (deadline, hint) = (now + ms(2000), Some(ms(self.chance.random_range(20..120))));
-            let request = Request { product, tenant, mark: Some(Mark(7)), deadline, hint, repeated: false };
+            let request = Request {
+                product,
+                tenant,
+                mark: Some(Mark(7)),
+                deadline,
+                hint,
+                repeated: false,
+            };
             ears.request(RequestId(self.next), request);
         }
     }
@@ -192,7 +255,8 @@
             6 => (Ending::TurnedAway, 3),
             _ => (Ending::Served, self.chance.random_range(30..260)),
         };
-        self.out.push((now + ms(took), id, which, to, ending, ms(took)));
+        self.out
+            .push((now + ms(took), id, which, to, ending, ms(took)));
     }
 }
 
@@ -201,8 +265,18 @@
     let mut brain = agent(1, 3, seed);
     let lines = (0..listed).map(|i| line(i, listed)).collect();
     let chance = Pcg64Mcg::seed_from_u64(seed);
-    let mut minute = Minute { chance, lines, attempts: BTreeMap::new(), out: Vec::new(), next: 0 };
-    let mut digest = Digest { sum: 0xcbf2_9ce4_8422_2325, decisions: 0, sent: Vec::new() };
+    let mut minute = Minute {
+        chance,
+        lines,
+        attempts: BTreeMap::new(),
+        out: Vec::new(),
+        next: 0,
+    };
+    let mut digest = Digest {
+        sum: 0xcbf2_9ce4_8422_2325,
+        decisions: 0,
+        sent: Vec::new(),
+    };
     for beat in 0..BEATS {
         let now = DAWN + BEAT * beat;
         brain.round(now, |ears| minute.hear(now, beat, ears), &mut digest);
@@ -220,8 +294,15 @@
 #[case::sixty(60, 4, 0x86d1_897e_8f14_2ce9, 3100)]
 #[case::most(150, 5, 0xba5f_6224_0eee_5a5f, 3153)]
 fn the_same_decisions_as_before(
-    #[case] listed: u32, #[case] seed: u64, #[case] sum: u64, #[case] decisions: u32,
+    #[case] listed: u32,
+    #[case] seed: u64,
+    #[case] sum: u64,
+    #[case] decisions: u32,
 ) {
     assert_eq!(play(listed, seed), (sum, decisions));
-    assert_eq!(play(listed, seed), (sum, decisions), "the same events, the same decisions");
+    assert_eq!(
+        play(listed, seed),
+        (sum, decisions),
+        "the same events, the same decisions"
+    );
 }
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -34,8 +34,19 @@
 
 /// Where a record is kept beside, it must change nothing.
 fn book() -> Book {
-    let aims = Aims { false_per_hour: 0.5, ramp: Duration::from_secs(4), products: 3 };
-    Book::new(Duration::ZERO, aims, Room { octets: 1 << 20, records: 100 })
+    let aims = Aims {
+        false_per_hour: 0.5,
+        ramp: Duration::from_secs(4),
+        products: 3,
+    };
+    Book::new(
+        Duration::ZERO,
+        aims,
+        Room {
+            octets: 1 << 20,
+            records: 100,
+        },
+    )
 }
 
 #[derive(Default)]
@@ -60,7 +71,9 @@
     fn send_attempt(&mut self, id: RequestId, to: ApplianceId, _: Duration) {
         self.put(format!("attempt {} {}", id.0, to.0));
         let attempt = self.attempts.entry(id).or_default();
-        self.book.iter_mut().for_each(|book| book.attempt(self.at, id, AttemptNumber(*attempt), to));
+        self.book
+            .iter_mut()
+            .for_each(|book| book.attempt(self.at, id, AttemptNumber(*attempt), to));
         self.out.push_back((id, AttemptNumber(*attempt), to));
         *attempt += 1;
     }
@@ -90,10 +103,14 @@
     fn fetch_membership(&mut self) {}
     fn note(&mut self, note: Note) {
         self.noted.push(format!("{note:?}"));
-        self.book.iter_mut().for_each(|book| book.note(self.at, note));
+        self.book
+            .iter_mut()
+            .for_each(|book| book.note(self.at, note));
     }
     fn vote(&mut self, build: Build, stage: Stage, verdict: Verdict) {
-        self.book.iter_mut().for_each(|book| book.vote(self.at, build, stage, verdict));
+        self.book
+            .iter_mut()
+            .for_each(|book| book.vote(self.at, build, stage, verdict));
         self.put(format!("vote {} {} {verdict:?}", build.0, stage.0).to_lowercase());
     }
 }
@@ -138,14 +155,32 @@
         let guarded = set("guarded", 0.0) as u8;
         let forward_only = set("forward-only", 0.0) > 0.0;
         let free = set("free", 2.0);
-        let exposure =
-            Exposure::new(Duration::from_secs(4), tick, free, 0.1, per_product, guarded, forward_only);
-        let calls = Calls { lasts: Duration::from_secs(6), wait: Duration::from_secs(1) };
-        let gate = if set("clocked", 0.0) > 0.0 { Gate::Clocked } else { Gate::Single };
+        let exposure = Exposure::new(
+            Duration::from_secs(4),
+            tick,
+            free,
+            0.1,
+            per_product,
+            guarded,
+            forward_only,
+        );
+        let calls = Calls {
+            lasts: Duration::from_secs(6),
+            wait: Duration::from_secs(1),
+        };
+        let gate = if set("clocked", 0.0) > 0.0 {
+            Gate::Clocked
+        } else {
+            Gate::Single
+        };
         let rings = vec![0.05, 0.2, 0.5, 1.0];
         let dwell = Duration::from_millis(1500);
         let (me, agents) = (AgentId(set("me", 0.0) as u32), set("agents", 1.0) as u32);
-        let among = Among { me, agents, may_tell: true };
+        let among = Among {
+            me,
+            agents,
+            may_tell: true,
+        };
         let jury = Jury::new(gate, rings, dwell, calls, true, among, self.products.len());
         let desk = Desk::new(self.products.clone(), 3, true, Duration::from_secs(1), tick);
         Brain::new(7, membership, thaw, exposure, jury, desk)
@@ -154,7 +189,10 @@
     fn round(&mut self, intake: impl FnOnce(&mut dyn Hears)) {
         let mut brain = self.brain.take().unwrap_or_else(|| self.brain());
         self.written.at = self.now;
-        self.written.book.iter_mut().for_each(|book| book.advance(self.now));
+        self.written
+            .book
+            .iter_mut()
+            .for_each(|book| book.advance(self.now));
         brain.round(self.now, intake, &mut self.written);
         self.brain = Some(brain);
     }
@@ -163,7 +201,14 @@
         let product = Product(product.parse().expect("a product"));
         let mark = mark.map(|m| Mark(m.parse().expect("a mark")));
         let hint = Some(Duration::from_millis(50));
-        Request { product, tenant: Tenant(0), mark, deadline, hint, repeated: false }
+        Request {
+            product,
+            tenant: Tenant(0),
+            mark,
+            deadline,
+            hint,
+            repeated: false,
+        }
     }
 
     fn membership(&mut self, kind: &str, entries: &[&str]) {
@@ -198,23 +243,43 @@
                     *many += 1;
                     fails.get(&key).is_some_and(|n| many.is_multiple_of(*n))
                 });
-                answers.push((request, attempt, to, if bad { Ending::Failed } else { Ending::Served }));
+                answers.push((
+                    request,
+                    attempt,
+                    to,
+                    if bad { Ending::Failed } else { Ending::Served },
+                ));
             }
             self.written.now.clear();
             self.round(|ear| {
                 for (id, attempt, to, ending) in answers {
-                    ear.ended(id, attempt, to, ending, Duration::from_millis(50), ending == Ending::Served);
+                    ear.ended(
+                        id,
+                        attempt,
+                        to,
+                        ending,
+                        Duration::from_millis(50),
+                        ending == Ending::Served,
+                    );
                 }
                 ear.request(id, request);
             });
             let at = self.now + Duration::from_millis(50);
-            due.extend(self.written.out.drain(..).map(|(id, attempt, to)| (at, id, attempt, to)));
+            due.extend(
+                self.written
+                    .out
+                    .drain(..)
+                    .map(|(id, attempt, to)| (at, id, attempt, to)),
+            );
         }
     }
 
     fn step(&mut self, words: &[&str]) {
         match words {
-            ["set", key, value] => drop(self.set.insert(key.to_string(), value.parse().expect("a number"))),
+            ["set", key, value] => drop(
+                self.set
+                    .insert(key.to_string(), value.parse().expect("a number")),
+            ),
             ["product", kind, sla, group @ ..] => {
                 let repeat = match (*kind, group) {
                     ("referenced", ["all", ..]) => Repeat::Referenced(Group::All),
@@ -240,24 +305,34 @@
             }
             ["membership", kind, entries @ ..] => self.membership(kind, entries),
             ["request", id, product, rest @ ..] => {
-                let deadline = rest.first().map_or(self.now + Duration::from_secs(2), |e| ms(e));
+                let deadline = rest
+                    .first()
+                    .map_or(self.now + Duration::from_secs(2), |e| ms(e));
                 let request = self.request(product, deadline, rest.get(1));
                 self.round(|ear| ear.request(RequestId(id.parse().expect("an id")), request));
             }
             ["burst", many, product] => {
                 let request = self.request(product, self.now + Duration::from_secs(2), None);
                 let many = many.parse().expect("a number");
-                self.round(|ear| (0..many).for_each(|i| ear.request(RequestId(2_000_000 + i), request)));
+                self.round(|ear| {
+                    (0..many).for_each(|i| ear.request(RequestId(2_000_000 + i), request))
+                });
             }
             ["ends", last] => self.round(|ear| ear.ends(ms(last))),
-            ["left", id] => self.round(|ear| ear.client_left(RequestId(id.parse().expect("an id")))),
+            ["left", id] => {
+                self.round(|ear| ear.client_left(RequestId(id.parse().expect("an id"))))
+            }
             ["ended", attempt, at, how, took, closed @ ..] => {
                 let (id, attempt) = attempt.split_once('/').expect("ID/ATTEMPT");
                 let (id, attempt) = (
                     RequestId(id.parse().expect("an id")),
                     AttemptNumber(attempt.parse().expect("an attempt number")),
                 );
-                let (at, took, how) = (ApplianceId(at.parse().expect("an id")), ms(took), ending(how));
+                let (at, took, how) = (
+                    ApplianceId(at.parse().expect("an id")),
+                    ms(took),
+                    ending(how),
+                );
                 self.round(|ear| ear.ended(id, attempt, at, how, took, !closed.is_empty()));
             }
             ["go", attempt, want] => {
@@ -277,25 +352,40 @@
                     "released" => Course::Released,
                     _ => Course::Withdrawn,
                 };
-                let (build, stage) =
-                    (Build(build.parse().expect("a build")), Stage(stage.parse().expect("a stage")));
+                let (build, stage) = (
+                    Build(build.parse().expect("a build")),
+                    Stage(stage.parse().expect("a stage")),
+                );
                 let cap = cap.parse().expect("a cap");
                 self.round(|ear| ear.stage(build, stage, course, cap, Duration::ZERO));
             }
             ["voted", how] => self.round(|ear| ear.vote_answered(ending(how))),
             ["wrong", at, product, ago] => {
-                let (at, product) = (at.parse().expect("an id"), product.parse().expect("a product"));
+                let (at, product) = (
+                    at.parse().expect("an id"),
+                    product.parse().expect("a product"),
+                );
                 self.round(|ear| ear.wrong_answer(ApplianceId(at), Product(product), ms(ago)));
             }
             ["report", from, build, serial, sums, entries @ ..] => {
                 let num = |text: &str| text.parse::<u32>().expect("a number");
                 let mut octets = (num(build) as u16).to_be_bytes().to_vec();
                 octets.extend([0, 0, 0, 1].into_iter().chain(num(serial).to_be_bytes()));
-                octets.extend(sums.split('/').flat_map(|sum| (num(sum) as u16).to_be_bytes()));
+                octets.extend(
+                    sums.split('/')
+                        .flat_map(|sum| (num(sum) as u16).to_be_bytes()),
+                );
                 for entry in entries {
-                    let of: Vec<u32> =
-                        entry.split(':').map(|n| if n == "-" { u32::MAX } else { num(n) }).collect();
-                    octets.extend(of[0].to_be_bytes().into_iter().chain(of[1..].iter().map(|n| *n as u8)));
+                    let of: Vec<u32> = entry
+                        .split(':')
+                        .map(|n| if n == "-" { u32::MAX } else { num(n) })
+                        .collect();
+                    octets.extend(
+                        of[0]
+                            .to_be_bytes()
+                            .into_iter()
+                            .chain(of[1..].iter().map(|n| *n as u8)),
+                    );
                     octets.extend([0, 0]);
                 }
                 self.round(|ear| ear.peer(AgentId(num(from)), &octets));
@@ -304,7 +394,10 @@
             ["open", step, cells @ ..] => {
                 let mut rows = BTreeMap::<u16, [u64; 3]>::new();
                 for cell in cells {
-                    let of: Vec<u64> = cell.split(':').map(|n| n.parse().expect("a number")).collect();
+                    let of: Vec<u64> = cell
+                        .split(':')
+                        .map(|n| n.parse().expect("a number"))
+                        .collect();
                     let row = rows.entry(of[0] as u16).or_default();
                     row[of[1] as usize] = of.get(2).copied().unwrap_or(u64::MAX);
                 }
@@ -315,11 +408,18 @@
             }
             ["noted", rest @ ..] => {
                 let rest = rest.join(" ");
-                assert!(self.written.noted.iter().any(|n| n.contains(&rest)), "{:?}", self.written.noted);
+                assert!(
+                    self.written.noted.iter().any(|n| n.contains(&rest)),
+                    "{:?}",
+                    self.written.noted
+                );
             }
             ["restart"] => self.brain = None,
             ["flow", until, product, fails @ ..] => {
-                let pair = |f: &&str| f.split_once('=').map(|(b, n)| (b.to_string(), n.parse().expect("N")));
+                let pair = |f: &&str| {
+                    f.split_once('=')
+                        .map(|(b, n)| (b.to_string(), n.parse().expect("N")))
+                };
                 let fails = fails.iter().filter_map(pair).collect();
                 self.flow(ms(until), product, &fails);
             }
@@ -328,14 +428,19 @@
             ["ever", rest @ ..] => assert!(self.times(rest) > 0, "never since the start"),
             ["most", many, rest @ ..] => {
                 let (many, seen) = (many.parse::<usize>().expect("a number"), self.times(rest));
-                assert!(seen <= many, "seen {seen} times, last {:?}", self.written.now);
+                assert!(
+                    seen <= many,
+                    "seen {seen} times, last {:?}",
+                    self.written.now
+                );
             }
             ["test", xb, xn, yb, yn, "p", p] => {
                 let [xb, xn, yb, yn] = [xb, xn, yb, yn].map(|n| n.parse::<u32>().expect("a count"));
                 let mut test = Test::new(0.02, 0.1, 0.05);
                 (0..xn).for_each(|i| test.observe(None, 1.0, f64::from(u8::from(i < xb))));
-                (0..yn)
-                    .for_each(|i| test.observe(Some(ApplianceId(1)), 1.0, f64::from(u8::from(i >= yn - yb))));
+                (0..yn).for_each(|i| {
+                    test.observe(Some(ApplianceId(1)), 1.0, f64::from(u8::from(i >= yn - yb)))
+                });
                 let p: f64 = p.parse().expect("a number");
                 assert!((test.p - p).abs() < 1e-4, "p is {}", test.p);
             }
@@ -348,14 +453,22 @@
     }
 
     fn times(&self, words: &[&str]) -> usize {
-        self.written.ever.iter().filter(|line| fits(line, words)).count()
+        self.written
+            .ever
+            .iter()
+            .filter(|line| fits(line, words))
+            .count()
     }
 }
 
 /// Whether a decision begins with these words; `*` stands for any.
 fn fits(line: &str, words: &[&str]) -> bool {
     let got: Vec<&str> = line.split(' ').collect();
-    got.len() >= words.len() && words.iter().zip(got).all(|(want, got)| *want == "*" || *want == got)
+    got.len() >= words.len()
+        && words
+            .iter()
+            .zip(got)
+            .all(|(want, got)| *want == "*" || *want == got)
 }
 
 fn line(entry: &str, now: Duration) -> Line {
@@ -368,9 +481,20 @@
         _ => Mode::Gone,
     };
     let build = Build(next().and_then(|p| p.parse().ok()).expect("a build"));
-    let started = next().filter(|a| !a.is_empty()).map(|age| now.saturating_sub(ms(age)));
+    let started = next()
+        .filter(|a| !a.is_empty())
+        .map(|age| now.saturating_sub(ms(age)));
     let zone = Zone(next().map_or(0, |z| z.parse().expect("a zone")));
-    Line { appliance, mode, model: Model(0), weight: 1.0, started, build, cell: Cell(0), zone }
+    Line {
+        appliance,
+        mode,
+        model: Model(0),
+        weight: 1.0,
+        started,
+        build,
+        cell: Cell(0),
+        zone,
+    }
 }
 
 #[rstest]
@@ -389,7 +513,10 @@
         products: Vec::new(),
         lines: BTreeMap::new(),
         brain: None,
-        written: Written { book, ..Written::default() },
+        written: Written {
+            book,
+            ..Written::default()
+        },
         flowing: 0,
     };
     for (i, line) in text.lines().enumerate() {
--- a/tests/subset.rs
+++ b/tests/subset.rs
@@ -26,20 +26,46 @@
 
 fn terms(repeat: Repeat) -> Terms {
     let (sla, deadline, remembered) = (ms(500), ms(2000), ms(1500));
-    Terms { repeat, sla, deadline, remembered, revenue: 1.0, late_share: 0.5 }
+    Terms {
+        repeat,
+        sla,
+        deadline,
+        remembered,
+        revenue: 1.0,
+        late_share: 0.5,
+    }
 }
 
 fn agent(me: u32, agents: u32) -> Brain {
-    let among = Among { me: AgentId(me), agents, may_tell: true };
-    let calls = Calls { lasts: ms(6000), wait: ms(1200) };
+    let among = Among {
+        me: AgentId(me),
+        agents,
+        may_tell: true,
+    };
+    let calls = Calls {
+        lasts: ms(6000),
+        wait: ms(1200),
+    };
     let keyed = |group| terms(Repeat::Referenced(group));
-    let products = vec![terms(Repeat::InquiryLike), keyed(Group::Cell), keyed(Group::Zone)];
+    let products = vec![
+        terms(Repeat::InquiryLike),
+        keyed(Group::Cell),
+        keyed(Group::Zone),
+    ];
     Brain::new(
         u64::from(me) * 7919 + 1,
         Membership::new(Zone((me % 8) as u8), None),
         Thaw::new(0.34, ms(4000), 2.5, ms(1000)),
         Exposure::new(ms(4000), ms(5), 3.0, 0.1, false, 1, false),
-        Jury::new(Gate::Single, vec![0.1, 0.5, 1.0], ms(900), calls, true, among, 3),
+        Jury::new(
+            Gate::Single,
+            vec![0.1, 0.5, 1.0],
+            ms(900),
+            calls,
+            true,
+            among,
+            3,
+        ),
         Desk::new(products, 3, true, ms(2000), ms(5)),
     )
 }
@@ -49,7 +75,16 @@
     let appliance = ApplianceId(i.wrapping_mul(0x9E37_79B9));
     let (mode, model, build) = (Mode::Ready, Model(0), Build(1));
     let (cell, zone) = (Cell((i / 3) as u16), Zone((i % 8) as u8));
-    Line { appliance, mode, model, weight: 4.0, started: None, build, cell, zone }
+    Line {
+        appliance,
+        mode,
+        model,
+        weight: 4.0,
+        started: None,
+        build,
+        cell,
+        zone,
+    }
 }
 
 fn lines(many: u32) -> Vec<Line> {
@@ -80,8 +115,15 @@
     /// An agent that has the list, where build 1 is released.
     fn new(me: u32, agents: u32, lines: &[Line]) -> Self {
         let (out, attempts, given_up, wakes) = Default::default();
-        let mut play =
-            Play { brain: agent(me, agents), now: DAWN, out, attempts, requests: 0, given_up, wakes };
+        let mut play = Play {
+            brain: agent(me, agents),
+            now: DAWN,
+            out,
+            attempts,
+            requests: 0,
+            given_up,
+            wakes,
+        };
         play.round(
             |ears| {
                 ears.stage(Build(1), Stage(2), Course::Released, 1.0, Duration::ZERO);
@@ -105,13 +147,17 @@
     }
 
     fn change(&mut self, lines: Vec<Line>) {
-        self.round(|ears| ears.membership(Listing::Changes, &mut lines.into_iter()), |_, _| SERVED);
+        self.round(
+            |ears| ears.membership(Listing::Changes, &mut lines.into_iter()),
+            |_, _| SERVED,
+        );
     }
 
     /// Plays what is due, and then a round; `fate` says how an attempt ends, by its attempt and appliance, and after
     /// what time.
     fn round(
-        &mut self, hear: impl FnOnce(&mut dyn Hears),
+        &mut self,
+        hear: impl FnOnce(&mut dyn Hears),
         mut fate: impl FnMut(u8, ApplianceId) -> (Ending, Duration),
     ) -> Vec<(RequestId, ApplianceId)> {
         let (now, mut decided) = (self.now, Decided::default());
@@ -128,17 +174,28 @@
             let attempt = self.attempts.entry(*id).or_default();
             let (ending, took) = fate(*attempt, *at);
             let (id, at, due) = (*id, *at, now + took);
-            self.out.push(Attempt { due, id, attempt: AttemptNumber(*attempt), at, ending, took });
+            self.out.push(Attempt {
+                due,
+                id,
+                attempt: AttemptNumber(*attempt),
+                at,
+                ending,
+                took,
+            });
             *attempt += 1;
         }
-        self.given_up.extend(decided.given_up.into_iter().map(|(id, _)| id));
+        self.given_up
+            .extend(decided.given_up.into_iter().map(|(id, _)| id));
         self.wakes.extend(decided.wakes);
         decided.sent
     }
 
     /// A beat in which so many requests of a product come.
     fn beat(
-        &mut self, requests: u32, product: u8, fate: impl FnMut(u8, ApplianceId) -> (Ending, Duration),
+        &mut self,
+        requests: u32,
+        product: u8,
+        fate: impl FnMut(u8, ApplianceId) -> (Ending, Duration),
     ) -> Vec<(RequestId, ApplianceId)> {
         self.now += BEAT;
         let (now, first) = (self.now, self.requests);
@@ -149,7 +206,14 @@
                 let (deadline, hint) = (now + ms(2000), Some(WORK));
                 ears.request(
                     RequestId(id),
-                    Request { product, tenant, mark, deadline, hint, repeated: false },
+                    Request {
+                        product,
+                        tenant,
+                        mark,
+                        deadline,
+                        hint,
+                        repeated: false,
+                    },
                 );
             }
         };
@@ -179,7 +243,10 @@
         worst = worst.max(play.brain.visited() - before);
         if beat % 100 == 50 {
             let before = play.brain.visited();
-            play.change(vec![Line { started: Some(play.now), ..line(beat * 7919 % listed) }]);
+            play.change(vec![Line {
+                started: Some(play.now),
+                ..line(beat * 7919 % listed)
+            }]);
             worst = worst.max(play.brain.visited() - before);
         }
     }
@@ -190,26 +257,43 @@
 #[rstest]
 fn work_follows_what_is_used() {
     let ((short_worst, short), (long_worst, long)) = (rows_looked_at(600), rows_looked_at(7400));
-    assert!(long * 10 < short * 13, "{short} rows at 600 listed, {long} at 7,400");
-    assert!(long_worst < 3000, "{short_worst} rows in a round at 600 listed, {long_worst} at 7,400");
+    assert!(
+        long * 10 < short * 13,
+        "{short} rows at 600 listed, {long} at 7,400"
+    );
+    assert!(
+        long_worst < 3000,
+        "{short_worst} rows in a round at 600 listed, {long_worst} at 7,400"
+    );
 }
 
 /// A module with nothing in hand asks for no wake-up: it has a few rounds after its last answer, then none.
 #[rstest]
-fn an_idle_module_sleeps(#[values(1, 35, 600, 7400)] listed: u32, #[values(0, 1, 20)] requests: u32) {
+fn an_idle_module_sleeps(
+    #[values(1, 35, 600, 7400)] listed: u32,
+    #[values(0, 1, 20)] requests: u32,
+) {
     let mut play = Play::new(3, AGENTS, &lines(listed));
     play.serve(100, requests);
     play.serve(30, 0);
     play.wakes.retain(|at| *at > play.now);
     let mut rounds = 0;
-    while let Some(next) = play.wakes.pop_first().filter(|next| *next < DAWN + ms(600_000)) {
+    while let Some(next) = play
+        .wakes
+        .pop_first()
+        .filter(|next| *next < DAWN + ms(600_000))
+    {
         play.now = next;
         play.round(|_| {}, |_, _| SERVED);
         rounds += 1;
     }
     assert!(rounds <= 2, "{rounds} rounds with nothing to do");
     play.now = DAWN + ms(600_000);
-    assert_eq!(play.beat(1, READ, |_, _| SERVED).len(), 1, "what comes then is sent at once");
+    assert_eq!(
+        play.beat(1, READ, |_, _| SERVED).len(),
+        1,
+        "what comes then is sent at once"
+    );
 }
 
 /// An agent with a request now and then, woken only when it asked for it or an answer comes, refuses none of them.
@@ -224,7 +308,11 @@
                 play.round(|_| {}, |_, _| SERVED);
             }
             play.now = next;
-            assert_eq!(play.beat(1, READ, |_, _| SERVED).len(), 1, "agent {me}, request {number}");
+            assert_eq!(
+                play.beat(1, READ, |_, _| SERVED).len(),
+                1,
+                "agent {me}, request {number}"
+            );
         }
         assert_eq!(play.given_up, [], "agent {me}");
     }
@@ -235,10 +323,19 @@
 fn a_module_with_something_out_does_not_sleep() {
     let mut play = Play::new(3, AGENTS, &lines(600));
     play.beat(1, READ, |_, _| (Ending::Served, ms(1500)));
-    assert!(play.wakes.iter().any(|at| *at > play.now), "an attempt is out");
+    assert!(
+        play.wakes.iter().any(|at| *at > play.now),
+        "an attempt is out"
+    );
     let mut play = Play::new(3, AGENTS, &lines(600));
-    play.round(|ears| ears.stage(Build(2), Stage(0), Course::OnTrial, 0.1, ms(0)), |_, _| SERVED);
-    assert!(play.wakes.iter().any(|at| *at > play.now), "a build is on trial");
+    play.round(
+        |ears| ears.stage(Build(2), Stage(0), Course::OnTrial, 0.1, ms(0)),
+        |_, _| SERVED,
+    );
+    assert!(
+        play.wakes.iter().any(|at| *at > play.now),
+        "a build is on trial"
+    );
 }
 
 /// A few agents are asked most: by their number, 60, 16 or 8 requests a second.
@@ -258,7 +355,13 @@
         let mut play = Play::new(me, AGENTS, &lines(listed));
         play.serve(100, skewed(me));
         for i in 0..replaced {
-            play.change(vec![Line { mode: Mode::Gone, ..line(i) }, line(listed + i)]);
+            play.change(vec![
+                Line {
+                    mode: Mode::Gone,
+                    ..line(i)
+                },
+                line(listed + i),
+            ]);
             play.serve(1, 0);
         }
         for to in play.serve(1000, skewed(me)) {
@@ -280,19 +383,30 @@
     let mean = f64::from(got.iter().sum::<u32>()) / f64::from(listed);
     let most = f64::from(*got.iter().max().expect("some")) / mean;
     let least = f64::from(*got.iter().min().expect("some")) / mean;
-    println!("{listed} listed, {replaced} replaced: most {most:.2}, least {least:.2} of the mean {mean:.0}");
-    assert!(most < 1.6 && least > 0.5, "the most loaded has {most:.2} of the mean, the least {least:.2}");
+    println!(
+        "{listed} listed, {replaced} replaced: most {most:.2}, least {least:.2} of the mean {mean:.0}"
+    );
+    assert!(
+        most < 1.6 && least > 0.5,
+        "the most loaded has {most:.2} of the mean, the least {least:.2}"
+    );
 }
 
 /// One appliance less moves just its own memberships: each subset that had it takes one other. One more takes the place
 /// of one in each subset that it comes into, and it comes into hardly more of them than its share.
 #[rstest]
-fn a_change_moves_its_own_share(#[values(600, 2400)] listed: u32, #[values(0, 17, 333)] changed: u32) {
+fn a_change_moves_its_own_share(
+    #[values(600, 2400)] listed: u32,
+    #[values(0, 17, 333)] changed: u32,
+) {
     let (mut had, mut moved, mut joined, mut entered) = (0, 0, 0, 0);
     for me in 0..AGENTS {
         let mut play = Play::new(me, AGENTS, &lines(listed));
         let before = play.members();
-        play.change(vec![Line { mode: Mode::Gone, ..line(changed) }]);
+        play.change(vec![Line {
+            mode: Mode::Gone,
+            ..line(changed)
+        }]);
         let less = play.members();
         had += usize::from(before.contains(&line(changed).appliance));
         moved += less.difference(&before).count();
@@ -302,10 +416,19 @@
         entered += more.difference(&less).count();
         assert_eq!((before.len(), less.len(), more.len()), (160, 160, 160));
     }
-    assert!(had > 0 && moved <= had, "{moved} memberships moved for the {had} of one that went");
-    assert!(entered <= joined, "{entered} memberships moved for the {joined} of one that came");
+    assert!(
+        had > 0 && moved <= had,
+        "{moved} memberships moved for the {had} of one that went"
+    );
+    assert!(
+        entered <= joined,
+        "{entered} memberships moved for the {joined} of one that came"
+    );
     let share = AGENTS as usize * 160 / listed as usize;
-    assert!(joined < share * 8 / 5, "{joined} agents took in one of {listed}, where {share} are its share");
+    assert!(
+        joined < share * 8 / 5,
+        "{joined} agents took in one of {listed}, where {share} are its share"
+    );
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -327,23 +450,54 @@
     let all = lines(listed);
     let mut play = Play::new(5, AGENTS, &all);
     play.serve(300, 20);
-    let quarter: BTreeSet<_> =
-        all.iter().filter(|line| line.zone < Zone(2)).map(|line| line.appliance).collect();
+    let quarter: BTreeSet<_> = all
+        .iter()
+        .filter(|line| line.zone < Zone(2))
+        .map(|line| line.appliance)
+        .collect();
     let mut members = play.members();
     assert_eq!(members.len(), 160);
     if matches!(bad, Bad::Silent) {
         members.retain(|id| quarter.contains(id));
     }
-    let turned = all.iter().filter(|line| members.contains(&line.appliance)).copied();
+    let turned = all
+        .iter()
+        .filter(|line| members.contains(&line.appliance))
+        .copied();
     let now = play.now;
     match bad {
-        Bad::Cold => play.change(turned.map(|line| Line { started: Some(now), ..line }).collect()),
-        Bad::Drained => play.change(turned.map(|line| Line { mode: Mode::Draining, ..line }).collect()),
-        Bad::Gone => play.change(turned.map(|line| Line { mode: Mode::Gone, ..line }).collect()),
+        Bad::Cold => play.change(
+            turned
+                .map(|line| Line {
+                    started: Some(now),
+                    ..line
+                })
+                .collect(),
+        ),
+        Bad::Drained => play.change(
+            turned
+                .map(|line| Line {
+                    mode: Mode::Draining,
+                    ..line
+                })
+                .collect(),
+        ),
+        Bad::Gone => play.change(
+            turned
+                .map(|line| Line {
+                    mode: Mode::Gone,
+                    ..line
+                })
+                .collect(),
+        ),
         Bad::Unconnected | Bad::Silent => {}
     }
     if matches!(bad, Bad::Cold | Bad::Drained | Bad::Gone) {
-        assert_eq!(play.members().difference(&members).count(), 160, "others at once");
+        assert_eq!(
+            play.members().difference(&members).count(),
+            160,
+            "others at once"
+        );
     }
     let fate = |_: u8, at: ApplianceId| match bad {
         Bad::Unconnected if members.contains(&at) => (Ending::Unconnected, ms(5)),
@@ -363,14 +517,24 @@
         asked += usize::from(beat % 5 == 0);
         late += sent.iter().filter(|(_, to)| members.contains(to)).count();
     }
-    println!("{bad:?} of {listed}: {} of {asked} refused, {late} sent to them", play.given_up.len());
+    println!(
+        "{bad:?} of {listed}: {} of {asked} refused, {late} sent to them",
+        play.given_up.len()
+    );
     assert_eq!(play.given_up.len(), 0, "refused");
     match bad {
         // Cold ones may have what they bear; a barred one is tried again with a first attempt, now and then.
         Bad::Cold => {}
-        Bad::Unconnected => assert!(play.members().len() > 160, "{} members", play.members().len()),
+        Bad::Unconnected => assert!(
+            play.members().len() > 160,
+            "{} members",
+            play.members().len()
+        ),
         Bad::Silent => {
-            assert!(late < asked / 4 && play.members().len() > 160, "{late} of {asked} sent to them")
+            assert!(
+                late < asked / 4 && play.members().len() > 160,
+                "{late} of {asked} sent to them"
+            )
         }
         Bad::Drained | Bad::Gone => assert_eq!(late, 0, "sent to what is not ready"),
     }
@@ -394,7 +558,11 @@
                 assert!(open.contains(&to), "{to:?} is closed");
             }
         }
-        assert_eq!((play.given_up.len(), play.attempts.len()), (0, 30), "refused, and sent");
+        assert_eq!(
+            (play.given_up.len(), play.attempts.len()),
+            (0, 30),
+            "refused, and sent"
+        );
     }
 }
 
@@ -404,25 +572,49 @@
 #[case::zone(KEYED_BY_ZONE)]
 fn a_keyed_request_finds_its_group(#[case] product: u8, #[values(600, 7400)] listed: u32) {
     let mut all = lines(listed);
-    all.iter_mut().enumerate().for_each(|(i, line)| line.zone = Zone((i / 100) as u8));
-    let of: BTreeMap<_, _> = all.iter().map(|line| (line.appliance, (line.zone, line.cell))).collect();
+    all.iter_mut()
+        .enumerate()
+        .for_each(|(i, line)| line.zone = Zone((i / 100) as u8));
+    let of: BTreeMap<_, _> = all
+        .iter()
+        .map(|line| (line.appliance, (line.zone, line.cell)))
+        .collect();
     let mut play = Play::new(9, AGENTS, &all);
     let mut first = BTreeMap::new();
     let mut again = BTreeSet::new();
     for beat in 0..300 {
         // The first attempt of every second request fails, and no failure is blamed on so few.
-        let fate = |attempt: u8, _: ApplianceId| if attempt == 0 { (Ending::Failed, ms(20)) } else { SERVED };
+        let fate = |attempt: u8, _: ApplianceId| {
+            if attempt == 0 {
+                (Ending::Failed, ms(20))
+            } else {
+                SERVED
+            }
+        };
         for (id, to) in play.beat(u32::from(beat % 10 == 0), product, fate) {
-            let Some(before) = first.insert(id, to) else { continue };
+            let Some(before) = first.insert(id, to) else {
+                continue;
+            };
             let ((zone, cell), (zone_before, cell_before)) = (of[&to], of[&before]);
-            let same = if product == KEYED_BY_CELL { cell == cell_before } else { zone == zone_before };
+            let same = if product == KEYED_BY_CELL {
+                cell == cell_before
+            } else {
+                zone == zone_before
+            };
             assert!(same, "a repeat left its group");
-            assert!(to != before, "a repeat went where it failed, with others in its group");
+            assert!(
+                to != before,
+                "a repeat went where it failed, with others in its group"
+            );
             again.insert(id);
         }
     }
     // A request whose resend is held back as vain is given up: never for want of an appliance.
-    assert!(again.len() + play.given_up.len() >= 29, "{} sent again", again.len());
+    assert!(
+        again.len() + play.given_up.len() >= 29,
+        "{} sent again",
+        again.len()
+    );
     assert!(again.len() >= 10, "{} sent again", again.len());
 }
 
@@ -437,20 +629,34 @@
         for _ in 0..8 {
             drawn = drawn.wrapping_mul(1_664_525).wrapping_add(1_013_904_223);
             let one = &mut all[(drawn >> 8) as usize % listed as usize];
-            one.mode = if one.mode == Mode::Ready { Mode::Draining } else { Mode::Ready };
+            one.mode = if one.mode == Mode::Ready {
+                Mode::Draining
+            } else {
+                Mode::Ready
+            };
             changes.push(*one);
         }
         match turn % 100 {
             // Now and then all lines come as changes, or as a whole list without what drains.
             33 => play.change(all.clone()),
             66 => {
-                let ready = all.iter().copied().filter(|line| line.mode == Mode::Ready).collect::<Vec<_>>();
-                play.round(|ears| ears.membership(Listing::Whole, &mut ready.into_iter()), |_, _| SERVED);
+                let ready = all
+                    .iter()
+                    .copied()
+                    .filter(|line| line.mode == Mode::Ready)
+                    .collect::<Vec<_>>();
+                play.round(
+                    |ears| ears.membership(Listing::Whole, &mut ready.into_iter()),
+                    |_, _| SERVED,
+                );
             }
             _ => play.change(changes),
         }
-        let ready: BTreeSet<_> =
-            all.iter().filter(|line| line.mode == Mode::Ready).map(|line| line.appliance).collect();
+        let ready: BTreeSet<_> = all
+            .iter()
+            .filter(|line| line.mode == Mode::Ready)
+            .map(|line| line.appliance)
+            .collect();
         for (_, to) in play.beat(1, READ, |_, _| SERVED) {
             assert!(ready.contains(&to), "{to:?} drains");
         }
@@ -467,11 +673,19 @@
         play.serve(200, 8);
         let now = play.now;
         let after = (0..listed).map(|i| match i % 10 {
-            0 => Line { started: Some(now), ..line(i) },
-            _ => Line { mode: Mode::Draining, ..line(i) },
+            0 => Line {
+                started: Some(now),
+                ..line(i)
+            },
+            _ => Line {
+                mode: Mode::Draining,
+                ..line(i)
+            },
         });
         play.change(after.collect());
-        play.serve(100, 8 * times).into_iter().for_each(|to| *got.entry(to).or_default() += 1);
+        play.serve(100, 8 * times)
+            .into_iter()
+            .for_each(|to| *got.entry(to).or_default() += 1);
     }
     // What they bear is taken for what they can do, of which a cold one has 0.34, and may be sent 2.5 times as much.
     let allowed = 2.5 * 0.34 * f64::from(AGENTS) * 8.0 / f64::from(listed);
@@ -479,7 +693,10 @@
     let most = got.values().copied().max().unwrap_or_default();
     let sum: u32 = got.values().sum();
     println!("{listed} listed, {times} times: most {most}, falls at {falls:.0}, sent {sum} in all");
-    assert!(f64::from(most) <= falls, "one got {most} requests in a second and falls at {falls:.0}");
+    assert!(
+        f64::from(most) <= falls,
+        "one got {most} requests in a second and falls at {falls:.0}"
+    );
     assert!(sum > 0, "all that is left is cold: some is sent");
 }
 
@@ -489,31 +706,59 @@
     let (mut trial, mut all) = (0.0, 0.0);
     for me in (0..AGENTS).step_by(10) {
         let on_trial = |i: u32| i.is_multiple_of(20);
-        let of = |i| Line { build: Build(if on_trial(i) { 2 } else { 1 }), ..line(i) };
+        let of = |i| Line {
+            build: Build(if on_trial(i) { 2 } else { 1 }),
+            ..line(i)
+        };
         let list: Vec<Line> = (0..listed).map(of).collect();
         let mut play = Play::new(me, AGENTS, &list);
-        play.round(|ears| ears.stage(Build(2), Stage(1), Course::OnTrial, 0.5, ms(0)), |_, _| SERVED);
-        let twos: BTreeSet<_> = list.iter().filter(|l| l.build == Build(2)).map(|l| l.appliance).collect();
+        play.round(
+            |ears| ears.stage(Build(2), Stage(1), Course::OnTrial, 0.5, ms(0)),
+            |_, _| SERVED,
+        );
+        let twos: BTreeSet<_> = list
+            .iter()
+            .filter(|l| l.build == Build(2))
+            .map(|l| l.appliance)
+            .collect();
         let sent = play.serve(500, 20);
         all += sent.len() as f64;
         trial += sent.iter().filter(|to| twos.contains(to)).count() as f64;
     }
     let share = trial / all;
-    assert!((0.03..0.08).contains(&share), "{share:.3} went to a twentieth on trial");
+    assert!(
+        (0.03..0.08).contains(&share),
+        "{share:.3} went to a twentieth on trial"
+    );
 }
 
 /// The cap on a build on trial holds at each agent, whatever part of it the subset has.
 #[rstest]
 fn exposure_holds(#[values(600, 7400)] listed: u32) {
-    let list: Vec<Line> =
-        (0..listed).map(|i| Line { build: Build(1 + u16::from(i % 2 == 0)), ..line(i) }).collect();
-    let twos: BTreeSet<_> = list.iter().filter(|l| l.build == Build(2)).map(|l| l.appliance).collect();
+    let list: Vec<Line> = (0..listed)
+        .map(|i| Line {
+            build: Build(1 + u16::from(i % 2 == 0)),
+            ..line(i)
+        })
+        .collect();
+    let twos: BTreeSet<_> = list
+        .iter()
+        .filter(|l| l.build == Build(2))
+        .map(|l| l.appliance)
+        .collect();
     let mut play = Play::new(8, AGENTS, &list);
-    play.round(|ears| ears.stage(Build(2), Stage(0), Course::OnTrial, 0.1, ms(0)), |_, _| SERVED);
+    play.round(
+        |ears| ears.stage(Build(2), Stage(0), Course::OnTrial, 0.1, ms(0)),
+        |_, _| SERVED,
+    );
     let sent = play.serve(1000, 50);
     let trial = sent.iter().filter(|to| twos.contains(to)).count() as f64;
     // Three free ones in each window of four seconds, and a tenth of what came.
-    assert!(trial <= 50.0 + 3.0 * 4.0, "{trial} of {} went to the trial", sent.len());
+    assert!(
+        trial <= 50.0 + 3.0 * 4.0,
+        "{trial} of {} went to the trial",
+        sent.len()
+    );
     assert!(trial > 20.0, "{trial} of {} went to the trial", sent.len());
 }
 
@@ -524,7 +769,10 @@
         let mut play = Play::new(11, AGENTS, &lines(1000));
         let mut sent = play.serve(200, 62);
         for i in 0..50 {
-            play.change(vec![Line { mode: Mode::Gone, ..line(i * 17) }]);
+            play.change(vec![Line {
+                mode: Mode::Gone,
+                ..line(i * 17)
+            }]);
             sent.extend(play.serve(10, 62));
         }
         (sent, play.members())
