--- a/crates/agent/src/appliances.rs
+++ b/crates/agent/src/appliances.rs
@@ -11,8 +11,8 @@
 use async_channel::Sender;
 use async_io::{Async, Timer};
 use futures_lite::{FutureExt, StreamExt};
-use lilacgate::port::*;
-use lilacgate_start::Paths;
+use lilacgate_decision::port::*;
+use lilacgate_start_settings::Paths;
 
 use crate::hub::{Carries, Clock, Hub, Wording};
 use crate::log::{Count, End, count, say};
--- a/crates/agent/src/catalog.rs
+++ b/crates/agent/src/catalog.rs
@@ -4,8 +4,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use lilacgate::port::*;
-use lilacgate_start::Paths;
+use lilacgate_decision::port::*;
+use lilacgate_start_settings::Paths;
 
 use crate::json::{self, Json};
 use crate::numbers::Numbers;
--- a/crates/agent/src/clients.rs
+++ b/crates/agent/src/clients.rs
@@ -12,8 +12,8 @@
 use async_channel::{Receiver, Sender};
 use async_io::{Async, Timer};
 use futures_lite::{FutureExt, StreamExt, future, pin};
-use lilacgate::port::*;
-use lilacgate_start::Paths;
+use lilacgate_decision::port::*;
+use lilacgate_start_settings::Paths;
 
 use crate::appliances::Appliances;
 use crate::hub::{Answer, Hub, Wording};
--- a/crates/agent/src/desk.rs
+++ b/crates/agent/src/desk.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use futures_lite::{FutureExt, StreamExt, pin};
-use lilacgate::port::{Build, Course, Stage};
+use lilacgate_decision::port::{Build, Course, Stage};
 
 use crate::json::{self, Json};
 use crate::log::{End, say};
--- a/crates/agent/src/discovery.rs
+++ b/crates/agent/src/discovery.rs
@@ -7,8 +7,8 @@
 
 use async_channel::{Receiver, Sender};
 use futures_lite::{FutureExt, StreamExt, pin};
-use lilacgate::port::*;
-use lilacgate_start::Paths;
+use lilacgate_decision::port::*;
+use lilacgate_start_settings::Paths;
 
 use crate::appliances::Appliances;
 use crate::catalog::Catalog;
--- a/crates/agent/src/hub.rs
+++ b/crates/agent/src/hub.rs
@@ -11,8 +11,8 @@
 use async_executor::LocalExecutor;
 use async_io::Timer;
 use futures_lite::future;
-use lilacgate::brain::Brain;
-use lilacgate::port::*;
+use lilacgate_decision::brain::Brain;
+use lilacgate_decision::port::*;
 
 use crate::keeper::{Ears, Keeper};
 use crate::log::{Count, count, say};
--- a/crates/agent/src/keeper.rs
+++ b/crates/agent/src/keeper.rs
@@ -5,9 +5,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use lilacgate::openings::Openings;
-use lilacgate::port::*;
-use lilacgate_operator::Releases;
+use lilacgate_decision::openings::Openings;
+use lilacgate_decision::port::*;
+use lilacgate_operator_config::Releases;
 use lilacgate_releases::facts::Told;
 use lilacgate_releases::gate::{Gate, What};
 use lilacgate_releases::model::ServiceId;
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -1,7 +1,12 @@
 //! The lilacgate agent: one program around the decision module, on real sockets. This file owns its start, its
 //! signals and its end, and puts the parts together; `main.rs` only calls it. It must never start half: what it is told
 //! is usable, or one line says what is not.
-#![forbid(unsafe_code)]
+#![allow(clippy::min_ident_chars)] // Not met yet.
+#![allow(clippy::missing_errors_doc)] // Not met yet.
+#![allow(clippy::too_many_lines)] // Not met yet.
+#![allow(clippy::wildcard_imports)] // Not met yet.
+#![allow(missing_debug_implementations)] // Not met yet.
+#![allow(missing_docs)] // Not met yet.
 
 pub mod appliances;
 pub mod catalog;
@@ -53,7 +58,7 @@
 /// RELAY_CONFIG names the start file. Signals: USR1 writes the counters, and the releases' state where the operator's
 /// file wants it; HUP reads both files again; TERM and INT end it.
 #[derive(Parser)]
-#[command(name = "lilacgate", version)]
+#[command(name = "lilacgate-agent", version)]
 struct Asking {
     /// The operator's own file; without one nothing is narrowed
     #[arg(long, value_name = "FILE", env = "LILACGATE_OPERATOR")]
@@ -80,7 +85,7 @@
     let told = told(&file)?;
     let unusable = |name: &str| format!("the start file's {name} cannot be used");
     let settings = &told.settings;
-    let brain = lilacgate_start::instance(told.seed, settings)?.brain;
+    let brain = lilacgate_start_settings::instance(told.seed, settings)?.brain;
     let hub = hub::Hub::new(settings.span("rules.answer-slack")?);
     // What the agent itself needs comes first; clients, and links to appliances, have half of the rest each.
     let part = told.sockets.saturating_sub(OWN) / 2;
--- a/crates/agent/src/numbers.rs
+++ b/crates/agent/src/numbers.rs
@@ -2,7 +2,7 @@
 //! the same one. A name whose hash is taken by another name gets the next free number.
 use std::collections::{HashMap, HashSet};
 
-use lilacgate::port::ApplianceId;
+use lilacgate_decision::port::ApplianceId;
 
 /// The constants of the 32-bit FNV-1a hash.
 const FNV_OFFSET: u32 = 0x811c_9dc5;
--- a/crates/agent/src/peers.rs
+++ b/crates/agent/src/peers.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use async_io::Async;
-use lilacgate::port::{AgentId, Hears};
+use lilacgate_decision::port::{AgentId, Hears};
 
 use crate::hub::{Hub, Tells};
 use crate::log::{Count, End, count, say};
--- a/crates/agent/src/platform.rs
+++ b/crates/agent/src/platform.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use async_io::Async;
-use lilacgate::port::*;
-use lilacgate_start::Paths;
+use lilacgate_decision::port::*;
+use lilacgate_start_settings::Paths;
 
 use crate::desk::{self, Bound, Desk, Ears as _, LINE, News};
 use crate::hub::{Hub, Votes};
--- a/crates/agent/src/recorder.rs
+++ b/crates/agent/src/recorder.rs
@@ -5,9 +5,9 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use lilacgate::port::*;
-use lilacgate_operator::Timeline;
-use lilacgate_start::Paths;
+use lilacgate_decision::port::*;
+use lilacgate_operator_config::Timeline;
+use lilacgate_start_settings::Paths;
 use lilacgate_store::frames;
 use lilacgate_store::pump::{Handed, Pump};
 use lilacgate_store::writer::{Bounds, Real, Writer};
--- a/crates/agent/src/releases.rs
+++ b/crates/agent/src/releases.rs
@@ -7,12 +7,12 @@
 use std::time::Duration;
 
 use async_channel::Sender;
-use lilacgate::port::Tenant;
-use lilacgate_operator::{Known, Operator, Releases, Timeline};
+use lilacgate_decision::port::Tenant;
+use lilacgate_operator_config::{Known, Operator, Releases, Timeline};
 use lilacgate_releases::facts::Told;
 use lilacgate_releases::gate::Gate;
 use lilacgate_releases::model::ServiceId;
-use lilacgate_start::Paths;
+use lilacgate_start_settings::Paths;
 
 use crate::desk::{Bound, Desk, Ears, News};
 use crate::hub::Hub;
@@ -94,7 +94,7 @@
             places,
             releases,
             timeline,
-        } = lilacgate_operator::load(path, &self.known).map_err(|faults| {
+        } = lilacgate_operator_config::load(path, &self.known).map_err(|faults| {
             faults
                 .into_iter()
                 .map(|fault| named(fault.to_string()))
@@ -137,8 +137,9 @@
         self.state
             .replace(releases.and_then(|releases| releases.state.clone()));
         let named = |releases: &Releases| {
-            let name =
-                |desk: &lilacgate_operator::Desk| releases.rules.service(desk.service).to_owned();
+            let name = |desk: &lilacgate_operator_config::Desk| {
+                releases.rules.service(desk.service).to_owned()
+            };
             releases
                 .desks
                 .iter()
--- a/crates/agent/src/told.rs
+++ b/crates/agent/src/told.rs
@@ -3,7 +3,7 @@
 //! on as it was.
 use std::net::SocketAddr;
 
-use lilacgate_start::Paths;
+use lilacgate_start_settings::Paths;
 
 use crate::json::{self, Json};
 
--- a/crates/agent/tests/numbers.rs
+++ b/crates/agent/tests/numbers.rs
@@ -3,8 +3,8 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use lilacgate::port::ApplianceId;
 use lilacgate_agent::numbers::Numbers;
+use lilacgate_decision::port::ApplianceId;
 use proptest::prelude::*;
 use rstest::rstest;
 
--- a/crates/capacity/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -5,8 +5,8 @@
 //! [`fit`] works out slopes, [`analysis`] holds them against the budgets of the
 //! target, and [`page`] and [`plot`] show the outcome. [`verdict`] models how
 //! long a release's test takes.
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
+#![allow(clippy::missing_panics_doc)] // Not met yet.
+#![allow(unreachable_pub)] // Not met yet.
 
 pub mod analysis;
 pub mod budget;
--- a/crates/capacity/src/target.rs
+++ b/crates/capacity/src/target.rs
@@ -9,8 +9,8 @@
 use std::str::FromStr;
 use std::time::Duration;
 
-use lilacgate_operator::Fault;
-use lilacgate_operator::xml::{self, File};
+use lilacgate_operator_config::Fault;
+use lilacgate_operator_config::xml::{self, File};
 use roxmltree::Node;
 
 use crate::result::Size;
--- a/crates/capacity/src/verdict.rs
+++ b/crates/capacity/src/verdict.rs
@@ -1,6 +1,6 @@
 //! How long a release's test takes to turn back a bad build.
 //!
-//! The test is [`lilacgate::brain::Test`]; what surrounds it (who reports what
+//! The test is [`lilacgate_decision::brain::Test`]; what surrounds it (who reports what
 //! to whom, and when a test speaks) is modelled here in virtual time for one
 //! service. Requests of each agent arrive by chance at the mean rate of one
 //! agent and service. An agent counts an outcome of an earlier build only while
@@ -12,8 +12,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use lilacgate::brain::Test;
-use lilacgate::port::ApplianceId;
+use lilacgate_decision::brain::Test;
+use lilacgate_decision::port::ApplianceId;
 use rand::{RngExt, SeedableRng};
 use rand_distr::{Distribution, Exp};
 use rand_pcg::Pcg64Mcg;
--- a/crates/ctl/src/check.rs
+++ b/crates/ctl/src/check.rs
@@ -2,7 +2,7 @@
 use std::path::PathBuf;
 
 use clap::Args;
-use lilacgate_operator::{Fault, Known, load};
+use lilacgate_operator_config::{Fault, Known, load};
 use serde_json::json;
 
 use crate::Answer;
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -4,7 +4,10 @@
 //!
 //! Exit codes: 0 fine; 1 the answer is no (faults in a file, not admitted, no plan); 2 the arguments cannot be used;
 //! 3 a file cannot be read, written or used.
-#![forbid(unsafe_code)]
+#![allow(clippy::min_ident_chars)] // Not met yet.
+#![allow(clippy::too_many_lines)] // Not met yet.
+#![allow(missing_debug_implementations)] // Not met yet.
+#![allow(unreachable_pub)] // Not met yet.
 
 mod chart;
 mod check;
--- a/crates/ctl/src/releases.rs
+++ b/crates/ctl/src/releases.rs
@@ -6,8 +6,8 @@
 use clap::{Args, Subcommand};
 use comfy_table::{Table, presets};
 use jiff::tz::TimeZone;
-use lilacgate::port::{Build, Product, Tenant, Zone};
-use lilacgate_operator::{Known, load};
+use lilacgate_decision::port::{Build, Product, Tenant, Zone};
+use lilacgate_operator_config::{Known, load};
 use lilacgate_releases::gate::Gate;
 use lilacgate_releases::model::{Rules, ServiceId};
 use lilacgate_releases::planner::{
--- a/crates/ctl/tests/timeline.rs
+++ b/crates/ctl/tests/timeline.rs
@@ -1,10 +1,11 @@
 //! `lgctl timeline` over a store that a virtual day has filled: a bad build comes to three of ten nodes.
+#![allow(clippy::min_ident_chars)] // Not met yet.
 use std::path::Path;
 use std::process::Command;
 use std::time::Duration;
 
-use lilacgate_standin::virtually::{DAWN, Day, Event, Fault, aims, play};
 use lilacgate_store::writer::{Bounds, Real, Writer};
+use lilacgate_test_bed::virtually::{DAWN, Day, Event, Fault, aims, play};
 use lilacgate_timeline::book::{Book, Room};
 use lilacgate_timeline::entry::Record;
 use rstest::{fixture, rstest};
--- a/examples/round_cost.rs
+++ b/crates/decision/examples/round_cost.rs
@@ -1,11 +1,14 @@
 //! What the decision module costs by the length of its list: processor time a second, the worst round, and a whole list.
 //! `cargo run --release --example round_cost [SECONDS]`. One module in virtual time; every attempt is served.
+#![allow(clippy::min_ident_chars)] // Not met yet.
+#![allow(clippy::too_many_lines)] // Not met yet.
+#![allow(clippy::wildcard_imports)] // Not met yet.
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use lilacgate::brain::Brain;
-use lilacgate::parts::*;
-use lilacgate::port::*;
+use lilacgate_decision::brain::Brain;
+use lilacgate_decision::parts::*;
+use lilacgate_decision::port::*;
 use rustix::time::{ClockId, clock_gettime};
 
 const DAWN: Duration = Duration::from_secs(100);
--- a/tests/fleet.rs
+++ b/crates/decision/tests/fleet.rs
@@ -1,12 +1,13 @@
 //! Laws over many agents' decisions together, in virtual time: what each does is harmless, not so the sum.
 //! Owns the little that stands in for what they share. It must never know what the module keeps inside.
+#![allow(clippy::min_ident_chars)] // Not met yet.
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-use lilacgate::brain::Brain;
-use lilacgate::parts::*;
-use lilacgate::port::*;
-use lilacgate_standin::decided::Decided;
+use lilacgate_decision::brain::Brain;
+use lilacgate_decision::parts::*;
+use lilacgate_decision::port::*;
+use lilacgate_test_bed::decided::Decided;
 use rstest::rstest;
 
 const ASK_WITHIN: Duration = Duration::from_secs(10);
--- a/tests/owed.rs
+++ b/crates/decision/tests/owed.rs
@@ -2,13 +2,15 @@
 //! time, or its client has left; nothing is sent for it after that, nothing sent again that may have run where that is
 //! barred, and never two at once. The agent's part (it serves the first good answer, gives up at the deadline) is
 //! played here.
+#![allow(clippy::min_ident_chars)] // Not met yet.
+#![allow(clippy::too_many_lines)] // Not met yet.
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use lilacgate::brain::Brain;
-use lilacgate::parts::*;
-use lilacgate::port::*;
-use lilacgate_standin::decided::Decided;
+use lilacgate_decision::brain::Brain;
+use lilacgate_decision::parts::*;
+use lilacgate_decision::port::*;
+use lilacgate_test_bed::decided::Decided;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
--- a/tests/reports/fleet.rs
+++ b/crates/decision/tests/reports/fleet.rs
@@ -2,10 +2,10 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-use lilacgate::brain::Brain;
-use lilacgate::parts::*;
-use lilacgate::port::*;
-use lilacgate_standin::decided::Decided;
+use lilacgate_decision::brain::Brain;
+use lilacgate_decision::parts::*;
+use lilacgate_decision::port::*;
+use lilacgate_test_bed::decided::Decided;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
--- a/tests/reports/main.rs
+++ b/crates/decision/tests/reports/main.rs
@@ -1,12 +1,15 @@
 //! Laws over the reports that agents send to the judges of a build: what judges hear of a large fleet is bounded,
 //! nothing counts twice, verdicts are as soon as before, and small fleets send what they always did.
+#![allow(clippy::min_ident_chars)] // Not met yet.
+#![allow(clippy::too_many_lines)] // Not met yet.
+#![allow(unreachable_pub)] // Not met yet.
 mod fleet;
 mod relaying;
 
 use std::time::Duration;
 
 use fleet::*;
-use lilacgate::port::*;
+use lilacgate_decision::port::*;
 use rstest::rstest;
 
 /// What an agent may hear in a `min-dwell`, headers included: 24 datagrams of 256 octets.
--- a/tests/reports/relaying.rs
+++ b/crates/decision/tests/reports/relaying.rs
@@ -2,9 +2,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use lilacgate::brain::Brain;
-use lilacgate::port::*;
-use lilacgate_standin::decided::Decided;
+use lilacgate_decision::brain::Brain;
+use lilacgate_decision::port::*;
+use lilacgate_test_bed::decided::Decided;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, RngSeed, TestRng, TestRunner};
 
--- a/tests/same_decisions.rs
+++ b/crates/decision/tests/same_decisions.rs
@@ -4,10 +4,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use lilacgate::brain::Brain;
-use lilacgate::openings::Openings;
-use lilacgate::parts::*;
-use lilacgate::port::*;
+use lilacgate_decision::brain::Brain;
+use lilacgate_decision::openings::Openings;
+use lilacgate_decision::parts::*;
+use lilacgate_decision::port::*;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use rstest::rstest;
--- a/tests/scenarios.rs
+++ b/crates/decision/tests/scenarios.rs
@@ -19,15 +19,17 @@
 //!     expect DECISION / never DECISION     what was, or was not, decided in this round (in the flow, after one)
 //!     most N DECISION                      so often at most since the start
 //!     test X-BAD X-ALL Y-BAD Y-ALL p P     the statistic alone, at theta0 0.02, tau 0.1, alpha 0.05
+#![allow(clippy::min_ident_chars)] // Not met yet.
+#![allow(clippy::too_many_lines)] // Not met yet.
 use std::collections::{BTreeMap, VecDeque};
 use std::path::PathBuf;
 use std::sync::Arc;
 use std::time::Duration;
 
-use lilacgate::brain::{Brain, Test};
-use lilacgate::openings::Openings;
-use lilacgate::parts::*;
-use lilacgate::port::*;
+use lilacgate_decision::brain::{Brain, Test};
+use lilacgate_decision::openings::Openings;
+use lilacgate_decision::parts::*;
+use lilacgate_decision::port::*;
 use lilacgate_timeline::book::{Book, Room};
 use lilacgate_timeline::watch::Aims;
 use rstest::rstest;
--- a/tests/subset.rs
+++ b/crates/decision/tests/subset.rs
@@ -1,14 +1,15 @@
 //! Laws of agents that work with a subset of a long list, in virtual time: what it costs, how even the load is, and that
 //! nothing that holds for the whole list is lost with the rest of it.
+#![allow(clippy::min_ident_chars)] // Not met yet.
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use std::time::Duration;
 
-use lilacgate::brain::Brain;
-use lilacgate::openings::Openings;
-use lilacgate::parts::*;
-use lilacgate::port::*;
-use lilacgate_standin::decided::Decided;
+use lilacgate_decision::brain::Brain;
+use lilacgate_decision::openings::Openings;
+use lilacgate_decision::parts::*;
+use lilacgate_decision::port::*;
+use lilacgate_test_bed::decided::Decided;
 use rstest::rstest;
 
 const DAWN: Duration = Duration::from_secs(100);
--- a/crates/loopback/src/client.rs
+++ b/crates/loopback/src/client.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use lilacgate_standin::post::command;
+use lilacgate_test_bed::post::command;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
--- a/crates/loopback/src/command.rs
+++ b/crates/loopback/src/command.rs
@@ -23,7 +23,7 @@
         long,
         value_name = "FILE",
         env = "LILACGATE_PROGRAM",
-        default_value = "target/release/lilacgate"
+        default_value = "target/release/lilacgate-agent"
     )]
     pub program: PathBuf,
     /// Agents that run
--- a/crates/loopback/src/fleet.rs
+++ b/crates/loopback/src/fleet.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use lilacgate_standin::agent::{free_at, free_datagrams_at, own_host};
+use lilacgate_test_bed::agent::{free_at, free_datagrams_at, own_host};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use serde_json::{Value, json};
--- a/crates/loopback/src/lib.rs
+++ b/crates/loopback/src/lib.rs
@@ -3,8 +3,8 @@
 //! each control connection as the stand-ins count them.
 //!
 //! [`run`] does all of it for one [`Plan`] and writes one JSON object a line.
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
+#![allow(clippy::missing_errors_doc)] // Not met yet.
+#![allow(missing_debug_implementations)] // Not met yet.
 
 pub mod agent;
 pub mod appliance;
--- a/crates/loopback/src/main.rs
+++ b/crates/loopback/src/main.rs
@@ -1,5 +1,4 @@
 //! Measures a fleet of real agents on loopback.
-#![forbid(unsafe_code)]
 
 use std::process::ExitCode;
 
--- a/crates/loopback/src/membership.rs
+++ b/crates/loopback/src/membership.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::SystemTime;
 
-use lilacgate_standin::start::entry;
+use lilacgate_test_bed::start::entry;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
--- a/crates/loopback/src/platform.rs
+++ b/crates/loopback/src/platform.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use lilacgate_standin::post::{LISTENS, PING, rollout};
+use lilacgate_test_bed::post::{LISTENS, PING, rollout};
 use serde_json::Value;
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
 use tokio::net::tcp::OwnedWriteHalf;
--- a/crates/loopback/src/start_file.rs
+++ b/crates/loopback/src/start_file.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use lilacgate_standin::start::Start;
+use lilacgate_test_bed::start::Start;
 use serde_json::{Value, json};
 
 /// The service's latency target and its clients' deadline, in microseconds.
--- a/crates/operator/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -1,7 +1,9 @@
 //! The operator's own file: XML with a schema (`deploy/operator.xsd`), read once into the parts that each subsystem
 //! wants. Every fault is reported at once with its place. It decides nothing, opens nothing, and never half takes a
 //! file: either all of it can be used, or the faults say what cannot.
-#![forbid(unsafe_code)]
+#![allow(clippy::too_many_lines)] // Not met yet.
+#![allow(missing_debug_implementations)] // Not met yet.
+#![allow(missing_docs)] // Not met yet.
 
 mod places;
 mod releases;
--- a/crates/operator/src/places.rs
+++ b/crates/operator-config/src/places.rs
@@ -1,7 +1,7 @@
 //! Owns the file's names: zones, member firms, products, and which firm's requests an agent routes. A name is resolved
 //! to its number here and nowhere else; one that is defined nowhere or twice is a fault.
-use lilacgate::openings::Openings;
-use lilacgate::port::Tenant;
+use lilacgate_decision::openings::Openings;
+use lilacgate_decision::port::Tenant;
 use roxmltree::Node;
 
 use crate::xml::File;
--- a/crates/operator/src/releases.rs
+++ b/crates/operator-config/src/releases.rs
@@ -5,7 +5,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use lilacgate::port::{Build, Product, Stage};
+use lilacgate_decision::port::{Build, Product, Stage};
 use lilacgate_releases::calendar::{self, TimeZone, When};
 use lilacgate_releases::model::{
     Builds, Freeze, InDoubt, Ladder, Need, Pairs, Reach, Ring, Rules, Service, ServiceId,
--- a/crates/operator/tests/files.rs
+++ b/crates/operator-config/tests/files.rs
@@ -1,9 +1,10 @@
 //! The schema and the reader agree: every example is valid by both; of the bad ones each is refused by the reader with
 //! the faults that its first lines name, and by the schema where these say so.
+#![allow(clippy::min_ident_chars)] // Not met yet.
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-use lilacgate_operator::{Known, load, read};
+use lilacgate_operator_config::{Known, load, read};
 use proptest::prelude::*;
 use rstest::rstest;
 
--- a/crates/releases/src/climb.rs
+++ b/crates/releases/src/climb.rs
@@ -2,7 +2,7 @@
 //! never open a ring before its time, and never shuts one again: what closes an open ring is not the ladder's doing.
 use std::time::Duration;
 
-use lilacgate::port::{Course, Stage};
+use lilacgate_decision::port::{Course, Stage};
 
 use crate::facts::Told;
 use crate::model::{Ladder, Rules, ServiceId};
--- a/crates/releases/src/facts.rs
+++ b/crates/releases/src/facts.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use lilacgate::port::{Build, Course, Stage};
+use lilacgate_decision::port::{Build, Course, Stage};
 use serde::{Deserialize, Serialize};
 
 /// Released builds that are remembered below the newest.
--- a/crates/releases/src/gate.rs
+++ b/crates/releases/src/gate.rs
@@ -6,8 +6,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use lilacgate::openings::Openings;
-use lilacgate::port::{Build, Course, Product, Stage, Tenant, Zone};
+use lilacgate_decision::openings::Openings;
+use lilacgate_decision::port::{Build, Course, Product, Stage, Tenant, Zone};
 use serde::{Deserialize, Serialize};
 
 use crate::climb::Climb;
--- a/crates/releases/src/lib.rs
+++ b/crates/releases/src/lib.rs
@@ -4,7 +4,11 @@
 //!
 //! [`model::Rules`] is what the operator orders, [`facts`] what is heard of services, [`gate::Gate`] decides,
 //! [`record`] is its state as a file, and [`planner`] says when builds can come out under the same rules.
-#![forbid(unsafe_code)]
+#![allow(clippy::min_ident_chars)] // Not met yet.
+#![allow(clippy::missing_errors_doc)] // Not met yet.
+#![allow(clippy::too_many_lines)] // Not met yet.
+#![allow(missing_debug_implementations)] // Not met yet.
+#![allow(missing_docs)] // Not met yet.
 
 pub mod calendar;
 mod climb;
--- a/crates/releases/src/model.rs
+++ b/crates/releases/src/model.rs
@@ -2,7 +2,7 @@
 //! concerns a build. Plain rules, no state; it must never hold a fact, nor be changed once it is in use.
 use std::time::Duration;
 
-use lilacgate::port::{Build, Product, Stage, Tenant, Zone};
+use lilacgate_decision::port::{Build, Product, Stage, Tenant, Zone};
 use petgraph::algo::toposort;
 use petgraph::graph::{DiGraph, NodeIndex};
 
--- a/crates/releases/src/record.rs
+++ b/crates/releases/src/record.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use lilacgate::port::{Build, Course, Stage, Tenant, Zone};
+use lilacgate_decision::port::{Build, Course, Stage, Tenant, Zone};
 use serde::{Deserialize, Serialize};
 
 use crate::climb::Climb;
--- a/crates/releases/src/table.rs
+++ b/crates/releases/src/table.rs
@@ -1,7 +1,7 @@
 //! Owns the table that answers for each request: by build, zone and firm, which products are open and why the rest is
 //! not. It decides nothing; `gate` fills it in.
-use lilacgate::openings::Openings;
-use lilacgate::port::{Build, Stage, Tenant};
+use lilacgate_decision::openings::Openings;
+use lilacgate_decision::port::{Build, Stage, Tenant};
 
 use crate::gate::Why;
 
--- a/crates/releases/tests/laws.rs
+++ b/crates/releases/tests/laws.rs
@@ -1,9 +1,10 @@
 //! Laws of the gate and the planner on drawn rules: a further freeze or need never admits more, the table agrees with a
 //! plain definition, plans are as early as any, clashes as small as any, and the gate itself admits a plan's steps.
+#![allow(clippy::min_ident_chars)] // Not met yet.
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use lilacgate::port::{Build, Course, Product, Stage, Tenant, Zone};
+use lilacgate_decision::port::{Build, Course, Product, Stage, Tenant, Zone};
 use lilacgate_releases::calendar::When;
 use lilacgate_releases::facts::Told;
 use lilacgate_releases::gate::Gate;
--- a/crates/releases/tests/scenarios.rs
+++ b/crates/releases/tests/scenarios.rs
@@ -11,11 +11,13 @@
 //!     step BUILD STAGE / stay WHY [SECONDS]     whether a step may be asked for, and if not, until when
 //!     next SECONDS|never               when something changes by time alone
 //!     event TEXT                       one of the events since the last look holds this
+#![allow(clippy::min_ident_chars)] // Not met yet.
+#![allow(clippy::too_many_lines)] // Not met yet.
 use std::path::PathBuf;
 use std::time::Duration;
 
-use lilacgate::port::{Build, Course, Product, Stage, Tenant, Zone};
-use lilacgate_operator::{Known, read};
+use lilacgate_decision::port::{Build, Course, Product, Stage, Tenant, Zone};
+use lilacgate_operator_config::{Known, read};
 use lilacgate_releases::facts::Told;
 use lilacgate_releases::gate::Gate;
 use lilacgate_releases::model::{Rules, ServiceId};
--- a/crates/scale/src/agent.rs
+++ b/crates/scale/src/agent.rs
@@ -4,10 +4,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use lilacgate::openings::Openings;
-use lilacgate::port::*;
 use lilacgate_capacity::fleet::Fleet;
-use lilacgate_start::Paths;
+use lilacgate_decision::openings::Openings;
+use lilacgate_decision::port::*;
+use lilacgate_start_settings::Paths;
 use rand::{RngExt, SeedableRng};
 use rand_distr::weighted::WeightedAliasIndex;
 use rand_distr::{Distribution, Exp, LogNormal};
--- a/crates/scale/src/appliance.rs
+++ b/crates/scale/src/appliance.rs
@@ -1,7 +1,7 @@
 //! Hollow appliances: a queue before a few workers, cold after a start, and refusing when it is full.
 use std::time::Duration;
 
-use lilacgate::port::Ending;
+use lilacgate_decision::port::Ending;
 use rand::{RngExt, SeedableRng};
 use rand_distr::{Distribution, LogNormal};
 use rand_pcg::Pcg64Mcg;
--- a/crates/scale/src/decisions.rs
+++ b/crates/scale/src/decisions.rs
@@ -1,7 +1,7 @@
 //! What the decision module decides in a round, kept in order until the round is over.
 use std::time::Duration;
 
-use lilacgate::port::*;
+use lilacgate_decision::port::*;
 
 /// One decision.
 #[derive(Clone, Debug)]
--- a/crates/scale/src/event.rs
+++ b/crates/scale/src/event.rs
@@ -2,10 +2,10 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use lilacgate::port::AgentId;
 use lilacgate_capacity::fleet::RegionId;
 use lilacgate_capacity::result::{EventKind, Quantity};
 use lilacgate_capacity::target::{Failures, Target};
+use lilacgate_decision::port::AgentId;
 use rand::seq::SliceRandom;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
--- a/crates/scale/src/lib.rs
+++ b/crates/scale/src/lib.rs
@@ -9,8 +9,9 @@
 //!
 //! Processor time is read from the clock of the thread that does the work, around the module's
 //! rounds and the parsers only.
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
+#![allow(clippy::min_ident_chars)] // Not met yet.
+#![allow(clippy::wildcard_imports)] // Not met yet.
+#![allow(missing_debug_implementations)] // Not met yet.
 
 pub mod agent;
 pub mod appliance;
--- a/crates/scale/src/main.rs
+++ b/crates/scale/src/main.rs
@@ -1,5 +1,4 @@
 //! The command `lilacgate-scale`; everything is in the library.
-#![forbid(unsafe_code)]
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
--- a/crates/scale/src/measure.rs
+++ b/crates/scale/src/measure.rs
@@ -2,8 +2,8 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use lilacgate::port::ApplianceId;
 use lilacgate_capacity::fit::{Fit, Point};
+use lilacgate_decision::port::ApplianceId;
 
 use crate::error::ScaleError;
 use crate::fleet::FleetSize;
--- a/crates/scale/src/module.rs
+++ b/crates/scale/src/module.rs
@@ -3,14 +3,14 @@
 use std::time::Duration;
 
 use cpu_time::ThreadTime;
-use lilacgate::brain::Brain;
-use lilacgate::port::*;
 use lilacgate_agent::catalog::Catalog;
 use lilacgate_agent::desk;
 use lilacgate_agent::discovery::{Answer, Lines};
 use lilacgate_agent::json::{Json, Values};
 use lilacgate_agent::ring::Parse;
-use lilacgate_start::Paths;
+use lilacgate_decision::brain::Brain;
+use lilacgate_decision::port::*;
+use lilacgate_start_settings::Paths;
 
 use crate::decisions::Decided;
 use crate::error::ScaleError;
@@ -51,7 +51,7 @@
     /// A wake-up.
     Wake(Ticket),
     /// What the operator's rules leave open.
-    Openings(std::sync::Arc<lilacgate::openings::Openings>),
+    Openings(std::sync::Arc<lilacgate_decision::openings::Openings>),
 }
 
 /// A request that is owed its answer, or has attempts out.
@@ -132,7 +132,8 @@
     /// # Errors
     /// The settings cannot be used.
     pub fn new(seed: u64, settings: &Paths) -> Result<Self, ScaleError> {
-        let instance = lilacgate_start::instance(seed, settings).map_err(ScaleError::Settings)?;
+        let instance =
+            lilacgate_start_settings::instance(seed, settings).map_err(ScaleError::Settings)?;
         let catalog = Catalog::new(settings).map_err(ScaleError::Settings)?;
         let (owed, not_ready, pending) = Default::default();
         Ok(Module {
--- a/crates/scale/src/network.rs
+++ b/crates/scale/src/network.rs
@@ -2,7 +2,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use lilacgate::port::*;
+use lilacgate_decision::port::*;
 
 /// The time that a message takes one way on the network.
 pub const ONE_WAY: Duration = Duration::from_micros(250);
--- a/crates/scale/src/platform.rs
+++ b/crates/scale/src/platform.rs
@@ -2,7 +2,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use lilacgate::port::{AgentId, Verdict};
+use lilacgate_decision::port::{AgentId, Verdict};
 
 use crate::agent::OLD_BUILD;
 use crate::discovery::Delivery;
--- a/crates/scale/src/simulation.rs
+++ b/crates/scale/src/simulation.rs
@@ -5,11 +5,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use lilacgate::port::{AgentId, ApplianceId, Ending};
 use lilacgate_agent::catalog::Catalog;
 use lilacgate_agent::json::Values;
 use lilacgate_capacity::fleet::{RegionId, ZoneId};
-use lilacgate_start::Paths;
+use lilacgate_decision::port::{AgentId, ApplianceId, Ending};
+use lilacgate_start_settings::Paths;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use rayon::ThreadPool;
@@ -632,7 +632,7 @@
         let mut catalog = Catalog::new(&settings).map_err(ScaleError::Settings)?;
         let list = Values::whole(&text).map_err(|_| unreadable())?;
         let update = catalog.read(&list, &mut |_, _| {}).ok_or_else(unreadable)?;
-        let number = |(line, at): &(lilacgate::port::Line, std::net::SocketAddr)| {
+        let number = |(line, at): &(lilacgate_decision::port::Line, std::net::SocketAddr)| {
             wire::index(*at).map(|index| (line.appliance, index))
         };
         directories.push(update.entries.iter().filter_map(number).collect());
--- a/crates/scale/tests/simulation.rs
+++ b/crates/scale/tests/simulation.rs
@@ -2,7 +2,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use lilacgate::port::{AgentId, ApplianceId, Build, Listing, Verdict};
+use lilacgate_decision::port::{AgentId, ApplianceId, Build, Listing, Verdict};
 use lilacgate_scale::agent::Agent;
 use lilacgate_scale::appliance::Power;
 use lilacgate_scale::decisions::Decision;
@@ -15,7 +15,7 @@
 use lilacgate_scale::settings::{self, Start};
 use lilacgate_scale::simulation::{START, Simulation};
 use lilacgate_scale::wire::{self, Entry, ListedState};
-use lilacgate_start::Paths;
+use lilacgate_start_settings::Paths;
 use rstest::rstest;
 
 const LISTED: u32 = 7400;
--- a/crates/drill/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,5 +1,8 @@
 //! Hosts many instances of the decision module on the bench's wire, which share nothing but this loop.
-#![forbid(unsafe_code)]
+#![allow(clippy::min_ident_chars)] // Not met yet.
+#![allow(clippy::too_many_lines)] // Not met yet.
+#![allow(clippy::wildcard_imports)] // Not met yet.
+#![allow(unreachable_pub)] // Not met yet.
 
 mod wire;
 
@@ -8,8 +11,8 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-use lilacgate::port::{Ending, Line, Listing, Product, Request};
-use lilacgate_start::{Instance, Paths};
+use lilacgate_decision::port::{Ending, Line, Listing, Product, Request};
+use lilacgate_start_settings::{Instance, Paths};
 use wire::{EVENT, Field, Reply};
 
 /// The largest frame taken on trust; longer ones are read only as their bytes arrive.
@@ -24,7 +27,7 @@
     ) {
         Ok(()) => ExitCode::SUCCESS,
         Err(fault) => {
-            eprintln!("lilacgate-drill: {fault}");
+            eprintln!("lilacgate-simulator-adapter: {fault}");
             ExitCode::FAILURE
         }
     }
@@ -167,7 +170,7 @@
             let text = r.slice(9, 1, tail).map_err(place)?;
             let text =
                 std::str::from_utf8(text).map_err(|_| place("options are not UTF-8".into()))?;
-            match lilacgate_start::instance(r.u64(1), &Paths::from_lines(text)) {
+            match lilacgate_start_settings::instance(r.u64(1), &Paths::from_lines(text)) {
                 Ok(instance) => drop(self.instances.insert(on, instance)),
                 Err(fault) => {
                     reply.on(on).fault(&fault);
@@ -231,7 +234,7 @@
     tail: &[u8],
     pages: &mut [Option<Vec<Line>>],
     named: (usize, usize),
-    ear: &mut dyn lilacgate::port::Hears,
+    ear: &mut dyn lilacgate_decision::port::Hears,
 ) -> Result<(), String> {
     match r.u8(0) {
         wire::PAGE => page(r, tail, pages)?,
@@ -255,7 +258,7 @@
                 tenant: r.tenant(15),
                 mark: Some(r.u64(6))
                     .filter(|&m| m != 0)
-                    .map(lilacgate::port::Mark),
+                    .map(lilacgate_decision::port::Mark),
                 deadline: r.span64(17),
                 hint: (bits & 1 != 0).then(|| r.span(25)),
                 repeated: bits & 2 != 0,
@@ -277,14 +280,17 @@
         }
         wire::HEADERS => ear.stream_begun(r.request(1), r.attempt(5), r.appliance(6), r.span(10)),
         wire::HANGUP => ear.client_left(r.request(1)),
-        wire::REMINDER => ear.woken(lilacgate::port::Ticket(r.u64(1))),
+        wire::REMINDER => ear.woken(lilacgate_decision::port::Ticket(r.u64(1))),
         wire::ECHO => {
             if r.u8(10) != 0 {
                 ear.load(r.appliance(1), &r.gauges(11, r.u8(10)));
             }
             ear.probed(r.appliance(1), r.ending(5)?, r.span(6));
         }
-        wire::MAIL => ear.peer(lilacgate::port::AgentId(r.u32(1)), r.slice(5, 1, tail)?),
+        wire::MAIL => ear.peer(
+            lilacgate_decision::port::AgentId(r.u32(1)),
+            r.slice(5, 1, tail)?,
+        ),
         wire::TRIAL_NEWS => {
             let ending = r.ending(6)?;
             if ending == Ending::Served || r.u8(5) == 0 {
--- a/crates/drill/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -2,7 +2,7 @@
 use std::io::{self, Write};
 use std::time::Duration;
 
-use lilacgate::port::*;
+use lilacgate_decision::port::*;
 
 pub const EVENT: usize = 40;
 const ACTION: usize = 24;
--- a/crates/start/src/lib.rs
+++ b/crates/start-settings/src/lib.rs
@@ -1,14 +1,19 @@
 //! Start settings as path=value, taken apart into the module's parts. The bench's adapter reads them as lines, the
 //! agent flattens its start file to the same paths. Nothing here decides: a figure goes to its part as it stands.
-#![forbid(unsafe_code)]
+#![allow(clippy::min_ident_chars)] // Not met yet.
+#![allow(clippy::missing_errors_doc)] // Not met yet.
+#![allow(clippy::too_many_lines)] // Not met yet.
+#![allow(clippy::wildcard_imports)] // Not met yet.
+#![allow(missing_debug_implementations)] // Not met yet.
+#![allow(missing_docs)] // Not met yet.
 
 use std::collections::BTreeMap;
 use std::str::FromStr;
 use std::time::Duration;
 
-use lilacgate::brain::Brain;
-use lilacgate::parts::{Desk, Exposure, Jury, Membership, Thaw};
-use lilacgate::port::*;
+use lilacgate_decision::brain::Brain;
+use lilacgate_decision::parts::{Desk, Exposure, Jury, Membership, Thaw};
+use lilacgate_decision::port::*;
 
 /// What an agent is told at its start, by path.
 #[derive(Default)]
--- a/crates/standin/src/agent.rs
+++ b/crates/test-bed/src/agent.rs
@@ -108,7 +108,7 @@
         let beside = || {
             std::env::current_exe()
                 .ok()
-                .map(|own| own.with_file_name("lilacgate"))
+                .map(|own| own.with_file_name("lilacgate-agent"))
         };
         std::env::var_os("LILACGATE_PROGRAM")
             .map(PathBuf::from)
--- a/crates/standin/src/decided.rs
+++ b/crates/test-bed/src/decided.rs
@@ -2,7 +2,7 @@
 //! where, what it gave up or called off, told its peers and voted, and when it wants to be woken. It carries nothing out, and forgets the rest.
 use std::time::Duration;
 
-use lilacgate::port::*;
+use lilacgate_decision::port::*;
 
 #[derive(Default)]
 pub struct Decided {
--- a/crates/standin/src/gauge.rs
+++ b/crates/test-bed/src/gauge.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
-use lilacgate::port::{Build, Course, Product, Stage, Tenant, Zone};
+use lilacgate_decision::port::{Build, Course, Product, Stage, Tenant, Zone};
 use lilacgate_releases::calendar::{self, When};
 use lilacgate_releases::facts::Told;
 use lilacgate_releases::gate::Gate;
--- a/crates/standin/src/lib.rs
+++ b/crates/test-bed/src/lib.rs
@@ -2,7 +2,14 @@
 //! that listen and are scripted step by step (for scenarios), and a small town that plays whole days by itself (for
 //! the demonstration and measurements). Everything that happens there is on record with its time, and a checker reads
 //! the record for the rules. Chance comes from a seed. Nothing here is part of a running agent.
-#![forbid(unsafe_code)]
+#![allow(clippy::cognitive_complexity)] // Not met yet.
+#![allow(clippy::min_ident_chars)] // Not met yet.
+#![allow(clippy::missing_errors_doc)] // Not met yet.
+#![allow(clippy::missing_panics_doc)] // Not met yet.
+#![allow(clippy::too_many_lines)] // Not met yet.
+#![allow(clippy::wildcard_imports)] // Not met yet.
+#![allow(missing_debug_implementations)] // Not met yet.
+#![allow(missing_docs)] // Not met yet.
 
 pub mod agent;
 pub mod check;
--- a/crates/standin/src/lines.rs
+++ b/crates/test-bed/src/lines.rs
@@ -6,7 +6,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use lilacgate::port::{ApplianceId, AttemptNumber, Ending, Product, RequestId};
+use lilacgate_decision::port::{ApplianceId, AttemptNumber, Ending, Product, RequestId};
 use lilacgate_store::reader::read;
 use lilacgate_timeline::entry::{Entry, Kind, Record, What, Whom};
 
@@ -426,10 +426,10 @@
 /// The time that recording one request takes, in nanoseconds.
 fn record_ns() -> f64 {
     let mut book = virtually::book(RATE);
-    let lines: Vec<lilacgate::port::Line> = (0..14)
+    let lines: Vec<lilacgate_decision::port::Line> = (0..14)
         .map(|node| virtually::listed(node, 1, None))
         .collect();
-    book.membership(DAWN, lilacgate::port::Listing::Whole, &lines);
+    book.membership(DAWN, lilacgate_decision::port::Listing::Whole, &lines);
     let many = 300_000u32;
     let mut spent = Vec::new();
     for chunk in 0..many / 1000 {
--- a/crates/standin/src/main.rs
+++ b/crates/test-bed/src/main.rs
@@ -3,12 +3,12 @@
 use std::process::ExitCode;
 
 use clap::{Parser, Subcommand};
-use lilacgate_standin::agent::Agent;
-use lilacgate_standin::{demo, gauge, kills, lines};
+use lilacgate_test_bed::agent::Agent;
+use lilacgate_test_bed::{demo, gauge, kills, lines};
 
 /// Plays an agent against stand-ins on loopback. Exit code 1: something was not as it should be.
 #[derive(Parser)]
-#[command(name = "lilacgate-standin", version)]
+#[command(name = "lilacgate-test-bed", version)]
 struct Asking {
     /// The agent's program; the one beside this program, if left out
     #[arg(long, value_name = "FILE", global = true)]
@@ -40,7 +40,7 @@
     let program = asking.program.unwrap_or_else(Agent::program);
     if !program.is_file() {
         eprintln!(
-            "lilacgate-standin: no agent at {}: build it first, or name it by --program",
+            "lilacgate-test-bed: no agent at {}: build it first, or name it by --program",
             program.display()
         );
         return ExitCode::from(2);
--- a/crates/standin/src/virtually.rs
+++ b/crates/test-bed/src/virtually.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, BinaryHeap};
 use std::time::Duration;
 
-use lilacgate::port::*;
+use lilacgate_decision::port::*;
 use lilacgate_timeline::book::{Book, Room};
 use lilacgate_timeline::entry::Departure;
 use lilacgate_timeline::watch::{Aims, TICK};
--- a/crates/standin/tests/check.rs
+++ b/crates/test-bed/tests/check.rs
@@ -1,8 +1,9 @@
 //! The checker of records: each rule is found broken where it is, and nowhere else.
+#![allow(clippy::too_many_lines)] // Not met yet.
 use std::time::Duration;
 
-use lilacgate_standin::check::{Terms, Verdict, check};
-use lilacgate_standin::record::{Event, Final, Kind, Seen};
+use lilacgate_test_bed::check::{Terms, Verdict, check};
+use lilacgate_test_bed::record::{Event, Final, Kind, Seen};
 
 fn ms(at: u64) -> Duration {
     Duration::from_millis(at)
--- a/crates/timeline/src/book.rs
+++ b/crates/timeline/src/book.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::Duration;
 
-use lilacgate::port::{
+use lilacgate_decision::port::{
     ApplianceId, AttemptNumber, Build, Course, Ending, Line as Listed, Listing, Mode, Note,
     Product, RequestId, Stage, Verdict,
 };
--- a/crates/timeline/src/lib.rs
+++ b/crates/timeline/src/lib.rs
@@ -4,7 +4,9 @@
 //!
 //! [`book::Book`] takes what an agent hears and decides, [`line`] and [`steps`] keep it in bounds, [`detect`] tells a
 //! departure from chance at a stated rate, [`watch`] decides what is an event of a node, a build or the fleet.
-#![forbid(unsafe_code)]
+#![allow(clippy::min_ident_chars)] // Not met yet.
+#![allow(missing_debug_implementations)] // Not met yet.
+#![allow(missing_docs)] // Not met yet.
 
 pub mod book;
 pub mod detect;
--- a/crates/timeline/tests/departures.rs
+++ b/crates/timeline/tests/departures.rs
@@ -1,7 +1,8 @@
 //! The hard cases in virtual time, each caused: what is said, whose it is, how soon, and that nothing else is said.
+#![allow(clippy::min_ident_chars)] // Not met yet.
 use std::time::Duration;
 
-use lilacgate_standin::virtually::{DAWN, Day, Event, Fault, book, play};
+use lilacgate_test_bed::virtually::{DAWN, Day, Event, Fault, book, play};
 use lilacgate_timeline::entry::{Kind, Whom};
 use rstest::rstest;
 
--- a/crates/timeline/tests/lines.rs
+++ b/crates/timeline/tests/lines.rs
@@ -1,9 +1,10 @@
 //! What a line keeps: two times on each entry, steps that fold without losing a count, and bounds that hold whatever
 //! ids come and go.
+#![allow(clippy::min_ident_chars)] // Not met yet.
 use std::time::Duration;
 
-use lilacgate::port::*;
-use lilacgate_standin::virtually::{DAWN, aims, listed};
+use lilacgate_decision::port::*;
+use lilacgate_test_bed::virtually::{DAWN, aims, listed};
 use lilacgate_timeline::book::{Book, Room};
 use lilacgate_timeline::entry::{Record, What};
 use lilacgate_timeline::steps::{LEVELS, Latency, Steps};
