--- a/crates/agent/src/appliances.rs
+++ b/crates/agent/src/appliances.rs
@@ -11,7 +11,10 @@
 use async_channel::Sender;
 use async_io::{Async, Timer};
 use futures_lite::{FutureExt, StreamExt};
-use lilacgate_decision::port::*;
+use lilacgate_decision::EventHandler as _;
+use lilacgate_decision::{
+    AttemptNumber, Build, Endpoint, EndpointId, EndpointStatus, Outcome, RequestId,
+};
 use lilacgate_start_settings::Paths;
 
 use crate::hub::{Carries, Clock, Hub, Wording};
@@ -25,7 +28,7 @@
 /// An appliance in the list, and the links to it that carry nothing now.
 struct Home {
     life: Life,
-    mode: Mode,
+    mode: EndpointStatus,
     idle: Vec<Link>,
 }
 
@@ -64,14 +67,14 @@
 
 /// What an appliance answered.
 struct Answered {
-    ending: Ending,
+    ending: Outcome,
     value: Vec<u8>,
     load: Option<Vec<u8>>,
 }
 
 pub struct Appliances {
     hub: Rc<Hub>,
-    homes: RefCell<HashMap<ApplianceId, Home>>,
+    homes: RefCell<HashMap<EndpointId, Home>>,
     out: RefCell<HashMap<(RequestId, AttemptNumber), Sender<()>>>,
     /// The fields of a load report, in the module's order.
     gauges: Vec<String>,
@@ -109,25 +112,25 @@
     }
 
     /// Notes an entry of the list, and where that appliance listens.
-    pub fn place(&self, line: &Line, at: SocketAddr) {
+    pub fn place(&self, line: &Endpoint, at: SocketAddr) {
         let mut homes = self.homes.borrow_mut();
-        let (life, mode) = ((at, line.build, line.started), line.mode);
-        let home = homes.entry(line.appliance).or_insert_with(|| Home {
+        let (life, mode) = ((at, line.build, line.started), line.status);
+        let home = homes.entry(line.id).or_insert_with(|| Home {
             life,
             mode,
             idle: Vec::new(),
         });
-        if home.life != life || mode != Mode::Ready {
+        if home.life != life || mode != EndpointStatus::Ready {
             close(&mut home.idle, End::Gone);
         }
         (home.life, home.mode) = (life, mode);
-        if mode == Mode::Gone {
-            homes.remove(&line.appliance);
+        if mode == EndpointStatus::Removed {
+            homes.remove(&line.id);
         }
     }
 
     /// Notes that a whole list names these alone.
-    pub fn keep_only(&self, listed: impl Fn(&ApplianceId) -> bool) {
+    pub fn keep_only(&self, listed: impl Fn(&EndpointId) -> bool) {
         for (_, mut home) in self.homes.borrow_mut().extract_if(|id, _| !listed(id)) {
             close(&mut home.idle, End::Gone);
         }
@@ -138,7 +141,7 @@
         self.homes
             .borrow()
             .values()
-            .any(|home| home.mode == Mode::Ready)
+            .any(|home| home.mode == EndpointStatus::Ready)
     }
 
     /// Closes what has been idle for long, or was closed by the other side.
@@ -153,7 +156,7 @@
         }
     }
 
-    fn idle_link(&self, id: ApplianceId) -> Option<Link> {
+    fn idle_link(&self, id: EndpointId) -> Option<Link> {
         let now = self.clock().now();
         let mut homes = self.homes.borrow_mut();
         let idle = &mut homes.get_mut(&id)?.idle;
@@ -165,17 +168,17 @@
     }
 
     /// Opens a link; the longest idle one elsewhere goes where no more may be open.
-    async fn connect(&self, id: ApplianceId) -> Result<Link, Ending> {
+    async fn connect(&self, id: EndpointId) -> Result<Link, Outcome> {
         let to = self
             .homes
             .borrow()
             .get(&id)
             .map(|home| home.life)
-            .ok_or(Ending::Unsent)?;
+            .ok_or(Outcome::NotSent)?;
         let at = to.0;
         if self.open.get() >= self.most_links && !self.close_one() {
             say!("no link to {at}: all {} are in use", self.most_links);
-            return Err(Ending::Unsent);
+            return Err(Outcome::NotSent);
         }
         self.open.set(self.open.get() + 1);
         let opening = Opening(Some(self.open.clone()));
@@ -183,9 +186,9 @@
             say!("no link to {at}: {end}");
             // What is short here says nothing of the appliance.
             if end == End::OwnLimit {
-                Ending::Unsent
+                Outcome::NotSent
             } else {
-                Ending::Unconnected
+                Outcome::ConnectFailed
             }
         })?;
         count(Count::LinksOpened);
@@ -212,10 +215,12 @@
     }
 
     /// Keeps a link for the next request, if its appliance is still there.
-    fn keep(&self, id: ApplianceId, mut link: Link) {
+    fn keep(&self, id: EndpointId, mut link: Link) {
         link.since = self.clock().now();
         match self.homes.borrow_mut().get_mut(&id) {
-            Some(home) if home.life == link.to && home.mode == Mode::Ready => home.idle.push(link),
+            Some(home) if home.life == link.to && home.mode == EndpointStatus::Ready => {
+                home.idle.push(link)
+            }
             _ => link.why = End::Gone,
         }
     }
@@ -223,18 +228,18 @@
     async fn attempt(
         &self,
         which: (RequestId, AttemptNumber),
-        to: ApplianceId,
+        to: EndpointId,
         wording: Wording,
         until: Duration,
         written: &Cell<bool>,
-    ) -> Result<Answered, Ending> {
+    ) -> Result<Answered, Outcome> {
         let mut link = match self.idle_link(to) {
             Some(link) => link,
             None => {
                 let link = self.connect(to).await?;
                 if !self.hub.may_go(which.0, which.1).await {
                     self.keep(to, link);
-                    return Err(Ending::Unsent);
+                    return Err(Outcome::NotSent);
                 }
                 link
             }
@@ -252,7 +257,7 @@
                 ) => {
                     // A report that cannot be read is none; the answer is good all the same.
                     (
-                        Ending::Served,
+                        Outcome::Succeeded,
                         value,
                         if let Resp::Bulk(load) = load {
                             load
@@ -272,8 +277,8 @@
                     _ => (words.as_str(), None),
                 };
                 match words {
-                    "BUSY" => (Ending::TurnedAway, Vec::new(), load),
-                    "ERR failed" => (Ending::Failed, Vec::new(), load),
+                    "BUSY" => (Outcome::Rejected, Vec::new(), load),
+                    "ERR failed" => (Outcome::Failed, Vec::new(), load),
                     _ => return Err(malformed(&mut link)),
                 }
             }
@@ -293,11 +298,11 @@
         link: &mut Link,
         bytes: &[u8],
         written: &Cell<bool>,
-    ) -> Result<Resp, Ending> {
+    ) -> Result<Resp, Outcome> {
         link.out.put(bytes);
         if let Err(end) = link.out.flush(&link.stream).await {
             link.why = end;
-            return Err(Ending::Unconnected);
+            return Err(Outcome::ConnectFailed);
         }
         written.set(true);
         let answer = link.intake.next(&link.stream).await;
@@ -307,14 +312,14 @@
             Err(end) => end,
         };
         Err(if matches!(link.why, End::Malformed | End::TooLong) {
-            Ending::Spoilt
+            Outcome::Malformed
         } else {
-            Ending::Broken
+            Outcome::ConnectionLost
         })
     }
 
     /// Passes a load report on; fields that it lacks are not numbers.
-    fn tell_load(&self, from: ApplianceId, report: Option<Vec<u8>>) {
+    fn tell_load(&self, from: EndpointId, report: Option<Vec<u8>>) {
         let Some(report) = report.and_then(|report| String::from_utf8(report).ok()) else {
             return;
         };
@@ -328,7 +333,7 @@
         };
         let gauges: Vec<f32> = self.gauges.iter().map(field).collect();
         if gauges.iter().any(|gauge| gauge.is_finite()) {
-            self.hub.tell(move |ear| ear.load(from, &gauges));
+            self.hub.tell(move |ear| ear.on_load_report(from, &gauges));
         }
     }
 }
@@ -337,7 +342,7 @@
     fn send_attempt(
         self: Rc<Self>,
         which: (RequestId, AttemptNumber),
-        to: ApplianceId,
+        to: EndpointId,
         wording: Wording,
         began: Duration,
         until: Duration,
@@ -349,11 +354,11 @@
             let written = Cell::new(false);
             let over = async {
                 me.hub.until(until).await;
-                Err(Ending::TimedOut)
+                Err(Outcome::TimedOut)
             };
             let off = async {
                 called_off.recv().await.ok();
-                Err(Ending::CalledOff)
+                Err(Outcome::Cancelled)
             };
             let work = me.attempt(which, to, wording, until, &written);
             let ended = work.or(off).or(over).await;
@@ -364,8 +369,8 @@
                     (answered.ending, answered.value)
                 }
                 // What was never written whole has never run.
-                Err(Ending::TimedOut | Ending::CalledOff) if !written.get() => {
-                    (Ending::Unsent, Vec::new())
+                Err(Outcome::TimedOut | Outcome::Cancelled) if !written.get() => {
+                    (Outcome::NotSent, Vec::new())
                 }
                 Err(ending) => (ending, Vec::new()),
             };
@@ -381,7 +386,7 @@
     }
 
     /// Asks an appliance for its load.
-    fn probe(self: Rc<Self>, to: ApplianceId) {
+    fn probe(self: Rc<Self>, to: EndpointId) {
         count(Count::Probes);
         let me = self.clone();
         self.hub.clone().spawn(async move {
@@ -395,24 +400,25 @@
                 let answer = me.exchange(&mut link, &ask, &Cell::new(false)).await?;
                 let load = match answer {
                     Resp::Bulk(load) => Ok(load),
-                    Resp::Error(_) => Err(Ending::Failed),
+                    Resp::Error(_) => Err(Outcome::Failed),
                     _ => return Err(malformed(&mut link)),
                 };
                 me.keep(to, link);
                 load
             };
             let answer = within(me.connect_within, async { Ok(ask.await) }).await;
-            let answer = answer.unwrap_or(Err(Ending::TimedOut));
+            let answer = answer.unwrap_or(Err(Outcome::TimedOut));
             let took = me.clock().now().saturating_sub(began);
             let ending = answer
                 .as_ref()
-                .map_or_else(|ending| *ending, |_| Ending::Served);
+                .map_or_else(|ending| *ending, |_| Outcome::Succeeded);
             me.tell_load(to, answer.ok().flatten());
-            me.hub.tell(move |ear| ear.probed(to, ending, took));
+            me.hub
+                .tell(move |ear| ear.on_health_check(to, ending, took));
         });
     }
 
-    fn free_links(&self, id: ApplianceId) {
+    fn free_links(&self, id: EndpointId) {
         if let Some(home) = self.homes.borrow_mut().get_mut(&id) {
             close(&mut home.idle, End::GivenUp);
         }
@@ -436,9 +442,9 @@
     }
 }
 
-fn malformed(link: &mut Link) -> Ending {
+fn malformed(link: &mut Link) -> Outcome {
     link.why = End::Malformed;
-    Ending::Spoilt
+    Outcome::Malformed
 }
 
 fn close(links: &mut Vec<Link>, why: End) {
--- a/crates/agent/src/catalog.rs
+++ b/crates/agent/src/catalog.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use lilacgate_decision::port::*;
+use lilacgate_decision::{Build, Cell, Endpoint, EndpointId, EndpointStatus, Model, Zone};
 use lilacgate_start_settings::Paths;
 
 use crate::json::{self, Json};
@@ -15,22 +15,22 @@
     /// Whether it is the whole list.
     pub whole: bool,
     /// Its entries, in their order, and where each appliance listens.
-    pub entries: Vec<(Line, SocketAddr)>,
+    pub entries: Vec<(Endpoint, SocketAddr)>,
     /// What it says of each appliance that it names.
-    modes: BTreeMap<ApplianceId, Mode>,
+    modes: BTreeMap<EndpointId, EndpointStatus>,
 }
 
 impl Update {
     /// Whether it names an appliance.
-    pub fn names(&self, id: ApplianceId) -> bool {
+    pub fn names(&self, id: EndpointId) -> bool {
         self.modes.contains_key(&id)
     }
 
     /// Whether an appliance that was listed before is listed after it.
-    fn keeps(&self, id: ApplianceId) -> bool {
+    fn keeps(&self, id: EndpointId) -> bool {
         self.modes
             .get(&id)
-            .map_or(!self.whole, |mode| *mode != Mode::Gone)
+            .map_or(!self.whole, |mode| *mode != EndpointStatus::Removed)
     }
 }
 
@@ -66,11 +66,7 @@
     }
 
     /// Reads a message, if all of it can be read; `named` is told of each name that gets a number.
-    pub fn read(
-        &mut self,
-        list: &Json,
-        named: &mut dyn FnMut(ApplianceId, &str),
-    ) -> Option<Update> {
+    pub fn read(&mut self, list: &Json, named: &mut dyn FnMut(EndpointId, &str)) -> Option<Update> {
         let version = list.get("version").and_then(Json::whole)?;
         let Json::Truth(whole) = *list.get("full")? else {
             return None;
@@ -86,7 +82,7 @@
         self.version = version;
         let modes = entries
             .iter()
-            .map(|(line, _)| (line.appliance, line.mode))
+            .map(|(line, _)| (line.id, line.status))
             .collect();
         let update = Update {
             whole,
@@ -98,7 +94,7 @@
         Some(update)
     }
 
-    fn number(&mut self, name: &str, named: &mut dyn FnMut(ApplianceId, &str)) -> ApplianceId {
+    fn number(&mut self, name: &str, named: &mut dyn FnMut(EndpointId, &str)) -> EndpointId {
         if let Some(number) = self.numbers.get(name) {
             return number;
         }
@@ -110,8 +106,8 @@
     fn entry(
         &mut self,
         entry: &Json,
-        named: &mut dyn FnMut(ApplianceId, &str),
-    ) -> Option<(Line, SocketAddr)> {
+        named: &mut dyn FnMut(EndpointId, &str),
+    ) -> Option<(Endpoint, SocketAddr)> {
         let text = |name: &str| entry.get(name).and_then(Json::text);
         let place = |names: &[String], name: &str| {
             let name = json::word(text(name)?);
@@ -125,12 +121,12 @@
             .get("weight")
             .and_then(Json::figure)
             .filter(|w| *w >= 0.0)?;
-        let line = Line {
-            appliance: self.number(text("id").filter(|id| !id.is_empty())?, named),
-            mode: match text("state")? {
-                "ready" => Mode::Ready,
-                "draining" => Mode::Draining,
-                "gone" => Mode::Gone,
+        let line = Endpoint {
+            id: self.number(text("id").filter(|id| !id.is_empty())?, named),
+            status: match text("state")? {
+                "ready" => EndpointStatus::Ready,
+                "draining" => EndpointStatus::Draining,
+                "gone" => EndpointStatus::Removed,
                 _ => return None,
             },
             model: Model(place(&self.models, "kind")?),
--- a/crates/agent/src/clients.rs
+++ b/crates/agent/src/clients.rs
@@ -12,7 +12,7 @@
 use async_channel::{Receiver, Sender};
 use async_io::{Async, Timer};
 use futures_lite::{FutureExt, StreamExt, future, pin};
-use lilacgate_decision::port::*;
+use lilacgate_decision::{Idempotency, IdempotencyKey, Request, RequestClass, RequestId, Tenant};
 use lilacgate_start_settings::Paths;
 
 use crate::appliances::Appliances;
@@ -192,8 +192,8 @@
 /// A product, as clients name it.
 struct Named {
     name: String,
-    product: Product,
-    repeat: Repeat,
+    product: RequestClass,
+    repeat: Idempotency,
 }
 
 pub struct Clients {
@@ -238,7 +238,7 @@
             let name = told.text(&format!("profiles.{i}.name"))?.to_owned();
             Ok(Named {
                 name,
-                product: Product(i as u8),
+                product: RequestClass(i as u8),
                 repeat: told.repeat(i)?,
             })
         };
@@ -637,7 +637,7 @@
             .iter()
             .find(|named| named.name == class)
             .ok_or("unknown class")?;
-        if writes == (named.repeat == Repeat::InquiryLike) {
+        if writes == (named.repeat == Idempotency::Idempotent) {
             return Err("this class takes the other command".into());
         }
         let digits = |value: &&str| value.bytes().all(|b| b.is_ascii_digit());
@@ -646,7 +646,7 @@
             |name| value(name).map(|value| number(value).ok_or_else(|| format!("bad {name}")));
         let wait = whole("d").ok_or("no d")??;
         let hint = whole("h").transpose()?;
-        if matches!(named.repeat, Repeat::Referenced(_)) && value("k").is_none_or(str::is_empty) {
+        if matches!(named.repeat, Idempotency::Keyed(_)) && value("k").is_none_or(str::is_empty) {
             return Err("no k".into());
         }
         if self.ids.borrow().contains(id) {
@@ -655,17 +655,17 @@
         let mut hasher = DefaultHasher::new();
         key.hash(&mut hasher);
         let request = Request {
-            product: named.product,
+            class: named.product,
             tenant: Tenant(0),
-            mark: Some(Mark(hasher.finish())).filter(|_| !key.is_empty()),
+            idempotency_key: Some(IdempotencyKey(hasher.finish())).filter(|_| !key.is_empty()),
             // What has no time left is declined by the module.
             deadline: if self.leaving.has_rung() {
                 arrived
             } else {
                 arrived + Duration::from_millis(wait.into())
             },
-            hint: hint.map(|micros| Duration::from_micros(micros.into())),
-            repeated: value("r") == Some("1"),
+            estimated_work: hint.map(|micros| Duration::from_micros(micros.into())),
+            is_retry: value("r") == Some("1"),
         };
         let size = command
             .iter()
--- a/crates/agent/src/desk.rs
+++ b/crates/agent/src/desk.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use futures_lite::{FutureExt, StreamExt, pin};
-use lilacgate_decision::port::{Build, Course, Stage};
+use lilacgate_decision::{Build, ReleasePhase, Stage};
 
 use crate::json::{self, Json};
 use crate::log::{End, say};
@@ -24,7 +24,7 @@
 pub struct News {
     pub build: Build,
     pub stage: Stage,
-    pub course: Course,
+    pub course: ReleasePhase,
     /// The share of requests that may go to it.
     pub cap: f64,
     /// How long ago it came to stand so.
@@ -37,10 +37,10 @@
     let build = Build(u16::try_from(small("Revision")?).ok()?);
     let stage = Stage(u8::try_from(small("Wave")?).ok()?);
     let course = match state.get("State")?.text()? {
-        "Progressing" => Course::OnTrial,
-        "Aborting" => Course::GoingBack,
-        "Healthy" => Course::Released,
-        "Aborted" => Course::Withdrawn,
+        "Progressing" => ReleasePhase::Canary,
+        "Aborting" => ReleasePhase::RollingBack,
+        "Healthy" => ReleasePhase::Released,
+        "Aborted" => ReleasePhase::Withdrawn,
         _ => return None,
     };
     let cap = state.get("MaxShare")?.figure().filter(|cap| *cap >= 0.0)?;
--- a/crates/agent/src/discovery.rs
+++ b/crates/agent/src/discovery.rs
@@ -7,7 +7,8 @@
 
 use async_channel::{Receiver, Sender};
 use futures_lite::{FutureExt, StreamExt, pin};
-use lilacgate_decision::port::*;
+use lilacgate_decision::EventHandler as _;
+use lilacgate_decision::{EndpointId, ListUpdate};
 use lilacgate_start_settings::Paths;
 
 use crate::appliances::Appliances;
@@ -211,7 +212,7 @@
     /// Passes a list or its changes on, if all of it can be read.
     pub fn told(&self, list: &Json, saved: bool) -> Option<()> {
         let hub = &self.hub;
-        let mut named = |number: ApplianceId, name: &str| {
+        let mut named = |number: EndpointId, name: &str| {
             let name = name.to_owned();
             hub.tell(move |ear| ear.recorder.named(number, &name));
         };
@@ -225,12 +226,12 @@
             .for_each(|(line, at)| self.appliances.place(line, *at));
         count(Count::MembershipUpdates);
         let listing = match (saved, update.whole) {
-            (true, _) => Listing::Saved,
-            (false, true) => Listing::Whole,
-            (false, false) => Listing::Changes,
+            (true, _) => ListUpdate::Cached,
+            (false, true) => ListUpdate::Full,
+            (false, false) => ListUpdate::Delta,
         };
         self.hub.tell(move |ear| {
-            ear.membership(listing, &mut update.entries.iter().map(|(line, _)| *line))
+            ear.on_endpoints(listing, &mut update.entries.iter().map(|(line, _)| *line))
         });
         Some(())
     }
@@ -239,7 +240,7 @@
         say!("discovery {} ended: {end}", self.place.at());
         if self.asked {
             self.hub
-                .tell(|ear| ear.membership(Listing::Failed, &mut std::iter::empty()));
+                .tell(|ear| ear.on_endpoints(ListUpdate::Failed, &mut std::iter::empty()));
         }
     }
 
--- a/crates/agent/src/hub.rs
+++ b/crates/agent/src/hub.rs
@@ -11,8 +11,11 @@
 use async_executor::LocalExecutor;
 use async_io::Timer;
 use futures_lite::future;
-use lilacgate_decision::brain::Brain;
-use lilacgate_decision::port::*;
+use lilacgate_decision::EventHandler as _;
+use lilacgate_decision::{
+    Actions, AgentId, AttemptNumber, Build, DecisionEngine, EndpointId, Note, Outcome, Request,
+    RequestId, Stage, TimerId, Vote,
+};
 
 use crate::keeper::{Ears, Keeper};
 use crate::log::{Count, count, say};
@@ -27,14 +30,14 @@
     fn send_attempt(
         self: Rc<Self>,
         which: (RequestId, AttemptNumber),
-        to: ApplianceId,
+        to: EndpointId,
         wording: Wording,
         began: Duration,
         until: Duration,
     );
     fn call_off(&self, which: (RequestId, AttemptNumber));
-    fn probe(self: Rc<Self>, to: ApplianceId);
-    fn free_links(&self, id: ApplianceId);
+    fn probe(self: Rc<Self>, to: EndpointId);
+    fn free_links(&self, id: EndpointId);
 }
 
 /// Asks for the list of appliances.
@@ -45,7 +48,7 @@
 
 /// Casts votes.
 pub trait Votes {
-    fn vote(self: Rc<Self>, build: Build, stage: Stage, verdict: Verdict);
+    fn vote(self: Rc<Self>, build: Build, stage: Stage, verdict: Vote);
 }
 
 /// Tells peers.
@@ -163,7 +166,7 @@
     pub fn ends(&self, last: Duration) {
         self.ends.set(last);
         self.ending.ring();
-        self.tell(move |ear| ear.ends(last));
+        self.tell(move |ear| ear.on_shutdown(last));
     }
 
     /// Waits until then, or until the agent's end is so near that an answer has to go out.
@@ -199,7 +202,7 @@
                 answer: Some(Box::new(answer)),
             },
         );
-        self.tell(move |ear| ear.request(id, request));
+        self.tell(move |ear| ear.on_request(id, request));
         id
     }
 
@@ -238,7 +241,7 @@
             let hub = self.clone();
             self.tell(move |ear| {
                 hub.owed.borrow_mut().remove(&id);
-                ear.client_left(id);
+                ear.on_client_left(id);
             });
         }
     }
@@ -247,7 +250,7 @@
     pub async fn may_go(&self, id: RequestId, attempt: AttemptNumber) -> bool {
         let (say, said) = async_channel::bounded(1);
         self.tell(move |ear| {
-            say.try_send(ear.may_go(id, attempt)).ok();
+            say.try_send(ear.may_send(id, attempt)).ok();
         });
         said.recv().await.unwrap_or(false)
     }
@@ -256,23 +259,23 @@
     pub fn ended(
         self: &Rc<Self>,
         (id, attempt): (RequestId, AttemptNumber),
-        at: ApplianceId,
-        ending: Ending,
+        at: EndpointId,
+        ending: Outcome,
         took: Duration,
         value: Vec<u8>,
     ) {
         count(match ending {
-            Ending::Served => Count::EndedServed,
-            Ending::Failed => Count::EndedFailed,
-            Ending::TurnedAway => Count::EndedTurnedAway,
-            Ending::TimedOut => Count::EndedTimedOut,
-            Ending::Unconnected => Count::EndedUnconnected,
-            Ending::Broken => Count::EndedBroken,
-            Ending::Spoilt => Count::EndedSpoilt,
-            Ending::CalledOff => Count::EndedCalledOff,
-            Ending::Unsent => Count::EndedUnsent,
+            Outcome::Succeeded => Count::EndedServed,
+            Outcome::Failed => Count::EndedFailed,
+            Outcome::Rejected => Count::EndedTurnedAway,
+            Outcome::TimedOut => Count::EndedTimedOut,
+            Outcome::ConnectFailed => Count::EndedUnconnected,
+            Outcome::ConnectionLost => Count::EndedBroken,
+            Outcome::Malformed => Count::EndedSpoilt,
+            Outcome::Cancelled => Count::EndedCalledOff,
+            Outcome::NotSent => Count::EndedUnsent,
         });
-        if ending == Ending::Served {
+        if ending == Outcome::Succeeded {
             self.answer(id, Answer::Settled(value));
         }
         let closed = !self.is_owed(id);
@@ -281,7 +284,7 @@
             if closed {
                 hub.owed.borrow_mut().remove(&id);
             }
-            ear.ended(id, attempt, at, ending, took, closed);
+            ear.on_attempt_ended(id, attempt, at, ending, took, closed);
         });
     }
 }
@@ -297,12 +300,12 @@
     pub keeper: Keeper,
     pub recorder: Rc<Recorder>,
     /// The module's own wake-ups that are not due yet.
-    pub wakes: BTreeSet<(Duration, Ticket)>,
+    pub wakes: BTreeSet<(Duration, TimerId)>,
 }
 
 impl Hands {
     /// Hosts the module for as long as the agent runs.
-    pub async fn host(mut self, mut brain: Brain) {
+    pub async fn host(mut self, mut brain: DecisionEngine) {
         let queue = self.hub.queue.1.clone();
         let (hub, clock) = (self.hub.clone(), self.hub.clock);
         loop {
@@ -355,7 +358,7 @@
                     ears.advance();
                     first.into_iter().for_each(|call: Call| call(&mut ears));
                     hub.hear(&mut ears);
-                    due.iter().for_each(|(_, ticket)| ears.woken(*ticket));
+                    due.iter().for_each(|(_, ticket)| ears.on_wake_up(*ticket));
                 },
                 &mut Round {
                     hands: &mut self,
@@ -373,8 +376,8 @@
     now: Duration,
 }
 
-impl Decisions for Round<'_> {
-    fn send_attempt(&mut self, id: RequestId, to: ApplianceId, give_up_after: Duration) {
+impl Actions for Round<'_> {
+    fn send_attempt(&mut self, id: RequestId, to: EndpointId, give_up_after: Duration) {
         count(Count::Attempts);
         let mut owed = self.hands.hub.owed.borrow_mut();
         let Some(owed) = owed.get_mut(&id) else {
@@ -400,38 +403,38 @@
             .send_attempt((id, attempt), to, wording, self.now, until);
     }
 
-    fn decline(&mut self, id: RequestId, come_back_in: Duration) {
+    fn reject(&mut self, id: RequestId, come_back_in: Duration) {
         self.hands.recorder.put(self.now, Deed::Closed(id));
         self.hands.hub.answer(id, Answer::Declined(come_back_in));
         self.hands.hub.owed.borrow_mut().remove(&id);
     }
 
-    fn void(&mut self, id: RequestId) {
+    fn fail(&mut self, id: RequestId) {
         self.hands.recorder.put(self.now, Deed::Closed(id));
         self.hands.hub.answer(id, Answer::Voided);
         self.hands.hub.owed.borrow_mut().remove(&id);
     }
 
-    fn call_off(&mut self, id: RequestId, attempt: AttemptNumber) {
+    fn cancel(&mut self, id: RequestId, attempt: AttemptNumber) {
         self.hands
             .recorder
             .book(|book| book.called_off(self.now, id, attempt));
         self.hands.appliances.call_off((id, attempt));
     }
 
-    fn wake(&mut self, at: Duration, ticket: Ticket) {
+    fn schedule_wake_up(&mut self, at: Duration, ticket: TimerId) {
         self.hands.wakes.insert((at, ticket));
     }
 
-    fn probe(&mut self, at: ApplianceId) {
+    fn check_health(&mut self, at: EndpointId) {
         self.hands.appliances.clone().probe(at);
     }
 
-    fn free_links(&mut self, at: ApplianceId) {
+    fn close_idle_connections(&mut self, at: EndpointId) {
         self.hands.appliances.free_links(at);
     }
 
-    fn tell(&mut self, peer: Option<AgentId>, octets: &[u8]) {
+    fn send_to_peer(&mut self, peer: Option<AgentId>, octets: &[u8]) {
         if let Some(peers) = &self.hands.peers {
             peers.tell(peer, octets);
         }
@@ -442,15 +445,15 @@
         say!("{text}");
     }
 
-    fn watch_membership(&mut self, on: bool) {
+    fn watch_endpoints(&mut self, on: bool) {
         self.hands.discovery.watch(on);
     }
 
-    fn fetch_membership(&mut self) {
+    fn fetch_endpoints(&mut self) {
         self.hands.discovery.clone().fetch();
     }
 
-    fn vote(&mut self, build: Build, stage: Stage, verdict: Verdict) {
+    fn vote(&mut self, build: Build, stage: Stage, verdict: Vote) {
         self.hands
             .recorder
             .book(|book| book.vote(self.now, build, stage, verdict));
--- a/crates/agent/src/keeper.rs
+++ b/crates/agent/src/keeper.rs
@@ -5,8 +5,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use lilacgate_decision::openings::Openings;
-use lilacgate_decision::port::*;
+use lilacgate_decision::{
+    AgentId, AttemptNumber, Build, Endpoint, EndpointId, EndpointStatus, EventHandler, ListUpdate,
+    Outcome, ReleasePermissions, ReleasePhase, Request, RequestClass, RequestId, Stage, Tenant,
+    TimerId,
+};
 use lilacgate_operator_config::Releases;
 use lilacgate_releases::facts::Told;
 use lilacgate_releases::gate::{Gate, What};
@@ -19,9 +22,9 @@
 #[derive(Default)]
 pub struct Keeper {
     gate: Option<Gate>,
-    handed: Option<Arc<Openings>>,
+    handed: Option<Arc<ReleasePermissions>>,
     /// The builds of the listed appliances.
-    listed: BTreeMap<ApplianceId, Build>,
+    listed: BTreeMap<EndpointId, Build>,
     own: Option<Told>,
     next: Option<Duration>,
 }
@@ -42,7 +45,7 @@
 
 /// What the module's owner hears with: the module itself, and the gate on its way.
 pub struct Ears<'a> {
-    pub module: &'a mut dyn Hears,
+    pub module: &'a mut dyn EventHandler,
     pub keeper: &'a mut Keeper,
     pub recorder: &'a Recorder,
     pub now: Duration,
@@ -80,7 +83,7 @@
         {
             count(Count::Openings);
             self.keeper.handed = Some(open.clone());
-            self.module.openings(Some(open));
+            self.module.on_release_permissions(Some(open));
         }
     }
 
@@ -107,7 +110,7 @@
             let had = self.keeper.gate.take().is_some();
             (self.keeper.handed, self.keeper.next) = (None, None);
             if had {
-                self.module.openings(None);
+                self.module.on_release_permissions(None);
             }
             return;
         };
@@ -132,26 +135,33 @@
     }
 }
 
-impl Hears for Ears<'_> {
-    fn membership(&mut self, listing: Listing, lines: &mut dyn Iterator<Item = Line>) {
-        let lines: Vec<Line> = lines.collect();
-        if matches!(listing, Listing::Whole | Listing::Saved) {
+impl EventHandler for Ears<'_> {
+    fn on_endpoints(&mut self, listing: ListUpdate, lines: &mut dyn Iterator<Item = Endpoint>) {
+        let lines: Vec<Endpoint> = lines.collect();
+        if matches!(listing, ListUpdate::Full | ListUpdate::Cached) {
             self.keeper.listed.clear();
         }
         for line in &lines {
-            match line.mode {
-                Mode::Gone => drop(self.keeper.listed.remove(&line.appliance)),
-                _ => drop(self.keeper.listed.insert(line.appliance, line.build)),
+            match line.status {
+                EndpointStatus::Removed => drop(self.keeper.listed.remove(&line.id)),
+                _ => drop(self.keeper.listed.insert(line.id, line.build)),
             }
         }
         self.recorder
             .book(|book| book.membership(self.now, listing, &lines));
         let builds: Vec<Build> = self.keeper.listed.values().copied().collect();
         self.gate(|gate, now| gate.list(now, builds.into_iter()));
-        self.module.membership(listing, &mut lines.into_iter());
+        self.module.on_endpoints(listing, &mut lines.into_iter());
     }
 
-    fn stage(&mut self, build: Build, stage: Stage, course: Course, cap: f64, age: Duration) {
+    fn on_release_status(
+        &mut self,
+        build: Build,
+        stage: Stage,
+        course: ReleasePhase,
+        cap: f64,
+        age: Duration,
+    ) {
         let told = Told {
             build,
             stage,
@@ -162,21 +172,22 @@
         self.recorder
             .book(|book| book.stage(self.now, build, stage, course, age));
         self.gate(|gate, now| gate.hear(now, gate.rules().own, told));
-        self.module.stage(build, stage, course, cap, age);
+        self.module
+            .on_release_status(build, stage, course, cap, age);
     }
 
-    fn request(&mut self, id: RequestId, request: Request) {
+    fn on_request(&mut self, id: RequestId, request: Request) {
         self.recorder
-            .put(self.now, Deed::Request(id, request.product));
-        self.module.request(id, request);
+            .put(self.now, Deed::Request(id, request.class));
+        self.module.on_request(id, request);
     }
 
-    fn ended(
+    fn on_attempt_ended(
         &mut self,
         id: RequestId,
         attempt: AttemptNumber,
-        at: ApplianceId,
-        ending: Ending,
+        at: EndpointId,
+        ending: Outcome,
         took: Duration,
         closed: bool,
     ) {
@@ -184,53 +195,54 @@
             self.now,
             Deed::Ended((id, attempt), at, ending, took, closed),
         );
-        self.module.ended(id, attempt, at, ending, took, closed);
+        self.module
+            .on_attempt_ended(id, attempt, at, ending, took, closed);
     }
 
-    fn stream_begun(
+    fn on_response_started(
         &mut self,
         id: RequestId,
         attempt: AttemptNumber,
-        at: ApplianceId,
+        at: EndpointId,
         took: Duration,
     ) {
-        self.module.stream_begun(id, attempt, at, took);
+        self.module.on_response_started(id, attempt, at, took);
     }
 
-    fn client_left(&mut self, id: RequestId) {
+    fn on_client_left(&mut self, id: RequestId) {
         self.recorder.put(self.now, Deed::Closed(id));
-        self.module.client_left(id);
+        self.module.on_client_left(id);
     }
 
-    fn may_go(&mut self, id: RequestId, attempt: AttemptNumber) -> bool {
-        self.module.may_go(id, attempt)
+    fn may_send(&mut self, id: RequestId, attempt: AttemptNumber) -> bool {
+        self.module.may_send(id, attempt)
     }
 
-    fn load(&mut self, at: ApplianceId, gauges: &[f32]) {
-        self.module.load(at, gauges);
+    fn on_load_report(&mut self, at: EndpointId, gauges: &[f32]) {
+        self.module.on_load_report(at, gauges);
     }
 
-    fn probed(&mut self, at: ApplianceId, ending: Ending, took: Duration) {
-        self.module.probed(at, ending, took);
+    fn on_health_check(&mut self, at: EndpointId, ending: Outcome, took: Duration) {
+        self.module.on_health_check(at, ending, took);
     }
 
-    fn peer(&mut self, from: AgentId, octets: &[u8]) {
-        self.module.peer(from, octets);
+    fn on_peer_message(&mut self, from: AgentId, octets: &[u8]) {
+        self.module.on_peer_message(from, octets);
     }
 
-    fn vote_answered(&mut self, ending: Ending) {
-        self.module.vote_answered(ending);
+    fn on_vote_answered(&mut self, ending: Outcome) {
+        self.module.on_vote_answered(ending);
     }
 
-    fn wrong_answer(&mut self, at: ApplianceId, product: Product, sent_ago: Duration) {
-        self.module.wrong_answer(at, product, sent_ago);
+    fn on_wrong_answer(&mut self, at: EndpointId, product: RequestClass, sent_ago: Duration) {
+        self.module.on_wrong_answer(at, product, sent_ago);
     }
 
-    fn ends(&mut self, last: Duration) {
-        self.module.ends(last);
+    fn on_shutdown(&mut self, last: Duration) {
+        self.module.on_shutdown(last);
     }
 
-    fn woken(&mut self, ticket: Ticket) {
-        self.module.woken(ticket);
+    fn on_wake_up(&mut self, ticket: TimerId) {
+        self.module.on_wake_up(ticket);
     }
 }
--- a/crates/agent/src/peers.rs
+++ b/crates/agent/src/peers.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use async_io::Async;
-use lilacgate_decision::port::{AgentId, Hears};
+use lilacgate_decision::{AgentId, EventHandler};
 
 use crate::hub::{Hub, Tells};
 use crate::log::{Count, End, count, say};
@@ -49,7 +49,7 @@
                         count(Count::PeersIn);
                         let octets = octets[..len].to_vec();
                         self.hub
-                            .tell(move |ear| ear.peer(AgentId(peer as u32), &octets));
+                            .tell(move |ear| ear.on_peer_message(AgentId(peer as u32), &octets));
                     }
                     _ => {
                         count(Count::Strangers);
--- a/crates/agent/src/platform.rs
+++ b/crates/agent/src/platform.rs
@@ -7,7 +7,8 @@
 use std::time::Duration;
 
 use async_io::Async;
-use lilacgate_decision::port::*;
+use lilacgate_decision::EventHandler as _;
+use lilacgate_decision::{Build, Outcome, Stage, Vote};
 use lilacgate_start_settings::Paths;
 
 use crate::desk::{self, Bound, Desk, Ears as _, LINE, News};
@@ -37,7 +38,7 @@
 
 /// News as a call on the module.
 pub fn hear(news: News) -> impl FnOnce(&mut Ears) + 'static {
-    move |ear| ear.stage(news.build, news.stage, news.course, news.cap, news.age)
+    move |ear| ear.on_release_status(news.build, news.stage, news.course, news.cap, news.age)
 }
 
 /// Passes the platform's own news on.
@@ -77,14 +78,14 @@
 }
 
 impl Votes for Platform {
-    fn vote(self: Rc<Self>, build: Build, stage: Stage, verdict: Verdict) {
+    fn vote(self: Rc<Self>, build: Build, stage: Stage, verdict: Vote) {
         count(Count::Votes);
         let me = self.clone();
         let word = match verdict {
-            Verdict::Withdraw => "abstain",
-            Verdict::On => "promote",
-            Verdict::Hold => "pause",
-            Verdict::Back => "abort",
+            Vote::Retract => "abstain",
+            Vote::Advance => "promote",
+            Vote::Hold => "pause",
+            Vote::RollBack => "abort",
         };
         let params = format!(
             ",\"params\":{{\"Revision\":{},\"Wave\":{},\"Decision\":{}}}",
@@ -103,20 +104,20 @@
                     );
                     // It may have been carried out, once it was written.
                     if written.get() {
-                        Ending::TimedOut
+                        Outcome::TimedOut
                     } else {
-                        Ending::Unconnected
+                        Outcome::ConnectFailed
                     }
                 }
             };
-            me.hub.tell(move |ear| ear.vote_answered(ending));
+            me.hub.tell(move |ear| ear.on_vote_answered(ending));
         });
     }
 }
 
 impl Platform {
     /// Asks on the kept connection, if it still stands, or on a new one.
-    async fn ask(&self, params: &str, written: &Cell<bool>) -> Result<Ending, End> {
+    async fn ask(&self, params: &str, written: &Cell<bool>) -> Result<Outcome, End> {
         let kept = self.kept.take();
         let to = self.desk.place.at();
         let kept = kept.filter(|line| line.to == to).and_then(|mut line| {
@@ -149,15 +150,15 @@
     }
 
     /// How a vote's call ended, by an answer that can be read whole.
-    fn read(&self, answer: &Json) -> Option<Ending> {
+    fn read(&self, answer: &Json) -> Option<Outcome> {
         if let Some(state) = answer.get("result") {
             desk::news(state).map(|news| self.told.news(news))?;
-            return Some(Ending::Served);
+            return Some(Outcome::Succeeded);
         }
         Some(match answer.get("error")?.get("message")?.text()? {
-            "limit" => Ending::TurnedAway,
-            "moot" => Ending::Unsent,
-            "error" | "malformed" => Ending::Failed,
+            "limit" => Outcome::Rejected,
+            "moot" => Outcome::NotSent,
+            "error" | "malformed" => Outcome::Failed,
             _ => return None,
         })
     }
--- a/crates/agent/src/recorder.rs
+++ b/crates/agent/src/recorder.rs
@@ -5,7 +5,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use lilacgate_decision::port::*;
+use lilacgate_decision::{AttemptNumber, EndpointId, Outcome, RequestClass, RequestId};
 use lilacgate_operator_config::Timeline;
 use lilacgate_start_settings::Paths;
 use lilacgate_store::frames;
@@ -26,12 +26,12 @@
 /// What happens with each request: put aside as it is, and told to the book many at a time, which costs a third of it.
 #[derive(Clone, Copy)]
 pub enum Deed {
-    Request(RequestId, Product),
-    Attempt(RequestId, AttemptNumber, ApplianceId),
+    Request(RequestId, RequestClass),
+    Attempt(RequestId, AttemptNumber, EndpointId),
     Ended(
         (RequestId, AttemptNumber),
-        ApplianceId,
-        Ending,
+        EndpointId,
+        Outcome,
         Duration,
         bool,
     ),
@@ -64,7 +64,7 @@
     aside: RefCell<Vec<(Duration, Deed)>>,
     on: Cell<bool>,
     /// The names of nodes: they outlast the book.
-    names: RefCell<Vec<(ApplianceId, String)>>,
+    names: RefCell<Vec<(EndpointId, String)>>,
 }
 
 impl Recorder {
@@ -155,7 +155,7 @@
             products: self.told.products.clone(),
         };
         let names = self.names.borrow();
-        let name = |(node, name): &(ApplianceId, String)| Record::Name {
+        let name = |(node, name): &(EndpointId, String)| Record::Name {
             node: node.0,
             name: name.clone(),
         };
@@ -165,7 +165,7 @@
     }
 
     /// A node's number and name.
-    pub fn named(&self, node: ApplianceId, name: &str) {
+    pub fn named(&self, node: EndpointId, name: &str) {
         let mut names = self.names.borrow_mut();
         if !names.iter().any(|(known, _)| *known == node) {
             // As many names as a list may hold; what is gone for long is not needed.
--- a/crates/agent/src/releases.rs
+++ b/crates/agent/src/releases.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use async_channel::Sender;
-use lilacgate_decision::port::Tenant;
+use lilacgate_decision::Tenant;
 use lilacgate_operator_config::{Known, Operator, Releases, Timeline};
 use lilacgate_releases::facts::Told;
 use lilacgate_releases::gate::Gate;
--- a/crates/agent/tests/inside.rs
+++ b/crates/agent/tests/inside.rs
@@ -7,7 +7,10 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use lilacgate_decision::port::*;
+use lilacgate_decision::{
+    AttemptNumber, Build, Endpoint, EndpointId, EndpointStatus, EventHandler, ListUpdate, Outcome,
+    ReleasePhase, Request, RequestClass, RequestId, Stage, Tenant,
+};
 use lilacgate_start_settings::Paths;
 use lilacgate_test_bed::decided::Decided;
 use lilacgate_test_bed::notation::bytes;
@@ -125,42 +128,42 @@
 #[derive(Default)]
 struct Ear {
     may_go: bool,
-    ended: Option<Ending>,
-    loads: Vec<(ApplianceId, Vec<f32>)>,
+    ended: Option<Outcome>,
+    loads: Vec<(EndpointId, Vec<f32>)>,
 }
 
-impl Hears for Ear {
-    fn request(&mut self, _: RequestId, _: Request) {}
-    fn ended(
+impl EventHandler for Ear {
+    fn on_request(&mut self, _: RequestId, _: Request) {}
+    fn on_attempt_ended(
         &mut self,
         _: RequestId,
         _: AttemptNumber,
-        _: ApplianceId,
-        ending: Ending,
+        _: EndpointId,
+        ending: Outcome,
         _: Duration,
         _: bool,
     ) {
         self.ended = Some(ending);
     }
-    fn stream_begun(&mut self, _: RequestId, _: AttemptNumber, _: ApplianceId, _: Duration) {}
-    fn client_left(&mut self, _: RequestId) {}
-    fn may_go(&mut self, _: RequestId, _: AttemptNumber) -> bool {
+    fn on_response_started(&mut self, _: RequestId, _: AttemptNumber, _: EndpointId, _: Duration) {}
+    fn on_client_left(&mut self, _: RequestId) {}
+    fn may_send(&mut self, _: RequestId, _: AttemptNumber) -> bool {
         self.may_go
     }
-    fn membership(&mut self, _: Listing, _: &mut dyn Iterator<Item = Line>) {}
-    fn load(&mut self, at: ApplianceId, gauges: &[f32]) {
+    fn on_endpoints(&mut self, _: ListUpdate, _: &mut dyn Iterator<Item = Endpoint>) {}
+    fn on_load_report(&mut self, at: EndpointId, gauges: &[f32]) {
         self.loads.push((at, gauges.to_vec()));
     }
-    fn probed(&mut self, _: ApplianceId, ending: Ending, _: Duration) {
+    fn on_health_check(&mut self, _: EndpointId, ending: Outcome, _: Duration) {
         self.ended = Some(ending);
     }
-    fn stage(&mut self, _: Build, _: Stage, _: Course, _: f64, _: Duration) {}
-    fn vote_answered(&mut self, _: Ending) {}
-    fn wrong_answer(&mut self, _: ApplianceId, _: Product, _: Duration) {}
+    fn on_release_status(&mut self, _: Build, _: Stage, _: ReleasePhase, _: f64, _: Duration) {}
+    fn on_vote_answered(&mut self, _: Outcome) {}
+    fn on_wrong_answer(&mut self, _: EndpointId, _: RequestClass, _: Duration) {}
 }
 
 impl Ear {
-    fn until_ended(&mut self, hub: &Hub) -> Option<Ending> {
+    fn until_ended(&mut self, hub: &Hub) -> Option<Outcome> {
         async_io::block_on(hub.run(async {
             while self.ended.is_none() {
                 hub.hear(&mut Ears {
@@ -184,10 +187,10 @@
     let appliances = Appliances::new(hub.clone(), &Paths::from_lines(told), links).expect("links");
     let post = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let (model, build, cell, zone) = Default::default();
-    let (appliance, mode, weight, started) = (ApplianceId(1), Mode::Ready, 1.0, None);
-    let line = Line {
-        appliance,
-        mode,
+    let (appliance, mode, weight, started) = (EndpointId(1), EndpointStatus::Ready, 1.0, None);
+    let line = Endpoint {
+        id: appliance,
+        status: mode,
         model,
         weight,
         started,
@@ -202,15 +205,15 @@
 /// What waited for its link goes only if the owner of the queue says so; else it ends as unsent, with no byte out. A
 /// lack of links of its own, and an appliance without an address, are unsent too: they say nothing of the appliance.
 #[rstest]
-#[case::goes(true, 9, 1, Ending::TurnedAway)]
-#[case::may_not(false, 9, 1, Ending::Unsent)]
-#[case::no_link_left(true, 0, 1, Ending::Unsent)]
-#[case::no_address(true, 9, 2, Ending::Unsent)]
+#[case::goes(true, 9, 1, Outcome::Rejected)]
+#[case::may_not(false, 9, 1, Outcome::NotSent)]
+#[case::no_link_left(true, 0, 1, Outcome::NotSent)]
+#[case::no_address(true, 9, 2, Outcome::NotSent)]
 fn asked_before_the_first_byte(
     #[case] may_go: bool,
     #[case] links: usize,
     #[case] to: u32,
-    #[case] want: Ending,
+    #[case] want: Outcome,
 ) {
     let (hub, appliances, post) = linked(links);
     let came = std::thread::spawn(move || {
@@ -224,7 +227,7 @@
     let words: Wording = Rc::new(|_| b"hello".to_vec());
     appliances.clone().send_attempt(
         (RequestId(0), AttemptNumber(0)),
-        ApplianceId(to),
+        EndpointId(to),
         words,
         now,
         now + Duration::from_secs(9),
@@ -243,12 +246,12 @@
 /// An answer that breaks off at any byte may have run; whole, it counts, though its connection ends or is reset in the same
 /// instant. Nothing is ever taken for never-ran once the last byte is out.
 #[rstest]
-#[case::served("*3\r\n$5\r\nvalue\r\n$-1\r\n$3\r\nu=1\r\n", Ending::Served)]
-#[case::failed("-ERR failed util=0.5\r\n", Ending::Failed)]
-#[case::turned_away("-BUSY\r\n", Ending::TurnedAway)]
+#[case::served("*3\r\n$5\r\nvalue\r\n$-1\r\n$3\r\nu=1\r\n", Outcome::Succeeded)]
+#[case::failed("-ERR failed util=0.5\r\n", Outcome::Failed)]
+#[case::turned_away("-BUSY\r\n", Outcome::Rejected)]
 fn an_answer_cut_at_each_byte(
     #[case] answer: &'static str,
-    #[case] whole: Ending,
+    #[case] whole: Outcome,
     #[values(false, true)] reset: bool,
 ) {
     for cut in 0..=answer.len() {
@@ -265,7 +268,7 @@
         let words: Wording = Rc::new(|_| b"hello".to_vec());
         appliances.send_attempt(
             (RequestId(0), AttemptNumber(0)),
-            ApplianceId(1),
+            EndpointId(1),
             words,
             now,
             now + Duration::from_secs(9),
@@ -277,7 +280,7 @@
         let want = if cut == answer.len() {
             whole
         } else {
-            Ending::Broken
+            Outcome::ConnectionLost
         };
         assert_eq!(ear.until_ended(&hub), Some(want), "cut at {cut}");
     }
@@ -285,13 +288,13 @@
 
 /// A probe's answer, and the fields of its report in the module's order, whatever else the report holds.
 #[rstest]
-#[case::report("$28\r\nutil=0.61,queue=2,lat_ms=3.5\r\n", Ending::Served, &[3.5, 0.61])]
-#[case::none("$-1\r\n", Ending::Served, &[])]
-#[case::nonsense("$9\r\nlat_ms=??\r\n", Ending::Served, &[])]
-#[case::error("-NOPERM\r\n", Ending::Failed, &[])]
-#[case::wrong("*x\r\n", Ending::Spoilt, &[])]
-#[case::odd(":3\r\n", Ending::Spoilt, &[])]
-fn probes(#[case] answer: &'static str, #[case] want: Ending, #[case] gauges: &[f32]) {
+#[case::report("$28\r\nutil=0.61,queue=2,lat_ms=3.5\r\n", Outcome::Succeeded, &[3.5, 0.61])]
+#[case::none("$-1\r\n", Outcome::Succeeded, &[])]
+#[case::nonsense("$9\r\nlat_ms=??\r\n", Outcome::Succeeded, &[])]
+#[case::error("-NOPERM\r\n", Outcome::Failed, &[])]
+#[case::wrong("*x\r\n", Outcome::Malformed, &[])]
+#[case::odd(":3\r\n", Outcome::Malformed, &[])]
+fn probes(#[case] answer: &'static str, #[case] want: Outcome, #[case] gauges: &[f32]) {
     let (hub, appliances, post) = linked(9);
     std::thread::spawn(move || {
         let mut conn = post.accept().expect("a link").0;
@@ -301,7 +304,7 @@
         conn.write_all(answer.as_bytes()).ok();
         conn.read_to_end(&mut Vec::new()).ok();
     });
-    appliances.clone().probe(ApplianceId(1));
+    appliances.clone().probe(EndpointId(1));
     let mut ear = Ear::default();
     assert_eq!(ear.until_ended(&hub), Some(want));
     let loads = ear
@@ -418,24 +421,24 @@
                 recorder,
                 now,
             });
-            module.stage(
+            module.on_release_status(
                 Build(2),
                 Stage(3),
-                Course::Released,
+                ReleasePhase::Released,
                 1.0,
                 Duration::from_secs(9),
             );
             let deadline = now + Duration::from_secs(9);
-            let (product, tenant) = (Product(0), Tenant(0));
+            let (product, tenant) = (RequestClass(0), Tenant(0));
             let request = Request {
-                product,
+                class: product,
                 tenant,
-                mark: None,
+                idempotency_key: None,
                 deadline,
-                hint: None,
-                repeated: false,
+                estimated_work: None,
+                is_retry: false,
             };
-            (0..10).for_each(|id| module.request(RequestId(id), request));
+            (0..10).for_each(|id| module.on_request(RequestId(id), request));
         },
         &mut out,
     );
--- a/crates/agent/tests/numbers.rs
+++ b/crates/agent/tests/numbers.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use lilacgate_agent::numbers::Numbers;
-use lilacgate_decision::port::ApplianceId;
+use lilacgate_decision::EndpointId;
 use proptest::prelude::*;
 use rstest::rstest;
 
@@ -41,7 +41,7 @@
     );
     assert_eq!(numbers.assign(ONE_HASH[0]).0, FIRST_NUMBER);
     // The first is gone: the second keeps its number, and the first gets its own again.
-    numbers.retain(|number| number != ApplianceId(FIRST_NUMBER));
+    numbers.retain(|number| number != EndpointId(FIRST_NUMBER));
     assert_eq!(numbers.get(ONE_HASH[0]), None);
     assert_eq!(numbers.assign(ONE_HASH[1]).0, FIRST_NUMBER + 1);
     assert_eq!(numbers.assign(ONE_HASH[0]).0, FIRST_NUMBER);
--- a/crates/capacity/src/verdict.rs
+++ b/crates/capacity/src/verdict.rs
@@ -1,6 +1,6 @@
 //! How long a release's test takes to turn back a bad build.
 //!
-//! The test is [`lilacgate_decision::brain::Test`]; what surrounds it (who reports what
+//! The test is [`lilacgate_decision::Test`]; what surrounds it (who reports what
 //! to whom, and when a test speaks) is modelled here in virtual time for one
 //! service. Requests of each agent arrive by chance at the mean rate of one
 //! agent and service. An agent counts an outcome of an earlier build only while
@@ -12,8 +12,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use lilacgate_decision::brain::Test;
-use lilacgate_decision::port::ApplianceId;
+use lilacgate_decision::{EndpointId, Test};
 use rand::{RngExt, SeedableRng};
 use rand_distr::{Distribution, Exp};
 use rand_pcg::Pcg64Mcg;
@@ -258,7 +257,7 @@
 }
 
 /// The trial appliance, if it is one, and the route.
-type OutcomeKey = (Option<ApplianceId>, u16);
+type OutcomeKey = (Option<EndpointId>, u16);
 
 /// Outcomes of one appliance and route.
 #[derive(Clone, Copy, Debug, Default)]
@@ -391,16 +390,16 @@
         false
     }
 
-    fn choose_trial(&mut self) -> Option<ApplianceId> {
+    fn choose_trial(&mut self) -> Option<EndpointId> {
         if self.random.random::<f64>() >= self.case.trial_share {
             return None;
         }
         let on_trial = f64::from(self.case.appliances) * self.case.trial_share;
         let on_trial = (on_trial.round() as u32).max(1);
-        Some(ApplianceId(self.random.random_range(0..on_trial)))
+        Some(EndpointId(self.random.random_range(0..on_trial)))
     }
 
-    fn failure_share(&self, trial: Option<ApplianceId>) -> f64 {
+    fn failure_share(&self, trial: Option<EndpointId>) -> f64 {
         let more = if trial.is_some() {
             self.case.failure_share
         } else {
@@ -434,7 +433,7 @@
         }
     }
 
-    fn learn(&mut self, trial: Option<ApplianceId>, route: u16, counts: Counts) {
+    fn learn(&mut self, trial: Option<EndpointId>, route: u16, counts: Counts) {
         let all = self.tests.len() - 1;
         for index in [usize::from(route), all] {
             self.tests[index].observe(trial, counts);
@@ -452,7 +451,7 @@
 struct RouteTest {
     test: Test,
     earlier: (f64, f64),
-    by_appliance: BTreeMap<ApplianceId, (f64, f64)>,
+    by_appliance: BTreeMap<EndpointId, (f64, f64)>,
 }
 
 impl RouteTest {
@@ -464,7 +463,7 @@
         }
     }
 
-    fn observe(&mut self, trial: Option<ApplianceId>, counts: Counts) {
+    fn observe(&mut self, trial: Option<EndpointId>, counts: Counts) {
         let (outcomes, failures) = (f64::from(counts.outcomes), f64::from(counts.failures));
         self.test.observe(trial, outcomes, failures);
         let sums = match trial {
--- a/crates/ctl/src/chart.rs
+++ b/crates/ctl/src/chart.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use jiff::tz::TimeZone;
-use lilacgate_decision::port::Build;
+use lilacgate_decision::Build;
 use lilacgate_releases::model::{Rules, ServiceId};
 use lilacgate_releases::planner::{Plan, Step};
 use plotters::prelude::*;
--- a/crates/ctl/src/releases.rs
+++ b/crates/ctl/src/releases.rs
@@ -6,7 +6,7 @@
 use clap::{Args, Subcommand};
 use comfy_table::{Table, presets};
 use jiff::tz::TimeZone;
-use lilacgate_decision::port::{Build, Product, Tenant, Zone};
+use lilacgate_decision::{Build, RequestClass, Tenant, Zone};
 use lilacgate_operator_config::{Known, load};
 use lilacgate_releases::gate::Gate;
 use lilacgate_releases::model::{Rules, ServiceId};
@@ -155,7 +155,12 @@
             for &z in &zones {
                 for &f in &firms {
                     for &p in &products {
-                        let place = (build, Zone(z as u8), Tenant(f as u16), Product(p as u8));
+                        let place = (
+                            build,
+                            Zone(z as u8),
+                            Tenant(f as u16),
+                            RequestClass(p as u8),
+                        );
                         rows.push(self.row(&gate, place)?);
                     }
                 }
@@ -224,7 +229,11 @@
         Ok(all_open)
     }
 
-    fn row(&self, gate: &Gate, place: (Build, Zone, Tenant, Product)) -> Result<Value, Unusable> {
+    fn row(
+        &self,
+        gate: &Gate,
+        place: (Build, Zone, Tenant, RequestClass),
+    ) -> Result<Value, Unusable> {
         let (build, zone, firm, product) = place;
         let rules = gate.rules();
         let admits = gate.admits(build, zone, firm, product);
@@ -260,7 +269,7 @@
     fn opens_at(
         &self,
         from: Duration,
-        (build, zone, firm, product): (Build, Zone, Tenant, Product),
+        (build, zone, firm, product): (Build, Zone, Tenant, RequestClass),
     ) -> Result<Option<Duration>, Unusable> {
         let mut gate = self.gate(Some(from))?;
         for _ in 0..CHANGES {
--- a/crates/decision/examples/round_cost.rs
+++ b/crates/decision/examples/round_cost.rs
@@ -6,41 +6,44 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use lilacgate_decision::brain::Brain;
-use lilacgate_decision::parts::*;
-use lilacgate_decision::port::*;
+use lilacgate_decision::{
+    Actions, AdvanceRule, AgentId, AttemptNumber, Build, Cell, ClassPolicy, DecisionEngine,
+    Endpoint, EndpointDiscovery, EndpointId, EndpointStatus, EventHandler, Exposure, FleetPosition,
+    Idempotency, ListUpdate, Model, Outcome, PendingRequests, ReleaseAnalysis, ReleasePhase,
+    Request, RequestClass, RequestId, SlowStart, Stage, Tenant, TimerId, Vote, VoteTiming, Zone,
+};
 use rustix::time::{ClockId, clock_gettime};
 
 const DAWN: Duration = Duration::from_secs(100);
 const TICK: Duration = Duration::from_millis(5);
 const ANSWER_TIME: Duration = Duration::from_millis(100);
-const READ: Terms = Terms {
-    repeat: Repeat::InquiryLike,
-    sla: Duration::from_millis(500),
+const READ: ClassPolicy = ClassPolicy {
+    idempotency: Idempotency::Idempotent,
+    latency_objective: Duration::from_millis(500),
     deadline: Duration::from_secs(2),
-    remembered: Duration::ZERO,
-    revenue: 1.0,
-    late_share: 0.0,
+    deduplication_window: Duration::ZERO,
+    priority_weight: 1.0,
+    late_weight_share: 0.0,
 };
 
-fn module() -> Brain {
+fn module() -> DecisionEngine {
     let ms = Duration::from_millis;
-    let among = Among {
-        me: AgentId(17),
-        agents: 530,
-        may_tell: true,
+    let among = FleetPosition {
+        own_id: AgentId(17),
+        agent_count: 530,
+        can_message_peers: true,
     };
-    let calls = Calls {
-        lasts: ms(6000),
-        wait: ms(1200),
+    let calls = VoteTiming {
+        validity: ms(6000),
+        call_timeout: ms(1200),
     };
-    Brain::new(
+    DecisionEngine::new(
         1,
-        Membership::new(Zone(0), None),
-        Thaw::new(0.34, ms(4000), 2.5, ms(1000)),
+        EndpointDiscovery::new(Zone(0), None),
+        SlowStart::new(0.34, ms(4000), 2.5, ms(1000)),
         Exposure::new(ms(4000), TICK, 3.0, 0.1, false, 1, false),
-        Jury::new(
-            Gate::Single,
+        ReleaseAnalysis::new(
+            AdvanceRule::Single,
             vec![0.1, 0.5, 1.0],
             ms(900),
             calls,
@@ -48,7 +51,7 @@
             among,
             1,
         ),
-        Desk::new(vec![READ], 3, true, ms(2000), TICK),
+        PendingRequests::new(vec![READ], 3, true, ms(2000), TICK),
     )
 }
 
@@ -64,13 +67,13 @@
     ZoneBack,
 }
 
-fn line(i: u32) -> Line {
-    let appliance = ApplianceId(i.wrapping_mul(0x9E37_79B9));
-    let (model, build, mode) = (Model((i % 3) as u8), Build(1), Mode::Ready);
+fn line(i: u32) -> Endpoint {
+    let appliance = EndpointId(i.wrapping_mul(0x9E37_79B9));
+    let (model, build, mode) = (Model((i % 3) as u8), Build(1), EndpointStatus::Ready);
     let (cell, zone) = (Cell((i / 5) as u16), Zone((i % 8) as u8));
-    Line {
-        appliance,
-        mode,
+    Endpoint {
+        id: appliance,
+        status: mode,
         model,
         weight: 4.0,
         started: None,
@@ -83,27 +86,27 @@
 /// The attempts decided in a round, and when the module wants to be woken.
 #[derive(Default)]
 struct Decided {
-    sent: Vec<(RequestId, ApplianceId)>,
+    sent: Vec<(RequestId, EndpointId)>,
     wakes: Vec<Duration>,
 }
 
-impl Decisions for Decided {
-    fn send_attempt(&mut self, id: RequestId, to: ApplianceId, _: Duration) {
+impl Actions for Decided {
+    fn send_attempt(&mut self, id: RequestId, to: EndpointId, _: Duration) {
         self.sent.push((id, to));
     }
-    fn decline(&mut self, _: RequestId, _: Duration) {}
-    fn void(&mut self, _: RequestId) {}
-    fn call_off(&mut self, _: RequestId, _: AttemptNumber) {}
-    fn wake(&mut self, at: Duration, _: Ticket) {
+    fn reject(&mut self, _: RequestId, _: Duration) {}
+    fn fail(&mut self, _: RequestId) {}
+    fn cancel(&mut self, _: RequestId, _: AttemptNumber) {}
+    fn schedule_wake_up(&mut self, at: Duration, _: TimerId) {
         self.wakes.push(at);
     }
-    fn probe(&mut self, _: ApplianceId) {}
-    fn free_links(&mut self, _: ApplianceId) {}
-    fn tell(&mut self, _: Option<AgentId>, _: &[u8]) {}
+    fn check_health(&mut self, _: EndpointId) {}
+    fn close_idle_connections(&mut self, _: EndpointId) {}
+    fn send_to_peer(&mut self, _: Option<AgentId>, _: &[u8]) {}
     fn log(&mut self, _: &str) {}
-    fn watch_membership(&mut self, _: bool) {}
-    fn fetch_membership(&mut self) {}
-    fn vote(&mut self, _: Build, _: Stage, _: Verdict) {}
+    fn watch_endpoints(&mut self, _: bool) {}
+    fn fetch_endpoints(&mut self) {}
+    fn vote(&mut self, _: Build, _: Stage, _: Vote) {}
 }
 
 /// Processor time of this thread.
@@ -115,7 +118,7 @@
 /// What happens at a time, besides wake-ups.
 enum Event {
     Request(u32),
-    Answer(RequestId, AttemptNumber, ApplianceId),
+    Answer(RequestId, AttemptNumber, EndpointId),
     Change(u32),
     ZoneBack,
 }
@@ -123,21 +126,21 @@
 #[derive(Default)]
 struct Cost {
     rounds: Vec<Duration>,
-    used: BTreeSet<ApplianceId>,
+    used: BTreeSet<EndpointId>,
     visited: u64,
 }
 
 /// How an attempt ends.
-fn ending(scene: Scene, id: RequestId, at: ApplianceId) -> Ending {
+fn ending(scene: Scene, id: RequestId, at: EndpointId) -> Outcome {
     match scene {
-        Scene::Faults if at.0.is_multiple_of(20) => Ending::Unconnected,
-        Scene::Faults if id.0.is_multiple_of(10) => Ending::Failed,
-        _ => Ending::Served,
+        Scene::Faults if at.0.is_multiple_of(20) => Outcome::ConnectFailed,
+        Scene::Faults if id.0.is_multiple_of(10) => Outcome::Failed,
+        _ => Outcome::Succeeded,
     }
 }
 
 /// The list's lines for a scene.
-fn listing(listed: u32, scene: Scene) -> Vec<Line> {
+fn listing(listed: u32, scene: Scene) -> Vec<Endpoint> {
     let build = |i: u32| {
         if scene == Scene::Trial && i.is_multiple_of(2) {
             Build(2)
@@ -146,7 +149,7 @@
         }
     };
     (0..listed)
-        .map(|i| Line {
+        .map(|i| Endpoint {
             build: build(i),
             ..line(i)
         })
@@ -194,15 +197,27 @@
     let whole = listing(listed, scene);
     let mut attempts: BTreeMap<RequestId, u8> = BTreeMap::new();
     let mut decided = Decided::default();
-    let list = |brain: &mut Brain, now, decided: &mut Decided| {
+    let list = |brain: &mut DecisionEngine, now, decided: &mut Decided| {
         let lines = whole.clone();
         let began = spent();
-        let hear = |ears: &mut dyn Hears| {
-            ears.stage(Build(1), Stage(2), Course::Released, 1.0, Duration::ZERO);
+        let hear = |ears: &mut dyn EventHandler| {
+            ears.on_release_status(
+                Build(1),
+                Stage(2),
+                ReleasePhase::Released,
+                1.0,
+                Duration::ZERO,
+            );
             if scene == Scene::Trial {
-                ears.stage(Build(2), Stage(1), Course::OnTrial, 0.6, Duration::ZERO);
+                ears.on_release_status(
+                    Build(2),
+                    Stage(1),
+                    ReleasePhase::Canary,
+                    0.6,
+                    Duration::ZERO,
+                );
             }
-            ears.membership(Listing::Whole, &mut lines.into_iter());
+            ears.on_endpoints(ListUpdate::Full, &mut lines.into_iter());
         };
         brain.round(now, hear, decided);
         spent() - began
@@ -226,52 +241,52 @@
         let later = events.split_off(&(now, u32::MAX));
         let due = std::mem::replace(&mut events, later);
         let began = spent();
-        let hear = |ears: &mut dyn Hears| {
+        let hear = |ears: &mut dyn EventHandler| {
             for event in due.into_values() {
                 match event {
                     Event::Request(i) => {
-                        let (product, tenant, mark) = (Product(0), Tenant(0), None);
+                        let (product, tenant, mark) = (RequestClass(0), Tenant(0), None);
                         let (deadline, hint) = (now + READ.deadline, Some(ANSWER_TIME));
-                        ears.request(
+                        ears.on_request(
                             RequestId(i),
                             Request {
-                                product,
+                                class: product,
                                 tenant,
-                                mark,
+                                idempotency_key: mark,
                                 deadline,
-                                hint,
-                                repeated: false,
+                                estimated_work: hint,
+                                is_retry: false,
                             },
                         );
                     }
                     Event::Answer(id, attempt, at) => {
                         let ending = ending(scene, id, at);
-                        ears.ended(
+                        ears.on_attempt_ended(
                             id,
                             attempt,
                             at,
                             ending,
                             ANSWER_TIME,
-                            ending == Ending::Served,
+                            ending == Outcome::Succeeded,
                         );
                     }
                     Event::ZoneBack => {
                         let lost = whole.iter().filter(|line| line.zone == Zone(0));
-                        let back: Vec<Line> = lost
-                            .map(|l| Line {
+                        let back: Vec<Endpoint> = lost
+                            .map(|l| Endpoint {
                                 started: Some(now),
                                 ..*l
                             })
                             .collect();
-                        ears.membership(Listing::Changes, &mut back.into_iter());
+                        ears.on_endpoints(ListUpdate::Delta, &mut back.into_iter());
                     }
                     Event::Change(i) => {
                         let started = Some(now);
-                        let one = Line {
+                        let one = Endpoint {
                             started,
                             ..whole[(i.wrapping_mul(7919) % listed) as usize]
                         };
-                        ears.membership(Listing::Changes, &mut [one].into_iter());
+                        ears.on_endpoints(ListUpdate::Delta, &mut [one].into_iter());
                     }
                 }
             }
--- a/crates/decision/src/attempts.rs
+++ b/crates/decision/src/attempts.rs
@@ -1,24 +1,29 @@
 //! Records an attempt that was decided, wherever something depends on it, and hands it out.
 use std::time::Duration;
 
-use crate::brain::Brain;
+use crate::actions::{Actions, Note};
+use crate::brain::DecisionEngine;
 use crate::fleet::Out;
-use crate::port::*;
+use crate::model::{AttemptNumber, EndpointId, RequestId};
 use crate::state::Attempt;
 
-impl Brain {
-    pub(crate) fn send_attempt(&mut self, id: RequestId, to: ApplianceId, out: &mut dyn Decisions) {
+impl DecisionEngine {
+    pub(crate) fn send_attempt(&mut self, id: RequestId, to: EndpointId, out: &mut dyn Actions) {
         let now = self.now;
         let (Some(h), Some(a)) = (
-            self.desk.held.get_mut(&id),
-            self.membership.fleet.used.get_mut(&to),
+            self.pending.requests.get_mut(&id),
+            self.discovery.fleet.used.get_mut(&to),
         ) else {
             return;
         };
-        let (request, build, work, group) =
-            (h.request, a.line.build, h.work, (a.line.zone, a.line.cell));
+        let (request, build, work, group) = (
+            h.request,
+            a.endpoint.build,
+            h.work,
+            (a.endpoint.zone, a.endpoint.cell),
+        );
         if self.exposure.bound(build).is_some() {
-            let lane = self.exposure.lane(request.product);
+            let lane = self.exposure.lane(request.class);
             self.exposure
                 .windows
                 .sent
@@ -27,25 +32,25 @@
                 .push_back(now);
         }
         let attempt = AttemptNumber(h.attempts.len() as u8);
-        let young = self.jury.own.on_trial(build) && self.thaw.young(&a.line, now);
+        let young = self.analysis.own.on_trial(build) && self.slow_start.young(&a.endpoint, now);
         let out_there = Out {
             sent: now,
             work,
-            product: request.product,
+            class: request.class,
             build,
             young,
             mute: a.barred(),
         };
-        self.stock
+        self.load
             .notes
             .extend(out_there.mute.then_some(Note::Tried(to)));
-        a.sent(now, self.thaw.span, (id, attempt), out_there);
+        a.sent(now, self.slow_start.span, (id, attempt), out_there);
         h.attempts.push(Attempt {
             to,
             build,
             group,
             sent: now,
-            ending: None,
+            outcome: None,
             called_off: false,
         });
         // Until it is proved not to have run, it may have: the group and window of a repeat are fixed by it.
--- a/crates/decision/src/catalog.rs
+++ b/crates/decision/src/catalog.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use crate::port::*;
+use crate::model::{Build, Cell, Endpoint, EndpointId, EndpointStatus, Zone};
 use crate::subset::{Position, Ring, rank};
 
 /// Up to so many changes are made one by one; of more, the indexes are built anew.
@@ -14,10 +14,10 @@
 /// The ready appliances of one build in one zone.
 #[derive(Default)]
 pub(crate) struct Pool {
-    ring: Vec<(Position, ApplianceId)>,
+    ring: Vec<(Position, EndpointId)>,
     weight: f64,
     /// Those that are known to have started, the latest last, with their weights.
-    starts: Vec<(Duration, ApplianceId, f32)>,
+    starts: Vec<(Duration, EndpointId, f32)>,
 }
 
 impl Pool {
@@ -38,13 +38,14 @@
     }
 
     /// Adds an appliance at the end of each index; the order is to be made afterwards.
-    fn push(&mut self, line: &Line) {
+    fn push(&mut self, endpoint: &Endpoint) {
         self.ring
-            .push((Position::of_appliance(line.appliance), line.appliance));
-        self.weight += f64::from(line.weight);
+            .push((Position::of_appliance(endpoint.id), endpoint.id));
+        self.weight += f64::from(endpoint.weight);
         self.starts.extend(
-            line.started
-                .map(|start| (start, line.appliance, line.weight)),
+            endpoint
+                .started
+                .map(|start| (start, endpoint.id, endpoint.weight)),
         );
     }
 
@@ -54,26 +55,27 @@
             .sort_unstable_by_key(|(start, id, _)| (*start, *id));
     }
 
-    fn insert(&mut self, line: &Line) {
-        let place = (Position::of_appliance(line.appliance), line.appliance);
+    fn insert(&mut self, endpoint: &Endpoint) {
+        let place = (Position::of_appliance(endpoint.id), endpoint.id);
         insert_sorted(&mut self.ring, place);
-        self.weight += f64::from(line.weight);
-        if let Some(start) = line.started {
+        self.weight += f64::from(endpoint.weight);
+        if let Some(start) = endpoint.started {
             let at = self
                 .starts
-                .partition_point(|(s, id, _)| (*s, *id) < (start, line.appliance));
-            self.starts.insert(at, (start, line.appliance, line.weight));
+                .partition_point(|(s, id, _)| (*s, *id) < (start, endpoint.id));
+            self.starts
+                .insert(at, (start, endpoint.id, endpoint.weight));
         }
     }
 
-    fn remove(&mut self, line: &Line) {
+    fn remove(&mut self, endpoint: &Endpoint) {
         remove_sorted(
             &mut self.ring,
-            &(Position::of_appliance(line.appliance), line.appliance),
+            &(Position::of_appliance(endpoint.id), endpoint.id),
         );
-        self.weight -= f64::from(line.weight);
-        if let Some(start) = line.started {
-            let key = (start, line.appliance);
+        self.weight -= f64::from(endpoint.weight);
+        if let Some(start) = endpoint.started {
+            let key = (start, endpoint.id);
             if let Ok(at) = self
                 .starts
                 .binary_search_by_key(&key, |(s, id, _)| (*s, *id))
@@ -99,10 +101,10 @@
 #[derive(Default)]
 pub(crate) struct Catalog {
     /// Ready and draining ones, by number.
-    rows: Vec<Line>,
+    rows: Vec<Endpoint>,
     pools: BTreeMap<(Build, Zone), Pool>,
     /// Ready ones, by cell.
-    cells: Vec<(Cell, ApplianceId)>,
+    cells: Vec<(Cell, EndpointId)>,
     /// Listed weight of all ready ones.
     weight: f64,
     /// Rows looked at since the start, here and in the records of [`crate::fleet::Fleet`].
@@ -114,14 +116,14 @@
         self.rows.len()
     }
 
-    pub(crate) fn rows(&self) -> impl Iterator<Item = &Line> {
+    pub(crate) fn rows(&self) -> impl Iterator<Item = &Endpoint> {
         self.visit(self.rows.len());
         self.rows.iter()
     }
 
-    pub(crate) fn get(&self, id: ApplianceId) -> Option<&Line> {
+    pub(crate) fn get(&self, id: EndpointId) -> Option<&Endpoint> {
         self.rows
-            .binary_search_by_key(&id, |line| line.appliance)
+            .binary_search_by_key(&id, |endpoint| endpoint.id)
             .ok()
             .map(|at| &self.rows[at])
     }
@@ -161,7 +163,7 @@
     }
 
     /// The ready ones of a cell, from a drawn one on, once round.
-    pub(crate) fn in_cell(&self, cell: Cell, drawn: usize) -> impl Iterator<Item = &Line> {
+    pub(crate) fn in_cell(&self, cell: Cell, drawn: usize) -> impl Iterator<Item = &Endpoint> {
         let from = self.cells.partition_point(|(other, _)| *other < cell);
         let to = self.cells.partition_point(|(other, _)| *other <= cell);
         let (before, after) =
@@ -192,11 +194,11 @@
     /// can is told beside them.
     pub(crate) fn take_until(
         &self,
-        ids: impl Iterator<Item = ApplianceId>,
+        ids: impl Iterator<Item = EndpointId>,
         least: usize,
-        serves: impl Fn(ApplianceId) -> bool,
+        serves: impl Fn(EndpointId) -> bool,
         enough: impl Fn(usize, usize) -> bool,
-    ) -> (Vec<ApplianceId>, usize) {
+    ) -> (Vec<EndpointId>, usize) {
         let (mut taken, mut serving) = (Vec::new(), 0);
         for id in ids {
             if taken.len() >= least && enough(taken.len(), serving) {
@@ -219,91 +221,89 @@
     }
 
     /// Takes the lines of an update; `whole` if what they do not name is gone.
-    pub(crate) fn update(&mut self, whole: bool, lines: &[Line]) {
-        self.visit(lines.len());
-        let places = lines
+    pub(crate) fn update(&mut self, whole: bool, endpoints: &[Endpoint]) {
+        self.visit(endpoints.len());
+        let places = endpoints
             .iter()
             .zip(0..)
-            .map(|(line, place)| (line.appliance, place));
-        let mut order: Vec<(ApplianceId, u32)> = places.collect();
+            .map(|(endpoint, place)| (endpoint.id, place));
+        let mut order: Vec<(EndpointId, u32)> = places.collect();
         order.sort_unstable();
         // Of several lines for one appliance the last holds.
         let last = order
             .chunk_by(|one, other| one.0 == other.0)
             .filter_map(|same| same.last());
-        let told = last.map(|(_, place)| &lines[*place as usize]);
+        let told = last.map(|(_, place)| &endpoints[*place as usize]);
         let changes = if whole {
             self.changes(told)
         } else {
             told.copied().collect()
         };
         if changes.len() <= FEW_CHANGES {
-            changes.iter().for_each(|line| self.put(line));
+            changes.iter().for_each(|endpoint| self.put(endpoint));
         } else {
             self.put_many(changes);
         }
     }
 
     /// What differs from the rows in a whole list, both by number; what is not in it is gone.
-    fn changes<'a>(&self, whole: impl Iterator<Item = &'a Line>) -> Vec<Line> {
+    fn changes<'a>(&self, whole: impl Iterator<Item = &'a Endpoint>) -> Vec<Endpoint> {
         self.visit(self.rows.len());
         let mut changes = Vec::new();
         let mut rows = self.rows.iter().peekable();
-        for line in whole {
-            while let Some(row) = rows.next_if(|row| row.appliance < line.appliance) {
-                changes.push(Line {
-                    mode: Mode::Gone,
+        for endpoint in whole {
+            while let Some(row) = rows.next_if(|row| row.id < endpoint.id) {
+                changes.push(Endpoint {
+                    status: EndpointStatus::Removed,
                     ..*row
                 });
             }
-            if rows.next_if(|row| row.appliance == line.appliance) != Some(line) {
-                changes.push(*line);
+            if rows.next_if(|row| row.id == endpoint.id) != Some(endpoint) {
+                changes.push(*endpoint);
             }
         }
-        changes.extend(rows.map(|row| Line {
-            mode: Mode::Gone,
+        changes.extend(rows.map(|row| Endpoint {
+            status: EndpointStatus::Removed,
             ..*row
         }));
         changes
     }
 
     /// Takes one line into the rows and all indexes.
-    fn put(&mut self, line: &Line) {
-        let at = self
-            .rows
-            .binary_search_by_key(&line.appliance, |row| row.appliance);
+    fn put(&mut self, endpoint: &Endpoint) {
+        let at = self.rows.binary_search_by_key(&endpoint.id, |row| row.id);
         if let Ok(at) = at {
             let row = self.rows[at];
             self.remove_ready(&row);
         }
         match at {
-            Ok(at) if line.mode == Mode::Gone => _ = self.rows.remove(at),
-            Ok(at) => self.rows[at] = *line,
-            Err(_) if line.mode == Mode::Gone => {}
-            Err(at) => self.rows.insert(at, *line),
+            Ok(at) if endpoint.status == EndpointStatus::Removed => _ = self.rows.remove(at),
+            Ok(at) => self.rows[at] = *endpoint,
+            Err(_) if endpoint.status == EndpointStatus::Removed => {}
+            Err(at) => self.rows.insert(at, *endpoint),
         }
-        self.insert_ready(line);
+        self.insert_ready(endpoint);
     }
 
-    fn insert_ready(&mut self, line: &Line) {
-        if line.mode != Mode::Ready {
+    fn insert_ready(&mut self, endpoint: &Endpoint) {
+        if endpoint.status != EndpointStatus::Ready {
             return;
         }
         self.pools
-            .entry((line.build, line.zone))
+            .entry((endpoint.build, endpoint.zone))
             .or_default()
-            .insert(line);
-        insert_sorted(&mut self.cells, (line.cell, line.appliance));
-        self.weight += f64::from(line.weight);
+            .insert(endpoint);
+        insert_sorted(&mut self.cells, (endpoint.cell, endpoint.id));
+        self.weight += f64::from(endpoint.weight);
     }
 
-    fn remove_ready(&mut self, line: &Line) {
-        if line.mode != Mode::Ready {
+    fn remove_ready(&mut self, endpoint: &Endpoint) {
+        if endpoint.status != EndpointStatus::Ready {
             return;
         }
-        let key = (line.build, line.zone);
+        let key = (endpoint.build, endpoint.zone);
         if let Some(pool) = self.pools.get_mut(&key) {
-            pool.remove(line);
+            pool.remove(endpoint);
         }
         if self
             .pools
@@ -312,22 +312,22 @@
         {
             self.pools.remove(&key);
         }
-        remove_sorted(&mut self.cells, &(line.cell, line.appliance));
-        self.weight -= f64::from(line.weight);
+        remove_sorted(&mut self.cells, &(endpoint.cell, endpoint.id));
+        self.weight -= f64::from(endpoint.weight);
     }
 
     /// Takes many lines, by number, and builds the indexes anew.
-    fn put_many(&mut self, changes: Vec<Line>) {
+    fn put_many(&mut self, changes: Vec<Endpoint>) {
         self.visit(self.rows.len());
         let mut rows = Vec::with_capacity(self.rows.len() + changes.len());
         let mut before = std::mem::take(&mut self.rows).into_iter().peekable();
-        for line in changes {
-            while let Some(row) = before.next_if(|row| row.appliance < line.appliance) {
+        for endpoint in changes {
+            while let Some(row) = before.next_if(|row| row.id < endpoint.id) {
                 rows.push(row);
             }
-            before.next_if(|row| row.appliance == line.appliance);
-            if line.mode != Mode::Gone {
-                rows.push(line);
+            before.next_if(|row| row.id == endpoint.id);
+            if endpoint.status != EndpointStatus::Removed {
+                rows.push(endpoint);
             }
         }
         rows.extend(before);
@@ -339,13 +339,17 @@
         self.pools.clear();
         self.cells.clear();
         self.weight = 0.0;
-        for line in self.rows.iter().filter(|line| line.mode == Mode::Ready) {
+        for endpoint in self
+            .rows
+            .iter()
+            .filter(|endpoint| endpoint.status == EndpointStatus::Ready)
+        {
             self.pools
-                .entry((line.build, line.zone))
+                .entry((endpoint.build, endpoint.zone))
                 .or_default()
-                .push(line);
-            self.cells.push((line.cell, line.appliance));
-            self.weight += f64::from(line.weight);
+                .push(endpoint);
+            self.cells.push((endpoint.cell, endpoint.id));
+            self.weight += f64::from(endpoint.weight);
         }
         self.pools.values_mut().for_each(Pool::sort);
         self.cells.sort_unstable();
--- /dev/null
+++ b/crates/decision/src/events.rs
@@ -0,0 +1,93 @@
+//! What the host tells the decision module: one method for each event.
+use std::sync::Arc;
+use std::time::Duration;
+
+use crate::model::{
+    AgentId, AttemptNumber, Build, Endpoint, EndpointId, ListUpdate, Outcome, ReleasePhase,
+    Request, RequestClass, RequestId, Stage, TimerId,
+};
+use crate::release_permissions::ReleasePermissions;
+
+/// Receives the events of a round, in the order in which they happened. An event that an implementation has
+/// no use for may be ignored.
+pub trait EventHandler {
+    /// A client sent a request.
+    fn on_request(&mut self, id: RequestId, request: Request);
+
+    /// An attempt ended after `took`; `closed` if its request needs no answer any more.
+    fn on_attempt_ended(
+        &mut self,
+        id: RequestId,
+        attempt: AttemptNumber,
+        endpoint: EndpointId,
+        outcome: Outcome,
+        took: Duration,
+        closed: bool,
+    );
+
+    /// The first part of an answer has gone to the client.
+    fn on_response_started(
+        &mut self,
+        id: RequestId,
+        attempt: AttemptNumber,
+        endpoint: EndpointId,
+        took: Duration,
+    );
+
+    /// The client closed its connection.
+    fn on_client_left(&mut self, id: RequestId);
+
+    /// Whether an attempt that waited for its connection may still be sent. If not, it ends as
+    /// [`Outcome::NotSent`].
+    fn may_send(&mut self, id: RequestId, attempt: AttemptNumber) -> bool;
+
+    /// Discovery sent an update of the endpoint list; `endpoints` are its entries, none if it failed.
+    fn on_endpoints(&mut self, update: ListUpdate, endpoints: &mut dyn Iterator<Item = Endpoint>);
+
+    /// An endpoint reported its load.
+    fn on_load_report(&mut self, _endpoint: EndpointId, _gauges: &[f32]) {}
+
+    /// A health check ended.
+    fn on_health_check(&mut self, _endpoint: EndpointId, _outcome: Outcome, _took: Duration) {}
+
+    /// Another agent sent a message.
+    fn on_peer_message(&mut self, _from: AgentId, _payload: &[u8]) {}
+
+    /// The status of the newest build: its stage began `age` ago; `cap` is the highest share of requests that
+    /// it may get, 0 to 1.
+    fn on_release_status(
+        &mut self,
+        build: Build,
+        stage: Stage,
+        phase: ReleasePhase,
+        cap: f64,
+        age: Duration,
+    );
+
+    /// The call that cast the last vote ended.
+    fn on_vote_answered(&mut self, outcome: Outcome);
+
+    /// The platform's own count of a period that ended `age` ago.
+    fn on_period_statistics(
+        &mut self,
+        _build: Build,
+        _class: RequestClass,
+        _count: u32,
+        _failed: u32,
+        _mean: Duration,
+        _age: Duration,
+    ) {
+    }
+
+    /// What the operator's rules permit from now on; `None` permits everything.
+    fn on_release_permissions(&mut self, _permissions: Option<Arc<ReleasePermissions>>) {}
+
+    /// An answer that was sent `sent_ago` ago, and counted as good, was found to be wrong.
+    fn on_wrong_answer(&mut self, endpoint: EndpointId, class: RequestClass, sent_ago: Duration);
+
+    /// The agent shuts down: no answer may be later than this instant.
+    fn on_shutdown(&mut self, _deadline: Duration) {}
+
+    /// A wake-up that was scheduled is due.
+    fn on_wake_up(&mut self, _timer: TimerId) {}
+}
--- a/crates/decision/src/evidence.rs
+++ b/crates/decision/src/evidence.rs
@@ -2,14 +2,15 @@
 //! tests then say is decided in `brain.rs`.
 use std::time::Duration;
 
+use crate::actions::Actions;
 use crate::brain::{POOLED, TAU, THETA0, USUAL};
 use crate::fleet::Fleet;
-use crate::parts::Jury;
-use crate::port::*;
+use crate::model::{AgentId, Build, EndpointId, RequestClass};
+use crate::parts::ReleaseAnalysis;
 use crate::report;
-use crate::state::{Demand, News, Test};
+use crate::state::{Demand, ReleaseStatus, Test};
 
-impl Jury {
+impl ReleaseAnalysis {
     /// Begins to judge a build anew.
     pub(crate) fn begin(
         &mut self,
@@ -37,7 +38,7 @@
             self.own.stage,
         ) = Default::default();
         let level = self.level();
-        self.own.tests = (0..=self.products)
+        self.own.tests = (0..=self.classes)
             .map(|_| Test::new(THETA0, TAU, level))
             .collect();
         self.own
@@ -46,13 +47,14 @@
     }
 
     /// Whether there is anything to say to the judges without hearing more.
-    pub(crate) fn has_more_to_report(&self, news: News) -> bool {
-        self.may_report(news) || self.own.build == Some(news.build) && self.own.pooled.has_counts()
+    pub(crate) fn has_more_to_report(&self, release_status: ReleaseStatus) -> bool {
+        self.may_report(release_status)
+            || self.own.build == Some(release_status.build) && self.own.pooled.has_counts()
     }
 
     /// Whether there are outcomes at the build on trial that were not passed on yet.
-    fn may_report(&self, news: News) -> bool {
-        self.own.build == Some(news.build)
+    fn may_report(&self, release_status: ReleaseStatus) -> bool {
+        self.own.build == Some(release_status.build)
             && self.own.report.keys().any(|(trial, _)| trial.is_some())
     }
 
@@ -62,12 +64,12 @@
         &mut self,
         now: Duration,
         woke: Duration,
-        news: News,
+        release_status: ReleaseStatus,
         turn: f64,
-        out: &mut dyn Decisions,
+        out: &mut dyn Actions,
     ) {
-        self.pass_on(now, news.build, out);
-        if now < self.own.report_at || !self.may_report(news) {
+        self.pass_on(now, release_status.build, out);
+        if now < self.own.report_at || !self.may_report(release_status) {
             return;
         }
         // What an agent that stood still did not serve in time is its own doing.
@@ -76,17 +78,17 @@
             .take_sums()
             .map(|sum| if now < woke + POOLED { 0 } else { sum });
         self.own.pool(now, POOLED, sums);
-        self.send_report(now, news.build, sums, turn, out);
+        self.send_report(now, release_status.build, sums, turn, out);
     }
 
     fn learn(
         &mut self,
-        trial: Option<ApplianceId>,
-        product: Product,
+        trial: Option<EndpointId>,
+        class: RequestClass,
         [many, bad, timed, late]: [u8; 4],
     ) {
-        let (many, bad, last) = (f64::from(many), f64::from(bad), self.products + 1);
-        for i in [usize::from(product.0), self.products] {
+        let (many, bad, last) = (f64::from(many), f64::from(bad), self.classes + 1);
+        for i in [usize::from(class.0), self.classes] {
             self.own.tests[i].observe(trial, many, bad);
         }
         if timed > 0 {
@@ -94,10 +96,10 @@
         }
     }
 
-    pub(crate) fn note(&mut self, trial: Option<ApplianceId>, product: Product, counts: [u8; 4]) {
+    pub(crate) fn note(&mut self, trial: Option<EndpointId>, class: RequestClass, counts: [u8; 4]) {
         if !self.own.tests.is_empty() {
-            self.learn(trial, product, counts);
-            self.own.noted(trial, product, counts);
+            self.learn(trial, class, counts);
+            self.own.noted(trial, class, counts);
         }
     }
 
@@ -108,19 +110,21 @@
             return;
         };
         let last = self.own.heard.get(&from).copied().unwrap_or_default();
-        let known = self.own.build == Some(build) && from.0 < self.among.agents;
+        let known = self.own.build == Some(build) && from.0 < self.fleet_position.agent_count;
         if !known || version <= last {
             return;
         }
-        let (products, at) = (self.products, |id| {
-            fleet.line(id).is_some_and(|line| line.build == build)
+        let (classes, at) = (self.classes, |id| {
+            fleet
+                .endpoint(id)
+                .is_some_and(|endpoint| endpoint.build == build)
         });
-        let entries = entries.filter(|e| e.0.is_none_or(at) && usize::from(e.1.0) < products);
+        let entries = entries.filter(|e| e.0.is_none_or(at) && usize::from(e.1.0) < classes);
         if !self.judging(build) {
             return self.pool_for_group(now, from, (build, version), sums, entries);
         }
         self.own.heard.insert(from, version);
         self.own.pool(now, POOLED, sums);
-        entries.for_each(|(trial, product, counts)| self.learn(trial, product, counts));
+        entries.for_each(|(trial, class, counts)| self.learn(trial, class, counts));
     }
 }
--- a/crates/decision/src/fleet.rs
+++ b/crates/decision/src/fleet.rs
@@ -4,7 +4,10 @@
 use std::time::Duration;
 
 use crate::catalog::Catalog;
-use crate::port::*;
+use crate::model::{
+    AttemptNumber, Build, Cell, Endpoint, EndpointId, EndpointStatus, ListUpdate, Model, Outcome,
+    RequestClass, RequestId, Zone,
+};
 use crate::state::Ratio;
 use crate::subset::{Position, Side, nearest};
 
@@ -12,7 +15,7 @@
 pub(crate) struct Out {
     pub(crate) sent: Duration,
     pub(crate) work: f64,
-    pub(crate) product: Product,
+    pub(crate) class: RequestClass,
     pub(crate) build: Build,
     /// Slow as it may be cold, and not to be taken as evidence at all.
     pub(crate) young: bool,
@@ -39,22 +42,32 @@
 
 impl Record {
     /// Notes how an attempt ended that was sent then.
-    pub(crate) fn ended(&mut self, now: Duration, half: Duration, ending: Ending, sent: Duration) {
+    pub(crate) fn ended(
+        &mut self,
+        now: Duration,
+        half: Duration,
+        outcome: Outcome,
+        sent: Duration,
+    ) {
         if matches!(
-            ending,
-            Ending::Served | Ending::TurnedAway | Ending::Failed | Ending::Broken | Ending::Spoilt
+            outcome,
+            Outcome::Succeeded
+                | Outcome::Rejected
+                | Outcome::Failed
+                | Outcome::ConnectionLost
+                | Outcome::Malformed
         ) {
             self.heard = now;
             self.passed = self.passed.max(sent);
         }
-        if ending == Ending::Unconnected {
+        if outcome == Outcome::ConnectFailed {
             self.unlinked = Some(now);
         }
-        if !matches!(ending, Ending::CalledOff | Ending::Unsent) {
+        if !matches!(outcome, Outcome::Cancelled | Outcome::NotSent) {
             self.fails.add(
                 now,
                 half,
-                f64::from(u8::from(ending != Ending::Served)),
+                f64::from(u8::from(outcome != Outcome::Succeeded)),
                 1.0,
             );
         }
@@ -72,8 +85,8 @@
     }
 }
 
-pub(crate) struct Appliance {
-    pub(crate) line: Line,
+pub(crate) struct EndpointState {
+    pub(crate) endpoint: Endpoint,
     pub(crate) record: Record,
     pub(crate) out: BTreeMap<(RequestId, AttemptNumber), Out>,
     /// Work sent while it may be cold.
@@ -86,11 +99,11 @@
     pub(crate) rank: Option<usize>,
 }
 
-impl Appliance {
-    pub(crate) fn new(line: Line, rank: Option<usize>) -> Self {
+impl EndpointState {
+    pub(crate) fn new(endpoint: Endpoint, rank: Option<usize>) -> Self {
         let (record, out, pushed, part, linked) = Default::default();
-        Appliance {
-            line,
+        EndpointState {
+            endpoint,
             record,
             out,
             pushed,
@@ -101,16 +114,16 @@
     }
 
     /// Takes a new line of the list.
-    fn relist(&mut self, line: Line) {
-        if self.line.started != line.started || self.line.build != line.build {
+    fn relist(&mut self, endpoint: Endpoint) {
+        if self.endpoint.started != endpoint.started || self.endpoint.build != endpoint.build {
             // Another process: what the earlier one had or did is not its own.
             (self.record, self.out) = Default::default();
         }
-        self.line = line;
+        self.endpoint = endpoint;
     }
 
     pub(crate) fn age(&self, now: Duration) -> Option<Duration> {
-        self.line.started.map(|s| now.saturating_sub(s))
+        self.endpoint.started.map(|s| now.saturating_sub(s))
     }
 
     /// Notes what is sent there, and forgets what was before this span.
@@ -146,7 +159,7 @@
     }
 
     pub(crate) fn weight(&self) -> f64 {
-        f64::from(self.line.weight)
+        f64::from(self.endpoint.weight)
     }
 }
 
@@ -157,7 +170,7 @@
 /// with. These are all as long as the list is short; else the subset, and what was of use lately beside it.
 #[derive(Default)]
 pub(crate) struct Fleet {
-    pub(crate) used: BTreeMap<ApplianceId, Appliance>,
+    pub(crate) used: BTreeMap<EndpointId, EndpointState>,
     pub(crate) listed: Catalog,
     /// A list of up to so many has no subset.
     pub(crate) whole_up_to: usize,
@@ -166,44 +179,48 @@
 }
 
 impl Fleet {
-    pub(crate) fn list(&mut self, listing: Listing, lines: &mut dyn Iterator<Item = Line>) {
-        let whole = matches!(listing, Listing::Whole | Listing::Saved);
+    pub(crate) fn list(
+        &mut self,
+        update: ListUpdate,
+        endpoints: &mut dyn Iterator<Item = Endpoint>,
+    ) {
+        let whole = matches!(update, ListUpdate::Full | ListUpdate::Cached);
         // Of what is gone nothing is kept but what is out there still.
         self.used
-            .retain(|_, a| a.line.mode != Mode::Gone || !a.out.is_empty());
-        let lines: Vec<Line> = lines.collect();
-        self.listed.update(whole, &lines);
+            .retain(|_, a| a.endpoint.status != EndpointStatus::Removed || !a.out.is_empty());
+        let endpoints: Vec<Endpoint> = endpoints.collect();
+        self.listed.update(whole, &endpoints);
         self.split_or_join();
-        self.relist(lines);
+        self.relist(endpoints);
         if whole {
             let listed = &self.listed;
             let gone = self
                 .used
                 .iter_mut()
                 .filter(|(id, _)| listed.get(**id).is_none());
-            gone.for_each(|(_, a)| a.line.mode = Mode::Gone);
+            gone.for_each(|(_, a)| a.endpoint.status = EndpointStatus::Removed);
         }
     }
 
     /// Takes the lines into the records: without a subset, each has one.
-    fn relist(&mut self, lines: Vec<Line>) {
-        if self.split && lines.len() > self.used.len() {
+    fn relist(&mut self, endpoints: Vec<Endpoint>) {
+        if self.split && endpoints.len() > self.used.len() {
             for (id, a) in &mut self.used {
                 match self.listed.get(*id) {
-                    Some(line) => a.relist(*line),
-                    None => a.line.mode = Mode::Gone,
+                    Some(endpoint) => a.relist(*endpoint),
+                    None => a.endpoint.status = EndpointStatus::Removed,
                 }
             }
             return;
         }
-        for line in lines {
+        for endpoint in endpoints {
             if !self.split {
                 self.used
-                    .entry(line.appliance)
-                    .or_insert_with(|| Appliance::new(line, Some(0)));
+                    .entry(endpoint.id)
+                    .or_insert_with(|| EndpointState::new(endpoint, Some(0)));
             }
-            if let Some(a) = self.used.get_mut(&line.appliance) {
-                a.relist(line);
+            if let Some(a) = self.used.get_mut(&endpoint.id) {
+                a.relist(endpoint);
             }
         }
     }
@@ -215,11 +232,11 @@
         let was = self.split;
         self.split = many > self.whole_up_to || (was && many * 4 > self.whole_up_to * 3);
         if was && !self.split {
-            for line in self.listed.rows() {
+            for endpoint in self.listed.rows() {
                 let a = self
                     .used
-                    .entry(line.appliance)
-                    .or_insert_with(|| Appliance::new(*line, None));
+                    .entry(endpoint.id)
+                    .or_insert_with(|| EndpointState::new(*endpoint, None));
                 a.rank = Some(0);
             }
         }
@@ -229,16 +246,16 @@
     /// to be kept. Returns what was dropped with a connection that may be open.
     pub(crate) fn choose_members(
         &mut self,
-        members: &[Vec<ApplianceId>; 2],
-        keep: impl Fn(&Appliance) -> bool,
-    ) -> Vec<ApplianceId> {
+        members: &[Vec<EndpointId>; 2],
+        keep: impl Fn(&EndpointState) -> bool,
+    ) -> Vec<EndpointId> {
         self.used.values_mut().for_each(|a| a.rank = None);
         for (rank, id) in members.iter().flat_map(|arm| arm.iter().enumerate()) {
-            if let Some(line) = self.listed.get(*id) {
+            if let Some(endpoint) = self.listed.get(*id) {
                 let a = self
                     .used
                     .entry(*id)
-                    .or_insert_with(|| Appliance::new(*line, None));
+                    .or_insert_with(|| EndpointState::new(*endpoint, None));
                 a.rank = Some(rank);
             }
         }
@@ -252,7 +269,7 @@
     }
 
     /// Notes that the connections of all that have nothing out are given back, and which these are.
-    pub(crate) fn unlink_idle(&mut self) -> Vec<ApplianceId> {
+    pub(crate) fn unlink_idle(&mut self) -> Vec<EndpointId> {
         let idle = self
             .used
             .iter_mut()
@@ -265,7 +282,7 @@
     }
 
     /// The middle one of all ready appliances' values.
-    pub(crate) fn middle(&self, value: impl Fn(&Appliance) -> f64) -> Option<f64> {
+    pub(crate) fn middle(&self, value: impl Fn(&EndpointState) -> f64) -> Option<f64> {
         let mut values: Vec<f64> = self.ready().map(|(_, a)| value(a)).collect();
         values.sort_by(f64::total_cmp);
         values.get(values.len() / 2).copied()
@@ -278,21 +295,22 @@
         drawn: Position,
         many: usize,
         admits: impl Fn(Build, Zone) -> bool,
-    ) -> Vec<Line> {
+    ) -> Vec<Endpoint> {
         if !self.split {
             return Vec::new();
         }
-        let member = |line: &&Line| {
+        let member = |endpoint: &&Endpoint| {
             self.used
-                .get(&line.appliance)
+                .get(&endpoint.id)
                 .is_some_and(|a| a.rank.is_some())
         };
         if let Some(cell) = cell {
-            let lines = self
+            let endpoints = self
                 .listed
                 .in_cell(cell, drawn.0 as usize)
                 .take(many * LOOKED_AT);
-            let others = lines.filter(|line| !member(line) && admits(line.build, line.zone));
+            let others = endpoints
+                .filter(|endpoint| !member(endpoint) && admits(endpoint.build, endpoint.zone));
             return others.take(many).copied().collect();
         }
         let fits = |b: Build, z: Zone| zone.is_none_or(|zone| zone == z) && admits(b, z);
@@ -302,34 +320,34 @@
             .filter(|(b, z, _)| fits(*b, *z))
             .map(|(.., pool)| pool.ring());
         let ids = nearest(rings, drawn, Side::After).take(many * LOOKED_AT);
-        let lines = ids
+        let endpoints = ids
             .inspect(|_| self.listed.visit(1))
             .filter_map(|id| self.listed.get(id));
-        lines
-            .filter(|line| !member(line))
+        endpoints
+            .filter(|endpoint| !member(endpoint))
             .take(many)
             .copied()
             .collect()
     }
 
     /// What the list says of an appliance, as the record of it has it, if there is one.
-    pub(crate) fn line(&self, id: ApplianceId) -> Option<&Line> {
+    pub(crate) fn endpoint(&self, id: EndpointId) -> Option<&Endpoint> {
         self.used
             .get(&id)
-            .map(|a| &a.line)
+            .map(|a| &a.endpoint)
             .or_else(|| self.listed.get(id))
     }
 
     /// All that have a record; each walk is counted.
-    pub(crate) fn walk(&self) -> impl Iterator<Item = (&ApplianceId, &Appliance)> {
+    pub(crate) fn walk(&self) -> impl Iterator<Item = (&EndpointId, &EndpointState)> {
         self.listed.visit(self.used.len());
         self.used.iter()
     }
 
     /// Those with a record that are ready.
-    pub(crate) fn ready(&self) -> impl Iterator<Item = (ApplianceId, &Appliance)> {
+    pub(crate) fn ready(&self) -> impl Iterator<Item = (EndpointId, &EndpointState)> {
         self.walk()
-            .filter(|(_, a)| a.line.mode == Mode::Ready)
+            .filter(|(_, a)| a.endpoint.status == EndpointStatus::Ready)
             .map(|(&id, a)| (id, a))
     }
 
@@ -338,12 +356,12 @@
         &self,
         now: Duration,
         half: Duration,
-        at: ApplianceId,
+        at: EndpointId,
         build: Build,
     ) -> (f64, f64) {
         let mates = self
             .ready()
-            .filter(|(id, a)| *id != at && a.line.build == build);
+            .filter(|(id, a)| *id != at && a.endpoint.build == build);
         mates.fold((0.0, 0.0), |(n, s), (_, a)| {
             (n + 1.0, s + a.record.fails.share(now, half, 1.0))
         })
@@ -357,9 +375,9 @@
         build: Build,
     ) -> BTreeMap<Model, f64> {
         let mut sums = BTreeMap::<Model, (f64, f64)>::new();
-        for (_, a) in self.ready().filter(|(_, a)| a.line.build < build) {
+        for (_, a) in self.ready().filter(|(_, a)| a.endpoint.build < build) {
             let (took, worked) = a.record.usual.read(now, half);
-            let sum = sums.entry(a.line.model).or_default();
+            let sum = sums.entry(a.endpoint.model).or_default();
             *sum = (sum.0 + took, sum.1 + worked);
         }
         sums.into_iter()
--- a/crates/decision/src/lib.rs
+++ b/crates/decision/src/lib.rs
@@ -1,26 +1,41 @@
-//! lilacgate shifts calls between an old and a new build.
+//! The decision module of lilacgate: which endpoint a request goes to, when it is rejected, and how an agent
+//! votes on a new build.
 //!
-//! An agent hands every event of a round to [`brain::Brain::round`] and gets its decisions through a
-//! [`port::Decisions`] writer: which appliance a request goes to, when it is declined or voided, and how the
-//! agent votes on the build on trial. [`port`] is the interface, [`brain`] holds all decisions, `state`
-//! what they remember. The crate does no input or output of its own.
+//! The host puts a [`DecisionEngine`] together from its parts and calls [`DecisionEngine::round`] with all that
+//! happened since the last round: it calls one method of [`EventHandler`] for each event, and takes what is
+//! decided through [`Actions`]. The crate does no input or output, reads no clock, and draws its random
+//! numbers from a seed: the same events lead to the same actions.
 #![allow(clippy::min_ident_chars)] // Not met yet.
 #![allow(clippy::too_many_lines)] // Not met yet.
-#![allow(clippy::wildcard_imports)] // Not met yet.
 #![allow(missing_debug_implementations)] // Not met yet.
 #![allow(missing_docs)] // Not met yet.
 
+mod actions;
 mod attempts;
-pub mod brain;
+mod brain;
 mod catalog;
 mod ear;
+mod events;
 mod evidence;
 mod fleet;
 mod members;
-pub mod openings;
-pub mod parts;
-pub mod port;
+mod model;
+mod parts;
 mod relay;
+mod release_permissions;
 mod report;
 mod state;
 mod subset;
+
+pub use actions::{Actions, Note};
+pub use brain::DecisionEngine;
+pub use events::EventHandler;
+pub use model::{
+    AdvanceRule, AgentId, AttemptNumber, Build, Cell, ClassPolicy, DeduplicationScope, Endpoint,
+    EndpointId, EndpointStatus, FleetPosition, Idempotency, IdempotencyKey, ListUpdate, Model,
+    Outcome, ReleasePhase, Request, RequestClass, RequestId, Stage, Tenant, TimerId, Vote,
+    VoteTiming, Zone,
+};
+pub use parts::{EndpointDiscovery, Exposure, PendingRequests, ReleaseAnalysis, SlowStart};
+pub use release_permissions::ReleasePermissions;
+pub use state::Test;
--- a/crates/decision/src/members.rs
+++ b/crates/decision/src/members.rs
@@ -1,13 +1,13 @@
 //! The part of one arm's ring around an agent's own place: which appliances its subset has, and where its
 //! homes begin. How many it is to have is decided in `brain.rs`; the order is that of [`crate::subset`].
 use crate::catalog::{Catalog, Pool, rank_in};
-use crate::port::*;
+use crate::model::{Build, EndpointId, FleetPosition, Zone};
 use crate::subset::{Position, Side, nearest};
 
 /// A segment of the ring.
 pub(crate) struct Segment {
     /// Its appliances, in the order of the ring.
-    pub(crate) members: Vec<ApplianceId>,
+    pub(crate) members: Vec<EndpointId>,
     /// How many of them stand before the agent's own place, and how many after.
     pub(crate) reach: [usize; 2],
     /// How many of them can serve now.
@@ -24,11 +24,11 @@
     /// `whole_up_to` is taken whole.
     pub(crate) fn new(
         listed: &Catalog,
-        among: Among,
+        fleet_position: FleetPosition,
         of: impl Fn(Build, Zone) -> bool,
         whole_up_to: usize,
         least: [usize; 2],
-        serves: impl Fn(ApplianceId) -> bool,
+        serves: impl Fn(EndpointId) -> bool,
         enough: impl Fn(usize, usize) -> bool,
     ) -> Self {
         let pools: Vec<&Pool> = listed
@@ -36,7 +36,7 @@
             .filter(|(build, zone, _)| of(*build, *zone))
             .map(|(.., pool)| pool)
             .collect();
-        let place = Position::of_agent(among.me, among.agents);
+        let place = Position::of_agent(fleet_position.own_id, fleet_position.agent_count);
         let count = pools.iter().map(|pool| pool.ring().len()).sum::<usize>();
         let whole = count <= whole_up_to;
         let take = |side, limit, least| {
@@ -51,7 +51,8 @@
                 take(Side::After, count.div_ceil(2), least[1]),
             )
         };
-        let turn = f64::from(among.me.0) / f64::from(among.agents.max(1));
+        let turn =
+            f64::from(fleet_position.own_id.0) / f64::from(fleet_position.agent_count.max(1));
         let off = turn * count as f64 - rank_in(pools.iter().copied(), place) as f64;
         let (reach, own) = ([before.len(), after.len()], before.len() as f64 + off);
         let serving = serve_before + serve_after;
--- /dev/null
+++ b/crates/decision/src/model/mod.rs
@@ -0,0 +1,16 @@
+//! The domain types that events, actions and decisions share. None of them has behaviour beyond its own
+//! data. Every instant is a [`std::time::Duration`] since the zero point that the host chose.
+mod endpoint;
+mod fleet;
+mod ids;
+mod release;
+mod request;
+
+pub use endpoint::{Endpoint, EndpointStatus, ListUpdate};
+pub use fleet::FleetPosition;
+pub use ids::{
+    AgentId, AttemptNumber, Build, Cell, EndpointId, IdempotencyKey, Model, RequestClass,
+    RequestId, Stage, Tenant, TimerId, Zone,
+};
+pub use release::{AdvanceRule, ReleasePhase, Vote, VoteTiming};
+pub use request::{ClassPolicy, DeduplicationScope, Idempotency, Outcome, Request};
--- a/crates/decision/src/parts.rs
+++ b/crates/decision/src/parts.rs
@@ -3,13 +3,15 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::fleet::{Appliance, Fleet};
-use crate::openings::Openings;
-use crate::port::*;
-use crate::state::*;
+use crate::fleet::{EndpointState, Fleet};
+use crate::model::{
+    AdvanceRule, Build, ClassPolicy, FleetPosition, RequestClass, RequestId, VoteTiming, Zone,
+};
+use crate::release_permissions::ReleasePermissions;
+use crate::state::{AnalysisState, PendingRequest, ReleaseStatus, Windows};
 
 /// The agent's own list of appliances, and its upkeep.
-pub struct Membership {
+pub struct EndpointDiscovery {
     pub(crate) zone: Zone,
     pub(crate) ask_within: Option<Duration>,
     pub(crate) ask_at: Option<Duration>,
@@ -17,11 +19,11 @@
     pub(crate) fleet: Fleet,
 }
 
-impl Membership {
+impl EndpointDiscovery {
     /// `ask_within` is given where the list comes only when asked for.
     pub fn new(zone: Zone, ask_within: Option<Duration>) -> Self {
         let ask_at = ask_within.map(|_| Duration::ZERO);
-        Membership {
+        EndpointDiscovery {
             zone,
             ask_within,
             ask_at,
@@ -32,16 +34,16 @@
 }
 
 /// Keeps cold appliances from being pushed over.
-pub struct Thaw {
+pub struct SlowStart {
     pub(crate) cold_from: f64,
     pub(crate) ramp: Duration,
     pub(crate) multiple: f64,
     pub(crate) span: Duration,
 }
 
-impl Thaw {
+impl SlowStart {
     pub fn new(cold_from: f64, ramp: Duration, multiple: f64, span: Duration) -> Self {
-        Thaw {
+        SlowStart {
             cold_from,
             ramp,
             multiple,
@@ -55,7 +57,7 @@
         now: Duration,
         fleet: &Fleet,
         arm: impl Fn(Build, Zone) -> Option<usize>,
-        left_alone: impl Fn(&Appliance) -> bool,
+        left_alone: impl Fn(&EndpointState) -> bool,
     ) -> [f64; 2] {
         let mut weights = [0.0; 2];
         for (build, zone, pool) in fleet.listed.pools() {
@@ -70,7 +72,7 @@
             weights[arm] += pool.weight() - lacks.sum::<f64>();
         }
         for (_, a) in fleet.ready().filter(|(_, a)| left_alone(a)) {
-            if let Some(arm) = arm(a.line.build, a.line.zone) {
+            if let Some(arm) = arm(a.endpoint.build, a.endpoint.zone) {
                 weights[arm] -= a.weight() * self.warmth(a.age(now));
             }
         }
@@ -84,12 +86,12 @@
     pub(crate) tick: Duration,
     pub(crate) free: f64,
     pub(crate) first_cap: f64,
-    pub(crate) per_product: bool,
+    pub(crate) per_class: bool,
     pub(crate) guarded: u8,
     pub(crate) forward_only: bool,
     /// What the operator's own rules leave open; nothing is closed without any.
-    pub(crate) openings: Option<Arc<Openings>>,
-    pub(crate) news: Option<News>,
+    pub(crate) permissions: Option<Arc<ReleasePermissions>>,
+    pub(crate) release_status: Option<ReleaseStatus>,
     pub(crate) windows: Windows,
 }
 
@@ -100,11 +102,11 @@
     }
 
     /// Products are counted together or apart.
-    pub(crate) fn lane(&self, product: Product) -> Product {
-        if self.per_product {
-            product
+    pub(crate) fn lane(&self, class: RequestClass) -> RequestClass {
+        if self.per_class {
+            class
         } else {
-            Product(0)
+            RequestClass(0)
         }
     }
 
@@ -113,59 +115,59 @@
         tick: Duration,
         free: f64,
         first_cap: f64,
-        per_product: bool,
+        per_class: bool,
         guarded: u8,
         forward_only: bool,
     ) -> Self {
-        let (openings, news, windows) = Default::default();
+        let (permissions, release_status, windows) = Default::default();
         Exposure {
             span,
             tick,
             free,
             first_cap,
-            per_product,
+            per_class,
             guarded,
             forward_only,
-            openings,
-            news,
+            permissions,
+            release_status,
             windows,
         }
     }
 }
 
 /// Judges builds and votes.
-pub struct Jury {
-    pub(crate) gate: Gate,
+pub struct ReleaseAnalysis {
+    pub(crate) advance_rule: AdvanceRule,
     pub(crate) rings: Vec<f64>,
     pub(crate) dwell: Duration,
-    pub(crate) calls: Calls,
+    pub(crate) vote_timing: VoteTiming,
     pub(crate) rolling: bool,
-    pub(crate) among: Among,
-    pub(crate) products: usize,
+    pub(crate) fleet_position: FleetPosition,
+    pub(crate) classes: usize,
     /// Whether reports go through relays where there are many agents.
     pub(crate) relayed: bool,
-    pub(crate) own: Judged,
+    pub(crate) own: AnalysisState,
 }
 
-impl Jury {
+impl ReleaseAnalysis {
     pub fn new(
-        gate: Gate,
+        advance_rule: AdvanceRule,
         rings: Vec<f64>,
         dwell: Duration,
-        calls: Calls,
+        vote_timing: VoteTiming,
         rolling: bool,
-        among: Among,
-        products: usize,
+        fleet_position: FleetPosition,
+        classes: usize,
     ) -> Self {
-        let (relayed, own) = (false, Judged::default());
-        Jury {
-            gate,
+        let (relayed, own) = (false, AnalysisState::default());
+        ReleaseAnalysis {
+            advance_rule,
             rings,
             dwell,
-            calls,
+            vote_timing,
             rolling,
-            among,
-            products,
+            fleet_position,
+            classes,
             relayed,
             own,
         }
@@ -174,7 +176,7 @@
     /// The same, whose reports go through relays in fleets of more than 300 agents. All agents of a fleet have to do
     /// so, or none: what a relay hears from others is not for it.
     pub fn with_relays(self) -> Self {
-        Jury {
+        ReleaseAnalysis {
             relayed: true,
             ..self
         }
@@ -182,34 +184,34 @@
 }
 
 /// The requests in hand, and what is agreed for them.
-pub struct Desk {
-    pub(crate) products: Vec<Terms>,
+pub struct PendingRequests {
+    pub(crate) classes: Vec<ClassPolicy>,
     pub(crate) max_attempts: usize,
     pub(crate) may_call_off: bool,
     pub(crate) longest_advice: Duration,
     pub(crate) tick: Duration,
     /// When the agent ends; until that is known, never.
     pub(crate) ends: Duration,
-    pub(crate) held: BTreeMap<RequestId, Held>,
+    pub(crate) requests: BTreeMap<RequestId, PendingRequest>,
 }
 
-impl Desk {
+impl PendingRequests {
     pub fn new(
-        products: Vec<Terms>,
+        classes: Vec<ClassPolicy>,
         max_attempts: usize,
         may_call_off: bool,
         longest_advice: Duration,
         tick: Duration,
     ) -> Self {
-        let (ends, held) = (Duration::MAX, BTreeMap::new());
-        Desk {
-            products,
+        let (ends, requests) = (Duration::MAX, BTreeMap::new());
+        PendingRequests {
+            classes,
             max_attempts,
             may_call_off,
             longest_advice,
             tick,
             ends,
-            held,
+            requests,
         }
     }
 }
--- a/crates/decision/src/relay.rs
+++ b/crates/decision/src/relay.rs
@@ -4,8 +4,9 @@
 use std::ops::{Bound, Range};
 use std::time::Duration;
 
-use crate::parts::Jury;
-use crate::port::*;
+use crate::actions::Actions;
+use crate::model::{AgentId, Build, EndpointId, RequestClass};
+use crate::parts::ReleaseAnalysis;
 use crate::report::{self, Entry, LONGEST, MOST_ENTRIES, Version};
 
 /// Up to so many agents, each reports to the judges directly. Relays cost a report a second hop, which is one
@@ -26,7 +27,7 @@
 
 /// The groups that agents form for one build at one time.
 struct Groups {
-    agents: u32,
+    agent_count: u32,
     count: u32,
     judges: Vec<AgentId>,
     /// Which member of each group is its relay, counted round the group.
@@ -34,10 +35,10 @@
 }
 
 impl Groups {
-    fn new(agents: u32, judges: Vec<AgentId>, turn: u64) -> Self {
-        let count = (agents / MEMBERS_PER_GROUP_COUNT).isqrt().max(1);
+    fn new(agent_count: u32, judges: Vec<AgentId>, turn: u64) -> Self {
+        let count = (agent_count / MEMBERS_PER_GROUP_COUNT).isqrt().max(1);
         Groups {
-            agents,
+            agent_count,
             count,
             judges,
             turn,
@@ -46,9 +47,10 @@
 
     /// Neighbours in number prefer the same appliances, which keeps the sum of their reports short.
     fn members(&self, agent: AgentId) -> Range<u32> {
-        let group = u64::from(agent.0) * u64::from(self.count) / u64::from(self.agents);
-        let first =
-            |group: u64| (group * u64::from(self.agents)).div_ceil(u64::from(self.count)) as u32;
+        let group = u64::from(agent.0) * u64::from(self.count) / u64::from(self.agent_count);
+        let first = |group: u64| {
+            (group * u64::from(self.agent_count)).div_ceil(u64::from(self.count)) as u32
+        };
         first(group)..first(group + 1)
     }
 
@@ -102,7 +104,7 @@
 }
 
 /// Which outcomes a sum is of: at a trial appliance or at earlier builds, and of which product.
-type Key = (Option<ApplianceId>, Product);
+type Key = (Option<EndpointId>, RequestClass);
 
 /// What a relay has heard from its group and not yet passed on.
 #[derive(Default)]
@@ -118,9 +120,9 @@
 impl Pool {
     fn add(&mut self, sums: [u16; 3], entries: impl Iterator<Item = Entry>) {
         add_each(&mut self.sums, sums.map(u32::from));
-        for (trial, product, counts) in entries {
+        for (trial, class, counts) in entries {
             add_each(
-                self.counts.entry((trial, product)).or_default(),
+                self.counts.entry((trial, class)).or_default(),
                 counts.map(u32::from),
             );
         }
@@ -142,14 +144,14 @@
             .map(|(&key, _)| key)
             .collect();
         let mut entries = Vec::new();
-        for (trial, product) in keys {
-            let Some(counts) = self.counts.get_mut(&(trial, product)) else {
+        for (trial, class) in keys {
+            let Some(counts) = self.counts.get_mut(&(trial, class)) else {
                 continue;
             };
             while *counts != [0; 4] && entries.len() < MOST_ENTRIES {
                 let part = take_part(counts, u8::MAX.into());
-                entries.push((trial, product, part.map(|count| count as u8)));
-                self.last = (trial, product);
+                entries.push((trial, class, part.map(|count| count as u8)));
+                self.last = (trial, class);
             }
         }
         self.counts.retain(|_, counts| *counts != [0; 4]);
@@ -180,10 +182,12 @@
     })
 }
 
-impl Jury {
+impl ReleaseAnalysis {
     /// Whether this fleet's reports go through relays: there are too many agents for the judges to hear each of them.
     fn uses_relays(&self) -> bool {
-        self.relayed && self.among.may_tell && self.among.agents > MOST_DIRECT
+        self.relayed
+            && self.fleet_position.can_message_peers
+            && self.fleet_position.agent_count > MOST_DIRECT
     }
 
     fn groups(&self, now: Duration, build: Build) -> Option<Groups> {
@@ -193,7 +197,7 @@
         let term = (self.dwell * TERM).as_millis().max(1);
         let turn = u64::from(build.0) + (now.as_millis() / term) as u64;
         Some(Groups::new(
-            self.among.agents,
+            self.fleet_position.agent_count,
             self.judges(build).collect(),
             turn,
         ))
@@ -203,9 +207,9 @@
     fn route(&self, now: Duration, build: Build) -> Route {
         let groups = self.groups(now, build);
         if let Some(groups) = &groups
-            && let Some(relay) = groups.relay(self.among.me)
+            && let Some(relay) = groups.relay(self.fleet_position.own_id)
         {
-            let members = groups.members(self.among.me);
+            let members = groups.members(self.fleet_position.own_id);
             let senders = Some(members.end - members.start);
             return Route {
                 to: vec![relay],
@@ -214,7 +218,10 @@
             };
         }
         let senders = groups.map(|groups| groups.senders_to_judge());
-        let to = self.judges(build).filter(|_| self.among.may_tell).collect();
+        let to = self
+            .judges(build)
+            .filter(|_| self.fleet_position.can_message_peers)
+            .collect();
         Route {
             to,
             relay: None,
@@ -244,19 +251,23 @@
         build: Build,
         sums: [u16; 3],
         direct: f64,
-        out: &mut dyn Decisions,
+        out: &mut dyn Actions,
     ) {
         let route = self.route(now, build);
         let version = self.next_version(now);
         let octets = report::write(build, version, sums, report::drain(&mut self.own.report));
         self.own.report_at = now + route.pause(octets.len(), self.dwell, direct);
-        if route.relay == Some(self.among.me)
+        if route.relay == Some(self.fleet_position.own_id)
             && let Some((.., sums, entries)) = report::read(&octets)
         {
             self.own.pooled.add(sums, entries);
         }
-        for &to in route.to.iter().filter(|to| **to != self.among.me) {
-            out.tell(Some(to), &octets);
+        for &to in route
+            .to
+            .iter()
+            .filter(|to| **to != self.fleet_position.own_id)
+        {
+            out.send_to_peer(Some(to), &octets);
         }
     }
 
@@ -273,7 +284,7 @@
         let made = version.0.wrapping_add(version.1);
         let since_start = made.wrapping_sub(self.own.version.0) as i32;
         let earliest = i32::try_from(self.dwell.as_millis()).unwrap_or(i32::MAX);
-        let mine = |groups: Groups| groups.share_a_group(self.among.me, from);
+        let mine = |groups: Groups| groups.share_a_group(self.fleet_position.own_id, from);
         if since_start > earliest && self.groups(now, build).is_some_and(mine) {
             self.own.heard.insert(from, version);
             self.own.pooled.add(sums, entries);
@@ -281,7 +292,7 @@
     }
 
     /// Passes on to the judges what this agent has heard from its group, when that is due.
-    pub(crate) fn pass_on(&mut self, now: Duration, build: Build, out: &mut dyn Decisions) {
+    pub(crate) fn pass_on(&mut self, now: Duration, build: Build, out: &mut dyn Actions) {
         if self.own.build != Some(build)
             || !self.own.pooled.has_counts()
             || now < self.own.pooled.due
@@ -295,7 +306,7 @@
         let octets = report::write(build, self.next_version(now), sums, entries.into_iter());
         self.own.pooled.due = now + pause(octets.len(), self.dwell, groups.senders_to_judge());
         for judge in groups.judges {
-            out.tell(Some(judge), &octets);
+            out.send_to_peer(Some(judge), &octets);
         }
     }
 }
--- a/crates/decision/src/openings.rs
+++ b/crates/decision/src/release_permissions.rs
@@ -1,12 +1,12 @@
 //! What an operator's rules leave open, as a table that the module looks up for each request. Whoever makes
 //! it decides; nothing here does. It can only take away: what the module itself forbids stays forbidden.
-use crate::port::*;
+use crate::model::{Build, RequestClass, Stage, Tenant, Zone};
 
 /// Which builds may be used where and for whom, and which step on may be asked for.
 ///
 /// A build that has no row is closed; so are zones, firms and products beyond the table's size.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Openings {
+pub struct ReleasePermissions {
     builds: Vec<Build>,
     zones: usize,
     firms: usize,
@@ -17,7 +17,7 @@
     step: Option<(Build, Stage)>,
 }
 
-impl Openings {
+impl ReleasePermissions {
     /// The most products that a table can tell apart.
     pub const PRODUCTS: usize = 64;
 
@@ -53,7 +53,7 @@
                 .map(|zone| zone.iter().fold(0, |all, cell| all | cell))
                 .collect()
         };
-        Openings {
+        ReleasePermissions {
             builds,
             zones,
             firms,
@@ -70,13 +70,13 @@
     }
 
     /// Whether requests of a product and firm may go to a build in a zone.
-    pub fn admits(&self, build: Build, zone: Zone, firm: Tenant, product: Product) -> bool {
-        let (firm, product) = (usize::from(firm.0), u32::from(product.0));
+    pub fn admits(&self, build: Build, zone: Zone, firm: Tenant, class: RequestClass) -> bool {
+        let (firm, class) = (usize::from(firm.0), u32::from(class.0));
         let Some(place) = self.place(build, zone).filter(|_| firm < self.firms) else {
             return false;
         };
         self.cells[place * self.firms + firm]
-            .checked_shr(product)
+            .checked_shr(class)
             .is_some_and(|bits| bits & 1 == 1)
     }
 
--- a/crates/decision/src/report.rs
+++ b/crates/decision/src/report.rs
@@ -1,5 +1,5 @@
 //! What agents pass each other, in octets, and what staff reads of a vote. Nothing here decides anything.
-use crate::port::*;
+use crate::model::{Build, EndpointId, RequestClass, Stage, Vote};
 use crate::state::{Counts, Report};
 
 const HEAD: usize = 16;
@@ -23,9 +23,9 @@
     octets.extend(version.0.to_be_bytes());
     octets.extend(version.1.to_be_bytes());
     octets.extend(sums.iter().flat_map(|sum| sum.to_be_bytes()));
-    for (trial, product, counts) in entries.take(MOST_ENTRIES) {
+    for (trial, class, counts) in entries.take(MOST_ENTRIES) {
         octets.extend(trial.map_or(u32::MAX, |a| a.0).to_be_bytes());
-        octets.push(product.0);
+        octets.push(class.0);
         octets.extend(counts);
     }
     octets
@@ -36,11 +36,11 @@
     std::iter::from_fn(|| {
         report
             .pop_last()
-            .map(|((trial, product), counts)| (trial, product, counts))
+            .map(|((trial, class), counts)| (trial, class, counts))
     })
 }
 
-pub(crate) type Entry = (Option<ApplianceId>, Product, Counts);
+pub(crate) type Entry = (Option<EndpointId>, RequestClass, Counts);
 
 /// Reads such a message; nothing of one that is malformed or too long.
 pub(crate) fn read(
@@ -53,10 +53,10 @@
         return None;
     }
     let entries = records.chunks_exact(RECORD).map(|r| {
-        let at = ApplianceId(u32::from_be_bytes([r[0], r[1], r[2], r[3]]));
+        let at = EndpointId(u32::from_be_bytes([r[0], r[1], r[2], r[3]]));
         (
             (at.0 < u32::MAX).then_some(at),
-            Product(r[4]),
+            RequestClass(r[4]),
             [r[5], r[6], r[7], r[8]],
         )
     });
@@ -70,7 +70,7 @@
 
 /// The line of a new vote: what it says, the share lost, and of each test its trial outcomes, estimate and p.
 pub(crate) fn ballot(
-    (build, stage, verdict): (Build, Stage, Verdict),
+    (build, stage, vote): (Build, Stage, Vote),
     lost: f64,
     tests: impl Iterator<Item = (f64, f64, f64)>,
 ) -> String {
@@ -78,7 +78,7 @@
         .map(|(many, worse, p)| format!(" {many:.0}:{worse:+.2} p{p:.3}"))
         .collect();
     format!(
-        "vote {verdict:?} on build {} stage {} lost {lost:.2}{tests}",
+        "vote {vote:?} on build {} stage {} lost {lost:.2}{tests}",
         build.0, stage.0
     )
 }
--- a/crates/decision/src/state.rs
+++ b/crates/decision/src/state.rs
@@ -2,8 +2,13 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
+use crate::actions::Note;
 use crate::fleet::Fleet;
-use crate::port::*;
+use crate::model::{
+    AgentId, AttemptNumber, Build, Cell, ClassPolicy, DeduplicationScope, Endpoint, EndpointId,
+    Idempotency, IdempotencyKey, Model, Outcome, ReleasePhase, Request, RequestClass, Stage, Vote,
+    Zone,
+};
 use crate::relay::Pool;
 use crate::report::Version;
 
@@ -56,18 +61,18 @@
 
 /// An attempt, as its request has it.
 pub(crate) struct Attempt {
-    pub(crate) to: ApplianceId,
+    pub(crate) to: EndpointId,
     pub(crate) build: Build,
     pub(crate) group: (Zone, Cell),
     pub(crate) sent: Duration,
-    pub(crate) ending: Option<Ending>,
+    pub(crate) outcome: Option<Outcome>,
     pub(crate) called_off: bool,
 }
 
 /// A request that is owed its final answer.
-pub(crate) struct Held {
+pub(crate) struct PendingRequest {
     pub(crate) request: Request,
-    pub(crate) terms: Terms,
+    pub(crate) policy: ClassPolicy,
     pub(crate) work: f64,
     pub(crate) arrived: Duration,
     pub(crate) attempts: Vec<Attempt>,
@@ -77,31 +82,34 @@
     pub(crate) luck: (Duration, f64),
 }
 
-impl Held {
+impl PendingRequest {
     /// Whether an appliance would drop this as a repeat, if it may have run before.
-    pub(crate) fn in_group(&self, line: &Line) -> bool {
+    pub(crate) fn in_group(&self, endpoint: &Endpoint) -> bool {
         let (zone, cell) = self.confined();
-        zone.is_none_or(|zone| line.zone == zone) && cell.is_none_or(|cell| line.cell == cell)
+        zone.is_none_or(|zone| endpoint.zone == zone)
+            && cell.is_none_or(|cell| endpoint.cell == cell)
     }
 
     /// The zone and the cell that this has to stay in, if it may have run before.
     pub(crate) fn confined(&self) -> (Option<Zone>, Option<Cell>) {
-        match (self.terms.repeat, self.risk) {
-            (Repeat::Referenced(Group::Zone), Some((_, zone, _))) => (Some(zone), None),
-            (Repeat::Referenced(Group::Cell), Some((.., cell))) => (None, Some(cell)),
+        match (self.policy.idempotency, self.risk) {
+            (Idempotency::Keyed(DeduplicationScope::Zone), Some((_, zone, _))) => {
+                (Some(zone), None)
+            }
+            (Idempotency::Keyed(DeduplicationScope::Cell), Some((.., cell))) => (None, Some(cell)),
             _ => (None, None),
         }
     }
 
     /// Notes how an attempt ended, and which is now the first that may have run.
-    pub(crate) fn ended(&mut self, attempt: AttemptNumber, ending: Ending) {
+    pub(crate) fn ended(&mut self, attempt: AttemptNumber, outcome: Outcome) {
         if let Some(l) = self.attempts.get_mut(usize::from(attempt.0)) {
-            l.ending = Some(ending);
+            l.outcome = Some(outcome);
         }
         let first = self
             .attempts
             .iter()
-            .find(|l| l.ending.is_none_or(Ending::may_have_run));
+            .find(|l| l.outcome.is_none_or(Outcome::may_have_run));
         self.risk = first.map(|l| (l.sent, l.group.0, l.group.1));
     }
 
@@ -109,7 +117,7 @@
         self.attempts
             .iter()
             .enumerate()
-            .filter(|(_, l)| l.ending.is_none())
+            .filter(|(_, l)| l.outcome.is_none())
             .map(|(i, l)| (AttemptNumber(i as u8), l))
     }
 }
@@ -127,7 +135,7 @@
 #[derive(Default)]
 pub(crate) struct Demand {
     /// Hinted work and number of requests, by product.
-    pub(crate) hints: BTreeMap<Product, Ratio>,
+    pub(crate) hints: BTreeMap<RequestClass, Ratio>,
     /// Served work, and listed weight x time: what a unit of weight is seen to bear.
     pub(crate) borne: Ratio,
     /// Attempts served of late.
@@ -152,7 +160,7 @@
         &self,
         now: Duration,
         half: Duration,
-        of: impl Fn(Product) -> bool,
+        of: impl Fn(RequestClass) -> bool,
     ) -> Option<f64> {
         let taken = self
             .hints
@@ -171,16 +179,18 @@
         request: &Request,
     ) -> Option<f64> {
         self.met.add(now, half / 2, 0.0, 1.0);
-        if let Some(hint) = request.hint {
-            self.hints
-                .entry(request.product)
-                .or_default()
-                .add(now, half, hint.as_secs_f64(), 1.0);
+        if let Some(estimated_work) = request.estimated_work {
+            self.hints.entry(request.class).or_default().add(
+                now,
+                half,
+                estimated_work.as_secs_f64(),
+                1.0,
+            );
         }
         request
-            .hint
+            .estimated_work
             .map(|h| h.as_secs_f64())
-            .or_else(|| self.work(now, half, |p| p == request.product))
+            .or_else(|| self.work(now, half, |p| p == request.class))
     }
 
     /// Notes how an attempt ended; the sums fade by these halves: of late, over a few requests, and usual.
@@ -189,18 +199,18 @@
         now: Duration,
         halves: (Duration, Duration, Duration),
         attempt: AttemptNumber,
-        ending: Ending,
+        outcome: Outcome,
         (late, short): (bool, bool),
     ) {
         let ((recent, few, usual), one) = (halves, |yes: bool| f64::from(u8::from(yes)));
-        let served = ending == Ending::Served;
+        let served = outcome == Outcome::Succeeded;
         self.full
-            .add(now, recent, one(ending == Ending::TurnedAway), 1.0);
+            .add(now, recent, one(outcome == Outcome::Rejected), 1.0);
         self.shut.add(now, usual, one(short), 1.0);
-        if served || ending == Ending::TimedOut {
+        if served || outcome == Outcome::TimedOut {
             self.late.add(now, few, one(!served || late), 1.0);
         }
-        if attempt.0 > 0 && matches!(ending, Ending::Served | Ending::Failed) {
+        if attempt.0 > 0 && matches!(outcome, Outcome::Succeeded | Outcome::Failed) {
             self.again.add(now, few, one(served), 1.0);
         }
     }
@@ -230,20 +240,20 @@
 #[derive(Default)]
 pub(crate) struct Windows {
     pub(crate) started: Option<Duration>,
-    pub(crate) taken: BTreeMap<Product, VecDeque<Duration>>,
-    pub(crate) sent: BTreeMap<(Product, Build), VecDeque<Duration>>,
+    pub(crate) taken: BTreeMap<RequestClass, VecDeque<Duration>>,
+    pub(crate) sent: BTreeMap<(RequestClass, Build), VecDeque<Duration>>,
     /// Marks that the build on trial has answered.
-    pub(crate) answered: BTreeSet<Mark>,
+    pub(crate) answered: BTreeSet<IdempotencyKey>,
 }
 
 impl Windows {
-    pub(crate) fn sent_since(&self, lane: Product, build: Build, from: Duration) -> usize {
+    pub(crate) fn sent_since(&self, lane: RequestClass, build: Build, from: Duration) -> usize {
         self.sent
             .get(&(lane, build))
             .map_or(0, |times| since(times, from))
     }
 
-    pub(crate) fn taken_since(&self, lane: Product, from: Duration) -> usize {
+    pub(crate) fn taken_since(&self, lane: RequestClass, from: Duration) -> usize {
         self.taken.get(&lane).map_or(0, |times| since(times, from))
     }
 
@@ -269,37 +279,37 @@
 
 /// Where the newest build stands, as last told.
 #[derive(Clone, Copy)]
-pub(crate) struct News {
+pub(crate) struct ReleaseStatus {
     pub(crate) build: Build,
     pub(crate) stage: Stage,
-    pub(crate) course: Course,
+    pub(crate) phase: ReleasePhase,
     pub(crate) cap: f64,
     /// When this stage began.
     pub(crate) since: Duration,
 }
 
 /// A vote, when it was sent and how its call ended.
-pub(crate) struct Vote {
-    pub(crate) ballot: (Build, Stage, Verdict),
+pub(crate) struct SentVote {
+    pub(crate) ballot: (Build, Stage, Vote),
     pub(crate) sent: Duration,
-    pub(crate) answer: Option<Ending>,
+    pub(crate) answer: Option<Outcome>,
 }
 
 /// Outcomes: how many, how many of them bad, how many could be timed, and how many of those were late.
 pub(crate) type Counts = [u8; 4];
 /// Outcomes by trial appliance (none: earlier builds) and product.
-pub(crate) type Report = BTreeMap<(Option<ApplianceId>, Product), Counts>;
+pub(crate) type Report = BTreeMap<(Option<EndpointId>, RequestClass), Counts>;
 
 /// What a test has taken: outcomes and bad ones at earlier builds, at the trial, and by trial appliance.
 #[derive(Default)]
 pub(crate) struct Arms {
     pub(crate) x: (f64, f64),
     pub(crate) y: (f64, f64),
-    pub(crate) by: BTreeMap<ApplianceId, (f64, f64)>,
+    pub(crate) by: BTreeMap<EndpointId, (f64, f64)>,
 }
 
 impl Arms {
-    pub(crate) fn put(&mut self, trial: Option<ApplianceId>, many: f64, bad: f64) {
+    pub(crate) fn put(&mut self, trial: Option<EndpointId>, many: f64, bad: f64) {
         let put = |arm: &mut (f64, f64)| *arm = (arm.0 + many, (arm.1 + bad).min(arm.0 + many));
         put(if trial.is_some() {
             &mut self.y
@@ -353,7 +363,7 @@
 
 /// What a jury has gathered on the build it judges.
 #[derive(Default)]
-pub(crate) struct Judged {
+pub(crate) struct AnalysisState {
     /// What a unit of weight bore when the build was first heard of.
     pub(crate) bore: f64,
     /// When last not too much of what was borne was lost.
@@ -365,7 +375,7 @@
     pub(crate) last: [Option<Duration>; 2],
     /// The usual pace of each model at earlier builds.
     pub(crate) paces: BTreeMap<Model, f64>,
-    pub(crate) vote: Option<Vote>,
+    pub(crate) vote: Option<SentVote>,
     /// When to tell peers of a doubt again, and until when a peer's doubt counts.
     pub(crate) warn_at: Duration,
     pub(crate) warned: Duration,
@@ -391,7 +401,7 @@
 
 /// An appliance that requests may choose, and its odds.
 pub(crate) struct Seat {
-    pub(crate) id: ApplianceId,
+    pub(crate) id: EndpointId,
     pub(crate) odds: f64,
     /// Its place in the subset.
     pub(crate) rank: Option<usize>,
@@ -399,7 +409,7 @@
 
 /// The fleet at a glance, as of the last walk over it.
 #[derive(Default)]
-pub(crate) struct Stock {
+pub(crate) struct LoadEstimate {
     /// Noted since the last round's end.
     pub(crate) notes: Vec<Note>,
     /// When to wake next, and until when the agent itself last stood still.
@@ -416,7 +426,7 @@
     /// Whether the subset has as many as it is to have.
     pub(crate) full: bool,
     /// Where a connection may be given back, since it left the subset.
-    pub(crate) left: Vec<ApplianceId>,
+    pub(crate) left: Vec<EndpointId>,
     /// Listed weight by arm, as far as it is open and warm.
     pub(crate) listed: [f64; 2],
     /// Earlier builds' appliances and the trial's, and the trial's share of the listed weight.
@@ -445,7 +455,7 @@
     pub(crate) lost: f64,
 }
 
-impl Judged {
+impl AnalysisState {
     pub(crate) fn on_trial(&self, build: Build) -> bool {
         self.build.is_some_and(|judged| build >= judged)
     }
@@ -467,8 +477,8 @@
         })
     }
 
-    pub(crate) fn noted(&mut self, trial: Option<ApplianceId>, product: Product, counts: Counts) {
-        let sums = self.report.entry((trial, product)).or_default();
+    pub(crate) fn noted(&mut self, trial: Option<EndpointId>, class: RequestClass, counts: Counts) {
+        let sums = self.report.entry((trial, class)).or_default();
         sums.iter_mut()
             .zip(counts)
             .for_each(|(sum, one)| *sum = sum.saturating_add(one));
@@ -513,7 +523,7 @@
     }
 }
 
-impl Stock {
+impl LoadEstimate {
     /// Brings what is measured of fleet and demand up to date; the sums fade by these halves.
     pub(crate) fn measure(
         &mut self,
--- a/crates/decision/src/subset.rs
+++ b/crates/decision/src/subset.rs
@@ -1,7 +1,7 @@
 //! The order in which an agent takes appliances into its subset, as pure functions. Appliances stand on a
 //! ring of 2^32 positions by a hash of their number, agents at even distances from each other. One appliance
 //! more or less moves only itself and the last one of each subset that it lies in (consistent hashing).
-use crate::port::{AgentId, ApplianceId};
+use crate::model::{AgentId, EndpointId};
 
 /// A place on the ring.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -17,7 +17,7 @@
 impl Position {
     /// Where an appliance stands: its number, mixed by the finalizer of MurmurHash3, which maps no two to
     /// one.
-    pub(crate) fn of_appliance(id: ApplianceId) -> Self {
+    pub(crate) fn of_appliance(id: EndpointId) -> Self {
         let mut mixed = id.0;
         mixed = (mixed ^ (mixed >> 16)).wrapping_mul(0x85eb_ca6b);
         mixed = (mixed ^ (mixed >> 13)).wrapping_mul(0xc2b2_ae35);
@@ -25,8 +25,8 @@
     }
 
     /// Where an agent stands: agents share the ring evenly.
-    pub(crate) fn of_agent(me: AgentId, agents: u32) -> Self {
-        let part = (u64::from(me.0) << 32) / u64::from(agents.max(1));
+    pub(crate) fn of_agent(own_id: AgentId, agent_count: u32) -> Self {
+        let part = (u64::from(own_id.0) << 32) / u64::from(agent_count.max(1));
         Position(part as u32)
     }
 
@@ -40,14 +40,14 @@
 }
 
 /// Appliances in the order of their positions.
-pub(crate) type Ring = [(Position, ApplianceId)];
+pub(crate) type Ring = [(Position, EndpointId)];
 
 /// All appliances of several rings as one, by their distance from a place on one side.
 pub(crate) fn nearest<'a>(
     rings: impl Iterator<Item = &'a Ring>,
     from: Position,
     side: Side,
-) -> impl Iterator<Item = ApplianceId> {
+) -> impl Iterator<Item = EndpointId> {
     let mut rings: Vec<_> = rings
         .map(|ring| one_round(ring, from, side).peekable())
         .collect();
@@ -70,7 +70,7 @@
     ring: &Ring,
     from: Position,
     side: Side,
-) -> impl Iterator<Item = (Position, ApplianceId)> {
+) -> impl Iterator<Item = (Position, EndpointId)> {
     let split = rank(ring, from);
     let count = ring.len();
     (0..count).map(move |i| match side {
--- a/crates/decision/tests/fleet.rs
+++ b/crates/decision/tests/fleet.rs
@@ -4,40 +4,43 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-use lilacgate_decision::brain::Brain;
-use lilacgate_decision::parts::*;
-use lilacgate_decision::port::*;
+use lilacgate_decision::{
+    AdvanceRule, AgentId, AttemptNumber, Build, Cell, ClassPolicy, DecisionEngine, Endpoint,
+    EndpointDiscovery, EndpointId, EndpointStatus, EventHandler, Exposure, FleetPosition,
+    Idempotency, ListUpdate, Model, Outcome, PendingRequests, ReleaseAnalysis, ReleasePhase,
+    Request, RequestClass, RequestId, SlowStart, Stage, Tenant, VoteTiming, Zone,
+};
 use lilacgate_test_bed::decided::Decided;
 use rstest::rstest;
 
 const ASK_WITHIN: Duration = Duration::from_secs(10);
-const READ: Terms = Terms {
-    repeat: Repeat::InquiryLike,
-    sla: Duration::from_millis(500),
+const READ: ClassPolicy = ClassPolicy {
+    idempotency: Idempotency::Idempotent,
+    latency_objective: Duration::from_millis(500),
     deadline: Duration::from_secs(2),
-    remembered: Duration::ZERO,
-    revenue: 1.0,
-    late_share: 0.0,
+    deduplication_window: Duration::ZERO,
+    priority_weight: 1.0,
+    late_weight_share: 0.0,
 };
 
-fn agent(me: u32, agents: u32, seed: u64) -> Brain {
+fn agent(me: u32, agents: u32, seed: u64) -> DecisionEngine {
     let ms = Duration::from_millis;
-    let among = Among {
-        me: AgentId(me),
-        agents,
-        may_tell: true,
+    let among = FleetPosition {
+        own_id: AgentId(me),
+        agent_count: agents,
+        can_message_peers: true,
     };
-    let calls = Calls {
-        lasts: ms(6000),
-        wait: ms(1200),
+    let calls = VoteTiming {
+        validity: ms(6000),
+        call_timeout: ms(1200),
     };
-    Brain::new(
+    DecisionEngine::new(
         seed + u64::from(me) * 7919,
-        Membership::new(Zone(0), Some(ASK_WITHIN)),
-        Thaw::new(0.34, ms(4000), 2.5, ms(1000)),
+        EndpointDiscovery::new(Zone(0), Some(ASK_WITHIN)),
+        SlowStart::new(0.34, ms(4000), 2.5, ms(1000)),
         Exposure::new(ms(4000), ms(5), 3.0, 0.1, false, 1, false),
-        Jury::new(
-            Gate::Single,
+        ReleaseAnalysis::new(
+            AdvanceRule::Single,
             vec![0.1, 0.5, 1.0],
             ms(900),
             calls,
@@ -45,7 +48,7 @@
             among,
             1,
         ),
-        Desk::new(vec![READ], 3, true, ms(2000), ms(5)),
+        PendingRequests::new(vec![READ], 3, true, ms(2000), ms(5)),
     )
 }
 
@@ -76,11 +79,11 @@
 }
 
 /// A round in which a list came, or failed; whether the agent asks for one then.
-fn asks(brain: &mut Brain, now: Duration, told: Option<Listing>) -> bool {
+fn asks(brain: &mut DecisionEngine, now: Duration, told: Option<ListUpdate>) -> bool {
     let mut decided = Decided::default();
-    let hear = |ears: &mut dyn Hears| {
+    let hear = |ears: &mut dyn EventHandler| {
         told.into_iter()
-            .for_each(|l| ears.membership(l, &mut std::iter::empty()))
+            .for_each(|l| ears.on_endpoints(l, &mut std::iter::empty()))
     };
     brain.round(now, hear, &mut decided);
     decided.watches
@@ -96,8 +99,11 @@
         free_at: now,
         line: Vec::new(),
     };
-    let (mut without, mut failed, mut heard) =
-        (agents as usize, 0, vec![Some(Listing::Saved); fleet.len()]);
+    let (mut without, mut failed, mut heard) = (
+        agents as usize,
+        0,
+        vec![Some(ListUpdate::Cached); fleet.len()],
+    );
     while without > 0 && now < began + ASK_WITHIN * 6 {
         for (who, brain) in fleet.iter_mut().enumerate() {
             if asks(brain, now, heard[who].take()) {
@@ -107,9 +113,9 @@
         now += step;
         for (who, fine) in service.answers(now) {
             heard[who] = Some(if fine {
-                Listing::Whole
+                ListUpdate::Full
             } else {
-                Listing::Failed
+                ListUpdate::Failed
             });
             (without, failed) = (without - usize::from(fine), failed + usize::from(!fine));
         }
@@ -147,10 +153,10 @@
     let mut asked = Vec::new();
     for me in 0..agents {
         let mut brain = agent(me, agents, seed);
-        asks(&mut brain, began, Some(Listing::Saved));
-        asks(&mut brain, began + ASK_WITHIN, Some(Listing::Whole));
+        asks(&mut brain, began, Some(ListUpdate::Cached));
+        asks(&mut brain, began + ASK_WITHIN, Some(ListUpdate::Full));
         let broke = began + ASK_WITHIN * 3;
-        let (mut at, mut told) = (broke, Some(Listing::Failed));
+        let (mut at, mut told) = (broke, Some(ListUpdate::Failed));
         while !asks(&mut brain, at, told.take()) {
             at += step;
             assert!(
@@ -185,12 +191,12 @@
 const BEAT: Duration = Duration::from_millis(10);
 
 /// The i-th appliance as the list has it; numbers are as good as drawn.
-fn line(i: u32, mode: Mode, started: Option<Duration>) -> Line {
-    let appliance = ApplianceId(i.wrapping_mul(0x9E37_79B9));
+fn line(i: u32, mode: EndpointStatus, started: Option<Duration>) -> Endpoint {
+    let appliance = EndpointId(i.wrapping_mul(0x9E37_79B9));
     let (model, build, cell, zone) = (Model(0), Build(1), Cell(0), Zone(0));
-    Line {
-        appliance,
-        mode,
+    Endpoint {
+        id: appliance,
+        status: mode,
         model,
         weight: 4.0,
         started,
@@ -201,46 +207,56 @@
 }
 
 /// Where a build stands, and its cap.
-type Told = (Build, Course, f64);
-const ALL_IS_OLD: Told = (Build(1), Course::Released, 1.0);
+type Told = (Build, ReleasePhase, f64);
+const ALL_IS_OLD: Told = (Build(1), ReleasePhase::Released, 1.0);
 
 /// Plays an agent for so many beats. `list` gives the list at a beat at which one comes, and the platform's news with it;
 /// `asked` is how many requests have come by a beat, and `sent` takes the beat and the appliance of each attempt,
 /// answered after a tenth of a second.
 fn play(
-    mut brain: Brain,
+    mut brain: DecisionEngine,
     beats: u32,
-    list: impl Fn(u32) -> Option<(Vec<Line>, Told)>,
+    list: impl Fn(u32) -> Option<(Vec<Endpoint>, Told)>,
     asked: impl Fn(u32) -> u32,
-    mut sent: impl FnMut(u32, ApplianceId),
+    mut sent: impl FnMut(u32, EndpointId),
 ) {
     let (mut out, mut next) = (VecDeque::new(), 0);
     for beat in 0..beats {
         let now = DAWN + BEAT * beat;
         let mut decided = Decided::default();
-        let hear = |ears: &mut dyn Hears| {
+        let hear = |ears: &mut dyn EventHandler| {
             if let Some((lines, news)) = list(beat) {
-                ears.membership(Listing::Whole, &mut lines.into_iter());
-                ears.stage(news.0, Stage(2), news.1, news.2, Duration::ZERO);
+                ears.on_endpoints(ListUpdate::Full, &mut lines.into_iter());
+                ears.on_release_status(news.0, Stage(2), news.1, news.2, Duration::ZERO);
             }
             let due = out.partition_point(|(at, ..): &(u32, _, _)| at + 10 <= beat);
             for (_, id, to) in out.drain(..due) {
-                ears.ended(id, AttemptNumber(0), to, Ending::Served, BEAT * 10, true);
+                ears.on_attempt_ended(
+                    id,
+                    AttemptNumber(0),
+                    to,
+                    Outcome::Succeeded,
+                    BEAT * 10,
+                    true,
+                );
             }
             if asked(beat) > next {
                 next += 1;
-                let (product, hint, deadline) =
-                    (Product(0), Some(READ.sla / 5), now + READ.deadline);
+                let (product, hint, deadline) = (
+                    RequestClass(0),
+                    Some(READ.latency_objective / 5),
+                    now + READ.deadline,
+                );
                 let (tenant, mark, repeated) = (Tenant(0), None, false);
-                ears.request(
+                ears.on_request(
                     RequestId(next),
                     Request {
-                        product,
+                        class: product,
                         tenant,
-                        mark,
+                        idempotency_key: mark,
                         deadline,
-                        hint,
-                        repeated,
+                        estimated_work: hint,
+                        is_retry: repeated,
                     },
                 );
             }
@@ -256,11 +272,10 @@
 /// How many appliances each agent has sent to, and how many requests each appliance got, after ten seconds in
 /// which each agent is asked so many requests a second.
 fn serve(agents: u32, appliances: u32, a_second: u32, seed: u64) -> (Vec<usize>, Vec<u32>) {
-    let lines: Vec<Line> = (0..appliances)
-        .map(|i| line(i, Mode::Ready, None))
+    let lines: Vec<Endpoint> = (0..appliances)
+        .map(|i| line(i, EndpointStatus::Ready, None))
         .collect();
-    let mut got: BTreeMap<ApplianceId, u32> =
-        lines.iter().map(|line| (line.appliance, 0)).collect();
+    let mut got: BTreeMap<EndpointId, u32> = lines.iter().map(|line| (line.id, 0)).collect();
     let mut met = Vec::new();
     for me in 0..agents {
         let mut links = BTreeSet::new();
@@ -301,25 +316,25 @@
     seed: u64,
 ) -> u32 {
     let last_warm = up.as_millis() as u32 / 10;
-    let tried = |line| Line {
+    let tried = |line| Endpoint {
         build: Build(2),
         ..line
     };
     let before = |i| match others {
-        Others::Full => tried(line(i, Mode::Ready, None)),
-        _ => line(i, Mode::Ready, None),
+        Others::Full => tried(line(i, EndpointStatus::Ready, None)),
+        _ => line(i, EndpointStatus::Ready, None),
     };
     let after = |i: u32| match others {
-        _ if i.is_multiple_of(10) => line(i, Mode::Ready, Some(DAWN + up)),
-        Others::Drained => line(i, Mode::Draining, None),
-        _ => tried(line(i, Mode::Ready, None)),
+        _ if i.is_multiple_of(10) => line(i, EndpointStatus::Ready, Some(DAWN + up)),
+        Others::Drained => line(i, EndpointStatus::Draining, None),
+        _ => tried(line(i, EndpointStatus::Ready, None)),
     };
     let (from, to) = match others {
         Others::Drained => (ALL_IS_OLD, ALL_IS_OLD),
-        Others::Closed => (ALL_IS_OLD, (Build(2), Course::GoingBack, 0.0)),
+        Others::Closed => (ALL_IS_OLD, (Build(2), ReleasePhase::RollingBack, 0.0)),
         Others::Full => (
-            (Build(2), Course::OnTrial, 1.0),
-            (Build(2), Course::GoingBack, 0.75),
+            (Build(2), ReleasePhase::Canary, 1.0),
+            (Build(2), ReleasePhase::RollingBack, 0.75),
         ),
     };
     let list = |beat| match beat {
@@ -330,9 +345,9 @@
     let asked = |beat: u32| 8 * (beat + (times - 1) * beat.saturating_sub(last_warm)) / 100;
     let cold: BTreeSet<_> = (0..appliances)
         .step_by(10)
-        .map(|i| line(i, Mode::Ready, None).appliance)
+        .map(|i| line(i, EndpointStatus::Ready, None).id)
         .collect();
-    let mut got = BTreeMap::<ApplianceId, u32>::new();
+    let mut got = BTreeMap::<EndpointId, u32>::new();
     for me in 0..agents {
         let beats = last_warm + 101;
         play(agent(me, agents, seed), beats, list, asked, |beat, to| {
@@ -411,14 +426,14 @@
     for seed in 0..20 {
         let mut now = Duration::from_secs(100);
         let (mut brain, mut failures, mut waiting_since) = (agent(3, 30, seed), 0, now);
-        asks(&mut brain, now, Some(Listing::Saved));
+        asks(&mut brain, now, Some(ListUpdate::Cached));
         while failures < 8 {
             now += step;
             if asks(&mut brain, now, None) {
                 longest = longest.max(now - waiting_since);
                 failures += 1;
                 waiting_since = now;
-                asks(&mut brain, now, Some(Listing::Failed));
+                asks(&mut brain, now, Some(ListUpdate::Failed));
             }
         }
     }
--- a/crates/decision/tests/owed.rs
+++ b/crates/decision/tests/owed.rs
@@ -7,9 +7,13 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use lilacgate_decision::brain::Brain;
-use lilacgate_decision::parts::*;
-use lilacgate_decision::port::*;
+use lilacgate_decision::{
+    AdvanceRule, AgentId, AttemptNumber, Build, Cell, ClassPolicy, DecisionEngine,
+    DeduplicationScope, Endpoint, EndpointDiscovery, EndpointId, EndpointStatus, EventHandler,
+    Exposure, FleetPosition, Idempotency, IdempotencyKey, ListUpdate, Model, Outcome,
+    PendingRequests, ReleaseAnalysis, ReleasePhase, Request, RequestClass, RequestId, SlowStart,
+    Stage, Tenant, VoteTiming, Zone,
+};
 use lilacgate_test_bed::decided::Decided;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -24,46 +28,54 @@
     Duration::from_millis(many)
 }
 
-fn terms(repeat: Repeat, remembered: u64) -> Terms {
+fn terms(repeat: Idempotency, remembered: u64) -> ClassPolicy {
     let (sla, deadline) = (ms(300), ms(1500));
-    Terms {
-        repeat,
-        sla,
+    ClassPolicy {
+        idempotency: repeat,
+        latency_objective: sla,
         deadline,
-        remembered: ms(remembered),
-        revenue: 1.0,
-        late_share: 0.1,
+        deduplication_window: ms(remembered),
+        priority_weight: 1.0,
+        late_weight_share: 0.1,
     }
 }
 
 /// The four kinds of products; keys are remembered for less than a client waits.
-fn products() -> Vec<Terms> {
-    let keyed = |group| terms(Repeat::Referenced(group), 200);
+fn products() -> Vec<ClassPolicy> {
+    let keyed = |group| terms(Idempotency::Keyed(group), 200);
     vec![
-        terms(Repeat::InquiryLike, 0),
-        keyed(Group::All),
-        keyed(Group::Zone),
-        terms(Repeat::OnceOnly, 0),
+        terms(Idempotency::Idempotent, 0),
+        keyed(DeduplicationScope::All),
+        keyed(DeduplicationScope::Zone),
+        terms(Idempotency::NonIdempotent, 0),
     ]
 }
 
-fn agent(seed: u64, may_call_off: bool) -> Brain {
-    let among = Among {
-        me: AgentId(0),
-        agents: 3,
-        may_tell: false,
+fn agent(seed: u64, may_call_off: bool) -> DecisionEngine {
+    let among = FleetPosition {
+        own_id: AgentId(0),
+        agent_count: 3,
+        can_message_peers: false,
     };
-    let calls = Calls {
-        lasts: ms(6000),
-        wait: ms(1200),
+    let calls = VoteTiming {
+        validity: ms(6000),
+        call_timeout: ms(1200),
     };
-    Brain::new(
+    DecisionEngine::new(
         seed,
-        Membership::new(Zone(0), None),
-        Thaw::new(0.34, ms(400), 2.5, ms(1000)),
+        EndpointDiscovery::new(Zone(0), None),
+        SlowStart::new(0.34, ms(400), 2.5, ms(1000)),
         Exposure::new(ms(1000), STEP, 3.0, 0.2, false, 1, false),
-        Jury::new(Gate::Single, vec![0.1, 1.0], ms(900), calls, true, among, 4),
-        Desk::new(products(), 3, may_call_off, ms(1000), STEP),
+        ReleaseAnalysis::new(
+            AdvanceRule::Single,
+            vec![0.1, 1.0],
+            ms(900),
+            calls,
+            true,
+            among,
+            4,
+        ),
+        PendingRequests::new(products(), 3, may_call_off, ms(1000), STEP),
     )
 }
 
@@ -75,15 +87,24 @@
     /// The client of one of those in hand leaves.
     Leaves(prop::sample::Index),
     /// An appliance is listed anew.
-    Listed(u8, Mode, u16, bool),
-    News(u16, Course, f64),
+    Listed(u8, EndpointStatus, u16, bool),
+    News(u16, ReleasePhase, f64),
     /// The agent is told when it ends, so much later.
     Ends(u64),
 }
 
 fn event() -> impl Strategy<Value = (u32, Event)> {
-    let mode = prop::sample::select(vec![Mode::Ready, Mode::Ready, Mode::Draining, Mode::Gone]);
-    let course = prop::sample::select(vec![Course::OnTrial, Course::GoingBack, Course::Released]);
+    let mode = prop::sample::select(vec![
+        EndpointStatus::Ready,
+        EndpointStatus::Ready,
+        EndpointStatus::Draining,
+        EndpointStatus::Removed,
+    ]);
+    let course = prop::sample::select(vec![
+        ReleasePhase::Canary,
+        ReleasePhase::RollingBack,
+        ReleasePhase::Released,
+    ]);
     let what = prop_oneof![
         12 => (0u8..4, 1u64..1500).prop_map(|(product, time)| Event::Request(product, time)),
         2 => any::<prop::sample::Index>().prop_map(Event::Leaves),
@@ -95,24 +116,24 @@
 }
 
 /// How attempts end, in turn: how, and after so many steps, unless the request's time is over before.
-fn fate() -> impl Strategy<Value = (Ending, u32)> {
-    use Ending::*;
+fn fate() -> impl Strategy<Value = (Outcome, u32)> {
+    use Outcome::*;
     let endings = vec![
-        Served,
-        Served,
+        Succeeded,
+        Succeeded,
         Failed,
-        TurnedAway,
+        Rejected,
         TimedOut,
-        Unconnected,
-        Broken,
-        Spoilt,
-        Unsent,
+        ConnectFailed,
+        ConnectionLost,
+        Malformed,
+        NotSent,
     ];
     (prop::sample::select(endings), 0u32..400)
 }
 
 struct Taken {
-    product: Product,
+    product: RequestClass,
     until: Duration,
     attempts: u8,
     /// When the attempt that is out was decided, and in which zone; the same of the first ended one that may have run.
@@ -120,12 +141,12 @@
     risk: Option<(Duration, Zone)>,
 }
 
-fn line(i: u8, mode: Mode, build: u16, started: Option<Duration>) -> Line {
-    let (appliance, zone) = (ApplianceId(i.into()), Zone(i % 2));
+fn line(i: u8, mode: EndpointStatus, build: u16, started: Option<Duration>) -> Endpoint {
+    let (appliance, zone) = (EndpointId(i.into()), Zone(i % 2));
     let (model, cell, build) = (Model(0), Cell(0), Build(build));
-    Line {
-        appliance,
-        mode,
+    Endpoint {
+        id: appliance,
+        status: mode,
         model,
         weight: 1.0,
         started,
@@ -135,20 +156,26 @@
     }
 }
 
-fn plays(events: &[(u32, Event)], fates: &[(Ending, u32)], seed: u64, may_call_off: bool) {
+fn plays(events: &[(u32, Event)], fates: &[(Outcome, u32)], seed: u64, may_call_off: bool) {
     let mut brain = agent(seed, may_call_off);
     let (mut owed, mut done) = (BTreeMap::<RequestId, Taken>::new(), BTreeSet::new());
-    let mut out = Vec::<(Duration, RequestId, AttemptNumber, ApplianceId, Ending)>::new();
+    let mut out = Vec::<(Duration, RequestId, AttemptNumber, EndpointId, Outcome)>::new();
     let (mut ids, mut turn, mut ends) = (0, 0, Duration::MAX);
     for step in 0..ALL {
         let now = DAWN + STEP * step;
         let mut decided = Decided::default();
-        let hear = |ears: &mut dyn Hears| {
+        let hear = |ears: &mut dyn EventHandler| {
             if step == 0 {
-                ears.stage(Build(1), Stage(1), Course::Released, 1.0, Duration::ZERO);
-                ears.membership(
-                    Listing::Saved,
-                    &mut (0..4).map(|i| line(i, Mode::Ready, 1, None)),
+                ears.on_release_status(
+                    Build(1),
+                    Stage(1),
+                    ReleasePhase::Released,
+                    1.0,
+                    Duration::ZERO,
+                );
+                ears.on_endpoints(
+                    ListUpdate::Cached,
+                    &mut (0..4).map(|i| line(i, EndpointStatus::Ready, 1, None)),
                 );
             }
             for (_, what) in events.iter().filter(|(at, _)| *at == step) {
@@ -156,17 +183,18 @@
                     Event::Request(product, time) => {
                         ids += 1;
                         let (id, product, deadline) =
-                            (RequestId(ids), Product(*product), now + ms(*time));
-                        let (tenant, mark, hint) = (Tenant(0), Some(Mark(7)), Some(ms(50)));
-                        ears.request(
+                            (RequestId(ids), RequestClass(*product), now + ms(*time));
+                        let (tenant, mark, hint) =
+                            (Tenant(0), Some(IdempotencyKey(7)), Some(ms(50)));
+                        ears.on_request(
                             id,
                             Request {
-                                product,
+                                class: product,
                                 tenant,
-                                mark,
+                                idempotency_key: mark,
                                 deadline,
-                                hint,
-                                repeated: false,
+                                estimated_work: hint,
+                                is_retry: false,
                             },
                         );
                         let until = deadline.min(ends);
@@ -185,32 +213,38 @@
                         let id = *which.get(&owed.keys().copied().collect::<Vec<_>>());
                         owed.remove(&id);
                         done.insert(id);
-                        ears.client_left(id);
+                        ears.on_client_left(id);
                     }
                     Event::Leaves(_) => {}
                     Event::Listed(i, mode, build, cold) => {
                         let started = cold.then_some(now);
-                        ears.membership(
-                            Listing::Changes,
+                        ears.on_endpoints(
+                            ListUpdate::Delta,
                             &mut [line(*i, *mode, *build, started)].into_iter(),
                         );
                     }
                     Event::News(build, course, cap) => {
-                        ears.stage(Build(*build), Stage(1), *course, *cap, Duration::ZERO);
+                        ears.on_release_status(
+                            Build(*build),
+                            Stage(1),
+                            *course,
+                            *cap,
+                            Duration::ZERO,
+                        );
                     }
                     Event::Ends(wait) => {
                         ends = now + ms(*wait);
-                        ears.ends(ends);
+                        ears.on_shutdown(ends);
                         owed.values_mut()
                             .for_each(|taken| taken.until = taken.until.min(ends));
                         for one in out.iter_mut().filter(|one| one.0 >= ends) {
-                            (one.0, one.4) = (ends, Ending::TimedOut);
+                            (one.0, one.4) = (ends, Outcome::TimedOut);
                         }
                     }
                 }
             }
             for (_, id, attempt, at, ending) in out.extract_if(.., |(due, ..)| *due <= now) {
-                let served = ending == Ending::Served && owed.remove(&id).is_some();
+                let served = ending == Outcome::Succeeded && owed.remove(&id).is_some();
                 if served {
                     done.insert(id);
                 }
@@ -219,7 +253,7 @@
                     let ran = taken.out.take().filter(|_| ending.may_have_run());
                     taken.risk = taken.risk.or(ran);
                 }
-                ears.ended(id, attempt, at, ending, STEP, closed);
+                ears.on_attempt_ended(id, attempt, at, ending, STEP, closed);
             }
         };
         brain.round(now, hear, &mut decided);
@@ -230,12 +264,12 @@
             assert!(taken.out.is_none(), "two attempts at once");
             let zone = Zone(to.0 as u8 % 2);
             let risk = taken.risk;
-            match products()[usize::from(taken.product.0)].repeat {
-                Repeat::InquiryLike => {}
-                Repeat::OnceOnly => assert!(risk.is_none(), "it may have run"),
-                Repeat::Referenced(group) => assert!(
+            match products()[usize::from(taken.product.0)].idempotency {
+                Idempotency::Idempotent => {}
+                Idempotency::NonIdempotent => assert!(risk.is_none(), "it may have run"),
+                Idempotency::Keyed(group) => assert!(
                     risk.is_none_or(|(at, in_zone)| {
-                        now < at + ms(200) && (group == Group::All || zone == in_zone)
+                        now < at + ms(200) && (group == DeduplicationScope::All || zone == in_zone)
                     }),
                     "it may have run, and no repeat is known there now"
                 ),
@@ -247,7 +281,7 @@
             let (due, ending) = if due < taken.until {
                 (due, ending)
             } else {
-                (taken.until, Ending::TimedOut)
+                (taken.until, Outcome::TimedOut)
             };
             out.push((due, id, AttemptNumber(taken.attempts), to, ending));
             (taken.attempts, taken.out) = (taken.attempts + 1, Some((now, zone)));
@@ -256,14 +290,15 @@
             out.iter_mut()
                 .filter(|one| (one.1, one.2) == (id, attempt))
                 .for_each(|one| {
-                    (one.0, one.4) = (now, Ending::CalledOff);
+                    (one.0, one.4) = (now, Outcome::Cancelled);
                 });
         }
         for (id, again) in decided.given_up {
             let taken = owed.remove(&id).expect("one answer, and no second");
             done.insert(id);
             assert!(taken.out.is_none(), "an attempt is out");
-            let unsafe_once = products()[usize::from(taken.product.0)].repeat == Repeat::OnceOnly;
+            let unsafe_once =
+                products()[usize::from(taken.product.0)].idempotency == Idempotency::NonIdempotent;
             assert!(
                 !(again && unsafe_once && taken.risk.is_some()),
                 "it may have run, and may not come again"
--- a/crates/decision/tests/reports/fleet.rs
+++ b/crates/decision/tests/reports/fleet.rs
@@ -2,9 +2,12 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-use lilacgate_decision::brain::Brain;
-use lilacgate_decision::parts::*;
-use lilacgate_decision::port::*;
+use lilacgate_decision::{
+    AdvanceRule, AgentId, AttemptNumber, Build, Cell, ClassPolicy, DecisionEngine, Endpoint,
+    EndpointDiscovery, EndpointId, EndpointStatus, EventHandler, Exposure, FleetPosition,
+    Idempotency, ListUpdate, Model, Outcome, PendingRequests, ReleaseAnalysis, ReleasePhase,
+    Request, RequestClass, RequestId, SlowStart, Stage, Tenant, Vote, VoteTiming, Zone,
+};
 use lilacgate_test_bed::decided::Decided;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -18,22 +21,22 @@
 pub const RELEASED: Duration = Duration::from_secs(106);
 pub const STEP: Duration = Duration::from_millis(10);
 const ANSWER: Duration = Duration::from_millis(60);
-const READ: Terms = Terms {
-    repeat: Repeat::InquiryLike,
-    sla: Duration::from_millis(500),
+const READ: ClassPolicy = ClassPolicy {
+    idempotency: Idempotency::Idempotent,
+    latency_objective: Duration::from_millis(500),
     deadline: Duration::from_secs(2),
-    remembered: Duration::ZERO,
-    revenue: 1.0,
-    late_share: 0.0,
+    deduplication_window: Duration::ZERO,
+    priority_weight: 1.0,
+    late_weight_share: 0.0,
 };
 
 /// An agent whose reports go through relays.
-pub fn module(me: u32, agents: u32, may_tell: bool, seed: u64) -> Brain {
-    module_with(me, agents, may_tell, seed, Jury::with_relays)
+pub fn module(me: u32, agents: u32, may_tell: bool, seed: u64) -> DecisionEngine {
+    module_with(me, agents, may_tell, seed, ReleaseAnalysis::with_relays)
 }
 
 /// An agent as it is made without asking for relays.
-pub fn module_without_relays(me: u32, agents: u32) -> Brain {
+pub fn module_without_relays(me: u32, agents: u32) -> DecisionEngine {
     module_with(me, agents, true, 1, |jury| jury)
 }
 
@@ -42,25 +45,25 @@
     agents: u32,
     may_tell: bool,
     seed: u64,
-    change: impl FnOnce(Jury) -> Jury,
-) -> Brain {
+    change: impl FnOnce(ReleaseAnalysis) -> ReleaseAnalysis,
+) -> DecisionEngine {
     let ms = Duration::from_millis;
-    let among = Among {
-        me: AgentId(me),
-        agents,
-        may_tell,
+    let among = FleetPosition {
+        own_id: AgentId(me),
+        agent_count: agents,
+        can_message_peers: may_tell,
     };
-    let calls = Calls {
-        lasts: ms(6000),
-        wait: ms(1200),
+    let calls = VoteTiming {
+        validity: ms(6000),
+        call_timeout: ms(1200),
     };
-    Brain::new(
+    DecisionEngine::new(
         seed + u64::from(me) * 7919,
-        Membership::new(Zone(0), None),
-        Thaw::new(0.34, ms(4000), 2.5, ms(1000)),
+        EndpointDiscovery::new(Zone(0), None),
+        SlowStart::new(0.34, ms(4000), 2.5, ms(1000)),
         Exposure::new(ms(4000), ms(5), 3.0, 0.1, false, 1, false),
-        change(Jury::new(
-            Gate::Single,
+        change(ReleaseAnalysis::new(
+            AdvanceRule::Single,
             vec![0.1, 0.5, 1.0],
             DWELL,
             calls,
@@ -68,16 +71,16 @@
             among,
             1,
         )),
-        Desk::new(vec![READ], 3, true, ms(2000), ms(5)),
+        PendingRequests::new(vec![READ], 3, true, ms(2000), ms(5)),
     )
 }
 
-fn line(i: u32, build: Build, started: Option<Duration>) -> Line {
-    let (mode, model, cell, zone) = (Mode::Ready, Model(0), Cell(0), Zone(0));
-    let appliance = ApplianceId(i.wrapping_mul(0x9E37_79B9));
-    Line {
-        appliance,
-        mode,
+fn line(i: u32, build: Build, started: Option<Duration>) -> Endpoint {
+    let (mode, model, cell, zone) = (EndpointStatus::Ready, Model(0), Cell(0), Zone(0));
+    let appliance = EndpointId(i.wrapping_mul(0x9E37_79B9));
+    Endpoint {
+        id: appliance,
+        status: mode,
         model,
         weight: 4.0,
         started,
@@ -88,8 +91,8 @@
 }
 
 /// The i-th appliance that runs the build on trial.
-pub fn trial(i: u32) -> ApplianceId {
-    line(i * 10, TRIAL, None).appliance
+pub fn trial(i: u32) -> EndpointId {
+    line(i * 10, TRIAL, None).id
 }
 
 /// What the modules of a run have in common.
@@ -139,23 +142,23 @@
 }
 
 struct Agent {
-    brain: Brain,
+    brain: DecisionEngine,
     wake: Duration,
     next_request: Duration,
     requests: u32,
     attempts: BTreeMap<RequestId, u8>,
-    out: VecDeque<(Duration, RequestId, AttemptNumber, ApplianceId, Ending)>,
+    out: VecDeque<(Duration, RequestId, AttemptNumber, EndpointId, Outcome)>,
 }
 
 /// What came of a run.
 #[derive(Default)]
-pub struct Outcome {
+pub struct RunResult {
     pub sent: Vec<Datagram>,
     /// The first vote to take the build back, and whose it was.
     pub convicted: Option<(Duration, AgentId)>,
 }
 
-impl Outcome {
+impl RunResult {
     /// The octets and datagrams a second that the busiest agent heard of others' reports between two moments.
     pub fn inbound(&self, from: Duration, to: Duration) -> (f64, f64) {
         let mut sums = BTreeMap::<AgentId, (usize, usize)>::new();
@@ -170,13 +173,13 @@
 }
 
 /// Runs a release for so long, or until the build is convicted if that ends it.
-pub fn run(scene: Scene, lasts: Duration, ends_on_conviction: bool) -> Outcome {
+pub fn run(scene: Scene, lasts: Duration, ends_on_conviction: bool) -> RunResult {
     let mut luck = Pcg64Mcg::seed_from_u64(scene.seed);
     let mut agents: Vec<_> = (0..scene.agents)
         .map(|me| agent(me, scene, &mut luck))
         .collect();
     let mut network = BTreeMap::<(Duration, u64), Datagram>::new();
-    let mut outcome = Outcome::default();
+    let mut outcome = RunResult::default();
     let (mut now, mut sent) = (DAWN, 0);
     while now < DAWN + lasts && !(ends_on_conviction && outcome.convicted.is_some()) {
         let mut inboxes = BTreeMap::<AgentId, Vec<Datagram>>::new();
@@ -190,7 +193,7 @@
             let Some(decided) = round(agent, now, scene, inbox, &mut luck) else {
                 continue;
             };
-            if decided.votes.contains(&Verdict::Back) {
+            if decided.votes.contains(&Vote::RollBack) {
                 outcome.convicted.get_or_insert((now, me));
             }
             for (to, octets) in decided.told {
@@ -253,32 +256,39 @@
         attempts,
         out,
     } = agent;
-    let hear = |ears: &mut dyn Hears| {
+    let hear = |ears: &mut dyn EventHandler| {
         if lists {
             tell_list(scene, (now >= RELEASED).then_some(now), ears);
         }
         for datagram in &inbox {
-            ears.peer(datagram.from, &datagram.octets);
+            ears.on_peer_message(datagram.from, &datagram.octets);
         }
         let due = out.partition_point(|out| out.0 <= now);
         for (_, id, attempt, at, ending) in out.drain(..due) {
-            ears.ended(id, attempt, at, ending, ANSWER, ending == Ending::Served);
+            ears.on_attempt_ended(
+                id,
+                attempt,
+                at,
+                ending,
+                ANSWER,
+                ending == Outcome::Succeeded,
+            );
         }
         while *next_request <= now {
             *next_request +=
                 Duration::from_secs_f64(-luck.random::<f64>().max(1e-9).ln() / scene.rate);
             *requests += 1;
-            let (product, hint, deadline) = (Product(0), Some(ANSWER), now + READ.deadline);
+            let (product, hint, deadline) = (RequestClass(0), Some(ANSWER), now + READ.deadline);
             let (tenant, mark, repeated) = (Tenant(0), None, false);
             let request = Request {
-                product,
+                class: product,
                 tenant,
-                mark,
+                idempotency_key: mark,
                 deadline,
-                hint,
-                repeated,
+                estimated_work: hint,
+                is_retry: repeated,
             };
-            ears.request(RequestId(*requests), request);
+            ears.on_request(RequestId(*requests), request);
         }
     };
     brain.round(now, hear, &mut decided);
@@ -292,9 +302,9 @@
         let attempt = attempts.entry(id).or_default();
         let fails = now >= RELEASED && trials.contains(&to) && luck.random::<f64>() < scene.failing;
         let ending = if fails {
-            Ending::Failed
+            Outcome::Failed
         } else {
-            Ending::Served
+            Outcome::Succeeded
         };
         out.push_back((now + ANSWER, id, AttemptNumber(*attempt), to, ending));
         *attempt += 1;
@@ -303,16 +313,22 @@
 }
 
 /// The list and the platform's news: at first one build, then some appliances that run the next one.
-pub fn tell_list(scene: Scene, trial_started: Option<Duration>, ears: &mut dyn Hears) {
+pub fn tell_list(scene: Scene, trial_started: Option<Duration>, ears: &mut dyn EventHandler) {
     let tried = |i: u32| trial_started.is_some() && i.is_multiple_of(10) && i / 10 < scene.on_trial;
     let lines = (0..scene.appliances).map(|i| match tried(i) {
         true => line(i, TRIAL, trial_started),
         false => line(i, Build(1), None),
     });
-    ears.membership(Listing::Whole, &mut lines.collect::<Vec<_>>().into_iter());
+    ears.on_endpoints(ListUpdate::Full, &mut lines.collect::<Vec<_>>().into_iter());
     if trial_started.is_none() {
-        ears.stage(Build(1), Stage(2), Course::Released, 1.0, Duration::ZERO);
+        ears.on_release_status(
+            Build(1),
+            Stage(2),
+            ReleasePhase::Released,
+            1.0,
+            Duration::ZERO,
+        );
     } else {
-        ears.stage(TRIAL, Stage(0), Course::OnTrial, 0.5, Duration::ZERO);
+        ears.on_release_status(TRIAL, Stage(0), ReleasePhase::Canary, 0.5, Duration::ZERO);
     }
 }
--- a/crates/decision/tests/reports/main.rs
+++ b/crates/decision/tests/reports/main.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use fleet::*;
-use lilacgate_decision::port::*;
+use lilacgate_decision::{AgentId, RequestClass};
 use rstest::rstest;
 
 /// What an agent may hear in a `min-dwell`, headers included: 24 datagrams of 256 octets.
@@ -117,7 +117,7 @@
     let judges = (0..agents.min(3)).map(|i| AgentId((2 + i * agents / agents.min(3)) % agents));
     for serial in 1..4_u32 {
         let told = member.after(DWELL, |ears| {
-            ears.wrong_answer(trial(0), Product(0), Duration::ZERO)
+            ears.on_wrong_answer(trial(0), RequestClass(0), Duration::ZERO)
         });
         let mut octets = vec![0, 2];
         octets.extend((DAWN.as_millis() as u32).to_be_bytes());
--- a/crates/decision/tests/reports/relaying.rs
+++ b/crates/decision/tests/reports/relaying.rs
@@ -2,8 +2,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use lilacgate_decision::brain::Brain;
-use lilacgate_decision::port::*;
+use lilacgate_decision::{AgentId, DecisionEngine, EndpointId, EventHandler, RequestClass};
 use lilacgate_test_bed::decided::Decided;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, RngSeed, TestRng, TestRunner};
@@ -19,7 +18,7 @@
 
 /// A module by itself, amid a release.
 pub struct Module {
-    brain: Brain,
+    brain: DecisionEngine,
     pub now: Duration,
 }
 
@@ -37,7 +36,7 @@
         Module::with_list(module(me, agents, may_tell, 1), now)
     }
 
-    fn with_list(brain: Brain, now: Duration) -> Self {
+    fn with_list(brain: DecisionEngine, now: Duration) -> Self {
         let mut module = Module { brain, now };
         let scene = Scene {
             appliances: 400,
@@ -54,7 +53,7 @@
     pub fn after(
         &mut self,
         later: Duration,
-        hear: impl FnOnce(&mut dyn Hears),
+        hear: impl FnOnce(&mut dyn EventHandler),
     ) -> Vec<(Option<AgentId>, Vec<u8>)> {
         self.now += later;
         let mut decided = Decided::default();
@@ -63,7 +62,7 @@
     }
 }
 
-type Entry = (ApplianceId, [u8; 4]);
+type Entry = (EndpointId, [u8; 4]);
 
 /// A report as members of a large fleet send it: its serial number tells when it was made.
 fn report(start: Duration, made: Duration, entries: &[Entry]) -> Vec<u8> {
@@ -79,13 +78,13 @@
     octets
 }
 
-type Sums = BTreeMap<ApplianceId, [u32; 4]>;
+type Sums = BTreeMap<EndpointId, [u32; 4]>;
 
 /// Adds up what a report says.
 fn add(sums: &mut Sums, octets: &[u8]) {
     assert!(octets.len() <= 256, "a datagram of {} octets", octets.len());
     for record in octets[16..].chunks_exact(9) {
-        let at = ApplianceId(u32::from_be_bytes([
+        let at = EndpointId(u32::from_be_bytes([
             record[0], record[1], record[2], record[3],
         ]));
         let sum = sums.entry(at).or_default();
@@ -166,7 +165,9 @@
                     let octets = report(DAWN - SECOND, relay.now, &entries);
                     add(&mut reported, &octets);
                     made.push((AgentId(member), octets.clone()));
-                    let hear = |ears: &mut dyn Hears| ears.peer(AgentId(member), &octets);
+                    let hear = |ears: &mut dyn EventHandler| {
+                        ears.on_peer_message(AgentId(member), &octets)
+                    };
                     if arrives {
                         relay.after(Duration::ZERO, hear)
                     } else {
@@ -175,7 +176,9 @@
                 }
                 Event::Again(which) if !made.is_empty() => {
                     let (from, octets) = which.get(&made);
-                    relay.after(Duration::from_millis(2), |ears| ears.peer(*from, octets))
+                    relay.after(Duration::from_millis(2), |ears| {
+                        ears.on_peer_message(*from, octets)
+                    })
                 }
                 Event::Again(_) => Vec::new(),
                 Event::Restart => {
@@ -218,7 +221,7 @@
         add(&mut reported, &octets);
         let from = AgentId(MEMBERS.start + round % 5);
         passed_on(
-            relay.after(SECOND / 10, |ears| ears.peer(from, &octets)),
+            relay.after(SECOND / 10, |ears| ears.on_peer_message(from, &octets)),
             &mut passed,
         );
     }
@@ -241,7 +244,7 @@
             &[(trial(i % 2), [200, 40, 0, 0])],
         );
         told.extend(relay.after(SECOND / 100, |ears| {
-            ears.peer(AgentId(MEMBERS.start), &octets)
+            ears.on_peer_message(AgentId(MEMBERS.start), &octets)
         }));
     }
     let records: Vec<_> = told
@@ -282,7 +285,9 @@
         DAWN + Duration::from_millis(made),
         &[(trial(0), [9, 1, 0, 0])],
     );
-    let mut told = relay.after(SECOND / 10, |ears| ears.peer(AgentId(from), &octets));
+    let mut told = relay.after(SECOND / 10, |ears| {
+        ears.on_peer_message(AgentId(from), &octets)
+    });
     told.extend(relay.after(DWELL, |_| {}));
     assert_eq!(!told.is_empty(), passes, "{told:?}");
 }
@@ -295,8 +300,9 @@
         let mut member = Module::new(me, AGENTS, true);
         let mut relays = Vec::new();
         for _ in 0..300 {
-            let wrong =
-                |ears: &mut dyn Hears| ears.wrong_answer(trial(0), Product(0), Duration::ZERO);
+            let wrong = |ears: &mut dyn EventHandler| {
+                ears.on_wrong_answer(trial(0), RequestClass(0), Duration::ZERO)
+            };
             let told = member.after(DWELL / 3, wrong);
             // As a relay itself it reports to the judges.
             let relay = told
@@ -328,7 +334,7 @@
             .collect();
         let octets = report(DAWN, relay.now + SECOND / 10, &entries);
         let told = relay.after(SECOND / 10, |ears| {
-            ears.peer(AgentId(MEMBERS.start), &octets)
+            ears.on_peer_message(AgentId(MEMBERS.start), &octets)
         });
         if round >= 60 {
             passed_on(told, &mut lately);
--- a/crates/decision/tests/same_decisions.rs
+++ b/crates/decision/tests/same_decisions.rs
@@ -4,10 +4,13 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use lilacgate_decision::brain::Brain;
-use lilacgate_decision::openings::Openings;
-use lilacgate_decision::parts::*;
-use lilacgate_decision::port::*;
+use lilacgate_decision::{
+    Actions, AdvanceRule, AgentId, AttemptNumber, Build, Cell, ClassPolicy, DecisionEngine,
+    DeduplicationScope, Endpoint, EndpointDiscovery, EndpointId, EndpointStatus, EventHandler,
+    Exposure, FleetPosition, Idempotency, IdempotencyKey, ListUpdate, Model, Note, Outcome,
+    PendingRequests, ReleaseAnalysis, ReleasePermissions, ReleasePhase, Request, RequestClass,
+    RequestId, SlowStart, Stage, Tenant, TimerId, Vote, VoteTiming, Zone,
+};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use rstest::rstest;
@@ -20,45 +23,45 @@
     Duration::from_millis(many)
 }
 
-fn terms(repeat: Repeat, remembered: u64) -> Terms {
+fn terms(repeat: Idempotency, remembered: u64) -> ClassPolicy {
     let (sla, deadline) = (ms(400), ms(2000));
-    Terms {
-        repeat,
-        sla,
+    ClassPolicy {
+        idempotency: repeat,
+        latency_objective: sla,
         deadline,
-        remembered: ms(remembered),
-        revenue: 1.0,
-        late_share: 0.1,
+        deduplication_window: ms(remembered),
+        priority_weight: 1.0,
+        late_weight_share: 0.1,
     }
 }
 
-fn products() -> Vec<Terms> {
-    let keyed = |group| terms(Repeat::Referenced(group), 1000);
+fn products() -> Vec<ClassPolicy> {
+    let keyed = |group| terms(Idempotency::Keyed(group), 1000);
     vec![
-        terms(Repeat::InquiryLike, 0),
-        keyed(Group::Zone),
-        keyed(Group::Cell),
-        terms(Repeat::OnceOnly, 0),
+        terms(Idempotency::Idempotent, 0),
+        keyed(DeduplicationScope::Zone),
+        keyed(DeduplicationScope::Cell),
+        terms(Idempotency::NonIdempotent, 0),
     ]
 }
 
-fn agent(me: u32, agents: u32, seed: u64) -> Brain {
-    let among = Among {
-        me: AgentId(me),
-        agents,
-        may_tell: true,
+fn agent(me: u32, agents: u32, seed: u64) -> DecisionEngine {
+    let among = FleetPosition {
+        own_id: AgentId(me),
+        agent_count: agents,
+        can_message_peers: true,
     };
-    let calls = Calls {
-        lasts: ms(6000),
-        wait: ms(1200),
+    let calls = VoteTiming {
+        validity: ms(6000),
+        call_timeout: ms(1200),
     };
-    Brain::new(
+    DecisionEngine::new(
         seed,
-        Membership::new(Zone(0), Some(ms(10_000))),
-        Thaw::new(0.34, ms(4000), 2.5, ms(1000)),
+        EndpointDiscovery::new(Zone(0), Some(ms(10_000))),
+        SlowStart::new(0.34, ms(4000), 2.5, ms(1000)),
         Exposure::new(ms(4000), ms(5), 3.0, 0.1, true, 1, false),
-        Jury::new(
-            Gate::Single,
+        ReleaseAnalysis::new(
+            AdvanceRule::Single,
             vec![0.1, 0.5, 1.0],
             ms(900),
             calls,
@@ -66,15 +69,52 @@
             among,
             4,
         ),
-        Desk::new(products(), 3, true, ms(2000), ms(5)),
+        PendingRequests::new(products(), 3, true, ms(2000), ms(5)),
     )
 }
 
+/// The digests were recorded when votes, notes and log lines had these forms, which are kept here so that a
+/// renamed variant does not change them.
+fn recorded_vote(vote: Vote) -> &'static str {
+    match vote {
+        Vote::Retract => "Withdraw",
+        Vote::Advance => "On",
+        Vote::Hold => "Hold",
+        Vote::RollBack => "Back",
+    }
+}
+
+fn recorded_note(note: Note) -> String {
+    match note {
+        Note::Ejected {
+            endpoint,
+            reason,
+            until,
+        } => {
+            let id = endpoint.0;
+            format!("Barred {{ at: ApplianceId({id}), why: {reason:?}, until: {until:?} }}")
+        }
+        Note::Tried(endpoint) => format!("Tried(ApplianceId({}))", endpoint.0),
+        Note::Readmitted(endpoint) => format!("Unbarred(ApplianceId({}))", endpoint.0),
+        Note::GivenUp(reason) => format!("GivenUp({reason:?})"),
+    }
+}
+
+fn recorded_log(text: &str) -> String {
+    [Vote::Retract, Vote::Advance, Vote::Hold, Vote::RollBack]
+        .into_iter()
+        .find_map(|vote| {
+            let rest = text.strip_prefix(&format!("vote {vote:?} "))?;
+            Some(format!("vote {} {rest}", recorded_vote(vote)))
+        })
+        .unwrap_or_else(|| text.to_owned())
+}
+
 /// A digest (FNV-1a, 64 bits) of all decisions but wake-ups, and the attempts of the round.
 struct Digest {
     sum: u64,
     decisions: u32,
-    sent: Vec<(RequestId, ApplianceId)>,
+    sent: Vec<(RequestId, EndpointId)>,
 }
 
 impl Digest {
@@ -86,54 +126,59 @@
     }
 }
 
-impl Decisions for Digest {
-    fn send_attempt(&mut self, id: RequestId, to: ApplianceId, _: Duration) {
+impl Actions for Digest {
+    fn send_attempt(&mut self, id: RequestId, to: EndpointId, _: Duration) {
         self.put(&format!("submit {} {}", id.0, to.0));
         self.sent.push((id, to));
     }
-    fn decline(&mut self, id: RequestId, wait: Duration) {
+    fn reject(&mut self, id: RequestId, wait: Duration) {
         self.put(&format!("decline {} {wait:?}", id.0));
     }
-    fn void(&mut self, id: RequestId) {
+    fn fail(&mut self, id: RequestId) {
         self.put(&format!("void {}", id.0));
     }
-    fn call_off(&mut self, id: RequestId, attempt: AttemptNumber) {
+    fn cancel(&mut self, id: RequestId, attempt: AttemptNumber) {
         self.put(&format!("call off {} {}", id.0, attempt.0));
     }
-    fn wake(&mut self, _: Duration, _: Ticket) {}
-    fn probe(&mut self, at: ApplianceId) {
+    fn schedule_wake_up(&mut self, _: Duration, _: TimerId) {}
+    fn check_health(&mut self, at: EndpointId) {
         self.put(&format!("probe {}", at.0));
     }
-    fn free_links(&mut self, at: ApplianceId) {
+    fn close_idle_connections(&mut self, at: EndpointId) {
         self.put(&format!("free {}", at.0));
     }
-    fn tell(&mut self, peer: Option<AgentId>, octets: &[u8]) {
+    fn send_to_peer(&mut self, peer: Option<AgentId>, octets: &[u8]) {
         self.put(&format!("tell {peer:?} {octets:?}"));
     }
     fn log(&mut self, text: &str) {
-        self.put(&format!("log {text}"));
+        self.put(&format!("log {}", recorded_log(text)));
     }
-    fn watch_membership(&mut self, on: bool) {
+    fn watch_endpoints(&mut self, on: bool) {
         self.put(&format!("watch {on}"));
     }
-    fn fetch_membership(&mut self) {
+    fn fetch_endpoints(&mut self) {
         self.put("fetch");
     }
-    fn vote(&mut self, build: Build, stage: Stage, verdict: Verdict) {
-        self.put(&format!("vote {} {} {verdict:?}", build.0, stage.0));
+    fn vote(&mut self, build: Build, stage: Stage, verdict: Vote) {
+        self.put(&format!(
+            "vote {} {} {}",
+            build.0,
+            stage.0,
+            recorded_vote(verdict)
+        ));
     }
     fn note(&mut self, note: Note) {
-        self.put(&format!("note {note:?}"));
+        self.put(&format!("note {}", recorded_note(note)));
     }
 }
 
-fn line(i: u32, listed: u32) -> Line {
-    let appliance = ApplianceId(i.wrapping_mul(0x9E37_79B9));
-    let (model, build, mode) = (Model((i % 3) as u8), Build(1), Mode::Ready);
+fn line(i: u32, listed: u32) -> Endpoint {
+    let appliance = EndpointId(i.wrapping_mul(0x9E37_79B9));
+    let (model, build, mode) = (Model((i % 3) as u8), Build(1), EndpointStatus::Ready);
     let (cell, zone) = (Cell((i / 3) as u16), Zone((i * 4 / listed) as u8));
-    Line {
-        appliance,
-        mode,
+    Endpoint {
+        id: appliance,
+        status: mode,
         model,
         weight: [1.0, 2.5, 4.0][i as usize % 3],
         started: None,
@@ -148,14 +193,14 @@
     Duration,
     RequestId,
     AttemptNumber,
-    ApplianceId,
-    Ending,
+    EndpointId,
+    Outcome,
     Duration,
 );
 
 struct Minute {
     chance: Pcg64Mcg,
-    lines: Vec<Line>,
+    lines: Vec<Endpoint>,
     attempts: BTreeMap<RequestId, u8>,
     out: Vec<Attempt>,
     next: u32,
@@ -163,44 +208,47 @@
 
 impl Minute {
     /// A list change, a restart onto the trial build, a drain or a return.
-    fn change(&mut self, now: Duration, beat: u32, ears: &mut dyn Hears) {
+    fn change(&mut self, now: Duration, beat: u32, ears: &mut dyn EventHandler) {
         let all = self.lines.len();
         let i = self.chance.random_range(0..all);
         let one = &mut self.lines[i];
         match self.chance.random_range(0..6) {
-            0 => one.mode = Mode::Draining,
-            1 if i > 0 => one.mode = Mode::Gone,
+            0 => one.status = EndpointStatus::Draining,
+            1 if i > 0 => one.status = EndpointStatus::Removed,
             2 if beat > 1000 => {
-                (one.mode, one.build, one.started) = (Mode::Ready, Build(2), Some(now))
+                (one.status, one.build, one.started) = (EndpointStatus::Ready, Build(2), Some(now))
             }
-            3 => (one.mode, one.started) = (Mode::Ready, Some(now)),
-            _ => one.mode = Mode::Ready,
+            3 => (one.status, one.started) = (EndpointStatus::Ready, Some(now)),
+            _ => one.status = EndpointStatus::Ready,
         }
-        ears.membership(Listing::Changes, &mut [*one].into_iter());
+        ears.on_endpoints(ListUpdate::Delta, &mut [*one].into_iter());
     }
 
-    fn news(&mut self, beat: u32, ears: &mut dyn Hears) {
+    fn news(&mut self, beat: u32, ears: &mut dyn EventHandler) {
         let told = match beat {
-            0 => (1, 2, Course::Released, 1.0),
-            1000 => (2, 0, Course::OnTrial, 0.2),
-            2000 => (2, 1, Course::OnTrial, 0.6),
-            3500 => (2, 2, Course::Released, 1.0),
-            4000 => (3, 0, Course::OnTrial, 0.1),
-            4300 => (3, 0, Course::GoingBack, 0.0),
+            0 => (1, 2, ReleasePhase::Released, 1.0),
+            1000 => (2, 0, ReleasePhase::Canary, 0.2),
+            2000 => (2, 1, ReleasePhase::Canary, 0.6),
+            3500 => (2, 2, ReleasePhase::Released, 1.0),
+            4000 => (3, 0, ReleasePhase::Canary, 0.1),
+            4300 => (3, 0, ReleasePhase::RollingBack, 0.0),
             _ => return,
         };
-        ears.stage(Build(told.0), Stage(told.1), told.2, told.3, Duration::ZERO);
+        ears.on_release_status(Build(told.0), Stage(told.1), told.2, told.3, Duration::ZERO);
     }
 
-    fn hear(&mut self, now: Duration, beat: u32, ears: &mut dyn Hears) {
+    fn hear(&mut self, now: Duration, beat: u32, ears: &mut dyn EventHandler) {
         self.news(beat, ears);
         if beat == 0 {
-            ears.membership(Listing::Saved, &mut self.lines.clone().into_iter());
+            ears.on_endpoints(ListUpdate::Cached, &mut self.lines.clone().into_iter());
         }
         if beat.is_multiple_of(700) {
-            let ready = self.lines.iter().filter(|line| line.mode != Mode::Gone);
-            ears.membership(
-                Listing::Whole,
+            let ready = self
+                .lines
+                .iter()
+                .filter(|line| line.status != EndpointStatus::Removed);
+            ears.on_endpoints(
+                ListUpdate::Full,
                 &mut ready.copied().collect::<Vec<_>>().into_iter(),
             );
         } else if beat.is_multiple_of(60) {
@@ -211,7 +259,7 @@
                 (Build(1), &[15, 15, 0, 3][..]),
                 (Build(2), &[15, 7, 15, 0][..]),
             ];
-            ears.openings(Some(Arc::new(Openings::new(
+            ears.on_release_permissions(Some(Arc::new(ReleasePermissions::new(
                 4,
                 1,
                 &rows,
@@ -219,41 +267,41 @@
             ))));
         }
         if beat == 5000 {
-            ears.openings(None);
+            ears.on_release_permissions(None);
         }
         for (_, id, attempt, at, ending, took) in self.out.extract_if(.., |one| one.0 <= now) {
-            ears.ended(id, attempt, at, ending, took, ending == Ending::Served);
+            ears.on_attempt_ended(id, attempt, at, ending, took, ending == Outcome::Succeeded);
         }
         if self.chance.random::<f64>() < 0.4 {
             self.next += 1;
-            let (product, tenant) = (Product(self.chance.random_range(0..4)), Tenant(0));
+            let (product, tenant) = (RequestClass(self.chance.random_range(0..4)), Tenant(0));
             let (deadline, hint) = (now + ms(2000), Some(ms(self.chance.random_range(20..120))));
             let request = Request {
-                product,
+                class: product,
                 tenant,
-                mark: Some(Mark(7)),
+                idempotency_key: Some(IdempotencyKey(7)),
                 deadline,
-                hint,
-                repeated: false,
+                estimated_work: hint,
+                is_retry: false,
             };
-            ears.request(RequestId(self.next), request);
+            ears.on_request(RequestId(self.next), request);
         }
     }
 
     /// How an attempt goes: a tenth of the appliances say nothing for ten seconds, others fail at times.
-    fn fate(&mut self, now: Duration, beat: u32, id: RequestId, to: ApplianceId) {
+    fn fate(&mut self, now: Duration, beat: u32, id: RequestId, to: EndpointId) {
         let attempt = self.attempts.entry(id).or_default();
         let which = AttemptNumber(*attempt);
         *attempt += 1;
         let silent = (2500..3500).contains(&beat) && to.0 % 10 == 3;
         let (ending, took) = match self.chance.random_range(0..100) {
-            _ if silent => (Ending::TimedOut, 1500),
-            0 => (Ending::TimedOut, 1500),
-            1..4 => (Ending::Failed, 40),
-            4 => (Ending::Broken, 30),
-            5 => (Ending::Unconnected, 5),
-            6 => (Ending::TurnedAway, 3),
-            _ => (Ending::Served, self.chance.random_range(30..260)),
+            _ if silent => (Outcome::TimedOut, 1500),
+            0 => (Outcome::TimedOut, 1500),
+            1..4 => (Outcome::Failed, 40),
+            4 => (Outcome::ConnectionLost, 30),
+            5 => (Outcome::ConnectFailed, 5),
+            6 => (Outcome::Rejected, 3),
+            _ => (Outcome::Succeeded, self.chance.random_range(30..260)),
         };
         self.out
             .push((now + ms(took), id, which, to, ending, ms(took)));
