--- a/crates/decision/tests/scenarios.rs
+++ b/crates/decision/tests/scenarios.rs
@@ -26,10 +26,13 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use lilacgate_decision::brain::{Brain, Test};
-use lilacgate_decision::openings::Openings;
-use lilacgate_decision::parts::*;
-use lilacgate_decision::port::*;
+use lilacgate_decision::{
+    Actions, AdvanceRule, AgentId, AttemptNumber, Build, Cell, ClassPolicy, DecisionEngine,
+    DeduplicationScope, Endpoint, EndpointDiscovery, EndpointId, EndpointStatus, EventHandler,
+    Exposure, FleetPosition, Idempotency, IdempotencyKey, ListUpdate, Model, Note, Outcome,
+    PendingRequests, ReleaseAnalysis, ReleasePermissions, ReleasePhase, Request, RequestClass,
+    RequestId, SlowStart, Stage, Tenant, Test, TimerId, Vote, VoteTiming, Zone,
+};
 use lilacgate_timeline::book::{Book, Room};
 use lilacgate_timeline::watch::Aims;
 use rstest::rstest;
@@ -58,7 +61,7 @@
     now: Vec<String>,
     ever: Vec<String>,
     noted: Vec<String>,
-    out: VecDeque<(RequestId, AttemptNumber, ApplianceId)>,
+    out: VecDeque<(RequestId, AttemptNumber, EndpointId)>,
     attempts: BTreeMap<RequestId, u8>,
 }
 
@@ -69,8 +72,8 @@
     }
 }
 
-impl Decisions for Written {
-    fn send_attempt(&mut self, id: RequestId, to: ApplianceId, _: Duration) {
+impl Actions for Written {
+    fn send_attempt(&mut self, id: RequestId, to: EndpointId, _: Duration) {
         self.put(format!("attempt {} {}", id.0, to.0));
         let attempt = self.attempts.entry(id).or_default();
         self.book
@@ -79,37 +82,37 @@
         self.out.push_back((id, AttemptNumber(*attempt), to));
         *attempt += 1;
     }
-    fn decline(&mut self, id: RequestId, _: Duration) {
+    fn reject(&mut self, id: RequestId, _: Duration) {
         self.put(format!("decline {}", id.0));
     }
-    fn void(&mut self, id: RequestId) {
+    fn fail(&mut self, id: RequestId) {
         self.put(format!("void {}", id.0));
     }
-    fn call_off(&mut self, id: RequestId, attempt: AttemptNumber) {
+    fn cancel(&mut self, id: RequestId, attempt: AttemptNumber) {
         self.put(format!("call-off {}/{}", id.0, attempt.0));
     }
-    fn wake(&mut self, _: Duration, _: Ticket) {}
-    fn probe(&mut self, _: ApplianceId) {}
-    fn free_links(&mut self, at: ApplianceId) {
+    fn schedule_wake_up(&mut self, _: Duration, _: TimerId) {}
+    fn check_health(&mut self, _: EndpointId) {}
+    fn close_idle_connections(&mut self, at: EndpointId) {
         self.put(format!("free-links {}", at.0));
     }
-    fn tell(&mut self, _: Option<AgentId>, _: &[u8]) {
+    fn send_to_peer(&mut self, _: Option<AgentId>, _: &[u8]) {
         self.put("tell".into());
     }
     fn log(&mut self, text: &str) {
         println!("{text}");
     }
-    fn watch_membership(&mut self, _: bool) {
+    fn watch_endpoints(&mut self, _: bool) {
         self.put("watch".into());
     }
-    fn fetch_membership(&mut self) {}
+    fn fetch_endpoints(&mut self) {}
     fn note(&mut self, note: Note) {
         self.noted.push(format!("{note:?}"));
         self.book
             .iter_mut()
             .for_each(|book| book.note(self.at, note));
     }
-    fn vote(&mut self, build: Build, stage: Stage, verdict: Verdict) {
+    fn vote(&mut self, build: Build, stage: Stage, verdict: Vote) {
         self.book
             .iter_mut()
             .for_each(|book| book.vote(self.at, build, stage, verdict));
@@ -121,16 +124,16 @@
     Duration::from_millis(text.parse().expect("milliseconds"))
 }
 
-fn ending(text: &str) -> Ending {
+fn ending(text: &str) -> Outcome {
     match text {
-        "served" => Ending::Served,
-        "failed" => Ending::Failed,
-        "turned-away" => Ending::TurnedAway,
-        "timed-out" => Ending::TimedOut,
-        "unconnected" => Ending::Unconnected,
-        "called-off" => Ending::CalledOff,
-        "broken" => Ending::Broken,
-        "spoilt" => Ending::Spoilt,
+        "served" => Outcome::Succeeded,
+        "failed" => Outcome::Failed,
+        "turned-away" => Outcome::Rejected,
+        "timed-out" => Outcome::TimedOut,
+        "unconnected" => Outcome::ConnectFailed,
+        "called-off" => Outcome::Cancelled,
+        "broken" => Outcome::ConnectionLost,
+        "spoilt" => Outcome::Malformed,
         other => panic!("no ending {other}"),
     }
 }
@@ -138,20 +141,20 @@
 struct Play {
     now: Duration,
     set: BTreeMap<String, f64>,
-    products: Vec<Terms>,
-    lines: BTreeMap<u32, Line>,
-    brain: Option<Brain>,
+    products: Vec<ClassPolicy>,
+    lines: BTreeMap<u32, Endpoint>,
+    brain: Option<DecisionEngine>,
     written: Written,
     flowing: u32,
 }
 
 impl Play {
-    fn brain(&self) -> Brain {
+    fn brain(&self) -> DecisionEngine {
         let set = |key: &str, usual: f64| self.set.get(key).copied().unwrap_or(usual);
         let span = |key, usual| Duration::from_secs_f64(set(key, usual) / 1000.0);
         let asks = set("asks", 0.0) > 0.0;
-        let membership = Membership::new(Zone(0), asks.then_some(Duration::from_secs(10)));
-        let thaw = Thaw::new(0.34, span("ramp", 4000.0), 2.5, Duration::from_secs(1));
+        let membership = EndpointDiscovery::new(Zone(0), asks.then_some(Duration::from_secs(10)));
+        let thaw = SlowStart::new(0.34, span("ramp", 4000.0), 2.5, Duration::from_secs(1));
         let tick = Duration::from_millis(5);
         let per_product = set("per-product", 0.0) > 0.0;
         let guarded = set("guarded", 0.0) as u8;
@@ -166,29 +169,31 @@
             guarded,
             forward_only,
         );
-        let calls = Calls {
-            lasts: Duration::from_secs(6),
-            wait: Duration::from_secs(1),
+        let calls = VoteTiming {
+            validity: Duration::from_secs(6),
+            call_timeout: Duration::from_secs(1),
         };
         let gate = if set("clocked", 0.0) > 0.0 {
-            Gate::Clocked
+            AdvanceRule::Timed
         } else {
-            Gate::Single
+            AdvanceRule::Single
         };
         let rings = vec![0.05, 0.2, 0.5, 1.0];
         let dwell = Duration::from_millis(1500);
         let (me, agents) = (AgentId(set("me", 0.0) as u32), set("agents", 1.0) as u32);
-        let among = Among {
-            me,
-            agents,
-            may_tell: true,
+        let among = FleetPosition {
+            own_id: me,
+            agent_count: agents,
+            can_message_peers: true,
         };
-        let jury = Jury::new(gate, rings, dwell, calls, true, among, self.products.len());
-        let desk = Desk::new(self.products.clone(), 3, true, Duration::from_secs(1), tick);
-        Brain::new(7, membership, thaw, exposure, jury, desk)
+        let jury =
+            ReleaseAnalysis::new(gate, rings, dwell, calls, true, among, self.products.len());
+        let desk =
+            PendingRequests::new(self.products.clone(), 3, true, Duration::from_secs(1), tick);
+        DecisionEngine::new(7, membership, thaw, exposure, jury, desk)
     }
 
-    fn round(&mut self, intake: impl FnOnce(&mut dyn Hears)) {
+    fn round(&mut self, intake: impl FnOnce(&mut dyn EventHandler)) {
         let mut brain = self.brain.take().unwrap_or_else(|| self.brain());
         self.written.at = self.now;
         self.written
@@ -200,35 +205,35 @@
     }
 
     fn request(&self, product: &str, deadline: Duration, mark: Option<&&str>) -> Request {
-        let product = Product(product.parse().expect("a product"));
-        let mark = mark.map(|m| Mark(m.parse().expect("a mark")));
+        let product = RequestClass(product.parse().expect("a product"));
+        let mark = mark.map(|m| IdempotencyKey(m.parse().expect("a mark")));
         let hint = Some(Duration::from_millis(50));
         Request {
-            product,
+            class: product,
             tenant: Tenant(0),
-            mark,
+            idempotency_key: mark,
             deadline,
-            hint,
-            repeated: false,
+            estimated_work: hint,
+            is_retry: false,
         }
     }
 
     fn membership(&mut self, kind: &str, entries: &[&str]) {
         let listing = match kind {
-            "whole" => Listing::Whole,
-            "changes" => Listing::Changes,
-            "saved" => Listing::Saved,
-            _ => Listing::Failed,
+            "whole" => ListUpdate::Full,
+            "changes" => ListUpdate::Delta,
+            "saved" => ListUpdate::Cached,
+            _ => ListUpdate::Failed,
         };
         let now = self.now;
-        let lines: Vec<Line> = entries.iter().map(|e| line(e, now)).collect();
-        self.lines.extend(lines.iter().map(|l| (l.appliance.0, *l)));
-        self.round(|ear| ear.membership(listing, &mut lines.into_iter()));
+        let lines: Vec<Endpoint> = entries.iter().map(|e| line(e, now)).collect();
+        self.lines.extend(lines.iter().map(|l| (l.id.0, *l)));
+        self.round(|ear| ear.on_endpoints(listing, &mut lines.into_iter()));
     }
 
     /// A request every 10 ms and the answers due; no queue, no load: just a script of outcomes.
     fn flow(&mut self, until: Duration, product: &str, fails: &BTreeMap<String, u32>) {
-        let mut due: VecDeque<(Duration, RequestId, AttemptNumber, ApplianceId)> = VecDeque::new();
+        let mut due: VecDeque<(Duration, RequestId, AttemptNumber, EndpointId)> = VecDeque::new();
         self.written.out.clear();
         let mut count: BTreeMap<String, u32> = BTreeMap::new();
         while self.now < until {
@@ -249,22 +254,26 @@
                     request,
                     attempt,
                     to,
-                    if bad { Ending::Failed } else { Ending::Served },
+                    if bad {
+                        Outcome::Failed
+                    } else {
+                        Outcome::Succeeded
+                    },
                 ));
             }
             self.written.now.clear();
             self.round(|ear| {
                 for (id, attempt, to, ending) in answers {
-                    ear.ended(
+                    ear.on_attempt_ended(
                         id,
                         attempt,
                         to,
                         ending,
                         Duration::from_millis(50),
-                        ending == Ending::Served,
+                        ending == Outcome::Succeeded,
                     );
                 }
-                ear.request(id, request);
+                ear.on_request(id, request);
             });
             let at = self.now + Duration::from_millis(50);
             due.extend(
@@ -284,20 +293,20 @@
             ),
             ["product", kind, sla, group @ ..] => {
                 let repeat = match (*kind, group) {
-                    ("referenced", ["all", ..]) => Repeat::Referenced(Group::All),
-                    ("referenced", ["zone", ..]) => Repeat::Referenced(Group::Zone),
-                    ("once", _) => Repeat::OnceOnly,
-                    _ => Repeat::InquiryLike,
+                    ("referenced", ["all", ..]) => Idempotency::Keyed(DeduplicationScope::All),
+                    ("referenced", ["zone", ..]) => Idempotency::Keyed(DeduplicationScope::Zone),
+                    ("once", _) => Idempotency::NonIdempotent,
+                    _ => Idempotency::Idempotent,
                 };
                 let remembered = group.get(1).map_or(Duration::ZERO, |m| ms(m));
                 let (sla, deadline) = (ms(sla), ms(sla) * 4);
-                self.products.push(Terms {
-                    repeat,
-                    sla,
+                self.products.push(ClassPolicy {
+                    idempotency: repeat,
+                    latency_objective: sla,
                     deadline,
-                    remembered,
-                    revenue: 1.0,
-                    late_share: 0.0,
+                    deduplication_window: remembered,
+                    priority_weight: 1.0,
+                    late_weight_share: 0.0,
                 });
             }
             ["at", at] => {
@@ -311,18 +320,18 @@
                     .first()
                     .map_or(self.now + Duration::from_secs(2), |e| ms(e));
                 let request = self.request(product, deadline, rest.get(1));
-                self.round(|ear| ear.request(RequestId(id.parse().expect("an id")), request));
+                self.round(|ear| ear.on_request(RequestId(id.parse().expect("an id")), request));
             }
             ["burst", many, product] => {
                 let request = self.request(product, self.now + Duration::from_secs(2), None);
                 let many = many.parse().expect("a number");
                 self.round(|ear| {
-                    (0..many).for_each(|i| ear.request(RequestId(2_000_000 + i), request))
+                    (0..many).for_each(|i| ear.on_request(RequestId(2_000_000 + i), request))
                 });
             }
-            ["ends", last] => self.round(|ear| ear.ends(ms(last))),
+            ["ends", last] => self.round(|ear| ear.on_shutdown(ms(last))),
             ["left", id] => {
-                self.round(|ear| ear.client_left(RequestId(id.parse().expect("an id"))))
+                self.round(|ear| ear.on_client_left(RequestId(id.parse().expect("an id"))))
             }
             ["ended", attempt, at, how, took, closed @ ..] => {
                 let (id, attempt) = attempt.split_once('/').expect("ID/ATTEMPT");
@@ -331,11 +340,13 @@
                     AttemptNumber(attempt.parse().expect("an attempt number")),
                 );
                 let (at, took, how) = (
-                    ApplianceId(at.parse().expect("an id")),
+                    EndpointId(at.parse().expect("an id")),
                     ms(took),
                     ending(how),
                 );
-                self.round(|ear| ear.ended(id, attempt, at, how, took, !closed.is_empty()));
+                self.round(|ear| {
+                    ear.on_attempt_ended(id, attempt, at, how, took, !closed.is_empty())
+                });
             }
             ["go", attempt, want] => {
                 let (id, attempt) = attempt.split_once('/').expect("ID/ATTEMPT");
@@ -344,30 +355,32 @@
                     AttemptNumber(attempt.parse().expect("an attempt number")),
                 );
                 let mut may = false;
-                self.round(|ear| may = ear.may_go(id, attempt));
+                self.round(|ear| may = ear.may_send(id, attempt));
                 assert_eq!(may, *want == "yes");
             }
             ["stage", build, stage, course, cap] => {
                 let course = match *course {
-                    "trial" => Course::OnTrial,
-                    "back" => Course::GoingBack,
-                    "released" => Course::Released,
-                    _ => Course::Withdrawn,
+                    "trial" => ReleasePhase::Canary,
+                    "back" => ReleasePhase::RollingBack,
+                    "released" => ReleasePhase::Released,
+                    _ => ReleasePhase::Withdrawn,
                 };
                 let (build, stage) = (
                     Build(build.parse().expect("a build")),
                     Stage(stage.parse().expect("a stage")),
                 );
                 let cap = cap.parse().expect("a cap");
-                self.round(|ear| ear.stage(build, stage, course, cap, Duration::ZERO));
+                self.round(|ear| ear.on_release_status(build, stage, course, cap, Duration::ZERO));
             }
-            ["voted", how] => self.round(|ear| ear.vote_answered(ending(how))),
+            ["voted", how] => self.round(|ear| ear.on_vote_answered(ending(how))),
             ["wrong", at, product, ago] => {
                 let (at, product) = (
                     at.parse().expect("an id"),
                     product.parse().expect("a product"),
                 );
-                self.round(|ear| ear.wrong_answer(ApplianceId(at), Product(product), ms(ago)));
+                self.round(|ear| {
+                    ear.on_wrong_answer(EndpointId(at), RequestClass(product), ms(ago))
+                });
             }
             ["report", from, build, serial, sums, entries @ ..] => {
                 let num = |text: &str| text.parse::<u32>().expect("a number");
@@ -390,9 +403,9 @@
                     );
                     octets.extend([0, 0]);
                 }
-                self.round(|ear| ear.peer(AgentId(num(from)), &octets));
+                self.round(|ear| ear.on_peer_message(AgentId(num(from)), &octets));
             }
-            ["open", "all"] => self.round(|ear| ear.openings(None)),
+            ["open", "all"] => self.round(|ear| ear.on_release_permissions(None)),
             ["open", step, cells @ ..] => {
                 let mut rows = BTreeMap::<u16, [u64; 3]>::new();
                 for cell in cells {
@@ -405,8 +418,8 @@
                 }
                 let rows: Vec<_> = rows.iter().map(|(b, row)| (Build(*b), &row[..])).collect();
                 let step = (*step == "on").then(|| (rows.last().expect("a row").0, Stage(0)));
-                let open = Arc::new(Openings::new(3, 1, &rows, step));
-                self.round(|ear| ear.openings(Some(open)));
+                let open = Arc::new(ReleasePermissions::new(3, 1, &rows, step));
+                self.round(|ear| ear.on_release_permissions(Some(open)));
             }
             ["noted", rest @ ..] => {
                 let rest = rest.join(" ");
@@ -441,7 +454,7 @@
                 let mut test = Test::new(0.02, 0.1, 0.05);
                 (0..xn).for_each(|i| test.observe(None, 1.0, f64::from(u8::from(i < xb))));
                 (0..yn).for_each(|i| {
-                    test.observe(Some(ApplianceId(1)), 1.0, f64::from(u8::from(i >= yn - yb)))
+                    test.observe(Some(EndpointId(1)), 1.0, f64::from(u8::from(i >= yn - yb)))
                 });
                 let p: f64 = p.parse().expect("a number");
                 assert!((test.p - p).abs() < 1e-4, "p is {}", test.p);
@@ -473,23 +486,23 @@
             .all(|(want, got)| *want == "*" || *want == got)
 }
 
-fn line(entry: &str, now: Duration) -> Line {
+fn line(entry: &str, now: Duration) -> Endpoint {
     let mut parts = entry.split(':');
     let mut next = || parts.next();
-    let appliance = ApplianceId(next().and_then(|p| p.parse().ok()).expect("an id"));
+    let appliance = EndpointId(next().and_then(|p| p.parse().ok()).expect("an id"));
     let mode = match next() {
-        Some("ready") => Mode::Ready,
-        Some("draining") => Mode::Draining,
-        _ => Mode::Gone,
+        Some("ready") => EndpointStatus::Ready,
+        Some("draining") => EndpointStatus::Draining,
+        _ => EndpointStatus::Removed,
     };
     let build = Build(next().and_then(|p| p.parse().ok()).expect("a build"));
     let started = next()
         .filter(|a| !a.is_empty())
         .map(|age| now.saturating_sub(ms(age)));
     let zone = Zone(next().map_or(0, |z| z.parse().expect("a zone")));
-    Line {
-        appliance,
-        mode,
+    Endpoint {
+        id: appliance,
+        status: mode,
         model: Model(0),
         weight: 1.0,
         started,
--- a/crates/decision/tests/subset.rs
+++ b/crates/decision/tests/subset.rs
@@ -5,10 +5,13 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use lilacgate_decision::brain::Brain;
-use lilacgate_decision::openings::Openings;
-use lilacgate_decision::parts::*;
-use lilacgate_decision::port::*;
+use lilacgate_decision::{
+    AdvanceRule, AgentId, AttemptNumber, Build, Cell, ClassPolicy, DecisionEngine,
+    DeduplicationScope, Endpoint, EndpointDiscovery, EndpointId, EndpointStatus, EventHandler,
+    Exposure, FleetPosition, Idempotency, IdempotencyKey, ListUpdate, Model, Outcome,
+    PendingRequests, ReleaseAnalysis, ReleasePermissions, ReleasePhase, Request, RequestClass,
+    RequestId, SlowStart, Stage, Tenant, VoteTiming, Zone,
+};
 use lilacgate_test_bed::decided::Decided;
 use rstest::rstest;
 
@@ -19,47 +22,47 @@
 const READ: u8 = 0;
 const KEYED_BY_CELL: u8 = 1;
 const KEYED_BY_ZONE: u8 = 2;
-const SERVED: (Ending, Duration) = (Ending::Served, WORK);
+const SERVED: (Outcome, Duration) = (Outcome::Succeeded, WORK);
 
 fn ms(many: u64) -> Duration {
     Duration::from_millis(many)
 }
 
-fn terms(repeat: Repeat) -> Terms {
+fn terms(repeat: Idempotency) -> ClassPolicy {
     let (sla, deadline, remembered) = (ms(500), ms(2000), ms(1500));
-    Terms {
-        repeat,
-        sla,
+    ClassPolicy {
+        idempotency: repeat,
+        latency_objective: sla,
         deadline,
-        remembered,
-        revenue: 1.0,
-        late_share: 0.5,
+        deduplication_window: remembered,
+        priority_weight: 1.0,
+        late_weight_share: 0.5,
     }
 }
 
-fn agent(me: u32, agents: u32) -> Brain {
-    let among = Among {
-        me: AgentId(me),
-        agents,
-        may_tell: true,
+fn agent(me: u32, agents: u32) -> DecisionEngine {
+    let among = FleetPosition {
+        own_id: AgentId(me),
+        agent_count: agents,
+        can_message_peers: true,
     };
-    let calls = Calls {
-        lasts: ms(6000),
-        wait: ms(1200),
+    let calls = VoteTiming {
+        validity: ms(6000),
+        call_timeout: ms(1200),
     };
-    let keyed = |group| terms(Repeat::Referenced(group));
+    let keyed = |group| terms(Idempotency::Keyed(group));
     let products = vec![
-        terms(Repeat::InquiryLike),
-        keyed(Group::Cell),
-        keyed(Group::Zone),
+        terms(Idempotency::Idempotent),
+        keyed(DeduplicationScope::Cell),
+        keyed(DeduplicationScope::Zone),
     ];
-    Brain::new(
+    DecisionEngine::new(
         u64::from(me) * 7919 + 1,
-        Membership::new(Zone((me % 8) as u8), None),
-        Thaw::new(0.34, ms(4000), 2.5, ms(1000)),
+        EndpointDiscovery::new(Zone((me % 8) as u8), None),
+        SlowStart::new(0.34, ms(4000), 2.5, ms(1000)),
         Exposure::new(ms(4000), ms(5), 3.0, 0.1, false, 1, false),
-        Jury::new(
-            Gate::Single,
+        ReleaseAnalysis::new(
+            AdvanceRule::Single,
             vec![0.1, 0.5, 1.0],
             ms(900),
             calls,
@@ -67,18 +70,18 @@
             among,
             3,
         ),
-        Desk::new(products, 3, true, ms(2000), ms(5)),
+        PendingRequests::new(products, 3, true, ms(2000), ms(5)),
     )
 }
 
 /// The i-th appliance: eight zones, cells of three; numbers are as good as drawn.
-fn line(i: u32) -> Line {
-    let appliance = ApplianceId(i.wrapping_mul(0x9E37_79B9));
-    let (mode, model, build) = (Mode::Ready, Model(0), Build(1));
+fn line(i: u32) -> Endpoint {
+    let appliance = EndpointId(i.wrapping_mul(0x9E37_79B9));
+    let (mode, model, build) = (EndpointStatus::Ready, Model(0), Build(1));
     let (cell, zone) = (Cell((i / 3) as u16), Zone((i % 8) as u8));
-    Line {
-        appliance,
-        mode,
+    Endpoint {
+        id: appliance,
+        status: mode,
         model,
         weight: 4.0,
         started: None,
@@ -88,7 +91,7 @@
     }
 }
 
-fn lines(many: u32) -> Vec<Line> {
+fn lines(many: u32) -> Vec<Endpoint> {
     (0..many).map(line).collect()
 }
 
@@ -96,14 +99,14 @@
     due: Duration,
     id: RequestId,
     attempt: AttemptNumber,
-    at: ApplianceId,
-    ending: Ending,
+    at: EndpointId,
+    ending: Outcome,
     took: Duration,
 }
 
 /// An agent and what stands around it: its attempts that are out end as drawn when they were sent.
 struct Play {
-    brain: Brain,
+    brain: DecisionEngine,
     now: Duration,
     out: Vec<Attempt>,
     attempts: BTreeMap<RequestId, u8>,
@@ -114,7 +117,7 @@
 
 impl Play {
     /// An agent that has the list, where build 1 is released.
-    fn new(me: u32, agents: u32, lines: &[Line]) -> Self {
+    fn new(me: u32, agents: u32, lines: &[Endpoint]) -> Self {
         let (out, attempts, given_up, wakes) = Default::default();
         let mut play = Play {
             brain: agent(me, agents),
@@ -127,8 +130,14 @@
         };
         play.round(
             |ears| {
-                ears.stage(Build(1), Stage(2), Course::Released, 1.0, Duration::ZERO);
-                ears.membership(Listing::Whole, &mut lines.iter().copied());
+                ears.on_release_status(
+                    Build(1),
+                    Stage(2),
+                    ReleasePhase::Released,
+                    1.0,
+                    Duration::ZERO,
+                );
+                ears.on_endpoints(ListUpdate::Full, &mut lines.iter().copied());
             },
             |_, _| SERVED,
         );
@@ -143,13 +152,13 @@
         self.wakes.first().copied().into_iter().chain(answers).min()
     }
 
-    fn members(&self) -> BTreeSet<ApplianceId> {
+    fn members(&self) -> BTreeSet<EndpointId> {
         self.brain.members().collect()
     }
 
-    fn change(&mut self, lines: Vec<Line>) {
+    fn change(&mut self, lines: Vec<Endpoint>) {
         self.round(
-            |ears| ears.membership(Listing::Changes, &mut lines.into_iter()),
+            |ears| ears.on_endpoints(ListUpdate::Delta, &mut lines.into_iter()),
             |_, _| SERVED,
         );
     }
@@ -158,15 +167,15 @@
     /// what time.
     fn round(
         &mut self,
-        hear: impl FnOnce(&mut dyn Hears),
-        mut fate: impl FnMut(u8, ApplianceId) -> (Ending, Duration),
-    ) -> Vec<(RequestId, ApplianceId)> {
+        hear: impl FnOnce(&mut dyn EventHandler),
+        mut fate: impl FnMut(u8, EndpointId) -> (Outcome, Duration),
+    ) -> Vec<(RequestId, EndpointId)> {
         let (now, mut decided) = (self.now, Decided::default());
         let due: Vec<_> = self.out.extract_if(.., |one| one.due <= now).collect();
-        let all = |ears: &mut dyn Hears| {
+        let all = |ears: &mut dyn EventHandler| {
             for one in due {
-                let closed = one.ending == Ending::Served;
-                ears.ended(one.id, one.attempt, one.at, one.ending, one.took, closed);
+                let closed = one.ending == Outcome::Succeeded;
+                ears.on_attempt_ended(one.id, one.attempt, one.at, one.ending, one.took, closed);
             }
             hear(ears);
         };
@@ -196,24 +205,25 @@
         &mut self,
         requests: u32,
         product: u8,
-        fate: impl FnMut(u8, ApplianceId) -> (Ending, Duration),
-    ) -> Vec<(RequestId, ApplianceId)> {
+        fate: impl FnMut(u8, EndpointId) -> (Outcome, Duration),
+    ) -> Vec<(RequestId, EndpointId)> {
         self.now += BEAT;
         let (now, first) = (self.now, self.requests);
         self.requests += requests;
-        let hear = |ears: &mut dyn Hears| {
+        let hear = |ears: &mut dyn EventHandler| {
             for id in first..first + requests {
-                let (product, tenant, mark) = (Product(product), Tenant(0), Some(Mark(7)));
+                let (product, tenant, mark) =
+                    (RequestClass(product), Tenant(0), Some(IdempotencyKey(7)));
                 let (deadline, hint) = (now + ms(2000), Some(WORK));
-                ears.request(
+                ears.on_request(
                     RequestId(id),
                     Request {
-                        product,
+                        class: product,
                         tenant,
-                        mark,
+                        idempotency_key: mark,
                         deadline,
-                        hint,
-                        repeated: false,
+                        estimated_work: hint,
+                        is_retry: false,
                     },
                 );
             }
@@ -222,7 +232,7 @@
     }
 
     /// So many beats with so many requests a second, all served; the appliances that they went to.
-    fn serve(&mut self, beats: u32, a_second: u32) -> Vec<ApplianceId> {
+    fn serve(&mut self, beats: u32, a_second: u32) -> Vec<EndpointId> {
         let due = |beat: u32| beat * a_second / 100;
         let mut sent = Vec::new();
         for beat in 0..beats {
@@ -244,7 +254,7 @@
         worst = worst.max(play.brain.visited() - before);
         if beat % 100 == 50 {
             let before = play.brain.visited();
-            play.change(vec![Line {
+            play.change(vec![Endpoint {
                 started: Some(play.now),
                 ..line(beat * 7919 % listed)
             }]);
@@ -323,14 +333,14 @@
 #[rstest]
 fn a_module_with_something_out_does_not_sleep() {
     let mut play = Play::new(3, AGENTS, &lines(600));
-    play.beat(1, READ, |_, _| (Ending::Served, ms(1500)));
+    play.beat(1, READ, |_, _| (Outcome::Succeeded, ms(1500)));
     assert!(
         play.wakes.iter().any(|at| *at > play.now),
         "an attempt is out"
     );
     let mut play = Play::new(3, AGENTS, &lines(600));
     play.round(
-        |ears| ears.stage(Build(2), Stage(0), Course::OnTrial, 0.1, ms(0)),
+        |ears| ears.on_release_status(Build(2), Stage(0), ReleasePhase::Canary, 0.1, ms(0)),
         |_, _| SERVED,
     );
     assert!(
@@ -350,15 +360,15 @@
 
 /// What each appliance gets from all agents in ten seconds, after a tenth of them, if any, were replaced one by one.
 fn loads(listed: u32, replaced: u32) -> Vec<u32> {
-    let mut got = BTreeMap::<ApplianceId, u32>::new();
-    got.extend((replaced..listed + replaced).map(|i| (line(i).appliance, 0)));
+    let mut got = BTreeMap::<EndpointId, u32>::new();
+    got.extend((replaced..listed + replaced).map(|i| (line(i).id, 0)));
     for me in 0..AGENTS {
         let mut play = Play::new(me, AGENTS, &lines(listed));
         play.serve(100, skewed(me));
         for i in 0..replaced {
             play.change(vec![
-                Line {
-                    mode: Mode::Gone,
+                Endpoint {
+                    status: EndpointStatus::Removed,
                     ..line(i)
                 },
                 line(listed + i),
@@ -404,16 +414,16 @@
     for me in 0..AGENTS {
         let mut play = Play::new(me, AGENTS, &lines(listed));
         let before = play.members();
-        play.change(vec![Line {
-            mode: Mode::Gone,
+        play.change(vec![Endpoint {
+            status: EndpointStatus::Removed,
             ..line(changed)
         }]);
         let less = play.members();
-        had += usize::from(before.contains(&line(changed).appliance));
+        had += usize::from(before.contains(&line(changed).id));
         moved += less.difference(&before).count();
         play.change(vec![line(listed)]);
         let more = play.members();
-        joined += usize::from(more.contains(&line(listed).appliance));
+        joined += usize::from(more.contains(&line(listed).id));
         entered += more.difference(&less).count();
         assert_eq!((before.len(), less.len(), more.len()), (160, 160, 160));
     }
@@ -454,7 +464,7 @@
     let quarter: BTreeSet<_> = all
         .iter()
         .filter(|line| line.zone < Zone(2))
-        .map(|line| line.appliance)
+        .map(|line| line.id)
         .collect();
     let mut members = play.members();
     assert_eq!(members.len(), 160);
@@ -463,13 +473,13 @@
     }
     let turned = all
         .iter()
-        .filter(|line| members.contains(&line.appliance))
+        .filter(|line| members.contains(&line.id))
         .copied();
     let now = play.now;
     match bad {
         Bad::Cold => play.change(
             turned
-                .map(|line| Line {
+                .map(|line| Endpoint {
                     started: Some(now),
                     ..line
                 })
@@ -477,16 +487,16 @@
         ),
         Bad::Drained => play.change(
             turned
-                .map(|line| Line {
-                    mode: Mode::Draining,
+                .map(|line| Endpoint {
+                    status: EndpointStatus::Draining,
                     ..line
                 })
                 .collect(),
         ),
         Bad::Gone => play.change(
             turned
-                .map(|line| Line {
-                    mode: Mode::Gone,
+                .map(|line| Endpoint {
+                    status: EndpointStatus::Removed,
                     ..line
                 })
                 .collect(),
@@ -500,9 +510,9 @@
             "others at once"
         );
     }
-    let fate = |_: u8, at: ApplianceId| match bad {
-        Bad::Unconnected if members.contains(&at) => (Ending::Unconnected, ms(5)),
-        Bad::Silent if members.contains(&at) => (Ending::TimedOut, ms(1800)),
+    let fate = |_: u8, at: EndpointId| match bad {
+        Bad::Unconnected if members.contains(&at) => (Outcome::ConnectFailed, ms(5)),
+        Bad::Silent if members.contains(&at) => (Outcome::TimedOut, ms(1800)),
         _ => SERVED,
     };
     // What it does not hear of, it finds out, at three attempts a request.
@@ -548,12 +558,15 @@
     all.iter_mut().for_each(|line| line.zone = Zone(0));
     all[77].zone = Zone(1);
     all[78].zone = Zone(1);
-    let open: BTreeSet<_> = [77, 78].map(|i: usize| all[i].appliance).into();
+    let open: BTreeSet<_> = [77, 78].map(|i: usize| all[i].id).into();
     for me in [0, 100, 400] {
         let mut play = Play::new(me, AGENTS, &all);
         // Zone 0 is open to another product alone, zone 1 to all.
-        let table = Openings::new(2, 1, &[(Build(1), &[4, 7])], None);
-        play.round(|ears| ears.openings(Some(Arc::new(table))), |_, _| SERVED);
+        let table = ReleasePermissions::new(2, 1, &[(Build(1), &[4, 7])], None);
+        play.round(
+            |ears| ears.on_release_permissions(Some(Arc::new(table))),
+            |_, _| SERVED,
+        );
         for beat in 0..300 {
             for (_, to) in play.beat(u32::from(beat % 10 == 0), READ, |_, _| SERVED) {
                 assert!(open.contains(&to), "{to:?} is closed");
@@ -578,16 +591,16 @@
         .for_each(|(i, line)| line.zone = Zone((i / 100) as u8));
     let of: BTreeMap<_, _> = all
         .iter()
-        .map(|line| (line.appliance, (line.zone, line.cell)))
+        .map(|line| (line.id, (line.zone, line.cell)))
         .collect();
     let mut play = Play::new(9, AGENTS, &all);
     let mut first = BTreeMap::new();
     let mut again = BTreeSet::new();
     for beat in 0..300 {
         // The first attempt of every second request fails, and no failure is blamed on so few.
-        let fate = |attempt: u8, _: ApplianceId| {
+        let fate = |attempt: u8, _: EndpointId| {
             if attempt == 0 {
-                (Ending::Failed, ms(20))
+                (Outcome::Failed, ms(20))
             } else {
                 SERVED
             }
@@ -630,10 +643,10 @@
         for _ in 0..8 {
             drawn = drawn.wrapping_mul(1_664_525).wrapping_add(1_013_904_223);
             let one = &mut all[(drawn >> 8) as usize % listed as usize];
-            one.mode = if one.mode == Mode::Ready {
-                Mode::Draining
+            one.status = if one.status == EndpointStatus::Ready {
+                EndpointStatus::Draining
             } else {
-                Mode::Ready
+                EndpointStatus::Ready
             };
             changes.push(*one);
         }
@@ -644,10 +657,10 @@
                 let ready = all
                     .iter()
                     .copied()
-                    .filter(|line| line.mode == Mode::Ready)
+                    .filter(|line| line.status == EndpointStatus::Ready)
                     .collect::<Vec<_>>();
                 play.round(
-                    |ears| ears.membership(Listing::Whole, &mut ready.into_iter()),
+                    |ears| ears.on_endpoints(ListUpdate::Full, &mut ready.into_iter()),
                     |_, _| SERVED,
                 );
             }
@@ -655,8 +668,8 @@
         }
         let ready: BTreeSet<_> = all
             .iter()
-            .filter(|line| line.mode == Mode::Ready)
-            .map(|line| line.appliance)
+            .filter(|line| line.status == EndpointStatus::Ready)
+            .map(|line| line.id)
             .collect();
         for (_, to) in play.beat(1, READ, |_, _| SERVED) {
             assert!(ready.contains(&to), "{to:?} drains");
@@ -668,18 +681,18 @@
 /// The most that a cold appliance gets in a second from all agents, when a tenth has just started and all others drain.
 #[rstest]
 fn cold_limits_hold_over_all_agents(#[values(600, 2400)] listed: u32, #[values(1, 4)] times: u32) {
-    let mut got = BTreeMap::<ApplianceId, u32>::new();
+    let mut got = BTreeMap::<EndpointId, u32>::new();
     for me in 0..AGENTS {
         let mut play = Play::new(me, AGENTS, &lines(listed));
         play.serve(200, 8);
         let now = play.now;
         let after = (0..listed).map(|i| match i % 10 {
-            0 => Line {
+            0 => Endpoint {
                 started: Some(now),
                 ..line(i)
             },
-            _ => Line {
-                mode: Mode::Draining,
+            _ => Endpoint {
+                status: EndpointStatus::Draining,
                 ..line(i)
             },
         });
@@ -707,20 +720,20 @@
     let (mut trial, mut all) = (0.0, 0.0);
     for me in (0..AGENTS).step_by(10) {
         let on_trial = |i: u32| i.is_multiple_of(20);
-        let of = |i| Line {
+        let of = |i| Endpoint {
             build: Build(if on_trial(i) { 2 } else { 1 }),
             ..line(i)
         };
-        let list: Vec<Line> = (0..listed).map(of).collect();
+        let list: Vec<Endpoint> = (0..listed).map(of).collect();
         let mut play = Play::new(me, AGENTS, &list);
         play.round(
-            |ears| ears.stage(Build(2), Stage(1), Course::OnTrial, 0.5, ms(0)),
+            |ears| ears.on_release_status(Build(2), Stage(1), ReleasePhase::Canary, 0.5, ms(0)),
             |_, _| SERVED,
         );
         let twos: BTreeSet<_> = list
             .iter()
             .filter(|l| l.build == Build(2))
-            .map(|l| l.appliance)
+            .map(|l| l.id)
             .collect();
         let sent = play.serve(500, 20);
         all += sent.len() as f64;
@@ -736,8 +749,8 @@
 /// The cap on a build on trial holds at each agent, whatever part of it the subset has.
 #[rstest]
 fn exposure_holds(#[values(600, 7400)] listed: u32) {
-    let list: Vec<Line> = (0..listed)
-        .map(|i| Line {
+    let list: Vec<Endpoint> = (0..listed)
+        .map(|i| Endpoint {
             build: Build(1 + u16::from(i % 2 == 0)),
             ..line(i)
         })
@@ -745,11 +758,11 @@
     let twos: BTreeSet<_> = list
         .iter()
         .filter(|l| l.build == Build(2))
-        .map(|l| l.appliance)
+        .map(|l| l.id)
         .collect();
     let mut play = Play::new(8, AGENTS, &list);
     play.round(
-        |ears| ears.stage(Build(2), Stage(0), Course::OnTrial, 0.1, ms(0)),
+        |ears| ears.on_release_status(Build(2), Stage(0), ReleasePhase::Canary, 0.1, ms(0)),
         |_, _| SERVED,
     );
     let sent = play.serve(1000, 50);
@@ -770,8 +783,8 @@
         let mut play = Play::new(11, AGENTS, &lines(1000));
         let mut sent = play.serve(200, 62);
         for i in 0..50 {
-            play.change(vec![Line {
-                mode: Mode::Gone,
+            play.change(vec![Endpoint {
+                status: EndpointStatus::Removed,
                 ..line(i * 17)
             }]);
             sent.extend(play.serve(10, 62));
--- a/crates/operator-config/src/places.rs
+++ b/crates/operator-config/src/places.rs
@@ -1,7 +1,6 @@
 //! Owns the file's names: zones, member firms, products, and which firm's requests an agent routes. A name is resolved
 //! to its number here and nowhere else; one that is defined nowhere or twice is a fault.
-use lilacgate_decision::openings::Openings;
-use lilacgate_decision::port::Tenant;
+use lilacgate_decision::{ReleasePermissions, Tenant};
 use roxmltree::Node;
 
 use crate::xml::File;
@@ -95,7 +94,7 @@
     };
     places.zones = kind("zone", &known.zones, ZONES);
     places.firms = kind("firm", &[], FIRMS);
-    places.products = kind("product", &known.products, Openings::PRODUCTS);
+    places.products = kind("product", &known.products, ReleasePermissions::PRODUCTS);
     for (what, names) in [
         ("zone", &places.zones),
         ("firm", &places.firms),
--- a/crates/operator-config/src/releases.rs
+++ b/crates/operator-config/src/releases.rs
@@ -5,7 +5,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use lilacgate_decision::port::{Build, Product, Stage};
+use lilacgate_decision::{Build, RequestClass, Stage};
 use lilacgate_releases::calendar::{self, TimeZone, When};
 use lilacgate_releases::model::{
     Builds, Freeze, InDoubt, Ladder, Need, Pairs, Reach, Ring, Rules, Service, ServiceId,
@@ -320,7 +320,7 @@
         let products = self.list(node, "products", "product", &self.places.products)?;
         let bits = (0..products.len())
             .filter(|i| products[*i])
-            .map(|i| Rules::product_bit(Product(i as u8)));
+            .map(|i| Rules::product_bit(RequestClass(i as u8)));
         let mut pairs = Pairs(vec![
             false;
             self.places.zones.len() * self.places.firms.len()
--- a/crates/releases/src/climb.rs
+++ b/crates/releases/src/climb.rs
@@ -2,7 +2,7 @@
 //! never open a ring before its time, and never shuts one again: what closes an open ring is not the ladder's doing.
 use std::time::Duration;
 
-use lilacgate_decision::port::{Course, Stage};
+use lilacgate_decision::{ReleasePhase, Stage};
 
 use crate::facts::Told;
 use crate::model::{Ladder, Rules, ServiceId};
@@ -23,10 +23,10 @@
     /// Takes news of this build.
     pub(crate) fn told(&mut self, told: Told) {
         let stage = match told.course {
-            Course::OnTrial => told.stage,
-            Course::Released => RELEASED,
+            ReleasePhase::Canary => told.stage,
+            ReleasePhase::Released => RELEASED,
             // What goes back climbs no further.
-            Course::GoingBack | Course::Withdrawn => return,
+            ReleasePhase::RollingBack | ReleasePhase::Withdrawn => return,
         };
         if self.reached.last().is_none_or(|(last, _)| *last < stage) {
             self.reached.push((stage, told.since));
--- a/crates/releases/src/facts.rs
+++ b/crates/releases/src/facts.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use lilacgate_decision::port::{Build, Course, Stage};
+use lilacgate_decision::{Build, ReleasePhase, Stage};
 use serde::{Deserialize, Serialize};
 
 /// Released builds that are remembered below the newest.
@@ -14,7 +14,7 @@
 pub struct Told {
     pub build: Build,
     pub stage: Stage,
-    pub course: Course,
+    pub course: ReleasePhase,
     /// When it came to stand so, since 1970.
     pub since: Duration,
 }
@@ -68,9 +68,11 @@
             return;
         }
         match told.course {
-            Course::Released => drop(self.released.insert(told.build)),
-            Course::GoingBack | Course::Withdrawn => drop(self.released.split_off(&told.build)),
-            Course::OnTrial => {}
+            ReleasePhase::Released => drop(self.released.insert(told.build)),
+            ReleasePhase::RollingBack | ReleasePhase::Withdrawn => {
+                drop(self.released.split_off(&told.build))
+            }
+            ReleasePhase::Canary => {}
         }
         while self.released.len() > REMEMBERED {
             self.released.pop_first();
@@ -114,7 +116,7 @@
         match self.released.last() {
             Some(&newest) if newest >= at_least => Standing::Yes(newest),
             // What is released lies below the newest build, if that is not released itself.
-            _ if last.course == Course::Released || last.build <= at_least => Standing::No,
+            _ if last.course == ReleasePhase::Released || last.build <= at_least => Standing::No,
             // It lies between the last release that is known and the newest build, and may do.
             _ => Standing::Unknown,
         }
@@ -142,14 +144,14 @@
 
 /// How news contradict the last that were believed.
 fn odd(last: Told, told: Told) -> Option<Doubt> {
-    use Course::{GoingBack, OnTrial, Released, Withdrawn};
+    use ReleasePhase::{Canary, Released, RollingBack, Withdrawn};
     if told.build != last.build {
         return (told.build < last.build).then_some(Doubt::BuildWentBack);
     }
     match (last.course, told.course) {
-        (OnTrial, OnTrial) if told.stage < last.stage => Some(Doubt::StageWentBack),
-        (Released, OnTrial) => Some(Doubt::StageWentBack),
-        (GoingBack, OnTrial | Released) | (Withdrawn, OnTrial | Released | GoingBack) => {
+        (Canary, Canary) if told.stage < last.stage => Some(Doubt::StageWentBack),
+        (Released, Canary) => Some(Doubt::StageWentBack),
+        (RollingBack, Canary | Released) | (Withdrawn, Canary | Released | RollingBack) => {
             Some(Doubt::CameBack)
         }
         _ => None,
--- a/crates/releases/src/gate.rs
+++ b/crates/releases/src/gate.rs
@@ -6,8 +6,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use lilacgate_decision::openings::Openings;
-use lilacgate_decision::port::{Build, Course, Product, Stage, Tenant, Zone};
+use lilacgate_decision::{
+    Build, ReleasePermissions, ReleasePhase, RequestClass, Stage, Tenant, Zone,
+};
 use serde::{Deserialize, Serialize};
 
 use crate::climb::Climb;
@@ -153,7 +154,7 @@
     step: Result<(Build, Stage), Stay>,
     events: VecDeque<Event>,
     dropped: u64,
-    handed: Arc<Openings>,
+    handed: Arc<ReleasePermissions>,
 }
 
 impl Gate {
@@ -352,7 +353,7 @@
         build: Build,
         zone: Zone,
         firm: Tenant,
-        product: Product,
+        product: RequestClass,
     ) -> Result<(), Why> {
         let row = self.rows.get(&build).ok_or(Why::NotListed)?;
         let (zones, firms) = (self.rules.zones.len(), self.rules.firms.len());
@@ -390,7 +391,7 @@
     }
 
     /// The table as the module takes it; the same one until something changes.
-    pub fn openings(&self) -> Arc<Openings> {
+    pub fn openings(&self) -> Arc<ReleasePermissions> {
         self.handed.clone()
     }
 
@@ -464,9 +465,9 @@
         match self.facts[usize::from(self.rules.own.0)].last() {
             Some(last) if build < last.build => Footing::Earlier,
             Some(last) if build == last.build => match last.course {
-                Course::OnTrial => Footing::OnTrial,
-                Course::Released => Footing::Released,
-                Course::GoingBack | Course::Withdrawn => Footing::Back,
+                ReleasePhase::Canary => Footing::OnTrial,
+                ReleasePhase::Released => Footing::Released,
+                ReleasePhase::RollingBack | ReleasePhase::Withdrawn => Footing::Back,
             },
             _ => Footing::OnTrial,
         }
@@ -509,8 +510,8 @@
             let last = self.facts[usize::from(service.0)]
                 .last()
                 .filter(|last| last.build == *build);
-            let climbs =
-                last.is_none_or(|l| matches!(l.course, Course::OnTrial | Course::Released));
+            let climbs = last
+                .is_none_or(|l| matches!(l.course, ReleasePhase::Canary | ReleasePhase::Released));
             if let Some(ladder) = self.rules.ladder(*service, *build) {
                 climb.advance(now, &self.rules, *service, ladder, climbs);
             }
@@ -746,7 +747,7 @@
         let stay = |why, until| Err(Stay { why, until });
         let last = self.facts[usize::from(own.0)]
             .last()
-            .filter(|last| last.course == Course::OnTrial);
+            .filter(|last| last.course == ReleasePhase::Canary);
         let Some(Told { build, stage, .. }) = last else {
             return stay(Hindrance::NoTrial, None);
         };
--- a/crates/releases/src/model.rs
+++ b/crates/releases/src/model.rs
@@ -2,7 +2,7 @@
 //! concerns a build. Plain rules, no state; it must never hold a fact, nor be changed once it is in use.
 use std::time::Duration;
 
-use lilacgate_decision::port::{Build, Product, Stage, Tenant, Zone};
+use lilacgate_decision::{Build, RequestClass, Stage, Tenant, Zone};
 use petgraph::algo::toposort;
 use petgraph::graph::{DiGraph, NodeIndex};
 
@@ -179,7 +179,7 @@
         (0..self.services.len()).map(|id| ServiceId(id as u8))
     }
 
-    pub fn product_bit(product: Product) -> u64 {
+    pub fn product_bit(product: RequestClass) -> u64 {
         1u64.checked_shl(u32::from(product.0)).unwrap_or(0)
     }
 
--- a/crates/releases/src/planner.rs
+++ b/crates/releases/src/planner.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use lilacgate_decision::port::{Build, Stage, Zone};
+use lilacgate_decision::{Build, Stage, Zone};
 
 use crate::model::{Ladder, Reach, Rules, ServiceId};
 
--- a/crates/releases/src/record.rs
+++ b/crates/releases/src/record.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use lilacgate_decision::port::{Build, Course, Stage, Tenant, Zone};
+use lilacgate_decision::{Build, ReleasePhase, Stage, Tenant, Zone};
 use serde::{Deserialize, Serialize};
 
 use crate::climb::Climb;
@@ -61,11 +61,11 @@
     pub had: Vec<String>,
 }
 
-const COURSES: [(&str, Course); 4] = [
-    ("on-trial", Course::OnTrial),
-    ("going-back", Course::GoingBack),
-    ("released", Course::Released),
-    ("withdrawn", Course::Withdrawn),
+const COURSES: [(&str, ReleasePhase); 4] = [
+    ("on-trial", ReleasePhase::Canary),
+    ("going-back", ReleasePhase::RollingBack),
+    ("released", ReleasePhase::Released),
+    ("withdrawn", ReleasePhase::Withdrawn),
 ];
 
 fn ms(at: Duration) -> u64 {
--- a/crates/releases/src/table.rs
+++ b/crates/releases/src/table.rs
@@ -1,7 +1,6 @@
 //! Owns the table that answers for each request: by build, zone and firm, which products are open and why the rest is
 //! not. It decides nothing; `gate` fills it in.
-use lilacgate_decision::openings::Openings;
-use lilacgate_decision::port::{Build, Stage, Tenant};
+use lilacgate_decision::{Build, ReleasePermissions, Stage, Tenant};
 
 use crate::gate::Why;
 
@@ -43,7 +42,7 @@
     (zones, firms): (usize, usize),
     firm: Option<Tenant>,
     step: Option<(Build, Stage)>,
-) -> Openings {
+) -> ReleasePermissions {
     let taken = |pair: usize| firm.is_none_or(|firm| pair % firms == usize::from(firm.0));
     let cells = |row: &Row| -> Vec<u64> {
         row.cells
@@ -58,5 +57,5 @@
         .iter()
         .map(|(build, cells)| (*build, &cells[..]))
         .collect();
-    Openings::new(zones, if firm.is_some() { 1 } else { firms }, &slices, step)
+    ReleasePermissions::new(zones, if firm.is_some() { 1 } else { firms }, &slices, step)
 }
--- a/crates/releases/tests/laws.rs
+++ b/crates/releases/tests/laws.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use lilacgate_decision::port::{Build, Course, Product, Stage, Tenant, Zone};
+use lilacgate_decision::{Build, ReleasePhase, RequestClass, Stage, Tenant, Zone};
 use lilacgate_releases::calendar::When;
 use lilacgate_releases::facts::Told;
 use lilacgate_releases::gate::Gate;
@@ -152,9 +152,9 @@
 
 fn told((_, build, stage, course): Heard, now: Duration) -> Told {
     let course = match course {
-        0 | 1 => Course::OnTrial,
-        2 | 3 => Course::Released,
-        _ => Course::GoingBack,
+        0 | 1 => ReleasePhase::Canary,
+        2 | 3 => ReleasePhase::Released,
+        _ => ReleasePhase::RollingBack,
     };
     Told {
         build: Build(build),
@@ -177,7 +177,12 @@
     for build in 0..8 {
         for (zone, firm) in (0..ZONES as u8).flat_map(|z| (0..FIRMS as u16).map(move |f| (z, f))) {
             for product in 0..2 {
-                let admits = gate.admits(Build(build), Zone(zone), Tenant(firm), Product(product));
+                let admits = gate.admits(
+                    Build(build),
+                    Zone(zone),
+                    Tenant(firm),
+                    RequestClass(product),
+                );
                 found.insert((build, zone, firm, product), admits.is_ok());
             }
         }
@@ -222,9 +227,11 @@
         let odd = self.last.get(&service).is_some_and(|last| {
             let back = last.build == told.build
                 && match (last.course, told.course) {
-                    (Course::OnTrial, Course::OnTrial) => told.stage < last.stage,
-                    (Course::Released, Course::OnTrial) => true,
-                    (Course::GoingBack, Course::OnTrial | Course::Released) => true,
+                    (ReleasePhase::Canary, ReleasePhase::Canary) => told.stage < last.stage,
+                    (ReleasePhase::Released, ReleasePhase::Canary) => true,
+                    (ReleasePhase::RollingBack, ReleasePhase::Canary | ReleasePhase::Released) => {
+                        true
+                    }
                     _ => false,
                 };
             told.build < last.build || back
@@ -236,14 +243,14 @@
         self.odd.remove(&service);
         let known = self.released.entry(service).or_default();
         match told.course {
-            Course::Released => drop(known.insert(told.build.0)),
-            Course::OnTrial => {}
+            ReleasePhase::Released => drop(known.insert(told.build.0)),
+            ReleasePhase::Canary => {}
             _ => known.retain(|build| *build < told.build.0),
         }
         self.last.insert(service, told);
         let stage = match told.course {
-            Course::OnTrial => told.stage.0,
-            Course::Released => u8::MAX,
+            ReleasePhase::Canary => told.stage.0,
+            ReleasePhase::Released => u8::MAX,
             _ => return,
         };
         let reached = self.reached.entry((service, told.build.0)).or_default();
@@ -267,7 +274,9 @@
                 continue;
             };
             let last = self.last.get(&service).filter(|last| last.build.0 == build);
-            if last.is_some_and(|last| !matches!(last.course, Course::OnTrial | Course::Released)) {
+            if last.is_some_and(|last| {
+                !matches!(last.course, ReleasePhase::Canary | ReleasePhase::Released)
+            }) {
                 continue;
             }
             let came_released = reached[0].0 == u8::MAX;
@@ -314,7 +323,7 @@
             .and_then(|known| known.last().copied());
         let Some(build) = newest.filter(|build| *build >= need.at_least.0) else {
             let last = &self.last[&of];
-            return if last.course == Course::Released || last.build <= need.at_least {
+            return if last.course == ReleasePhase::Released || last.build <= need.at_least {
                 2
             } else {
                 1
@@ -350,10 +359,10 @@
         let course = newest
             .filter(|last| last.build.0 == build)
             .map(|last| last.course);
-        let released = earlier || course == Some(Course::Released);
+        let released = earlier || course == Some(ReleasePhase::Released);
         let (mut close, mut hold) = (false, !earlier && self.unknown(0));
-        hold |=
-            !earlier && course.is_some_and(|c| !matches!(c, Course::OnTrial | Course::Released));
+        hold |= !earlier
+            && course.is_some_and(|c| !matches!(c, ReleasePhase::Canary | ReleasePhase::Released));
         for (_, need) in self.rules.needs(ServiceId(0), Build(build)) {
             let doubt = if released {
                 need.released
@@ -462,7 +471,7 @@
             let open = gate.openings();
             for ((build, zone, firm, product), admits) in cells(&gate).into_iter().filter(|(cell, _)| cell.2 == me) {
                 let _ = firm;
-                let handed = open.admits(Build(build), Zone(zone), Tenant(0), Product(product));
+                let handed = open.admits(Build(build), Zone(zone), Tenant(0), RequestClass(product));
                 prop_assert_eq!(handed, admits);
                 prop_assert!(!handed || open.any(Build(build), Zone(zone)));
             }
@@ -669,13 +678,13 @@
         let tell = |gate: &mut Gate, service, build, stage, course, at| {
             gate.hear(at, service, Told { build: Build(build), stage, course, since: at });
         };
-        tell(&mut gate, ServiceId(0), 1, Stage(0), Course::Released, span(0));
+        tell(&mut gate, ServiceId(0), 1, Stage(0), ReleasePhase::Released, span(0));
         let mut stage = None;
         for planned in &found.steps {
             gate.advance(planned.at);
             match planned.step {
                 Step::Released(service, b) if service.0 > 0 => {
-                    tell(&mut gate, service, b.0, Stage(0), Course::Released, planned.at);
+                    tell(&mut gate, service, b.0, Stage(0), ReleasePhase::Released, planned.at);
                 }
                 Step::Ring(_, b, i) => {
                     let ring = &rules.ladders[0].rings[usize::from(i)];
@@ -685,13 +694,13 @@
                     }
                     if stage != Some(ring.stage) {
                         stage = Some(ring.stage);
-                        tell(&mut gate, ServiceId(0), b.0, ring.stage, Course::OnTrial, planned.at);
+                        tell(&mut gate, ServiceId(0), b.0, ring.stage, ReleasePhase::Canary, planned.at);
                     }
                     for pair in (0..ZONES * FIRMS).filter(|pair| ring.pairs.0[*pair]) {
                         let (zone, firm) = (Zone((pair / FIRMS) as u8), Tenant((pair % FIRMS) as u16));
                         let products = (0..2).filter(|p| ring.products >> p & 1 == 1);
                         for product in products {
-                            let admits = gate.admits(b, zone, firm, Product(product));
+                            let admits = gate.admits(b, zone, firm, RequestClass(product));
                             prop_assert_eq!(admits, Ok(()), "{:?}", planned);
                         }
                     }
@@ -701,7 +710,7 @@
                     if let Some(stage) = stage.filter(|_| seen) {
                         prop_assert_eq!(gate.step(), Ok((b, stage)), "{:?}", planned);
                     }
-                    tell(&mut gate, ServiceId(0), b.0, Stage(9), Course::Released, planned.at);
+                    tell(&mut gate, ServiceId(0), b.0, Stage(9), ReleasePhase::Released, planned.at);
                 }
             }
         }
--- a/crates/releases/tests/scenarios.rs
+++ b/crates/releases/tests/scenarios.rs
@@ -16,7 +16,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use lilacgate_decision::port::{Build, Course, Product, Stage, Tenant, Zone};
+use lilacgate_decision::{Build, ReleasePhase, RequestClass, Stage, Tenant, Zone};
 use lilacgate_operator_config::{Known, read};
 use lilacgate_releases::facts::Told;
 use lilacgate_releases::gate::Gate;
@@ -87,10 +87,10 @@
             }
             ["tell", service, build, stage, course, ago @ ..] => {
                 let course = match *course {
-                    "trial" => Course::OnTrial,
-                    "released" => Course::Released,
-                    "back" => Course::GoingBack,
-                    _ => Course::Withdrawn,
+                    "trial" => ReleasePhase::Canary,
+                    "released" => ReleasePhase::Released,
+                    "back" => ReleasePhase::RollingBack,
+                    _ => ReleasePhase::Withdrawn,
                 };
                 let (build, stage) = (
                     Build(build.parse().expect("a build")),
@@ -155,7 +155,7 @@
                 for zone in all(&rules.zones, zone).map(|zone| Zone(zone as u8)) {
                     for firm in all(&rules.firms, firm).map(|firm| Tenant(firm as u16)) {
                         for product in
-                            all(&rules.products, product).map(|product| Product(product as u8))
+                            all(&rules.products, product).map(|product| RequestClass(product as u8))
                         {
                             let got = self.gate.admits(build, zone, firm, product);
                             let code = got.err().map_or("open", |why| why.code());
--- a/crates/scale/src/agent.rs
+++ b/crates/scale/src/agent.rs
@@ -5,8 +5,10 @@
 use std::time::Duration;
 
 use lilacgate_capacity::fleet::Fleet;
-use lilacgate_decision::openings::Openings;
-use lilacgate_decision::port::*;
+use lilacgate_decision::{
+    AgentId, AttemptNumber, Build, EndpointId, IdempotencyKey, ListUpdate, Outcome,
+    ReleasePermissions, Request, RequestClass, RequestId, Tenant,
+};
 use lilacgate_start_settings::Paths;
 use rand::{RngExt, SeedableRng};
 use rand_distr::weighted::WeightedAliasIndex;
@@ -137,7 +139,7 @@
     /// What it does and what that costs.
     pub meter: Meter,
     /// Attempts by appliance since the last reset.
-    pub used: HashMap<(ServiceIndex, ApplianceId), u32>,
+    pub used: HashMap<(ServiceIndex, EndpointId), u32>,
     /// What it has sent since the last exchange.
     pub outbox: Vec<Sent>,
     queue: BinaryHeap<Reverse<Event>>,
@@ -321,7 +323,7 @@
                 let module = &mut self.modules[index as usize];
                 if connection == module.connection {
                     module.has_list = false;
-                    heard.push(Heard::Membership(Listing::Failed, vec![]));
+                    heard.push(Heard::Membership(ListUpdate::Failed, vec![]));
                 }
             }
             Incoming::News(bytes) => {
@@ -357,12 +359,12 @@
         let work = common.work.sample(&mut self.chance);
         let hint = work * common.hint.sample(&mut self.chance);
         let request = Request {
-            product: Product(u8::try_from(route).unwrap_or(u8::MAX)),
+            class: RequestClass(u8::try_from(route).unwrap_or(u8::MAX)),
             tenant: Tenant(u16::try_from(tenant).unwrap_or(u16::MAX)),
-            mark: Some(Mark(self.chance.random())),
+            idempotency_key: Some(IdempotencyKey(self.chance.random())),
             deadline: now + Duration::from_micros(GIVE_UP_MICROS),
-            hint: Some(Duration::from_secs_f64(hint)),
-            repeated: false,
+            estimated_work: Some(Duration::from_secs_f64(hint)),
+            is_retry: false,
         };
         let owed = Owed {
             arrived: now,
@@ -385,7 +387,7 @@
         now: Duration,
         index: u32,
         attempt: AttemptId,
-        ending: Ending,
+        ending: Outcome,
     ) -> Option<Heard> {
         let module = &mut self.modules[index as usize];
         let AttemptId {
@@ -399,7 +401,7 @@
         }
         attempt.ending = Some(ending);
         let (took, at) = (now.saturating_sub(attempt.sent), attempt.to);
-        if ending == Ending::Served && !owed.answered {
+        if ending == Outcome::Succeeded && !owed.answered {
             owed.answered = true;
             self.meter.counts.served += 1;
         }
@@ -443,7 +445,7 @@
             }
             Decision::CallOff(request, number) => {
                 let attempt = AttemptId { request, number };
-                let ending = Ending::CalledOff;
+                let ending = Outcome::Cancelled;
                 self.push(now, index, Incoming::Ended { attempt, ending });
             }
             Decision::Wake(at, ticket) => self.push(at, index, Incoming::Wake(ticket)),
@@ -475,7 +477,7 @@
                 self.push(
                     now + VOTE_TRIP,
                     index,
-                    Incoming::VoteAnswered(Ending::Served),
+                    Incoming::VoteAnswered(Outcome::Succeeded),
                 );
             }
         }
@@ -501,7 +503,7 @@
         });
     }
 
-    fn send_attempt(&mut self, index: u32, now: Duration, id: RequestId, to: ApplianceId) {
+    fn send_attempt(&mut self, index: u32, now: Duration, id: RequestId, to: EndpointId) {
         let module = &mut self.modules[index as usize];
         let Some(owed) = module.owed.get_mut(&id) else {
             return;
@@ -556,10 +558,10 @@
 }
 
 /// An operator's table that leaves everything open, with a row for each tenant.
-fn all_open(size: &FleetSize) -> Openings {
+fn all_open(size: &FleetSize) -> ReleasePermissions {
     let (zones, tenants) = (size.places.zones as usize, size.tenants as usize);
     let cells = vec![u64::MAX; zones * tenants];
     let builds = [Build(OLD_BUILD), Build(OLD_BUILD + 1)];
     let rows = builds.map(|build| (build, cells.as_slice()));
-    Openings::new(zones, tenants, &rows, None)
+    ReleasePermissions::new(zones, tenants, &rows, None)
 }
--- a/crates/scale/src/appliance.rs
+++ b/crates/scale/src/appliance.rs
@@ -1,7 +1,7 @@
 //! Hollow appliances: a queue before a few workers, cold after a start, and refusing when it is full.
 use std::time::Duration;
 
-use lilacgate_decision::port::Ending;
+use lilacgate_decision::Outcome;
 use rand::{RngExt, SeedableRng};
 use rand_distr::{Distribution, LogNormal};
 use rand_pcg::Pcg64Mcg;
@@ -36,7 +36,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Reply {
     /// How.
-    pub ending: Ending,
+    pub ending: Outcome,
     /// When.
     pub at: Duration,
 }
@@ -99,11 +99,11 @@
         match self.power {
             Power::Up => self.serve(arrives, work, until),
             Power::Refusing => Reply {
-                ending: Ending::Unconnected,
+                ending: Outcome::ConnectFailed,
                 at: arrives + ONE_WAY,
             },
             Power::Silent => Reply {
-                ending: Ending::Unconnected,
+                ending: Outcome::ConnectFailed,
                 at: sent + CONNECT_TIMEOUT,
             },
         }
@@ -115,14 +115,14 @@
         let fails = self.chance.random::<f64>() < FAILURE_SHARE;
         let Some(worker) = self.free_at.iter_mut().min() else {
             return Reply {
-                ending: Ending::TurnedAway,
+                ending: Outcome::Rejected,
                 at: arrives + ONE_WAY,
             };
         };
         let begins = arrives.max(*worker);
         if begins - arrives > QUEUE_LIMIT {
             return Reply {
-                ending: Ending::TurnedAway,
+                ending: Outcome::Rejected,
                 at: arrives + ONE_WAY,
             };
         }
@@ -130,14 +130,14 @@
         *worker = ends;
         if ends + ONE_WAY > until {
             return Reply {
-                ending: Ending::TimedOut,
+                ending: Outcome::TimedOut,
                 at: until,
             };
         }
         let ending = if fails {
-            Ending::Failed
+            Outcome::Failed
         } else {
-            Ending::Served
+            Outcome::Succeeded
         };
         Reply {
             ending,
--- a/crates/scale/src/decisions.rs
+++ b/crates/scale/src/decisions.rs
@@ -1,13 +1,15 @@
 //! What the decision module decides in a round, kept in order until the round is over.
 use std::time::Duration;
 
-use lilacgate_decision::port::*;
+use lilacgate_decision::{
+    Actions, AgentId, AttemptNumber, Build, EndpointId, RequestId, Stage, TimerId, Vote,
+};
 
 /// One decision.
 #[derive(Clone, Debug)]
 pub enum Decision {
     /// An attempt goes to an appliance.
-    Attempt(RequestId, ApplianceId),
+    Attempt(RequestId, EndpointId),
     /// A request is refused; its client may come again.
     Decline(RequestId),
     /// A request fails: it may have run.
@@ -15,7 +17,7 @@
     /// An attempt's answer is not waited for any longer.
     CallOff(RequestId, AttemptNumber),
     /// The module wants a round then.
-    Wake(Duration, Ticket),
+    Wake(Duration, TimerId),
     /// A report or warning to one peer, or to all.
     Tell(Option<AgentId>, Vec<u8>),
     /// The list is to be watched, or no longer.
@@ -23,7 +25,7 @@
     /// The list is to be fetched once.
     Fetch,
     /// A vote on a build.
-    Vote(Build, Stage, Verdict),
+    Vote(Build, Stage, Vote),
 }
 
 /// Takes the decisions of a round.
@@ -33,32 +35,32 @@
     pub list: Vec<Decision>,
 }
 
-impl Decisions for Decided {
-    fn send_attempt(&mut self, id: RequestId, to: ApplianceId, _: Duration) {
+impl Actions for Decided {
+    fn send_attempt(&mut self, id: RequestId, to: EndpointId, _: Duration) {
         self.list.push(Decision::Attempt(id, to));
     }
 
-    fn decline(&mut self, id: RequestId, _: Duration) {
+    fn reject(&mut self, id: RequestId, _: Duration) {
         self.list.push(Decision::Decline(id));
     }
 
-    fn void(&mut self, id: RequestId) {
+    fn fail(&mut self, id: RequestId) {
         self.list.push(Decision::Void(id));
     }
 
-    fn call_off(&mut self, id: RequestId, number: AttemptNumber) {
+    fn cancel(&mut self, id: RequestId, number: AttemptNumber) {
         self.list.push(Decision::CallOff(id, number));
     }
 
-    fn wake(&mut self, at: Duration, ticket: Ticket) {
+    fn schedule_wake_up(&mut self, at: Duration, ticket: TimerId) {
         self.list.push(Decision::Wake(at, ticket));
     }
 
-    fn probe(&mut self, _: ApplianceId) {}
+    fn check_health(&mut self, _: EndpointId) {}
 
-    fn free_links(&mut self, _: ApplianceId) {}
+    fn close_idle_connections(&mut self, _: EndpointId) {}
 
-    fn tell(&mut self, peer: Option<AgentId>, octets: &[u8]) {
+    fn send_to_peer(&mut self, peer: Option<AgentId>, octets: &[u8]) {
         self.list.push(Decision::Tell(peer, octets.to_vec()));
     }
 
@@ -66,15 +68,15 @@
         tracing::trace!("{text}");
     }
 
-    fn watch_membership(&mut self, on: bool) {
+    fn watch_endpoints(&mut self, on: bool) {
         self.list.push(Decision::Watch(on));
     }
 
-    fn fetch_membership(&mut self) {
+    fn fetch_endpoints(&mut self) {
         self.list.push(Decision::Fetch);
     }
 
-    fn vote(&mut self, build: Build, stage: Stage, verdict: Verdict) {
+    fn vote(&mut self, build: Build, stage: Stage, verdict: Vote) {
         self.list.push(Decision::Vote(build, stage, verdict));
     }
 }
--- a/crates/scale/src/discovery.rs
+++ b/crates/scale/src/discovery.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use lilacgate_decision::port::AgentId;
+use lilacgate_decision::AgentId;
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
 
--- a/crates/scale/src/event.rs
+++ b/crates/scale/src/event.rs
@@ -5,7 +5,7 @@
 use lilacgate_capacity::fleet::RegionId;
 use lilacgate_capacity::result::{EventKind, Quantity};
 use lilacgate_capacity::target::{Failures, Target};
-use lilacgate_decision::port::AgentId;
+use lilacgate_decision::AgentId;
 use rand::seq::SliceRandom;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
--- a/crates/scale/src/measure.rs
+++ b/crates/scale/src/measure.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use lilacgate_capacity::fit::{Fit, Point};
-use lilacgate_decision::port::ApplianceId;
+use lilacgate_decision::EndpointId;
 
 use crate::error::ScaleError;
 use crate::fleet::FleetSize;
@@ -226,7 +226,7 @@
 }
 
 /// Pairs of agent and appliance of the largest service with this many attempts at least.
-fn pairs(simulation: &Simulation, least: u32) -> BTreeSet<(u32, ApplianceId)> {
+fn pairs(simulation: &Simulation, least: u32) -> BTreeSet<(u32, EndpointId)> {
     let largest = ServiceIndex(0);
     let mut pairs = BTreeSet::new();
     for agent in &simulation.agents {
--- a/crates/scale/src/module.rs
+++ b/crates/scale/src/module.rs
@@ -8,8 +8,10 @@
 use lilacgate_agent::discovery::{Answer, Lines};
 use lilacgate_agent::json::{Json, Values};
 use lilacgate_agent::ring::Parse;
-use lilacgate_decision::brain::Brain;
-use lilacgate_decision::port::*;
+use lilacgate_decision::{
+    AgentId, AttemptNumber, DecisionEngine, Endpoint, EndpointId, EndpointStatus, EventHandler,
+    ListUpdate, Outcome, Request, RequestId, TimerId,
+};
 use lilacgate_start_settings::Paths;
 
 use crate::decisions::Decided;
@@ -32,26 +34,26 @@
         /// Which of its attempts.
         number: AttemptNumber,
         /// Where.
-        at: ApplianceId,
+        at: EndpointId,
         /// How.
-        ending: Ending,
+        ending: Outcome,
         /// After which time.
         took: Duration,
         /// Whether the request is answered.
         closed: bool,
     },
     /// A list or changes.
-    Membership(Listing, Vec<Line>),
+    Membership(ListUpdate, Vec<Endpoint>),
     /// Where a build stands.
     News(desk::News),
     /// A vote's answer.
-    VoteAnswered(Ending),
+    VoteAnswered(Outcome),
     /// A datagram of a peer.
     Datagram(AgentId, std::sync::Arc<[u8]>),
     /// A wake-up.
-    Wake(Ticket),
+    Wake(TimerId),
     /// What the operator's rules leave open.
-    Openings(std::sync::Arc<lilacgate_decision::openings::Openings>),
+    Openings(std::sync::Arc<lilacgate_decision::ReleasePermissions>),
 }
 
 /// A request that is owed its answer, or has attempts out.
@@ -73,17 +75,17 @@
 /// An attempt of a request.
 pub struct Attempt {
     /// Where it went.
-    pub to: ApplianceId,
+    pub to: EndpointId,
     /// When it was sent.
     pub sent: Duration,
     /// How it ended.
-    pub ending: Option<Ending>,
+    pub ending: Option<Outcome>,
 }
 
 impl Attempt {
     /// Whether the request may have run there.
     pub fn may_have_run(&self) -> bool {
-        self.ending.is_none_or(Ending::may_have_run)
+        self.ending.is_none_or(Outcome::may_have_run)
     }
 }
 
@@ -108,11 +110,11 @@
 /// A decision module and its parsers.
 pub struct Module {
     /// The module.
-    pub brain: Brain,
+    pub brain: DecisionEngine,
     /// Requests in hand.
     pub owed: HashMap<RequestId, Owed>,
     /// The state of each appliance on the list that is not ready, as told.
-    pub not_ready: HashMap<ApplianceId, Mode>,
+    pub not_ready: HashMap<EndpointId, EndpointStatus>,
     /// The number of the watch's connection.
     pub connection: u32,
     /// A list or change that the next round acts on.
@@ -173,7 +175,7 @@
             meter.counts.unreadable += 1;
             self.catalog.restart();
             self.connect();
-            return vec![Heard::Membership(Listing::Failed, vec![])];
+            return vec![Heard::Membership(ListUpdate::Failed, vec![])];
         };
         heard.iter().for_each(|heard| self.note_modes(heard));
         heard
@@ -213,7 +215,7 @@
         let update = self.catalog.read(&list, &mut |_, _| {})?;
         meter.parse(start.elapsed());
         let lines = update.entries.iter().map(|(line, _)| *line).collect();
-        Some(Heard::Membership(Listing::Saved, lines))
+        Some(Heard::Membership(ListUpdate::Cached, lines))
     }
 
     /// One round with all that was heard; returns what it decided and its processor time.
@@ -246,9 +248,9 @@
     fn read_list(&mut self, list: &Json) -> Result<Heard, Unreadable> {
         let update = self.catalog.read(list, &mut |_, _| {}).ok_or(Unreadable)?;
         let listing = if update.whole {
-            Listing::Whole
+            ListUpdate::Full
         } else {
-            Listing::Changes
+            ListUpdate::Delta
         };
         let lines = update.entries.iter().map(|(line, _)| *line).collect();
         Ok(Heard::Membership(listing, lines))
@@ -258,14 +260,14 @@
         let Heard::Membership(listing, lines) = heard else {
             return;
         };
-        if *listing == Listing::Whole {
+        if *listing == ListUpdate::Full {
             self.not_ready.clear();
             self.has_list = true;
         }
         for line in lines {
-            match line.mode {
-                Mode::Ready => self.not_ready.remove(&line.appliance),
-                mode => self.not_ready.insert(line.appliance, mode),
+            match line.status {
+                EndpointStatus::Ready => self.not_ready.remove(&line.id),
+                mode => self.not_ready.insert(line.id, mode),
             };
         }
     }
@@ -295,9 +297,9 @@
     Some(heard)
 }
 
-fn tell(ears: &mut dyn Hears, heard: Heard) {
+fn tell(ears: &mut dyn EventHandler, heard: Heard) {
     match heard {
-        Heard::Request(id, request) => ears.request(id, request),
+        Heard::Request(id, request) => ears.on_request(id, request),
         Heard::Ended {
             id,
             number,
@@ -306,15 +308,15 @@
             took,
             closed,
         } => {
-            ears.ended(id, number, at, ending, took, closed);
+            ears.on_attempt_ended(id, number, at, ending, took, closed);
         }
-        Heard::Membership(listing, lines) => ears.membership(listing, &mut lines.into_iter()),
+        Heard::Membership(listing, lines) => ears.on_endpoints(listing, &mut lines.into_iter()),
         Heard::News(news) => {
-            ears.stage(news.build, news.stage, news.course, news.cap, news.age);
+            ears.on_release_status(news.build, news.stage, news.course, news.cap, news.age);
         }
-        Heard::VoteAnswered(ending) => ears.vote_answered(ending),
-        Heard::Datagram(from, octets) => ears.peer(from, &octets),
-        Heard::Wake(ticket) => ears.woken(ticket),
-        Heard::Openings(openings) => ears.openings(Some(openings)),
+        Heard::VoteAnswered(ending) => ears.on_vote_answered(ending),
+        Heard::Datagram(from, octets) => ears.on_peer_message(from, &octets),
+        Heard::Wake(ticket) => ears.on_wake_up(ticket),
+        Heard::Openings(openings) => ears.on_release_permissions(Some(openings)),
     }
 }
--- a/crates/scale/src/network.rs
+++ b/crates/scale/src/network.rs
@@ -2,7 +2,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use lilacgate_decision::port::*;
+use lilacgate_decision::{
+    AgentId, AttemptNumber, Build, EndpointId, Outcome, RequestId, Stage, TimerId, Vote,
+};
 
 /// The time that a message takes one way on the network.
 pub const ONE_WAY: Duration = Duration::from_micros(250);
@@ -28,7 +30,7 @@
         /// Which.
         attempt: AttemptId,
         /// Where.
-        to: ApplianceId,
+        to: EndpointId,
         /// Work that it asks, on a warm core.
         work: Duration,
         /// Until when the agent waits for the answer.
@@ -48,7 +50,7 @@
         /// In which stage.
         stage: Stage,
         /// What it says.
-        verdict: Verdict,
+        verdict: Vote,
     },
     /// A call that opens a watch.
     Watch {
@@ -80,7 +82,7 @@
         /// Which.
         attempt: AttemptId,
         /// How it ended.
-        ending: Ending,
+        ending: Outcome,
     },
     /// Bytes of a watch.
     List {
@@ -101,7 +103,7 @@
     /// Bytes from the platform.
     News(Arc<[u8]>),
     /// A vote's answer.
-    VoteAnswered(Ending),
+    VoteAnswered(Outcome),
     /// A datagram of a peer.
     Datagram {
         /// From whom.
@@ -110,7 +112,7 @@
         octets: Arc<[u8]>,
     },
     /// A wake-up that the module asked for.
-    Wake(Ticket),
+    Wake(TimerId),
     /// Discovery's and the platform's signs of life.
     SignsOfLife,
 }
--- a/crates/scale/src/platform.rs
+++ b/crates/scale/src/platform.rs
@@ -2,7 +2,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use lilacgate_decision::port::{AgentId, Verdict};
+use lilacgate_decision::{AgentId, Vote};
 
 use crate::agent::OLD_BUILD;
 use crate::discovery::Delivery;
@@ -97,15 +97,15 @@
     }
 
     /// Counts a vote.
-    pub fn vote(&mut self, now: Duration, service: ServiceIndex, verdict: Verdict) {
+    pub fn vote(&mut self, now: Duration, service: ServiceIndex, verdict: Vote) {
         let votes = &mut self.votes[service.0 as usize];
         match verdict {
-            Verdict::On => votes.on += 1,
-            Verdict::Back => {
+            Vote::Advance => votes.on += 1,
+            Vote::RollBack => {
                 votes.back += 1;
                 votes.first_back.get_or_insert(now);
             }
-            Verdict::Hold | Verdict::Withdraw => votes.other += 1,
+            Vote::Hold | Vote::Retract => votes.other += 1,
         }
     }
 }
--- a/crates/scale/src/simulation.rs
+++ b/crates/scale/src/simulation.rs
@@ -8,7 +8,7 @@
 use lilacgate_agent::catalog::Catalog;
 use lilacgate_agent::json::Values;
 use lilacgate_capacity::fleet::{RegionId, ZoneId};
-use lilacgate_decision::port::{AgentId, ApplianceId, Ending};
+use lilacgate_decision::{AgentId, EndpointId, Outcome};
 use lilacgate_start_settings::Paths;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -42,7 +42,7 @@
     agent: AgentId,
     service: ServiceIndex,
     attempt: AttemptId,
-    ending: Ending,
+    ending: Outcome,
     appliance: u32,
 }
 
@@ -93,7 +93,7 @@
     pool: ThreadPool,
     limits: Limits,
     /// The appliance of each number, by service.
-    directories: Vec<HashMap<ApplianceId, u32>>,
+    directories: Vec<HashMap<EndpointId, u32>>,
     pending: BinaryHeap<Reverse<Pending>>,
     chance: Pcg64Mcg,
     seed: u64,
@@ -333,7 +333,7 @@
         let Some(index) = index else {
             return (
                 Reply {
-                    ending: Ending::Unconnected,
+                    ending: Outcome::ConnectFailed,
                     at: at + ONE_WAY,
                 },
                 u32::MAX,
@@ -342,7 +342,7 @@
         let zone = ZoneId(self.appliances[index as usize].zone);
         let parted = self.is_parted && self.region(agent) != self.common.fleet.region(zone);
         if parted {
-            let ending = Ending::TimedOut;
+            let ending = Outcome::TimedOut;
             return (Reply { ending, at: until }, index);
         }
         let appliance = &mut self.appliances[index as usize];
@@ -470,9 +470,9 @@
         let mut pending = std::mem::take(&mut self.pending).into_vec();
         for Reverse(one) in &mut pending {
             if one.appliance == index && power == Power::Refusing && one.at > now + ONE_WAY {
-                (one.ending, one.at) = (Ending::Broken, now + ONE_WAY);
+                (one.ending, one.at) = (Outcome::ConnectionLost, now + ONE_WAY);
             } else if one.appliance == index && power == Power::Silent && one.at > now {
-                (one.ending, one.at) = (Ending::TimedOut, one.at.max(now + settings::give_up()));
+                (one.ending, one.at) = (Outcome::TimedOut, one.at.max(now + settings::give_up()));
             }
         }
         self.pending = pending.into();
@@ -622,7 +622,7 @@
 fn directories(
     common: &Common,
     discovery: &Discovery,
-) -> Result<Vec<HashMap<ApplianceId, u32>>, ScaleError> {
+) -> Result<Vec<HashMap<EndpointId, u32>>, ScaleError> {
     let unreadable = || ScaleError::Size("the list cannot be read".to_owned());
     let mut directories = Vec::new();
     for service in 0..common.size.services {
@@ -632,8 +632,8 @@
         let mut catalog = Catalog::new(&settings).map_err(ScaleError::Settings)?;
         let list = Values::whole(&text).map_err(|_| unreadable())?;
         let update = catalog.read(&list, &mut |_, _| {}).ok_or_else(unreadable)?;
-        let number = |(line, at): &(lilacgate_decision::port::Line, std::net::SocketAddr)| {
-            wire::index(*at).map(|index| (line.appliance, index))
+        let number = |(line, at): &(lilacgate_decision::Endpoint, std::net::SocketAddr)| {
+            wire::index(*at).map(|index| (line.id, index))
         };
         directories.push(update.entries.iter().filter_map(number).collect());
     }
--- a/crates/scale/tests/simulation.rs
+++ b/crates/scale/tests/simulation.rs
@@ -2,7 +2,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use lilacgate_decision::port::{AgentId, ApplianceId, Build, Listing, Verdict};
+use lilacgate_decision::{AgentId, Build, EndpointId, ListUpdate, Vote};
 use lilacgate_scale::agent::Agent;
 use lilacgate_scale::appliance::Power;
 use lilacgate_scale::decisions::Decision;
@@ -180,7 +180,7 @@
         .collect()
 }
 
-fn lines(heard: &[Heard]) -> Vec<(Listing, usize)> {
+fn lines(heard: &[Heard]) -> Vec<(ListUpdate, usize)> {
     let list = |heard: &Heard| match heard {
         Heard::Membership(listing, lines) => Some((*listing, lines.len())),
         _ => None,
@@ -195,7 +195,7 @@
     let (mut module, mut meter) = (module(0), Meter::default());
     let bytes = wire::watch(1, &entries(LISTED));
     let heard = hear(&mut module, &bytes, piece, &mut meter);
-    assert_eq!(lines(&heard), [(Listing::Whole, LISTED as usize)]);
+    assert_eq!(lines(&heard), [(ListUpdate::Full, LISTED as usize)]);
     assert_eq!(meter.counts.unreadable, 0);
 }
 
@@ -209,7 +209,7 @@
     // The next connection begins anew.
     module.connect();
     let heard = hear(&mut module, &bytes, usize::MAX, &mut meter);
-    assert_eq!(lines(&heard), [(Listing::Whole, LISTED as usize)]);
+    assert_eq!(lines(&heard), [(ListUpdate::Full, LISTED as usize)]);
 }
 
 #[test]
@@ -218,9 +218,9 @@
     let mut bytes = wire::watch(1, &entries(LISTED));
     bytes.extend(wire::chunk(&wire::list(1, true, &entries(LISTED))));
     let heard = hear(&mut module, &bytes, usize::MAX, &mut meter);
-    assert_eq!(lines(&heard), [(Listing::Whole, LISTED as usize); 2]);
+    assert_eq!(lines(&heard), [(ListUpdate::Full, LISTED as usize); 2]);
     let numbers = |heard: &Heard| match heard {
-        Heard::Membership(_, lines) => lines.iter().map(|line| line.appliance).collect(),
+        Heard::Membership(_, lines) => lines.iter().map(|line| line.id).collect(),
         _ => Vec::new(),
     };
     assert_eq!(numbers(&heard[0]), numbers(&heard[1]));
@@ -235,7 +235,7 @@
     let heard = hear(&mut module, &bytes, usize::MAX, &mut meter);
     assert_eq!(
         lines(&heard),
-        [(Listing::Whole, 50), (Listing::Changes, 10_000)]
+        [(ListUpdate::Full, 50), (ListUpdate::Delta, 10_000)]
     );
     let (decided, _) = module.round(START, heard);
     assert!(!decided.list.is_empty());
@@ -255,12 +255,12 @@
         &mut meter,
     );
     let heard = hear(&mut module, &wire::chunk(text), usize::MAX, &mut meter);
-    assert_eq!(lines(&heard), [(Listing::Failed, 0)]);
+    assert_eq!(lines(&heard), [(ListUpdate::Failed, 0)]);
     assert_eq!((meter.counts.unreadable, module.version()), (1, 0));
 }
 
 /// A report on a build: a life, a number, three sums, and outcomes at earlier and trial appliances.
-fn report(build: u16, number: u32, trial: &[ApplianceId]) -> Arc<[u8]> {
+fn report(build: u16, number: u32, trial: &[EndpointId]) -> Arc<[u8]> {
     let mut octets = build.to_be_bytes().to_vec();
     octets.extend(1_u32.to_be_bytes());
     octets.extend(number.to_be_bytes());
@@ -276,13 +276,13 @@
 }
 
 /// Votes of a judge that hears such reports of an agent.
-fn votes_after_reports(from: AgentId) -> Vec<(Build, Verdict)> {
+fn votes_after_reports(from: AgentId) -> Vec<(Build, Vote)> {
     let (mut module, mut meter) = (module(2), Meter::default());
     let mut entries = entries(40);
     entries.iter_mut().take(8).for_each(|entry| entry.build = 2);
     let mut heard = module.take_list(&wire::watch(1, &entries), &mut meter);
-    let trial: Vec<ApplianceId> = match &heard[0] {
-        Heard::Membership(_, lines) => lines.iter().take(8).map(|line| line.appliance).collect(),
+    let trial: Vec<EndpointId> = match &heard[0] {
+        Heard::Membership(_, lines) => lines.iter().take(8).map(|line| line.id).collect(),
         _ => Vec::new(),
     };
     let news = wire::news(2, 0, "Progressing", 0.1);
@@ -304,7 +304,7 @@
 fn a_report_of_an_agent_beyond_the_fleet_changes_nothing() {
     assert_eq!(
         votes_after_reports(AgentId(1)),
-        [(Build(2), Verdict::Back)],
+        [(Build(2), Vote::RollBack)],
         "one of the fleet"
     );
     assert_eq!(votes_after_reports(AgentId(8)), [], "the first beyond");
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -11,7 +11,7 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-use lilacgate_decision::port::{Ending, Line, Listing, Product, Request};
+use lilacgate_decision::{Endpoint, ListUpdate, Outcome, Request, RequestClass};
 use lilacgate_start_settings::{Instance, Paths};
 use wire::{EVENT, Field, Reply};
 
@@ -35,7 +35,7 @@
 
 struct Host {
     instances: BTreeMap<u16, Instance>,
-    pages: Vec<Option<Vec<Line>>>,
+    pages: Vec<Option<Vec<Endpoint>>>,
 }
 
 fn serve(input: &mut impl Read, output: &mut impl Write) -> Result<(), String> {
@@ -204,7 +204,7 @@
     }
 }
 
-fn page(r: Field, tail: &[u8], pages: &mut [Option<Vec<Line>>]) -> Result<(), String> {
+fn page(r: Field, tail: &[u8], pages: &mut [Option<Vec<Endpoint>>]) -> Result<(), String> {
     let number = r.u32(1);
     let page = pages
         .get_mut(number as usize)
@@ -219,7 +219,7 @@
     Ok(())
 }
 
-fn product(r: Field, at: usize, products: usize) -> Result<Product, String> {
+fn product(r: Field, at: usize, products: usize) -> Result<RequestClass, String> {
     let product = r.product(at);
     if usize::from(product.0) < products {
         Ok(product)
@@ -232,9 +232,9 @@
 fn hear(
     r: Field,
     tail: &[u8],
-    pages: &mut [Option<Vec<Line>>],
+    pages: &mut [Option<Vec<Endpoint>>],
     named: (usize, usize),
-    ear: &mut dyn lilacgate_decision::port::Hears,
+    ear: &mut dyn lilacgate_decision::EventHandler,
 ) -> Result<(), String> {
     match r.u8(0) {
         wire::PAGE => page(r, tail, pages)?,
@@ -243,10 +243,12 @@
             let listing = r.listing(13)?;
             let number = r.u32(9);
             match pages.get(number as usize).and_then(Option::as_ref) {
-                _ if listing == Listing::Failed => ear.membership(listing, &mut std::iter::empty()),
+                _ if listing == ListUpdate::Failed => {
+                    ear.on_endpoints(listing, &mut std::iter::empty())
+                }
                 Some(lines) => match lines.iter().find(|l| usize::from(l.zone.0) >= named.1) {
                     Some(line) => return Err(format!("zone {} was never named", line.zone.0)),
-                    None => ear.membership(listing, &mut lines.iter().copied()),
+                    None => ear.on_endpoints(listing, &mut lines.iter().copied()),
                 },
                 None => return Err(format!("UPDATE names list {number}, which was never given")),
             }
@@ -254,22 +256,22 @@
         wire::INBOUND => {
             let bits = r.u8(5);
             let request = Request {
-                product: product(r, 14, named.0)?,
+                class: product(r, 14, named.0)?,
                 tenant: r.tenant(15),
-                mark: Some(r.u64(6))
+                idempotency_key: Some(r.u64(6))
                     .filter(|&m| m != 0)
-                    .map(lilacgate_decision::port::Mark),
+                    .map(lilacgate_decision::IdempotencyKey),
                 deadline: r.span64(17),
-                hint: (bits & 1 != 0).then(|| r.span(25)),
-                repeated: bits & 2 != 0,
+                estimated_work: (bits & 1 != 0).then(|| r.span(25)),
+                is_retry: bits & 2 != 0,
             };
-            ear.request(r.request(1), request);
+            ear.on_request(r.request(1), request);
         }
         wire::RESOLVED => {
             if r.u8(16) != 0 {
-                ear.load(r.appliance(6), &r.gauges(17, r.u8(16)));
+                ear.on_load_report(r.appliance(6), &r.gauges(17, r.u8(16)));
             }
-            ear.ended(
+            ear.on_attempt_ended(
                 r.request(1),
                 r.attempt(5),
                 r.appliance(6),
@@ -278,23 +280,24 @@
                 r.u8(15) != 0,
             );
         }
-        wire::HEADERS => ear.stream_begun(r.request(1), r.attempt(5), r.appliance(6), r.span(10)),
-        wire::HANGUP => ear.client_left(r.request(1)),
-        wire::REMINDER => ear.woken(lilacgate_decision::port::Ticket(r.u64(1))),
+        wire::HEADERS => {
+            ear.on_response_started(r.request(1), r.attempt(5), r.appliance(6), r.span(10))
+        }
+        wire::HANGUP => ear.on_client_left(r.request(1)),
+        wire::REMINDER => ear.on_wake_up(lilacgate_decision::TimerId(r.u64(1))),
         wire::ECHO => {
             if r.u8(10) != 0 {
-                ear.load(r.appliance(1), &r.gauges(11, r.u8(10)));
+                ear.on_load_report(r.appliance(1), &r.gauges(11, r.u8(10)));
             }
-            ear.probed(r.appliance(1), r.ending(5)?, r.span(6));
+            ear.on_health_check(r.appliance(1), r.ending(5)?, r.span(6));
+        }
+        wire::MAIL => {
+            ear.on_peer_message(lilacgate_decision::AgentId(r.u32(1)), r.slice(5, 1, tail)?)
         }
-        wire::MAIL => ear.peer(
-            lilacgate_decision::port::AgentId(r.u32(1)),
-            r.slice(5, 1, tail)?,
-        ),
         wire::TRIAL_NEWS => {
             let ending = r.ending(6)?;
-            if ending == Ending::Served || r.u8(5) == 0 {
-                ear.stage(
+            if ending == Outcome::Succeeded || r.u8(5) == 0 {
+                ear.on_release_status(
                     r.build(1),
                     r.stage(3),
                     r.course(4)?,
@@ -303,14 +306,14 @@
                 );
             }
             if r.u8(5) != 0 {
-                ear.vote_answered(ending);
+                ear.on_vote_answered(ending);
             }
         }
         wire::PERIOD_SUMS => {
             let (build, product) = (r.build(9), product(r, 11, named.0)?);
-            ear.tally(build, product, r.u32(5), r.u32(12), r.span(16), r.span(1));
+            ear.on_period_statistics(build, product, r.u32(5), r.u32(12), r.span(16), r.span(1));
         }
-        wire::BAD_ANSWER => ear.wrong_answer(r.appliance(1), product(r, 5, named.0)?, r.span(6)),
+        wire::BAD_ANSWER => ear.on_wrong_answer(r.appliance(1), product(r, 5, named.0)?, r.span(6)),
         code => return Err(format!("unknown event code {code}")),
     }
     Ok(())
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -2,7 +2,10 @@
 use std::io::{self, Write};
 use std::time::Duration;
 
-use lilacgate_decision::port::*;
+use lilacgate_decision::{
+    Actions, AgentId, AttemptNumber, Build, Cell, Endpoint, EndpointId, EndpointStatus, ListUpdate,
+    Model, Outcome, ReleasePhase, RequestClass, RequestId, Stage, Tenant, TimerId, Vote, Zone,
+};
 
 pub const EVENT: usize = 40;
 const ACTION: usize = 24;
@@ -56,11 +59,11 @@
     pub fn request(self, at: usize) -> RequestId {
         RequestId(self.u32(at))
     }
-    pub fn appliance(self, at: usize) -> ApplianceId {
-        ApplianceId(self.u32(at))
+    pub fn appliance(self, at: usize) -> EndpointId {
+        EndpointId(self.u32(at))
     }
-    pub fn product(self, at: usize) -> Product {
-        Product(self.u8(at))
+    pub fn product(self, at: usize) -> RequestClass {
+        RequestClass(self.u8(at))
     }
     pub fn tenant(self, at: usize) -> Tenant {
         Tenant(self.u16(at))
@@ -92,36 +95,36 @@
         gauges
     }
 
-    pub fn ending(self, at: usize) -> Result<Ending, String> {
+    pub fn ending(self, at: usize) -> Result<Outcome, String> {
         Ok(match self.u8(at) {
-            10 => Ending::Served,
-            20 => Ending::Failed,
-            30 => Ending::TurnedAway,
-            40 => Ending::TimedOut,
-            50 => Ending::Unconnected,
-            60 => Ending::Broken,
-            70 => Ending::CalledOff,
-            80 => Ending::Unsent,
+            10 => Outcome::Succeeded,
+            20 => Outcome::Failed,
+            30 => Outcome::Rejected,
+            40 => Outcome::TimedOut,
+            50 => Outcome::ConnectFailed,
+            60 => Outcome::ConnectionLost,
+            70 => Outcome::Cancelled,
+            80 => Outcome::NotSent,
             code => return Err(format!("unknown outcome {code}")),
         })
     }
 
-    pub fn course(self, at: usize) -> Result<Course, String> {
+    pub fn course(self, at: usize) -> Result<ReleasePhase, String> {
         Ok(match self.u8(at) {
-            0 => Course::OnTrial,
-            1 => Course::GoingBack,
-            2 => Course::Released,
-            3 => Course::Withdrawn,
+            0 => ReleasePhase::Canary,
+            1 => ReleasePhase::RollingBack,
+            2 => ReleasePhase::Released,
+            3 => ReleasePhase::Withdrawn,
             code => return Err(format!("unknown course {code}")),
         })
     }
 
-    pub fn listing(self, at: usize) -> Result<Listing, String> {
+    pub fn listing(self, at: usize) -> Result<ListUpdate, String> {
         Ok(match self.u8(at) {
-            0 => Listing::Changes,
-            1 => Listing::Whole,
-            2 => Listing::Saved,
-            3 => Listing::Failed,
+            0 => ListUpdate::Delta,
+            1 => ListUpdate::Full,
+            2 => ListUpdate::Cached,
+            3 => ListUpdate::Failed,
             code => return Err(format!("unknown kind of list {code}")),
         })
     }
@@ -135,7 +138,7 @@
     }
 
     /// An entry of a list.
-    pub fn line(self) -> Result<Line, String> {
+    pub fn line(self) -> Result<Endpoint, String> {
         let build = self.f32(18);
         let weight = self.f32(6);
         if !(0.0..65536.0).contains(&build) {
@@ -144,12 +147,12 @@
         if !(weight.is_finite() && weight >= 0.0) {
             return Err(format!("an entry has the share {weight}"));
         }
-        Ok(Line {
-            appliance: self.appliance(0),
-            mode: match self.u8(4) {
-                0 => Mode::Gone,
-                1 => Mode::Ready,
-                2 => Mode::Draining,
+        Ok(Endpoint {
+            id: self.appliance(0),
+            status: match self.u8(4) {
+                0 => EndpointStatus::Removed,
+                1 => EndpointStatus::Ready,
+                2 => EndpointStatus::Draining,
                 code => return Err(format!("unknown mode {code}")),
             },
             model: Model(self.u8(5)),
@@ -232,8 +235,8 @@
         .to_be_bytes()
 }
 
-impl Decisions for Reply {
-    fn send_attempt(&mut self, id: RequestId, to: ApplianceId, give_up_after: Duration) {
+impl Actions for Reply {
+    fn send_attempt(&mut self, id: RequestId, to: EndpointId, give_up_after: Duration) {
         self.action(
             1,
             &[
@@ -243,43 +246,43 @@
             ],
         );
     }
-    fn decline(&mut self, id: RequestId, come_back_in: Duration) {
+    fn reject(&mut self, id: RequestId, come_back_in: Duration) {
         self.action(2, &[&id.0.to_be_bytes(), &micros32(come_back_in)]);
     }
-    fn void(&mut self, id: RequestId) {
+    fn fail(&mut self, id: RequestId) {
         self.action(3, &[&id.0.to_be_bytes()]);
     }
-    fn call_off(&mut self, id: RequestId, attempt: AttemptNumber) {
+    fn cancel(&mut self, id: RequestId, attempt: AttemptNumber) {
         self.action(4, &[&id.0.to_be_bytes(), &[attempt.0]]);
     }
-    fn wake(&mut self, at: Duration, ticket: Ticket) {
+    fn schedule_wake_up(&mut self, at: Duration, ticket: TimerId) {
         let at = u64::try_from(at.as_micros()).unwrap_or(u64::MAX);
         self.action(5, &[&at.to_be_bytes(), &ticket.0.to_be_bytes()]);
     }
-    fn probe(&mut self, at: ApplianceId) {
+    fn check_health(&mut self, at: EndpointId) {
         self.action(6, &[&at.0.to_be_bytes()]);
     }
-    fn free_links(&mut self, at: ApplianceId) {
+    fn close_idle_connections(&mut self, at: EndpointId) {
         self.action(7, &[&at.0.to_be_bytes()]);
     }
-    fn tell(&mut self, peer: Option<AgentId>, octets: &[u8]) {
+    fn send_to_peer(&mut self, peer: Option<AgentId>, octets: &[u8]) {
         self.with_tail(8, &peer.map_or(u32::MAX, |p| p.0).to_be_bytes(), octets);
     }
     fn log(&mut self, text: &str) {
         self.with_tail(9, &[], text.as_bytes());
     }
-    fn watch_membership(&mut self, on: bool) {
+    fn watch_endpoints(&mut self, on: bool) {
         self.action(11, &[&[on.into()]]);
     }
-    fn fetch_membership(&mut self) {
+    fn fetch_endpoints(&mut self) {
         self.action(12, &[]);
     }
-    fn vote(&mut self, build: Build, stage: Stage, verdict: Verdict) {
+    fn vote(&mut self, build: Build, stage: Stage, verdict: Vote) {
         let verdict = match verdict {
-            Verdict::Withdraw => 0,
-            Verdict::On => 1,
-            Verdict::Hold => 2,
-            Verdict::Back => 3,
+            Vote::Retract => 0,
+            Vote::Advance => 1,
+            Vote::Hold => 2,
+            Vote::RollBack => 3,
         };
         self.action(13, &[&build.0.to_be_bytes(), &[stage.0, verdict]]);
     }
--- a/crates/start-settings/src/lib.rs
+++ b/crates/start-settings/src/lib.rs
@@ -11,9 +11,11 @@
 use std::str::FromStr;
 use std::time::Duration;
 
-use lilacgate_decision::brain::Brain;
-use lilacgate_decision::parts::{Desk, Exposure, Jury, Membership, Thaw};
-use lilacgate_decision::port::*;
+use lilacgate_decision::{
+    AdvanceRule, AgentId, ClassPolicy, DecisionEngine, DeduplicationScope, EndpointDiscovery,
+    Exposure, FleetPosition, Idempotency, PendingRequests, ReleaseAnalysis, SlowStart, VoteTiming,
+    Zone,
+};
 
 /// What an agent is told at its start, by path.
 #[derive(Default)]
@@ -116,47 +118,47 @@
     }
 
     /// What may be done again with a request of the i-th product.
-    pub fn repeat(&self, i: usize) -> Result<Repeat, String> {
+    pub fn repeat(&self, i: usize) -> Result<Idempotency, String> {
         let key = |field| format!("profiles.{i}.{field}");
         let groups = [
-            ("all", Group::All),
-            ("zone", Group::Zone),
-            ("cell", Group::Cell),
+            ("all", DeduplicationScope::All),
+            ("zone", DeduplicationScope::Zone),
+            ("cell", DeduplicationScope::Cell),
         ];
         Ok(
             match self.word(
                 &key("repeat"),
                 &[("retryable", 0), ("dedup", 1), ("fragile", 2)],
             )? {
-                0 => Repeat::InquiryLike,
-                1 => Repeat::Referenced(self.word(&key("group"), &groups)?),
-                _ => Repeat::OnceOnly,
+                0 => Idempotency::Idempotent,
+                1 => Idempotency::Keyed(self.word(&key("group"), &groups)?),
+                _ => Idempotency::NonIdempotent,
             },
         )
     }
 
-    fn product(&self, i: usize) -> Result<Terms, String> {
+    fn product(&self, i: usize) -> Result<ClassPolicy, String> {
         let key = |field| format!("profiles.{i}.{field}");
         let repeat = self.repeat(i)?;
-        let referenced = matches!(repeat, Repeat::Referenced(_));
-        Ok(Terms {
-            repeat,
-            sla: self.period(&key("aim"))?,
+        let referenced = matches!(repeat, Idempotency::Keyed(_));
+        Ok(ClassPolicy {
+            idempotency: repeat,
+            latency_objective: self.period(&key("aim"))?,
             deadline: self.period(&key("give-up"))?,
-            remembered: if referenced {
+            deduplication_window: if referenced {
                 self.span(&key("window"))?
             } else {
                 Duration::ZERO
             },
-            revenue: self.figure(&key("worth"))?,
-            late_share: self.figure(&key("late-value"))?,
+            priority_weight: self.figure(&key("worth"))?,
+            late_weight_share: self.figure(&key("late-value"))?,
         })
     }
 }
 
 /// An instance: its module, and how many products and zones its settings name.
 pub struct Instance {
-    pub brain: Brain,
+    pub brain: DecisionEngine,
     pub products: usize,
     pub zones: usize,
 }
@@ -175,8 +177,8 @@
     } else {
         None
     };
-    let membership = Membership::new(Zone(pairs.num("zone")?), ask_within);
-    let thaw = Thaw::new(
+    let membership = EndpointDiscovery::new(Zone(pairs.num("zone")?), ask_within);
+    let thaw = SlowStart::new(
         pairs.figure("rules.cold-from")?,
         pairs.span("rules.ramp-time")?,
         pairs.figure("rules.fall-multiple")?,
@@ -194,30 +196,30 @@
         pairs.num("family-info.forward-only")?,
     );
     let gates = [
-        ("single", Gate::Single),
-        ("majority", Gate::Majority),
-        ("clocked", Gate::Clocked),
+        ("single", AdvanceRule::Single),
+        ("majority", AdvanceRule::Majority),
+        ("clocked", AdvanceRule::Timed),
     ];
-    let jury = Jury::new(
+    let jury = ReleaseAnalysis::new(
         pairs.word("family-info.gate-mode", &gates)?,
         pairs.figures("family-info.rings")?,
         pairs.period("family-info.min-dwell")?,
-        Calls {
-            lasts: pairs.period("family-info.vote-ttl")?,
-            wait: pairs.period("family-info.call-timeout")?,
+        VoteTiming {
+            validity: pairs.period("family-info.vote-ttl")?,
+            call_timeout: pairs.period("family-info.call-timeout")?,
         },
         pairs.word(
             "family-info.layout",
             &[("side_by_side", false), ("rolling", true)],
         )?,
-        Among {
-            me: AgentId(pairs.num("me")?),
-            agents: pairs.num("instances")?,
-            may_tell: pairs.num("limits.peers")?,
+        FleetPosition {
+            own_id: AgentId(pairs.num("me")?),
+            agent_count: pairs.num("instances")?,
+            can_message_peers: pairs.num("limits.peers")?,
         },
         count,
     );
-    let desk = Desk::new(
+    let desk = PendingRequests::new(
         products,
         // An attempt's number is an octet on every wire.
         pairs
@@ -231,7 +233,7 @@
         },
         tick,
     );
-    let brain = Brain::new(seed, membership, thaw, exposure, jury, desk);
+    let brain = DecisionEngine::new(seed, membership, thaw, exposure, jury, desk);
     Ok(Instance {
         brain,
         products: count,
--- a/crates/test-bed/src/gauge.rs
+++ b/crates/test-bed/src/gauge.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
-use lilacgate_decision::port::{Build, Course, Product, Stage, Tenant, Zone};
+use lilacgate_decision::{Build, ReleasePhase, RequestClass, Stage, Tenant, Zone};
 use lilacgate_releases::calendar::{self, When};
 use lilacgate_releases::facts::Told;
 use lilacgate_releases::gate::Gate;
@@ -125,12 +125,16 @@
         since,
     };
     for service in 1..5 {
-        gate.hear(now, ServiceId(service), told(5, 0, Course::Released, now));
+        gate.hear(
+            now,
+            ServiceId(service),
+            told(5, 0, ReleasePhase::Released, now),
+        );
     }
-    gate.hear(now, ServiceId(0), told(29, 2, Course::OnTrial, now));
+    gate.hear(now, ServiceId(0), told(29, 2, ReleasePhase::Canary, now));
     gate.list(now, (0..30).map(Build));
     let mut chance = Pcg64Mcg::seed_from_u64(7);
-    let asked: Vec<(Build, Zone, Tenant, Product)> = (0..4096)
+    let asked: Vec<(Build, Zone, Tenant, RequestClass)> = (0..4096)
         .map(|_| {
             let (build, zone) = (
                 Build(chance.random_range(0..32)),
@@ -140,7 +144,7 @@
                 build,
                 zone,
                 Tenant(chance.random_range(0..200)),
-                Product(chance.random_range(0..3)),
+                RequestClass(chance.random_range(0..3)),
             )
         })
         .collect();
@@ -159,9 +163,9 @@
         .map(|i| {
             now += Duration::from_secs(1);
             let course = if u16::is_multiple_of(i, 2) {
-                Course::GoingBack
+                ReleasePhase::RollingBack
             } else {
-                Course::Released
+                ReleasePhase::Released
             };
             let began = Instant::now();
             gate.hear(now, ServiceId(4), told(5 + i.div_ceil(2), 0, course, now));
--- a/crates/test-bed/src/lines.rs
+++ b/crates/test-bed/src/lines.rs
@@ -6,7 +6,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use lilacgate_decision::port::{ApplianceId, AttemptNumber, Ending, Product, RequestId};
+use lilacgate_decision::{AttemptNumber, EndpointId, Outcome, RequestClass, RequestId};
 use lilacgate_store::reader::read;
 use lilacgate_timeline::entry::{Entry, Kind, Record, What, Whom};
 
@@ -261,7 +261,7 @@
         }
     }
 
-    fn take(&mut self, (now, node, product, ending, took): virtually::Outcome) {
+    fn take(&mut self, (now, node, product, ending, took): virtually::EndedAttempt) {
         let second = now.as_secs();
         if second != self.second {
             for (node, (fails, latency, many)) in std::mem::take(&mut self.sums) {
@@ -282,7 +282,7 @@
         let usual = [0.030, 0.045, 0.020][usize::from(product)];
         let sum = self.sums.entry(node).or_default();
         *sum = (
-            sum.0 + f64::from(u8::from(ending != Ending::Served)),
+            sum.0 + f64::from(u8::from(ending != Outcome::Succeeded)),
             sum.1 + took.as_secs_f64() / usual,
             sum.2 + 1,
         );
@@ -426,25 +426,25 @@
 /// The time that recording one request takes, in nanoseconds.
 fn record_ns() -> f64 {
     let mut book = virtually::book(RATE);
-    let lines: Vec<lilacgate_decision::port::Line> = (0..14)
+    let lines: Vec<lilacgate_decision::Endpoint> = (0..14)
         .map(|node| virtually::listed(node, 1, None))
         .collect();
-    book.membership(DAWN, lilacgate_decision::port::Listing::Whole, &lines);
+    book.membership(DAWN, lilacgate_decision::ListUpdate::Full, &lines);
     let many = 300_000u32;
     let mut spent = Vec::new();
     for chunk in 0..many / 1000 {
         let began = Instant::now();
         for i in 0..1000 {
-            let (id, node) = (RequestId(chunk * 1000 + i), ApplianceId(i % 14));
+            let (id, node) = (RequestId(chunk * 1000 + i), EndpointId(i % 14));
             let now = DAWN + Duration::from_micros(u64::from(chunk * 1000 + i) * 500);
-            book.request(id, Product((i % 3) as u8));
+            book.request(id, RequestClass((i % 3) as u8));
             book.attempt(now, id, AttemptNumber(0), node);
             let took = Duration::from_micros(20_000 + u64::from(i * 7 % 9000));
             book.ended(
                 now + took,
                 (id, AttemptNumber(0)),
                 node,
-                Ending::Served,
+                Outcome::Succeeded,
                 took,
                 true,
             );
--- a/crates/test-bed/src/virtually.rs
+++ b/crates/test-bed/src/virtually.rs
@@ -5,7 +5,10 @@
 use std::collections::{BTreeMap, BinaryHeap};
 use std::time::Duration;
 
-use lilacgate_decision::port::*;
+use lilacgate_decision::{
+    AttemptNumber, Build, Cell, Endpoint, EndpointId, EndpointStatus, ListUpdate, Model, Outcome,
+    ReleasePhase, RequestClass, RequestId, Stage, Zone,
+};
 use lilacgate_timeline::book::{Book, Room};
 use lilacgate_timeline::entry::Departure;
 use lilacgate_timeline::watch::{Aims, TICK};
@@ -111,10 +114,10 @@
 }
 
 /// A line of the membership list.
-pub fn listed(node: u32, build: u16, started: Option<Duration>) -> Line {
-    Line {
-        appliance: ApplianceId(node),
-        mode: Mode::Ready,
+pub fn listed(node: u32, build: u16, started: Option<Duration>) -> Endpoint {
+    Endpoint {
+        id: EndpointId(node),
+        status: EndpointStatus::Ready,
         model: Model(0),
         weight: 1.0,
         started,
@@ -134,13 +137,13 @@
 }
 
 /// Where a request was sent, its answer, and what it took, for those who judge otherwise.
-pub type Outcome = (Duration, u32, u8, Ending, Duration);
+pub type EndedAttempt = (Duration, u32, u8, Outcome, Duration);
 
 /// Plays a day into a book. Returns what it said: each departure, whether it begins, and when; `also` sees each outcome.
 pub fn play(
     day: &Day,
     book: &mut Book,
-    also: &mut dyn FnMut(Outcome),
+    also: &mut dyn FnMut(EndedAttempt),
 ) -> Vec<(Duration, Departure, bool)> {
     let mut chance = Pcg64Mcg::seed_from_u64(day.seed);
     let mut nodes: BTreeMap<u32, Node> = (0..day.nodes)
@@ -160,13 +163,13 @@
             )
         })
         .collect();
-    let lines: Vec<Line> = nodes.keys().map(|node| listed(*node, 1, None)).collect();
-    book.membership(DAWN, Listing::Whole, &lines);
+    let lines: Vec<Endpoint> = nodes.keys().map(|node| listed(*node, 1, None)).collect();
+    book.membership(DAWN, ListUpdate::Full, &lines);
     book.stage(
         DAWN,
         Build(1),
         Stage(3),
-        Course::Released,
+        ReleasePhase::Released,
         Duration::from_secs(3600),
     );
     let mut queue = BinaryHeap::from([
@@ -226,7 +229,7 @@
                                 now,
                                 Build(build),
                                 Stage(0),
-                                Course::OnTrial,
+                                ReleasePhase::Canary,
                                 Duration::ZERO,
                             );
                         }
@@ -249,7 +252,7 @@
                 node,
                 build,
                 started,
-            } => book.membership(awake, Listing::Changes, &[listed(node, build, started)]),
+            } => book.membership(awake, ListUpdate::Delta, &[listed(node, build, started)]),
             Due::Request => {
                 let rate = faults.iter().fold(day.rate, |rate, (fault, _)| {
                     if let Fault::Burst { times } = fault {
@@ -297,8 +300,8 @@
                 };
                 last += 1;
                 let id = last;
-                book.request(RequestId(id), Product(product));
-                book.attempt(now, RequestId(id), AttemptNumber(0), ApplianceId(node));
+                book.request(RequestId(id), RequestClass(product));
+                book.attempt(now, RequestId(id), AttemptNumber(0), EndpointId(node));
                 let mut times = 1.0;
                 let (mut share, mut mute, mut unlinked) = (0.0f64, false, false);
                 for (fault, way) in &faults {
@@ -386,20 +389,20 @@
                 };
                 let ending = match how {
                     // Its process is gone: the link broke.
-                    _ if of.started != life => Ending::Broken,
-                    0 => Ending::Served,
-                    1 => Ending::Failed,
-                    2 => Ending::Unconnected,
-                    _ => Ending::TimedOut,
+                    _ if of.started != life => Outcome::ConnectionLost,
+                    0 => Outcome::Succeeded,
+                    1 => Outcome::Failed,
+                    2 => Outcome::ConnectFailed,
+                    _ => Outcome::TimedOut,
                 };
                 of.out = of.out.saturating_sub(1);
-                if matches!(ending, Ending::TimedOut | Ending::Unconnected) {
+                if matches!(ending, Outcome::TimedOut | Outcome::ConnectFailed) {
                     of.barred = now + Duration::from_millis(700);
                 }
                 book.ended(
                     now,
                     (RequestId(id), AttemptNumber(0)),
-                    ApplianceId(node),
+                    EndpointId(node),
                     ending,
                     now - sent,
                     true,
--- a/crates/timeline/src/book.rs
+++ b/crates/timeline/src/book.rs
@@ -4,9 +4,9 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::Duration;
 
-use lilacgate_decision::port::{
-    ApplianceId, AttemptNumber, Build, Course, Ending, Line as Listed, Listing, Mode, Note,
-    Product, RequestId, Stage, Verdict,
+use lilacgate_decision::{
+    AttemptNumber, Build, Endpoint as Listed, EndpointId, EndpointStatus, ListUpdate, Note,
+    Outcome, ReleasePhase, RequestClass, RequestId, Stage, Vote,
 };
 
 use crate::entry::{Departure, Entry, Record, StepRecord, What, Whom};
@@ -47,12 +47,12 @@
     figures: String,
 }
 
-fn course(course: Course) -> &'static str {
+fn course(course: ReleasePhase) -> &'static str {
     match course {
-        Course::OnTrial => "on-trial",
-        Course::GoingBack => "going-back",
-        Course::Released => "released",
-        Course::Withdrawn => "withdrawn",
+        ReleasePhase::Canary => "on-trial",
+        ReleasePhase::RollingBack => "going-back",
+        ReleasePhase::Released => "released",
+        ReleasePhase::Withdrawn => "withdrawn",
     }
 }
 
@@ -79,20 +79,20 @@
     }
 
     /// A list, whole or as changes; `lines` are its entries.
-    pub fn membership(&mut self, now: Duration, listing: Listing, lines: &[Listed]) {
-        if matches!(listing, Listing::Whole | Listing::Saved) {
+    pub fn membership(&mut self, now: Duration, listing: ListUpdate, lines: &[Listed]) {
+        if matches!(listing, ListUpdate::Full | ListUpdate::Cached) {
             let gone: Vec<u32> = self
                 .lines
                 .iter()
-                .filter(|(_, l)| l.1.mode != Mode::Gone)
+                .filter(|(_, l)| l.1.status != EndpointStatus::Removed)
                 .map(|(n, _)| *n)
                 .collect();
             for node in gone
                 .into_iter()
-                .filter(|node| !lines.iter().any(|line| line.appliance.0 == *node))
+                .filter(|node| !lines.iter().any(|line| line.id.0 == *node))
             {
                 let mut line = self.lines[&node].1;
-                line.mode = Mode::Gone;
+                line.status = EndpointStatus::Removed;
                 self.listed(now, line);
             }
         }
@@ -100,12 +100,12 @@
     }
 
     fn listed(&mut self, now: Duration, line: Listed) {
-        let node = line.appliance.0;
+        let node = line.id.0;
         let known = self
             .lines
             .get(&node)
-            .map(|(_, known, _)| (known.mode, known.build, known.started));
-        if known == Some((line.mode, line.build, line.started)) {
+            .map(|(_, known, _)| (known.status, known.build, known.started));
+        if known == Some((line.status, line.build, line.started)) {
             return;
         }
         self.lines
@@ -119,10 +119,10 @@
             .started
             .filter(|_| restarted)
             .map_or(now, |started| started.min(now));
-        let state = match line.mode {
-            Mode::Ready => "ready",
-            Mode::Draining => "draining",
-            Mode::Gone => "gone",
+        let state = match line.status {
+            EndpointStatus::Ready => "ready",
+            EndpointStatus::Draining => "draining",
+            EndpointStatus::Removed => "gone",
         };
         let what = What::Listed {
             state: state.into(),
@@ -135,7 +135,7 @@
             node: Some(node),
             what,
         });
-        if line.mode == Mode::Gone {
+        if line.status == EndpointStatus::Removed {
             self.watch.gone(now, node);
         } else {
             self.watch.listed(now, node, line.build.0, line.started);
@@ -144,7 +144,14 @@
     }
 
     /// Where the build on trial stands.
-    pub fn stage(&mut self, now: Duration, build: Build, stage: Stage, to: Course, age: Duration) {
+    pub fn stage(
+        &mut self,
+        now: Duration,
+        build: Build,
+        stage: Stage,
+        to: ReleasePhase,
+        age: Duration,
+    ) {
         let happened = now.saturating_sub(age);
         let what = What::Stage {
             build: build.0,
@@ -165,12 +172,12 @@
             node: None,
             what,
         });
-        if to == Course::OnTrial {
+        if to == ReleasePhase::Canary {
             self.watch.staged(build.0, stage.0, happened);
         }
     }
 
-    pub fn request(&mut self, id: RequestId, product: Product) {
+    pub fn request(&mut self, id: RequestId, product: RequestClass) {
         self.products.insert(id.0, product.0);
     }
 
@@ -180,7 +187,7 @@
         now: Duration,
         id: RequestId,
         attempt: AttemptNumber,
-        to: ApplianceId,
+        to: EndpointId,
     ) {
         let product = self.products.get(&id.0).copied().unwrap_or_default();
         self.out.insert(
@@ -203,8 +210,8 @@
         &mut self,
         now: Duration,
         (id, attempt): (RequestId, AttemptNumber),
-        at: ApplianceId,
-        ending: Ending,
+        at: EndpointId,
+        ending: Outcome,
         took: Duration,
         closed: bool,
     ) {
@@ -216,12 +223,12 @@
             self.products.remove(&id.0);
         }
         let how = match ending {
-            Ending::Served => Ended::Served,
-            Ending::Failed | Ending::Spoilt => Ended::Failed,
-            Ending::TurnedAway => Ended::TurnedAway,
-            Ending::Unconnected | Ending::Broken => Ended::Unlinked,
-            Ending::TimedOut | Ending::CalledOff => Ended::Unanswered,
-            Ending::Unsent => Ended::Unsent,
+            Outcome::Succeeded => Ended::Served,
+            Outcome::Failed | Outcome::Malformed => Ended::Failed,
+            Outcome::Rejected => Ended::TurnedAway,
+            Outcome::ConnectFailed | Outcome::ConnectionLost => Ended::Unlinked,
+            Outcome::TimedOut | Outcome::Cancelled => Ended::Unanswered,
+            Outcome::NotSent => Ended::Unsent,
         };
         let late = self
             .watch
@@ -251,16 +258,16 @@
 
     /// What the module notes by the way.
     pub fn note(&mut self, now: Duration, note: Note) {
-        let at = |node: ApplianceId, what| Entry {
+        let at = |node: EndpointId, what| Entry {
             happened: now,
             known: now,
             node: Some(node.0),
             what,
         };
         match note {
-            Note::Barred {
-                at: node,
-                why,
+            Note::Ejected {
+                endpoint: node,
+                reason: why,
                 until,
             } => self.put(at(
                 node,
@@ -270,7 +277,7 @@
                 },
             )),
             Note::Tried(node) => self.put(at(node, What::Tried)),
-            Note::Unbarred(node) => self.put(at(node, What::Unbarred)),
+            Note::Readmitted(node) => self.put(at(node, What::Unbarred)),
             Note::GivenUp(why) => *self.given_up.entry(why).or_default() += 1,
         }
     }
@@ -295,12 +302,12 @@
         self.figures = text.into();
     }
 
-    pub fn vote(&mut self, now: Duration, build: Build, stage: Stage, verdict: Verdict) {
+    pub fn vote(&mut self, now: Duration, build: Build, stage: Stage, verdict: Vote) {
         let verdict = match verdict {
-            Verdict::Withdraw => "withdraw",
-            Verdict::On => "on",
-            Verdict::Hold => "hold",
-            Verdict::Back => "back",
+            Vote::Retract => "withdraw",
+            Vote::Advance => "on",
+            Vote::Hold => "hold",
+            Vote::RollBack => "back",
         };
         let figures = std::mem::take(&mut self.figures);
         let what = What::Vote {
@@ -456,7 +463,7 @@
             .sum();
         while sum > self.room.octets && self.lines.len() > 1 {
             let quiet = |(_, (line, listed, _)): &(&u32, &(Line, Listed, usize))| {
-                (listed.mode != Mode::Gone, line.touched)
+                (listed.status != EndpointStatus::Removed, line.touched)
             };
             let Some(node) = self.lines.iter().min_by_key(quiet).map(|(node, _)| *node) else {
                 return;
--- a/crates/timeline/tests/lines.rs
+++ b/crates/timeline/tests/lines.rs
@@ -3,7 +3,10 @@
 #![allow(clippy::min_ident_chars)] // Not met yet.
 use std::time::Duration;
 
-use lilacgate_decision::port::*;
+use lilacgate_decision::{
+    AttemptNumber, Build, Endpoint, EndpointId, EndpointStatus, ListUpdate, Outcome, RequestClass,
+    RequestId, Stage, Vote,
+};
 use lilacgate_test_bed::virtually::{DAWN, aims, listed};
 use lilacgate_timeline::book::{Book, Room};
 use lilacgate_timeline::entry::{Record, What};
@@ -35,19 +38,19 @@
 fn late_news_go_to_their_place() {
     let mut book = book(1 << 20, 0);
     let line = |build, started: f64| listed(1, build, Some(secs(started)));
-    book.membership(secs(10.0), Listing::Whole, &[line(1, 1.0)]);
+    book.membership(secs(10.0), ListUpdate::Full, &[line(1, 1.0)]);
     book.membership(
         secs(20.0),
-        Listing::Changes,
-        &[Line {
-            mode: Mode::Draining,
+        ListUpdate::Delta,
+        &[Endpoint {
+            status: EndpointStatus::Draining,
             ..line(1, 1.0)
         }],
     );
     // It came back at 15 under another build, which is told only now; then the list goes back a version, and on again.
-    book.membership(secs(25.0), Listing::Changes, &[line(2, 15.0)]);
-    book.membership(secs(26.0), Listing::Changes, &[line(1, 1.0)]);
-    book.membership(secs(27.0), Listing::Changes, &[line(2, 15.0)]);
+    book.membership(secs(25.0), ListUpdate::Delta, &[line(2, 15.0)]);
+    book.membership(secs(26.0), ListUpdate::Delta, &[line(1, 1.0)]);
+    book.membership(secs(27.0), ListUpdate::Delta, &[line(2, 15.0)]);
     let ready = |at, build| (at, build, "ready".to_owned());
     let draining = (20, 1, "draining".to_owned());
     assert_eq!(told(&book, secs(12.0)), [ready(1, 1)]);
@@ -72,7 +75,7 @@
 fn a_node_that_restarts_within_one_step_has_both_lives() {
     let mut book = book(1 << 20, 0);
     for at in [10.0, 10.3, 10.6] {
-        book.membership(secs(at), Listing::Changes, &[listed(1, 1, Some(secs(at)))]);
+        book.membership(secs(at), ListUpdate::Delta, &[listed(1, 1, Some(secs(at)))]);
     }
     assert_eq!(told(&book, Duration::MAX).len(), 3);
 }
@@ -90,24 +93,24 @@
         );
         book.membership(
             now,
-            Listing::Changes,
+            ListUpdate::Delta,
             &[
                 new,
-                Line {
-                    mode: Mode::Gone,
+                Endpoint {
+                    status: EndpointStatus::Removed,
                     ..old
                 },
             ],
         );
         for i in 0..20 {
             let request = RequestId(id * 20 + i);
-            book.request(request, Product(0));
-            book.attempt(now, request, AttemptNumber(0), ApplianceId(id));
+            book.request(request, RequestClass(0));
+            book.attempt(now, request, AttemptNumber(0), EndpointId(id));
             book.ended(
                 now,
                 (request, AttemptNumber(0)),
-                ApplianceId(id),
-                Ending::Served,
+                EndpointId(id),
+                Outcome::Succeeded,
                 Duration::from_millis(9),
                 true,
             );
@@ -125,20 +128,20 @@
 #[test]
 fn a_store_that_is_behind_costs_the_finest_detail_first() {
     let mut book = book(1 << 20, 50);
-    book.membership(DAWN, Listing::Whole, &[listed(1, 1, None)]);
+    book.membership(DAWN, ListUpdate::Full, &[listed(1, 1, None)]);
     for i in 0..200u32 {
         let now = secs(f64::from(i) * 0.5);
-        book.attempt(now, RequestId(i), AttemptNumber(0), ApplianceId(1));
+        book.attempt(now, RequestId(i), AttemptNumber(0), EndpointId(1));
         book.ended(
             now,
             (RequestId(i), AttemptNumber(0)),
-            ApplianceId(1),
-            Ending::Served,
+            EndpointId(1),
+            Outcome::Succeeded,
             Duration::from_millis(5),
             true,
         );
         if i % 5 == 0 {
-            book.vote(now, Build(2), Stage(0), Verdict::On);
+            book.vote(now, Build(2), Stage(0), Vote::Advance);
         }
         book.advance(now);
     }
@@ -149,7 +152,7 @@
         .count();
     assert_eq!((kept.len(), votes), (50, 40));
     // What was left out is said as soon as there is room.
-    book.vote(secs(300.0), Build(2), Stage(0), Verdict::On);
+    book.vote(secs(300.0), Build(2), Stage(0), Vote::Advance);
     assert!(matches!(book.records()[0], Record::LeftOut { many, .. } if many > 60));
 }
 
