--- a/crates/agent/src/clients.rs
+++ b/crates/agent/src/clients.rs
@@ -15,12 +15,12 @@
 use lilacgate_decision::{Idempotency, IdempotencyKey, Request, RequestClass, RequestId, Tenant};
 use lilacgate_start_settings::Paths;
 
-use crate::appliances::Appliances;
-use crate::hub::{Answer, Hub, Wording};
+use crate::event_loop::{Answer, EncodedRequest, EventLoop};
 use crate::json;
-use crate::log::{Count, End, count, say};
+use crate::log::{Count, End, count, info};
 use crate::resp;
-use crate::ring::{Bell, Intake, Ring, items, within};
+use crate::ring::{Intake, Notifier, Ring, items, within};
+use crate::upstream::UpstreamPool;
 
 /// A connection that brings no whole command in this time, from its start or from the command's, ends; an idle one may
 /// end after as long.
@@ -76,7 +76,7 @@
 
 /// An answer that is due on a connection.
 enum Due {
-    Owed(RequestId),
+    UnansweredRequest(RequestId),
     Ready { bytes: Vec<u8>, _held: Share },
 }
 
@@ -85,7 +85,7 @@
     due: RefCell<VecDeque<Due>>,
     /// The number of the first of them.
     first: Cell<u64>,
-    bell: (Sender<()>, Receiver<()>),
+    notifier: (Sender<()>, Receiver<()>),
     stream: Weak<Async<TcpStream>>,
     /// Whether there is no place for its requests, or it has not asked for one yet, and whether a command has come.
     brief: Cell<bool>,
@@ -104,10 +104,10 @@
 impl Counter {
     fn put(&self, due: Due) {
         self.due.borrow_mut().push_back(due);
-        self.bell.0.try_send(()).ok();
+        self.notifier.0.try_send(()).ok();
     }
 
-    fn say(&self, answer: &str) {
+    fn reply(&self, answer: &str) {
         let bytes = format!("{answer}\r\n").into_bytes();
         self.put(Due::Ready {
             bytes,
@@ -117,7 +117,7 @@
 
     fn end(&self, why: End) {
         self.ending.set(Some(why));
-        self.bell.0.try_send(()).ok();
+        self.notifier.0.try_send(()).ok();
     }
 
     /// Whether it stands between commands, with none read in part or waiting to be read. To end it at another time
@@ -148,7 +148,7 @@
         self.due
             .borrow()
             .iter()
-            .any(|due| matches!(due, Due::Owed(_)))
+            .any(|due| matches!(due, Due::UnansweredRequest(_)))
     }
 
     /// Fills the place of an answer, wherever in the order it stands.
@@ -160,7 +160,7 @@
         if let Some(due) = at.and_then(|at| due.get_mut(at)) {
             let _held = self.held.share(bytes.len());
             *due = Due::Ready { bytes, _held };
-            self.bell.0.try_send(()).ok();
+            self.notifier.0.try_send(()).ok();
         }
     }
 
@@ -168,7 +168,7 @@
         let mut due = self.due.borrow_mut();
         let ready = due.front_mut().and_then(|due| match due {
             Due::Ready { bytes, .. } => Some(std::mem::take(bytes)),
-            Due::Owed(_) => None,
+            Due::UnansweredRequest(_) => None,
         })?;
         due.pop_front();
         self.first.set(self.first.get() + 1);
@@ -184,7 +184,7 @@
             if let Some(end) = self.ending.get().filter(|_| self.is_between()) {
                 return Err(end);
             }
-            self.bell.1.recv().await.ok();
+            self.notifier.1.recv().await.ok();
         }
     }
 }
@@ -197,8 +197,8 @@
 }
 
 pub struct Clients {
-    hub: Rc<Hub>,
-    appliances: Rc<Appliances>,
+    event_loop: Rc<EventLoop>,
+    upstream: Rc<UpstreamPool>,
     products: Vec<Named>,
     /// Whether a client may be told when to come back.
     advises: bool,
@@ -219,8 +219,8 @@
     /// Rings when a connection has ended.
     ended: (Sender<()>, Receiver<()>),
     /// Rings when nothing is taken any more, and when the listener is gone.
-    leaving: Bell,
-    deaf: Bell,
+    leaving: Notifier,
+    deaf: Notifier,
     /// When the last connection has to be gone, once the agent is to end.
     last: Cell<Duration>,
 }
@@ -228,8 +228,8 @@
 impl Clients {
     /// At most so many connections, and so many bytes held for them.
     pub fn new(
-        hub: Rc<Hub>,
-        appliances: Rc<Appliances>,
+        event_loop: Rc<EventLoop>,
+        upstream: Rc<UpstreamPool>,
         told: &Paths,
         most: usize,
         most_held: usize,
@@ -245,8 +245,8 @@
         let indices = 0..usize::from(told.num::<u8>("profiles.count")?);
         let (held, ids, open) = Default::default();
         Ok(Rc::new(Clients {
-            hub,
-            appliances,
+            event_loop,
+            upstream,
             products: indices.map(named).collect::<Result<_, String>>()?,
             advises: told.num("limits.retry-after")?,
             most,
@@ -261,8 +261,8 @@
             ids,
             open,
             ended: async_channel::bounded(1),
-            leaving: Bell::default(),
-            deaf: Bell::default(),
+            leaving: Notifier::default(),
+            deaf: Notifier::default(),
             last: Cell::default(),
         }))
     }
@@ -274,7 +274,8 @@
         let take = |stream| {
             count(Count::ClientsIn);
             serial.set(serial.get() + 1);
-            self.hub.spawn(self.clone().serve(serial.get(), stream));
+            self.event_loop
+                .spawn(self.clone().serve(serial.get(), stream));
         };
         let leaving = async {
             self.leaving.rung().await;
@@ -291,7 +292,7 @@
                     future::yield_now().await;
                 }
                 Err(fault) => {
-                    say!("no client accepted: {}", End::from(fault));
+                    info!("no client accepted: {}", End::from(fault));
                     self.make_room(false);
                     self.moment().await;
                 }
@@ -339,7 +340,7 @@
     /// has said nothing while a first command had time to come, or only a part of one. Where even those without room
     /// are all, any that stands between commands may go.
     fn make_room(&self, for_requests: bool) -> bool {
-        let now = self.hub.clock.now();
+        let now = self.event_loop.clock.now();
         let all = self.open.borrow().len() >= self.most;
         let idle = |counter: &&Rc<Counter>| {
             let settles = if all { Duration::ZERO } else { self.settles };
@@ -370,7 +371,7 @@
     pub async fn sweep(self: Rc<Self>) {
         let mut beat = Timer::interval(self.settles / 4);
         while beat.next().await.is_some() {
-            let (open, now) = (self.open.borrow(), self.hub.clock.now());
+            let (open, now) = (self.open.borrow(), self.event_loop.clock.now());
             let used = open.values().filter(|c| c.used.get()).count();
             let rest = if used * 2 >= self.most {
                 self.settles
@@ -396,20 +397,20 @@
     /// Serves on for as long as the agent is sure to live: clients go on using connections that stay open. Then
     /// turns away what comes, answers all that was taken, and ends the connections between requests.
     pub async fn stop(&self) {
-        let began = self.hub.clock.now();
+        let began = self.event_loop.clock.now();
         let last = began + self.patience.min(MOST_DEADLINE) + LAST;
         self.last.set(last - LOOK);
-        self.hub.ends(last - WAY_OUT);
-        self.hub
+        self.event_loop.ends(last - WAY_OUT);
+        self.event_loop
             .clock
             .until(last - WAY_OUT)
             .or(self.leaving.rung())
             .await;
         self.leaving.ring();
         self.deaf.rung().await;
-        let way_out = self.hub.clock.now();
-        while !self.open.borrow().is_empty() && self.hub.clock.now() < last + self.patience {
-            let now = self.hub.clock.now();
+        let way_out = self.event_loop.clock.now();
+        while !self.open.borrow().is_empty() && self.event_loop.clock.now() < last + self.patience {
+            let now = self.event_loop.clock.now();
             // What comes without a pause is not read any more; on a new connection a first command is due.
             let late = way_out + WAY_OUT * 3 / 4 <= now;
             for counter in self
@@ -430,10 +431,10 @@
             }
             self.moment().await;
         }
-        let left = self.hub.in_hand();
-        say!(
+        let left = self.event_loop.in_hand();
+        info!(
             "stopped after {} ms with {left} requests in hand",
-            (self.hub.clock.now() - began).as_millis()
+            (self.event_loop.clock.now() - began).as_millis()
         );
     }
 
@@ -451,13 +452,13 @@
         let stream = Rc::new(stream);
         let intake = Intake::new(resp::Commands::default(), resp::MESSAGE, WHOLE);
         let (due, first, used, ending, last) = Default::default();
-        let since = Cell::new(self.hub.clock.now());
-        let bell = async_channel::bounded(1);
+        let since = Cell::new(self.event_loop.clock.now());
+        let notifier = async_channel::bounded(1);
         let (held, brief) = (self.held.clone(), Cell::new(true));
         let counter = Rc::new(Counter {
             due,
             first,
-            bell,
+            notifier,
             stream: Rc::downgrade(&stream),
             brief,
             used,
@@ -479,7 +480,7 @@
                 if let Err(end) = within(self.patience, out.flush(&stream)).await {
                     return end;
                 }
-                counter.since.set(self.hub.clock.now());
+                counter.since.set(self.event_loop.clock.now());
             }
         };
         let end = self
@@ -487,8 +488,8 @@
             .or(answers)
             .await;
         for due in counter.due.take() {
-            if let Due::Owed(id) = due {
-                self.hub.client_left(id);
+            if let Due::UnansweredRequest(id) = due {
+                self.event_loop.client_left(id);
             }
         }
         if counter.ending.get() == Some(end) && counter.first.get() > 0 {
@@ -498,7 +499,7 @@
         self.open.borrow_mut().remove(&serial);
         self.ended.0.try_send(()).ok();
         count(Count::ClientsOut);
-        say!("client {who} ended: {end}");
+        info!("client {who} ended: {end}");
     }
 
     /// Ends the sending side first, and waits until the client has seen it: to close while noise stands unread would
@@ -508,7 +509,7 @@
         stream.get_ref().shutdown(Shutdown::Write).ok();
         let over = async {
             self.leaving.rung().await;
-            self.hub.clock.until(self.last.get()).await;
+            self.event_loop.clock.until(self.last.get()).await;
             Err(End::Stopping)
         };
         let seen = async { Err::<(), _>(self.rest(stream, why).await) };
@@ -558,14 +559,15 @@
             };
             match next {
                 Some(Ok((came, command))) => {
-                    if let Err(why) = self.command(self.hub.clock.at(came), command, counter) {
+                    if let Err(why) = self.command(self.event_loop.clock.at(came), command, counter)
+                    {
                         count(Count::CommandsRefused);
-                        counter.say(&format!("-ERR {why}"));
+                        counter.reply(&format!("-ERR {why}"));
                     }
                     // What is asked one behind another has a bound; the rest is not read.
                     if counter.due.borrow().len() > self.most_due {
                         count(Count::CommandsRefused);
-                        counter.say("-ERR too many commands at once");
+                        counter.reply("-ERR too many commands at once");
                         break End::Flood;
                     }
                     // One that pipelines without end leaves others their turn.
@@ -573,7 +575,7 @@
                 }
                 Some(Err(end @ (End::Malformed | End::TooLong))) => {
                     count(Count::CommandsRefused);
-                    counter.say(&format!("-ERR protocol error: {end}"));
+                    counter.reply(&format!("-ERR protocol error: {end}"));
                     break end;
                 }
                 // What came before a command that was never made whole has its answers still.
@@ -602,10 +604,10 @@
         counter.used.set(true);
         let writes = match command[0].to_ascii_uppercase().as_slice() {
             b"PING" => {
-                if !self.appliances.is_any_ready() {
+                if !self.upstream.is_any_ready() {
                     return Err("no appliance is known".into());
                 }
-                counter.say("+PONG");
+                counter.reply("+PONG");
                 return Ok(());
             }
             b"SVC.QUERY" => false,
@@ -671,20 +673,20 @@
             .iter()
             .map(|part| part.len() + size_of_val(part))
             .sum::<usize>();
-        let full =
-            self.hub.in_hand() >= self.most_requests || self.held.0.get() + size > self.most_held;
+        let full = self.event_loop.in_hand() >= self.most_requests
+            || self.held.0.get() + size > self.most_held;
         if full || self.is_brief(counter) {
             count(Count::TurnedAway);
-            counter.say("-BUSY");
+            counter.reply("-BUSY");
             return Ok(());
         }
         let place = counter.first.get() + counter.due.borrow().len() as u64;
         let (to, advises) = (counter.clone(), self.advises);
         self.ids.borrow_mut().insert(id.clone());
         let in_hand = InHand(self.ids.clone(), id.clone());
-        let request = self.hub.take(
+        let request = self.event_loop.take(
             request,
-            wording(command, self.held.share(size)),
+            encoded_request(command, self.held.share(size)),
             move |answer| {
                 drop(in_hand);
                 let answer = match answer {
@@ -698,13 +700,13 @@
                 to.ready(place, answer);
             },
         );
-        counter.put(Due::Owed(request));
+        counter.put(Due::UnansweredRequest(request));
         Ok(())
     }
 }
 
 /// The command as it came, but for how long its answer is waited for.
-fn wording(command: Vec<Vec<u8>>, held: Share) -> Wording {
+fn encoded_request(command: Vec<Vec<u8>>, held: Share) -> EncodedRequest {
     Rc::new(move |wait| {
         let _ = &held;
         let pairs = String::from_utf8_lossy(&command[3]);
--- a/crates/agent/src/discovery.rs
+++ b/crates/agent/src/discovery.rs
@@ -11,13 +11,13 @@
 use lilacgate_decision::{EndpointId, ListUpdate};
 use lilacgate_start_settings::Paths;
 
-use crate::appliances::Appliances;
-use crate::catalog::Catalog;
-use crate::hub::{Hub, Lists};
+use crate::endpoint_list::EndpointListReader;
+use crate::event_loop::{EndpointListSource, EventLoop};
 use crate::json::{self, Json};
-use crate::log::{Count, End, count, say};
+use crate::log::{Count, End, count, info};
 use crate::pacing::{CallEnd, Pacing};
 use crate::ring::{Intake, Parse, Place, Ring, connect, items, within};
+use crate::upstream::UpstreamPool;
 
 /// A quiet watch sends an empty line this often.
 const QUIET: Duration = Duration::from_secs(2);
@@ -172,37 +172,37 @@
 }
 
 pub struct Discovery {
-    hub: Rc<Hub>,
-    appliances: Rc<Appliances>,
+    event_loop: Rc<EventLoop>,
+    upstream: Rc<UpstreamPool>,
     pub place: Place,
     connect_within: Duration,
     /// Whether the module asks for the list; elsewhere it is watched always.
     asked: bool,
     /// The largest message.
     most: usize,
-    catalog: RefCell<Catalog>,
+    endpoint_list: RefCell<EndpointListReader>,
     wish: (Sender<bool>, Receiver<bool>),
     pacing: RefCell<Pacing>,
 }
 
 impl Discovery {
     pub fn new(
-        hub: Rc<Hub>,
-        appliances: Rc<Appliances>,
+        event_loop: Rc<EventLoop>,
+        upstream: Rc<UpstreamPool>,
         at: SocketAddr,
         told: &Paths,
         most: usize,
     ) -> Result<Rc<Self>, String> {
-        let catalog = RefCell::new(Catalog::new(told)?);
+        let endpoint_list = RefCell::new(EndpointListReader::new(told)?);
         let connect_within = told.period("limits.connect-timeout")?;
         Ok(Rc::new(Discovery {
-            hub,
-            appliances,
+            event_loop,
+            upstream,
             place: Place::new(at),
             connect_within,
             asked: told.asks()?,
             most,
-            catalog,
+            endpoint_list,
             wish: async_channel::unbounded(),
             // Whoever answers at all goes on within the time in which a connection comes up.
             pacing: RefCell::new(Pacing::new(connect_within, SILENT)),
@@ -211,36 +211,36 @@
 
     /// Passes a list or its changes on, if all of it can be read.
     pub fn told(&self, list: &Json, saved: bool) -> Option<()> {
-        let hub = &self.hub;
+        let event_loop = &self.event_loop;
         let mut named = |number: EndpointId, name: &str| {
             let name = name.to_owned();
-            hub.tell(move |ear| ear.recorder.named(number, &name));
+            event_loop.enqueue(move |router| router.recorder.named(number, &name));
         };
-        let update = self.catalog.borrow_mut().read(list, &mut named)?;
+        let update = self.endpoint_list.borrow_mut().read(list, &mut named)?;
         if update.whole {
-            self.appliances.keep_only(|id| update.names(*id));
+            self.upstream.keep_only(|id| update.names(*id));
         }
         update
             .entries
             .iter()
-            .for_each(|(line, at)| self.appliances.place(line, *at));
+            .for_each(|(line, at)| self.upstream.place(line, *at));
         count(Count::MembershipUpdates);
         let listing = match (saved, update.whole) {
             (true, _) => ListUpdate::Cached,
             (false, true) => ListUpdate::Full,
             (false, false) => ListUpdate::Delta,
         };
-        self.hub.tell(move |ear| {
-            ear.on_endpoints(listing, &mut update.entries.iter().map(|(line, _)| *line))
+        self.event_loop.enqueue(move |router| {
+            router.on_endpoints(listing, &mut update.entries.iter().map(|(line, _)| *line))
         });
         Some(())
     }
 
     fn failed(&self, end: End) {
-        say!("discovery {} ended: {end}", self.place.at());
+        info!("discovery {} ended: {end}", self.place.at());
         if self.asked {
-            self.hub
-                .tell(|ear| ear.on_endpoints(ListUpdate::Failed, &mut std::iter::empty()));
+            self.event_loop
+                .enqueue(|router| router.on_endpoints(ListUpdate::Failed, &mut std::iter::empty()));
         }
     }
 
@@ -259,7 +259,7 @@
             }
             if moved {
                 // Another service may count its versions otherwise: the whole list, at once.
-                self.catalog.borrow_mut().restart();
+                self.endpoint_list.borrow_mut().restart();
                 self.pacing.borrow_mut().moved();
             }
         }
@@ -270,7 +270,7 @@
         let (at, heard, began) = (self.place.at(), std::cell::Cell::new(false), Instant::now());
         let path = format!(
             "/catalog/members?follow=1&since={}",
-            self.catalog.borrow().version()
+            self.endpoint_list.borrow().version()
         );
         let call = self.call(path, false, &heard);
         let off = async {
@@ -279,7 +279,7 @@
         };
         let end = call.or(off).or(self.place.moved()).await;
         match end {
-            Err(End::Moved) => say!("discovery {at} ended: {}", End::Moved),
+            Err(End::Moved) => info!("discovery {at} ended: {}", End::Moved),
             Err(end) => self.failed(end),
             Ok(()) => {}
         }
@@ -320,7 +320,7 @@
             heard.set(true);
             if self.told(&list, false).is_none() {
                 // The whole list next time: what was missed here cannot be known.
-                self.catalog.borrow_mut().restart();
+                self.endpoint_list.borrow_mut().restart();
                 return Err(End::Malformed);
             }
             if once {
@@ -330,14 +330,14 @@
     }
 }
 
-impl Lists for Discovery {
+impl EndpointListSource for Discovery {
     fn watch(&self, on: bool) {
         self.wish.0.try_send(on).ok();
     }
 
     fn fetch(self: Rc<Self>) {
         let me = self.clone();
-        self.hub.clone().spawn(async move {
+        self.event_loop.clone().spawn(async move {
             match me
                 .call(
                     "/catalog/members".into(),
@@ -346,7 +346,7 @@
                 )
                 .await
             {
-                Ok(()) => say!("discovery {} ended: {}", me.place.at(), End::Closed),
+                Ok(()) => info!("discovery {} ended: {}", me.place.at(), End::Closed),
                 Err(end) => me.failed(end),
             }
         });
--- a/crates/agent/src/numbers.rs
+++ b/crates/agent/src/endpoint_ids.rs
@@ -10,13 +10,13 @@
 
 /// The numbers of the names that are listed now.
 #[derive(Debug, Default)]
-pub struct Numbers {
+pub struct EndpointIds {
     by_name: HashMap<String, EndpointId>,
     /// The same numbers again, so that a new name costs the same however many there are.
     taken: HashSet<EndpointId>,
 }
 
-impl Numbers {
+impl EndpointIds {
     /// The number of a name, if it has one.
     pub fn get(&self, name: &str) -> Option<EndpointId> {
         self.by_name.get(name).copied()
--- a/crates/agent/src/catalog.rs
+++ b/crates/agent/src/endpoint_list.rs
@@ -7,8 +7,8 @@
 use lilacgate_decision::{Build, Cell, Endpoint, EndpointId, EndpointStatus, Model, Zone};
 use lilacgate_start_settings::Paths;
 
+use crate::endpoint_ids::EndpointIds;
 use crate::json::{self, Json};
-use crate::numbers::Numbers;
 
 /// A message of discovery that has been read.
 pub struct Update {
@@ -35,23 +35,23 @@
 }
 
 /// The version of the list that was last read, and the numbers of the appliances on it.
-pub struct Catalog {
+pub struct EndpointListReader {
     zones: Vec<String>,
     models: Vec<String>,
     version: u64,
     /// The number of each appliance by its name, the same at every agent and over its restarts.
-    numbers: Numbers,
+    endpoint_ids: EndpointIds,
 }
 
-impl Catalog {
+impl EndpointListReader {
     /// With the zones and machine types that the start settings name.
     pub fn new(told: &Paths) -> Result<Self, String> {
-        let (version, numbers) = Default::default();
-        Ok(Catalog {
+        let (version, endpoint_ids) = Default::default();
+        Ok(EndpointListReader {
             zones: told.names("zones")?,
             models: told.names("shapes")?,
             version,
-            numbers,
+            endpoint_ids,
         })
     }
 
@@ -90,15 +90,15 @@
             modes,
         };
         // Names that are gone are forgotten: one that returns gets the same number.
-        self.numbers.retain(|id| update.keeps(id));
+        self.endpoint_ids.retain(|id| update.keeps(id));
         Some(update)
     }
 
     fn number(&mut self, name: &str, named: &mut dyn FnMut(EndpointId, &str)) -> EndpointId {
-        if let Some(number) = self.numbers.get(name) {
+        if let Some(number) = self.endpoint_ids.get(name) {
             return number;
         }
-        let number = self.numbers.assign(name);
+        let number = self.endpoint_ids.assign(name);
         named(number, name);
         number
     }
--- a/crates/agent/src/hub.rs
+++ b/crates/agent/src/event_loop.rs
@@ -17,21 +17,21 @@
     RequestId, Stage, TimerId, Vote,
 };
 
-use crate::keeper::{Ears, Keeper};
-use crate::log::{Count, count, say};
-use crate::recorder::{Deed, Recorder};
-use crate::ring::Bell;
+use crate::log::{Count, count, info};
+use crate::recorder::{Recorder, RequestEvent};
+use crate::release_gate::{EventRouter, ReleaseGateHost};
+use crate::ring::Notifier;
 
 /// Something that the module is to hear, or the gate beside it.
-type Call = Box<dyn FnOnce(&mut Ears)>;
+type Call = Box<dyn FnOnce(&mut EventRouter)>;
 
 /// Carries attempts and probes to appliances.
-pub trait Carries {
+pub trait Upstream {
     fn send_attempt(
         self: Rc<Self>,
         which: (RequestId, AttemptNumber),
         to: EndpointId,
-        wording: Wording,
+        encoded_request: EncodedRequest,
         began: Duration,
         until: Duration,
     );
@@ -41,18 +41,18 @@
 }
 
 /// Asks for the list of appliances.
-pub trait Lists {
+pub trait EndpointListSource {
     fn watch(&self, on: bool);
     fn fetch(self: Rc<Self>);
 }
 
 /// Casts votes.
-pub trait Votes {
+pub trait VoteSender {
     fn vote(self: Rc<Self>, build: Build, stage: Stage, verdict: Vote);
 }
 
 /// Tells peers.
-pub trait Tells {
+pub trait PeerSender {
     fn tell(&self, peer: Option<AgentId>, octets: &[u8]);
 }
 
@@ -98,40 +98,40 @@
 }
 
 /// What an attempt says to an appliance, told how long its answer is waited for.
-pub type Wording = Rc<dyn Fn(Duration) -> Vec<u8>>;
+pub type EncodedRequest = Rc<dyn Fn(Duration) -> Vec<u8>>;
 
 /// A request that is owed its answer, or of whose end the module has not heard yet.
-struct Owed {
-    wording: Wording,
+struct UnansweredRequest {
+    encoded_request: EncodedRequest,
     /// When the last wait for it ends.
     until: Duration,
     attempts: u8,
     answer: Option<Box<dyn FnOnce(Answer)>>,
 }
 
-pub struct Hub {
+pub struct EventLoop {
     pub clock: Clock,
     tasks: LocalExecutor<'static>,
     queue: (Sender<Call>, Receiver<Call>),
-    owed: RefCell<HashMap<RequestId, Owed>>,
+    unanswered: RefCell<HashMap<RequestId, UnansweredRequest>>,
     last: Cell<u32>,
     /// Room for an answer's way back before the client gives up.
     slack: Duration,
     /// When the agent ends, and the bell that rings once that is known.
     ends: Cell<Duration>,
-    ending: Bell,
+    ending: Notifier,
 }
 
-impl Hub {
+impl EventLoop {
     pub fn new(slack: Duration) -> Rc<Self> {
-        let (owed, last, tasks) = Default::default();
-        let (queue, ending) = (async_channel::unbounded(), Bell::default());
+        let (unanswered, last, tasks) = Default::default();
+        let (queue, ending) = (async_channel::unbounded(), Notifier::default());
         let ends = Cell::new(Duration::MAX);
-        Rc::new(Hub {
+        Rc::new(EventLoop {
             clock: Clock::start(),
             tasks,
             queue,
-            owed,
+            unanswered,
             last,
             slack,
             ends,
@@ -149,16 +149,16 @@
     }
 
     /// Puts something in the queue for the next round.
-    pub fn tell(&self, call: impl FnOnce(&mut Ears) + 'static) {
+    pub fn enqueue(&self, call: impl FnOnce(&mut EventRouter) + 'static) {
         count(Count::Calls);
         // The queue has no bound of its own, and lives as long as the hub: what fills it has bounds.
         self.queue.0.try_send(Box::new(call)).ok();
     }
 
     /// Makes all calls that are queued.
-    pub fn hear(&self, ear: &mut Ears) {
+    pub fn drain(&self, router: &mut EventRouter) {
         while let Ok(call) = self.queue.1.try_recv() {
-            call(ear);
+            call(router);
         }
     }
 
@@ -166,7 +166,7 @@
     pub fn ends(&self, last: Duration) {
         self.ends.set(last);
         self.ending.ring();
-        self.tell(move |ear| ear.on_shutdown(last));
+        self.enqueue(move |router| router.on_shutdown(last));
     }
 
     /// Waits until then, or until the agent's end is so near that an answer has to go out.
@@ -184,7 +184,7 @@
     pub fn take(
         &self,
         request: Request,
-        wording: Wording,
+        encoded_request: EncodedRequest,
         answer: impl FnOnce(Answer) + 'static,
     ) -> RequestId {
         count(Count::RequestsTaken);
@@ -193,27 +193,27 @@
             .deadline
             .min(self.ends.get())
             .saturating_sub(self.slack);
-        self.owed.borrow_mut().insert(
+        self.unanswered.borrow_mut().insert(
             id,
-            Owed {
-                wording,
+            UnansweredRequest {
+                encoded_request,
                 until,
                 attempts: 0,
                 answer: Some(Box::new(answer)),
             },
         );
-        self.tell(move |ear| ear.on_request(id, request));
+        self.enqueue(move |router| router.on_request(id, request));
         id
     }
 
     /// How many requests are in hand.
     pub fn in_hand(&self) -> usize {
-        self.owed.borrow().len()
+        self.unanswered.borrow().len()
     }
 
     /// The way to its client of an answer that is still owed; from then on it is not.
     fn claim(&self, id: RequestId) -> Option<Box<dyn FnOnce(Answer)>> {
-        self.owed.borrow_mut().get_mut(&id)?.answer.take()
+        self.unanswered.borrow_mut().get_mut(&id)?.answer.take()
     }
 
     /// Gives the final answer, if it is still owed.
@@ -229,30 +229,30 @@
     }
 
     fn is_owed(&self, id: RequestId) -> bool {
-        self.owed
+        self.unanswered
             .borrow()
             .get(&id)
-            .is_some_and(|owed| owed.answer.is_some())
+            .is_some_and(|unanswered| unanswered.answer.is_some())
     }
 
     pub fn client_left(self: &Rc<Self>, id: RequestId) {
         if self.claim(id).is_some() {
             count(Count::ClientsLeft);
-            let hub = self.clone();
-            self.tell(move |ear| {
-                hub.owed.borrow_mut().remove(&id);
-                ear.on_client_left(id);
+            let event_loop = self.clone();
+            self.enqueue(move |router| {
+                event_loop.unanswered.borrow_mut().remove(&id);
+                router.on_client_left(id);
             });
         }
     }
 
     /// Whether an attempt that has waited for its link may still go: the module says.
     pub async fn may_go(&self, id: RequestId, attempt: AttemptNumber) -> bool {
-        let (say, said) = async_channel::bounded(1);
-        self.tell(move |ear| {
-            say.try_send(ear.may_send(id, attempt)).ok();
+        let (answer_sender, answer_receiver) = async_channel::bounded(1);
+        self.enqueue(move |router| {
+            answer_sender.try_send(router.may_send(id, attempt)).ok();
         });
-        said.recv().await.unwrap_or(false)
+        answer_receiver.recv().await.unwrap_or(false)
     }
 
     /// An attempt has ended; a first answer goes to the client at once and ends the request.
@@ -279,38 +279,38 @@
             self.answer(id, Answer::Settled(value));
         }
         let closed = !self.is_owed(id);
-        let hub = self.clone();
-        self.tell(move |ear| {
+        let event_loop = self.clone();
+        self.enqueue(move |router| {
             if closed {
-                hub.owed.borrow_mut().remove(&id);
+                event_loop.unanswered.borrow_mut().remove(&id);
             }
-            ear.on_attempt_ended(id, attempt, at, ending, took, closed);
+            router.on_attempt_ended(id, attempt, at, ending, took, closed);
         });
     }
 }
 
 /// Where decisions go; all of them return at once, and what takes time is a task of its own.
-pub struct Hands {
-    pub hub: Rc<Hub>,
-    pub appliances: Rc<dyn Carries>,
-    pub discovery: Rc<dyn Lists>,
-    pub platform: Rc<dyn Votes>,
-    pub peers: Option<Rc<dyn Tells>>,
+pub struct ActionDispatcher {
+    pub event_loop: Rc<EventLoop>,
+    pub upstream: Rc<dyn Upstream>,
+    pub discovery: Rc<dyn EndpointListSource>,
+    pub platform: Rc<dyn VoteSender>,
+    pub peers: Option<Rc<dyn PeerSender>>,
     /// What the operator's own rules leave open.
-    pub keeper: Keeper,
+    pub gate_host: ReleaseGateHost,
     pub recorder: Rc<Recorder>,
     /// The module's own wake-ups that are not due yet.
     pub wakes: BTreeSet<(Duration, TimerId)>,
 }
 
-impl Hands {
+impl ActionDispatcher {
     /// Hosts the module for as long as the agent runs.
     pub async fn host(mut self, mut brain: DecisionEngine) {
-        let queue = self.hub.queue.1.clone();
-        let (hub, clock) = (self.hub.clone(), self.hub.clock);
+        let queue = self.event_loop.queue.1.clone();
+        let (event_loop, clock) = (self.event_loop.clone(), self.event_loop.clock);
         loop {
             let wake = self.wakes.first().map(|(at, _)| *at);
-            let next = [wake, self.keeper.next(), self.recorder.next()]
+            let next = [wake, self.gate_host.next(), self.recorder.next()]
                 .into_iter()
                 .flatten()
                 .min();
@@ -333,134 +333,155 @@
                 .collect();
             if due
                 .first()
-                .is_some_and(|(at, _)| *at + self.hub.slack < now)
+                .is_some_and(|(at, _)| *at + self.event_loop.slack < now)
             {
                 count(Count::LateRounds);
             }
             count(Count::Rounds);
             self.wakes.retain(|(at, _)| *at > now);
-            let (mut keeper, recorder) = (std::mem::take(&mut self.keeper), self.recorder.clone());
+            let (mut gate_host, recorder) =
+                (std::mem::take(&mut self.gate_host), self.recorder.clone());
             recorder.advance(now);
             // The record's own time is none of the module's business.
-            if first.is_none() && due.is_empty() && keeper.next().is_none_or(|next| next > now) {
-                self.keeper = keeper;
+            if first.is_none() && due.is_empty() && gate_host.next().is_none_or(|next| next > now) {
+                self.gate_host = gate_host;
                 continue;
             }
             brain.round(
                 now,
                 |module| {
-                    let mut ears = Ears {
+                    let mut router = EventRouter {
                         module,
-                        keeper: &mut keeper,
+                        gate_host: &mut gate_host,
                         recorder: &recorder,
                         now,
                     };
-                    ears.advance();
-                    first.into_iter().for_each(|call: Call| call(&mut ears));
-                    hub.hear(&mut ears);
-                    due.iter().for_each(|(_, ticket)| ears.on_wake_up(*ticket));
+                    router.advance();
+                    first.into_iter().for_each(|call: Call| call(&mut router));
+                    event_loop.drain(&mut router);
+                    due.iter()
+                        .for_each(|(_, ticket)| router.on_wake_up(*ticket));
                 },
                 &mut Round {
-                    hands: &mut self,
+                    dispatcher: &mut self,
                     now,
                 },
             );
-            self.keeper = keeper;
+            self.gate_host = gate_host;
         }
     }
 }
 
 /// The writer of one round.
 struct Round<'a> {
-    hands: &'a mut Hands,
+    dispatcher: &'a mut ActionDispatcher,
     now: Duration,
 }
 
 impl Actions for Round<'_> {
     fn send_attempt(&mut self, id: RequestId, to: EndpointId, give_up_after: Duration) {
         count(Count::Attempts);
-        let mut owed = self.hands.hub.owed.borrow_mut();
-        let Some(owed) = owed.get_mut(&id) else {
-            return say!(
+        let mut unanswered = self.dispatcher.event_loop.unanswered.borrow_mut();
+        let Some(unanswered) = unanswered.get_mut(&id) else {
+            return info!(
                 "an attempt of request {}, which has had its answer, stays here",
                 id.0
             );
         };
-        let attempt = AttemptNumber(owed.attempts);
-        owed.attempts += 1;
+        let attempt = AttemptNumber(unanswered.attempts);
+        unanswered.attempts += 1;
         let until = if give_up_after.is_zero() {
-            owed.until
+            unanswered.until
         } else {
-            owed.until.min(self.now + give_up_after)
+            unanswered.until.min(self.now + give_up_after)
         };
-        let wording = owed.wording.clone();
-        self.hands
+        let encoded_request = unanswered.encoded_request.clone();
+        self.dispatcher
             .recorder
-            .put(self.now, Deed::Attempt(id, attempt, to));
-        self.hands
-            .appliances
-            .clone()
-            .send_attempt((id, attempt), to, wording, self.now, until);
+            .put(self.now, RequestEvent::Attempt(id, attempt, to));
+        self.dispatcher.upstream.clone().send_attempt(
+            (id, attempt),
+            to,
+            encoded_request,
+            self.now,
+            until,
+        );
     }
 
     fn reject(&mut self, id: RequestId, come_back_in: Duration) {
-        self.hands.recorder.put(self.now, Deed::Closed(id));
-        self.hands.hub.answer(id, Answer::Declined(come_back_in));
-        self.hands.hub.owed.borrow_mut().remove(&id);
+        self.dispatcher
+            .recorder
+            .put(self.now, RequestEvent::Closed(id));
+        self.dispatcher
+            .event_loop
+            .answer(id, Answer::Declined(come_back_in));
+        self.dispatcher
+            .event_loop
+            .unanswered
+            .borrow_mut()
+            .remove(&id);
     }
 
     fn fail(&mut self, id: RequestId) {
-        self.hands.recorder.put(self.now, Deed::Closed(id));
-        self.hands.hub.answer(id, Answer::Voided);
-        self.hands.hub.owed.borrow_mut().remove(&id);
+        self.dispatcher
+            .recorder
+            .put(self.now, RequestEvent::Closed(id));
+        self.dispatcher.event_loop.answer(id, Answer::Voided);
+        self.dispatcher
+            .event_loop
+            .unanswered
+            .borrow_mut()
+            .remove(&id);
     }
 
     fn cancel(&mut self, id: RequestId, attempt: AttemptNumber) {
-        self.hands
+        self.dispatcher
             .recorder
             .book(|book| book.called_off(self.now, id, attempt));
-        self.hands.appliances.call_off((id, attempt));
+        self.dispatcher.upstream.call_off((id, attempt));
     }
 
     fn schedule_wake_up(&mut self, at: Duration, ticket: TimerId) {
-        self.hands.wakes.insert((at, ticket));
+        self.dispatcher.wakes.insert((at, ticket));
     }
 
     fn check_health(&mut self, at: EndpointId) {
-        self.hands.appliances.clone().probe(at);
+        self.dispatcher.upstream.clone().probe(at);
     }
 
     fn close_idle_connections(&mut self, at: EndpointId) {
-        self.hands.appliances.free_links(at);
+        self.dispatcher.upstream.free_links(at);
     }
 
     fn send_to_peer(&mut self, peer: Option<AgentId>, octets: &[u8]) {
-        if let Some(peers) = &self.hands.peers {
+        if let Some(peers) = &self.dispatcher.peers {
             peers.tell(peer, octets);
         }
     }
 
     fn log(&mut self, text: &str) {
-        self.hands.recorder.book(|book| book.words(text));
-        say!("{text}");
+        self.dispatcher.recorder.book(|book| book.words(text));
+        info!("{text}");
     }
 
     fn watch_endpoints(&mut self, on: bool) {
-        self.hands.discovery.watch(on);
+        self.dispatcher.discovery.watch(on);
     }
 
     fn fetch_endpoints(&mut self) {
-        self.hands.discovery.clone().fetch();
+        self.dispatcher.discovery.clone().fetch();
     }
 
     fn vote(&mut self, build: Build, stage: Stage, verdict: Vote) {
-        self.hands
+        self.dispatcher
             .recorder
             .book(|book| book.vote(self.now, build, stage, verdict));
-        self.hands.platform.clone().vote(build, stage, verdict);
+        self.dispatcher.platform.clone().vote(build, stage, verdict);
     }
 
     fn note(&mut self, note: Note) {
-        self.hands.recorder.book(|book| book.note(self.now, note));
+        self.dispatcher
+            .recorder
+            .book(|book| book.note(self.now, note));
     }
 }
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -8,24 +8,24 @@
 #![allow(missing_debug_implementations)] // Not met yet.
 #![allow(missing_docs)] // Not met yet.
 
-pub mod appliances;
-pub mod catalog;
 pub mod clients;
-pub mod desk;
 pub mod discovery;
-pub mod hub;
+pub mod endpoint_ids;
+pub mod endpoint_list;
+pub mod event_loop;
 pub mod json;
-pub mod keeper;
 pub mod log;
-pub mod numbers;
 pub mod pacing;
 pub mod peers;
 pub mod platform;
 pub mod recorder;
+pub mod release_gate;
+pub mod release_watch;
 pub mod releases;
 pub mod resp;
 pub mod ring;
-pub mod told;
+pub mod start_config;
+pub mod upstream;
 
 use std::collections::BTreeSet;
 use std::io;
@@ -44,7 +44,7 @@
 use crate::clients::Clients;
 use crate::discovery::Discovery;
 use crate::json::Json;
-use crate::log::say;
+use crate::log::info;
 use crate::platform::Platform;
 
 /// Descriptors for all but clients and links: output, the reactor, signals, listeners, discovery, the platform.
@@ -82,89 +82,96 @@
     // First of all: until it is heard, a signal may end the agent.
     let heard = [Signal::Term, Signal::Int, Signal::Usr1, Signal::Hup];
     let heard = Signals::new(heard).map_err(|fault| format!("signals: {fault}"))?;
-    let told = told(&file)?;
+    let config = read_start_file(&file)?;
     let unusable = |name: &str| format!("the start file's {name} cannot be used");
-    let settings = &told.settings;
-    let brain = lilacgate_start_settings::instance(told.seed, settings)?.brain;
-    let hub = hub::Hub::new(settings.span("rules.answer-slack")?);
+    let settings = &config.settings;
+    let brain = lilacgate_start_settings::instance(config.seed, settings)?.brain;
+    let event_loop = event_loop::EventLoop::new(settings.span("rules.answer-slack")?);
     // What the agent itself needs comes first; clients, and links to appliances, have half of the rest each.
-    let part = told.sockets.saturating_sub(OWN) / 2;
+    let part = config.sockets.saturating_sub(OWN) / 2;
     if part < 2 {
         return Err(unusable("limits.sockets"));
     }
-    let appliances = appliances::Appliances::new(hub.clone(), settings, part)?;
+    let upstream = upstream::UpstreamPool::new(event_loop.clone(), settings, part)?;
     let clients = clients::Clients::new(
-        hub.clone(),
-        appliances.clone(),
+        event_loop.clone(),
+        upstream.clone(),
         settings,
         part,
-        told.memory / 4,
+        config.memory / 4,
     )?;
-    let most = told.memory / 16;
+    let most = config.memory / 16;
     let discovery = discovery::Discovery::new(
-        hub.clone(),
-        appliances.clone(),
-        told.discovery,
+        event_loop.clone(),
+        upstream.clone(),
+        config.discovery,
         settings,
         most,
     )?;
-    let platform = platform::Platform::new(hub.clone(), told.platform, settings)?;
+    let platform = platform::Platform::new(event_loop.clone(), config.platform, settings)?;
     let (releases, gate, timeline) =
-        releases::File::new(asking.operator, &told.name, settings, hub.clone())?;
-    let peers = match told.peer_listen {
+        releases::File::new(asking.operator, &config.name, settings, event_loop.clone())?;
+    let peers = match config.peer_listen {
         Some(listen) => Some(peers::Peers::new(
-            hub.clone(),
+            event_loop.clone(),
             listen,
-            told.peers,
-            told.peers_all,
+            config.peers,
+            config.peers_all,
         )?),
         None => None,
     };
-    let within = |path| told::field(&told.file, path).unwrap_or(&Json::Null);
+    let within = |path| start_config::field(&config.file, path).unwrap_or(&Json::Null);
     // The news first: what is listed is read by them.
-    let news = desk::news(within("pipeline.news")).ok_or_else(|| unusable("pipeline.news"))?;
-    hub.tell(platform::hear(news));
+    let news =
+        release_watch::news(within("pipeline.news")).ok_or_else(|| unusable("pipeline.news"))?;
+    event_loop.enqueue(platform::hear(news));
     discovery
         .told(within("known"), true)
         .ok_or_else(|| unusable("known"))?;
-    let listener = listen(told.listen, part).map_err(|e| format!("listen {}: {e}", told.listen))?;
-    say!("{} listens at {}", told.name, told.listen);
-    hub.spawn(discovery.clone().run());
-    hub.spawn(platform.desk.clone().run());
+    let listener =
+        listen(config.listen, part).map_err(|e| format!("listen {}: {e}", config.listen))?;
+    info!("{} listens at {}", config.name, config.listen);
+    event_loop.spawn(discovery.clone().run());
+    event_loop.spawn(platform.release_watch.clone().run());
     if let Some(peers) = &peers {
-        hub.spawn(peers.clone().run());
+        event_loop.spawn(peers.clone().run());
     }
-    hub.spawn(appliances.clone().sweep());
+    event_loop.spawn(upstream.clone().sweep());
     let asked = (discovery.clone(), platform.clone());
     let signals = Asked {
         heard,
         file,
-        first: told.file,
+        first: config.file,
         discovery: asked.0,
         platform: asked.1,
         releases,
     };
-    let peers = peers.map(|peers| peers as Rc<dyn hub::Tells>);
-    let recorder = recorder::Recorder::new(&told.name, &told.settings, timeline, hub.clock.now())?;
-    let (keeper, recorder, wakes) = (
-        keeper::Keeper::new(gate),
+    let peers = peers.map(|peers| peers as Rc<dyn event_loop::PeerSender>);
+    let recorder = recorder::Recorder::new(
+        &config.name,
+        &config.settings,
+        timeline,
+        event_loop.clock.now(),
+    )?;
+    let (gate_host, recorder, wakes) = (
+        release_gate::ReleaseGateHost::new(gate),
         Rc::new(recorder),
         BTreeSet::new(),
     );
-    let hands = hub::Hands {
-        hub: hub.clone(),
-        appliances,
+    let dispatcher = event_loop::ActionDispatcher {
+        event_loop: event_loop.clone(),
+        upstream,
         discovery,
         platform,
         peers,
-        keeper,
+        gate_host,
         recorder,
         wakes,
     };
-    hub.spawn(hands.host(brain));
-    hub.spawn(clients.clone().sweep());
-    hub.spawn(clients.clone().accept(listener));
-    async_io::block_on(hub.run(signals.serve(clients)));
+    event_loop.spawn(dispatcher.host(brain));
+    event_loop.spawn(clients.clone().sweep());
+    event_loop.spawn(clients.clone().accept(listener));
+    async_io::block_on(event_loop.run(signals.serve(clients)));
     Ok(())
 }
 
@@ -178,9 +185,9 @@
     Async::new(socket.into())
 }
 
-fn told(file: &str) -> Result<told::Told, String> {
+fn read_start_file(file: &str) -> Result<start_config::StartConfig, String> {
     let text = std::fs::read(file).map_err(|fault| format!("the start file {file}: {fault}"))?;
-    told::read(&text)
+    start_config::read(&text)
 }
 
 /// What the agent is asked by signals.
@@ -199,10 +206,10 @@
     /// makes it take nothing more, a third one ends it at once.
     async fn serve(mut self, clients: Rc<Clients>) {
         self.until_stop().await;
-        say!("stopping");
+        info!("stopping");
         let asked_again = async {
             self.until_stop().await;
-            say!("stopping sooner");
+            info!("stopping sooner");
             clients.hurry();
             self.until_stop().await;
         };
@@ -231,20 +238,19 @@
 
     /// Takes over where discovery and the platform listen, and nothing else; of a file that cannot be used, nothing.
     fn reload(&self) {
-        let told = match told(&self.file) {
-            Ok(told) => told,
-            Err(fault) => return say!("reload: {fault}; nothing changes"),
+        let config = match read_start_file(&self.file) {
+            Ok(config) => config,
+            Err(fault) => return info!("reload: {fault}; nothing changes"),
         };
-        let left = told::differences(&self.first, &told.file);
+        let left = start_config::differences(&self.first, &config.file);
         if !left.is_empty() {
-            say!("reload: only a restart takes over {}", left.join(", "));
+            info!("reload: only a restart takes over {}", left.join(", "));
         }
-        say!(
+        info!(
             "reload: discovery at {}, platform at {}",
-            told.discovery,
-            told.platform
+            config.discovery, config.platform
         );
-        self.discovery.place.move_to(told.discovery);
-        self.platform.desk.place.move_to(told.platform);
+        self.discovery.place.move_to(config.discovery);
+        self.platform.release_watch.place.move_to(config.platform);
     }
 }
--- a/crates/agent/src/log.rs
+++ b/crates/agent/src/log.rs
@@ -46,7 +46,7 @@
         }
     }
 
-    pub fn say(&self, line: impl Display) {
+    pub fn write(&self, line: impl Display) {
         let now = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or(Duration::ZERO);
@@ -118,13 +118,13 @@
 }
 
 /// Writes a log line, unless its place has written too many in this second.
-macro_rules! say {
+macro_rules! info {
     ($($what:tt)*) => {{
         static PLACE: $crate::log::Place = $crate::log::Place::new();
-        PLACE.say(format_args!($($what)*))
+        PLACE.write(format_args!($($what)*))
     }};
 }
-pub(crate) use say;
+pub(crate) use info;
 
 macro_rules! codes {
     ($($name:ident $code:literal)*) => {
@@ -215,8 +215,8 @@
     LinksClosed "links_closed"
     Probes "probes"
     MembershipUpdates "membership_updates"
-    News "news"
-    Votes "votes"
+    ReleaseUpdate "news"
+    VoteSender "votes"
     ServiceNews "service_news"
     Openings "openings"
     Departures "departures"
--- a/crates/agent/src/peers.rs
+++ b/crates/agent/src/peers.rs
@@ -6,14 +6,14 @@
 use async_io::Async;
 use lilacgate_decision::{AgentId, EventHandler};
 
-use crate::hub::{Hub, Tells};
-use crate::log::{Count, End, count, say};
+use crate::event_loop::{EventLoop, PeerSender};
+use crate::log::{Count, End, count, info};
 
 /// The longest datagram.
 const MOST: usize = 256;
 
 pub struct Peers {
-    hub: Rc<Hub>,
+    event_loop: Rc<EventLoop>,
     socket: Async<UdpSocket>,
     own: SocketAddr,
     peers: Vec<SocketAddr>,
@@ -22,7 +22,7 @@
 
 impl Peers {
     pub fn new(
-        hub: Rc<Hub>,
+        event_loop: Rc<EventLoop>,
         listen: SocketAddr,
         peers: Vec<SocketAddr>,
         all: Option<SocketAddr>,
@@ -30,7 +30,7 @@
         let socket = Async::<UdpSocket>::bind(listen)
             .map_err(|fault| format!("peer_listen {listen}: {fault}"))?;
         Ok(Rc::new(Peers {
-            hub,
+            event_loop,
             socket,
             own: listen,
             peers,
@@ -48,21 +48,22 @@
                     Some(peer) if (1..=MOST).contains(&len) => {
                         count(Count::PeersIn);
                         let octets = octets[..len].to_vec();
-                        self.hub
-                            .tell(move |ear| ear.on_peer_message(AgentId(peer as u32), &octets));
+                        self.event_loop.enqueue(move |router| {
+                            router.on_peer_message(AgentId(peer as u32), &octets)
+                        });
                     }
                     _ => {
                         count(Count::Strangers);
-                        say!("a datagram of {len} octets from {from} is dropped");
+                        info!("a datagram of {len} octets from {from} is dropped");
                     }
                 },
-                Err(fault) => say!("a datagram was not read: {}", End::from(fault)),
+                Err(fault) => info!("a datagram was not read: {}", End::from(fault)),
             }
         }
     }
 }
 
-impl Tells for Peers {
+impl PeerSender for Peers {
     /// To one peer, or to all of them.
     fn tell(&self, peer: Option<AgentId>, octets: &[u8]) {
         let to = match peer {
@@ -70,14 +71,14 @@
             None => self.all,
         };
         let (Some(to), true) = (to, octets.len() <= MOST) else {
-            return say!(
+            return info!(
                 "a datagram of {} octets to {peer:?} stays here",
                 octets.len()
             );
         };
         match self.socket.get_ref().send_to(octets, to) {
             Ok(_) => count(Count::PeersOut),
-            Err(fault) => say!("a datagram to {to} is lost: {}", End::from(fault)),
+            Err(fault) => info!("a datagram to {to} is lost: {}", End::from(fault)),
         }
     }
 }
--- a/crates/agent/src/platform.rs
+++ b/crates/agent/src/platform.rs
@@ -11,11 +11,13 @@
 use lilacgate_decision::{Build, Outcome, Stage, Vote};
 use lilacgate_start_settings::Paths;
 
-use crate::desk::{self, Bound, Desk, Ears as _, LINE, News};
-use crate::hub::{Hub, Votes};
+use crate::event_loop::{EventLoop, VoteSender};
 use crate::json::{self, Json};
-use crate::keeper::Ears;
-use crate::log::{Count, End, count, say};
+use crate::log::{Count, End, count, info};
+use crate::release_gate::EventRouter;
+use crate::release_watch::{
+    self, Bound, LINE, ReleaseUpdate, ReleaseWatch, ReleaseWatchListener as _,
+};
 use crate::ring::{Intake, connect, within};
 
 struct Line {
@@ -25,10 +27,10 @@
 }
 
 pub struct Platform {
-    hub: Rc<Hub>,
-    told: Rc<Told>,
+    event_loop: Rc<EventLoop>,
+    told: Rc<PlatformListener>,
     /// Where it tells its news, and takes votes.
-    pub desk: Rc<Desk>,
+    pub release_watch: Rc<ReleaseWatch>,
     connect_within: Duration,
     answer_within: Duration,
     /// The connection of the last vote.
@@ -37,26 +39,30 @@
 }
 
 /// News as a call on the module.
-pub fn hear(news: News) -> impl FnOnce(&mut Ears) + 'static {
-    move |ear| ear.on_release_status(news.build, news.stage, news.course, news.cap, news.age)
+pub fn hear(news: ReleaseUpdate) -> impl FnOnce(&mut EventRouter) + 'static {
+    move |router| router.on_release_status(news.build, news.stage, news.course, news.cap, news.age)
 }
 
 /// Passes the platform's own news on.
-struct Told(Rc<Hub>);
+struct PlatformListener(Rc<EventLoop>);
 
-impl desk::Ears for Told {
-    fn news(&self, news: News) {
-        count(Count::News);
-        self.0.tell(hear(news));
+impl release_watch::ReleaseWatchListener for PlatformListener {
+    fn news(&self, news: ReleaseUpdate) {
+        count(Count::ReleaseUpdate);
+        self.0.enqueue(hear(news));
     }
 }
 
 impl Platform {
-    pub fn new(hub: Rc<Hub>, at: SocketAddr, told: &Paths) -> Result<Rc<Self>, String> {
+    pub fn new(
+        event_loop: Rc<EventLoop>,
+        at: SocketAddr,
+        told: &Paths,
+    ) -> Result<Rc<Self>, String> {
         let connect_within = told.period("limits.connect-timeout")?;
         let answer_within = told.period("family-info.call-timeout")?;
-        let told = Rc::new(Told(hub.clone()));
-        let desk = Desk::new(
+        let told = Rc::new(PlatformListener(event_loop.clone()));
+        let release_watch = ReleaseWatch::new(
             "platform".into(),
             at,
             connect_within,
@@ -66,9 +72,9 @@
         // The desk's own call is the first.
         let (kept, last) = (RefCell::default(), Cell::new(1));
         Ok(Rc::new(Platform {
-            hub,
+            event_loop,
             told,
-            desk,
+            release_watch,
             connect_within,
             answer_within,
             kept,
@@ -77,9 +83,9 @@
     }
 }
 
-impl Votes for Platform {
+impl VoteSender for Platform {
     fn vote(self: Rc<Self>, build: Build, stage: Stage, verdict: Vote) {
-        count(Count::Votes);
+        count(Count::VoteSender);
         let me = self.clone();
         let word = match verdict {
             Vote::Retract => "abstain",
@@ -93,14 +99,14 @@
             stage.0,
             json::quoted(word)
         );
-        self.hub.clone().spawn(async move {
+        self.event_loop.clone().spawn(async move {
             let written = Cell::new(false);
             let ending = match within(me.answer_within, me.ask(&params, &written)).await {
                 Ok(ending) => ending,
                 Err(end) => {
-                    say!(
+                    info!(
                         "platform {}: a vote's connection ended: {end}",
-                        me.desk.place.at()
+                        me.release_watch.place.at()
                     );
                     // It may have been carried out, once it was written.
                     if written.get() {
@@ -110,7 +116,8 @@
                     }
                 }
             };
-            me.hub.tell(move |ear| ear.on_vote_answered(ending));
+            me.event_loop
+                .enqueue(move |router| router.on_vote_answered(ending));
         });
     }
 }
@@ -119,11 +126,11 @@
     /// Asks on the kept connection, if it still stands, or on a new one.
     async fn ask(&self, params: &str, written: &Cell<bool>) -> Result<Outcome, End> {
         let kept = self.kept.take();
-        let to = self.desk.place.at();
+        let to = self.release_watch.place.at();
         let kept = kept.filter(|line| line.to == to).and_then(|mut line| {
             let quiet = line.intake.is_quiet(&line.stream);
             if !quiet {
-                say!("platform {to}: a vote's connection ended: {}", End::Stale);
+                info!("platform {to}: a vote's connection ended: {}", End::Stale);
             }
             quiet.then_some(line)
         });
@@ -137,7 +144,7 @@
         };
         let id = self.last.get() + 1;
         self.last.set(id);
-        let mut ask = desk::call(id, "verdict", params);
+        let mut ask = release_watch::call(id, "verdict", params);
         ask.flush(&line.stream).await?;
         written.set(true);
         let answer = line.intake.next(&line.stream).await?.ok_or(End::Closed)?;
@@ -152,7 +159,7 @@
     /// How a vote's call ended, by an answer that can be read whole.
     fn read(&self, answer: &Json) -> Option<Outcome> {
         if let Some(state) = answer.get("result") {
-            desk::news(state).map(|news| self.told.news(news))?;
+            release_watch::news(state).map(|news| self.told.news(news))?;
             return Some(Outcome::Succeeded);
         }
         Some(match answer.get("error")?.get("message")?.text()? {
--- a/crates/agent/src/recorder.rs
+++ b/crates/agent/src/recorder.rs
@@ -16,7 +16,7 @@
 use lilacgate_timeline::steps::Step;
 use lilacgate_timeline::watch::Aims;
 
-use crate::log::{Count, count, say};
+use crate::log::{Count, count, info};
 
 /// Records that wait for the disk at most.
 const WAITING: usize = 4096;
@@ -25,7 +25,7 @@
 
 /// What happens with each request: put aside as it is, and told to the book many at a time, which costs a third of it.
 #[derive(Clone, Copy)]
-pub enum Deed {
+pub enum RequestEvent {
     Request(RequestId, RequestClass),
     Attempt(RequestId, AttemptNumber, EndpointId),
     Ended(
@@ -42,7 +42,7 @@
 const ASIDE: usize = 4096;
 
 /// What does not change while the agent runs.
-struct Told {
+struct AgentFacts {
     agent: String,
     products: Vec<String>,
     ramp: Duration,
@@ -59,9 +59,9 @@
 
 /// Keeps a record, if the operator's file wants one.
 pub struct Recorder {
-    told: Told,
+    told: AgentFacts,
     open: RefCell<Option<Open>>,
-    aside: RefCell<Vec<(Duration, Deed)>>,
+    aside: RefCell<Vec<(Duration, RequestEvent)>>,
     on: Cell<bool>,
     /// The names of nodes: they outlast the book.
     names: RefCell<Vec<(EndpointId, String)>>,
@@ -79,7 +79,7 @@
         let count: u8 = told.num("profiles.count")?;
         let product = |i| told.text(&format!("profiles.{i}.name")).map(str::to_owned);
         let products = (0..count).map(product).collect::<Result<_, _>>()?;
-        let told = Told {
+        let told = AgentFacts {
             agent: agent.into(),
             products,
             ramp: told.span("rules.ramp-time")?,
@@ -125,7 +125,7 @@
                 };
                 let writer = Writer::new(&store.folder, bounds, Box::new(Real));
                 let fault = |fault| {
-                    say!(
+                    info!(
                         "timeline: nothing is kept on disk: {}: {fault}",
                         store.folder.display()
                     )
@@ -188,9 +188,9 @@
     }
 
     /// Puts a deed aside, if there is a book.
-    pub fn put(&self, now: Duration, deed: Deed) {
+    pub fn put(&self, now: Duration, request_event: RequestEvent) {
         if self.on.get() {
-            self.aside.borrow_mut().push((now, deed));
+            self.aside.borrow_mut().push((now, request_event));
             if self.aside.borrow().len() >= ASIDE {
                 self.book(|_| {});
             }
@@ -206,14 +206,14 @@
     }
 
     fn catch_up(&self, book: &mut Book) {
-        for (now, deed) in self.aside.borrow_mut().drain(..) {
-            match deed {
-                Deed::Request(id, product) => book.request(id, product),
-                Deed::Attempt(id, attempt, to) => book.attempt(now, id, attempt, to),
-                Deed::Ended(which, at, ending, took, closed) => {
+        for (now, request_event) in self.aside.borrow_mut().drain(..) {
+            match request_event {
+                RequestEvent::Request(id, product) => book.request(id, product),
+                RequestEvent::Attempt(id, attempt, to) => book.attempt(now, id, attempt, to),
+                RequestEvent::Ended(which, at, ending, took, closed) => {
                     book.ended(now, which, at, ending, took, closed)
                 }
-                Deed::Closed(id) => book.closed(id),
+                RequestEvent::Closed(id) => book.closed(id),
             }
         }
     }
@@ -233,7 +233,7 @@
         open.book.advance(now);
         for (departure, begins) in open.book.said() {
             if !begins {
-                say!("timeline: departure {} has ended", departure.number);
+                info!("timeline: departure {} has ended", departure.number);
                 continue;
             }
             count(Count::Departures);
@@ -257,7 +257,7 @@
                 .map(|name| format!(" for {name}"))
                 .unwrap_or_default();
             let (usual, seen) = (departure.usual, departure.seen);
-            say!(
+            info!(
                 "timeline: departure {number}: {whom}: {kind:?}{product}, {seen:.2} where {usual:.2} is usual"
             );
         }
@@ -323,8 +323,8 @@
     std::thread::spawn(move || {
         let new = path.with_extension("new");
         match std::fs::write(&new, bytes).and_then(|()| std::fs::rename(&new, &path)) {
-            Ok(()) => say!("{what} written to {}", path.display()),
-            Err(fault) => say!("{what} not written to {}: {fault}", path.display()),
+            Ok(()) => info!("{what} written to {}", path.display()),
+            Err(fault) => info!("{what} not written to {}: {fault}", path.display()),
         }
     });
 }
@@ -355,7 +355,7 @@
             Handed::Over(why) => {
                 self.pump = None;
                 if let Some(why) = why {
-                    say!("timeline: nothing more is kept on disk: {why}");
+                    info!("timeline: nothing more is kept on disk: {why}");
                 }
             }
         }
--- a/crates/agent/src/keeper.rs
+++ b/crates/agent/src/release_gate.rs
@@ -15,12 +15,12 @@
 use lilacgate_releases::gate::{Gate, What};
 use lilacgate_releases::model::ServiceId;
 
-use crate::log::{Count, count, say};
-use crate::recorder::{Deed, Recorder};
+use crate::log::{Count, count, info};
+use crate::recorder::{Recorder, RequestEvent};
 
 /// The gate and what it goes by, beside the module. Without an operator's file there is none, and nothing is narrowed.
 #[derive(Default)]
-pub struct Keeper {
+pub struct ReleaseGateHost {
     gate: Option<Gate>,
     handed: Option<Arc<ReleasePermissions>>,
     /// The builds of the listed appliances.
@@ -29,11 +29,11 @@
     next: Option<Duration>,
 }
 
-impl Keeper {
+impl ReleaseGateHost {
     pub fn new(gate: Option<Gate>) -> Self {
-        Keeper {
+        ReleaseGateHost {
             gate,
-            ..Keeper::default()
+            ..ReleaseGateHost::default()
         }
     }
 
@@ -44,52 +44,52 @@
 }
 
 /// What the module's owner hears with: the module itself, and the gate on its way.
-pub struct Ears<'a> {
+pub struct EventRouter<'a> {
     pub module: &'a mut dyn EventHandler,
-    pub keeper: &'a mut Keeper,
+    pub gate_host: &'a mut ReleaseGateHost,
     pub recorder: &'a Recorder,
     pub now: Duration,
 }
 
-impl Ears<'_> {
+impl EventRouter<'_> {
     /// Lets the gate hear something, and passes on what has changed by it.
     fn gate(&mut self, hear: impl FnOnce(&mut Gate, Duration)) {
-        let Some(gate) = &mut self.keeper.gate else {
+        let Some(gate) = &mut self.gate_host.gate else {
             return;
         };
         hear(gate, self.now);
-        self.keeper.next = gate.next_change();
+        self.gate_host.next = gate.next_change();
         let (events, left_out) = gate.events();
         if left_out > 0 {
-            say!("releases: {left_out} changes left out");
+            info!("releases: {left_out} changes left out");
         }
         for event in events {
             let build = event.build;
             match event.what {
-                What::Opened(many) => say!("releases: build {build} open to {many} more"),
-                What::Closed(many, why) => say!("releases: build {build} closed to {many}: {why}"),
+                What::Opened(many) => info!("releases: build {build} open to {many} more"),
+                What::Closed(many, why) => info!("releases: build {build} closed to {many}: {why}"),
                 What::MayStep(stage) => {
-                    say!("releases: build {build} may go on from stage {stage}")
+                    info!("releases: build {build} may go on from stage {stage}")
                 }
-                What::Stays(why) => say!("releases: build {build} stays: {why}"),
+                What::Stays(why) => info!("releases: build {build} stays: {why}"),
             }
         }
         let open = gate.openings();
         if self
-            .keeper
+            .gate_host
             .handed
             .as_ref()
             .is_none_or(|handed| !Arc::ptr_eq(handed, &open))
         {
             count(Count::Openings);
-            self.keeper.handed = Some(open.clone());
+            self.gate_host.handed = Some(open.clone());
             self.module.on_release_permissions(Some(open));
         }
     }
 
     /// Time has passed.
     pub fn advance(&mut self) {
-        if self.keeper.next.is_some_and(|next| next <= self.now) {
+        if self.gate_host.next.is_some_and(|next| next <= self.now) {
             self.gate(Gate::advance);
         }
     }
@@ -107,19 +107,19 @@
     /// Takes a file's rules, or none any more.
     pub fn order(&mut self, releases: Option<(Releases, Tenant)>) {
         let Some((Releases { rules, .. }, me)) = releases else {
-            let had = self.keeper.gate.take().is_some();
-            (self.keeper.handed, self.keeper.next) = (None, None);
+            let had = self.gate_host.gate.take().is_some();
+            (self.gate_host.handed, self.gate_host.next) = (None, None);
             if had {
                 self.module.on_release_permissions(None);
             }
             return;
         };
         // The reader has refused circles of needs.
-        if self.keeper.gate.is_some() {
+        if self.gate_host.gate.is_some() {
             self.gate(|gate, now| drop(gate.replace(now, rules, Some(me))));
         } else {
-            self.keeper.gate = Gate::new(rules, Some(me), self.now).ok();
-            let (own, listed) = (self.keeper.own, self.keeper.listed.clone());
+            self.gate_host.gate = Gate::new(rules, Some(me), self.now).ok();
+            let (own, listed) = (self.gate_host.own, self.gate_host.listed.clone());
             self.gate(|gate, now| {
                 let service = gate.rules().own;
                 own.into_iter()
@@ -131,25 +131,25 @@
 
     /// The gate's state as JSON, if there is a gate.
     pub fn state(&self, agent: &str) -> Option<String> {
-        serde_json::to_string(&self.keeper.gate.as_ref()?.state(agent, Vec::new())).ok()
+        serde_json::to_string(&self.gate_host.gate.as_ref()?.state(agent, Vec::new())).ok()
     }
 }
 
-impl EventHandler for Ears<'_> {
+impl EventHandler for EventRouter<'_> {
     fn on_endpoints(&mut self, listing: ListUpdate, lines: &mut dyn Iterator<Item = Endpoint>) {
         let lines: Vec<Endpoint> = lines.collect();
         if matches!(listing, ListUpdate::Full | ListUpdate::Cached) {
-            self.keeper.listed.clear();
+            self.gate_host.listed.clear();
         }
         for line in &lines {
             match line.status {
-                EndpointStatus::Removed => drop(self.keeper.listed.remove(&line.id)),
-                _ => drop(self.keeper.listed.insert(line.id, line.build)),
+                EndpointStatus::Removed => drop(self.gate_host.listed.remove(&line.id)),
+                _ => drop(self.gate_host.listed.insert(line.id, line.build)),
             }
         }
         self.recorder
             .book(|book| book.membership(self.now, listing, &lines));
-        let builds: Vec<Build> = self.keeper.listed.values().copied().collect();
+        let builds: Vec<Build> = self.gate_host.listed.values().copied().collect();
         self.gate(|gate, now| gate.list(now, builds.into_iter()));
         self.module.on_endpoints(listing, &mut lines.into_iter());
     }
@@ -168,7 +168,7 @@
             course,
             since: self.now.saturating_sub(age),
         };
-        self.keeper.own = Some(told);
+        self.gate_host.own = Some(told);
         self.recorder
             .book(|book| book.stage(self.now, build, stage, course, age));
         self.gate(|gate, now| gate.hear(now, gate.rules().own, told));
@@ -178,7 +178,7 @@
 
     fn on_request(&mut self, id: RequestId, request: Request) {
         self.recorder
-            .put(self.now, Deed::Request(id, request.class));
+            .put(self.now, RequestEvent::Request(id, request.class));
         self.module.on_request(id, request);
     }
 
@@ -193,7 +193,7 @@
     ) {
         self.recorder.put(
             self.now,
-            Deed::Ended((id, attempt), at, ending, took, closed),
+            RequestEvent::Ended((id, attempt), at, ending, took, closed),
         );
         self.module
             .on_attempt_ended(id, attempt, at, ending, took, closed);
@@ -210,7 +210,7 @@
     }
 
     fn on_client_left(&mut self, id: RequestId) {
-        self.recorder.put(self.now, Deed::Closed(id));
+        self.recorder.put(self.now, RequestEvent::Closed(id));
         self.module.on_client_left(id);
     }
 
--- a/crates/agent/src/desk.rs
+++ b/crates/agent/src/release_watch.rs
@@ -11,7 +11,7 @@
 use lilacgate_decision::{Build, ReleasePhase, Stage};
 
 use crate::json::{self, Json};
-use crate::log::{End, say};
+use crate::log::{End, info};
 use crate::ring::{Intake, Place, Ring, connect, items, within};
 
 /// A line as long as this ends the connection.
@@ -21,7 +21,7 @@
 
 /// News of the newest build.
 #[derive(Clone, Copy)]
-pub struct News {
+pub struct ReleaseUpdate {
     pub build: Build,
     pub stage: Stage,
     pub course: ReleasePhase,
@@ -32,7 +32,7 @@
 }
 
 /// News, if all their fields can be read.
-pub fn news(state: &Json) -> Option<News> {
+pub fn news(state: &Json) -> Option<ReleaseUpdate> {
     let small = |name| state.get(name).and_then(Json::whole);
     let build = Build(u16::try_from(small("Revision")?).ok()?);
     let stage = Stage(u8::try_from(small("Wave")?).ok()?);
@@ -48,7 +48,7 @@
         .get("AgeMs")?
         .figure()
         .filter(|ms| (0.0..1e15).contains(ms))?;
-    Some(News {
+    Some(ReleaseUpdate {
         build,
         stage,
         course,
@@ -67,8 +67,8 @@
 }
 
 /// Who is told what a desk says.
-pub trait Ears {
-    fn news(&self, news: News);
+pub trait ReleaseWatchListener {
+    fn news(&self, news: ReleaseUpdate);
     /// A sign of life.
     fn lives(&self) {}
 }
@@ -80,28 +80,28 @@
     ASecond(u32),
 }
 
-pub struct Desk {
+pub struct ReleaseWatch {
     name: String,
     pub place: Place,
     connect_within: Duration,
     bound: Bound,
-    ears: Rc<dyn Ears>,
+    router: Rc<dyn ReleaseWatchListener>,
 }
 
-impl Desk {
+impl ReleaseWatch {
     pub fn new(
         name: String,
         at: SocketAddr,
         connect_within: Duration,
         bound: Bound,
-        ears: Rc<dyn Ears>,
+        router: Rc<dyn ReleaseWatchListener>,
     ) -> Rc<Self> {
-        Rc::new(Desk {
+        Rc::new(ReleaseWatch {
             name,
             place: Place::new(at),
             connect_within,
             bound,
-            ears,
+            router,
         })
     }
 
@@ -112,7 +112,7 @@
             let heard = Cell::new(false);
             let at = self.place.at();
             let Err(end) = self.listen(at, &heard).or(self.place.moved()).await;
-            say!("{} {at} ended: {end}", self.name);
+            info!("{} {at} ended: {end}", self.name);
             // One that only makes noise is not asked again at once.
             let fine = heard.get() && !matches!(end, End::Malformed | End::TooLong | End::Flood);
             pause = if fine || end == End::Moved {
@@ -151,10 +151,10 @@
                 message.get("params"),
             ) {
                 (Some("ROLLOUT"), Some(state)) => {
-                    news(state).map(|news| self.ears.news(news)).is_some()
+                    news(state).map(|news| self.router.news(news)).is_some()
                 }
                 (Some("ping"), _) => {
-                    self.ears.lives();
+                    self.router.lives();
                     true
                 }
                 (None, _) => message.get("result") == Some(&Json::Truth(true)),
--- a/crates/agent/src/releases.rs
+++ b/crates/agent/src/releases.rs
@@ -14,10 +14,10 @@
 use lilacgate_releases::model::ServiceId;
 use lilacgate_start_settings::Paths;
 
-use crate::desk::{Bound, Desk, Ears, News};
-use crate::hub::Hub;
-use crate::log::say;
+use crate::event_loop::EventLoop;
+use crate::log::info;
 use crate::recorder::replace;
+use crate::release_watch::{Bound, ReleaseUpdate, ReleaseWatch, ReleaseWatchListener};
 
 /// News and signs of life that another service's desk may send in a second. One a second is due, and each change.
 const NOISE: u32 = 64;
@@ -30,7 +30,7 @@
     path: Option<PathBuf>,
     agent: String,
     known: Known,
-    hub: Rc<Hub>,
+    event_loop: Rc<EventLoop>,
     connect_within: Duration,
     state: RefCell<Option<PathBuf>>,
     desks: RefCell<HashMap<String, Attended>>,
@@ -39,7 +39,7 @@
 /// A desk that is listened to, by the number that its service has now.
 struct Attended {
     service: Rc<Cell<ServiceId>>,
-    desk: Rc<Desk>,
+    release_watch: Rc<ReleaseWatch>,
     /// Its end stops the listening.
     _stop: Sender<()>,
 }
@@ -53,7 +53,7 @@
         path: Option<PathBuf>,
         agent: &str,
         told: &Paths,
-        hub: Rc<Hub>,
+        event_loop: Rc<EventLoop>,
     ) -> Result<(File, Option<Gate>, Option<Timeline>), String> {
         let products: u8 = told.num("profiles.count")?;
         let product = |i| told.text(&format!("profiles.{i}.name")).map(str::to_owned);
@@ -67,7 +67,7 @@
             path,
             agent: agent.to_owned(),
             known,
-            hub,
+            event_loop,
             connect_within,
             state,
             desks,
@@ -75,7 +75,11 @@
         let read = file.read().map_err(|faults| faults.join("\nlilacgate: "))?;
         let gate = match &read.0 {
             Some((releases, me)) => {
-                let gate = Gate::new(releases.rules.clone(), Some(*me), file.hub.clock.now());
+                let gate = Gate::new(
+                    releases.rules.clone(),
+                    Some(*me),
+                    file.event_loop.clock.now(),
+                );
                 Some(gate.map_err(|_| "the operator's file: needs go in a circle")?)
             }
             None => None,
@@ -117,18 +121,18 @@
         match self.read() {
             Ok((read, timeline)) => {
                 if self.path.is_some() {
-                    say!("reload: the operator's file is taken over");
+                    info!("reload: the operator's file is taken over");
                 }
                 let releases = read.as_ref().map(|(releases, _)| releases.clone());
-                self.hub.tell(move |ear| {
-                    ear.order(read);
-                    ear.recorder.order(ear.now, timeline);
+                self.event_loop.enqueue(move |router| {
+                    router.order(read);
+                    router.recorder.order(router.now, timeline);
                 });
                 self.attend(releases.as_ref());
             }
             Err(faults) => faults
                 .iter()
-                .for_each(|fault| say!("reload: {fault}; nothing changes")),
+                .for_each(|fault| info!("reload: {fault}; nothing changes")),
         }
     }
 
@@ -137,40 +141,40 @@
         self.state
             .replace(releases.and_then(|releases| releases.state.clone()));
         let named = |releases: &Releases| {
-            let name = |desk: &lilacgate_operator_config::Desk| {
-                releases.rules.service(desk.service).to_owned()
+            let name = |release_watch: &lilacgate_operator_config::Desk| {
+                releases.rules.service(release_watch.service).to_owned()
             };
             releases
                 .desks
                 .iter()
-                .map(|desk| (name(desk), *desk))
+                .map(|release_watch| (name(release_watch), *release_watch))
                 .collect::<HashMap<_, _>>()
         };
         let wanted = releases.map(named).unwrap_or_default();
         let mut desks = self.desks.borrow_mut();
         desks.retain(|name, _| wanted.contains_key(name));
-        for (name, desk) in wanted {
+        for (name, release_watch) in wanted {
             if let Some(attended) = desks.get(&name) {
-                attended.service.set(desk.service);
-                attended.desk.place.move_to(desk.at);
+                attended.service.set(release_watch.service);
+                attended.release_watch.place.move_to(release_watch.at);
                 continue;
             }
-            let service = Rc::new(Cell::new(desk.service));
-            let ears = Rc::new(Service {
-                hub: self.hub.clone(),
+            let service = Rc::new(Cell::new(release_watch.service));
+            let router = Rc::new(Service {
+                event_loop: self.event_loop.clone(),
                 service: service.clone(),
             });
             let bound = Bound::ASecond(NOISE);
-            let listener = Desk::new(
+            let listener = ReleaseWatch::new(
                 format!("release desk of {name}"),
-                desk.at,
+                release_watch.at,
                 self.connect_within,
                 bound,
-                ears,
+                router,
             );
             let (stop, stopped) = async_channel::bounded::<()>(1);
             let task = listener.clone();
-            self.hub.spawn(async move {
+            self.event_loop.spawn(async move {
                 let until = async {
                     stopped.recv().await.ok();
                 };
@@ -180,7 +184,7 @@
                 name,
                 Attended {
                     service,
-                    desk: listener,
+                    release_watch: listener,
                     _stop: stop,
                 },
             );
@@ -189,13 +193,14 @@
 
     /// Writes the gate's state where the file wants it, off the loop, by rename.
     pub fn write_state(&self) {
-        self.hub.tell(|ear| ear.recorder.dump(ear.now));
+        self.event_loop
+            .enqueue(|router| router.recorder.dump(router.now));
         let Some(path) = self.state.borrow().clone() else {
             return;
         };
         let agent = self.agent.clone();
-        self.hub.tell(move |ear| {
-            if let Some(text) = ear.state(&agent) {
+        self.event_loop.enqueue(move |router| {
+            if let Some(text) = router.state(&agent) {
                 replace("releases: state", path, text.into_bytes());
             }
         });
@@ -204,25 +209,27 @@
 
 /// Passes on what another service's desk tells.
 struct Service {
-    hub: Rc<Hub>,
+    event_loop: Rc<EventLoop>,
     service: Rc<Cell<ServiceId>>,
 }
 
-impl Ears for Service {
-    fn news(&self, news: News) {
+impl ReleaseWatchListener for Service {
+    fn news(&self, news: ReleaseUpdate) {
         let service = self.service.get();
-        let since = self.hub.clock.now().saturating_sub(news.age);
+        let since = self.event_loop.clock.now().saturating_sub(news.age);
         let told = Told {
             build: news.build,
             stage: news.stage,
             course: news.course,
             since,
         };
-        self.hub.tell(move |ear| ear.service(service, told));
+        self.event_loop
+            .enqueue(move |router| router.service(service, told));
     }
 
     fn lives(&self) {
         let service = self.service.get();
-        self.hub.tell(move |ear| ear.service_lives(service));
+        self.event_loop
+            .enqueue(move |router| router.service_lives(service));
     }
 }
--- a/crates/agent/src/ring.rs
+++ b/crates/agent/src/ring.rs
@@ -221,16 +221,16 @@
 }
 
 /// Rings once, for good: whoever waits for it, before or after, goes on.
-pub struct Bell(Sender<()>, Receiver<()>);
+pub struct Notifier(Sender<()>, Receiver<()>);
 
-impl Default for Bell {
+impl Default for Notifier {
     fn default() -> Self {
         let (sender, receiver) = async_channel::bounded(1);
-        Bell(sender, receiver)
+        Notifier(sender, receiver)
     }
 }
 
-impl Bell {
+impl Notifier {
     pub fn ring(&self) {
         self.0.close();
     }
@@ -247,14 +247,14 @@
 /// Where a service listens. A move ends what waits for the old place.
 pub struct Place {
     at: Cell<SocketAddr>,
-    bell: (Sender<()>, Receiver<()>),
+    notifier: (Sender<()>, Receiver<()>),
 }
 
 impl Place {
     pub fn new(at: SocketAddr) -> Self {
         Place {
             at: Cell::new(at),
-            bell: async_channel::bounded(1),
+            notifier: async_channel::bounded(1),
         }
     }
 
@@ -264,13 +264,13 @@
 
     pub fn move_to(&self, at: SocketAddr) {
         if self.at.replace(at) != at {
-            self.bell.0.try_send(()).ok();
+            self.notifier.0.try_send(()).ok();
         }
     }
 
     /// Waits until it has moved.
     pub async fn moved<T>(&self) -> Result<T, End> {
-        self.bell.1.recv().await.ok();
+        self.notifier.1.recv().await.ok();
         Err(End::Moved)
     }
 }
--- a/crates/agent/src/told.rs
+++ b/crates/agent/src/start_config.rs
@@ -10,7 +10,7 @@
 /// What a running agent takes over from a start file that was replaced.
 const MOVABLE: [&str; 2] = ["discovery", "pipeline.address"];
 
-pub struct Told {
+pub struct StartConfig {
     pub name: String,
     pub seed: u64,
     pub listen: SocketAddr,
@@ -47,7 +47,7 @@
     value.text()?.parse().ok()
 }
 
-pub fn read(text: &[u8]) -> Result<Told, String> {
+pub fn read(text: &[u8]) -> Result<StartConfig, String> {
     let file = json::Values::whole(text)
         .map_err(|end| format!("the start file is no JSON object: {end}"))?;
     let maybe = |path| {
@@ -64,7 +64,7 @@
     need(&file, "known", |_| Some(()))?;
     let peers = |value: &Json| value.list()?.iter().map(address).collect();
     let megabytes = |value: &Json| value.whole().and_then(|mb| usize::try_from(mb << 20).ok());
-    Ok(Told {
+    Ok(StartConfig {
         name: need(&file, "name", |value| value.text().map(str::to_owned))?,
         seed: need(&file, "seed", |value| {
             u64::from_str_radix(value.text()?, 16).ok()
--- a/crates/agent/src/appliances.rs
+++ b/crates/agent/src/upstream.rs
@@ -17,8 +17,8 @@
 };
 use lilacgate_start_settings::Paths;
 
-use crate::hub::{Carries, Clock, Hub, Wording};
-use crate::log::{Count, End, count, say};
+use crate::event_loop::{Clock, EncodedRequest, EventLoop, Upstream};
+use crate::log::{Count, End, count, info};
 use crate::resp::{self, Resp};
 use crate::ring::{Intake, Ring, connect, within};
 
@@ -48,7 +48,7 @@
     fn drop(&mut self) {
         self.open.set(self.open.get() - 1);
         count(Count::LinksClosed);
-        say!("link to {} ended: {}", self.to.0, self.why);
+        info!("link to {} ended: {}", self.to.0, self.why);
     }
 }
 
@@ -72,8 +72,8 @@
     load: Option<Vec<u8>>,
 }
 
-pub struct Appliances {
-    hub: Rc<Hub>,
+pub struct UpstreamPool {
+    event_loop: Rc<EventLoop>,
     homes: RefCell<HashMap<EndpointId, Home>>,
     out: RefCell<HashMap<(RequestId, AttemptNumber), Sender<()>>>,
     /// The fields of a load report, in the module's order.
@@ -89,11 +89,15 @@
     open: Rc<Cell<usize>>,
 }
 
-impl Appliances {
-    pub fn new(hub: Rc<Hub>, told: &Paths, most_links: usize) -> Result<Rc<Self>, String> {
+impl UpstreamPool {
+    pub fn new(
+        event_loop: Rc<EventLoop>,
+        told: &Paths,
+        most_links: usize,
+    ) -> Result<Rc<Self>, String> {
         let (homes, out, open) = Default::default();
-        Ok(Rc::new(Appliances {
-            hub,
+        Ok(Rc::new(UpstreamPool {
+            event_loop,
             homes,
             out,
             gauges: told.names("feedback.names")?,
@@ -108,7 +112,7 @@
     }
 
     fn clock(&self) -> Clock {
-        self.hub.clock
+        self.event_loop.clock
     }
 
     /// Notes an entry of the list, and where that appliance listens.
@@ -177,13 +181,13 @@
             .ok_or(Outcome::NotSent)?;
         let at = to.0;
         if self.open.get() >= self.most_links && !self.close_one() {
-            say!("no link to {at}: all {} are in use", self.most_links);
+            info!("no link to {at}: all {} are in use", self.most_links);
             return Err(Outcome::NotSent);
         }
         self.open.set(self.open.get() + 1);
         let opening = Opening(Some(self.open.clone()));
         let stream = connect(at, self.connect_within).await.map_err(|end| {
-            say!("no link to {at}: {end}");
+            info!("no link to {at}: {end}");
             // What is short here says nothing of the appliance.
             if end == End::OwnLimit {
                 Outcome::NotSent
@@ -229,7 +233,7 @@
         &self,
         which: (RequestId, AttemptNumber),
         to: EndpointId,
-        wording: Wording,
+        encoded_request: EncodedRequest,
         until: Duration,
         written: &Cell<bool>,
     ) -> Result<Answered, Outcome> {
@@ -237,14 +241,14 @@
             Some(link) => link,
             None => {
                 let link = self.connect(to).await?;
-                if !self.hub.may_go(which.0, which.1).await {
+                if !self.event_loop.may_go(which.0, which.1).await {
                     self.keep(to, link);
                     return Err(Outcome::NotSent);
                 }
                 link
             }
         };
-        let bytes = wording(until.saturating_sub(self.clock().now()));
+        let bytes = encoded_request(until.saturating_sub(self.clock().now()));
         let answer = self.exchange(&mut link, &bytes, written).await?;
         let (ending, value, load) = match answer {
             Resp::Array(Some(items)) => match <[Resp; 3]>::try_from(items) {
@@ -333,34 +337,35 @@
         };
         let gauges: Vec<f32> = self.gauges.iter().map(field).collect();
         if gauges.iter().any(|gauge| gauge.is_finite()) {
-            self.hub.tell(move |ear| ear.on_load_report(from, &gauges));
+            self.event_loop
+                .enqueue(move |router| router.on_load_report(from, &gauges));
         }
     }
 }
 
-impl Carries for Appliances {
+impl Upstream for UpstreamPool {
     fn send_attempt(
         self: Rc<Self>,
         which: (RequestId, AttemptNumber),
         to: EndpointId,
-        wording: Wording,
+        encoded_request: EncodedRequest,
         began: Duration,
         until: Duration,
     ) {
         let (off, called_off) = async_channel::bounded::<()>(1);
         self.out.borrow_mut().insert(which, off);
         let me = self.clone();
-        self.hub.clone().spawn(async move {
+        self.event_loop.clone().spawn(async move {
             let written = Cell::new(false);
             let over = async {
-                me.hub.until(until).await;
+                me.event_loop.until(until).await;
                 Err(Outcome::TimedOut)
             };
             let off = async {
                 called_off.recv().await.ok();
                 Err(Outcome::Cancelled)
             };
-            let work = me.attempt(which, to, wording, until, &written);
+            let work = me.attempt(which, to, encoded_request, until, &written);
             let ended = work.or(off).or(over).await;
             me.out.borrow_mut().remove(&which);
             let (ending, value) = match ended {
@@ -375,7 +380,7 @@
                 Err(ending) => (ending, Vec::new()),
             };
             let took = me.clock().now().saturating_sub(began);
-            me.hub.ended(which, to, ending, took, value);
+            me.event_loop.ended(which, to, ending, took, value);
         });
     }
 
@@ -389,7 +394,7 @@
     fn probe(self: Rc<Self>, to: EndpointId) {
         count(Count::Probes);
         let me = self.clone();
-        self.hub.clone().spawn(async move {
+        self.event_loop.clone().spawn(async move {
             let began = me.clock().now();
             let ask = async {
                 let mut link = match me.idle_link(to) {
@@ -413,8 +418,8 @@
                 .as_ref()
                 .map_or_else(|ending| *ending, |_| Outcome::Succeeded);
             me.tell_load(to, answer.ok().flatten());
-            me.hub
-                .tell(move |ear| ear.on_health_check(to, ending, took));
+            me.event_loop
+                .enqueue(move |router| router.on_health_check(to, ending, took));
         });
     }
 
--- a/crates/agent/tests/agent.rs
+++ b/crates/agent/tests/agent.rs
@@ -62,7 +62,7 @@
 struct Play {
     start: Start,
     known: Vec<String>,
-    appliances: HashMap<String, Post>,
+    upstream: HashMap<String, Post>,
     discovery: Post,
     platform: Post,
     listeners: Receiver<Said>,
@@ -93,7 +93,7 @@
         Play {
             start: Start::default(),
             known: Vec::new(),
-            appliances: HashMap::new(),
+            upstream: HashMap::new(),
             discovery: discovery(),
             platform,
             listeners,
@@ -147,9 +147,10 @@
         ];
         std::fs::write(self.file(), self.start.with(&places)).expect("the start file");
         if let Some(rules) = &self.operator {
-            let desks = |text: String, (name, desk): (&String, &(Post, Receiver<Said>, usize))| {
-                text.replace(&format!("AT-{name}"), &desk.0.at.to_string())
-            };
+            let desks =
+                |text: String, (name, release_watch): (&String, &(Post, Receiver<Said>, usize))| {
+                    text.replace(&format!("AT-{name}"), &release_watch.0.at.to_string())
+                };
             let text = self.desks.iter().fold(rules.clone(), desks);
             std::fs::write(self.folder.path().join("operator.xml"), text)
                 .expect("the operator's file");
@@ -189,7 +190,7 @@
                 let (name, at) = name.split_once('@').unwrap_or((name, name));
                 entry(
                     name,
-                    self.appliances[at].at,
+                    self.upstream[at].at,
                     "x",
                     state,
                     parts.next().unwrap_or("1"),
@@ -270,7 +271,7 @@
 
     fn appliance(&mut self, name: &str, what: &str) {
         let post = self
-            .appliances
+            .upstream
             .get_mut(name)
             .unwrap_or_else(|| panic!("no step {name} {what}"));
         let (verb, rest) = what.split_once(' ').unwrap_or((what, ""));
@@ -298,7 +299,7 @@
                 let build = if build.is_empty() { "1" } else { build };
                 self.known
                     .push(entry(name, post.at, "x", "ready", build, None));
-                self.appliances.insert(name.into(), post);
+                self.upstream.insert(name.into(), post);
             }
             ("full", _) => {
                 let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
--- a/crates/agent/tests/numbers.rs
+++ b/crates/agent/tests/endpoint_ids.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use lilacgate_agent::numbers::Numbers;
+use lilacgate_agent::endpoint_ids::EndpointIds;
 use lilacgate_decision::EndpointId;
 use proptest::prelude::*;
 use rstest::rstest;
@@ -34,17 +34,17 @@
 
 #[rstest]
 fn names_with_one_hash_are_numbered_in_their_order() {
-    let mut numbers = Numbers::default();
+    let mut endpoint_ids = EndpointIds::default();
     assert_eq!(
-        ONE_HASH.map(|name| numbers.assign(name).0),
+        ONE_HASH.map(|name| endpoint_ids.assign(name).0),
         [FIRST_NUMBER, FIRST_NUMBER + 1]
     );
-    assert_eq!(numbers.assign(ONE_HASH[0]).0, FIRST_NUMBER);
+    assert_eq!(endpoint_ids.assign(ONE_HASH[0]).0, FIRST_NUMBER);
     // The first is gone: the second keeps its number, and the first gets its own again.
-    numbers.retain(|number| number != EndpointId(FIRST_NUMBER));
-    assert_eq!(numbers.get(ONE_HASH[0]), None);
-    assert_eq!(numbers.assign(ONE_HASH[1]).0, FIRST_NUMBER + 1);
-    assert_eq!(numbers.assign(ONE_HASH[0]).0, FIRST_NUMBER);
+    endpoint_ids.retain(|number| number != EndpointId(FIRST_NUMBER));
+    assert_eq!(endpoint_ids.get(ONE_HASH[0]), None);
+    assert_eq!(endpoint_ids.assign(ONE_HASH[1]).0, FIRST_NUMBER + 1);
+    assert_eq!(endpoint_ids.assign(ONE_HASH[0]).0, FIRST_NUMBER);
 }
 
 #[derive(Clone, Debug)]
@@ -65,12 +65,12 @@
 proptest! {
     #[test]
     fn numbers_are_as_by_the_plain_search(steps in prop::collection::vec(step(), 1..120)) {
-        let (mut numbers, mut reference) = (Numbers::default(), Reference::default());
+        let (mut endpoint_ids, mut reference) = (EndpointIds::default(), Reference::default());
         for step in steps {
             match step {
-                Step::Assign(name) => prop_assert_eq!(numbers.assign(&name).0, reference.assign(&name)),
+                Step::Assign(name) => prop_assert_eq!(endpoint_ids.assign(&name).0, reference.assign(&name)),
                 Step::Retain(remainder) => {
-                    numbers.retain(|number| number.0 % 2 == remainder);
+                    endpoint_ids.retain(|number| number.0 % 2 == remainder);
                     reference.0.retain(|_, number| *number % 2 == remainder);
                 }
             }
@@ -91,9 +91,9 @@
 fn a_hundred_thousand_names_take_no_time() {
     let names: Vec<String> = (0..100_000).map(|index| format!("s-{index:08x}")).collect();
     let began = processor_time();
-    let mut numbers = Numbers::default();
+    let mut endpoint_ids = EndpointIds::default();
     for name in &names {
-        numbers.assign(name);
+        endpoint_ids.assign(name);
     }
     let took = processor_time() - began;
     assert!(took < Duration::from_secs(1), "it took {took:?}");
--- a/crates/agent/tests/inside.rs
+++ b/crates/agent/tests/inside.rs
@@ -17,15 +17,15 @@
 use lilacgate_test_bed::start::{Start, entry};
 use rstest::rstest;
 
-use lilacgate_agent::appliances::Appliances;
 use lilacgate_agent::discovery::{Answer, Discovery, Lines};
-use lilacgate_agent::hub::{Carries, Hub, Wording};
+use lilacgate_agent::event_loop::{EncodedRequest, EventLoop, Upstream};
 use lilacgate_agent::json::{self, Json};
-use lilacgate_agent::keeper::{Ears, Keeper};
 use lilacgate_agent::log::Place;
 use lilacgate_agent::recorder::Recorder;
+use lilacgate_agent::release_gate::{EventRouter, ReleaseGateHost};
 use lilacgate_agent::resp::{self, Resp};
 use lilacgate_agent::ring::Parse;
+use lilacgate_agent::upstream::UpstreamPool;
 
 /// What a parser finds in these pieces, as a text.
 fn found<P: Parse>(mut parser: P, pieces: &[&[u8]], show: &impl Fn(P::Item) -> String) -> String {
@@ -163,12 +163,12 @@
 }
 
 impl Ear {
-    fn until_ended(&mut self, hub: &Hub) -> Option<Outcome> {
-        async_io::block_on(hub.run(async {
+    fn until_ended(&mut self, event_loop: &EventLoop) -> Option<Outcome> {
+        async_io::block_on(event_loop.run(async {
             while self.ended.is_none() {
-                hub.hear(&mut Ears {
+                event_loop.drain(&mut EventRouter {
                     module: self,
-                    keeper: &mut Keeper::default(),
+                    gate_host: &mut ReleaseGateHost::default(),
                     recorder: &no_record(),
                     now: Duration::ZERO,
                 });
@@ -180,11 +180,12 @@
 }
 
 /// So many links, and a stand-in that listens as appliance 1.
-fn linked(links: usize) -> (Rc<Hub>, Rc<Appliances>, TcpListener) {
+fn linked(links: usize) -> (Rc<EventLoop>, Rc<UpstreamPool>, TcpListener) {
     let told = "feedback.names=lat_ms,util\nlimits.connect-timeout=9000000\nlimits.conn-idle=30000000\ntick=1\nrules.answer-slack=1\n\
         profiles.count=1\nprofiles.0.give-up=9000000";
-    let hub = Hub::new(Duration::ZERO);
-    let appliances = Appliances::new(hub.clone(), &Paths::from_lines(told), links).expect("links");
+    let event_loop = EventLoop::new(Duration::ZERO);
+    let upstream =
+        UpstreamPool::new(event_loop.clone(), &Paths::from_lines(told), links).expect("links");
     let post = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let (model, build, cell, zone) = Default::default();
     let (appliance, mode, weight, started) = (EndpointId(1), EndpointStatus::Ready, 1.0, None);
@@ -198,8 +199,8 @@
         cell,
         zone,
     };
-    appliances.place(&line, post.local_addr().expect("its address"));
-    (hub, appliances, post)
+    upstream.place(&line, post.local_addr().expect("its address"));
+    (event_loop, upstream, post)
 }
 
 /// What waited for its link goes only if the owner of the queue says so; else it ends as unsent, with no byte out. A
@@ -215,7 +216,7 @@
     #[case] to: u32,
     #[case] want: Outcome,
 ) {
-    let (hub, appliances, post) = linked(links);
+    let (event_loop, upstream, post) = linked(links);
     let came = std::thread::spawn(move || {
         let mut conn = post.accept().expect("a link").0;
         let mut came = [0; 4];
@@ -223,22 +224,22 @@
         conn.write_all(b"-BUSY\r\n").ok();
         many
     });
-    let now = hub.clock.now();
-    let words: Wording = Rc::new(|_| b"hello".to_vec());
-    appliances.clone().send_attempt(
+    let now = event_loop.clock.now();
+    let words: EncodedRequest = Rc::new(|_| b"hello".to_vec());
+    upstream.clone().send_attempt(
         (RequestId(0), AttemptNumber(0)),
         EndpointId(to),
         words,
         now,
         now + Duration::from_secs(9),
     );
-    let mut ear = Ear {
+    let mut router = Ear {
         may_go,
         ..Ear::default()
     };
-    assert_eq!(ear.until_ended(&hub), Some(want));
+    assert_eq!(router.until_ended(&event_loop), Some(want));
     if links > 0 && to == 1 {
-        drop((hub, appliances));
+        drop((event_loop, upstream));
         assert_eq!(came.join().expect("it ends") > 0, may_go);
     }
 }
@@ -255,7 +256,7 @@
     #[values(false, true)] reset: bool,
 ) {
     for cut in 0..=answer.len() {
-        let (hub, appliances, post) = linked(9);
+        let (event_loop, upstream, post) = linked(9);
         std::thread::spawn(move || {
             let mut conn = post.accept().expect("a link").0;
             // What stands unread at the close resets the connection.
@@ -264,16 +265,16 @@
             conn.write_all(&answer.as_bytes()[..cut])
                 .expect("it is written");
         });
-        let now = hub.clock.now();
-        let words: Wording = Rc::new(|_| b"hello".to_vec());
-        appliances.send_attempt(
+        let now = event_loop.clock.now();
+        let words: EncodedRequest = Rc::new(|_| b"hello".to_vec());
+        upstream.send_attempt(
             (RequestId(0), AttemptNumber(0)),
             EndpointId(1),
             words,
             now,
             now + Duration::from_secs(9),
         );
-        let mut ear = Ear {
+        let mut router = Ear {
             may_go: true,
             ..Ear::default()
         };
@@ -282,7 +283,7 @@
         } else {
             Outcome::ConnectionLost
         };
-        assert_eq!(ear.until_ended(&hub), Some(want), "cut at {cut}");
+        assert_eq!(router.until_ended(&event_loop), Some(want), "cut at {cut}");
     }
 }
 
@@ -295,7 +296,7 @@
 #[case::wrong("*x\r\n", Outcome::Malformed, &[])]
 #[case::odd(":3\r\n", Outcome::Malformed, &[])]
 fn probes(#[case] answer: &'static str, #[case] want: Outcome, #[case] gauges: &[f32]) {
-    let (hub, appliances, post) = linked(9);
+    let (event_loop, upstream, post) = linked(9);
     std::thread::spawn(move || {
         let mut conn = post.accept().expect("a link").0;
         let mut asked = [0; 24];
@@ -304,10 +305,10 @@
         conn.write_all(answer.as_bytes()).ok();
         conn.read_to_end(&mut Vec::new()).ok();
     });
-    appliances.clone().probe(EndpointId(1));
-    let mut ear = Ear::default();
-    assert_eq!(ear.until_ended(&hub), Some(want));
-    let loads = ear
+    upstream.clone().probe(EndpointId(1));
+    let mut router = Ear::default();
+    assert_eq!(router.until_ended(&event_loop), Some(want));
+    let loads = router
         .loads
         .iter()
         .map(|(at, gauges)| (at.0, gauges.as_slice()))
@@ -348,7 +349,7 @@
 #[rstest]
 fn large_fleets_fit(
     #[values(1, 350, 1024)] agents: usize,
-    #[values(1, 300, 1024)] appliances: usize,
+    #[values(1, 300, 1024)] endpoints: usize,
 ) {
     let at = |i: usize| {
         format!("127.1.{}.{}:6379", i / 250, 1 + i % 250)
@@ -357,7 +358,7 @@
     };
     let entries = |build: &str| {
         let one = |i| entry(&format!("{i:08x}"), at(i), "x", "ready", build, None);
-        (0..appliances).map(one).collect::<Vec<_>>().join(",")
+        (0..endpoints).map(one).collect::<Vec<_>>().join(",")
     };
     let mut start = Start::default();
     let peers: Vec<_> = (0..agents)
@@ -374,19 +375,25 @@
     let places =
         ["PEER_LISTEN", "LISTEN", "DISCOVERY", "PLATFORM", "PEER"].map(|name| (name, own.clone()));
     let text = start.with(&[&places[..], &[("KNOWN", entries("1"))]].concat());
-    let told = lilacgate_agent::told::read(text.as_bytes()).expect("a start file");
-    assert_eq!(told.peers.len(), agents);
-    let mut brain = lilacgate_start_settings::instance(told.seed, &told.settings)
+    let config = lilacgate_agent::start_config::read(text.as_bytes()).expect("a start file");
+    assert_eq!(config.peers.len(), agents);
+    let mut brain = lilacgate_start_settings::instance(config.seed, &config.settings)
         .expect("a module")
         .brain;
-    let hub = Hub::new(Duration::ZERO);
-    let links = Appliances::new(hub.clone(), &told.settings, 100).expect("links");
-    let most = told.memory / 16;
-    let discovery = Discovery::new(hub.clone(), links, told.discovery, &told.settings, most)
-        .expect("discovery");
+    let event_loop = EventLoop::new(Duration::ZERO);
+    let links = UpstreamPool::new(event_loop.clone(), &config.settings, 100).expect("links");
+    let most = config.memory / 16;
+    let discovery = Discovery::new(
+        event_loop.clone(),
+        links,
+        config.discovery,
+        &config.settings,
+        most,
+    )
+    .expect("discovery");
     discovery
         .told(
-            lilacgate_agent::told::field(&told.file, "known").expect("a list"),
+            lilacgate_agent::start_config::field(&config.file, "known").expect("a list"),
             true,
         )
         .expect("it can be used");
@@ -410,14 +417,14 @@
     }
     discovery.told(&lists[0], false).expect("it can be used");
     let mut out = Decided::default();
-    let now = hub.clock.now();
+    let now = event_loop.clock.now();
     brain.round(
         now,
         |module| {
-            let (keeper, recorder) = (&mut Keeper::default(), &no_record());
-            hub.hear(&mut Ears {
+            let (gate_host, recorder) = (&mut ReleaseGateHost::default(), &no_record());
+            event_loop.drain(&mut EventRouter {
                 module,
-                keeper,
+                gate_host,
                 recorder,
                 now,
             });
--- a/crates/scale/src/module.rs
+++ b/crates/scale/src/module.rs
@@ -3,10 +3,10 @@
 use std::time::Duration;
 
 use cpu_time::ThreadTime;
-use lilacgate_agent::catalog::Catalog;
-use lilacgate_agent::desk;
 use lilacgate_agent::discovery::{Answer, Lines};
+use lilacgate_agent::endpoint_list::EndpointListReader;
 use lilacgate_agent::json::{Json, Values};
+use lilacgate_agent::release_watch;
 use lilacgate_agent::ring::Parse;
 use lilacgate_decision::{
     AgentId, AttemptNumber, DecisionEngine, Endpoint, EndpointId, EndpointStatus, EventHandler,
@@ -45,7 +45,7 @@
     /// A list or changes.
     Membership(ListUpdate, Vec<Endpoint>),
     /// Where a build stands.
-    News(desk::News),
+    News(release_watch::ReleaseUpdate),
     /// A vote's answer.
     VoteAnswered(Outcome),
     /// A datagram of a peer.
@@ -123,7 +123,7 @@
     pub has_list: bool,
     /// The last request's number.
     pub last_request: u32,
-    catalog: Catalog,
+    catalog: EndpointListReader,
     list_parser: Lines,
     news_parser: Values,
 }
@@ -136,7 +136,7 @@
     pub fn new(seed: u64, settings: &Paths) -> Result<Self, ScaleError> {
         let instance =
             lilacgate_start_settings::instance(seed, settings).map_err(ScaleError::Settings)?;
-        let catalog = Catalog::new(settings).map_err(ScaleError::Settings)?;
+        let catalog = EndpointListReader::new(settings).map_err(ScaleError::Settings)?;
         let (owed, not_ready, pending) = Default::default();
         Ok(Module {
             brain: instance.brain,
@@ -281,7 +281,7 @@
 }
 
 fn news_parser() -> Values {
-    Values::lines(desk::LINE)
+    Values::lines(release_watch::LINE)
 }
 
 fn read_news(parser: &mut Values, bytes: &[u8]) -> Option<Vec<Heard>> {
@@ -291,7 +291,7 @@
         rest = &rest[taken..];
         let Some(message) = message else { continue };
         if message.get("method").and_then(Json::text) == Some("ROLLOUT") {
-            heard.push(Heard::News(desk::news(message.get("params")?)?));
+            heard.push(Heard::News(release_watch::news(message.get("params")?)?));
         }
     }
     Some(heard)
--- a/crates/scale/src/simulation.rs
+++ b/crates/scale/src/simulation.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use lilacgate_agent::catalog::Catalog;
+use lilacgate_agent::endpoint_list::EndpointListReader;
 use lilacgate_agent::json::Values;
 use lilacgate_capacity::fleet::{RegionId, ZoneId};
 use lilacgate_decision::{AgentId, EndpointId, Outcome};
@@ -629,7 +629,7 @@
         let start = common.start(AgentId(0), service as usize);
         let settings = Paths::from_lines(&settings::text(&start));
         let text = discovery.saved(ServiceIndex(service));
-        let mut catalog = Catalog::new(&settings).map_err(ScaleError::Settings)?;
+        let mut catalog = EndpointListReader::new(&settings).map_err(ScaleError::Settings)?;
         let list = Values::whole(&text).map_err(|_| unreadable())?;
         let update = catalog.read(&list, &mut |_, _| {}).ok_or_else(unreadable)?;
         let number = |(line, at): &(lilacgate_decision::Endpoint, std::net::SocketAddr)| {
