--- a/crates/capacity/src/verdict.rs
+++ b/crates/capacity/src/verdict.rs
@@ -1,6 +1,6 @@
 //! How long a release's test takes to turn back a bad build.
 //!
-//! The test is [`lilacgate_decision::Test`]; what surrounds it (who reports what
+//! The test is [`lilacgate_decision::SequentialTest`]; what surrounds it (who reports what
 //! to whom, and when a test speaks) is modelled here in virtual time for one
 //! service. Requests of each agent arrive by chance at the mean rate of one
 //! agent and service. An agent counts an outcome of an earlier build only while
@@ -12,7 +12,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use lilacgate_decision::{EndpointId, Test};
+use lilacgate_decision::{EndpointId, SequentialTest, SequentialTestSettings};
 use rand::{RngExt, SeedableRng};
 use rand_distr::{Distribution, Exp};
 use rand_pcg::Pcg64Mcg;
@@ -441,7 +441,8 @@
     }
 
     fn convicts(&self) -> bool {
-        let convicts = |one: &RouteTest| one.test.p <= self.level && one.is_doubtful(self.settings);
+        let convicts =
+            |one: &RouteTest| one.test.p_value() <= self.level && one.is_doubtful(self.settings);
         self.tests.iter().any(convicts)
     }
 }
@@ -449,7 +450,7 @@
 /// A test and the sums that decide when it may speak, which the module keeps to
 /// itself.
 struct RouteTest {
-    test: Test,
+    test: SequentialTest,
     earlier: (f64, f64),
     by_appliance: BTreeMap<EndpointId, (f64, f64)>,
 }
@@ -457,7 +458,11 @@
 impl RouteTest {
     fn new(settings: &VerdictSettings, level: f64) -> Self {
         RouteTest {
-            test: Test::new(settings.tolerance, settings.deviation, level),
+            test: SequentialTest::new(SequentialTestSettings {
+                tolerated_difference: settings.tolerance,
+                mixing_deviation: settings.deviation,
+                level,
+            }),
             earlier: (0.0, 0.0),
             by_appliance: BTreeMap::new(),
         }
@@ -475,7 +480,7 @@
     }
 
     /// Whether the trial looks worse on enough outcomes, also without the
-    /// quarter of its appliances that look worst (`Test::doubtful`).
+    /// quarter of its appliances that look worst (`SequentialTest`).
     fn is_doubtful(&self, settings: &VerdictSettings) -> bool {
         let mut by: Vec<(f64, f64)> = self.by_appliance.values().copied().collect();
         by.sort_by(|one, other| (other.1 / other.0).total_cmp(&(one.1 / one.0)));
--- a/crates/decision/src/actions.rs
+++ b/crates/decision/src/actions.rs
@@ -1,8 +1,71 @@
 //! What the decision module has decided: one method for each action.
+use std::fmt;
 use std::time::Duration;
 
 use crate::model::{AgentId, AttemptNumber, Build, EndpointId, RequestId, Stage, TimerId, Vote};
 
+/// Why an endpoint was ejected.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum EjectionReason {
+    /// It fails far more requests than other endpoints of its build.
+    FailureRate,
+    /// A connection to it could not be opened, or broke.
+    ConnectionFailure,
+    /// It has left several requests unanswered for far longer than usual.
+    Silence,
+}
+
+impl EjectionReason {
+    /// The word by which stored records name the reason.
+    pub const fn as_str(self) -> &'static str {
+        match self {
+            EjectionReason::FailureRate => "fails",
+            EjectionReason::ConnectionFailure => "unlinked",
+            EjectionReason::Silence => "silent",
+        }
+    }
+}
+
+impl fmt::Display for EjectionReason {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str(self.as_str())
+    }
+}
+
+/// Why a request was given up.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum GiveUpReason {
+    /// Its latency objective has passed, and a later answer earns nothing.
+    TooLate,
+    /// No attempt is left, or none may follow an attempt that may have run.
+    NoAttemptLeft,
+    /// Retries have hardly helped of late.
+    RetriesFail,
+    /// The expected wait is too long: load is shed.
+    Overload,
+    /// The operator's rules permit none of the endpoints that could take it.
+    NotPermitted,
+}
+
+impl GiveUpReason {
+    /// The word by which stored records name the reason.
+    pub const fn as_str(self) -> &'static str {
+        match self {
+            GiveUpReason::TooLate => "late",
+            GiveUpReason::NoAttemptLeft => "no-more",
+            GiveUpReason::RetriesFail => "vain",
+            GiveUpReason::Overload => "crowded",
+            GiveUpReason::NotPermitted => "closed",
+        }
+    }
+}
+
+impl fmt::Display for GiveUpReason {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str(self.as_str())
+    }
+}
+
 /// Something worth recording beside the actions. Nothing depends on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Note {
@@ -11,7 +74,7 @@
         /// The endpoint.
         endpoint: EndpointId,
         /// Why it was ejected.
-        reason: &'static str,
+        reason: EjectionReason,
         /// When it may be tried again.
         until: Duration,
     },
@@ -20,7 +83,7 @@
     /// An ejected endpoint takes requests again.
     Readmitted(EndpointId),
     /// A request was given up, for this reason.
-    GivenUp(&'static str),
+    GivenUp(GiveUpReason),
 }
 
 /// Takes the module's decisions as they are made.
--- a/crates/decision/src/brain.rs
+++ b/crates/decision/src/brain.rs
@@ -8,20 +8,21 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use crate::actions::{Actions, Note};
+use crate::actions::{Actions, EjectionReason, GiveUpReason, Note};
 use crate::events::EventHandler;
 use crate::fleet::{EndpointState, Fleet, Out, Record};
 use crate::members::Segment;
 use crate::model::{
     AdvanceRule, AgentId, AttemptNumber, Build, ClassPolicy, DeduplicationScope, Endpoint,
-    EndpointId, EndpointStatus, Idempotency, ListUpdate, Outcome, ReleasePhase, RequestId, Stage,
-    TimerId, Vote, Zone,
+    EndpointId, EndpointStatus, EngineSettings, Idempotency, ListUpdate, Outcome, ReleasePhase,
+    RequestId, Stage, TimerId, Vote, Zone,
 };
 use crate::parts::{EndpointDiscovery, Exposure, PendingRequests, ReleaseAnalysis, SlowStart};
 use crate::report;
 
 use crate::state::{
-    Demand, LoadEstimate, PendingRequest, ReleaseStatus, Seat, SentVote, Test, worst_first,
+    Demand, LoadEstimate, PendingRequest, ReleaseStatus, Seat, SentVote, SequentialTest,
+    worst_first,
 };
 use crate::subset::Position;
 
@@ -55,7 +56,7 @@
     record: &mut Record,
     now: Duration,
     endpoint: EndpointId,
-    reason: &'static str,
+    reason: EjectionReason,
 ) -> Option<Note> {
     (now >= record.barred_until).then(|| {
         record.bar = (record.bar * 2).clamp(RECENT, RECENT * 8);
@@ -233,7 +234,7 @@
 /// Wait beyond the work, as a share of an SLA time, that counts as a queue.
 const QUEUE: f64 = 0.15;
 
-impl Test {
+impl SequentialTest {
     /// Takes outcomes, how many of them bad, and the trial appliance they come from.
     pub fn observe(&mut self, trial: Option<EndpointId>, many: f64, bad: f64) {
         self.arms.put(trial, many, bad);
@@ -247,7 +248,7 @@
         let lambda = (v / mixed).sqrt() * ((y - x - self.theta0).powi(2) / spread).exp();
         // One-sided, unlike the paper's: a trial that did better for a while must not count against it later.
         if y - x > self.theta0 {
-            self.p = self.p.min(1.0 / lambda);
+            self.p_value = self.p_value.min(1.0 / lambda);
         }
         // The running interval of the paper; when the estimate leaves it, inference begins anew.
         let half = (spread * ((1.0 / self.alpha).ln() + 0.5 * (mixed / v).ln())).sqrt();
@@ -256,7 +257,7 @@
             self.interval.1.min(y - x + half),
         );
         if y - x < self.interval.0 || y - x > self.interval.1 {
-            (self.p, self.interval) = (1.0, (f64::MIN, f64::MAX));
+            (self.p_value, self.interval) = (1.0, (f64::MIN, f64::MAX));
         }
     }
 
@@ -284,7 +285,7 @@
             .tests
             .get(self.classes)
             .filter(|t| t.arms.worse() > THETA0);
-        let Some(Test { arms, .. }) = test else {
+        let Some(SequentialTest { arms, .. }) = test else {
             return false;
         };
         let newest = fleet.listed.newest(build).unwrap_or_default();
@@ -362,7 +363,9 @@
         } else {
             (0.0, Duration::ZERO)
         };
-        let worse = |t: &Test| t.p <= self.level() && t.doubtful() && t.arms.worse() > grave;
+        let worse = |t: &SequentialTest| {
+            t.p_value <= self.level() && t.doubtful() && t.arms.worse() > grave
+        };
         // Slowness may lie on an agent's own way there: it convicts only for a judge, who hears of many.
         let spoken = self.classes + 1 + usize::from(self.judging(build));
         if self.own.tests.iter().take(spoken).any(worse) || now > self.own.well + long {
@@ -371,7 +374,7 @@
         if released {
             return None;
         }
-        let doubt = self.own.tests.iter().any(Test::doubtful) || lost > LOST / 2.0;
+        let doubt = self.own.tests.iter().any(SequentialTest::doubtful) || lost > LOST / 2.0;
         if self.advance_rule == AdvanceRule::Timed {
             return (stays || doubt && now < release_status.since + self.dwell * 4 / 3)
                 .then_some(Vote::Hold);
@@ -385,8 +388,14 @@
             || now >= release_status.since + self.dwell * 6;
         // In doubt, an agent and those it told wait for more outcomes; over failures, which a good build has
         // not, longer. Guards against agents that wave on what another is about to convict.
-        let failing =
-            self.own.tests.iter().rev().skip(1).any(Test::doubtful) || now < self.own.warned;
+        let failing = self
+            .own
+            .tests
+            .iter()
+            .rev()
+            .skip(1)
+            .any(SequentialTest::doubtful)
+            || now < self.own.warned;
         let waits = [1, 3, 6][usize::from(doubt).max(2 * usize::from(failing))];
         // The judges go first; others stand in, spread by chance, if none of them speaks.
         let stand_in = if self.judging(build) {
@@ -417,7 +426,7 @@
         } else {
             self.own.warned
         };
-        let doubt = tried && (ages || self.own.tests.iter().any(Test::doubtful));
+        let doubt = tried && (ages || self.own.tests.iter().any(SequentialTest::doubtful));
         if self.fleet_position.can_message_peers
             && doubt
             && self.judging(release_status.build)
@@ -445,7 +454,7 @@
                 .own
                 .tests
                 .iter()
-                .map(|t| (t.arms.y.0, t.arms.worse(), t.p));
+                .map(|t| (t.arms.y.0, t.arms.worse(), t.p_value));
             out.log(&report::ballot(ballot, lost, tests));
         }
         self.own.vote = Some(SentVote {
@@ -480,19 +489,8 @@
 }
 
 impl DecisionEngine {
-    pub fn new(
-        seed: u64,
-        discovery: EndpointDiscovery,
-        slow_start: SlowStart,
-        exposure: Exposure,
-        analysis: ReleaseAnalysis,
-        pending: PendingRequests,
-    ) -> Self {
-        let (chance, now, demand) = (
-            Pcg64Mcg::seed_from_u64(seed),
-            Duration::ZERO,
-            Demand::default(),
-        );
+    /// An engine that has seen nothing yet.
+    pub fn new(settings: EngineSettings) -> Self {
         let (usual_pace, middle_pace, usual_work, members) = (1.0, 1.0, 1e-3, MEMBERS);
         let load = LoadEstimate {
             usual_pace,
@@ -501,17 +499,21 @@
             members,
             ..LoadEstimate::default()
         };
-        let mut discovery = discovery;
+        let mut discovery = EndpointDiscovery::new(settings.zone, settings.discovery);
         discovery.fleet.whole_up_to = MEMBERS as usize;
         DecisionEngine {
-            now,
-            chance,
+            now: Duration::ZERO,
+            chance: Pcg64Mcg::seed_from_u64(settings.seed),
             discovery,
-            slow_start,
-            exposure,
-            analysis,
-            pending,
-            demand,
+            slow_start: SlowStart::new(settings.slow_start),
+            exposure: Exposure::new(settings.tick, settings.exposure),
+            analysis: ReleaseAnalysis::new(
+                settings.fleet_position,
+                settings.requests.classes.len(),
+                settings.release_analysis,
+            ),
+            pending: PendingRequests::new(settings.tick, settings.requests),
+            demand: Demand::default(),
             load,
         }
     }
@@ -625,7 +627,7 @@
             if silent.is_some_and(|s| s > patience) {
                 self.load
                     .notes
-                    .extend(strike(&mut a.record, now, at, "silent"));
+                    .extend(strike(&mut a.record, now, at, EjectionReason::Silence));
             }
         }
         self.arrange();
@@ -712,18 +714,22 @@
                 vain
             }
         {
-            let late = if hopeless { "late" } else { "no-more" };
+            let late = if hopeless {
+                GiveUpReason::TooLate
+            } else {
+                GiveUpReason::NoAttemptLeft
+            };
             let why = if !more || hopeless {
                 late
             } else {
-                ["vain", "crowded"][usize::from(fresh)]
+                [GiveUpReason::RetriesFail, GiveUpReason::Overload][usize::from(fresh)]
             };
             self.give_up(id, why, out);
             return None;
         }
         let Some(to) = self.choose(id) else {
             if self.shut_out(id) {
-                self.give_up(id, "closed", out);
+                self.give_up(id, GiveUpReason::NotPermitted, out);
                 return None;
             }
             self.load.next = now;
@@ -769,8 +775,8 @@
         (wait - idle) / of.as_secs_f64().max(1e-6)
     }
 
-    fn give_up(&mut self, id: RequestId, why: &'static str, out: &mut dyn Actions) {
-        out.note(Note::GivenUp(why));
+    fn give_up(&mut self, id: RequestId, reason: GiveUpReason, out: &mut dyn Actions) {
+        out.note(Note::GivenUp(reason));
         let Some(h) = self.pending.requests.remove(&id) else {
             return;
         };
@@ -1219,7 +1225,11 @@
                 &mut a.record,
                 now,
                 at,
-                if worse { "fails" } else { "unlinked" },
+                if worse {
+                    EjectionReason::FailureRate
+                } else {
+                    EjectionReason::ConnectionFailure
+                },
             ));
         }
         self.load.heard += 1;
--- a/crates/decision/src/evidence.rs
+++ b/crates/decision/src/evidence.rs
@@ -8,7 +8,7 @@
 use crate::model::{AgentId, Build, EndpointId, RequestClass};
 use crate::parts::ReleaseAnalysis;
 use crate::report;
-use crate::state::{Demand, ReleaseStatus, Test};
+use crate::state::{Demand, ReleaseStatus, SequentialTest, SequentialTestSettings};
 
 impl ReleaseAnalysis {
     /// Begins to judge a build anew.
@@ -39,11 +39,21 @@
         ) = Default::default();
         let level = self.level();
         self.own.tests = (0..=self.classes)
-            .map(|_| Test::new(THETA0, TAU, level))
+            .map(|_| {
+                SequentialTest::new(SequentialTestSettings {
+                    tolerated_difference: THETA0,
+                    mixing_deviation: TAU,
+                    level,
+                })
+            })
             .collect();
         self.own
             .tests
-            .push(Test::new(40.0 * THETA0, 6.0 * TAU, level));
+            .push(SequentialTest::new(SequentialTestSettings {
+                tolerated_difference: 40.0 * THETA0,
+                mixing_deviation: 6.0 * TAU,
+                level,
+            }));
     }
 
     /// Whether there is anything to say to the judges without hearing more.
--- a/crates/decision/src/lib.rs
+++ b/crates/decision/src/lib.rs
@@ -27,15 +27,15 @@
 mod state;
 mod subset;
 
-pub use actions::{Actions, Note};
+pub use actions::{Actions, EjectionReason, GiveUpReason, Note};
 pub use brain::DecisionEngine;
 pub use events::EventHandler;
 pub use model::{
     AdvanceRule, AgentId, AttemptNumber, Build, Cell, ClassPolicy, DeduplicationScope, Endpoint,
-    EndpointId, EndpointStatus, FleetPosition, Idempotency, IdempotencyKey, ListUpdate, Model,
-    Outcome, ReleasePhase, Request, RequestClass, RequestId, Stage, Tenant, TimerId, Vote,
-    VoteTiming, Zone,
+    EndpointDiscoverySettings, EndpointId, EndpointStatus, EngineSettings, ExposureSettings,
+    FleetPosition, Idempotency, IdempotencyKey, ListUpdate, Model, Outcome,
+    ReleaseAnalysisSettings, ReleasePhase, Request, RequestClass, RequestId, RequestSettings,
+    SlowStartSettings, Stage, Tenant, TimerId, Vote, VoteTiming, Zone,
 };
-pub use parts::{EndpointDiscovery, Exposure, PendingRequests, ReleaseAnalysis, SlowStart};
 pub use release_permissions::ReleasePermissions;
-pub use state::Test;
+pub use state::{SequentialTest, SequentialTestSettings};
--- a/crates/decision/src/model/mod.rs
+++ b/crates/decision/src/model/mod.rs
@@ -5,6 +5,7 @@
 mod ids;
 mod release;
 mod request;
+mod settings;
 
 pub use endpoint::{Endpoint, EndpointStatus, ListUpdate};
 pub use fleet::FleetPosition;
@@ -14,3 +15,7 @@
 };
 pub use release::{AdvanceRule, ReleasePhase, Vote, VoteTiming};
 pub use request::{ClassPolicy, DeduplicationScope, Idempotency, Outcome, Request};
+pub use settings::{
+    EndpointDiscoverySettings, EngineSettings, ExposureSettings, ReleaseAnalysisSettings,
+    RequestSettings, SlowStartSettings,
+};
--- a/crates/decision/src/parts.rs
+++ b/crates/decision/src/parts.rs
@@ -5,13 +5,15 @@
 
 use crate::fleet::{EndpointState, Fleet};
 use crate::model::{
-    AdvanceRule, Build, ClassPolicy, FleetPosition, RequestClass, RequestId, VoteTiming, Zone,
+    AdvanceRule, Build, ClassPolicy, EndpointDiscoverySettings, ExposureSettings, FleetPosition,
+    ReleaseAnalysisSettings, RequestClass, RequestId, RequestSettings, SlowStartSettings,
+    VoteTiming, Zone,
 };
 use crate::release_permissions::ReleasePermissions;
 use crate::state::{AnalysisState, PendingRequest, ReleaseStatus, Windows};
 
 /// The agent's own list of appliances, and its upkeep.
-pub struct EndpointDiscovery {
+pub(crate) struct EndpointDiscovery {
     pub(crate) zone: Zone,
     pub(crate) ask_within: Option<Duration>,
     pub(crate) ask_at: Option<Duration>,
@@ -20,13 +22,11 @@
 }
 
 impl EndpointDiscovery {
-    /// `ask_within` is given where the list comes only when asked for.
-    pub fn new(zone: Zone, ask_within: Option<Duration>) -> Self {
-        let ask_at = ask_within.map(|_| Duration::ZERO);
+    pub(crate) fn new(zone: Zone, settings: EndpointDiscoverySettings) -> Self {
         EndpointDiscovery {
             zone,
-            ask_within,
-            ask_at,
+            ask_within: settings.request_within,
+            ask_at: settings.request_within.map(|_| Duration::ZERO),
             ask_pause: Duration::ZERO,
             fleet: Fleet::default(),
         }
@@ -34,7 +34,7 @@
 }
 
 /// Keeps cold appliances from being pushed over.
-pub struct SlowStart {
+pub(crate) struct SlowStart {
     pub(crate) cold_from: f64,
     pub(crate) ramp: Duration,
     pub(crate) multiple: f64,
@@ -42,12 +42,12 @@
 }
 
 impl SlowStart {
-    pub fn new(cold_from: f64, ramp: Duration, multiple: f64, span: Duration) -> Self {
+    pub(crate) fn new(settings: SlowStartSettings) -> Self {
         SlowStart {
-            cold_from,
-            ramp,
-            multiple,
-            span,
+            cold_from: settings.initial_capacity_share,
+            ramp: settings.ramp,
+            multiple: settings.overload_multiple,
+            span: settings.overload_window,
         }
     }
 
@@ -81,7 +81,7 @@
 }
 
 /// Keeps what is sent to builds on trial within the cap.
-pub struct Exposure {
+pub(crate) struct Exposure {
     pub(crate) span: Duration,
     pub(crate) tick: Duration,
     pub(crate) free: f64,
@@ -110,33 +110,24 @@
         }
     }
 
-    pub fn new(
-        span: Duration,
-        tick: Duration,
-        free: f64,
-        first_cap: f64,
-        per_class: bool,
-        guarded: u8,
-        forward_only: bool,
-    ) -> Self {
-        let (permissions, release_status, windows) = Default::default();
+    pub(crate) fn new(tick: Duration, settings: ExposureSettings) -> Self {
         Exposure {
-            span,
+            span: settings.window,
             tick,
-            free,
-            first_cap,
-            per_class,
-            guarded,
-            forward_only,
-            permissions,
-            release_status,
-            windows,
+            free: settings.free_requests,
+            first_cap: settings.initial_cap,
+            per_class: settings.per_class,
+            guarded: settings.guarded_stages,
+            forward_only: settings.forward_only,
+            permissions: None,
+            release_status: None,
+            windows: Windows::default(),
         }
     }
 }
 
 /// Judges builds and votes.
-pub struct ReleaseAnalysis {
+pub(crate) struct ReleaseAnalysis {
     pub(crate) advance_rule: AdvanceRule,
     pub(crate) rings: Vec<f64>,
     pub(crate) dwell: Duration,
@@ -150,41 +141,27 @@
 }
 
 impl ReleaseAnalysis {
-    pub fn new(
-        advance_rule: AdvanceRule,
-        rings: Vec<f64>,
-        dwell: Duration,
-        vote_timing: VoteTiming,
-        rolling: bool,
+    pub(crate) fn new(
         fleet_position: FleetPosition,
         classes: usize,
+        settings: ReleaseAnalysisSettings,
     ) -> Self {
-        let (relayed, own) = (false, AnalysisState::default());
         ReleaseAnalysis {
-            advance_rule,
-            rings,
-            dwell,
-            vote_timing,
-            rolling,
+            advance_rule: settings.advance_rule,
+            rings: settings.stage_shares,
+            dwell: settings.minimum_stage_time,
+            vote_timing: settings.vote_timing,
+            rolling: settings.in_place,
             fleet_position,
             classes,
-            relayed,
-            own,
-        }
-    }
-
-    /// The same, whose reports go through relays in fleets of more than 300 agents. All agents of a fleet have to do
-    /// so, or none: what a relay hears from others is not for it.
-    pub fn with_relays(self) -> Self {
-        ReleaseAnalysis {
-            relayed: true,
-            ..self
+            relayed: settings.use_relays,
+            own: AnalysisState::default(),
         }
     }
 }
 
 /// The requests in hand, and what is agreed for them.
-pub struct PendingRequests {
+pub(crate) struct PendingRequests {
     pub(crate) classes: Vec<ClassPolicy>,
     pub(crate) max_attempts: usize,
     pub(crate) may_call_off: bool,
@@ -196,22 +173,15 @@
 }
 
 impl PendingRequests {
-    pub fn new(
-        classes: Vec<ClassPolicy>,
-        max_attempts: usize,
-        may_call_off: bool,
-        longest_advice: Duration,
-        tick: Duration,
-    ) -> Self {
-        let (ends, requests) = (Duration::MAX, BTreeMap::new());
+    pub(crate) fn new(tick: Duration, settings: RequestSettings) -> Self {
         PendingRequests {
-            classes,
-            max_attempts,
-            may_call_off,
-            longest_advice,
+            classes: settings.classes,
+            max_attempts: settings.max_attempts,
+            may_call_off: settings.may_cancel,
+            longest_advice: settings.max_retry_after,
             tick,
-            ends,
-            requests,
+            ends: Duration::MAX,
+            requests: BTreeMap::new(),
         }
     }
 }
--- a/crates/decision/src/state.rs
+++ b/crates/decision/src/state.rs
@@ -331,27 +331,45 @@
     }
 }
 
-/// The paper's two-sample test: X at earlier builds, Y at the build on trial.
-pub struct Test {
+/// What a sequential test is made with.
+#[derive(Clone, Copy, Debug)]
+pub struct SequentialTestSettings {
+    /// Tolerated difference of the two failure rates (the paper's theta0).
+    pub tolerated_difference: f64,
+    /// Standard deviation of the normal mixing distribution over that difference (the paper's tau).
+    pub mixing_deviation: f64,
+    /// Level of the test: its probability of a false alarm (the paper's alpha).
+    pub level: f64,
+}
+
+/// A mixture sequential probability ratio test (mSPRT) of two failure rates: those of the earlier builds (the
+/// paper's X) and of the canary (its Y).
+pub struct SequentialTest {
     pub(crate) theta0: f64,
     pub(crate) tau: f64,
     pub(crate) alpha: f64,
     pub(crate) arms: Arms,
-    pub p: f64,
+    pub(crate) p_value: f64,
     pub(crate) interval: (f64, f64),
 }
 
-impl Test {
-    pub fn new(theta0: f64, tau: f64, alpha: f64) -> Self {
-        Test {
-            theta0,
-            tau,
-            alpha,
+impl SequentialTest {
+    /// A test without any outcome.
+    pub fn new(settings: SequentialTestSettings) -> Self {
+        SequentialTest {
+            theta0: settings.tolerated_difference,
+            tau: settings.mixing_deviation,
+            alpha: settings.level,
             arms: Arms::default(),
-            p: 1.0,
+            p_value: 1.0,
             interval: (f64::MIN, f64::MAX),
         }
     }
+
+    /// The always valid p-value, 0 to 1: the canary is worse at the test's level once this is no higher.
+    pub fn p_value(&self) -> f64 {
+        self.p_value
+    }
 }
 
 /// Appliances' outcomes and bad ones, those first of which most are bad.
@@ -369,7 +387,7 @@
     /// When last not too much of what was borne was lost.
     pub(crate) well: Duration,
     /// One test for each product, one of failures over all and one of pace over all.
-    pub(crate) tests: Vec<Test>,
+    pub(crate) tests: Vec<SequentialTest>,
     pub(crate) build: Option<Build>,
     /// The last outcome at earlier builds, and at the build on trial.
     pub(crate) last: [Option<Duration>; 2],
--- a/crates/decision/tests/fleet.rs
+++ b/crates/decision/tests/fleet.rs
@@ -6,9 +6,10 @@
 
 use lilacgate_decision::{
     AdvanceRule, AgentId, AttemptNumber, Build, Cell, ClassPolicy, DecisionEngine, Endpoint,
-    EndpointDiscovery, EndpointId, EndpointStatus, EventHandler, Exposure, FleetPosition,
-    Idempotency, ListUpdate, Model, Outcome, PendingRequests, ReleaseAnalysis, ReleasePhase,
-    Request, RequestClass, RequestId, SlowStart, Stage, Tenant, VoteTiming, Zone,
+    EndpointDiscoverySettings, EndpointId, EndpointStatus, EngineSettings, EventHandler,
+    ExposureSettings, FleetPosition, Idempotency, ListUpdate, Model, Outcome,
+    ReleaseAnalysisSettings, ReleasePhase, Request, RequestClass, RequestId, RequestSettings,
+    SlowStartSettings, Stage, Tenant, VoteTiming, Zone,
 };
 use lilacgate_test_bed::decided::Decided;
 use rstest::rstest;
@@ -34,22 +35,43 @@
         validity: ms(6000),
         call_timeout: ms(1200),
     };
-    DecisionEngine::new(
-        seed + u64::from(me) * 7919,
-        EndpointDiscovery::new(Zone(0), Some(ASK_WITHIN)),
-        SlowStart::new(0.34, ms(4000), 2.5, ms(1000)),
-        Exposure::new(ms(4000), ms(5), 3.0, 0.1, false, 1, false),
-        ReleaseAnalysis::new(
-            AdvanceRule::Single,
-            vec![0.1, 0.5, 1.0],
-            ms(900),
-            calls,
-            true,
-            among,
-            1,
-        ),
-        PendingRequests::new(vec![READ], 3, true, ms(2000), ms(5)),
-    )
+    DecisionEngine::new(EngineSettings {
+        seed: seed + u64::from(me) * 7919,
+        tick: ms(5),
+        zone: Zone(0),
+        fleet_position: among,
+        discovery: EndpointDiscoverySettings {
+            request_within: Some(ASK_WITHIN),
+        },
+        slow_start: SlowStartSettings {
+            initial_capacity_share: 0.34,
+            ramp: ms(4000),
+            overload_multiple: 2.5,
+            overload_window: ms(1000),
+        },
+        exposure: ExposureSettings {
+            window: ms(4000),
+            free_requests: 3.0,
+            initial_cap: 0.1,
+            per_class: false,
+            guarded_stages: 1,
+            forward_only: false,
+        },
+        release_analysis: ReleaseAnalysisSettings {
+            advance_rule: AdvanceRule::Single,
+            stage_shares: vec![0.1, 0.5, 1.0],
+            minimum_stage_time: ms(900),
+            vote_timing: calls,
+            in_place: true,
+            use_relays: false,
+        },
+        requests: RequestSettings {
+            classes: vec![READ],
+            max_attempts: 3,
+            may_cancel: true,
+            max_retry_after: ms(2000),
+        },
+    })
 }
 
 /// A list service of fixed capacity: it takes calls in turn, works also for those that have gone, and a call
--- a/crates/decision/tests/owed.rs
+++ b/crates/decision/tests/owed.rs
@@ -9,10 +9,10 @@
 
 use lilacgate_decision::{
     AdvanceRule, AgentId, AttemptNumber, Build, Cell, ClassPolicy, DecisionEngine,
-    DeduplicationScope, Endpoint, EndpointDiscovery, EndpointId, EndpointStatus, EventHandler,
-    Exposure, FleetPosition, Idempotency, IdempotencyKey, ListUpdate, Model, Outcome,
-    PendingRequests, ReleaseAnalysis, ReleasePhase, Request, RequestClass, RequestId, SlowStart,
-    Stage, Tenant, VoteTiming, Zone,
+    DeduplicationScope, Endpoint, EndpointDiscoverySettings, EndpointId, EndpointStatus,
+    EngineSettings, EventHandler, ExposureSettings, FleetPosition, Idempotency, IdempotencyKey,
+    ListUpdate, Model, Outcome, ReleaseAnalysisSettings, ReleasePhase, Request, RequestClass,
+    RequestId, RequestSettings, SlowStartSettings, Stage, Tenant, VoteTiming, Zone,
 };
 use lilacgate_test_bed::decided::Decided;
 use proptest::prelude::*;
@@ -61,22 +61,43 @@
         validity: ms(6000),
         call_timeout: ms(1200),
     };
-    DecisionEngine::new(
-        seed,
-        EndpointDiscovery::new(Zone(0), None),
-        SlowStart::new(0.34, ms(400), 2.5, ms(1000)),
-        Exposure::new(ms(1000), STEP, 3.0, 0.2, false, 1, false),
-        ReleaseAnalysis::new(
-            AdvanceRule::Single,
-            vec![0.1, 1.0],
-            ms(900),
-            calls,
-            true,
-            among,
-            4,
-        ),
-        PendingRequests::new(products(), 3, may_call_off, ms(1000), STEP),
-    )
+    DecisionEngine::new(EngineSettings {
+        seed: seed,
+        tick: STEP,
+        zone: Zone(0),
+        fleet_position: among,
+        discovery: EndpointDiscoverySettings {
+            request_within: None,
+        },
+        slow_start: SlowStartSettings {
+            initial_capacity_share: 0.34,
+            ramp: ms(400),
+            overload_multiple: 2.5,
+            overload_window: ms(1000),
+        },
+        exposure: ExposureSettings {
+            window: ms(1000),
+            free_requests: 3.0,
+            initial_cap: 0.2,
+            per_class: false,
+            guarded_stages: 1,
+            forward_only: false,
+        },
+        release_analysis: ReleaseAnalysisSettings {
+            advance_rule: AdvanceRule::Single,
+            stage_shares: vec![0.1, 1.0],
+            minimum_stage_time: ms(900),
+            vote_timing: calls,
+            in_place: true,
+            use_relays: false,
+        },
+        requests: RequestSettings {
+            classes: products(),
+            max_attempts: 3,
+            may_cancel: may_call_off,
+            max_retry_after: ms(1000),
+        },
+    })
 }
 
 /// Something that happens at a step.
--- a/crates/decision/tests/reports/fleet.rs
+++ b/crates/decision/tests/reports/fleet.rs
@@ -4,9 +4,10 @@
 
 use lilacgate_decision::{
     AdvanceRule, AgentId, AttemptNumber, Build, Cell, ClassPolicy, DecisionEngine, Endpoint,
-    EndpointDiscovery, EndpointId, EndpointStatus, EventHandler, Exposure, FleetPosition,
-    Idempotency, ListUpdate, Model, Outcome, PendingRequests, ReleaseAnalysis, ReleasePhase,
-    Request, RequestClass, RequestId, SlowStart, Stage, Tenant, Vote, VoteTiming, Zone,
+    EndpointDiscoverySettings, EndpointId, EndpointStatus, EngineSettings, EventHandler,
+    ExposureSettings, FleetPosition, Idempotency, ListUpdate, Model, Outcome,
+    ReleaseAnalysisSettings, ReleasePhase, Request, RequestClass, RequestId, RequestSettings,
+    SlowStartSettings, Stage, Tenant, Vote, VoteTiming, Zone,
 };
 use lilacgate_test_bed::decided::Decided;
 use rand::{RngExt, SeedableRng};
@@ -32,12 +33,12 @@
 
 /// An agent whose reports go through relays.
 pub fn module(me: u32, agents: u32, may_tell: bool, seed: u64) -> DecisionEngine {
-    module_with(me, agents, may_tell, seed, ReleaseAnalysis::with_relays)
+    module_with(me, agents, may_tell, seed, true)
 }
 
 /// An agent as it is made without asking for relays.
 pub fn module_without_relays(me: u32, agents: u32) -> DecisionEngine {
-    module_with(me, agents, true, 1, |jury| jury)
+    module_with(me, agents, true, 1, false)
 }
 
 fn module_with(
@@ -45,7 +46,7 @@
     agents: u32,
     may_tell: bool,
     seed: u64,
-    change: impl FnOnce(ReleaseAnalysis) -> ReleaseAnalysis,
+    use_relays: bool,
 ) -> DecisionEngine {
     let ms = Duration::from_millis;
     let among = FleetPosition {
@@ -57,22 +58,43 @@
         validity: ms(6000),
         call_timeout: ms(1200),
     };
-    DecisionEngine::new(
-        seed + u64::from(me) * 7919,
-        EndpointDiscovery::new(Zone(0), None),
-        SlowStart::new(0.34, ms(4000), 2.5, ms(1000)),
-        Exposure::new(ms(4000), ms(5), 3.0, 0.1, false, 1, false),
-        change(ReleaseAnalysis::new(
-            AdvanceRule::Single,
-            vec![0.1, 0.5, 1.0],
-            DWELL,
-            calls,
-            true,
-            among,
-            1,
-        )),
-        PendingRequests::new(vec![READ], 3, true, ms(2000), ms(5)),
-    )
+    DecisionEngine::new(EngineSettings {
+        seed: seed + u64::from(me) * 7919,
+        tick: ms(5),
+        zone: Zone(0),
+        fleet_position: among,
+        discovery: EndpointDiscoverySettings {
+            request_within: None,
+        },
+        slow_start: SlowStartSettings {
+            initial_capacity_share: 0.34,
+            ramp: ms(4000),
+            overload_multiple: 2.5,
+            overload_window: ms(1000),
+        },
+        exposure: ExposureSettings {
+            window: ms(4000),
+            free_requests: 3.0,
+            initial_cap: 0.1,
+            per_class: false,
+            guarded_stages: 1,
+            forward_only: false,
+        },
+        release_analysis: ReleaseAnalysisSettings {
+            advance_rule: AdvanceRule::Single,
+            stage_shares: vec![0.1, 0.5, 1.0],
+            minimum_stage_time: DWELL,
+            vote_timing: calls,
+            in_place: true,
+            use_relays: use_relays,
+        },
+        requests: RequestSettings {
+            classes: vec![READ],
+            max_attempts: 3,
+            may_cancel: true,
+            max_retry_after: ms(2000),
+        },
+    })
 }
 
 fn line(i: u32, build: Build, started: Option<Duration>) -> Endpoint {
--- a/crates/decision/tests/same_decisions.rs
+++ b/crates/decision/tests/same_decisions.rs
@@ -6,10 +6,11 @@
 
 use lilacgate_decision::{
     Actions, AdvanceRule, AgentId, AttemptNumber, Build, Cell, ClassPolicy, DecisionEngine,
-    DeduplicationScope, Endpoint, EndpointDiscovery, EndpointId, EndpointStatus, EventHandler,
-    Exposure, FleetPosition, Idempotency, IdempotencyKey, ListUpdate, Model, Note, Outcome,
-    PendingRequests, ReleaseAnalysis, ReleasePermissions, ReleasePhase, Request, RequestClass,
-    RequestId, SlowStart, Stage, Tenant, TimerId, Vote, VoteTiming, Zone,
+    DeduplicationScope, Endpoint, EndpointDiscoverySettings, EndpointId, EndpointStatus,
+    EngineSettings, EventHandler, ExposureSettings, FleetPosition, Idempotency, IdempotencyKey,
+    ListUpdate, Model, Note, Outcome, ReleaseAnalysisSettings, ReleasePermissions, ReleasePhase,
+    Request, RequestClass, RequestId, RequestSettings, SlowStartSettings, Stage, Tenant, TimerId,
+    Vote, VoteTiming, Zone,
 };
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -55,22 +56,43 @@
         validity: ms(6000),
         call_timeout: ms(1200),
     };
-    DecisionEngine::new(
-        seed,
-        EndpointDiscovery::new(Zone(0), Some(ms(10_000))),
-        SlowStart::new(0.34, ms(4000), 2.5, ms(1000)),
-        Exposure::new(ms(4000), ms(5), 3.0, 0.1, true, 1, false),
-        ReleaseAnalysis::new(
-            AdvanceRule::Single,
-            vec![0.1, 0.5, 1.0],
-            ms(900),
-            calls,
-            true,
-            among,
-            4,
-        ),
-        PendingRequests::new(products(), 3, true, ms(2000), ms(5)),
-    )
+    DecisionEngine::new(EngineSettings {
+        seed: seed,
+        tick: ms(5),
+        zone: Zone(0),
+        fleet_position: among,
+        discovery: EndpointDiscoverySettings {
+            request_within: Some(ms(10_000)),
+        },
+        slow_start: SlowStartSettings {
+            initial_capacity_share: 0.34,
+            ramp: ms(4000),
+            overload_multiple: 2.5,
+            overload_window: ms(1000),
+        },
+        exposure: ExposureSettings {
+            window: ms(4000),
+            free_requests: 3.0,
+            initial_cap: 0.1,
+            per_class: true,
+            guarded_stages: 1,
+            forward_only: false,
+        },
+        release_analysis: ReleaseAnalysisSettings {
+            advance_rule: AdvanceRule::Single,
+            stage_shares: vec![0.1, 0.5, 1.0],
+            minimum_stage_time: ms(900),
+            vote_timing: calls,
+            in_place: true,
+            use_relays: false,
+        },
+        requests: RequestSettings {
+            classes: products(),
+            max_attempts: 3,
+            may_cancel: true,
+            max_retry_after: ms(2000),
+        },
+    })
 }
 
 /// The digests were recorded when votes, notes and log lines had these forms, which are kept here so that a
@@ -92,11 +114,14 @@
             until,
         } => {
             let id = endpoint.0;
-            format!("Barred {{ at: ApplianceId({id}), why: {reason:?}, until: {until:?} }}")
+            format!(
+                "Barred {{ at: ApplianceId({id}), why: {:?}, until: {until:?} }}",
+                reason.as_str()
+            )
         }
         Note::Tried(endpoint) => format!("Tried(ApplianceId({}))", endpoint.0),
         Note::Readmitted(endpoint) => format!("Unbarred(ApplianceId({}))", endpoint.0),
-        Note::GivenUp(reason) => format!("GivenUp({reason:?})"),
+        Note::GivenUp(reason) => format!("GivenUp({:?})", reason.as_str()),
     }
 }
 
--- a/crates/decision/tests/scenarios.rs
+++ b/crates/decision/tests/scenarios.rs
@@ -28,10 +28,11 @@
 
 use lilacgate_decision::{
     Actions, AdvanceRule, AgentId, AttemptNumber, Build, Cell, ClassPolicy, DecisionEngine,
-    DeduplicationScope, Endpoint, EndpointDiscovery, EndpointId, EndpointStatus, EventHandler,
-    Exposure, FleetPosition, Idempotency, IdempotencyKey, ListUpdate, Model, Note, Outcome,
-    PendingRequests, ReleaseAnalysis, ReleasePermissions, ReleasePhase, Request, RequestClass,
-    RequestId, SlowStart, Stage, Tenant, Test, TimerId, Vote, VoteTiming, Zone,
+    DeduplicationScope, Endpoint, EndpointDiscoverySettings, EndpointId, EndpointStatus,
+    EngineSettings, EventHandler, ExposureSettings, FleetPosition, Idempotency, IdempotencyKey,
+    ListUpdate, Model, Note, Outcome, ReleaseAnalysisSettings, ReleasePermissions, ReleasePhase,
+    Request, RequestClass, RequestId, RequestSettings, SequentialTest, SequentialTestSettings,
+    SlowStartSettings, Stage, Tenant, TimerId, Vote, VoteTiming, Zone,
 };
 use lilacgate_timeline::book::{Book, Room};
 use lilacgate_timeline::watch::Aims;
@@ -153,22 +154,11 @@
         let set = |key: &str, usual: f64| self.set.get(key).copied().unwrap_or(usual);
         let span = |key, usual| Duration::from_secs_f64(set(key, usual) / 1000.0);
         let asks = set("asks", 0.0) > 0.0;
-        let membership = EndpointDiscovery::new(Zone(0), asks.then_some(Duration::from_secs(10)));
-        let thaw = SlowStart::new(0.34, span("ramp", 4000.0), 2.5, Duration::from_secs(1));
         let tick = Duration::from_millis(5);
         let per_product = set("per-product", 0.0) > 0.0;
         let guarded = set("guarded", 0.0) as u8;
         let forward_only = set("forward-only", 0.0) > 0.0;
         let free = set("free", 2.0);
-        let exposure = Exposure::new(
-            Duration::from_secs(4),
-            tick,
-            free,
-            0.1,
-            per_product,
-            guarded,
-            forward_only,
-        );
         let calls = VoteTiming {
             validity: Duration::from_secs(6),
             call_timeout: Duration::from_secs(1),
@@ -186,11 +176,43 @@
             agent_count: agents,
             can_message_peers: true,
         };
-        let jury =
-            ReleaseAnalysis::new(gate, rings, dwell, calls, true, among, self.products.len());
-        let desk =
-            PendingRequests::new(self.products.clone(), 3, true, Duration::from_secs(1), tick);
-        DecisionEngine::new(7, membership, thaw, exposure, jury, desk)
+        DecisionEngine::new(EngineSettings {
+            seed: 7,
+            tick: tick,
+            zone: Zone(0),
+            fleet_position: among,
+            discovery: EndpointDiscoverySettings {
+                request_within: asks.then_some(Duration::from_secs(10)),
+            },
+            slow_start: SlowStartSettings {
+                initial_capacity_share: 0.34,
+                ramp: span("ramp", 4000.0),
+                overload_multiple: 2.5,
+                overload_window: Duration::from_secs(1),
+            },
+            exposure: ExposureSettings {
+                window: Duration::from_secs(4),
+                free_requests: free,
+                initial_cap: 0.1,
+                per_class: per_product,
+                guarded_stages: guarded,
+                forward_only: forward_only,
+            },
+            release_analysis: ReleaseAnalysisSettings {
+                advance_rule: gate,
+                stage_shares: rings,
+                minimum_stage_time: dwell,
+                vote_timing: calls,
+                in_place: true,
+                use_relays: false,
+            },
+            requests: RequestSettings {
+                classes: self.products.clone(),
+                max_attempts: 3,
+                may_cancel: true,
+                max_retry_after: Duration::from_secs(1),
+            },
+        })
     }
 
     fn round(&mut self, intake: impl FnOnce(&mut dyn EventHandler)) {
@@ -451,13 +473,17 @@
             }
             ["test", xb, xn, yb, yn, "p", p] => {
                 let [xb, xn, yb, yn] = [xb, xn, yb, yn].map(|n| n.parse::<u32>().expect("a count"));
-                let mut test = Test::new(0.02, 0.1, 0.05);
+                let mut test = SequentialTest::new(SequentialTestSettings {
+                    tolerated_difference: 0.02,
+                    mixing_deviation: 0.1,
+                    level: 0.05,
+                });
                 (0..xn).for_each(|i| test.observe(None, 1.0, f64::from(u8::from(i < xb))));
                 (0..yn).for_each(|i| {
                     test.observe(Some(EndpointId(1)), 1.0, f64::from(u8::from(i >= yn - yb)))
                 });
                 let p: f64 = p.parse().expect("a number");
-                assert!((test.p - p).abs() < 1e-4, "p is {}", test.p);
+                assert!((test.p_value() - p).abs() < 1e-4, "p is {}", test.p_value());
             }
             _ => panic!("no such step"),
         }
--- a/crates/decision/tests/subset.rs
+++ b/crates/decision/tests/subset.rs
@@ -7,10 +7,10 @@
 
 use lilacgate_decision::{
     AdvanceRule, AgentId, AttemptNumber, Build, Cell, ClassPolicy, DecisionEngine,
-    DeduplicationScope, Endpoint, EndpointDiscovery, EndpointId, EndpointStatus, EventHandler,
-    Exposure, FleetPosition, Idempotency, IdempotencyKey, ListUpdate, Model, Outcome,
-    PendingRequests, ReleaseAnalysis, ReleasePermissions, ReleasePhase, Request, RequestClass,
-    RequestId, SlowStart, Stage, Tenant, VoteTiming, Zone,
+    DeduplicationScope, Endpoint, EndpointDiscoverySettings, EndpointId, EndpointStatus,
+    EngineSettings, EventHandler, ExposureSettings, FleetPosition, Idempotency, IdempotencyKey,
+    ListUpdate, Model, Outcome, ReleaseAnalysisSettings, ReleasePermissions, ReleasePhase, Request,
+    RequestClass, RequestId, RequestSettings, SlowStartSettings, Stage, Tenant, VoteTiming, Zone,
 };
 use lilacgate_test_bed::decided::Decided;
 use rstest::rstest;
@@ -56,22 +56,43 @@
         keyed(DeduplicationScope::Cell),
         keyed(DeduplicationScope::Zone),
     ];
-    DecisionEngine::new(
-        u64::from(me) * 7919 + 1,
-        EndpointDiscovery::new(Zone((me % 8) as u8), None),
-        SlowStart::new(0.34, ms(4000), 2.5, ms(1000)),
-        Exposure::new(ms(4000), ms(5), 3.0, 0.1, false, 1, false),
-        ReleaseAnalysis::new(
-            AdvanceRule::Single,
-            vec![0.1, 0.5, 1.0],
-            ms(900),
-            calls,
-            true,
-            among,
-            3,
-        ),
-        PendingRequests::new(products, 3, true, ms(2000), ms(5)),
-    )
+    DecisionEngine::new(EngineSettings {
+        seed: u64::from(me) * 7919 + 1,
+        tick: ms(5),
+        zone: Zone((me % 8) as u8),
+        fleet_position: among,
+        discovery: EndpointDiscoverySettings {
+            request_within: None,
+        },
+        slow_start: SlowStartSettings {
+            initial_capacity_share: 0.34,
+            ramp: ms(4000),
+            overload_multiple: 2.5,
+            overload_window: ms(1000),
+        },
+        exposure: ExposureSettings {
+            window: ms(4000),
+            free_requests: 3.0,
+            initial_cap: 0.1,
+            per_class: false,
+            guarded_stages: 1,
+            forward_only: false,
+        },
+        release_analysis: ReleaseAnalysisSettings {
+            advance_rule: AdvanceRule::Single,
+            stage_shares: vec![0.1, 0.5, 1.0],
+            minimum_stage_time: ms(900),
+            vote_timing: calls,
+            in_place: true,
+            use_relays: false,
+        },
+        requests: RequestSettings {
+            classes: products,
+            max_attempts: 3,
+            may_cancel: true,
+            max_retry_after: ms(2000),
+        },
+    })
 }
 
 /// The i-th appliance: eight zones, cells of three; numbers are as good as drawn.
--- a/crates/start-settings/src/lib.rs
+++ b/crates/start-settings/src/lib.rs
@@ -12,9 +12,9 @@
 use std::time::Duration;
 
 use lilacgate_decision::{
-    AdvanceRule, AgentId, ClassPolicy, DecisionEngine, DeduplicationScope, EndpointDiscovery,
-    Exposure, FleetPosition, Idempotency, PendingRequests, ReleaseAnalysis, SlowStart, VoteTiming,
-    Zone,
+    AdvanceRule, AgentId, ClassPolicy, DecisionEngine, DeduplicationScope,
+    EndpointDiscoverySettings, EngineSettings, ExposureSettings, FleetPosition, Idempotency,
+    ReleaseAnalysisSettings, RequestSettings, SlowStartSettings, VoteTiming, Zone,
 };
 
 /// What an agent is told at its start, by path.
@@ -177,63 +177,73 @@
     } else {
         None
     };
-    let membership = EndpointDiscovery::new(Zone(pairs.num("zone")?), ask_within);
-    let thaw = SlowStart::new(
-        pairs.figure("rules.cold-from")?,
-        pairs.span("rules.ramp-time")?,
-        pairs.figure("rules.fall-multiple")?,
-        pairs.span("rules.overload-for")?,
-    );
+    let zone = Zone(pairs.num("zone")?);
+    let slow_start = SlowStartSettings {
+        initial_capacity_share: pairs.figure("rules.cold-from")?,
+        ramp: pairs.span("rules.ramp-time")?,
+        overload_multiple: pairs.figure("rules.fall-multiple")?,
+        overload_window: pairs.span("rules.overload-for")?,
+    };
     let caps = pairs.figures("family-info.most-shares")?;
-    let per_product = pairs.word("family-info.per", &[("all", false), ("per_lane", true)])?;
-    let exposure = Exposure::new(
-        pairs.span("family-info.span")?,
-        tick,
-        pairs.figure("family-info.free")?,
-        caps.first().copied().unwrap_or(0.0),
-        per_product,
-        pairs.num("family-info.guarded-stages")?,
-        pairs.num("family-info.forward-only")?,
-    );
+    let per_class = pairs.word("family-info.per", &[("all", false), ("per_lane", true)])?;
+    let exposure = ExposureSettings {
+        window: pairs.span("family-info.span")?,
+        free_requests: pairs.figure("family-info.free")?,
+        initial_cap: caps.first().copied().unwrap_or(0.0),
+        per_class,
+        guarded_stages: pairs.num("family-info.guarded-stages")?,
+        forward_only: pairs.num("family-info.forward-only")?,
+    };
     let gates = [
         ("single", AdvanceRule::Single),
         ("majority", AdvanceRule::Majority),
         ("clocked", AdvanceRule::Timed),
     ];
-    let jury = ReleaseAnalysis::new(
-        pairs.word("family-info.gate-mode", &gates)?,
-        pairs.figures("family-info.rings")?,
-        pairs.period("family-info.min-dwell")?,
-        VoteTiming {
+    let release_analysis = ReleaseAnalysisSettings {
+        advance_rule: pairs.word("family-info.gate-mode", &gates)?,
+        stage_shares: pairs.figures("family-info.rings")?,
+        minimum_stage_time: pairs.period("family-info.min-dwell")?,
+        vote_timing: VoteTiming {
             validity: pairs.period("family-info.vote-ttl")?,
             call_timeout: pairs.period("family-info.call-timeout")?,
         },
-        pairs.word(
+        in_place: pairs.word(
             "family-info.layout",
             &[("side_by_side", false), ("rolling", true)],
         )?,
-        FleetPosition {
-            own_id: AgentId(pairs.num("me")?),
-            agent_count: pairs.num("instances")?,
-            can_message_peers: pairs.num("limits.peers")?,
-        },
-        count,
-    );
-    let desk = PendingRequests::new(
-        products,
-        // An attempt's number is an octet on every wire.
-        pairs
+        use_relays: false,
+    };
+    let fleet_position = FleetPosition {
+        own_id: AgentId(pairs.num("me")?),
+        agent_count: pairs.num("instances")?,
+        can_message_peers: pairs.num("limits.peers")?,
+    };
+    let requests = RequestSettings {
+        classes: products,
+        // An attempt's number is a byte on every wire.
+        max_attempts: pairs
             .num("limits.max-attempts")
             .map(|most: usize| most.min(u8::MAX.into()))?,
-        pairs.num("limits.may-cancel")?,
-        if pairs.num("limits.retry-after")? {
+        may_cancel: pairs.num("limits.may-cancel")?,
+        max_retry_after: if pairs.num("limits.retry-after")? {
             pairs.span("limits.max-retry-after")?
         } else {
             Duration::ZERO
         },
+    };
+    let brain = DecisionEngine::new(EngineSettings {
+        seed,
         tick,
-    );
-    let brain = DecisionEngine::new(seed, membership, thaw, exposure, jury, desk);
+        zone,
+        fleet_position,
+        discovery: EndpointDiscoverySettings {
+            request_within: ask_within,
+        },
+        slow_start,
+        exposure,
+        release_analysis,
+        requests,
+    });
     Ok(Instance {
         brain,
         products: count,
--- a/crates/timeline/src/book.rs
+++ b/crates/timeline/src/book.rs
@@ -272,13 +272,13 @@
             } => self.put(at(
                 node,
                 What::Barred {
-                    why: why.into(),
+                    why: why.as_str().into(),
                     until,
                 },
             )),
             Note::Tried(node) => self.put(at(node, What::Tried)),
             Note::Readmitted(node) => self.put(at(node, What::Unbarred)),
-            Note::GivenUp(why) => *self.given_up.entry(why).or_default() += 1,
+            Note::GivenUp(why) => *self.given_up.entry(why.as_str()).or_default() += 1,
         }
     }
 
