--- /dev/null
+++ b/crates/decision/src/engine/attempts.rs
@@ -0,0 +1,237 @@
+//! What is due for a request: an attempt, a cancellation, or the final answer.
+use std::time::Duration;
+
+use rand::{RngExt, SeedableRng};
+use rand_pcg::Pcg64Mcg;
+
+use super::DecisionEngine;
+use crate::actions::{Actions, GiveUpReason, Note};
+use crate::model::{AttemptNumber, EndpointId, EndpointStatus, Outcome, RequestId};
+use crate::policy::admission;
+use crate::policy::load_balancing::Choice;
+use crate::policy::retry::{
+    self, AttemptLimits, OutstandingCheck, OutstandingStep, Prospects, may_resend,
+};
+use crate::policy::subsetting::{self, OutsideRules};
+use crate::state::endpoint_record::{AttemptId, OutstandingAttempt};
+use crate::state::pending_requests::{Attempt, PossibleExecution, RandomDraw};
+
+/// A request that no endpoint accepts is looked at again after so many ticks.
+const NO_ENDPOINT_PAUSE_TICKS: u32 = 2;
+
+impl DecisionEngine {
+    /// Does what is due for a request; returns when to look at it again without an event.
+    pub(super) fn attend_request(
+        &mut self,
+        id: RequestId,
+        actions: &mut dyn Actions,
+    ) -> Option<Duration> {
+        let request = self.requests.by_id.get(&id)?;
+        let limits = AttemptLimits {
+            settings: &self.requests.settings,
+            shutdown_deadline: self.requests.shutdown_deadline,
+        };
+        let prospects = Prospects::new(self.now, self.tick, request, limits, &self.load);
+        if let Some((number, attempt)) = request.first_outstanding() {
+            let outstanding = OutstandingCheck {
+                number,
+                attempt,
+                record: self.endpoints.records.get(&attempt.endpoint),
+                may_cancel: self.requests.settings.may_cancel,
+            };
+            let step =
+                retry::check_outstanding(self.now, self.tick, request, prospects, outstanding);
+            return self.follow(step, id, actions);
+        }
+        if let Some(reason) = self.reason_to_give_up(id, prospects) {
+            self.give_up(id, reason, actions);
+            return None;
+        }
+        self.try_attempt(id, actions)
+    }
+
+    fn follow(
+        &mut self,
+        step: OutstandingStep,
+        id: RequestId,
+        actions: &mut dyn Actions,
+    ) -> Option<Duration> {
+        match step {
+            OutstandingStep::Await => None,
+            OutstandingStep::CheckAt(check_at) => Some(check_at),
+            OutstandingStep::Cancel(number, check_at) => {
+                let request = self.requests.by_id.get_mut(&id)?;
+                request.attempts[usize::from(number.0)].is_cancelled = true;
+                actions.cancel(id, number);
+                Some(check_at)
+            }
+        }
+    }
+
+    /// Why a request without an outstanding attempt is to be given up, if it is.
+    fn reason_to_give_up(&mut self, id: RequestId, prospects: Prospects) -> Option<GiveUpReason> {
+        let request = self.requests.by_id.get(&id)?;
+        let is_worthless = prospects.is_worthless(request);
+        let is_fresh = retry::is_fresh(request);
+        let has_failed = request.last_outcome() == Some(Outcome::Failed);
+        let policy = request.policy;
+        let is_futile = has_failed && {
+            let success = self.demand.retry_success(self.now, self.load.few_requests);
+            self.random.random::<f64>() > retry::retry_probability(success)
+        };
+        if is_worthless {
+            return Some(GiveUpReason::TooLate);
+        }
+        if !prospects.may_attempt {
+            return Some(GiveUpReason::NoAttemptLeft);
+        }
+        if !is_fresh {
+            return is_futile.then_some(GiveUpReason::RetriesFail);
+        }
+        let probability = self.overload().rejection_probability(
+            &self.demand,
+            &self.requests.settings.classes,
+            &policy,
+            prospects.objective_left,
+        );
+        let is_rejected = self.random.random::<f64>() < probability;
+        is_rejected.then_some(GiveUpReason::Overload)
+    }
+
+    fn try_attempt(&mut self, id: RequestId, actions: &mut dyn Actions) -> Option<Duration> {
+        if let Some(endpoint) = self.choose_endpoint(id) {
+            self.send_attempt(id, endpoint, actions);
+            return None;
+        }
+        if self.is_forbidden_everywhere(id) {
+            self.give_up(id, GiveUpReason::NotPermitted, actions);
+            return None;
+        }
+        self.schedule.refresh_at = self.now;
+        Some(self.now + self.tick * NO_ENDPOINT_PAUSE_TICKS)
+    }
+
+    fn choose_endpoint(&mut self, id: RequestId) -> Option<EndpointId> {
+        let mut random = Pcg64Mcg::seed_from_u64(self.random.random());
+        let request = self.requests.by_id.get_mut(&id)?;
+        if self.now >= request.slow_start_draw.valid_until {
+            request.slow_start_draw = RandomDraw {
+                valid_until: self.now + self.slow_start.settings.overload_window,
+                value: random.random(),
+            };
+        }
+        let request = self.requests.by_id.get(&id)?;
+        let fallback = match self.selection().choose(request, &mut random) {
+            Choice::Endpoint(endpoint) => return Some(endpoint),
+            Choice::SearchOutside { fallback } => fallback,
+        };
+        let rules = OutsideRules {
+            now: self.now,
+            candidates: &self.candidates,
+            slow_start: &self.slow_start,
+            exposure: &self.exposure,
+        };
+        let found = subsetting::add_outside(&mut self.endpoints, request, rules, &mut random);
+        subsetting::draw_outside(&self.selection(), &found, request, &mut random).or(fallback)
+    }
+
+    /// Whether the operator's rules close all endpoints that could take a request. Guards against holding it in
+    /// vain.
+    fn is_forbidden_everywhere(&self, id: RequestId) -> bool {
+        let Some(request) = self.requests.by_id.get(&id) else {
+            return false;
+        };
+        let catalog = &self.endpoints.catalog;
+        let mut places = catalog.builds_and_zones(request.confinement()).peekable();
+        places.peek().is_some()
+            && !places.any(|(build, zone)| self.exposure.is_permitted(build, zone, request))
+    }
+
+    fn give_up(&mut self, id: RequestId, reason: GiveUpReason, actions: &mut dyn Actions) {
+        actions.note(Note::GivenUp(reason));
+        let Some(request) = self.requests.by_id.remove(&id) else {
+            return;
+        };
+        if retry::may_reject(&request) {
+            let max_retry_after = self.requests.settings.max_retry_after;
+            let retry_after = admission::retry_after(&request.policy, max_retry_after);
+            actions.reject(id, retry_after);
+        } else {
+            actions.fail(id);
+        }
+    }
+
+    /// Records an attempt wherever something depends on it, and sends it.
+    fn send_attempt(&mut self, id: RequestId, endpoint: EndpointId, actions: &mut dyn Actions) {
+        let now = self.now;
+        let (Some(request), Some(record)) = (
+            self.requests.by_id.get_mut(&id),
+            self.endpoints.records.get_mut(&endpoint),
+        ) else {
+            return;
+        };
+        let class = request.request.class;
+        let listed = record.endpoint;
+        if self.exposure.limit(listed.build).is_some() {
+            let exposure_class = self.exposure.class(class);
+            self.exposure
+                .windows
+                .on_sent(exposure_class, listed.build, now);
+        }
+        let outstanding = OutstandingAttempt {
+            sent_at: now,
+            work: request.work,
+            class,
+            build: listed.build,
+            was_warming_up: self.analysis.is_canary(listed.build)
+                && self.slow_start.was_warming_up(&listed, now),
+            was_ejected: record.is_ejected(),
+        };
+        if outstanding.was_ejected {
+            self.notes.push(Note::Tried(endpoint));
+        }
+        let attempt_id = AttemptId {
+            request: id,
+            number: AttemptNumber(request.attempts.len() as u8),
+        };
+        let window = self.slow_start.settings.overload_window;
+        record.on_sent(now, window, attempt_id, outstanding);
+        let attempt = Attempt {
+            endpoint,
+            build: listed.build,
+            zone: listed.zone,
+            cell: listed.cell,
+            sent_at: now,
+            outcome: None,
+            is_cancelled: false,
+        };
+        // Until it is proved not to have run, it may have: it fixes the group and the window of its repeats.
+        request
+            .possible_execution
+            .get_or_insert(PossibleExecution::from(&attempt));
+        request.attempts.push(attempt);
+        actions.send_attempt(id, endpoint, Duration::ZERO);
+    }
+
+    /// Whether an attempt that waited for a connection may still be sent: its endpoint may be draining since, the
+    /// canary's cap or build may have changed, and the key may have been forgotten.
+    pub(super) fn may_still_send(&self, id: RequestId, number: AttemptNumber) -> bool {
+        let Some(request) = self.requests.by_id.get(&id) else {
+            return false;
+        };
+        let attempt = request.attempts.get(usize::from(number.0));
+        let Some(attempt) = attempt.filter(|attempt| !attempt.is_cancelled) else {
+            return false;
+        };
+        let is_first = request
+            .possible_execution
+            .is_none_or(|execution| execution.sent_at == attempt.sent_at);
+        let may_run = is_first || may_resend(request, self.now);
+        let listed = self.endpoints.endpoint(attempt.endpoint);
+        may_run
+            && listed.is_some_and(|endpoint| {
+                endpoint.status == EndpointStatus::Ready && endpoint.build == attempt.build
+            })
+            && self.exposure.admits(attempt.build, attempt.zone, request)
+    }
+}
--- /dev/null
+++ b/crates/decision/src/engine/mod.rs
@@ -0,0 +1,241 @@
+//! The engine: one round takes events in and hands actions out. It owns the state and calls the policies; the
+//! submodules are the parts of a round.
+mod attempts;
+mod event_handling;
+mod outcomes;
+mod refresh;
+
+use std::collections::BTreeSet;
+use std::time::Duration;
+
+use rand::{RngExt, SeedableRng};
+use rand_pcg::Pcg64Mcg;
+
+use crate::actions::{Actions, Note};
+use crate::events::EventHandler;
+use crate::model::{EndpointId, EngineSettings, FleetPosition, RequestId, TimerId, Zone};
+use crate::policy::admission::Overload;
+use crate::policy::exposure::Exposure;
+use crate::policy::list_polling::ListPolling;
+use crate::policy::load_balancing::EndpointSelection;
+use crate::policy::release_analysis::ReleaseAnalysis;
+use crate::policy::slow_start::SlowStart;
+use crate::policy::subsetting::MIN_SUBSET_SIZE;
+use crate::policy::voting::VoteInputs;
+use crate::state::candidates::{Candidates, Subset};
+use crate::state::demand::Demand;
+use crate::state::endpoint_table::EndpointTable;
+use crate::state::load_estimate::LoadEstimate;
+use crate::state::pending_requests::PendingRequests;
+use crate::state::schedule::Schedule;
+
+/// The load estimate is refreshed once in so many ticks, or once for as many events as there are records.
+const REFRESH_TICKS: u32 = 20;
+/// A wake-up later than this many ticks: the agent itself stood still, and takes none of it for others' faults.
+const STALL_TICKS: u32 = 20;
+/// The engine wakes up again after so many ticks at the earliest.
+const MIN_PAUSE_TICKS: u32 = 2;
+/// Share of attempts without a connection at which connections are short.
+const CONNECTION_SHORTAGE: f64 = 0.05;
+/// Bounds of the random pause between own reports, as shares of the minimum stage time.
+const REPORT_PAUSE: std::ops::Range<f64> = 0.5..0.8;
+
+/// Makes all decisions of one agent. Everything that happened since the last round goes into
+/// [`DecisionEngine::round`]; what is decided comes out of it.
+#[derive(Debug)]
+pub struct DecisionEngine {
+    now: Duration,
+    tick: Duration,
+    random: Pcg64Mcg,
+    zone: Zone,
+    fleet_position: FleetPosition,
+    list_polling: ListPolling,
+    endpoints: EndpointTable,
+    subset: Subset,
+    candidates: Candidates,
+    slow_start: SlowStart,
+    exposure: Exposure,
+    analysis: ReleaseAnalysis,
+    requests: PendingRequests,
+    demand: Demand,
+    load: LoadEstimate,
+    schedule: Schedule,
+    /// Notes of this round.
+    notes: Vec<Note>,
+}
+
+impl DecisionEngine {
+    /// An engine that has seen nothing yet.
+    pub fn new(settings: EngineSettings) -> Self {
+        let fleet_position = settings.fleet_position;
+        let class_count = settings.requests.classes.len();
+        DecisionEngine {
+            now: Duration::ZERO,
+            tick: settings.tick,
+            random: Pcg64Mcg::seed_from_u64(settings.seed),
+            zone: settings.zone,
+            fleet_position,
+            list_polling: ListPolling::new(settings.discovery),
+            endpoints: EndpointTable::new(MIN_SUBSET_SIZE as usize),
+            subset: Subset::new(MIN_SUBSET_SIZE),
+            candidates: Candidates::default(),
+            slow_start: SlowStart {
+                settings: settings.slow_start,
+            },
+            exposure: Exposure::new(settings.tick, settings.exposure),
+            analysis: ReleaseAnalysis::new(fleet_position, class_count, settings.release_analysis),
+            requests: PendingRequests::new(settings.requests),
+            demand: Demand::default(),
+            load: LoadEstimate::default(),
+            schedule: Schedule::default(),
+            notes: Vec::new(),
+        }
+    }
+
+    /// Makes one round at an instant: `events` delivers all that happened since the last round, `actions` takes
+    /// what is decided. Instants must not decrease from round to round.
+    pub fn round(
+        &mut self,
+        now: Duration,
+        events: impl FnOnce(&mut dyn EventHandler),
+        actions: &mut dyn Actions,
+    ) {
+        self.begin(now);
+        events(self);
+        if self.list_polling.take_due(now) {
+            actions.watch_endpoints(true);
+        }
+        if now >= self.schedule.refresh_at || self.schedule.events > self.endpoints.records.len() {
+            self.refresh();
+            self.close_idle_connections(actions);
+        }
+        let check_at = self.attend_requests(actions);
+        let mut is_awake = !self.requests.by_id.is_empty() || self.schedule.events > 0;
+        is_awake |= self.attend_release(actions);
+        self.notes.drain(..).for_each(|note| actions.note(note));
+        self.schedule_wake_up(check_at, is_awake, actions);
+    }
+
+    fn begin(&mut self, now: Duration) {
+        let previous = std::mem::replace(&mut self.now, now);
+        let started_at = *self.exposure.windows.started_at.get_or_insert(now);
+        let latest_wake_up = self
+            .schedule
+            .wake_up_at
+            .saturating_add(self.tick * STALL_TICKS);
+        if previous >= started_at && now > latest_wake_up {
+            self.schedule.resumed_at = now;
+        }
+        self.schedule.elapsed += now.saturating_sub(previous.max(started_at));
+        self.exposure.trim(now);
+    }
+
+    /// Closes connections to endpoints that have left the subset. Where connections are short, all idle ones are
+    /// closed, to go round among agents. Guards against endpoints that accept far fewer than usual; costs
+    /// handshakes.
+    fn close_idle_connections(&mut self, actions: &mut dyn Actions) {
+        let idle = if self.demand.connection_shortage(self.now) > CONNECTION_SHORTAGE {
+            self.endpoints.disconnect_idle()
+        } else {
+            Vec::new()
+        };
+        idle.into_iter()
+            .chain(self.subset.removed.drain(..))
+            .for_each(|endpoint| actions.close_idle_connections(endpoint));
+    }
+
+    /// Attends to all requests, the oldest first; returns when to look at one again without an event.
+    fn attend_requests(&mut self, actions: &mut dyn Actions) -> Duration {
+        let order: BTreeSet<(Duration, RequestId)> = self
+            .requests
+            .by_id
+            .iter()
+            .map(|(&id, request)| (request.arrived_at, id))
+            .collect();
+        let mut check_at = self.now + self.tick * REFRESH_TICKS;
+        for (_, id) in order {
+            if let Some(next) = self.attend_request(id, actions) {
+                check_at = check_at.min(next);
+            }
+        }
+        check_at
+    }
+
+    /// Reports on the newest build and votes on it; returns whether there may be more to do before another event.
+    fn attend_release(&mut self, actions: &mut dyn Actions) -> bool {
+        let Some(status) = self.exposure.release_status else {
+            return false;
+        };
+        let pause = self.random.random_range(REPORT_PAUSE);
+        let resumed_at = self.schedule.resumed_at;
+        self.analysis
+            .report(self.now, resumed_at, status, pause, actions);
+        let inputs = VoteInputs {
+            now: self.now,
+            status,
+            lost_share: self.load.lost_share,
+            is_held: self.exposure.is_held(status),
+        };
+        self.analysis
+            .warn_and_vote(inputs, &self.endpoints, actions)
+    }
+
+    /// Schedules the next round. With nothing pending, outstanding or to be analysed, the next event brings its
+    /// own refresh: until then, none is due.
+    fn schedule_wake_up(&mut self, check_at: Duration, is_awake: bool, actions: &mut dyn Actions) {
+        let is_idle = !is_awake
+            && self
+                .endpoints
+                .walk()
+                .all(|record| record.outstanding.is_empty());
+        let next = if is_idle {
+            self.list_polling.next_request_at
+        } else {
+            Some(check_at.max(self.now + self.tick * MIN_PAUSE_TICKS))
+        };
+        let scheduled = self.schedule.wake_up_at;
+        if scheduled <= self.now || next.is_some_and(|next| next < scheduled) {
+            self.schedule.wake_up_at = next.unwrap_or(Duration::MAX);
+            if let Some(next) = next {
+                actions.schedule_wake_up(next, TimerId(0));
+            }
+        }
+    }
+
+    fn overload(&self) -> Overload<'_> {
+        Overload {
+            now: self.now,
+            started_at: self.exposure.windows.started_at,
+            endpoints: &self.endpoints,
+            load: &self.load,
+        }
+    }
+
+    fn selection(&self) -> EndpointSelection<'_> {
+        EndpointSelection {
+            now: self.now,
+            local_zone: self.zone,
+            endpoints: &self.endpoints,
+            candidates: &self.candidates,
+            subset_is_full: self.subset.is_full,
+            load: &self.load,
+            evidence: &self.analysis.evidence,
+            slow_start: &self.slow_start,
+            exposure: &self.exposure,
+        }
+    }
+
+    /// The endpoints that this agent works with: all that are listed, or the subset of a long list. For tests and
+    /// measurements.
+    pub fn members(&self) -> impl Iterator<Item = EndpointId> {
+        let records = self.endpoints.records.iter();
+        records
+            .filter(|(_, record)| record.rank.is_some())
+            .map(|(&id, _)| id)
+    }
+
+    /// Rows of the list and records looked at since the start, for tests and measurements. Nothing depends on it.
+    pub fn visited(&self) -> u64 {
+        self.endpoints.catalog.visited()
+    }
+}
--- /dev/null
+++ b/crates/decision/src/engine/refresh.rs
@@ -0,0 +1,100 @@
+//! What is worked out once for many events: the load estimate, silent endpoints, the subset and the odds.
+use std::time::Duration;
+
+use super::{DecisionEngine, REFRESH_TICKS};
+use crate::model::PerArm;
+use crate::policy::endpoint_odds::OddsInputs;
+use crate::policy::load_balancing::recent_pace;
+use crate::policy::outlier_ejection::{self, eject_silent, max_silence};
+use crate::policy::subsetting::{SubsetSelection, assigned_count};
+use crate::state::evidence::WorkSums;
+use crate::state::half_lives::{BASELINE, RECENT};
+
+/// So many requests served are "a few".
+const FEW_REQUESTS: f64 = 5.0;
+
+impl DecisionEngine {
+    /// Walks over the endpoints once, and brings everything up to date that requests are decided on.
+    pub(super) fn refresh(&mut self) {
+        self.schedule.refresh_at = self.now + self.tick * REFRESH_TICKS;
+        self.schedule.events = 0;
+        self.refresh_load();
+        self.eject_silent_endpoints();
+        self.refresh_candidates();
+        let few_requests = Duration::from_secs_f64(FEW_REQUESTS / self.load.served_rate.max(1.0));
+        self.load.few_requests = few_requests.clamp(RECENT, BASELINE);
+        if let Some(status) = self.exposure.release_status {
+            let paces = self.endpoints.paces_before(self.now, status.build);
+            self.analysis.evidence.model_paces.extend(paces);
+            self.load.lost_share = self.analysis.lost_share(self.now, status, &self.load);
+        }
+    }
+
+    fn refresh_load(&mut self) {
+        let now = self.now;
+        let elapsed = std::mem::take(&mut self.schedule.elapsed);
+        let listed_weight = self.endpoints.catalog.weight();
+        let weight_seconds = self.demand.on_elapsed(now, elapsed, listed_weight);
+        let served_work = &mut self.analysis.evidence.served_work;
+        served_work.add(WorkSums {
+            baseline: served_work.baseline_capacity * weight_seconds,
+            ..WorkSums::default()
+        });
+        self.load.refresh(now, &self.endpoints, &self.demand);
+        let median = self
+            .endpoints
+            .median(|record| recent_pace(record, now, &self.load));
+        self.load.median_pace = median.unwrap_or(self.load.baseline_pace);
+    }
+
+    fn eject_silent_endpoints(&mut self) {
+        let max_silence = max_silence(self.load.median_pace, self.load.mean_work);
+        let resumed_at = self.schedule.resumed_at;
+        eject_silent(
+            &mut self.endpoints,
+            self.now,
+            max_silence,
+            resumed_at,
+            &mut self.notes,
+        );
+    }
+
+    fn refresh_candidates(&mut self) {
+        let assigned_count = assigned_count(&self.load);
+        let mut first_assigned = PerArm::default();
+        if self.endpoints.has_subset {
+            let selection = SubsetSelection {
+                now: self.now,
+                fleet_position: self.fleet_position,
+                slow_start: &self.slow_start,
+                exposure: &self.exposure,
+                assigned_count,
+            };
+            first_assigned = selection.choose(&mut self.subset, &mut self.endpoints);
+        } else {
+            self.subset.is_full = false;
+        }
+        let inputs = OddsInputs {
+            now: self.now,
+            fleet_position: self.fleet_position,
+            load: &self.load,
+            slow_start: &self.slow_start,
+            exposure: &self.exposure,
+            is_panic: outlier_ejection::is_panic(&self.endpoints, self.subset.is_full),
+            assigned_count,
+            first_assigned,
+        };
+        self.candidates = inputs.candidates(&mut self.endpoints);
+        self.load.work_due = self.work_due();
+    }
+
+    /// Work in hand and to come in the window over which overload is measured, in seconds.
+    fn work_due(&self) -> f64 {
+        let window = self.slow_start.settings.overload_window;
+        let window_start = self.now.saturating_sub(window);
+        let received = self.exposure.windows.all_received_since(window_start) as f64;
+        let expected = self.load.request_rate * window.as_secs_f64();
+        let requests = received.max(expected) + self.requests.by_id.len() as f64;
+        requests * self.load.mean_work
+    }
+}
--- a/crates/decision/src/model/endpoint.rs
+++ b/crates/decision/src/model/endpoint.rs
@@ -47,3 +47,17 @@
     /// Where it stands.
     pub zone: Zone,
 }
+
+impl Endpoint {
+    /// How long its process has been running; `None` for long.
+    pub(crate) fn age(&self, now: Duration) -> Option<Duration> {
+        self.started.map(|started| now.saturating_sub(started))
+    }
+}
+
+/// The zone and the cell that a request has to stay in, if any.
+#[derive(Clone, Copy, Debug, Default)]
+pub(crate) struct Confinement {
+    pub(crate) zone: Option<Zone>,
+    pub(crate) cell: Option<Cell>,
+}
--- a/crates/decision/src/model/release.rs
+++ b/crates/decision/src/model/release.rs
@@ -1,6 +1,8 @@
 //! Releases: where a build stands, and how agents vote on it.
 use std::time::Duration;
 
+use super::ids::{Build, Stage};
+
 /// Where a build stands in its rollout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReleasePhase {
@@ -46,3 +48,15 @@
     /// The answer to the call that casts a vote may take this long.
     pub call_timeout: Duration,
 }
+
+/// Where the newest build stands, as the release control plane said last.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct ReleaseStatus {
+    pub(crate) build: Build,
+    pub(crate) stage: Stage,
+    pub(crate) phase: ReleasePhase,
+    /// Highest share of requests that the build may get, 0 to 1.
+    pub(crate) cap: f64,
+    /// When this stage began.
+    pub(crate) since: Duration,
+}
--- /dev/null
+++ b/crates/decision/src/policy/mod.rs
@@ -0,0 +1,14 @@
+//! All decisions, one concern a module. Each tuned constant stands beside the policy that uses it.
+pub(crate) mod admission;
+pub(crate) mod endpoint_odds;
+pub(crate) mod exposure;
+pub(crate) mod list_polling;
+pub(crate) mod load_balancing;
+pub(crate) mod outcome_scoring;
+pub(crate) mod outlier_ejection;
+pub(crate) mod release_analysis;
+pub(crate) mod retry;
+pub(crate) mod sequential_test;
+pub(crate) mod slow_start;
+pub(crate) mod subsetting;
+pub(crate) mod voting;
--- /dev/null
+++ b/crates/decision/src/policy/sequential_test.rs
@@ -0,0 +1,170 @@
+//! The mixture sequential probability ratio test (mSPRT) of Johari, Koomen, Pekelis and Walsh, "Peeking at A/B
+//! Tests" (KDD 2017), for two failure rates. Formula and section numbers are the paper's. Pure statistics:
+//! nothing here knows what the outcomes are of.
+use std::collections::BTreeMap;
+
+use crate::model::EndpointId;
+
+/// What a sequential test is made with.
+#[derive(Clone, Copy, Debug)]
+pub struct SequentialTestSettings {
+    /// Tolerated difference of the two failure rates (the paper's theta0).
+    pub tolerated_difference: f64,
+    /// Standard deviation of the normal mixing distribution over that difference (the paper's tau).
+    pub mixing_deviation: f64,
+    /// Level of the test: its probability of a false alarm (the paper's alpha).
+    pub level: f64,
+}
+
+/// How many outcomes, and how many of them are failures.
+#[derive(Clone, Copy, Debug, Default)]
+pub(crate) struct Trials {
+    pub(crate) outcomes: f64,
+    pub(crate) failures: f64,
+}
+
+impl Trials {
+    /// Adds outcomes. There are never more failures than outcomes: a failure may be reported after its outcome
+    /// was counted as good.
+    fn add(&mut self, outcomes: f64, failures: f64) {
+        let total = self.outcomes + outcomes;
+        self.failures = (self.failures + failures).min(total);
+        self.outcomes = total;
+    }
+
+    fn rate(&self) -> f64 {
+        self.failures / self.outcomes.max(1.0)
+    }
+}
+
+/// The running intersection of confidence intervals (formula 10).
+#[derive(Clone, Copy, Debug)]
+struct ConfidenceInterval {
+    lower: f64,
+    upper: f64,
+}
+
+impl ConfidenceInterval {
+    const UNBOUNDED: ConfidenceInterval = ConfidenceInterval {
+        lower: f64::MIN,
+        upper: f64::MAX,
+    };
+}
+
+/// A mixture sequential probability ratio test (mSPRT) of two failure rates: those of the earlier builds (the
+/// paper's X) and of the canary (its Y).
+#[derive(Debug)]
+pub struct SequentialTest {
+    settings: SequentialTestSettings,
+    baseline: Trials,
+    canary: Trials,
+    by_canary_endpoint: BTreeMap<EndpointId, Trials>,
+    p_value: f64,
+    interval: ConfidenceInterval,
+}
+
+impl SequentialTest {
+    /// A test without any outcome.
+    pub fn new(settings: SequentialTestSettings) -> Self {
+        SequentialTest {
+            settings,
+            baseline: Trials::default(),
+            canary: Trials::default(),
+            by_canary_endpoint: BTreeMap::new(),
+            p_value: 1.0,
+            interval: ConfidenceInterval::UNBOUNDED,
+        }
+    }
+
+    /// The always valid p-value, 0 to 1: the canary is worse at the test's level once this is no higher.
+    pub fn p_value(&self) -> f64 {
+        self.p_value
+    }
+
+    /// Adds outcomes, how many of them are failures, and the canary's endpoint that they come from; `None` for
+    /// the earlier builds.
+    pub fn observe(&mut self, canary_endpoint: Option<EndpointId>, outcomes: f64, failures: f64) {
+        self.count(canary_endpoint, outcomes, failures);
+        let n = self.baseline.outcomes.min(self.canary.outcomes);
+        let (x, y) = (self.baseline.rate(), self.canary.rate());
+        // The variance V of formula 12; the likelihood ratio is 1 where it is 0.
+        let variance = x * (1.0 - x) + y * (1.0 - y);
+        if n < 1.0 || variance <= 0.0 {
+            return;
+        }
+        let SequentialTestSettings {
+            tolerated_difference,
+            mixing_deviation,
+            level,
+        } = self.settings;
+        let mixed = variance + n * mixing_deviation * mixing_deviation;
+        let spread = 2.0 * variance * mixed / (n * mixing_deviation).powi(2);
+        // Formula 12.
+        let likelihood_ratio =
+            (variance / mixed).sqrt() * ((y - x - tolerated_difference).powi(2) / spread).exp();
+        // Formula 9, but one-sided: a canary that was better for a while must not look worse for it later.
+        if y - x > tolerated_difference {
+            self.p_value = self.p_value.min(1.0 / likelihood_ratio);
+        }
+        // Formula 10 for formula 12: all differences whose likelihood ratio stays below 1 / level.
+        let half_width = (spread * ((1.0 / level).ln() + 0.5 * (mixed / variance).ln())).sqrt();
+        self.interval = ConfidenceInterval {
+            lower: self.interval.lower.max(y - x - half_width),
+            upper: self.interval.upper.min(y - x + half_width),
+        };
+        // Section 4.4: when the estimate leaves the interval, inference begins anew.
+        if y - x < self.interval.lower || y - x > self.interval.upper {
+            self.p_value = 1.0;
+            self.interval = ConfidenceInterval::UNBOUNDED;
+        }
+    }
+
+    fn count(&mut self, canary_endpoint: Option<EndpointId>, outcomes: f64, failures: f64) {
+        let Some(endpoint) = canary_endpoint else {
+            self.baseline.add(outcomes, failures);
+            return;
+        };
+        self.canary.add(outcomes, failures);
+        self.by_canary_endpoint
+            .entry(endpoint)
+            .or_default()
+            .add(outcomes, failures);
+    }
+
+    /// By how much the canary's failure rate is higher.
+    pub(crate) fn difference(&self) -> f64 {
+        self.canary.rate() - self.baseline.rate()
+    }
+
+    /// The failure rate of the earlier builds.
+    pub(crate) fn baseline_rate(&self) -> f64 {
+        self.baseline.rate()
+    }
+
+    /// How many outcomes of the canary were observed.
+    pub(crate) fn canary_outcomes(&self) -> f64 {
+        self.canary.outcomes
+    }
+
+    /// Whether the canary is worse by more than the tolerated difference.
+    pub(crate) fn is_worse(&self) -> bool {
+        self.difference() > self.settings.tolerated_difference
+    }
+
+    pub(crate) fn tolerated_difference(&self) -> f64 {
+        self.settings.tolerated_difference
+    }
+
+    /// The outcomes of those of the canary's endpoints that the filter accepts, the highest failure rate first.
+    pub(crate) fn worst_first(&self, accepts: impl Fn(EndpointId) -> bool) -> Vec<Trials> {
+        let mut trials: Vec<Trials> = self
+            .by_canary_endpoint
+            .iter()
+            .filter(|(endpoint, _)| accepts(**endpoint))
+            .map(|(_, trials)| *trials)
+            .collect();
+        let rate = |trials: &Trials| trials.failures / trials.outcomes;
+        trials.sort_by(|one, other| rate(other).total_cmp(&rate(one)));
+        trials
+    }
+}
--- /dev/null
+++ b/crates/decision/src/policy/voting.rs
@@ -0,0 +1,228 @@
+//! Votes: whether the newest build advances, is held or is rolled back, and when a vote is repeated.
+use std::time::Duration;
+
+use super::release_analysis::{ReleaseAnalysis, is_doubtful};
+use super::sequential_test::SequentialTest;
+use crate::actions::Actions;
+use crate::model::{AdvanceRule, Outcome, ReleasePhase, ReleaseStatus, Vote};
+use crate::peer_reports::codec;
+use crate::state::endpoint_table::EndpointTable;
+use crate::state::votes::{Ballot, CastVote};
+
+/// After the release, rolling back costs some time without service: it is not worth it for a lower difference of
+/// failure rates.
+const MIN_DIFFERENCE_RELEASED: f64 = 0.05;
+/// From the start of the canary's newest endpoint to the vote to advance: the design's 3 s, and some for a late
+/// clock.
+const ADVANCE_WAIT: Duration = Duration::from_millis(3500);
+/// So many waits in doubt over pace or capacity.
+const WAITS_IN_DOUBT: u32 = 3;
+/// So many in doubt over failures, which a good build does not have.
+const WAITS_IN_DOUBT_OVER_FAILURES: u32 = 6;
+/// Stand-ins for the aggregators vote so many waits later at least, spread over [`STAND_IN_SPREAD`] more.
+const STAND_IN_DELAY: f64 = 1.0;
+const STAND_IN_SPREAD: f64 = 2.0;
+/// Share both of the baseline's and of the requested work that must be lost to convict a build that slows old
+/// and new alike; half of it holds the advance. Short slowdowns pass.
+const MAX_LOST_SHARE: f64 = 0.35;
+/// After the release, capacity must have been lost for this long to convict.
+const LOSS_TIME_RELEASED: Duration = Duration::from_secs(15);
+/// The list shows endpoints late: a stage whose endpoints it does not show has begun after so many minimum stage
+/// times at the latest.
+const MAX_LIST_DELAY_STAGES: u32 = 6;
+
+/// What a vote is decided on besides the tests.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct VoteInputs {
+    pub(crate) now: Duration,
+    pub(crate) status: ReleaseStatus,
+    /// Share of capacity that is lost.
+    pub(crate) lost_share: f64,
+    /// The operator's rules hold the build at its stage; a rollback is never held up.
+    pub(crate) is_held: bool,
+}
+
+impl ReleaseAnalysis {
+    /// Warns peers and votes; returns whether there may be more to do before another event.
+    pub(crate) fn warn_and_vote(
+        &mut self,
+        inputs: VoteInputs,
+        endpoints: &EndpointTable,
+        actions: &mut dyn Actions,
+    ) -> bool {
+        let status = inputs.status;
+        if inputs.lost_share <= MAX_LOST_SHARE {
+            self.voting.last_tolerable_loss = inputs.now;
+        }
+        self.warn(inputs, endpoints, actions);
+        let Some(vote) = self.vote(inputs, endpoints) else {
+            return status.phase == ReleasePhase::Canary || self.has_more_to_report(status);
+        };
+        let ballot = Ballot {
+            build: status.build,
+            stage: status.stage,
+            vote,
+        };
+        self.cast(inputs, ballot, actions);
+        true
+    }
+
+    /// An aggregator that is in doubt warns all peers, so that none votes to advance what it is about to convict.
+    fn warn(&mut self, inputs: VoteInputs, endpoints: &EndpointTable, actions: &mut dyn Actions) {
+        let VoteInputs { now, status, .. } = inputs;
+        let minimum_stage_time = self.settings.minimum_stage_time;
+        if status.phase != ReleasePhase::Canary || self.build != Some(status.build) {
+            return;
+        }
+        let oldest_fail = self.oldest_fail(endpoints, status.build);
+        if oldest_fail {
+            self.voting.warned_until = now + minimum_stage_time;
+        }
+        let is_in_doubt = oldest_fail || self.tests.iter().any(is_doubtful);
+        if self.fleet_position.can_message_peers
+            && is_in_doubt
+            && self.is_aggregator(status.build)
+            && now >= self.voting.next_warning_at
+        {
+            self.voting.next_warning_at = now + minimum_stage_time / 2;
+            actions.send_to_peer(None, &codec::write_warning(status.build));
+        }
+    }
+
+    /// Casts a vote, unless the same one was cast and is not to be repeated yet.
+    fn cast(&mut self, inputs: VoteInputs, ballot: Ballot, actions: &mut dyn Actions) {
+        let timing = self.settings.vote_timing;
+        let same = self
+            .voting
+            .last_vote
+            .as_ref()
+            .filter(|last| last.ballot == ballot);
+        if let Some(last) = same {
+            let pause = match last.answer {
+                Some(Outcome::Succeeded) => timing.validity * 4 / 5,
+                Some(_) => timing.call_timeout / 4,
+                None => timing.call_timeout * 2,
+            };
+            if inputs.now < last.cast_at + pause {
+                return;
+            }
+        } else {
+            actions.log(&vote_line(ballot, inputs.lost_share, &self.tests));
+        }
+        self.voting.last_vote = Some(CastVote {
+            ballot,
+            cast_at: inputs.now,
+            answer: None,
+        });
+        actions.vote(ballot.build, ballot.stage, ballot.vote);
+    }
+
+    fn vote(&self, inputs: VoteInputs, endpoints: &EndpointTable) -> Option<Vote> {
+        let status = inputs.status;
+        let is_released = match status.phase {
+            ReleasePhase::Canary => false,
+            ReleasePhase::Released => true,
+            ReleasePhase::RollingBack | ReleasePhase::Withdrawn => return None,
+        };
+        if self.build != Some(status.build) {
+            return None;
+        }
+        if self.is_convicted(inputs, is_released) {
+            return Some(Vote::RollBack);
+        }
+        if is_released {
+            return None;
+        }
+        let is_in_doubt =
+            self.tests.iter().any(is_doubtful) || inputs.lost_share > MAX_LOST_SHARE / 2.0;
+        if self.settings.advance_rule == AdvanceRule::Timed {
+            let doubt_ends = status.since + self.settings.minimum_stage_time * 4 / 3;
+            let is_held = inputs.is_held || is_in_doubt && inputs.now < doubt_ends;
+            return is_held.then_some(Vote::Hold);
+        }
+        self.may_advance(inputs, is_in_doubt, endpoints)
+            .then_some(Vote::Advance)
+    }
+
+    fn is_convicted(&self, inputs: VoteInputs, is_released: bool) -> bool {
+        let (min_difference, loss_time) = if is_released {
+            (MIN_DIFFERENCE_RELEASED, LOSS_TIME_RELEASED)
+        } else {
+            (0.0, Duration::ZERO)
+        };
+        let level = self.level();
+        let convicts = |test: &SequentialTest| {
+            test.p_value() <= level && is_doubtful(test) && test.difference() > min_difference
+        };
+        let convicting_tests = self.convicting_tests(inputs.status.build);
+        self.tests.iter().take(convicting_tests).any(convicts)
+            || inputs.now > self.voting.last_tolerable_loss + loss_time
+    }
+
+    /// Whether it is time to vote to advance. The aggregators vote first; others stand in, spread at random, if
+    /// none of them does. In doubt, an agent and those that it warned wait for more outcomes, longer over
+    /// failures. Guards against agents that vote to advance what another is about to convict.
+    fn may_advance(
+        &self,
+        inputs: VoteInputs,
+        is_in_doubt: bool,
+        endpoints: &EndpointTable,
+    ) -> bool {
+        let VoteInputs { now, status, .. } = inputs;
+        let Some(newest) = endpoints.catalog.latest_start(status.build) else {
+            return false;
+        };
+        let mut failure_tests = self.tests.iter().rev().skip(1);
+        let is_failing = failure_tests.any(is_doubtful) || now < self.voting.warned_until;
+        let waits = if is_failing {
+            WAITS_IN_DOUBT_OVER_FAILURES
+        } else if is_in_doubt {
+            WAITS_IN_DOUBT
+        } else {
+            1
+        };
+        let stand_in_waits = if self.is_aggregator(status.build) {
+            0.0
+        } else {
+            STAND_IN_DELAY + STAND_IN_SPREAD * self.voting.stand_in_draw
+        };
+        let due = newest + ADVANCE_WAIT * waits + ADVANCE_WAIT.mul_f64(stand_in_waits);
+        self.is_stage_shown(now, status, endpoints)
+            && !inputs.is_held
+            && now >= due
+            && now >= status.since + self.settings.minimum_stage_time
+    }
+
+    /// Whether the list shows the endpoints of a stage. It runs late: until then the stage has not begun to wait.
+    fn is_stage_shown(
+        &self,
+        now: Duration,
+        status: ReleaseStatus,
+        endpoints: &EndpointTable,
+    ) -> bool {
+        let stage = usize::from(status.stage.0);
+        let stage_share = self.settings.stage_shares.get(stage).copied();
+        let canaries = endpoints.catalog.count_running(status.build);
+        let added = if self.settings.in_place { 0 } else { canaries };
+        let places = endpoints.catalog.ready_count() - added;
+        canaries as f64 + 0.5 >= stage_share.unwrap_or(1.0) * places as f64
+            || now >= status.since + self.settings.minimum_stage_time * MAX_LIST_DELAY_STAGES
+    }
+}
+
+/// The log line of a new vote: what it asks, the share of capacity lost, and of each test the canary's outcomes,
+/// the difference and the p-value.
+fn vote_line(ballot: Ballot, lost_share: f64, tests: &[SequentialTest]) -> String {
+    let Ballot { build, stage, vote } = ballot;
+    let tests: String = tests
+        .iter()
+        .map(|test| {
+            let (outcomes, difference) = (test.canary_outcomes(), test.difference());
+            format!(" {outcomes:.0}:{difference:+.2} p{:.3}", test.p_value())
+        })
+        .collect();
+    format!(
+        "vote {vote:?} on build {} stage {} lost {lost_share:.2}{tests}",
+        build.0, stage.0
+    )
+}
--- /dev/null
+++ b/crates/decision/src/state/exposure_windows.rs
@@ -0,0 +1,65 @@
+//! What the exposure rule counts, exactly: requests in a sliding window.
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::time::Duration;
+
+use crate::model::{Build, IdempotencyKey, RequestClass};
+
+/// Requests that are counted together: those of one class, or all (class 0).
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct ExposureClass(pub(crate) RequestClass);
+
+/// Times at which requests arrived and attempts were sent to canaries, oldest first.
+#[derive(Debug, Default)]
+pub(crate) struct ExposureWindows {
+    /// When the agent's first round began.
+    pub(crate) started_at: Option<Duration>,
+    received: BTreeMap<ExposureClass, VecDeque<Duration>>,
+    sent: BTreeMap<(ExposureClass, Build), VecDeque<Duration>>,
+    /// Keys of the requests that the canary has answered.
+    pub(crate) answered: BTreeSet<IdempotencyKey>,
+}
+
+impl ExposureWindows {
+    /// Counts a request.
+    pub(crate) fn on_request(&mut self, class: ExposureClass, now: Duration) {
+        self.received.entry(class).or_default().push_back(now);
+    }
+
+    /// Counts an attempt that is sent to a canary.
+    pub(crate) fn on_sent(&mut self, class: ExposureClass, build: Build, now: Duration) {
+        self.sent.entry((class, build)).or_default().push_back(now);
+    }
+
+    /// Attempts sent to a build since then.
+    pub(crate) fn sent_since(&self, class: ExposureClass, build: Build, from: Duration) -> usize {
+        let times = self.sent.get(&(class, build));
+        times.map_or(0, |times| count_since(times, from))
+    }
+
+    /// Requests of a class received since then.
+    pub(crate) fn received_since(&self, class: ExposureClass, from: Duration) -> usize {
+        let times = self.received.get(&class);
+        times.map_or(0, |times| count_since(times, from))
+    }
+
+    /// Requests of all classes received since then.
+    pub(crate) fn all_received_since(&self, from: Duration) -> usize {
+        let counts = self.received.values();
+        counts.map(|times| count_since(times, from)).sum()
+    }
+
+    /// Forgets what happened before.
+    pub(crate) fn trim(&mut self, before: Duration) {
+        for times in self.received.values_mut().chain(self.sent.values_mut()) {
+            while times.front().is_some_and(|time| *time < before) {
+                times.pop_front();
+            }
+        }
+        self.sent.retain(|_, times| !times.is_empty());
+    }
+}
+
+/// How many of these times, in order, are not before another.
+fn count_since(times: &VecDeque<Duration>, from: Duration) -> usize {
+    times.len() - times.partition_point(|time| *time < from)
+}
--- /dev/null
+++ b/crates/decision/src/state/pending_requests.rs
@@ -0,0 +1,150 @@
+//! Requests that are waiting for their final answer, and their attempts.
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+use crate::model::{
+    AttemptNumber, Build, Cell, ClassPolicy, Confinement, DeduplicationScope, Endpoint, EndpointId,
+    Idempotency, Outcome, Request, RequestId, RequestSettings, Zone,
+};
+
+/// An attempt, as its request remembers it.
+#[derive(Debug)]
+pub(crate) struct Attempt {
+    pub(crate) endpoint: EndpointId,
+    pub(crate) build: Build,
+    pub(crate) zone: Zone,
+    pub(crate) cell: Cell,
+    pub(crate) sent_at: Duration,
+    /// How it ended; `None` while it is outstanding.
+    pub(crate) outcome: Option<Outcome>,
+    pub(crate) is_cancelled: bool,
+}
+
+/// The first attempt that may have run: it fixes where and until when its repeats are dropped.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct PossibleExecution {
+    pub(crate) sent_at: Duration,
+    pub(crate) zone: Zone,
+    pub(crate) cell: Cell,
+}
+
+impl From<&Attempt> for PossibleExecution {
+    fn from(attempt: &Attempt) -> Self {
+        PossibleExecution {
+            sent_at: attempt.sent_at,
+            zone: attempt.zone,
+            cell: attempt.cell,
+        }
+    }
+}
+
+/// A random draw of a request that stands for a while.
+#[derive(Clone, Copy, Debug, Default)]
+pub(crate) struct RandomDraw {
+    pub(crate) valid_until: Duration,
+    /// 0 to 1.
+    pub(crate) value: f64,
+}
+
+/// A request that is waiting for its final answer.
+#[derive(Debug)]
+pub(crate) struct PendingRequest {
+    pub(crate) request: Request,
+    pub(crate) policy: ClassPolicy,
+    /// Estimated work, in seconds on the reference core.
+    pub(crate) work: f64,
+    pub(crate) arrived_at: Duration,
+    pub(crate) attempts: Vec<Attempt>,
+    pub(crate) possible_execution: Option<PossibleExecution>,
+    /// Decides whether this may be the first request to an endpoint that is warming up.
+    pub(crate) slow_start_draw: RandomDraw,
+}
+
+impl PendingRequest {
+    /// Whether an endpoint would drop this as a repeat, if it may have run before.
+    pub(crate) fn may_go_to(&self, endpoint: &Endpoint) -> bool {
+        let Confinement { zone, cell } = self.confinement();
+        zone.is_none_or(|zone| endpoint.zone == zone)
+            && cell.is_none_or(|cell| endpoint.cell == cell)
+    }
+
+    /// Where this has to stay, if it may have run before.
+    pub(crate) fn confinement(&self) -> Confinement {
+        let mut confinement = Confinement::default();
+        match (self.policy.idempotency, self.possible_execution) {
+            (Idempotency::Keyed(DeduplicationScope::Zone), Some(execution)) => {
+                confinement.zone = Some(execution.zone);
+            }
+            (Idempotency::Keyed(DeduplicationScope::Cell), Some(execution)) => {
+                confinement.cell = Some(execution.cell);
+            }
+            _ => {}
+        }
+        confinement
+    }
+
+    /// Whether an attempt has gone to an endpoint already.
+    pub(crate) fn was_sent_to(&self, endpoint: EndpointId) -> bool {
+        self.attempts
+            .iter()
+            .any(|attempt| attempt.endpoint == endpoint)
+    }
+
+    /// Records how an attempt ended, and which is now the first that may have run.
+    pub(crate) fn on_attempt_ended(&mut self, number: AttemptNumber, outcome: Outcome) {
+        if let Some(attempt) = self.attempts.get_mut(usize::from(number.0)) {
+            attempt.outcome = Some(outcome);
+        }
+        let first = self
+            .attempts
+            .iter()
+            .find(|attempt| attempt.outcome.is_none_or(Outcome::may_have_run));
+        self.possible_execution = first.map(PossibleExecution::from);
+    }
+
+    /// The first attempt that is outstanding.
+    pub(crate) fn first_outstanding(&self) -> Option<(AttemptNumber, &Attempt)> {
+        self.attempts
+            .iter()
+            .enumerate()
+            .find(|(_, attempt)| attempt.outcome.is_none())
+            .map(|(index, attempt)| (AttemptNumber(index as u8), attempt))
+    }
+
+    /// How the latest attempt ended; `None` without an attempt, or while it is outstanding.
+    pub(crate) fn last_outcome(&self) -> Option<Outcome> {
+        self.attempts.last().and_then(|attempt| attempt.outcome)
+    }
+}
+
+/// All pending requests, and what is agreed for them.
+#[derive(Debug)]
+pub(crate) struct PendingRequests {
+    pub(crate) settings: RequestSettings,
+    /// No answer may be later than this; until a shutdown begins, `Duration::MAX`.
+    pub(crate) shutdown_deadline: Duration,
+    pub(crate) by_id: BTreeMap<RequestId, PendingRequest>,
+}
+
+impl PendingRequests {
+    pub(crate) fn new(settings: RequestSettings) -> Self {
+        PendingRequests {
+            settings,
+            shutdown_deadline: Duration::MAX,
+            by_id: BTreeMap::new(),
+        }
+    }
+
+    /// The policy of a class, if there is such a class.
+    pub(crate) fn policy(&self, class: crate::model::RequestClass) -> Option<&ClassPolicy> {
+        self.settings.classes.get(usize::from(class.0))
+    }
+
+    /// Begins a shutdown: every deadline moves to this instant at the latest.
+    pub(crate) fn shut_down(&mut self, deadline: Duration) {
+        self.shutdown_deadline = deadline;
+        for pending in self.by_id.values_mut() {
+            pending.request.deadline = pending.request.deadline.min(deadline);
+        }
+    }
+}
--- a/crates/operator-config/src/places.rs
+++ b/crates/operator-config/src/places.rs
@@ -94,7 +94,7 @@
     };
     places.zones = kind("zone", &known.zones, ZONES);
     places.firms = kind("firm", &[], FIRMS);
-    places.products = kind("product", &known.products, ReleasePermissions::PRODUCTS);
+    places.products = kind("product", &known.products, ReleasePermissions::MAX_CLASSES);
     for (what, names) in [
         ("zone", &places.zones),
         ("firm", &places.firms),
