--- a/crates/decision/src/actions.rs
+++ b/crates/decision/src/actions.rs
@@ -69,7 +69,7 @@
 /// Something worth recording beside the actions. Nothing depends on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Note {
-    /// An endpoint gets no requests for a while.
+    /// An endpoint gets no requests for some time.
     Ejected {
         /// The endpoint.
         endpoint: EndpointId,
--- a/crates/decision/src/engine/event_handling.rs
+++ b/crates/decision/src/engine/event_handling.rs
@@ -160,7 +160,7 @@
     }
 
     fn on_shutdown(&mut self, deadline: Duration) {
-        self.requests.shut_down(deadline);
+        self.requests.begin_shutdown(deadline);
     }
 
     fn on_wrong_answer(&mut self, endpoint: EndpointId, class: RequestClass, sent_ago: Duration) {
--- a/crates/decision/src/engine/mod.rs
+++ b/crates/decision/src/engine/mod.rs
@@ -1,4 +1,4 @@
-//! The engine: one round takes events in and hands actions out. It owns the state and calls the policies; the
+//! The engine: one round takes events in and passes actions out. It owns the state and calls the policies; the
 //! submodules are the parts of a round.
 mod attempts;
 mod event_handling;
@@ -29,7 +29,7 @@
 use crate::state::pending_requests::PendingRequests;
 use crate::state::schedule::Schedule;
 
-/// The load estimate is refreshed once in so many ticks, or once for as many events as there are records.
+/// The load estimate is refreshed after so many ticks, or after as many events as there are records.
 const REFRESH_TICKS: u32 = 20;
 /// A wake-up later than this many ticks: the agent itself stood still, and takes none of it for others' faults.
 const STALL_TICKS: u32 = 20;
@@ -131,7 +131,7 @@
     }
 
     /// Closes connections to endpoints that have left the subset. Where connections are short, all idle ones are
-    /// closed, to go round among agents. Guards against endpoints that accept far fewer than usual; costs
+    /// closed, so that other agents get their turn. Guards against endpoints that accept far fewer than usual; costs
     /// handshakes.
     fn close_idle_connections(&mut self, actions: &mut dyn Actions) {
         let idle = if self.demand.connection_shortage(self.now) > CONNECTION_SHORTAGE {
--- a/crates/decision/src/engine/outcomes.rs
+++ b/crates/decision/src/engine/outcomes.rs
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Hands an outcome to the tests. Slowness counts only without a queue, while both builds answer, and not of
+    /// Passes an outcome to the tests. Slowness counts only without a queue, while both builds answer, and not of
     /// an endpoint that was warming up, which is slow but fails no more than others. Guards against bursts, slow
     /// starts, dead machines and shared slowdowns.
     fn analyse(&mut self, ended: &EndedAt<'_>, is_endpoint_alive: bool) {
--- a/crates/decision/src/engine/refresh.rs
+++ b/crates/decision/src/engine/refresh.rs
@@ -1,4 +1,4 @@
-//! What is worked out once for many events: the load estimate, silent endpoints, the subset and the odds.
+//! What is worked out periodically, for many events: the load estimate, silent endpoints, the subset and the odds.
 use std::time::Duration;
 
 use super::{DecisionEngine, REFRESH_TICKS};
@@ -14,7 +14,7 @@
 const FEW_REQUESTS: f64 = 5.0;
 
 impl DecisionEngine {
-    /// Walks over the endpoints once, and brings everything up to date that requests are decided on.
+    /// Walks over the endpoints, and brings everything up to date that requests are decided on.
     pub(super) fn refresh(&mut self) {
         self.schedule.refresh_at = self.now + self.tick * REFRESH_TICKS;
         self.schedule.events = 0;
--- a/crates/decision/src/events.rs
+++ b/crates/decision/src/events.rs
@@ -1,4 +1,4 @@
-//! What the host tells the decision module: one method for each event.
+//! What the host reports to the decision module: one method for each event.
 use std::sync::Arc;
 use std::time::Duration;
 
--- a/crates/decision/src/model/endpoint.rs
+++ b/crates/decision/src/model/endpoint.rs
@@ -55,7 +55,7 @@
     }
 }
 
-/// The zone and the cell that a request has to stay in, if any.
+/// The zone and the cell that a request is confined to, if any.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Confinement {
     pub(crate) zone: Option<Zone>,
--- a/crates/decision/src/model/request.rs
+++ b/crates/decision/src/model/request.rs
@@ -14,7 +14,7 @@
     Cell,
 }
 
-/// Whether a request may be sent again once an attempt may have run.
+/// Whether a request may be sent again after an attempt may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
     /// Always.
--- a/crates/decision/src/model/settings.rs
+++ b/crates/decision/src/model/settings.rs
@@ -33,7 +33,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct EndpointDiscoverySettings {
     /// The time within which all agents of a fleet request the list after a common start or failure; `None`
-    /// where the platform pushes the list without being asked.
+    /// where the platform pushes the list without a request.
     pub request_within: Option<Duration>,
 }
 
--- a/crates/decision/src/peer_reports/aggregation.rs
+++ b/crates/decision/src/peer_reports/aggregation.rs
@@ -41,7 +41,7 @@
         !self.counts.is_empty()
     }
 
-    /// Takes what fits into one report, in turn by key, so that no key waits for others forever; the rest stays.
+    /// Takes what fits into one report, in turn by key, so that no key waits for others forever; the rest is left.
     /// A sum that no single entry can hold takes several.
     pub(crate) fn take(&mut self) -> AggregatedReport {
         let behind = self
--- a/crates/decision/src/policy/list_polling.rs
+++ b/crates/decision/src/policy/list_polling.rs
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Whether the list is to be requested now; once for each time that it is due.
+    /// Whether the list is to be requested now. Each due time counts one time only.
     pub(crate) fn take_due(&mut self, now: Duration) -> bool {
         self.next_request_at.take_if(|at| *at <= now).is_some()
     }
--- a/crates/decision/src/policy/load_balancing.rs
+++ b/crates/decision/src/policy/load_balancing.rs
@@ -25,7 +25,7 @@
 const REMOTE_ZONE_COST: f64 = 2.0;
 /// Weight of the failure share in the cost: an endpoint that fails everything costs ten times as much.
 const FAILURE_COST: f64 = 0.9;
-/// An endpoint's recent pace counts fully against its baseline once it rests on the work of so many requests.
+/// An endpoint's recent pace counts fully against its baseline when it rests on the work of so many requests.
 const PACE_PRIOR_REQUESTS: f64 = 2.0;
 /// Lower bound of an endpoint's long-run pace.
 const MIN_PACE: f64 = 1e-3;
--- a/crates/decision/src/policy/outcome_scoring.rs
+++ b/crates/decision/src/policy/outcome_scoring.rs
@@ -60,7 +60,7 @@
 
     /// Against the model's usual time for work between the rough estimate and the mean.
     fn is_slow(&self, model_pace: f64) -> bool {
-        let usual_work = self.attempt.work + self.mean_work;
-        self.took.as_secs_f64() > SLOW_MULTIPLE * model_pace * usual_work / 2.0
+        let typical_work = self.attempt.work + self.mean_work;
+        self.took.as_secs_f64() > SLOW_MULTIPLE * model_pace * typical_work / 2.0
     }
 }
--- a/crates/decision/src/policy/outlier_ejection.rs
+++ b/crates/decision/src/policy/outlier_ejection.rs
@@ -1,4 +1,4 @@
-//! Outlier ejection: endpoints that fail, break connections or fall silent get no requests for a while.
+//! Outlier ejection: endpoints that fail, break connections or fall silent get no requests for some time.
 use std::time::Duration;
 
 use crate::actions::{EjectionReason, Note};
--- a/crates/decision/src/policy/release_analysis.rs
+++ b/crates/decision/src/policy/release_analysis.rs
@@ -1,4 +1,4 @@
-//! Release analysis: sequential tests on the outcomes of a canary, own and reported ones, and what they say.
+//! Release analysis: sequential tests on the outcomes of a canary, own and reported ones, and what they show.
 use std::time::Duration;
 
 use super::sequential_test::{SequentialTest, SequentialTestSettings, Trials};
@@ -258,7 +258,7 @@
 
     /// The share of capacity that is lost, against what it was at the end of the stage before: a build that slows
     /// all endpoints does so in step with its stages; what came earlier is not its doing. Only with enough traffic
-    /// to tell, a past, and for an aggregator: of hundreds of agents one always has a bad day. It harms where
+    /// to tell, a past, and for an aggregator: of hundreds of agents one is always in trouble of its own. It harms where
     /// another fault comes with a stage.
     pub(crate) fn lost_share(
         &mut self,
--- a/crates/decision/src/policy/retry.rs
+++ b/crates/decision/src/policy/retry.rs
@@ -11,7 +11,7 @@
 const MAX_EXPECTED_SECONDS: f64 = 15.0;
 /// No attempt begins within so many ticks of the deadline.
 const MIN_TIME_LEFT_TICKS: u32 = 4;
-/// An attempt may be lost once it has taken so many times the expected time...
+/// An attempt may be lost when it has taken so many times the expected time...
 const PATIENCE_MULTIPLE: u32 = 4;
 /// ... and a fraction of the latency objective: one divided by this.
 const PATIENCE_OBJECTIVE_DIVISOR: u32 = 4;
@@ -41,7 +41,7 @@
     ) -> Self {
         let expected = load.median_pace * request.work.max(load.mean_work);
         let expected = Duration::from_secs_f64(expected.min(MAX_EXPECTED_SECONDS));
-        // Once the agent shuts down, nothing begins of which it would not see the end.
+        // When the agent shuts down, nothing begins of which it would not see the end.
         let deadline = request.request.deadline;
         let needed = if deadline == limits.shutdown_deadline {
             expected
@@ -97,8 +97,8 @@
 }
 
 /// The probability with which a request whose last attempt failed is retried: as far as retries have helped of
-/// late. Guards against storms over requests that fail wherever they go; harms for a while where a fault has
-/// just passed.
+/// late. Guards against storms over requests that fail wherever they go; harms for some time where a fault
+/// has just passed.
 pub(crate) fn retry_probability(retry_success: f64) -> f64 {
     retry_success + RETRY_BONUS
 }
--- a/crates/decision/src/policy/slow_start.rs
+++ b/crates/decision/src/policy/slow_start.rs
@@ -15,7 +15,7 @@
 /// What the budget of an endpoint is worked out from.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SlowStartLoad {
-    /// Work in seconds that the endpoint would carry in a second once it has warmed up.
+    /// Work in seconds that the endpoint would carry in a second after warming up.
     pub(crate) full_rate: f64,
     /// All work due in the window, in seconds.
     pub(crate) work_due: f64,
@@ -48,7 +48,7 @@
 
     /// Whether a request keeps this agent's part of the endpoint's budget: what it would send to one of the same
     /// weight that has warmed up, so that all agents' parts add up to what such a one carries. A part below one
-    /// request is a chance of one: the request's random draw, once a window, against twice (for the two choices)
+    /// request is a chance of one: the request's random draw, renewed each window, against twice (for the two choices)
     /// what would go there of all work due. Guards against the first requests of hundreds of agents.
     pub(crate) fn admits(
         &self,
--- a/crates/decision/src/policy/voting.rs
+++ b/crates/decision/src/policy/voting.rs
@@ -7,7 +7,7 @@
 use crate::model::{AdvanceRule, Outcome, ReleasePhase, ReleaseStatus, Vote};
 use crate::peer_reports::codec;
 use crate::state::endpoint_table::EndpointTable;
-use crate::state::votes::{Ballot, CastVote};
+use crate::state::votes::{CastVote, StageVote};
 
 /// After the release, rolling back costs some time without service: it is not worth it for a lower difference of
 /// failure rates.
@@ -58,12 +58,12 @@
         let Some(vote) = self.vote(inputs, endpoints) else {
             return status.phase == ReleasePhase::Canary || self.has_more_to_report(status);
         };
-        let ballot = Ballot {
+        let stage_vote = StageVote {
             build: status.build,
             stage: status.stage,
             vote,
         };
-        self.cast(inputs, ballot, actions);
+        self.cast(inputs, stage_vote, actions);
         true
     }
 
@@ -90,13 +90,13 @@
     }
 
     /// Casts a vote, unless the same one was cast and is not to be repeated yet.
-    fn cast(&mut self, inputs: VoteInputs, ballot: Ballot, actions: &mut dyn Actions) {
+    fn cast(&mut self, inputs: VoteInputs, stage_vote: StageVote, actions: &mut dyn Actions) {
         let timing = self.settings.vote_timing;
         let same = self
             .voting
             .last_vote
             .as_ref()
-            .filter(|last| last.ballot == ballot);
+            .filter(|last| last.stage_vote == stage_vote);
         if let Some(last) = same {
             let pause = match last.answer {
                 Some(Outcome::Succeeded) => timing.validity * 4 / 5,
@@ -107,14 +107,14 @@
                 return;
             }
         } else {
-            actions.log(&vote_line(ballot, inputs.lost_share, &self.tests));
+            actions.log(&vote_line(stage_vote, inputs.lost_share, &self.tests));
         }
         self.voting.last_vote = Some(CastVote {
-            ballot,
+            stage_vote,
             cast_at: inputs.now,
             answer: None,
         });
-        actions.vote(ballot.build, ballot.stage, ballot.vote);
+        actions.vote(stage_vote.build, stage_vote.stage, stage_vote.vote);
     }
 
     fn vote(&self, inputs: VoteInputs, endpoints: &EndpointTable) -> Option<Vote> {
@@ -212,8 +212,8 @@
 
 /// The log line of a new vote: what it asks, the share of capacity lost, and of each test the canary's outcomes,
 /// the difference and the p-value.
-fn vote_line(ballot: Ballot, lost_share: f64, tests: &[SequentialTest]) -> String {
-    let Ballot { build, stage, vote } = ballot;
+fn vote_line(stage_vote: StageVote, lost_share: f64, tests: &[SequentialTest]) -> String {
+    let StageVote { build, stage, vote } = stage_vote;
     let tests: String = tests
         .iter()
         .map(|test| {
--- a/crates/decision/src/state/endpoint_catalog.rs
+++ b/crates/decision/src/state/endpoint_catalog.rs
@@ -83,7 +83,7 @@
             .max()
     }
 
-    /// The ready endpoints of a cell, once round from the one at a random index.
+    /// The ready endpoints of a cell, a full turn from the one at a random index.
     pub(crate) fn in_cell(&self, cell: Cell, start: usize) -> impl Iterator<Item = &Endpoint> {
         let from = self.cells.partition_point(|(other, _)| *other < cell);
         let to = self.cells.partition_point(|(other, _)| *other <= cell);
--- a/crates/decision/src/state/evidence.rs
+++ b/crates/decision/src/state/evidence.rs
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Takes the whole part of the own sums, in hundredths of a second; the rest stays for the next time.
+    /// Takes the whole part of the own sums, in hundredths of a second; the rest is left for the next report.
     pub(crate) fn take_whole(&mut self) -> WorkSums<u16> {
         let take = |sum: &mut f64| {
             let whole = sum.floor().clamp(0.0, f64::from(u16::MAX));
--- a/crates/decision/src/state/hash_ring.rs
+++ b/crates/decision/src/state/hash_ring.rs
@@ -50,7 +50,7 @@
     side: Side,
 ) -> impl Iterator<Item = EndpointId> {
     let mut rings: Vec<_> = rings
-        .map(|ring| once_round(ring, from, side).peekable())
+        .map(|ring| full_turn(ring, from, side).peekable())
         .collect();
     std::iter::from_fn(move || {
         let heads = rings.iter_mut().enumerate().filter_map(|(index, ring)| {
@@ -67,8 +67,8 @@
     ring.partition_point(|(other, _)| *other < position)
 }
 
-/// One ring from a position on, once round.
-fn once_round(
+/// One ring from a position on, a full turn.
+fn full_turn(
     ring: &Ring,
     from: Position,
     side: Side,
--- a/crates/decision/src/state/pending_requests.rs
+++ b/crates/decision/src/state/pending_requests.rs
@@ -4,7 +4,7 @@
 
 use crate::model::{
     AttemptNumber, Build, Cell, ClassPolicy, Confinement, DeduplicationScope, Endpoint, EndpointId,
-    Idempotency, Outcome, Request, RequestId, RequestSettings, Zone,
+    Idempotency, Outcome, Request, RequestClass, RequestId, RequestSettings, Zone,
 };
 
 /// An attempt, as its request remembers it.
@@ -68,7 +68,7 @@
             && cell.is_none_or(|cell| endpoint.cell == cell)
     }
 
-    /// Where this has to stay, if it may have run before.
+    /// Where this is confined to, if it may have run before.
     pub(crate) fn confinement(&self) -> Confinement {
         let mut confinement = Confinement::default();
         match (self.policy.idempotency, self.possible_execution) {
@@ -136,12 +136,12 @@
     }
 
     /// The policy of a class, if there is such a class.
-    pub(crate) fn policy(&self, class: crate::model::RequestClass) -> Option<&ClassPolicy> {
+    pub(crate) fn policy(&self, class: RequestClass) -> Option<&ClassPolicy> {
         self.settings.classes.get(usize::from(class.0))
     }
 
     /// Begins a shutdown: every deadline moves to this instant at the latest.
-    pub(crate) fn shut_down(&mut self, deadline: Duration) {
+    pub(crate) fn begin_shutdown(&mut self, deadline: Duration) {
         self.shutdown_deadline = deadline;
         for pending in self.by_id.values_mut() {
             pending.request.deadline = pending.request.deadline.min(deadline);
--- a/crates/decision/src/state/votes.rs
+++ b/crates/decision/src/state/votes.rs
@@ -3,9 +3,9 @@
 
 use crate::model::{Build, Outcome, Stage, Vote};
 
-/// What a vote is on, and what it asks.
+/// A vote, and the stage of a build that it is on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Ballot {
+pub(crate) struct StageVote {
     pub(crate) build: Build,
     pub(crate) stage: Stage,
     pub(crate) vote: Vote,
@@ -14,7 +14,7 @@
 /// A vote that was cast.
 #[derive(Debug)]
 pub(crate) struct CastVote {
-    pub(crate) ballot: Ballot,
+    pub(crate) stage_vote: StageVote,
     pub(crate) cast_at: Duration,
     /// How the call that cast it ended; `None` until then.
     pub(crate) answer: Option<Outcome>,
