--- a/crates/capacity/src/verdict.rs
+++ b/crates/capacity/src/verdict.rs
@@ -20,7 +20,7 @@
 use crate::result::{Experiment, Quantity, Role, Sample, Size, Source};
 use crate::target::Target;
 
-/// Bytes of a report's head, and of each count in it (`src/report.rs`).
+/// Bytes of a report's head, and of each count in it (`peer_reports/codec.rs` of the decision crate).
 const REPORT_HEAD_BYTES: usize = 16;
 const REPORT_RECORD_BYTES: usize = 9;
 const REPORT_MOST_BYTES: usize = 256;
@@ -31,8 +31,9 @@
 ///
 /// The defaults of `tolerance`, `deviation`, `level`, `least_outcomes`,
 /// `most_recent` and `report_spread` repeat the values of private constants
-/// and expressions of `src/brain.rs` (`THETA0`, `TAU`, `ALPHA`, `ENOUGH`,
-/// `few` and the argument of `report`); they have to be changed with those.
+/// and expressions of the decision crate (`TOLERATED_FAILURES`, `FAILURE_DEVIATION`, `LEVEL` and
+/// `MIN_CANARY_OUTCOMES` in `policy/release_analysis.rs`, `FEW_REQUESTS` and
+/// `REPORT_PAUSE` in `engine/`); they have to be changed with those.
 #[derive(Clone, Debug, PartialEq)]
 pub struct VerdictSettings {
     /// The worsening that is tolerated.
--- a/crates/decision/src/engine/mod.rs
+++ b/crates/decision/src/engine/mod.rs
@@ -16,6 +16,7 @@
 use crate::model::{EndpointId, EngineSettings, FleetPosition, RequestId, TimerId, Zone};
 use crate::policy::admission::Overload;
 use crate::policy::exposure::Exposure;
+use crate::policy::idle_connections;
 use crate::policy::list_polling::ListPolling;
 use crate::policy::load_balancing::EndpointSelection;
 use crate::policy::release_analysis::ReleaseAnalysis;
@@ -35,8 +36,6 @@
 const STALL_TICKS: u32 = 20;
 /// The engine wakes up again after so many ticks at the earliest.
 const MIN_PAUSE_TICKS: u32 = 2;
-/// Share of attempts without a connection at which connections are short.
-const CONNECTION_SHORTAGE: f64 = 0.05;
 /// Bounds of the random pause between own reports, as shares of the minimum stage time.
 const REPORT_PAUSE: std::ops::Range<f64> = 0.5..0.8;
 
@@ -130,16 +129,10 @@
         self.exposure.trim(now);
     }
 
-    /// Closes connections to endpoints that have left the subset. Where connections are short, all idle ones are
-    /// closed, so that other agents get their turn. Guards against endpoints that accept far fewer than usual; costs
-    /// handshakes.
+    /// Closes idle connections where connections are short, and those to endpoints that have left the subset.
     fn close_idle_connections(&mut self, actions: &mut dyn Actions) {
-        let idle = if self.demand.connection_shortage(self.now) > CONNECTION_SHORTAGE {
-            self.endpoints.disconnect_idle()
-        } else {
-            Vec::new()
-        };
-        idle.into_iter()
+        idle_connections::endpoints_to_close(self.now, &self.demand, &mut self.endpoints)
+            .into_iter()
             .chain(self.subset.removed.drain(..))
             .for_each(|endpoint| actions.close_idle_connections(endpoint));
     }
--- a/crates/decision/src/policy/list_polling.rs
+++ b/crates/decision/src/policy/list_polling.rs
@@ -10,6 +10,11 @@
 /// over a fortieth of it for each agent.
 const MAX_SPREAD_AGENTS: u32 = 20;
 
+/// The first backoff is this part of the time allowed, beyond the spread of the fleet's requests.
+const MIN_BACKOFF_DIVISOR: u32 = 20;
+/// A watch that was up and broke is requested within this part of the time allowed.
+const BROKEN_WATCH_DIVISOR: u32 = 5;
+
 /// Requests of the endpoint list.
 #[derive(Debug)]
 pub(crate) struct ListPolling {
@@ -50,14 +55,17 @@
             return;
         };
         let spread = within * agent_count.min(MAX_SPREAD_AGENTS) / (2 * MAX_SPREAD_AGENTS);
-        let min_backoff = within / 20 + spread;
+        let min_backoff = within / MIN_BACKOFF_DIVISOR + spread;
         let backoff = self.backoff;
         let jitter = random.random::<f64>();
         let (wait, next_backoff) = match update {
             ListUpdate::Cached => (spread.mul_f64(jitter), min_backoff),
-            ListUpdate::Failed if backoff.is_zero() => {
-                (min_backoff.min(within / 5).mul_f64(jitter), min_backoff)
-            }
+            ListUpdate::Failed if backoff.is_zero() => (
+                min_backoff
+                    .min(within / BROKEN_WATCH_DIVISOR)
+                    .mul_f64(jitter),
+                min_backoff,
+            ),
             ListUpdate::Failed => (backoff.mul_f64(0.5 + jitter), (backoff * 2).min(within)),
             ListUpdate::Delta | ListUpdate::Full => {
                 self.backoff = Duration::ZERO;
--- a/crates/decision/src/policy/mod.rs
+++ b/crates/decision/src/policy/mod.rs
@@ -2,6 +2,7 @@
 pub(crate) mod admission;
 pub(crate) mod endpoint_odds;
 pub(crate) mod exposure;
+pub(crate) mod idle_connections;
 pub(crate) mod list_polling;
 pub(crate) mod load_balancing;
 pub(crate) mod outcome_scoring;
--- a/crates/decision/src/policy/release_analysis.rs
+++ b/crates/decision/src/policy/release_analysis.rs
@@ -32,6 +32,10 @@
 const LEVEL: f64 = 0.05;
 /// Outcomes of the canary without which a test says nothing.
 pub(crate) const MIN_CANARY_OUTCOMES: f64 = 20.0;
+/// Failures of the canary's oldest endpoints that hold the advance.
+const MIN_OLDEST_FAILURES: f64 = MIN_CANARY_OUTCOMES / 6.0;
+/// Excess of an oldest endpoint's failure rate over the baseline's from which its failures count.
+const OLDEST_EXCESS: f64 = 2.0 * TOLERATED_FAILURES;
 /// Work requested without which no lost capacity is measured, in requests.
 const MIN_REQUESTED: f64 = 1.25 * MIN_CANARY_OUTCOMES;
 
@@ -299,11 +303,11 @@
         };
         let oldest = test.worst_first(|id| is_of_earlier_stage(id) && !endpoints.is_ejected(id));
         let others = oldest.iter().skip((oldest.len() + 1) / 3);
-        let limit = test.baseline_rate() + 2.0 * TOLERATED_FAILURES;
+        let limit = test.baseline_rate() + OLDEST_EXCESS;
         let failures = others
             .filter(|trials| trials.failures / trials.outcomes > limit)
             .map(|trials| trials.failures);
-        failures.sum::<f64>() >= MIN_CANARY_OUTCOMES / 6.0
+        failures.sum::<f64>() >= MIN_OLDEST_FAILURES
     }
 }
 
--- a/crates/decision/src/policy/slow_start.rs
+++ b/crates/decision/src/policy/slow_start.rs
@@ -9,6 +9,8 @@
 /// Each agent sends at most this share of what would overload an endpoint. With 0.9, and by listed weight alone,
 /// an endpoint of a slow model was overloaded.
 const BUDGET_SHARE: f64 = 0.75;
+/// For so many eighths of the ramp slowness is no evidence.
+const EVIDENCE_RAMP_EIGHTHS: u32 = 9;
 /// A request chooses between two endpoints, so that one may get twice its share.
 const CHOICES: f64 = 2.0;
 
@@ -41,9 +43,9 @@
     /// Whether an endpoint was still slow from its start when something was sent to it. An eighth is left beyond
     /// the ramp, since the list shows starts late.
     pub(crate) fn was_warming_up(&self, endpoint: &Endpoint, sent_at: Duration) -> bool {
-        endpoint
-            .started
-            .is_some_and(|started| sent_at < started + self.settings.ramp * 9 / 8)
+        endpoint.started.is_some_and(|started| {
+            sent_at < started + self.settings.ramp * EVIDENCE_RAMP_EIGHTHS / 8
+        })
     }
 
     /// Whether a request keeps this agent's part of the endpoint's budget: what it would send to one of the same
--- a/crates/decision/src/policy/subsetting.rs
+++ b/crates/decision/src/policy/subsetting.rs
@@ -34,6 +34,8 @@
 const MAX_SIZE_PER_ASSIGNED: f64 = 5.0;
 /// Where hardly any endpoint can serve, the subset takes at most so many times as many as it wants.
 const MAX_WALK_FACTOR: usize = 4;
+/// With each refresh a side keeps so many sixteenths of its members at least, less one.
+const NARROWED_SIXTEENTHS: usize = 15;
 
 /// How many endpoints of an arm an agent mostly uses, even over all agents: more, the more it has outstanding.
 /// Guards against connections that carry a request or two; harms evenness where few agents request much.
@@ -171,7 +173,7 @@
         let catalog = &endpoints.catalog;
         let has_warmed_up =
             |endpoint: &Endpoint| self.slow_start.capacity_share(endpoint.age(self.now)) >= 1.0;
-        let narrowed = |reach: usize| (reach * 15 / 16).max(1) - 1;
+        let narrowed = |reach: usize| (reach * NARROWED_SIXTEENTHS / 16).max(1) - 1;
         Segment::new(
             catalog,
             self.fleet_position,
--- a/crates/decision/src/policy/voting.rs
+++ b/crates/decision/src/policy/voting.rs
@@ -31,6 +31,11 @@
 /// times at the latest.
 const MAX_LIST_DELAY_STAGES: u32 = 6;
 
+/// Under a clock, doubt holds a stage for so many thirds of the minimum stage time at most.
+const MAX_HOLD_THIRDS: u32 = 4;
+/// An accepted vote is repeated after so many fifths of its validity, so that it does not lapse.
+const REPEAT_FIFTHS: u32 = 4;
+
 /// What a vote is decided on besides the tests.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct VoteInputs {
@@ -99,7 +104,7 @@
             .filter(|last| last.stage_vote == stage_vote);
         if let Some(last) = same {
             let pause = match last.answer {
-                Some(Outcome::Succeeded) => timing.validity * 4 / 5,
+                Some(Outcome::Succeeded) => timing.validity * REPEAT_FIFTHS / 5,
                 Some(_) => timing.call_timeout / 4,
                 None => timing.call_timeout * 2,
             };
@@ -136,7 +141,8 @@
         let is_in_doubt =
             self.tests.iter().any(is_doubtful) || inputs.lost_share > MAX_LOST_SHARE / 2.0;
         if self.settings.advance_rule == AdvanceRule::Timed {
-            let doubt_ends = status.since + self.settings.minimum_stage_time * 4 / 3;
+            let max_hold = self.settings.minimum_stage_time * MAX_HOLD_THIRDS / 3;
+            let doubt_ends = status.since + max_hold;
             let is_held = inputs.is_held || is_in_doubt && inputs.now < doubt_ends;
             return is_held.then_some(Vote::Hold);
         }
--- a/crates/decision/src/state/demand.rs
+++ b/crates/decision/src/state/demand.rs
@@ -9,6 +9,9 @@
 /// Half-life of the rates of requests and attempts served.
 const RATE_HALF_LIFE: Duration = Duration::from_secs(5);
 
+/// So many attempts are assumed beside those counted, so that one alone is no shortage or overload.
+const PRIOR_ATTEMPTS: f64 = 2.0;
+
 /// How an attempt ended, as far as the demand is concerned.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct EndedAttempt {
@@ -138,7 +141,8 @@
 
     /// Share of attempts that found no connection where connections are short.
     pub(crate) fn connection_shortage(&self, now: Duration) -> f64 {
-        self.connection_shortage.share(now, BASELINE, 2.0)
+        self.connection_shortage
+            .share(now, BASELINE, PRIOR_ATTEMPTS)
     }
 
     /// Share of attempts that an endpoint rejected.
@@ -148,7 +152,7 @@
 
     /// Share of answers that came after the latency objective or not at all.
     pub(crate) fn late_share(&self, now: Duration, few_requests: Duration) -> f64 {
-        self.late_answers.share(now, few_requests, 2.0)
+        self.late_answers.share(now, few_requests, PRIOR_ATTEMPTS)
     }
 
     /// Share of retries that were served, 1 while there was none.
--- a/crates/decision/src/state/evidence.rs
+++ b/crates/decision/src/state/evidence.rs
@@ -105,6 +105,11 @@
     }
 }
 
+/// A share of the stage before counts as this much at least, so that a stage without service is no yardstick.
+const MIN_PREVIOUS_SHARE: f64 = 0.1;
+/// Own sums are kept in hundredths of a second, as they are reported.
+const UNITS_PER_SECOND: f64 = 100.0;
+
 /// Work served in time as shares, each 1 at most.
 #[derive(Clone, Copy, Debug)]
 struct ServedShares {
@@ -141,9 +146,9 @@
     /// Adds own work, in seconds, if there is a past to compare it with.
     pub(crate) fn add(&mut self, work: WorkSums<f64>) {
         if self.baseline_capacity > 0.0 {
-            self.own.in_time += 100.0 * work.in_time;
-            self.own.baseline += 100.0 * work.baseline;
-            self.own.requested += 100.0 * work.requested;
+            self.own.in_time += UNITS_PER_SECOND * work.in_time;
+            self.own.baseline += UNITS_PER_SECOND * work.baseline;
+            self.own.requested += UNITS_PER_SECOND * work.requested;
         }
     }
 
@@ -185,14 +190,15 @@
             of_baseline: (in_time / baseline.denominator.max(1e-9)).min(1.0),
             of_requested: (in_time / requested.max(1e-9)).min(1.0),
         };
-        let is_enough = requested > 100.0 * minimum_requested && baseline.denominator > 0.0;
+        let is_enough =
+            requested > UNITS_PER_SECOND * minimum_requested && baseline.denominator > 0.0;
         if std::mem::replace(&mut self.stage, stage) != stage {
             self.previous_stage = is_enough.then_some(shares);
         }
         let previous = self.previous_stage.filter(|_| is_enough)?;
         Some(f64::max(
-            shares.of_baseline / previous.of_baseline.max(0.1),
-            shares.of_requested / previous.of_requested.max(0.1),
+            shares.of_baseline / previous.of_baseline.max(MIN_PREVIOUS_SHARE),
+            shares.of_requested / previous.of_requested.max(MIN_PREVIOUS_SHARE),
         ))
     }
 }
--- a/crates/decision/src/state/load_estimate.rs
+++ b/crates/decision/src/state/load_estimate.rs
@@ -7,6 +7,9 @@
 /// Work that is assumed of a request, in seconds, before any is known.
 const INITIAL_WORK: f64 = 1e-3;
 
+/// Lower bound of the mean work of a request, in seconds.
+const MIN_MEAN_WORK: f64 = 1e-4;
+
 /// Fleet and demand at a glance. A pace is the time taken for a unit of estimated work.
 #[derive(Debug)]
 pub(crate) struct LoadEstimate {
@@ -56,7 +59,7 @@
         self.mean_weight = catalog.weight() / catalog.ready_count().max(1) as f64;
         self.baseline_pace = endpoints.mean_pace(now).unwrap_or(1.0);
         let mean_work = demand.mean_work(now, |_| true);
-        self.mean_work = mean_work.unwrap_or(INITIAL_WORK).max(1e-4);
+        self.mean_work = mean_work.unwrap_or(INITIAL_WORK).max(MIN_MEAN_WORK);
         self.served_rate = demand.served_rate(now);
         self.request_rate = demand.request_rate(now);
         self.capacity_per_weight = demand.capacity_per_weight(now);
