--- a/crates/capacity/src/verdict.rs
+++ b/crates/capacity/src/verdict.rs
@@ -1,6 +1,6 @@
 //! How long a release's test takes to turn back a bad build.
 //!
-//! The test is [`lilacgate_decision::Test`]; what surrounds it (who reports what
+//! The test is [`lilacgate_decision::SequentialTest`]; what surrounds it (who reports what
 //! to whom, and when a test speaks) is modelled here in virtual time for one
 //! service. Requests of each agent arrive by chance at the mean rate of one
 //! agent and service. An agent counts an outcome of an earlier build only while
@@ -12,7 +12,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use lilacgate_decision::{EndpointId, Test};
+use lilacgate_decision::{EndpointId, SequentialTest, SequentialTestSettings};
 use rand::{RngExt, SeedableRng};
 use rand_distr::{Distribution, Exp};
 use rand_pcg::Pcg64Mcg;
@@ -20,7 +20,7 @@
 use crate::result::{Experiment, Quantity, Role, Sample, Size, Source};
 use crate::target::Target;
 
-/// Bytes of a report's head, and of each count in it (`src/report.rs`).
+/// Bytes of a report's head, and of each count in it (`peer_reports/codec.rs` of the decision crate).
 const REPORT_HEAD_BYTES: usize = 16;
 const REPORT_RECORD_BYTES: usize = 9;
 const REPORT_MOST_BYTES: usize = 256;
@@ -31,8 +31,9 @@
 ///
 /// The defaults of `tolerance`, `deviation`, `level`, `least_outcomes`,
 /// `most_recent` and `report_spread` repeat the values of private constants
-/// and expressions of `src/brain.rs` (`THETA0`, `TAU`, `ALPHA`, `ENOUGH`,
-/// `few` and the argument of `report`); they have to be changed with those.
+/// and expressions of the decision crate (`TOLERATED_FAILURES`, `FAILURE_DEVIATION`, `LEVEL` and
+/// `MIN_CANARY_OUTCOMES` in `policy/release_analysis.rs`, `FEW_REQUESTS` and
+/// `REPORT_PAUSE` in `engine/`); they have to be changed with those.
 #[derive(Clone, Debug, PartialEq)]
 pub struct VerdictSettings {
     /// The worsening that is tolerated.
@@ -441,7 +442,8 @@
     }
 
     fn convicts(&self) -> bool {
-        let convicts = |one: &RouteTest| one.test.p <= self.level && one.is_doubtful(self.settings);
+        let convicts =
+            |one: &RouteTest| one.test.p_value() <= self.level && one.is_doubtful(self.settings);
         self.tests.iter().any(convicts)
     }
 }
@@ -449,7 +451,7 @@
 /// A test and the sums that decide when it may speak, which the module keeps to
 /// itself.
 struct RouteTest {
-    test: Test,
+    test: SequentialTest,
     earlier: (f64, f64),
     by_appliance: BTreeMap<EndpointId, (f64, f64)>,
 }
@@ -457,7 +459,11 @@
 impl RouteTest {
     fn new(settings: &VerdictSettings, level: f64) -> Self {
         RouteTest {
-            test: Test::new(settings.tolerance, settings.deviation, level),
+            test: SequentialTest::new(SequentialTestSettings {
+                tolerated_difference: settings.tolerance,
+                mixing_deviation: settings.deviation,
+                level,
+            }),
             earlier: (0.0, 0.0),
             by_appliance: BTreeMap::new(),
         }
@@ -475,7 +481,7 @@
     }
 
     /// Whether the trial looks worse on enough outcomes, also without the
-    /// quarter of its appliances that look worst (`Test::doubtful`).
+    /// quarter of its appliances that look worst (`SequentialTest`).
     fn is_doubtful(&self, settings: &VerdictSettings) -> bool {
         let mut by: Vec<(f64, f64)> = self.by_appliance.values().copied().collect();
         by.sort_by(|one, other| (other.1 / other.0).total_cmp(&(one.1 / one.0)));
