--- /dev/null
+++ b/crates/decision/tests/engine/main.rs
@@ -0,0 +1,5 @@
+//! Tests of the decision engine in virtual time: scripted scenarios, drawn orders of events, and properties of
+//! whole fleets of agents. No clock is read and no connection is opened; the tests play all that an agent sees.
+mod discovery;
+mod load;
+mod support;
