--- a/crates/decision/tests/engine/main.rs
+++ b/crates/decision/tests/engine/main.rs
@@ -3,4 +3,5 @@
 mod discovery;
 mod final_answers;
 mod load;
+mod same_decisions;
 mod support;
