--- a/crates/decision/tests/scenarios.rs
+++ b/crates/decision/tests/scenarios.rs
@@ -1,7 +1,7 @@
 //! Plays every scenario in `tests/scenarios`. A line holds steps, parted by `;`:
 //!
 //!     set KEY VALUE                        before the first round, changes what a part is made with
-//!     product KIND SLA [GROUP REMEMBERED]  KIND is inquiry, referenced or once; times in ms
+//!     class KIND OBJECTIVE [SCOPE WINDOW]  KIND is idempotent, keyed or non-idempotent; SCOPE all or zone
 //!     at MS                                begins a round; the events that follow come in with it
 //!     membership KIND ID:MODE:BUILD[:AGE[:ZONE]] ..   | request ID PRODUCT [DEADLINE] [MARK]   | left ID
 //!     ended ID/ATTEMPT APPLIANCE ENDING TOOK [closed] | stage BUILD STAGE COURSE CAP         | voted ENDING
@@ -155,7 +155,7 @@
         let span = |key, usual| Duration::from_secs_f64(set(key, usual) / 1000.0);
         let asks = set("asks", 0.0) > 0.0;
         let tick = Duration::from_millis(5);
-        let per_product = set("per-product", 0.0) > 0.0;
+        let per_product = set("per-class", 0.0) > 0.0;
         let guarded = set("guarded", 0.0) as u8;
         let forward_only = set("forward-only", 0.0) > 0.0;
         let free = set("free", 2.0);
@@ -313,12 +313,13 @@
                 self.set
                     .insert(key.to_string(), value.parse().expect("a number")),
             ),
-            ["product", kind, sla, group @ ..] => {
+            ["class", kind, sla, group @ ..] => {
                 let repeat = match (*kind, group) {
-                    ("referenced", ["all", ..]) => Idempotency::Keyed(DeduplicationScope::All),
-                    ("referenced", ["zone", ..]) => Idempotency::Keyed(DeduplicationScope::Zone),
-                    ("once", _) => Idempotency::NonIdempotent,
-                    _ => Idempotency::Idempotent,
+                    ("keyed", ["all", ..]) => Idempotency::Keyed(DeduplicationScope::All),
+                    ("keyed", ["zone", ..]) => Idempotency::Keyed(DeduplicationScope::Zone),
+                    ("non-idempotent", _) => Idempotency::NonIdempotent,
+                    ("idempotent", _) => Idempotency::Idempotent,
+                    _ => panic!("no class {kind} {group:?}"),
                 };
                 let remembered = group.get(1).map_or(Duration::ZERO, |m| ms(m));
                 let (sla, deadline) = (ms(sla), ms(sla) * 4);
