--- a/crates/decision/tests/scenarios.rs
+++ b/crates/decision/tests/scenarios.rs
@@ -3,7 +3,7 @@
 //!     set KEY VALUE                        before the first round, changes what a part is made with
 //!     class KIND OBJECTIVE [SCOPE WINDOW]  KIND is idempotent, keyed or non-idempotent; SCOPE all or zone
 //!     at MS                                begins a round; the events that follow come in with it
-//!     membership KIND ID:MODE:BUILD[:AGE[:ZONE]] ..   | request ID PRODUCT [DEADLINE] [MARK]   | left ID
+//!     endpoints full|delta|cached|failed ID:STATUS:BUILD[:AGE[:ZONE]] ..   | request ID PRODUCT [DEADLINE] [MARK]   | left ID
 //!     ended ID/ATTEMPT APPLIANCE ENDING TOOK [closed] | stage BUILD STAGE COURSE CAP         | voted ENDING
 //!     ends MS                              the agent ends then
 //!     burst MANY PRODUCT                   so many requests in one round
@@ -242,10 +242,11 @@
 
     fn membership(&mut self, kind: &str, entries: &[&str]) {
         let listing = match kind {
-            "whole" => ListUpdate::Full,
-            "changes" => ListUpdate::Delta,
-            "saved" => ListUpdate::Cached,
-            _ => ListUpdate::Failed,
+            "full" => ListUpdate::Full,
+            "delta" => ListUpdate::Delta,
+            "cached" => ListUpdate::Cached,
+            "failed" => ListUpdate::Failed,
+            other => panic!("no list update {other}"),
         };
         let now = self.now;
         let lines: Vec<Endpoint> = entries.iter().map(|e| line(e, now)).collect();
@@ -337,7 +338,7 @@
                 self.written.now.clear();
                 self.round(|_| {});
             }
-            ["membership", kind, entries @ ..] => self.membership(kind, entries),
+            ["endpoints", kind, entries @ ..] => self.membership(kind, entries),
             ["request", id, product, rest @ ..] => {
                 let deadline = rest
                     .first()
@@ -520,7 +521,8 @@
     let mode = match next() {
         Some("ready") => EndpointStatus::Ready,
         Some("draining") => EndpointStatus::Draining,
-        _ => EndpointStatus::Removed,
+        Some("removed") => EndpointStatus::Removed,
+        other => panic!("no endpoint status {other:?}"),
     };
     let build = Build(next().and_then(|p| p.parse().ok()).expect("a build"));
     let started = next()
