--- a/crates/decision/tests/scenarios.rs
+++ b/crates/decision/tests/scenarios.rs
@@ -4,7 +4,7 @@
 //!     class KIND OBJECTIVE [SCOPE WINDOW]  KIND is idempotent, keyed or non-idempotent; SCOPE all or zone
 //!     at MS                                begins a round; the events that follow come in with it
 //!     endpoints full|delta|cached|failed ID:STATUS:BUILD[:AGE[:ZONE]] ..   | request ID PRODUCT [DEADLINE] [MARK]   | left ID
-//!     ended ID/ATTEMPT APPLIANCE ENDING TOOK [closed] | stage BUILD STAGE COURSE CAP         | voted ENDING
+//!     ended ID/ATTEMPT ENDPOINT OUTCOME TOOK [closed] | stage BUILD STAGE COURSE CAP         | vote-answered OUTCOME
 //!     ends MS                              the agent ends then
 //!     burst MANY PRODUCT                   so many requests in one round
 //!     go ID/ATTEMPT yes|no                 whether it may still go after a wait for its connection
@@ -127,15 +127,15 @@
 
 fn ending(text: &str) -> Outcome {
     match text {
-        "served" => Outcome::Succeeded,
+        "succeeded" => Outcome::Succeeded,
         "failed" => Outcome::Failed,
-        "turned-away" => Outcome::Rejected,
+        "rejected" => Outcome::Rejected,
         "timed-out" => Outcome::TimedOut,
-        "unconnected" => Outcome::ConnectFailed,
-        "called-off" => Outcome::Cancelled,
-        "broken" => Outcome::ConnectionLost,
-        "spoilt" => Outcome::Malformed,
-        other => panic!("no ending {other}"),
+        "connect-failed" => Outcome::ConnectFailed,
+        "cancelled" => Outcome::Cancelled,
+        "connection-lost" => Outcome::ConnectionLost,
+        "malformed" => Outcome::Malformed,
+        other => panic!("no outcome {other}"),
     }
 }
 
@@ -396,7 +396,7 @@
                 let cap = cap.parse().expect("a cap");
                 self.round(|ear| ear.on_release_status(build, stage, course, cap, Duration::ZERO));
             }
-            ["voted", how] => self.round(|ear| ear.on_vote_answered(ending(how))),
+            ["vote-answered", how] => self.round(|ear| ear.on_vote_answered(ending(how))),
             ["wrong", at, product, ago] => {
                 let (at, product) = (
                     at.parse().expect("an id"),
