--- a/crates/decision/tests/scenarios.rs
+++ b/crates/decision/tests/scenarios.rs
@@ -4,7 +4,7 @@
 //!     class KIND OBJECTIVE [SCOPE WINDOW]  KIND is idempotent, keyed or non-idempotent; SCOPE all or zone
 //!     at MS                                begins a round; the events that follow come in with it
 //!     endpoints full|delta|cached|failed ID:STATUS:BUILD[:AGE[:ZONE]] ..   | request ID PRODUCT [DEADLINE] [MARK]   | left ID
-//!     ended ID/ATTEMPT ENDPOINT OUTCOME TOOK [closed] | stage BUILD STAGE COURSE CAP         | vote-answered OUTCOME
+//!     ended ID/ATTEMPT ENDPOINT OUTCOME TOOK [closed] | stage BUILD STAGE PHASE CAP         | vote-answered OUTCOME
 //!     ends MS                              the agent ends then
 //!     burst MANY PRODUCT                   so many requests in one round
 //!     go ID/ATTEMPT yes|no                 whether it may still go after a wait for its connection
@@ -384,10 +384,11 @@
             }
             ["stage", build, stage, course, cap] => {
                 let course = match *course {
-                    "trial" => ReleasePhase::Canary,
-                    "back" => ReleasePhase::RollingBack,
+                    "canary" => ReleasePhase::Canary,
+                    "rolling-back" => ReleasePhase::RollingBack,
                     "released" => ReleasePhase::Released,
-                    _ => ReleasePhase::Withdrawn,
+                    "withdrawn" => ReleasePhase::Withdrawn,
+                    other => panic!("no release phase {other}"),
                 };
                 let (build, stage) = (
                     Build(build.parse().expect("a build")),
