--- a/crates/decision/tests/scenarios.rs
+++ b/crates/decision/tests/scenarios.rs
@@ -75,7 +75,7 @@
 
 impl Actions for Written {
     fn send_attempt(&mut self, id: RequestId, to: EndpointId, _: Duration) {
-        self.put(format!("attempt {} {}", id.0, to.0));
+        self.put(format!("send {} {}", id.0, to.0));
         let attempt = self.attempts.entry(id).or_default();
         self.book
             .iter_mut()
@@ -84,21 +84,21 @@
         *attempt += 1;
     }
     fn reject(&mut self, id: RequestId, _: Duration) {
-        self.put(format!("decline {}", id.0));
+        self.put(format!("reject {}", id.0));
     }
     fn fail(&mut self, id: RequestId) {
-        self.put(format!("void {}", id.0));
+        self.put(format!("fail {}", id.0));
     }
     fn cancel(&mut self, id: RequestId, attempt: AttemptNumber) {
-        self.put(format!("call-off {}/{}", id.0, attempt.0));
+        self.put(format!("cancel {}/{}", id.0, attempt.0));
     }
     fn schedule_wake_up(&mut self, _: Duration, _: TimerId) {}
     fn check_health(&mut self, _: EndpointId) {}
     fn close_idle_connections(&mut self, at: EndpointId) {
-        self.put(format!("free-links {}", at.0));
+        self.put(format!("close-idle-connections {}", at.0));
     }
     fn send_to_peer(&mut self, _: Option<AgentId>, _: &[u8]) {
-        self.put("tell".into());
+        self.put("send-to-peer".into());
     }
     fn log(&mut self, text: &str) {
         println!("{text}");
