--- a/crates/decision/tests/scenarios.rs
+++ b/crates/decision/tests/scenarios.rs
@@ -3,14 +3,14 @@
 //!     set KEY VALUE                        before the first round, changes what a part is made with
 //!     class KIND OBJECTIVE [SCOPE WINDOW]  KIND is idempotent, keyed or non-idempotent; SCOPE all or zone
 //!     at MS                                begins a round; the events that follow come in with it
-//!     endpoints full|delta|cached|failed ID:STATUS:BUILD[:AGE[:ZONE]] ..   | request ID PRODUCT [DEADLINE] [MARK]   | left ID
+//!     endpoints full|delta|cached|failed ID:STATUS:BUILD[:AGE[:ZONE]] ..   | request ID PRODUCT [DEADLINE] [MARK]   | client-left ID
 //!     ended ID/ATTEMPT ENDPOINT OUTCOME TOOK [closed] | stage BUILD STAGE PHASE CAP         | vote-answered OUTCOME
-//!     ends MS                              the agent ends then
+//!     shutdown MS                          the agent ends then
 //!     burst MANY PRODUCT                   so many requests in one round
-//!     go ID/ATTEMPT yes|no                 whether it may still go after a wait for its connection
+//!     may-send ID/ATTEMPT yes|no               whether it may still go after a wait for its connection
 //!     open on|hold [BUILD:ZONE[:PRODUCTS]] ..  all that is open, as a mask of products, with the step on or without;
 //!                                          open all: the operator's rules are gone
-//!     wrong APPLIANCE PRODUCT AGO          an answer sent so long ago was found wrong
+//!     wrong-answer ENDPOINT CLASS AGO          an answer sent so long ago was found wrong
 //!     report FROM BUILD SERIAL T/U/A [ID:PRODUCT:MANY:BAD ..]  a peer's report: work in time, usual, asked, counts
 //!     noted TEXT                                    a note since the start holds this
 //!     restart                                       the agent dies and comes back
@@ -353,8 +353,8 @@
                     (0..many).for_each(|i| ear.on_request(RequestId(2_000_000 + i), request))
                 });
             }
-            ["ends", last] => self.round(|ear| ear.on_shutdown(ms(last))),
-            ["left", id] => {
+            ["shutdown", last] => self.round(|ear| ear.on_shutdown(ms(last))),
+            ["client-left", id] => {
                 self.round(|ear| ear.on_client_left(RequestId(id.parse().expect("an id"))))
             }
             ["ended", attempt, at, how, took, closed @ ..] => {
@@ -372,7 +372,7 @@
                     ear.on_attempt_ended(id, attempt, at, how, took, !closed.is_empty())
                 });
             }
-            ["go", attempt, want] => {
+            ["may-send", attempt, want] => {
                 let (id, attempt) = attempt.split_once('/').expect("ID/ATTEMPT");
                 let (id, attempt) = (
                     RequestId(id.parse().expect("an id")),
@@ -398,7 +398,7 @@
                 self.round(|ear| ear.on_release_status(build, stage, course, cap, Duration::ZERO));
             }
             ["vote-answered", how] => self.round(|ear| ear.on_vote_answered(ending(how))),
-            ["wrong", at, product, ago] => {
+            ["wrong-answer", at, product, ago] => {
                 let (at, product) = (
                     at.parse().expect("an id"),
                     product.parse().expect("a product"),
