--- a/crates/decision/tests/scenarios.rs
+++ b/crates/decision/tests/scenarios.rs
@@ -8,8 +8,8 @@
 //!     shutdown MS                          the agent ends then
 //!     burst MANY PRODUCT                   so many requests in one round
 //!     may-send ID/ATTEMPT yes|no               whether it may still go after a wait for its connection
-//!     open on|hold [BUILD:ZONE[:PRODUCTS]] ..  all that is open, as a mask of products, with the step on or without;
-//!                                          open all: the operator's rules are gone
+//!     permit advance|hold [BUILD:ZONE[:CLASSES]] ..  all that is permitted, as a mask of classes, with the next stage or without;
+//!                                          permit all: the operator's rules are gone
 //!     wrong-answer ENDPOINT CLASS AGO          an answer sent so long ago was found wrong
 //!     report FROM BUILD SERIAL T/U/A [ID:PRODUCT:MANY:BAD ..]  a peer's report: work in time, usual, asked, counts
 //!     noted TEXT                                    a note since the start holds this
@@ -430,8 +430,8 @@
                 }
                 self.round(|ear| ear.on_peer_message(AgentId(num(from)), &octets));
             }
-            ["open", "all"] => self.round(|ear| ear.on_release_permissions(None)),
-            ["open", step, cells @ ..] => {
+            ["permit", "all"] => self.round(|ear| ear.on_release_permissions(None)),
+            ["permit", step, cells @ ..] => {
                 let mut rows = BTreeMap::<u16, [u64; 3]>::new();
                 for cell in cells {
                     let of: Vec<u64> = cell
@@ -442,7 +442,7 @@
                     row[of[1] as usize] = of.get(2).copied().unwrap_or(u64::MAX);
                 }
                 let rows: Vec<_> = rows.iter().map(|(b, row)| (Build(*b), &row[..])).collect();
-                let step = (*step == "on").then(|| (rows.last().expect("a row").0, Stage(0)));
+                let step = (*step == "advance").then(|| (rows.last().expect("a row").0, Stage(0)));
                 let open = Arc::new(ReleasePermissions::new(3, 1, &rows, step));
                 self.round(|ear| ear.on_release_permissions(Some(open)));
             }
