--- a/crates/decision/tests/scenarios.rs
+++ b/crates/decision/tests/scenarios.rs
@@ -153,24 +153,24 @@
     fn brain(&self) -> DecisionEngine {
         let set = |key: &str, usual: f64| self.set.get(key).copied().unwrap_or(usual);
         let span = |key, usual| Duration::from_secs_f64(set(key, usual) / 1000.0);
-        let asks = set("asks", 0.0) > 0.0;
+        let asks = set("requests-list", 0.0) > 0.0;
         let tick = Duration::from_millis(5);
         let per_product = set("per-class", 0.0) > 0.0;
-        let guarded = set("guarded", 0.0) as u8;
+        let guarded = set("guarded-stages", 0.0) as u8;
         let forward_only = set("forward-only", 0.0) > 0.0;
-        let free = set("free", 2.0);
+        let free = set("free-requests", 2.0);
         let calls = VoteTiming {
             validity: Duration::from_secs(6),
             call_timeout: Duration::from_secs(1),
         };
-        let gate = if set("clocked", 0.0) > 0.0 {
+        let gate = if set("timed-rule", 0.0) > 0.0 {
             AdvanceRule::Timed
         } else {
             AdvanceRule::Single
         };
         let rings = vec![0.05, 0.2, 0.5, 1.0];
         let dwell = Duration::from_millis(1500);
-        let (me, agents) = (AgentId(set("me", 0.0) as u32), set("agents", 1.0) as u32);
+        let (me, agents) = (AgentId(set("agent", 0.0) as u32), set("agents", 1.0) as u32);
         let among = FleetPosition {
             own_id: me,
             agent_count: agents,
