--- a/crates/decision/tests/engine/main.rs
+++ b/crates/decision/tests/engine/main.rs
@@ -4,4 +4,5 @@
 mod final_answers;
 mod load;
 mod same_decisions;
+mod scenarios;
 mod support;
--- /dev/null
+++ b/crates/decision/tests/engine/scenarios/recorder.rs
@@ -0,0 +1,117 @@
+//! Writes down what the engine decides, in the words of the scenarios.
+use std::collections::{BTreeMap, VecDeque};
+use std::time::Duration;
+
+use lilacgate_decision::{
+    Actions, AgentId, AttemptNumber, Build, EndpointId, Note, RequestId, Stage, TimerId, Vote,
+};
+use lilacgate_timeline::book::{Book, Room};
+use lilacgate_timeline::watch::Aims;
+
+/// An agent's record, kept beside its decisions; it must not change any.
+fn record() -> Book {
+    let aims = Aims {
+        false_per_hour: 0.5,
+        ramp: Duration::from_secs(4),
+        products: 3,
+    };
+    let room = Room {
+        octets: 1 << 20,
+        records: 100,
+    };
+    Book::new(Duration::ZERO, aims, room)
+}
+
+/// An attempt that was sent and has no answer yet.
+pub(super) struct Sent {
+    pub(super) request: RequestId,
+    pub(super) number: AttemptNumber,
+    pub(super) endpoint: EndpointId,
+}
+
+#[derive(Default)]
+pub(super) struct Recorder {
+    record: Option<Book>,
+    now: Duration,
+    /// The decisions since they were last cleared, and all since the start.
+    pub(super) recent: Vec<String>,
+    pub(super) all: Vec<String>,
+    pub(super) notes: Vec<String>,
+    pub(super) in_flight: VecDeque<Sent>,
+    attempts: BTreeMap<RequestId, u8>,
+}
+
+impl Recorder {
+    pub(super) fn with_record() -> Self {
+        Recorder {
+            record: Some(record()),
+            ..Recorder::default()
+        }
+    }
+
+    /// Sets the time of what is decided next.
+    pub(super) fn advance(&mut self, now: Duration) {
+        self.now = now;
+        if let Some(record) = &mut self.record {
+            record.advance(now);
+        }
+    }
+
+    fn add(&mut self, decision: String) {
+        self.recent.push(decision.clone());
+        self.all.push(decision);
+    }
+}
+
+impl Actions for Recorder {
+    fn send_attempt(&mut self, request: RequestId, endpoint: EndpointId, _: Duration) {
+        self.add(format!("send {} {}", request.0, endpoint.0));
+        let attempts = self.attempts.entry(request).or_default();
+        let number = AttemptNumber(*attempts);
+        *attempts += 1;
+        if let Some(record) = &mut self.record {
+            record.attempt(self.now, request, number, endpoint);
+        }
+        self.in_flight.push_back(Sent {
+            request,
+            number,
+            endpoint,
+        });
+    }
+    fn reject(&mut self, id: RequestId, _: Duration) {
+        self.add(format!("reject {}", id.0));
+    }
+    fn fail(&mut self, id: RequestId) {
+        self.add(format!("fail {}", id.0));
+    }
+    fn cancel(&mut self, id: RequestId, attempt: AttemptNumber) {
+        self.add(format!("cancel {}/{}", id.0, attempt.0));
+    }
+    fn schedule_wake_up(&mut self, _: Duration, _: TimerId) {}
+    fn check_health(&mut self, _: EndpointId) {}
+    fn close_idle_connections(&mut self, endpoint: EndpointId) {
+        self.add(format!("close-idle-connections {}", endpoint.0));
+    }
+    fn send_to_peer(&mut self, _: Option<AgentId>, _: &[u8]) {
+        self.add("send-to-peer".to_owned());
+    }
+    fn log(&mut self, text: &str) {
+        println!("{text}");
+    }
+    fn watch_endpoints(&mut self, _: bool) {
+        self.add("watch".to_owned());
+    }
+    fn fetch_endpoints(&mut self) {}
+    fn note(&mut self, note: Note) {
+        self.notes.push(format!("{note:?}"));
+        if let Some(record) = &mut self.record {
+            record.note(self.now, note);
+        }
+    }
+    fn vote(&mut self, build: Build, stage: Stage, vote: Vote) {
+        if let Some(record) = &mut self.record {
+            record.vote(self.now, build, stage, vote);
+        }
+        self.add(format!("vote {} {} {vote:?}", build.0, stage.0).to_lowercase());
+    }
+}
