--- a/crates/decision/tests/engine/main.rs
+++ b/crates/decision/tests/engine/main.rs
@@ -3,6 +3,7 @@
 mod discovery;
 mod final_answers;
 mod load;
+mod reports;
 mod same_decisions;
 mod scenarios;
 mod support;
--- /dev/null
+++ b/crates/decision/tests/engine/reports/single.rs
@@ -0,0 +1,135 @@
+//! One agent's engine amid a release, and the reports that it sends as a member of a fleet.
+use std::collections::BTreeSet;
+use std::time::Duration;
+
+use lilacgate_decision::{AgentId, DecisionEngine, EventHandler, RequestClass};
+use lilacgate_test_bed::decided::Decided;
+use rstest::rstest;
+
+use super::{CANARY, Listed, Reporting, SECOND, canary, engine};
+use crate::support::{EPOCH, MINIMUM_STAGE_TIME};
+
+/// A message, and the peer that it is for; none if it is for all.
+pub(super) type Message = (Option<AgentId>, Vec<u8>);
+
+/// An agent by itself, amid a release.
+pub(super) struct SingleAgent {
+    engine: DecisionEngine,
+    pub(super) now: Duration,
+}
+
+impl SingleAgent {
+    pub(super) fn new(agent: u32, agent_count: u32, reporting: Reporting) -> Self {
+        Self::started_at(EPOCH, agent, agent_count, reporting)
+    }
+
+    pub(super) fn started_at(
+        now: Duration,
+        agent: u32,
+        agent_count: u32,
+        reporting: Reporting,
+    ) -> Self {
+        let mut single = SingleAgent {
+            engine: engine(agent, agent_count, reporting, 1),
+            now,
+        };
+        let listed = Listed {
+            endpoints: 400,
+            canaries: 40,
+        };
+        single.after(Duration::ZERO, |events| {
+            listed.send_to(events, Some(EPOCH - SECOND * 10));
+        });
+        single
+    }
+
+    /// What it sends to others in a round so much later.
+    pub(super) fn after(
+        &mut self,
+        pause: Duration,
+        events: impl FnOnce(&mut dyn EventHandler),
+    ) -> Vec<Message> {
+        self.now += pause;
+        let mut decided = Decided::default();
+        self.engine.round(self.now, events, &mut decided);
+        decided.told
+    }
+
+    /// What it sends in a round so much later in which a client found a wrong answer of the first canary.
+    fn after_wrong_answer(&mut self, pause: Duration) -> Vec<Message> {
+        self.after(pause, |events| {
+            events.on_wrong_answer(canary(0), RequestClass(0), Duration::ZERO);
+        })
+    }
+}
+
+/// A member of a fleet sends its report, byte by byte, to each aggregator but itself, with a serial number that
+/// counts, and one endpoint's outcome each time.
+fn assert_reports_to_aggregators(mut member: SingleAgent, agent: u32, agent_count: u32) {
+    let aggregator_count = agent_count.min(3);
+    let aggregators = (0..aggregator_count)
+        .map(|i| AgentId((2 + i * agent_count / aggregator_count) % agent_count));
+    for serial in 1..4_u32 {
+        let sent = member.after_wrong_answer(MINIMUM_STAGE_TIME);
+        let mut payload = CANARY.0.to_be_bytes().to_vec();
+        payload.extend((EPOCH.as_millis() as u32).to_be_bytes());
+        payload.extend(serial.to_be_bytes());
+        payload.extend([0; 6]);
+        payload.extend(canary(0).0.to_be_bytes());
+        payload.extend([0, 0, 1, 0, 0]);
+        let expected: Vec<_> = aggregators
+            .clone()
+            .filter(|aggregator| aggregator.0 != agent)
+            .map(|aggregator| (Some(aggregator), payload.clone()))
+            .collect();
+        assert_eq!(sent, expected, "agent {agent} of {agent_count}");
+    }
+}
+
+#[rstest]
+fn a_small_fleet_reports_to_the_aggregators(#[values(1, 2, 3, 4, 30, 200, 300)] agents: u32) {
+    for agent in [0, agents / 2, agents - 1] {
+        let member = SingleAgent::new(agent, agents, Reporting::Relayed);
+        assert_reports_to_aggregators(member, agent, agents);
+    }
+}
+
+/// A large fleet that was not asked to use relays reports as a small one does.
+#[rstest]
+fn without_relays_a_large_fleet_reports_to_the_aggregators(#[values(301, 530, 900)] agents: u32) {
+    for agent in [0, agents / 2, agents - 1] {
+        let member = SingleAgent::new(agent, agents, Reporting::Direct);
+        assert_reports_to_aggregators(member, agent, agents);
+    }
+}
+
+/// A member's relay is another one every four times the minimum stage time, and never an aggregator: a dead relay
+/// costs no more than that.
+#[test]
+fn a_member_changes_its_relay() {
+    let aggregators = [2, 178, 355].map(AgentId);
+    for agent in [50, 110, 177, 529] {
+        let mut member = SingleAgent::new(agent, 530, Reporting::Relayed);
+        let mut relays = Vec::new();
+        for _ in 0..300 {
+            let sent = member.after_wrong_answer(MINIMUM_STAGE_TIME / 3);
+            // As a relay itself it reports to the aggregators.
+            let relay = sent
+                .iter()
+                .filter_map(|(to, _)| *to)
+                .find(|to| !aggregators.contains(to));
+            if !sent.is_empty() {
+                relays.push((relay.unwrap_or(AgentId(agent)), member.now));
+            }
+        }
+        let distinct: BTreeSet<_> = relays.iter().map(|(relay, _)| relay).collect();
+        assert!(distinct.len() >= 20, "only {distinct:?}");
+        for term in relays.chunk_by(|one, next| one.0 == next.0) {
+            let lasted = term[term.len() - 1].1 - term[0].1;
+            assert!(
+                lasted <= MINIMUM_STAGE_TIME * 4,
+                "one was a relay for {lasted:?}"
+            );
+        }
+    }
+}
