--- a/crates/decision/tests/engine/main.rs
+++ b/crates/decision/tests/engine/main.rs
@@ -6,4 +6,5 @@
 mod reports;
 mod same_decisions;
 mod scenarios;
+mod subset;
 mod support;
