--- /dev/null
+++ b/crates/simulator-adapter/src/segment.rs
@@ -0,0 +1,79 @@
+//! Splits a frame's records into segments: consecutive events of one instance.
+use std::collections::BTreeMap;
+use std::ops::Range;
+
+use crate::error::{AdapterError, EventError, RecordPlace};
+use crate::wire::{Event, EventKind, EventRecord};
+
+/// Consecutive events of one instance, as one round of its decision engine.
+pub(crate) struct Segment<'a, 'f> {
+    pub(crate) instance: Option<u16>,
+    /// The position of the first of the records in the frame.
+    pub(crate) first: usize,
+    pub(crate) records: &'a [EventRecord<'f>],
+}
+
+impl<'f> Segment<'_, 'f> {
+    pub(crate) fn error(&self, index: usize, error: impl Into<EventError>) -> AdapterError {
+        let place = RecordPlace {
+            record: self.first + index,
+            kind: self.records.get(index).and_then(|record| record.kind()),
+            instance: self.instance,
+        };
+        AdapterError::Event {
+            place,
+            error: error.into(),
+        }
+    }
+
+    pub(crate) fn event(&self, index: usize) -> Result<Event<'f>, AdapterError> {
+        self.records[index]
+            .event()
+            .map_err(|error| self.error(index, error))
+    }
+
+    /// Positions in the segment of the records of a kind.
+    pub(crate) fn positions(&self, kind: EventKind) -> impl Iterator<Item = usize> {
+        (0..self.records.len()).filter(move |index| self.records[*index].kind() == Some(kind))
+    }
+}
+
+/// The position of the last record by which each selected instance dies in a frame.
+pub(crate) fn last_stops(records: &[EventRecord<'_>]) -> BTreeMap<Option<u16>, usize> {
+    let mut stops = BTreeMap::new();
+    let mut instance = None;
+    for (position, record) in records.iter().enumerate() {
+        instance = record.selected_instance().or(instance);
+        if record.kind() == Some(EventKind::InstanceStopped) {
+            stops.insert(instance, position);
+        }
+    }
+    stops
+}
+
+/// Positions of consecutive records of one instance.
+pub(crate) struct InstanceRange {
+    /// `None` before the frame's first record that selects one.
+    pub(crate) instance: Option<u16>,
+    pub(crate) range: Range<usize>,
+}
+
+/// The ranges of records between those that select an instance; none is empty.
+pub(crate) fn instance_ranges(records: &[EventRecord<'_>]) -> Vec<InstanceRange> {
+    let mut ranges = Vec::new();
+    let mut instance = None;
+    let mut start = 0;
+    for (position, record) in records.iter().enumerate() {
+        let Some(selected) = record.selected_instance() else {
+            continue;
+        };
+        let range = start..position;
+        ranges.push(InstanceRange { instance, range });
+        instance = Some(selected);
+        start = position + 1;
+    }
+    let range = start..records.len();
+    ranges.push(InstanceRange { instance, range });
+    ranges.retain(|found| !found.range.is_empty());
+    ranges
+}
