--- a/crates/simulator-adapter/tests/malformed.rs
+++ b/crates/simulator-adapter/tests/malformed.rs
@@ -4,25 +4,31 @@
 
 use rstest::rstest;
 
-fn drill(input: &[u8]) -> (bool, Vec<u8>, String) {
+struct Run {
+    success: bool,
+    replies: Vec<u8>,
+    errors: String,
+}
+
+fn run_adapter(input: &[u8]) -> Run {
     let mut child = Command::new(env!("CARGO_BIN_EXE_lilacgate-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("the drill starts");
+        .expect("the adapter starts");
     child
         .stdin
         .take()
         .expect("its input")
         .write_all(input)
         .expect("it reads");
-    let done = child.wait_with_output().expect("it ends");
-    (
-        done.status.success(),
-        done.stdout,
-        String::from_utf8_lossy(&done.stderr).into_owned(),
-    )
+    let output = child.wait_with_output().expect("it ends");
+    Run {
+        success: output.status.success(),
+        replies: output.stdout,
+        errors: String::from_utf8_lossy(&output.stderr).into_owned(),
+    }
 }
 
 fn frame(records: &[&[u8]], tail: &[u8]) -> Vec<u8> {
@@ -51,16 +57,40 @@
 #[case::page_number(frame(&[ON, &[5, 0, 0, 0, 99]], &[]), "number 99")]
 #[case::page_outside(frame(&[ON, &[5, 0, 0, 0, 1, 0, 0, 0, 0, 255, 255, 255, 255]], &[]), "outside the tail")]
 fn refused(#[case] input: Vec<u8>, #[case] why: &str) {
-    let (fine, _, said) = drill(&input);
-    assert!(!fine);
-    assert!(said.contains(why), "said {said:?}");
-    assert_eq!(said.lines().count(), 1, "said {said:?}");
+    let Run {
+        success, errors, ..
+    } = run_adapter(&input);
+    assert!(!success);
+    assert!(errors.contains(why), "errors {errors:?}");
+    assert_eq!(errors.lines().count(), 1, "errors {errors:?}");
+}
+
+#[rstest]
+#[case::page_number(frame(&[ON, &[5, 0, 0, 0, 99]], &[]), "record 1, PAGE of instance 3: ")]
+#[case::page_before_stop(frame(&[ON, &[5, 0, 0, 0, 99], &[9]], &[]), "record 1, PAGE of instance 3: ")]
+#[case::page_of_no_instance(frame(&[&[5, 0, 0, 0, 99]], &[]), "record 0, PAGE: ")]
+#[case::no_instance(frame(&[&[1]], &[]), "record 0, REMINDER: ")]
+#[case::unknown_instance(frame(&[ON, &[9], &[2]], &[]), "record 2, HANGUP of instance 3: ")]
+#[case::settings_outside(frame(&[ON, &[6, 0, 0, 0, 0, 0, 0, 0, 1, 0, 0, 0, 9]], &[]), "record 1, UP of instance 3: ")]
+fn place_is_named(#[case] input: Vec<u8>, #[case] place: &str) {
+    let Run {
+        success,
+        replies,
+        errors,
+    } = run_adapter(&input);
+    assert!(!success);
+    assert!(replies.is_empty());
+    assert!(errors.contains(place), "errors {errors:?}");
 }
 
 #[rstest]
 fn empty_batches_and_the_end() {
-    let (fine, replies, said) = drill(&[frame(&[], &[]), frame(&[], &[])].concat());
-    assert!(fine, "said {said:?}");
+    let Run {
+        success,
+        replies,
+        errors,
+    } = run_adapter(&[frame(&[], &[]), frame(&[], &[])].concat());
+    assert!(success, "errors {errors:?}");
     assert_eq!(replies, [0, 0, 0, 0, 0, 0, 0, 8].repeat(2));
 }
 
@@ -70,7 +100,9 @@
 fn bad_settings(#[case] options: &[u8], #[case] why: &str) {
     let mut up = vec![6, 0, 0, 0, 0, 0, 0, 0, 1, 0, 0, 0, 0];
     up.extend((options.len() as u32).to_be_bytes());
-    let (_, replies, said) = drill(&frame(&[ON, &up], options));
-    let told = format!("{}{said}", String::from_utf8_lossy(&replies));
-    assert!(told.contains(why), "told {told:?}");
+    let Run {
+        replies, errors, ..
+    } = run_adapter(&frame(&[ON, &up], options));
+    let output = format!("{}{errors}", String::from_utf8_lossy(&replies));
+    assert!(output.contains(why), "output {output:?}");
 }
