--- a/crates/scale/src/module.rs
+++ b/crates/scale/src/module.rs
@@ -134,8 +134,8 @@
     /// # Errors
     /// The settings cannot be used.
     pub fn new(seed: u64, settings: &Paths) -> Result<Self, ScaleError> {
-        let instance =
-            lilacgate_start_settings::instance(seed, settings).map_err(ScaleError::Settings)?;
+        let instance = lilacgate_start_settings::instance(seed, settings)
+            .map_err(|error| ScaleError::Settings(error.to_string()))?;
         let catalog = EndpointListReader::new(settings).map_err(ScaleError::Settings)?;
         let (owed, not_ready, pending) = Default::default();
         Ok(Module {
--- /dev/null
+++ b/crates/start-settings/src/engine.rs
@@ -0,0 +1,167 @@
+//! Builds the decision engine that start settings describe.
+use std::fmt;
+use std::time::Duration;
+
+use lilacgate_decision::{
+    AdvanceRule, AgentId, ClassPolicy, DecisionEngine, EndpointDiscoverySettings, EngineSettings,
+    ExposureSettings, FleetPosition, Idempotency, ReleaseAnalysisSettings, RequestSettings,
+    SlowStartSettings, VoteTiming, Zone,
+};
+
+use crate::error::SettingsError;
+use crate::settings::{Settings, class_path};
+
+/// A decision engine, and the sizes of the lists that its settings name.
+pub struct Instance {
+    /// The engine.
+    pub brain: DecisionEngine,
+    /// The number of request classes.
+    pub products: usize,
+    /// The number of zones.
+    pub zones: usize,
+}
+
+/// Leaves out the engine, whose state fills pages.
+impl fmt::Debug for Instance {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter
+            .debug_struct("Instance")
+            .field("products", &self.products)
+            .field("zones", &self.zones)
+            .finish_non_exhaustive()
+    }
+}
+
+/// Builds a decision engine from start settings and the seed of its random draws.
+///
+/// # Errors
+/// A setting is missing or unusable.
+pub fn instance(seed: u64, settings: &Settings) -> Result<Instance, SettingsError> {
+    let engine_settings = engine_settings(seed, settings)?;
+    Ok(Instance {
+        products: engine_settings.requests.classes.len(),
+        zones: zone_count(settings)?,
+        brain: DecisionEngine::new(engine_settings),
+    })
+}
+
+/// Reads all that a decision engine needs. `seed` is the seed of its random draws.
+///
+/// # Errors
+/// A setting is missing or unusable.
+pub fn engine_settings(seed: u64, settings: &Settings) -> Result<EngineSettings, SettingsError> {
+    Ok(EngineSettings {
+        seed,
+        requests: requests(settings)?,
+        tick: settings.period("tick")?,
+        discovery: discovery(settings)?,
+        zone: Zone(settings.num("zone")?),
+        slow_start: slow_start(settings)?,
+        exposure: exposure(settings)?,
+        release_analysis: release_analysis(settings)?,
+        fleet_position: fleet_position(settings)?,
+    })
+}
+
+/// Zones are numbered by their position, so that an empty name counts too.
+fn zone_count(settings: &Settings) -> Result<usize, SettingsError> {
+    Ok(settings.text("zones")?.split(',').count())
+}
+
+fn discovery(settings: &Settings) -> Result<EndpointDiscoverySettings, SettingsError> {
+    let request_within = if settings.asks()? {
+        Some(settings.period("rules.ask-within")?)
+    } else {
+        None
+    };
+    Ok(EndpointDiscoverySettings { request_within })
+}
+
+fn slow_start(settings: &Settings) -> Result<SlowStartSettings, SettingsError> {
+    Ok(SlowStartSettings {
+        initial_capacity_share: settings.amount("rules.cold-from")?,
+        ramp: settings.span("rules.ramp-time")?,
+        overload_multiple: settings.amount("rules.fall-multiple")?,
+        overload_window: settings.span("rules.overload-for")?,
+    })
+}
+
+fn exposure(settings: &Settings) -> Result<ExposureSettings, SettingsError> {
+    let caps = settings.amounts("family-info.most-shares")?;
+    let per_class_choices = [("all", false), ("per_lane", true)];
+    Ok(ExposureSettings {
+        window: settings.span("family-info.span")?,
+        free_requests: settings.amount("family-info.free")?,
+        initial_cap: caps.first().copied().unwrap_or(0.0),
+        per_class: settings.choice("family-info.per", &per_class_choices)?,
+        guarded_stages: settings.num("family-info.guarded-stages")?,
+        forward_only: settings.num("family-info.forward-only")?,
+    })
+}
+
+fn release_analysis(settings: &Settings) -> Result<ReleaseAnalysisSettings, SettingsError> {
+    let advance_rules = [
+        ("single", AdvanceRule::Single),
+        ("majority", AdvanceRule::Majority),
+        ("clocked", AdvanceRule::Timed),
+    ];
+    let in_place_choices = [("side_by_side", false), ("rolling", true)];
+    Ok(ReleaseAnalysisSettings {
+        advance_rule: settings.choice("family-info.gate-mode", &advance_rules)?,
+        stage_shares: settings.amounts("family-info.rings")?,
+        minimum_stage_time: settings.period("family-info.min-dwell")?,
+        vote_timing: VoteTiming {
+            validity: settings.period("family-info.vote-ttl")?,
+            call_timeout: settings.period("family-info.call-timeout")?,
+        },
+        in_place: settings.choice("family-info.layout", &in_place_choices)?,
+        use_relays: false,
+    })
+}
+
+fn fleet_position(settings: &Settings) -> Result<FleetPosition, SettingsError> {
+    Ok(FleetPosition {
+        own_id: AgentId(settings.num("me")?),
+        agent_count: settings.num("instances")?,
+        can_message_peers: settings.num("limits.peers")?,
+    })
+}
+
+fn requests(settings: &Settings) -> Result<RequestSettings, SettingsError> {
+    let classes = (0..settings.class_count()?)
+        .map(|class| class_policy(settings, class))
+        .collect::<Result<_, _>>()?;
+    // An attempt's number is a byte on every wire.
+    let max_attempts: usize = settings.num("limits.max-attempts")?;
+    Ok(RequestSettings {
+        classes,
+        max_attempts: max_attempts.min(u8::MAX.into()),
+        may_cancel: settings.num("limits.may-cancel")?,
+        max_retry_after: max_retry_after(settings)?,
+    })
+}
+
+fn max_retry_after(settings: &Settings) -> Result<Duration, SettingsError> {
+    if settings.num("limits.retry-after")? {
+        settings.span("limits.max-retry-after")
+    } else {
+        Ok(Duration::ZERO)
+    }
+}
+
+fn class_policy(settings: &Settings, class: usize) -> Result<ClassPolicy, SettingsError> {
+    let path = |field| class_path(class, field);
+    let idempotency = settings.repeat(class)?;
+    let deduplication_window = match idempotency {
+        Idempotency::Keyed(_) => settings.span(&path("window"))?,
+        Idempotency::Idempotent | Idempotency::NonIdempotent => Duration::ZERO,
+    };
+    Ok(ClassPolicy {
+        idempotency,
+        latency_objective: settings.period(&path("aim"))?,
+        deadline: settings.period(&path("give-up"))?,
+        deduplication_window,
+        priority_weight: settings.amount(&path("worth"))?,
+        late_weight_share: settings.amount(&path("late-value"))?,
+    })
+}
--- /dev/null
+++ b/crates/start-settings/src/error.rs
@@ -0,0 +1,29 @@
+//! Why start settings cannot be used.
+
+/// Why start settings cannot be used.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum SettingsError {
+    /// A setting that is needed is missing.
+    #[error("settings lack {path}")]
+    Missing {
+        /// The setting's path.
+        path: String,
+    },
+    /// A setting has another form or range than is wanted.
+    #[error("{path} is {value:?}; expected {expected}")]
+    Unusable {
+        /// The setting's path.
+        path: String,
+        /// What was read.
+        value: String,
+        /// What is wanted, in words.
+        expected: String,
+    },
+}
+
+/// For callers that report errors as text.
+impl From<SettingsError> for String {
+    fn from(error: SettingsError) -> Self {
+        error.to_string()
+    }
+}
