--- a/crates/agent/src/releases.rs
+++ b/crates/agent/src/releases.rs
@@ -107,7 +107,7 @@
         let Some(releases) = releases else {
             return Ok((None, timeline));
         };
-        match places.firm_of(&self.agent) {
+        match places.tenant_of(&self.agent) {
             Some(me) => Ok((Some((releases, me)), timeline)),
             None => Err(vec![named(format!(
                 "<places>: no <agent> is named {:?}",
--- a/crates/capacity/src/target.rs
+++ b/crates/capacity/src/target.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use lilacgate_operator_config::Fault;
-use lilacgate_operator_config::xml::{self, File};
+use lilacgate_operator_config::xml::{self, XmlReader};
 use roxmltree::Node;
 
 use crate::result::Size;
@@ -220,18 +220,18 @@
     }
 }
 
-fn read_root<'a>(file: &File<'a>, root: Node<'a, 'a>) -> Option<Target> {
+fn read_root<'a>(file: &XmlReader<'a>, root: Node<'a, 'a>) -> Option<Target> {
     if root.tag_name().name() != "capacity" {
-        file.fault(root, "the root is not <capacity>");
+        file.report(root, "the root is not <capacity>");
         return None;
     }
-    let version = file.need(root, "version", |text| match text {
+    let version = file.required(root, "version", |text| match text {
         VERSION => Ok(()),
         _ => Err("version 1"),
     });
-    file.attributes(root, &["version"]);
+    file.check_attributes(root, &["version"]);
     let children = file.children(root, &CHILDREN);
-    file.at_most_one(&children);
+    file.check_no_repeats(&children);
     let reader = Reader {
         file,
         root,
@@ -244,7 +244,7 @@
 
 /// The parts of a document, found by their names.
 struct Reader<'f, 'a> {
-    file: &'f File<'a>,
+    file: &'f XmlReader<'a>,
     root: Node<'a, 'a>,
     children: Vec<Node<'a, 'a>>,
 }
@@ -265,9 +265,9 @@
     fn element(&self, name: &str, attributes: &[&str]) -> Option<Node<'a, 'a>> {
         let node = self.child(name);
         if node.is_none() {
-            self.file.fault(self.root, format!("<{name}> is missing"));
+            self.file.report(self.root, format!("<{name}> is missing"));
         }
-        self.file.attributes(node?, attributes);
+        self.file.check_attributes(node?, attributes);
         node
     }
 
@@ -309,8 +309,8 @@
         let known = [counts.as_slice(), &["requests-per-second"]].concat();
         let node = self.leaf("today", &known)?;
         let [agents, appliances, services, routes, tenants] =
-            counts.map(|name| self.file.need(node, name, read_count));
-        let request_rate = self.file.need(node, "requests-per-second", read_amount);
+            counts.map(|name| self.file.required(node, name, read_count));
+        let request_rate = self.file.required(node, "requests-per-second", read_amount);
         Some(Size {
             agents: agents?,
             listed_appliances: appliances?,
@@ -324,15 +324,16 @@
 
     fn agents(&self) -> Option<(u32, f64)> {
         let node = self.leaf("agents", &["count", "skew"])?;
-        let count = self.file.need(node, "count", read_count);
-        let skew = self.file.need(node, "skew", read_skew);
+        let count = self.file.required(node, "count", read_count);
+        let skew = self.file.required(node, "skew", read_skew);
         Some((count?, skew?))
     }
 
     fn places(&self) -> Option<Places> {
         let names = ["regions", "zones", "rack-size"];
         let node = self.leaf("places", &names)?;
-        let [regions, zones, rack_size] = names.map(|name| self.file.need(node, name, read_count));
+        let [regions, zones, rack_size] =
+            names.map(|name| self.file.required(node, name, read_count));
         Some(Places {
             regions: regions?,
             zones: zones?,
@@ -343,11 +344,11 @@
     fn services(&self) -> Option<Services> {
         let known = ["count", "appliances", "largest", "skew", "list-cap"];
         let node = self.element("services", &known)?;
-        let count = self.file.need(node, "count", read_count);
-        let appliances = self.file.need(node, "appliances", read_count);
-        let largest = self.file.maybe(node, "largest", read_count);
-        let skew = self.file.need(node, "skew", read_skew);
-        let list_cap = self.file.need(node, "list-cap", read_count);
+        let count = self.file.required(node, "count", read_count);
+        let appliances = self.file.required(node, "appliances", read_count);
+        let largest = self.file.optional(node, "largest", read_count);
+        let skew = self.file.required(node, "skew", read_skew);
+        let list_cap = self.file.required(node, "list-cap", read_count);
         let named = self.file.children(node, &["service"]);
         let named: Option<Vec<_>> = named.into_iter().map(|node| self.service(node)).collect();
         Some(Services {
@@ -361,10 +362,10 @@
     }
 
     fn service(&self, node: Node<'a, 'a>) -> Option<NamedService> {
-        self.file.attributes(node, &["name", "appliances"]);
+        self.file.check_attributes(node, &["name", "appliances"]);
         self.file.children(node, &[]);
-        let name = self.file.need(node, "name", read_name);
-        let appliances = self.file.need(node, "appliances", read_count);
+        let name = self.file.required(node, "name", read_name);
+        let appliances = self.file.required(node, "appliances", read_count);
         Some(NamedService {
             name: name?,
             appliances: appliances?,
@@ -373,20 +374,20 @@
 
     fn count_of(&self, element: &str) -> Option<u32> {
         let node = self.leaf(element, &["count"])?;
-        self.file.need(node, "count", read_count)
+        self.file.required(node, "count", read_count)
     }
 
     fn requests(&self) -> Option<(f64, f64)> {
         let node = self.leaf("requests", &["per-second", "skew"])?;
-        let rate = self.file.need(node, "per-second", read_amount);
-        let skew = self.file.need(node, "skew", read_skew);
+        let rate = self.file.required(node, "per-second", read_amount);
+        let skew = self.file.required(node, "skew", read_skew);
         Some((rate?, skew?))
     }
 
     fn changes(&self) -> Option<Changes> {
         let node = self.leaf("changes", &["per-day", "in-force-within"])?;
-        let per_day = self.file.need(node, "per-day", read_rate);
-        let within = self.file.need(node, "in-force-within", read_duration);
+        let per_day = self.file.required(node, "per-day", read_rate);
+        let within = self.file.required(node, "in-force-within", read_duration);
         Some(Changes {
             per_day: per_day?,
             in_force_within: within?,
@@ -404,8 +405,8 @@
         let known = [rates.as_slice(), &["partition-lasts"]].concat();
         let node = self.leaf("failures", &known)?;
         let [machines, restarts, racks, zones, partitions] =
-            rates.map(|name| self.file.need(node, name, read_rate));
-        let lasts = self.file.need(node, "partition-lasts", read_duration);
+            rates.map(|name| self.file.required(node, name, read_rate));
+        let lasts = self.file.required(node, "partition-lasts", read_duration);
         Some(Failures {
             machines_per_day: machines?,
             restarts_per_day: restarts?,
@@ -418,16 +419,16 @@
 
     fn releases(&self) -> Option<u32> {
         let node = self.leaf("releases", &["at-once"])?;
-        self.file.need(node, "at-once", read_count)
+        self.file.required(node, "at-once", read_count)
     }
 
     fn budgets(&self) -> Option<Budgets> {
         let amounts = ["core-percent", "memory-mb", "bytes-per-second"];
         let known = [amounts.as_slice(), &["added-p99", "control-machines"]].concat();
         let node = self.leaf("budgets", &known)?;
-        let [core, memory, bytes] = amounts.map(|name| self.file.need(node, name, read_amount));
-        let added_p99 = self.file.need(node, "added-p99", read_duration);
-        let machines = self.file.need(node, "control-machines", read_count);
+        let [core, memory, bytes] = amounts.map(|name| self.file.required(node, name, read_amount));
+        let added_p99 = self.file.required(node, "added-p99", read_duration);
+        let machines = self.file.required(node, "control-machines", read_count);
         Some(Budgets {
             added_p99: added_p99?,
             core_percent: core?,
@@ -439,7 +440,7 @@
 }
 
 /// What no part can say alone.
-fn check(file: &File, reader: &Reader, target: &Target) {
+fn check(file: &XmlReader, reader: &Reader, target: &Target) {
     if let Some(node) = reader.child("places") {
         check_places(file, node, &target.places);
     }
@@ -451,46 +452,46 @@
     }
 }
 
-fn check_places(file: &File, node: Node, places: &Places) {
+fn check_places(file: &XmlReader, node: Node, places: &Places) {
     if places.zones < places.regions {
         let what = format!(
             "zones: {} zones for {} regions; each needs one",
             places.zones, places.regions
         );
-        file.fault_at(node, "zones", what);
+        file.report_at(node, "zones", what);
     }
 }
 
-fn check_services(file: &File, node: Node, services: &Services) {
+fn check_services(file: &XmlReader, node: Node, services: &Services) {
     let appliances = services.appliances;
     if services.count > appliances {
         let what = format!(
             "count: {} services for {appliances} appliances; each needs one",
             services.count
         );
-        return file.fault_at(node, "count", what);
+        return file.report_at(node, "count", what);
     }
     if services.list_cap < appliances {
         let what = format!(
             "list-cap: {} is less than the {appliances} appliances",
             services.list_cap
         );
-        file.fault_at(node, "list-cap", what);
+        file.report_at(node, "list-cap", what);
     }
     check_named(file, node, services);
 }
 
-fn check_named(file: &File, node: Node, services: &Services) {
+fn check_named(file: &XmlReader, node: Node, services: &Services) {
     let named = services.named.len() as u64;
     if named > u64::from(services.count) {
         let what = format!("count: {} services, but {named} are named", services.count);
-        return file.fault_at(node, "count", what);
+        return file.report_at(node, "count", what);
     }
     let mut names = BTreeSet::new();
     let elements = node.children().filter(Node::is_element);
     for (element, service) in elements.zip(&services.named) {
         if !names.insert(&service.name) {
-            file.fault_at(
+            file.report_at(
                 element,
                 "name",
                 format!("name: {:?} is there twice", service.name),
@@ -500,7 +501,7 @@
     check_sizes(file, node, services);
 }
 
-fn check_sizes(file: &File, node: Node, services: &Services) {
+fn check_sizes(file: &XmlReader, node: Node, services: &Services) {
     let sizes = services
         .named
         .iter()
@@ -513,23 +514,23 @@
         let what = format!(
             "appliances: {appliances} do not suit the {known} of named services and {drawn} others"
         );
-        return file.fault_at(node, "appliances", what);
+        return file.report_at(node, "appliances", what);
     }
     let has_large = sizes.max().is_some_and(|most| most >= largest);
     let room = drawn > 0 && known + largest + (drawn - 1) <= appliances;
     if !has_large && !room {
         let what = format!("largest: no service can have {largest} of {appliances} appliances");
-        file.fault_at(node, "largest", what);
+        file.report_at(node, "largest", what);
     }
 }
 
-fn check_releases(file: &File, node: Node, target: &Target) {
+fn check_releases(file: &XmlReader, node: Node, target: &Target) {
     if target.releases > target.services.count {
         let what = format!(
             "at-once: {} releases for {} services; each has one at most",
             target.releases, target.services.count
         );
-        file.fault_at(node, "at-once", what);
+        file.report_at(node, "at-once", what);
     }
 }
 
--- a/crates/ctl/src/check.rs
+++ b/crates/ctl/src/check.rs
@@ -22,7 +22,7 @@
             tracing::debug!(file = %file.display(), "reading");
             let faults = load(file, &Known::default()).err().unwrap_or_default();
             fine &= faults.is_empty();
-            let place = |fault: &Fault| json!({"line": fault.line, "column": fault.column, "element": fault.element, "what": fault.what});
+            let place = |fault: &Fault| json!({"line": fault.line, "column": fault.column, "element": fault.element, "what": fault.kind.to_string()});
             if as_json {
                 let faults: Vec<_> = faults.iter().map(place).collect();
                 found.push(
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -1,9 +1,5 @@
-//! The operator's own file: XML with a schema (`deploy/operator.xsd`), read once into the parts that each subsystem
-//! wants. Every fault is reported at once with its place. It decides nothing, opens nothing, and never half takes a
-//! file: either all of it can be used, or the faults say what cannot.
-#![allow(clippy::too_many_lines)] // Not met yet.
-#![allow(missing_debug_implementations)] // Not met yet.
-#![allow(missing_docs)] // Not met yet.
+//! The operator's file: XML with a schema (`deploy/operator.xsd`), read into the parts that the subsystems need.
+//! All faults are reported at once, each with its place. A file with a fault is refused as a whole.
 
 mod places;
 mod releases;
@@ -16,9 +12,9 @@
 pub use releases::{Desk, Releases};
 use roxmltree::Node;
 pub use timeline::{Store, Timeline};
-pub use xml::{Fault, LARGEST};
+pub use xml::{AttributeError, Fault, FaultKind, LARGEST};
 
-use crate::xml::File;
+use crate::xml::XmlReader;
 
 /// The version of the form, as its root says.
 pub const VERSION: &str = "1";
@@ -26,45 +22,46 @@
 /// All that an operator's file sets.
 #[derive(Clone, Debug)]
 pub struct Operator {
+    /// The names that the other parts refer to.
     pub places: Places,
-    /// Where builds may be used; nothing is narrowed without it.
+    /// Where builds may be used; without it they may be used everywhere.
     pub releases: Option<Releases>,
-    /// Whether time lines are kept; none are without it.
+    /// Which time lines are kept; without it none are.
     pub timeline: Option<Timeline>,
 }
 
-/// Reads a file's text. Zones and products that are known already get the numbers that they have there.
+/// Reads a file's text. Zones and products that are known already keep their numbers.
 ///
 /// # Errors
 /// All faults, in the order of their places.
 pub fn read(text: &str, known: &Known) -> Result<Operator, Vec<Fault>> {
-    xml::parse(text, |file, root| read_root(file, root, known))
+    xml::parse(text, |reader, root| read_root(reader, root, known))
 }
 
-fn read_root<'a>(file: &File<'a>, root: Node<'a, 'a>, known: &Known) -> Option<Operator> {
+/// Reads a file.
+///
+/// # Errors
+/// All faults, in the order of their places; one without a place if the file itself cannot be read.
+pub fn load(path: &Path, known: &Known) -> Result<Operator, Vec<Fault>> {
+    read(&xml::text_of(path)?, known)
+}
+
+fn read_root<'a>(reader: &XmlReader<'a>, root: Node<'a, 'a>, known: &Known) -> Option<Operator> {
     if root.tag_name().name() != "operator" {
-        file.fault(root, "the root is not <operator>");
+        reader.report(root, FaultKind::WrongRoot("operator"));
         return None;
     }
-    let version = file.need(root, "version", |text| {
-        if text == VERSION {
-            Ok(())
-        } else {
-            Err("version 1")
-        }
-    });
-    file.attributes(root, &["version"]);
-    let children = file.children(root, &["places", "releases", "timeline"]);
-    file.at_most_one(&children);
-    let of = |name: &str| {
-        children
-            .iter()
-            .find(|child| child.tag_name().name() == name)
-            .copied()
+    let version = reader.required(root, "version", read_version);
+    reader.check_attributes(root, &["version"]);
+    let children = reader.children(root, &["places", "releases", "timeline"]);
+    reader.check_no_repeats(&children);
+    let child = |name: &str| {
+        let mut found = children.iter();
+        found.find(|child| child.tag_name().name() == name).copied()
     };
-    let places = places::read(file, root, of("places"), known);
-    let releases = of("releases").map(|node| releases::read(file, node, &places));
-    let timeline = of("timeline").and_then(|node| timeline::read(file, node));
+    let places = places::read(reader, root, child("places"), known);
+    let releases = child("releases").map(|node| releases::read(reader, node, &places));
+    let timeline = child("timeline").and_then(|node| timeline::read(reader, node));
     version.map(|()| Operator {
         places,
         releases: releases.flatten(),
@@ -72,10 +69,10 @@
     })
 }
 
-/// Reads a file.
-///
-/// # Errors
-/// All faults; one without a place if the file itself cannot be read.
-pub fn load(path: &Path, known: &Known) -> Result<Operator, Vec<Fault>> {
-    read(&xml::text_of(path)?, known)
+fn read_version(text: &str) -> Result<(), AttributeError> {
+    if text == VERSION {
+        Ok(())
+    } else {
+        Err(AttributeError::Expected("version 1"))
+    }
 }
--- /dev/null
+++ b/crates/operator-config/src/releases/attributes.rs
@@ -0,0 +1,125 @@
+//! Attributes that several elements of `<releases>` have.
+use std::net::SocketAddr;
+use std::time::Duration;
+
+use lilacgate_decision::Build;
+use lilacgate_releases::calendar;
+use lilacgate_releases::model::{Builds, InDoubt, Pairs};
+use roxmltree::Node;
+
+use super::ReleasesReader;
+use crate::places;
+use crate::xml::{AttributeError, FaultKind};
+
+/// A list of names in an attribute.
+pub(super) struct NameList<'n> {
+    pub(super) attribute: &'static str,
+    /// What the names are of.
+    pub(super) kind: &'static str,
+    /// The names that are defined.
+    pub(super) names: &'n [String],
+}
+
+pub(super) fn read_build(text: &str) -> Result<Build, AttributeError> {
+    text.parse()
+        .map(Build)
+        .map_err(|_| AttributeError::Expected("a build, 0 to 65535"))
+}
+
+pub(super) fn read_in_doubt(text: &str) -> Result<InDoubt, AttributeError> {
+    match text {
+        "hold" => Ok(InDoubt::Hold),
+        "close" => Ok(InDoubt::Close),
+        _ => Err(AttributeError::Expected("hold or close")),
+    }
+}
+
+/// A duration above 0.
+pub(super) fn read_period(text: &str) -> Result<Duration, AttributeError> {
+    let duration = calendar::span(text)?;
+    if duration.is_zero() {
+        Err(AttributeError::Expected("a span of time above 0"))
+    } else {
+        Ok(duration)
+    }
+}
+
+pub(super) fn read_address(text: &str) -> Result<SocketAddr, AttributeError> {
+    text.parse()
+        .map_err(|_| AttributeError::Expected("an address such as 127.0.0.1:6401"))
+}
+
+impl ReleasesReader<'_, '_> {
+    /// The builds from one attribute to another, both included. Either may be missing.
+    pub(super) fn builds(&self, node: Node<'_, '_>) -> Option<Builds> {
+        let reader = self.reader;
+        let from = reader.optional(node, "from", read_build);
+        let to = reader.optional(node, "to", read_build);
+        let builds = Builds {
+            from: from.unwrap_or(Builds::ALL.from),
+            to: to.unwrap_or(Builds::ALL.to),
+        };
+        if builds.from > builds.to {
+            let fault = FaultKind::ContradictingAttribute {
+                attribute: "to",
+                expected: "a build not before from",
+            };
+            reader.report_at(node, "to", fault);
+            return None;
+        }
+        Some(builds)
+    }
+
+    /// Which of the defined names an attribute lists; all of them if it is missing.
+    pub(super) fn listed(&self, node: Node<'_, '_>, list: &NameList<'_>) -> Option<Vec<bool>> {
+        let Some(text) = node.attribute(list.attribute) else {
+            return Some(vec![true; list.names.len()]);
+        };
+        if text.trim().is_empty() {
+            let fault = FaultKind::ContradictingAttribute {
+                attribute: list.attribute,
+                expected: "names, or no attribute for all",
+            };
+            self.reader.report_at(node, list.attribute, fault);
+            return None;
+        }
+        let mut listed = vec![false; list.names.len()];
+        let mut all_defined = true;
+        for name in text.split_whitespace() {
+            match places::find(list.names, list.kind, name) {
+                Ok(index) => listed[index] = true,
+                Err(error) => {
+                    let fault = error.into_fault(list.attribute, name);
+                    self.reader.report_at(node, list.attribute, fault);
+                    all_defined = false;
+                }
+            }
+        }
+        all_defined.then_some(listed)
+    }
+
+    /// Each of the zones with each of the tenants that two attributes list.
+    pub(super) fn pairs(&self, node: Node<'_, '_>) -> Option<Pairs> {
+        let zones = self.listed(
+            node,
+            &NameList {
+                attribute: "zones",
+                kind: "zone",
+                names: &self.places.zones,
+            },
+        );
+        let tenants = self.listed(
+            node,
+            &NameList {
+                attribute: "firms",
+                kind: "firm",
+                names: &self.places.tenants,
+            },
+        );
+        let (zones, tenants) = zones.zip(tenants)?;
+        let with_each_tenant = |zone: bool| tenants.iter().map(move |tenant| zone && *tenant);
+        Some(Pairs(
+            zones.into_iter().flat_map(with_each_tenant).collect(),
+        ))
+    }
+}
--- /dev/null
+++ b/crates/operator-config/src/releases/freezes.rs
@@ -0,0 +1,127 @@
+//! The element `<freeze>`: windows of time in which no build goes further.
+use lilacgate_releases::calendar::{self, TimeZone, When};
+use lilacgate_releases::model::{Freeze, ServiceId};
+use roxmltree::Node;
+
+use super::{Placed, ReleasesReader};
+use crate::places;
+use crate::xml::{AttributeError, FaultKind};
+
+/// Whether builds on trial are closed to those who have them.
+fn read_closes(text: &str) -> Result<bool, AttributeError> {
+    match text {
+        "hold" => Ok(false),
+        "close" => Ok(true),
+        _ => Err(AttributeError::Expected("hold or close")),
+    }
+}
+
+impl ReleasesReader<'_, '_> {
+    pub(super) fn freeze(&self, node: Node<'_, '_>) -> Option<Freeze> {
+        let reader = self.reader;
+        reader.check_attributes(node, &["name", "service", "zones", "firms", "keeps"]);
+        let name = reader.required(node, "name", places::read_name);
+        let service = self.frozen_service(node);
+        let closes = reader.optional(node, "keeps", read_closes);
+        let pairs = self.pairs(node);
+        let windows = reader.children(node, &["once", "weekly", "yearly", "declared"]);
+        let [window] = windows[..] else {
+            reader.report(node, FaultKind::FreezeWindow);
+            return None;
+        };
+        Some(Freeze {
+            when: self.window(window)?,
+            service: service?,
+            name: name?,
+            pairs: pairs?,
+            closes: closes.unwrap_or(false),
+        })
+    }
+
+    /// The service that a freeze is of, `Some(None)` for all. `None` if the service is defined nowhere, which must
+    /// not make it a freeze of all.
+    fn frozen_service(&self, node: Node<'_, '_>) -> Option<Option<ServiceId>> {
+        if node.attribute("service").is_none() {
+            return Some(None);
+        }
+        let service = self
+            .reader
+            .optional(node, "service", |text| self.find_service(text));
+        service.map(Some)
+    }
+
+    fn window(&self, node: Node<'_, '_>) -> Option<When> {
+        self.reader.children(node, &[]);
+        let kind = node.tag_name().name();
+        if kind == "declared" {
+            self.reader.check_attributes(node, &[]);
+            return Some(When::Declared);
+        }
+        self.reader.check_attributes(node, &["from", "to"]);
+        let zone = self.window_time_zone()?;
+        match kind {
+            "once" => self.once(node, &zone),
+            "weekly" => self.weekly(node, zone),
+            _ => self.yearly(node, zone),
+        }
+    }
+
+    fn window_time_zone(&self) -> Option<TimeZone> {
+        // One that is unknown has been reported.
+        if self.node.attribute("time-zone").is_none() {
+            self.reader
+                .report(self.node, FaultKind::WindowsNeedTimeZone);
+        }
+        self.time_zone.clone()
+    }
+
+    fn once(&self, node: Node<'_, '_>, zone: &TimeZone) -> Option<When> {
+        let from = self.reader.required(node, "from", calendar::date_time);
+        let to = self.reader.required(node, "to", calendar::date_time);
+        let from = calendar::earliest(zone, from?);
+        let to = calendar::latest(zone, to?);
+        if from >= to {
+            let fault = FaultKind::ContradictingAttribute {
+                attribute: "to",
+                expected: "a time after from",
+            };
+            self.reader.report_at(node, "to", fault);
+            return None;
+        }
+        Some(When::Once { from, to })
+    }
+
+    fn weekly(&self, node: Node<'_, '_>, zone: TimeZone) -> Option<When> {
+        let from = self.reader.required(node, "from", calendar::week_time);
+        let to = self.reader.required(node, "to", calendar::week_time);
+        Some(When::Weekly {
+            zone,
+            from: from?,
+            to: to?,
+        })
+    }
+
+    fn yearly(&self, node: Node<'_, '_>, zone: TimeZone) -> Option<When> {
+        let from = self.reader.required(node, "from", calendar::year_time);
+        let to = self.reader.required(node, "to", calendar::year_time);
+        Some(When::Yearly {
+            zone,
+            from: from?,
+            to: to?,
+        })
+    }
+
+    pub(super) fn check_freeze_names(&self, freezes: &[Placed<'_, Freeze>]) {
+        for (index, freeze) in freezes.iter().enumerate() {
+            let name = &freeze.rule.name;
+            let earlier = &freezes[..index];
+            if earlier.iter().any(|other| other.rule.name == *name) {
+                let fault = FaultKind::DefinedTwice {
+                    kind: "freeze",
+                    name: name.clone(),
+                };
+                self.reader.report(self.node, fault);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/operator-config/src/releases/ladders.rs
@@ -0,0 +1,146 @@
+//! The element `<ladder>`: the rings to which the builds of a service come, one after the other.
+use lilacgate_decision::{RequestClass, Stage};
+use lilacgate_releases::calendar;
+use lilacgate_releases::model::{Ladder, Pairs, Ring, Rules};
+use roxmltree::Node;
+
+use super::attributes::NameList;
+use super::{Placed, ReleasesReader};
+use crate::places;
+use crate::xml::{AttributeError, FaultKind};
+
+/// The most rings of a ladder.
+const MAX_RINGS: usize = 64;
+/// The stages that a ring may have, in words. The number beyond them stands for the release.
+const STAGES: &str = "a stage, 0 to 254";
+
+fn read_stage(text: &str) -> Result<u8, AttributeError> {
+    text.parse().map_err(|_| AttributeError::Expected(STAGES))
+}
+
+impl ReleasesReader<'_, '_> {
+    pub(super) fn ladder(&self, node: Node<'_, '_>) -> Option<Ladder> {
+        let reader = self.reader;
+        reader.check_attributes(node, &["service", "from", "to", "settles"]);
+        let service = reader.required(node, "service", |text| self.find_service(text));
+        let settles = reader.optional(node, "settles", calendar::span);
+        let children = reader.children(node, &["ring"]);
+        if children.is_empty() {
+            reader.report(node, FaultKind::MissingElement("ring"));
+        }
+        self.check_count(node, "ring", children.len(), MAX_RINGS);
+        let rings = self.rings(&children);
+        Some(Ladder {
+            service: service?,
+            builds: self.builds(node)?,
+            rings,
+            settles: settles.unwrap_or_default(),
+        })
+    }
+
+    fn rings(&self, nodes: &[Node<'_, '_>]) -> Vec<Ring> {
+        let mut rings: Vec<Ring> = Vec::new();
+        for node in nodes {
+            let Some(ring) = self.ring(*node) else {
+                continue;
+            };
+            if rings.last().is_some_and(|last| last.stage > ring.stage) {
+                let fault = FaultKind::ContradictingAttribute {
+                    attribute: "stage",
+                    expected: "one not before that of the ring before",
+                };
+                self.reader.report_at(*node, "stage", fault);
+            }
+            if rings.iter().any(|other| other.name == ring.name) {
+                let fault = FaultKind::DefinedTwice {
+                    kind: "ring",
+                    name: ring.name.clone(),
+                };
+                self.reader.report_at(*node, "name", fault);
+            }
+            rings.push(ring);
+        }
+        rings
+    }
+
+    fn ring(&self, node: Node<'_, '_>) -> Option<Ring> {
+        let reader = self.reader;
+        reader.check_attributes(node, &["name", "stage", "after", "products"]);
+        let name = reader.required(node, "name", places::read_name);
+        let stage = reader.required(node, "stage", read_stage);
+        let after = reader.optional(node, "after", calendar::span);
+        let products = self.products(node)?;
+        let pairs = self.ring_pairs(node)?;
+        Some(Ring {
+            stage: self.stage_before_release(node, stage?)?,
+            name: name?,
+            after: after.unwrap_or_default(),
+            pairs,
+            products,
+        })
+    }
+
+    /// The request classes that an attribute lists, as bits.
+    fn products(&self, node: Node<'_, '_>) -> Option<u64> {
+        let listed = self.listed(
+            node,
+            &NameList {
+                attribute: "products",
+                kind: "product",
+                names: &self.places.products,
+            },
+        )?;
+        let numbers = (0..listed.len()).filter(|number| listed[*number]);
+        let bits = numbers.map(|number| Rules::product_bit(RequestClass(number as u8)));
+        Some(bits.fold(0, |all, bit| all | bit))
+    }
+
+    fn ring_pairs(&self, node: Node<'_, '_>) -> Option<Pairs> {
+        let reader = self.reader;
+        let mut all = vec![false; self.places.zones.len() * self.places.tenants.len()];
+        let children = reader.children(node, &["pairs"]);
+        if children.is_empty() {
+            reader.report(node, FaultKind::MissingElement("pairs"));
+        }
+        for child in children {
+            reader.check_attributes(child, &["zones", "firms"]);
+            reader.children(child, &[]);
+            let pairs = self.pairs(child)?;
+            for (any, one) in all.iter_mut().zip(pairs.0) {
+                *any |= one;
+            }
+        }
+        Some(Pairs(all))
+    }
+
+    fn stage_before_release(&self, node: Node<'_, '_>, stage: u8) -> Option<Stage> {
+        if stage == u8::MAX {
+            let fault = FaultKind::ContradictingAttribute {
+                attribute: "stage",
+                expected: STAGES,
+            };
+            self.reader.report_at(node, "stage", fault);
+            return None;
+        }
+        Some(Stage(stage))
+    }
+
+    pub(super) fn check_overlaps(&self, ladders: &[Placed<'_, Ladder>]) {
+        for (index, ladder) in ladders.iter().enumerate() {
+            let earlier = &ladders[..index];
+            if earlier
+                .iter()
+                .any(|other| overlap(&ladder.rule, &other.rule))
+            {
+                self.reader
+                    .report(ladder.node, FaultKind::OverlappingLadders);
+            }
+        }
+    }
+}
+
+fn overlap(one: &Ladder, other: &Ladder) -> bool {
+    one.service == other.service
+        && one.builds.from <= other.builds.to
+        && other.builds.from <= one.builds.to
+}
--- /dev/null
+++ b/crates/operator-config/src/releases/mod.rs
@@ -0,0 +1,203 @@
+//! The element `<releases>`: services and where their release control planes listen, the order in which builds come
+//! to rings, dependencies and freezes. It becomes [`lilacgate_releases::model::Rules`]; what contradicts itself is
+//! reported. What the rules then permit is decided elsewhere.
+
+mod attributes;
+mod dependencies;
+mod freezes;
+mod ladders;
+
+use std::net::SocketAddr;
+use std::path::PathBuf;
+
+use lilacgate_releases::calendar::{self, TimeZone};
+use lilacgate_releases::model::{Freeze, Ladder, Need, Rules, Service, ServiceId};
+use roxmltree::Node;
+
+use crate::places::{self, Places};
+use crate::timeline::read_absolute_path;
+use crate::xml::{AttributeError, FaultKind, XmlReader};
+
+/// The most services.
+const MAX_SERVICES: usize = 64;
+/// The most ladders, needs and freezes each: what one core looks through within a round.
+const MAX_RULES: usize = 1024;
+
+/// Where the release control plane of another service listens.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Desk {
+    /// The service.
+    pub service: ServiceId,
+    /// The address.
+    pub at: SocketAddr,
+}
+
+/// What the operator orders of releases.
+#[derive(Clone, Debug)]
+pub struct Releases {
+    /// The rules.
+    pub rules: Rules,
+    /// Where the release control planes of other services listen.
+    pub desks: Vec<Desk>,
+    /// Where an agent writes its state when it is asked for it; nowhere if the file names no path.
+    pub state: Option<PathBuf>,
+}
+
+/// The element `<releases>` that is being read.
+struct ReleasesReader<'r, 'a> {
+    reader: &'r XmlReader<'a>,
+    node: Node<'r, 'r>,
+    children: Vec<Node<'r, 'r>>,
+    places: &'r Places,
+    /// The time zone of the freezes' windows.
+    time_zone: Option<TimeZone>,
+    services: Vec<Service>,
+    desks: Vec<Desk>,
+}
+
+/// A rule and its element, for faults that show only when all rules have been read.
+struct Placed<'r, T> {
+    node: Node<'r, 'r>,
+    rule: T,
+}
+
+pub(crate) fn read(
+    reader: &XmlReader<'_>,
+    node: Node<'_, '_>,
+    places: &Places,
+) -> Option<Releases> {
+    reader.check_attributes(node, &["service", "time-zone", "state"]);
+    let children = reader.children(node, &["service", "ladder", "needs", "freeze"]);
+    let mut releases = ReleasesReader {
+        reader,
+        node,
+        children,
+        places,
+        time_zone: reader.optional(node, "time-zone", calendar::time_zone),
+        services: Vec::new(),
+        desks: Vec::new(),
+    };
+    releases.read_services();
+    releases.finish()
+}
+
+impl<'r> ReleasesReader<'r, '_> {
+    fn finish(self) -> Option<Releases> {
+        let reader = self.reader;
+        let own = reader.required(self.node, "service", |text| self.find_service(text));
+        self.check_own_desk(own);
+        let ladders = self.read_all("ladder", |node| self.ladder(node));
+        self.check_overlaps(&ladders);
+        let needs = self.read_all("needs", |node| self.need(node));
+        let freezes = self.read_all("freeze", |node| self.freeze(node));
+        self.check_freeze_names(&freezes);
+        self.check_counts();
+        let need_nodes: Vec<Node<'r, 'r>> = needs.iter().map(|need| need.node).collect();
+        let rules = Rules {
+            zones: self.places.zones.clone(),
+            firms: self.places.tenants.clone(),
+            products: self.places.products.clone(),
+            services: self.services,
+            own: own?,
+            ladders: rules_of::<Ladder>(ladders),
+            needs: rules_of::<Need>(needs),
+            freezes: rules_of::<Freeze>(freezes),
+        };
+        dependencies::check_cycles(reader, &rules, &need_nodes);
+        Some(Releases {
+            rules,
+            desks: self.desks,
+            state: reader.optional(self.node, "state", read_absolute_path),
+        })
+    }
+
+    fn elements(&self, name: &'static str) -> impl Iterator<Item = Node<'r, 'r>> {
+        let children = self.children.iter().copied();
+        children.filter(move |child| child.tag_name().name() == name)
+    }
+
+    /// All elements of a name that can be used.
+    fn read_all<T>(
+        &self,
+        name: &'static str,
+        read: impl Fn(Node<'r, 'r>) -> Option<T>,
+    ) -> Vec<Placed<'r, T>> {
+        let placed = |node| read(node).map(|rule| Placed { node, rule });
+        self.elements(name).filter_map(placed).collect()
+    }
+
+    fn find_service(&self, name: &str) -> Result<ServiceId, AttributeError> {
+        let mut services = self.services.iter();
+        let undefined = || AttributeError::Undefined {
+            kind: "service",
+            name: name.to_owned(),
+        };
+        services
+            .position(|service| service.name == name)
+            .map(|index| ServiceId(index as u8))
+            .ok_or_else(undefined)
+    }
+
+    fn read_services(&mut self) {
+        let nodes: Vec<Node<'r, 'r>> = self.elements("service").collect();
+        for node in nodes {
+            self.read_service(node);
+        }
+    }
+
+    fn read_service(&mut self, node: Node<'r, 'r>) {
+        let reader = self.reader;
+        reader.check_attributes(node, &["name", "desk", "silent-after"]);
+        reader.children(node, &[]);
+        let silent_after = reader.optional(node, "silent-after", attributes::read_period);
+        let address = reader.optional(node, "desk", attributes::read_address);
+        let Some(name) = reader.required(node, "name", places::read_name) else {
+            return;
+        };
+        if self.find_service(&name).is_ok() {
+            let kind = "service";
+            return reader.report_at(node, "name", FaultKind::DefinedTwice { kind, name });
+        }
+        let service = ServiceId(self.services.len() as u8);
+        self.services.push(Service { name, silent_after });
+        self.desks.extend(address.map(|at| Desk { service, at }));
+    }
+
+    /// The address of the own service's release control plane is in the start file.
+    fn check_own_desk(&self, own: Option<ServiceId>) {
+        let own_desk = self.desks.iter().find(|desk| Some(desk.service) == own);
+        if let Some(desk) = own_desk {
+            let name = self.services[usize::from(desk.service.0)].name.clone();
+            self.reader
+                .report(self.node, FaultKind::OwnServiceHasDesk(name));
+        }
+    }
+
+    fn check_counts(&self) {
+        let limits = [
+            ("service", MAX_SERVICES),
+            ("ladder", MAX_RULES),
+            ("needs", MAX_RULES),
+            ("freeze", MAX_RULES),
+        ];
+        for (element, most) in limits {
+            let count = self.elements(element).count();
+            self.check_count(self.node, element, count, most);
+        }
+    }
+
+    fn check_count(&self, node: Node<'_, '_>, element: &'static str, count: usize, most: usize) {
+        if count > most {
+            let fault = FaultKind::TooManyElements {
+                element,
+                count,
+                most,
+            };
+            self.reader.report(node, fault);
+        }
+    }
+}
+
+fn rules_of<T>(placed: Vec<Placed<'_, T>>) -> Vec<T> {
+    placed.into_iter().map(|placed| placed.rule).collect()
+}
--- a/crates/operator-config/src/timeline.rs
+++ b/crates/operator-config/src/timeline.rs
@@ -1,92 +1,105 @@
-//! Owns the element `<timeline>`: whether an agent keeps time lines, how often it may err, and where they are kept.
+//! The element `<timeline>`: whether an agent keeps time lines, how often they may err, and where they are kept.
 use std::path::PathBuf;
 use std::time::Duration;
 
 use lilacgate_releases::calendar;
 use roxmltree::Node;
 
-use crate::xml::File;
+use crate::xml::{AttributeError, FaultKind, XmlReader};
 
-/// What is ordered of time lines.
+/// False events an hour unless the file says otherwise.
+const DEFAULT_FALSE_PER_HOUR: f64 = 0.5;
+/// The most false events an hour that can be ordered.
+const MAX_FALSE_PER_HOUR: f64 = 100.0;
+/// Bytes of memory unless the file says otherwise.
+const DEFAULT_MEMORY: u64 = 8 << 20;
+/// Bytes that are stored unless the file says otherwise.
+const DEFAULT_STORED: u64 = 64 << 20;
+/// The age up to which lines are stored unless the file says otherwise: a week.
+const DEFAULT_AGE: Duration = Duration::from_secs(7 * 24 * 3600);
+/// The most mebibytes that can be ordered: a tebibyte.
+const MAX_MEBIBYTES: u64 = 1 << 20;
+
+/// Which time lines are kept.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Timeline {
-    /// False events an hour over all nodes, at most, in the mean.
+    /// The most false events an hour over all nodes, in the mean.
     pub false_per_hour: f64,
-    /// Octets of memory that all lines may hold.
+    /// The most memory of all lines, in bytes.
     pub memory: usize,
+    /// Where lines are stored; without it they end with the agent.
     pub store: Option<Store>,
-    /// Where the lines are written when the agent is asked for them (SIGUSR1).
+    /// Where the lines are written on SIGUSR1.
     pub dump: Option<PathBuf>,
 }
 
 /// Where lines outlast the agent.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Store {
+    /// The folder of the files.
     pub folder: PathBuf,
-    /// Octets and age at most.
+    /// The most bytes of the files.
     pub keep: u64,
+    /// The greatest age of a line.
     pub age: Duration,
 }
 
-fn absolute(text: &str) -> Result<PathBuf, &'static str> {
+pub(crate) fn read_absolute_path(text: &str) -> Result<PathBuf, AttributeError> {
     let path = PathBuf::from(text);
     if path.is_absolute() {
         Ok(path)
     } else {
-        Err("an absolute path")
+        Err(AttributeError::Expected("an absolute path"))
     }
 }
 
-fn mebibytes(text: &str) -> Result<u64, &'static str> {
-    let fine = text
-        .parse::<u64>()
-        .ok()
-        .filter(|mib| (1..=1 << 20).contains(mib));
-    fine.map(|mib| mib << 20).ok_or("mebibytes, 1 to 1048576")
+/// Bytes, given in mebibytes.
+fn read_mebibytes(text: &str) -> Result<u64, AttributeError> {
+    let mebibytes = text.parse::<u64>().ok();
+    mebibytes
+        .filter(|mebibytes| (1..=MAX_MEBIBYTES).contains(mebibytes))
+        .map(|mebibytes| mebibytes << 20)
+        .ok_or(AttributeError::Expected("mebibytes, 1 to 1048576"))
+}
+
+fn read_rate(text: &str) -> Result<f64, AttributeError> {
+    let rate = text.parse::<f64>().ok();
+    rate.filter(|rate| *rate > 0.0 && *rate <= MAX_FALSE_PER_HOUR)
+        .ok_or(AttributeError::Expected("a rate above 0, 100 at most"))
 }
 
-pub(crate) fn read(file: &File, node: Node) -> Option<Timeline> {
-    file.attributes(
-        node,
-        &[
-            "false-events-per-hour",
-            "memory",
-            "store",
-            "keep",
-            "age",
-            "dump",
-        ],
-    );
-    file.children(node, &[]);
-    let rate = |text: &str| {
-        let fine = text
-            .parse::<f64>()
-            .ok()
-            .filter(|rate| *rate > 0.0 && *rate <= 100.0);
-        fine.ok_or("a rate above 0, 100 at most")
-    };
-    let false_per_hour = file
-        .maybe(node, "false-events-per-hour", rate)
-        .unwrap_or(0.5);
-    let memory = file.maybe(node, "memory", mebibytes).unwrap_or(8 << 20) as usize;
-    let keep = file.maybe(node, "keep", mebibytes).unwrap_or(64 << 20);
-    let age = file
-        .maybe(node, "age", calendar::span)
-        .unwrap_or(Duration::from_secs(7 * 24 * 3600));
-    let folder = file.maybe(node, "store", absolute);
-    let dump = file.maybe(node, "dump", absolute);
+pub(crate) fn read(reader: &XmlReader<'_>, node: Node<'_, '_>) -> Option<Timeline> {
+    let attributes = [
+        "false-events-per-hour",
+        "memory",
+        "store",
+        "keep",
+        "age",
+        "dump",
+    ];
+    reader.check_attributes(node, &attributes);
+    reader.children(node, &[]);
+    let false_per_hour = reader.optional(node, "false-events-per-hour", read_rate);
+    let memory = reader.optional(node, "memory", read_mebibytes);
+    let keep = reader.optional(node, "keep", read_mebibytes);
+    let age = reader.optional(node, "age", calendar::span);
+    let folder = reader.optional(node, "store", read_absolute_path);
+    let dump = reader.optional(node, "dump", read_absolute_path);
     if node.attribute("store").is_none() {
-        for name in ["keep", "age"]
-            .into_iter()
-            .filter(|name| node.attribute(*name).is_some())
-        {
-            file.fault_at(node, name, format!("{name}: without store nothing is kept"));
+        for limit in ["keep", "age"] {
+            if node.attribute(limit).is_some() {
+                reader.report_at(node, limit, FaultKind::LimitWithoutStore(limit));
+            }
         }
     }
     Some(Timeline {
-        false_per_hour,
-        memory,
-        store: folder.map(|folder| Store { folder, keep, age }),
+        false_per_hour: false_per_hour.unwrap_or(DEFAULT_FALSE_PER_HOUR),
+        memory: memory.unwrap_or(DEFAULT_MEMORY) as usize,
+        store: folder.map(|folder| Store {
+            folder,
+            keep: keep.unwrap_or(DEFAULT_STORED),
+            age: age.unwrap_or(DEFAULT_AGE),
+        }),
         dump,
     })
 }
--- a/crates/operator-config/tests/files.rs
+++ b/crates/operator-config/tests/files.rs
@@ -1,6 +1,5 @@
 //! The schema and the reader agree: every example is valid by both; of the bad ones each is refused by the reader with
 //! the faults that its first lines name, and by the schema where these say so.
-#![allow(clippy::min_ident_chars)] // Not met yet.
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
@@ -37,7 +36,7 @@
     let text = std::fs::read_to_string(&path).expect("a file");
     let lines: Vec<&str> = text
         .lines()
-        .map_while(|l| l.strip_prefix("<!-- ").and_then(|l| l.strip_suffix(" -->")))
+        .map_while(|line| line.strip_prefix("<!-- ")?.strip_suffix(" -->"))
         .collect();
     let faults = load(&path, &Known::default()).expect_err("it is refused");
     let said: Vec<String> = faults.iter().map(ToString::to_string).collect();
@@ -116,7 +115,7 @@
         let at = (at % text.len()..text.len()).find(|i| text.is_char_boundary(*i)).unwrap_or(0);
         let spoilt = format!("{}{put}{}", &text[..at], &text[at..]);
         if let Err(faults) = read(&spoilt, &Known::default()) {
-            prop_assert!(!faults.is_empty() && faults.iter().all(|fault| !fault.what.is_empty()));
+            prop_assert!(!faults.is_empty() && faults.iter().all(|fault| !fault.kind.to_string().is_empty()));
         }
     }
 }
