--- a/crates/agent/src/keeper.rs
+++ b/crates/agent/src/keeper.rs
@@ -11,9 +11,10 @@
     TimerId,
 };
 use lilacgate_operator_config::Releases;
-use lilacgate_releases::facts::Told;
-use lilacgate_releases::gate::{Gate, What};
+use lilacgate_releases::events::{Change, TakenEvents};
+use lilacgate_releases::gate::Gate;
 use lilacgate_releases::model::ServiceId;
+use lilacgate_releases::service_status::ReleaseStatus;
 
 use crate::log::{Count, count, say};
 use crate::recorder::{Deed, Recorder};
@@ -25,7 +26,7 @@
     handed: Option<Arc<ReleasePermissions>>,
     /// The builds of the listed appliances.
     listed: BTreeMap<EndpointId, Build>,
-    own: Option<Told>,
+    own: Option<ReleaseStatus>,
     next: Option<Duration>,
 }
 
@@ -59,22 +60,38 @@
         };
         hear(gate, self.now);
         self.keeper.next = gate.next_change();
-        let (events, left_out) = gate.events();
+        let TakenEvents {
+            events,
+            dropped: left_out,
+        } = gate.take_events();
         if left_out > 0 {
             say!("releases: {left_out} changes left out");
         }
         for event in events {
-            let build = event.build;
-            match event.what {
-                What::Opened(many) => say!("releases: build {build} open to {many} more"),
-                What::Closed(many, why) => say!("releases: build {build} closed to {many}: {why}"),
-                What::MayStep(stage) => {
+            let build = event.build.0;
+            match event.change {
+                Change::Opened { pairs: many } => {
+                    say!("releases: build {build} open to {many} more")
+                }
+                Change::Closed {
+                    pairs: many,
+                    reason,
+                } => {
+                    let why = reason.code();
+                    say!("releases: build {build} closed to {many}: {why}")
+                }
+                Change::AdvancePermitted {
+                    stage: Stage(stage),
+                } => {
                     say!("releases: build {build} may go on from stage {stage}")
                 }
-                What::Stays(why) => say!("releases: build {build} stays: {why}"),
+                Change::Held { reason } => {
+                    let why = reason.code();
+                    say!("releases: build {build} stays: {why}")
+                }
             }
         }
-        let open = gate.openings();
+        let open = gate.permissions();
         if self
             .keeper
             .handed
@@ -95,13 +112,13 @@
     }
 
     /// News of another service.
-    pub fn service(&mut self, service: ServiceId, told: Told) {
+    pub fn service(&mut self, service: ServiceId, told: ReleaseStatus) {
         count(Count::ServiceNews);
-        self.gate(|gate, now| gate.hear(now, service, told));
+        self.gate(|gate, now| gate.on_release_status(now, service, told));
     }
 
     pub fn service_lives(&mut self, service: ServiceId) {
-        self.gate(|gate, now| gate.alive(now, service));
+        self.gate(|gate, now| gate.on_heartbeat(now, service));
     }
 
     /// Takes a file's rules, or none any more.
@@ -116,15 +133,15 @@
         };
         // The reader has refused circles of needs.
         if self.keeper.gate.is_some() {
-            self.gate(|gate, now| drop(gate.replace(now, rules, Some(me))));
+            self.gate(|gate, now| drop(gate.replace_rules(now, rules, Some(me))));
         } else {
             self.keeper.gate = Gate::new(rules, Some(me), self.now).ok();
             let (own, listed) = (self.keeper.own, self.keeper.listed.clone());
             self.gate(|gate, now| {
-                let service = gate.rules().own;
+                let service = gate.rules().own_service;
                 own.into_iter()
-                    .for_each(|told| gate.hear(now, service, told));
-                gate.list(now, listed.into_values());
+                    .for_each(|told| gate.on_release_status(now, service, told));
+                gate.set_listed_builds(now, listed.into_values());
             });
         }
     }
@@ -150,7 +167,7 @@
         self.recorder
             .book(|book| book.membership(self.now, listing, &lines));
         let builds: Vec<Build> = self.keeper.listed.values().copied().collect();
-        self.gate(|gate, now| gate.list(now, builds.into_iter()));
+        self.gate(|gate, now| gate.set_listed_builds(now, builds.into_iter()));
         self.module.on_endpoints(listing, &mut lines.into_iter());
     }
 
@@ -162,16 +179,16 @@
         cap: f64,
         age: Duration,
     ) {
-        let told = Told {
+        let told = ReleaseStatus {
             build,
             stage,
-            course,
+            phase: course,
             since: self.now.saturating_sub(age),
         };
         self.keeper.own = Some(told);
         self.recorder
             .book(|book| book.stage(self.now, build, stage, course, age));
-        self.gate(|gate, now| gate.hear(now, gate.rules().own, told));
+        self.gate(|gate, now| gate.on_release_status(now, gate.rules().own_service, told));
         self.module
             .on_release_status(build, stage, course, cap, age);
     }
--- a/crates/agent/src/releases.rs
+++ b/crates/agent/src/releases.rs
@@ -9,9 +9,9 @@
 use async_channel::Sender;
 use lilacgate_decision::Tenant;
 use lilacgate_operator_config::{Known, Operator, Releases, Timeline};
-use lilacgate_releases::facts::Told;
 use lilacgate_releases::gate::Gate;
 use lilacgate_releases::model::ServiceId;
+use lilacgate_releases::service_status::ReleaseStatus;
 use lilacgate_start_settings::Paths;
 
 use crate::desk::{Bound, Desk, Ears, News};
@@ -212,10 +212,10 @@
     fn news(&self, news: News) {
         let service = self.service.get();
         let since = self.hub.clock.now().saturating_sub(news.age);
-        let told = Told {
+        let told = ReleaseStatus {
             build: news.build,
             stage: news.stage,
-            course: news.course,
+            phase: news.course,
             since,
         };
         self.hub.tell(move |ear| ear.service(service, told));
--- a/crates/ctl/src/chart.rs
+++ b/crates/ctl/src/chart.rs
@@ -101,7 +101,7 @@
                 if at > end {
                     break;
                 }
-                if let Some(force) = freeze.when.in_force(at) {
+                if let Some(force) = freeze.schedule.active_window(at) {
                     let (from, to) = (
                         force.since.unwrap_or(start),
                         force.until.unwrap_or(Duration::MAX),
@@ -111,7 +111,7 @@
                         .draw_series([Rectangle::new(shade, FROZEN.filled())])
                         .map_err(fault)?;
                 }
-                let Some(next) = freeze.when.next_change(at) else {
+                let Some(next) = freeze.schedule.next_change(at) else {
                     break;
                 };
                 at = next;
@@ -130,7 +130,10 @@
                 .map_err(fault)?;
         }
         for planned in &steps {
-            let on_chain = plan.chain.iter().any(|other| other.step == planned.step);
+            let on_chain = plan
+                .critical_path
+                .iter()
+                .any(|other| other.step == planned.step);
             let colour = if on_chain { CHAIN } else { BLACK };
             let x = secs(planned.at);
             let line = PathElement::new(
--- a/crates/ctl/src/lines.rs
+++ b/crates/ctl/src/lines.rs
@@ -55,7 +55,8 @@
 fn moment(text: &str, end: Duration, zone: &TimeZone) -> Result<Duration, Unusable> {
     match text.strip_prefix('-') {
         Some(back) => {
-            let back = lilacgate_releases::calendar::span(back).map_err(Unusable)?;
+            let back = lilacgate_releases::calendar::span(back)
+                .map_err(|error| Unusable(error.to_string()))?;
             Ok(end.saturating_sub(back))
         }
         None => time::read(text, zone).map_err(Unusable),
@@ -64,8 +65,8 @@
 
 impl Reading {
     pub fn read(&self) -> Result<Lines, Unusable> {
-        let zone =
-            lilacgate_releases::calendar::time_zone(&self.zone_of_reader).map_err(Unusable)?;
+        let zone = lilacgate_releases::calendar::time_zone(&self.zone_of_reader)
+            .map_err(|error| Unusable(error.to_string()))?;
         let named = |path: &Path, why: &str| format!("{}: {why}", path.display());
         let read = reader::read(&self.path)
             .map_err(|why| Unusable(named(&self.path, &why.to_string())))?;
--- a/crates/ctl/src/releases.rs
+++ b/crates/ctl/src/releases.rs
@@ -11,9 +11,10 @@
 use lilacgate_releases::gate::Gate;
 use lilacgate_releases::model::{Rules, ServiceId};
 use lilacgate_releases::planner::{
-    Because, Clash, Given, Plan, Planned, Statement, Step, Wish, plan,
+    Cause, Conflict, Goal, Plan, PlannedStep, ReleasedBuilds, Statement, Step, plan,
 };
-use lilacgate_releases::record::State;
+use lilacgate_releases::reason::PermittedAdvance;
+use lilacgate_releases::stored_state::StoredState;
 use serde_json::{Value, json};
 
 use crate::{Answer, Unusable, chart, time, trimmed};
@@ -93,14 +94,14 @@
     Ok(operator.releases.ok_or_else(none)?.rules)
 }
 
-fn state(file: &Path) -> Result<State, Unusable> {
+fn state(file: &Path) -> Result<StoredState, Unusable> {
     let unusable = |fault: String| Unusable(format!("{}: {fault}", file.display()));
     let text = std::fs::read_to_string(file).map_err(|fault| unusable(fault.to_string()))?;
     serde_json::from_str(&text).map_err(|fault| unusable(fault.to_string()))
 }
 
 fn zone_of(name: &str) -> Result<TimeZone, Unusable> {
-    lilacgate_releases::calendar::time_zone(name).map_err(Unusable)
+    lilacgate_releases::calendar::time_zone(name).map_err(|error| Unusable(error.to_string()))
 }
 
 /// The numbers of all names, or of the one that is asked for.
@@ -128,7 +129,7 @@
             if at < gate.now() {
                 tracing::warn!("the state is of a later time; it is explained as it is");
             }
-            gate.live_on(at);
+            gate.advance_assuming_heartbeats(at);
         }
         Ok(gate)
     }
@@ -144,11 +145,11 @@
         let gate = self.gate(at)?;
         let rules = gate.rules();
         let zones = wanted(&rules.zones, "zone", self.zone.as_ref())?;
-        let firms = wanted(&rules.firms, "firm", self.firm.as_ref())?;
-        let products = wanted(&rules.products, "product", self.product.as_ref())?;
+        let firms = wanted(&rules.tenants, "firm", self.firm.as_ref())?;
+        let products = wanted(&rules.request_classes, "product", self.product.as_ref())?;
         let builds: Vec<Build> = match self.build {
             Some(build) => vec![Build(build)],
-            None => gate.builds().map(|(build, _)| build).collect(),
+            None => gate.builds().collect(),
         };
         let mut rows = Vec::new();
         for &build in &builds {
@@ -166,11 +167,13 @@
                 }
             }
         }
-        let step = match gate.step() {
-            Ok((build, stage)) => json!({"may": true, "build": build.0, "stage": stage.0}),
+        let step = match gate.permitted_advance() {
+            Ok(PermittedAdvance { build, stage }) => {
+                json!({"may": true, "build": build.0, "stage": stage.0})
+            }
             Err(stay) => {
                 let build = gate.newest().unwrap_or_default();
-                json!({"may": false, "code": stay.why.code(), "why": gate.step_words(build, stay.why),
+                json!({"may": false, "code": stay.reason.code(), "why": gate.describe_hold(build, stay.reason),
                     "until": stay.until.map(|until| time::show(until, &zone))})
             }
         };
@@ -238,10 +241,10 @@
         let rules = gate.rules();
         let admits = gate.admits(build, zone, firm, product);
         let kept = gate
-            .kept_in_spite_of(build, zone, firm)
+            .retained_despite(build, zone, firm)
             .filter(|_| admits.is_ok());
         let why = kept.or(admits.err());
-        let words = why.map_or("open".into(), |why| gate.words(build, why));
+        let words = why.map_or("open".into(), |why| gate.describe_closed(build, why));
         let words = if kept.is_some() {
             format!("kept by who has it, though {words}")
         } else {
@@ -255,8 +258,8 @@
         Ok(json!({
             "build": build.0,
             "zone": rules.zones[usize::from(zone.0)],
-            "firm": rules.firms[usize::from(firm.0)],
-            "product": rules.products[usize::from(product.0)],
+            "firm": rules.tenants[usize::from(firm.0)],
+            "product": rules.request_classes[usize::from(product.0)],
             "open": admits.is_ok(),
             "kept": kept.is_some(),
             "code": why.map_or("open", |why| why.code()),
@@ -273,10 +276,13 @@
     ) -> Result<Option<Duration>, Unusable> {
         let mut gate = self.gate(Some(from))?;
         for _ in 0..CHANGES {
-            let Some(next) = gate.next_ordered().filter(|next| *next < from + AHEAD) else {
+            let Some(next) = gate
+                .next_scheduled_change()
+                .filter(|next| *next < from + AHEAD)
+            else {
                 return Ok(None);
             };
-            gate.live_on(next);
+            gate.advance_assuming_heartbeats(next);
             if gate.admits(build, zone, firm, product).is_ok() {
                 return Ok(Some(next));
             }
@@ -299,20 +305,20 @@
     ))
 }
 
-fn wish(rules: &Rules, text: &str, zone: &TimeZone) -> Result<Wish, Unusable> {
+fn wish(rules: &Rules, text: &str, zone: &TimeZone) -> Result<Goal, Unusable> {
     let mut parts = text.split(',');
     let (service, build) = service_build(rules, parts.next().unwrap_or_default())?;
-    let mut wish = Wish {
+    let mut wish = Goal {
         service,
         build,
         not_before: None,
-        by: None,
+        deadline: None,
     };
     for part in parts {
         let at = |text| time::read(text, zone).map_err(Unusable);
         match part.split_once('=') {
             Some(("from", text)) => wish.not_before = Some(at(text)?),
-            Some(("by", text)) => wish.by = Some(at(text)?),
+            Some(("by", text)) => wish.deadline = Some(at(text)?),
             _ => {
                 return Err(Unusable(format!(
                     "{part:?} is neither from=TIME nor by=TIME"
@@ -338,31 +344,31 @@
     }
 }
 
-fn because_words(rules: &Rules, because: Because) -> String {
-    match because {
-        Because::Start => "may begin".into(),
-        Because::NotBefore => "not wished before".into(),
-        Because::Before(step) => format!("after {}", step_words(rules, step)),
-        Because::Need(_, step) => format!("needs that {}", step_words(rules, step)),
-        Because::Freeze(i) => format!("freeze {} ends", rules.freezes[i].name),
+fn because_words(rules: &Rules, cause: Cause) -> String {
+    match cause {
+        Cause::Start => "may begin".into(),
+        Cause::NotBefore => "not wished before".into(),
+        Cause::PreviousStep(step) => format!("after {}", step_words(rules, step)),
+        Cause::Dependency(_, step) => format!("needs that {}", step_words(rules, step)),
+        Cause::Freeze(i) => format!("freeze {} ends", rules.freezes[i].name),
     }
 }
 
-fn statement_words(rules: &Rules, wishes: &[Wish], statement: Statement) -> String {
+fn statement_words(rules: &Rules, wishes: &[Goal], statement: Statement) -> String {
     let wished = |i: usize| format!("{} {}", rules.service(wishes[i].service), wishes[i].build.0);
     match statement {
-        Statement::Comes(i) => format!("{} comes out", wished(i)),
-        Statement::By(i) => format!("{} comes out by its time", wished(i)),
-        Statement::Need(i) => {
-            let need = &rules.needs[i];
-            let (service, of) = (rules.service(need.service), rules.service(need.of));
+        Statement::GoalReached(i) => format!("{} comes out", wished(i)),
+        Statement::Deadline(i) => format!("{} comes out by its time", wished(i)),
+        Statement::Dependency(i) => {
+            let need = &rules.dependencies[i];
+            let (service, of) = (rules.service(need.service), rules.service(need.requires));
             format!(
                 "{service} {}..{} needs {of} {} or later",
                 need.builds.from.0, need.builds.to.0, need.at_least.0
             )
         }
         Statement::Freeze(i) => format!("the freeze {}", rules.freezes[i].name),
-        Statement::Order(service) => {
+        Statement::ReleaseOrder(service) => {
             format!(
                 "builds of {} come out one after another",
                 rules.service(service)
@@ -375,7 +381,7 @@
     fn run(self, as_json: bool) -> Answer {
         let zone = zone_of(&self.zone_of_reader)?;
         let rules = rules(&self.file)?;
-        let mut given = Given::new();
+        let mut given = ReleasedBuilds::new();
         for text in &self.released {
             given.insert(service_build(&rules, text)?);
         }
@@ -410,7 +416,7 @@
                 }
                 Ok(true)
             }
-            Err(Clash {
+            Err(Conflict {
                 statements,
                 is_smallest,
             }) => {
@@ -438,14 +444,17 @@
     }
 
     fn show(&self, rules: &Rules, plan: &Plan, zone: &TimeZone, as_json: bool) {
-        let line = |planned: &Planned| {
-            let (step, because) = (
+        let line = |planned: &PlannedStep| {
+            let (step, cause) = (
                 step_words(rules, planned.step),
-                because_words(rules, planned.because),
+                because_words(rules, planned.cause),
             );
-            let on_chain = plan.chain.iter().any(|other| other.step == planned.step);
+            let on_chain = plan
+                .critical_path
+                .iter()
+                .any(|other| other.step == planned.step);
             json!({"at": time::show(planned.at, zone), "at_ms": planned.at.as_millis() as u64, "step": step,
-                "because": because, "determines_end": on_chain})
+                "because": cause, "determines_end": on_chain})
         };
         let lines: Vec<Value> = plan.steps.iter().map(line).collect();
         if as_json {
--- a/crates/operator-config/src/releases.rs
+++ b/crates/operator-config/src/releases.rs
@@ -6,9 +6,10 @@
 use std::time::Duration;
 
 use lilacgate_decision::{Build, RequestClass, Stage};
-use lilacgate_releases::calendar::{self, TimeZone, When};
+use lilacgate_releases::calendar::{self, Schedule, TimeZone};
 use lilacgate_releases::model::{
-    Builds, Freeze, InDoubt, Ladder, Need, Pairs, Reach, Ring, Rules, Service, ServiceId,
+    Builds, Dependency, DependencyScope, Freeze, Ladder, PairSet, Ring, Rules, Service, ServiceId,
+    WhenUnknown,
 };
 use roxmltree::Node;
 
@@ -48,10 +49,10 @@
     text.parse().map(Build).map_err(|_| "a build, 0 to 65535")
 }
 
-fn in_doubt(text: &str) -> Result<InDoubt, &'static str> {
+fn in_doubt(text: &str) -> Result<WhenUnknown, &'static str> {
     match text {
-        "hold" => Ok(InDoubt::Hold),
-        "close" => Ok(InDoubt::Close),
+        "hold" => Ok(WhenUnknown::Hold),
+        "close" => Ok(WhenUnknown::Close),
         _ => Err("hold or close"),
     }
 }
@@ -109,7 +110,7 @@
             );
         }
     }
-    let needs: Vec<(Node, Need)> = of("needs")
+    let needs: Vec<(Node, Dependency)> = of("needs")
         .filter_map(|n| Some((n, reading.need(n)?)))
         .collect();
     let freezes: Vec<Freeze> = of("freeze").filter_map(|n| reading.freeze(n)).collect();
@@ -135,26 +136,26 @@
     }
     let rules = Rules {
         zones: places.zones.clone(),
-        firms: places.firms.clone(),
-        products: places.products.clone(),
+        tenants: places.firms.clone(),
+        request_classes: places.products.clone(),
         services: reading.services,
-        own: own?,
+        own_service: own?,
         ladders: ladders.into_iter().map(|(_, ladder)| ladder).collect(),
-        needs: needs.iter().map(|(_, need)| need.clone()).collect(),
+        dependencies: needs.iter().map(|(_, need)| need.clone()).collect(),
         freezes,
     };
-    if let Err(circle) = rules.needs_in_order() {
+    if let Err(circle) = rules.dependency_order() {
         let step = |i: &usize| {
-            let need = &rules.needs[*i];
-            let (service, of) = (rules.service(need.service), rules.service(need.of));
+            let need = &rules.dependencies[*i];
+            let (service, of) = (rules.service(need.service), rules.service(need.requires));
             format!(
                 "{service} {}.. needs {of} {}",
                 need.builds.from.0, need.at_least.0
             )
         };
-        let path: Vec<String> = circle.iter().map(step).collect();
+        let path: Vec<String> = circle.0.iter().map(step).collect();
         file.fault(
-            needs[circle[0]].0,
+            needs[circle.0[0]].0,
             format!("needs go in a circle: {}", path.join("; ")),
         );
     }
@@ -250,11 +251,11 @@
     }
 
     /// Each of the zones with each of the firms that its two attributes list.
-    fn pairs(&self, node: Node) -> Option<Pairs> {
+    fn pairs(&self, node: Node) -> Option<PairSet> {
         let zones = self.list(node, "zones", "zone", &self.places.zones);
         let firms = self.list(node, "firms", "firm", &self.places.firms);
         let (zones, firms) = zones.zip(firms)?;
-        Some(Pairs(
+        Some(PairSet(
             zones
                 .iter()
                 .flat_map(|zone| firms.iter().map(move |firm| *zone && *firm))
@@ -303,7 +304,7 @@
             service: service?,
             builds: self.range(node)?,
             rings,
-            settles,
+            final_soak: settles,
         })
     }
 
@@ -320,8 +321,8 @@
         let products = self.list(node, "products", "product", &self.places.products)?;
         let bits = (0..products.len())
             .filter(|i| products[*i])
-            .map(|i| Rules::product_bit(RequestClass(i as u8)));
-        let mut pairs = Pairs(vec![
+            .map(|i| Rules::request_class_bit(RequestClass(i as u8)));
+        let mut pairs = PairSet(vec![
             false;
             self.places.zones.len() * self.places.firms.len()
         ]);
@@ -350,13 +351,13 @@
         Some(Ring {
             name: name?,
             stage: Stage(stage),
-            after,
+            soak_before: after,
             pairs,
-            products: bits.fold(0, |all, bit| all | bit),
+            request_classes: bits.fold(0, |all, bit| all | bit),
         })
     }
 
-    fn need(&self, node: Node) -> Option<Need> {
+    fn need(&self, node: Node) -> Option<Dependency> {
         let file = self.file;
         file.attributes(
             node,
@@ -373,25 +374,28 @@
         }
         let at_least = file.need(node, "at-least", builds);
         let reach = file.maybe(node, "where", |text| match text {
-            "everywhere" => Ok(Reach::Everywhere),
-            "same-zone" => Ok(Reach::SameZone),
+            "everywhere" => Ok(DependencyScope::Everywhere),
+            "same-zone" => Ok(DependencyScope::SameZone),
             _ => Err("everywhere or same-zone"),
         });
         let on_trial = file
             .maybe(node, "on-trial", in_doubt)
-            .unwrap_or(InDoubt::Close);
+            .unwrap_or(WhenUnknown::Close);
         let released = file
             .maybe(node, "released", in_doubt)
-            .unwrap_or(InDoubt::Hold);
-        let (reach, builds) = (reach.unwrap_or(Reach::Everywhere), self.range(node)?);
-        Some(Need {
+            .unwrap_or(WhenUnknown::Hold);
+        let (reach, builds) = (
+            reach.unwrap_or(DependencyScope::Everywhere),
+            self.range(node)?,
+        );
+        Some(Dependency {
             service: service?,
             builds,
-            of: of?,
+            requires: of?,
             at_least: at_least?,
-            reach,
-            on_trial,
-            released,
+            scope: reach,
+            canary_when_unknown: on_trial,
+            released_when_unknown: released,
         })
     }
 
@@ -422,17 +426,17 @@
             name: name?,
             service,
             pairs: pairs?,
-            closes: closes.unwrap_or(false),
-            when,
+            closes_canary: closes.unwrap_or(false),
+            schedule: when,
         })
     }
 
-    fn when(&self, node: Node) -> Option<When> {
+    fn when(&self, node: Node) -> Option<Schedule> {
         let file = self.file;
         file.children(node, &[]);
         if node.tag_name().name() == "declared" {
             file.attributes(node, &[]);
-            return Some(When::Declared);
+            return Some(Schedule::Declared);
         }
         file.attributes(node, &["from", "to"]);
         let Some(zone) = self.zone.clone() else {
@@ -459,12 +463,12 @@
                 if from >= to {
                     file.fault_at(node, "to", "to: expected a time after from");
                 }
-                (from < to).then_some(When::Once { from, to })
+                (from < to).then_some(Schedule::OneTime { from, to })
             }
             "weekly" => {
                 let from = file.need(node, "from", calendar::week_time);
                 let to = file.need(node, "to", calendar::week_time);
-                Some(When::Weekly {
+                Some(Schedule::Weekly {
                     zone,
                     from: from?,
                     to: to?,
@@ -473,7 +477,7 @@
             _ => {
                 let from = file.need(node, "from", calendar::year_time);
                 let to = file.need(node, "to", calendar::year_time);
-                Some(When::Yearly {
+                Some(Schedule::Yearly {
                     zone,
                     from: from?,
                     to: to?,
--- a/crates/releases/src/calendar.rs
+++ b/crates/releases/src/calendar.rs
@@ -1,58 +1,98 @@
-//! Owns when a freeze is in force: spans, weekly and yearly windows in a named time zone. It knows no service and must
-//! never make a window shorter than it was ordered: where a clock change skips or repeats an hour, a window begins at
-//! the earlier and ends at the later reading.
+//! When a freeze is active: once, or in weekly or yearly windows of a time zone. A window is never shorter than ordered:
+//! where a clock change skips or repeats an hour, it begins at the earlier and ends at the later reading of the clock.
 use std::time::Duration;
 
 use jiff::civil::{Date, DateTime, Time, Weekday};
 pub use jiff::tz::TimeZone;
 use jiff::{Timestamp, ToSpan};
-use winnow::Parser;
-use winnow::ascii::{alpha1, digit1, space1};
-use winnow::combinator::{opt, preceded, separated_pair, terminated};
-use winnow::error::ContextError;
+
+pub use crate::time_text::{TimeTextError, date_time, span, time_zone, week_time, year_time};
+
+/// The days around the present one on which a weekly window may begin that is active now or begins next.
+const WEEKLY_DAYS: std::ops::RangeInclusive<i64> = -15..=8;
+/// The years around the present one in which a yearly window may begin that is active now or begins next.
+const YEARLY_YEARS: std::ops::RangeInclusive<i16> = -2..=1;
+const DAYS_OF_WEEK: i64 = 7;
 
 /// A day of the week and a time on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WeekTime {
+    /// The day.
     pub day: Weekday,
+    /// The time on that day.
     pub time: Time,
 }
 
-/// A month, its day and a time on it. The 29th of February counts as the 28th in other years.
+/// A day of the year and a time on it. The 29th of February counts as the 28th in years that do not have it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct YearTime {
+    /// The month, from 1.
     pub month: i8,
+    /// The day of the month, from 1.
     pub day: i8,
+    /// The time on that day.
     pub time: Time,
 }
 
-/// When something is in force.
+impl YearTime {
+    /// The moment in a year.
+    fn in_year(self, year: i16) -> Option<DateTime> {
+        let first = Date::new(year, self.month, 1).ok()?;
+        let day = self.day.min(first.days_in_month());
+        let date = Date::new(year, self.month, day).ok()?;
+        Some(date.to_datetime(self.time))
+    }
+}
+
+/// When something is active.
 #[derive(Clone, Debug, PartialEq)]
-pub enum When {
-    /// From when it was declared, for as long as it stands in the file.
+pub enum Schedule {
+    /// For as long as it stands in the operator's file.
     Declared,
-    /// Once, from one instant to another, as spans since 1970.
-    Once { from: Duration, to: Duration },
+    /// Once.
+    OneTime {
+        /// The first instant, since 1970.
+        from: Duration,
+        /// The end, since 1970.
+        to: Duration,
+    },
+    /// Each week.
     Weekly {
+        /// The time zone of the clock.
         zone: TimeZone,
+        /// The begin.
         from: WeekTime,
+        /// The end; one that is not after the begin is in the next week.
         to: WeekTime,
     },
+    /// Each year.
     Yearly {
+        /// The time zone of the clock.
         zone: TimeZone,
+        /// The begin.
         from: YearTime,
+        /// The end; one that is not after the begin is in the next year.
         to: YearTime,
     },
 }
 
-/// Since and until when a window is in force; one that was declared has neither.
+/// The window that is active. A declared one has neither begin nor end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct InForce {
+pub struct ActiveWindow {
+    /// The begin, since 1970.
     pub since: Option<Duration>,
+    /// The end, since 1970.
     pub until: Option<Duration>,
 }
 
-/// An instant as the time library has it; beyond its years, its last one.
+/// A window: its first instant and its end, since 1970.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+struct Window {
+    from: Duration,
+    to: Duration,
+}
+
+/// An instant as a timestamp; one beyond the range of timestamps is the last of them.
 pub fn instant(at: Duration) -> Timestamp {
     Timestamp::from_nanosecond(i128::try_from(at.as_nanos()).unwrap_or(i128::MAX))
         .unwrap_or(Timestamp::MAX)
@@ -62,168 +102,97 @@
     Duration::try_from(at.duration_since(Timestamp::UNIX_EPOCH)).unwrap_or_default()
 }
 
-/// The first instant that a clock in a zone could mean by this.
+/// The first instant, since 1970, at which a clock in a time zone shows this.
 pub fn earliest(zone: &TimeZone, at: DateTime) -> Duration {
     zone.to_ambiguous_timestamp(at)
         .earlier()
         .map_or(Duration::ZERO, since_1970)
 }
 
-/// The last one.
+/// The last instant, since 1970, at which a clock in a time zone shows this.
 pub fn latest(zone: &TimeZone, at: DateTime) -> Duration {
     zone.to_ambiguous_timestamp(at)
         .later()
         .map_or(Duration::MAX, since_1970)
 }
 
-impl YearTime {
-    /// That moment of a year.
-    fn of(self, year: i16) -> Option<DateTime> {
-        let first = Date::new(year, self.month, 1).ok()?;
-        let day = self.day.min(first.days_in_month());
-        Some(
-            Date::new(year, self.month, day)
-                .ok()?
-                .to_datetime(self.time),
-        )
+/// The weekly window that begins on a day; nothing if none does.
+fn weekly_window(zone: &TimeZone, day: Date, from: WeekTime, to: WeekTime) -> Option<Window> {
+    if day.weekday() != from.day {
+        return None;
     }
-}
-
-impl When {
-    /// All its windows that could hold `now` or begin next, in order.
-    fn near(&self, now: Duration) -> Vec<(Duration, Duration)> {
+    let days = match i64::from(to.day.since(from.day)) {
+        0 if to.time <= from.time => DAYS_OF_WEEK,
+        days => days,
+    };
+    let last_day = day.checked_add(days.days()).ok()?;
+    Some(Window {
+        from: earliest(zone, day.to_datetime(from.time)),
+        to: latest(zone, last_day.to_datetime(to.time)),
+    })
+}
+
+/// The yearly window that begins in a year.
+fn yearly_window(zone: &TimeZone, year: i16, from: YearTime, to: YearTime) -> Option<Window> {
+    let start = from.in_year(year)?;
+    let end = to
+        .in_year(year)
+        .filter(|end| *end > start)
+        .or_else(|| to.in_year(year.checked_add(1)?))?;
+    Some(Window {
+        from: earliest(zone, start),
+        to: latest(zone, end),
+    })
+}
+
+impl Schedule {
+    /// All windows that may be active at an instant or begin next, in order.
+    fn windows_near(&self, now: Duration) -> Vec<Window> {
         match self {
-            When::Declared => Vec::new(),
-            When::Once { from, to } => vec![(*from, *to)],
-            When::Weekly { zone, from, to } => {
+            Schedule::Declared => Vec::new(),
+            Schedule::OneTime { from, to } => vec![Window {
+                from: *from,
+                to: *to,
+            }],
+            Schedule::Weekly { zone, from, to } => {
                 let today = zone.to_datetime(instant(now)).date();
-                let of = |ahead: i64| {
-                    let day = today
-                        .checked_add(ahead.days())
-                        .ok()
-                        .filter(|d| d.weekday() == from.day)?;
-                    let later = i64::from(to.day.since(from.day));
-                    let later = if later == 0 && to.time <= from.time {
-                        7
-                    } else {
-                        later
-                    };
-                    let end = day.checked_add(later.days()).ok()?;
-                    let span = (
-                        earliest(zone, day.to_datetime(from.time)),
-                        latest(zone, end.to_datetime(to.time)),
-                    );
-                    Some(span)
-                };
-                (-15..=8).filter_map(of).collect()
+                WEEKLY_DAYS
+                    .filter_map(|ahead| today.checked_add(ahead.days()).ok())
+                    .filter_map(|day| weekly_window(zone, day, *from, *to))
+                    .collect()
             }
-            When::Yearly { zone, from, to } => {
-                let year = zone.to_datetime(instant(now)).year();
-                let of = |year: i16| {
-                    let start = from.of(year)?;
-                    let end = to
-                        .of(year)
-                        .filter(|end| *end > start)
-                        .or_else(|| to.of(year.checked_add(1)?))?;
-                    Some((earliest(zone, start), latest(zone, end)))
-                };
-                (-2..=1)
-                    .filter_map(|more| of(year.checked_add(more)?))
+            Schedule::Yearly { zone, from, to } => {
+                let this_year = zone.to_datetime(instant(now)).year();
+                YEARLY_YEARS
+                    .filter_map(|ahead| this_year.checked_add(ahead))
+                    .filter_map(|year| yearly_window(zone, year, *from, *to))
                     .collect()
             }
         }
     }
 
-    /// Whether it is in force at an instant; a window holds its first instant, not its last.
-    pub fn in_force(&self, now: Duration) -> Option<InForce> {
-        if *self == When::Declared {
-            return Some(InForce {
+    /// The window that is active at an instant. A window holds its first instant, but not its end.
+    pub fn active_window(&self, now: Duration) -> Option<ActiveWindow> {
+        if *self == Schedule::Declared {
+            return Some(ActiveWindow {
                 since: None,
                 until: None,
             });
         }
-        let holds = |(from, to): &(Duration, Duration)| *from <= now && now < *to;
-        let (from, to) = self.near(now).into_iter().find(holds)?;
-        Some(InForce {
-            since: Some(from),
-            until: Some(to),
+        let mut windows = self.windows_near(now).into_iter();
+        let window = windows.find(|window| window.from <= now && now < window.to)?;
+        Some(ActiveWindow {
+            since: Some(window.from),
+            until: Some(window.to),
         })
     }
 
-    /// When it next begins or ends.
+    /// When a window next begins or ends.
     pub fn next_change(&self, now: Duration) -> Option<Duration> {
-        self.near(now)
+        self.windows_near(now)
             .into_iter()
-            .flat_map(|(from, to)| [from, to])
+            .flat_map(|window| [window.from, window.to])
             .filter(|at| *at > now)
             .min()
     }
 }
-
-type Read<'a, T> = Result<T, winnow::error::ErrMode<ContextError>>;
-
-fn number<'a>(text: &mut &'a str) -> Read<'a, i8> {
-    digit1.try_map(str::parse::<i8>).parse_next(text)
-}
-
-fn time<'a>(text: &mut &'a str) -> Read<'a, Time> {
-    let whole = (
-        separated_pair(number, ':', number),
-        opt(preceded(':', number)),
-    );
-    whole
-        .try_map(|((h, m), s)| Time::new(h, m, s.unwrap_or(0), 0))
-        .parse_next(text)
-}
-
-fn weekday<'a>(text: &mut &'a str) -> Read<'a, Weekday> {
-    let days = ["mon", "tue", "wed", "thu", "fri", "sat", "sun"];
-    let named = |word: &str| {
-        let word = word.to_ascii_lowercase();
-        days.iter()
-            .position(|day| *day == word)
-            .and_then(|i| Weekday::from_monday_zero_offset(i as i8).ok())
-    };
-    alpha1.verify_map(named).parse_next(text)
-}
-
-/// `Fri 18:00`.
-pub fn week_time(text: &str) -> Result<WeekTime, String> {
-    let mut whole = (terminated(weekday, space1), time).map(|(day, time)| WeekTime { day, time });
-    whole
-        .parse(text.trim())
-        .map_err(|_| format!("{text:?} is no day and time such as \"Fri 18:00\""))
-}
-
-/// `12-28 00:00`.
-pub fn year_time(text: &str) -> Result<YearTime, String> {
-    let mut whole = (separated_pair(number, '-', number), preceded(space1, time))
-        .map(|((month, day), time)| YearTime { month, day, time })
-        // 2028 has a 29th of February.
-        .verify(|at: &YearTime| Date::new(2028, at.month, at.day).is_ok());
-    whole
-        .parse(text.trim())
-        .map_err(|_| format!("{text:?} is no month, day and time such as \"12-28 00:00\""))
-}
-
-/// `2026-12-28T00:00`.
-pub fn date_time(text: &str) -> Result<DateTime, String> {
-    text.trim()
-        .parse()
-        .map_err(|_| format!("{text:?} is no date and time such as \"2026-12-28T00:00\""))
-}
-
-/// `1h 30m`, `250ms`: a span, not below 0.
-pub fn span(text: &str) -> Result<Duration, String> {
-    let read = text
-        .trim()
-        .parse::<jiff::SignedDuration>()
-        .ok()
-        .and_then(|span| Duration::try_from(span).ok());
-    read.ok_or_else(|| format!("{text:?} is no span of time such as \"1h 30m\" or \"250ms\""))
-}
-
-/// A time zone by its name, such as `Asia/Tokyo`.
-pub fn time_zone(name: &str) -> Result<TimeZone, String> {
-    TimeZone::get(name).map_err(|_| format!("{name:?} is no known time zone"))
-}
--- a/crates/releases/src/lib.rs
+++ b/crates/releases/src/lib.rs
@@ -1,20 +1,34 @@
-//! Where and for whom a build may be used, and when a step on may be asked for: ladders of rings by zone and member
-//! firm, dependencies on other services' builds, freezes. Decisions and state without any I/O; the clock is passed in,
-//! as spans since 1970. What is decided here only narrows what the decision module allows.
+//! Where and for whom a build may be used, and when its next stage may be voted for: ladders of rings by zone and
+//! tenant, dependencies on other services' builds, freezes. Decisions and state without any I/O; the clock is passed
+//! in, as time since 1970. What is decided here only narrows what the decision engine allows.
 //!
-//! [`model::Rules`] is what the operator orders, [`facts`] what is heard of services, [`gate::Gate`] decides,
-//! [`record`] is its state as a file, and [`planner`] says when builds can come out under the same rules.
+//! - [`model`]: the operator's rules; [`calendar`]: when freezes are active.
+//! - [`gate`]: applies the rules to what was received; [`reason`] and [`events`]: its answers and changes.
+//! - [`service_status`]: what was received of a service.
+//! - [`stored_state`]: the gate's state as a file.
+//! - [`planner`]: when builds can be released under the same rules.
+//!
+//! Modules depend on each other in one direction: `model`, then what is observed (`service_status`, `stage_progress`,
+//! `observed`), then decisions (`dependencies`, `row_update`, `advance`), then `gate`, then `stored_state` and
+//! `describe`.
 #![allow(clippy::min_ident_chars)] // Not met yet.
 #![allow(clippy::missing_errors_doc)] // Not met yet.
-#![allow(clippy::too_many_lines)] // Not met yet.
-#![allow(missing_debug_implementations)] // Not met yet.
 #![allow(missing_docs)] // Not met yet.
 
+mod advance;
 pub mod calendar;
-mod climb;
-pub mod facts;
+mod dependencies;
+mod describe;
+pub mod events;
 pub mod gate;
 pub mod model;
+mod observed;
+mod permission_table;
 pub mod planner;
-pub mod record;
-mod table;
+pub mod reason;
+mod row_update;
+mod rules_change;
+pub mod service_status;
+mod stage_progress;
+pub mod stored_state;
+mod time_text;
--- a/crates/releases/src/model.rs
+++ b/crates/releases/src/model.rs
@@ -1,332 +1,402 @@
-//! Owns what an operator orders: services and their builds, ladders of rings, dependencies, freezes, and what of it
-//! concerns a build. Plain rules, no state; it must never hold a fact, nor be changed once it is in use.
+//! The operator's rules: services and their builds, ladders of rings, dependencies, freezes, and which of them concern a
+//! build. Rules hold no state and nothing that was received, and do not change once they are in use.
+use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
 use lilacgate_decision::{Build, RequestClass, Stage, Tenant, Zone};
 use petgraph::algo::toposort;
 use petgraph::graph::{DiGraph, NodeIndex};
+use thiserror::Error;
 
-use crate::calendar::{InForce, When};
+use crate::calendar::{ActiveWindow, Schedule};
 
-/// A service, by its place in the rules.
+/// A service, by its index in the rules.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ServiceId(pub u8);
 
-/// Builds from one to another, both included.
+/// A range of builds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Builds {
+    /// The first build.
     pub from: Build,
+    /// The last build.
     pub to: Build,
 }
 
 impl Builds {
+    /// All builds.
     pub const ALL: Builds = Builds {
         from: Build(0),
         to: Build(u16::MAX),
     };
 
-    pub fn holds(self, build: Build) -> bool {
+    /// Whether a build is in the range.
+    pub fn contains(self, build: Build) -> bool {
         self.from <= build && build <= self.to
     }
 }
 
-/// A set of pairs of a zone and a member firm, by zone x firms + firm.
+/// A set of pairs of a zone and a tenant. The index of a pair is zone x number of tenants + tenant, as
+/// [`Rules::pair`] has it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Pairs(pub Vec<bool>);
+pub struct PairSet(pub Vec<bool>);
 
-impl Pairs {
-    pub fn meets(&self, other: &Pairs) -> bool {
+impl PairSet {
+    /// Whether two sets have a pair in common.
+    pub fn intersects(&self, other: &PairSet) -> bool {
         self.0.iter().zip(&other.0).any(|(one, two)| *one && *two)
     }
+
+    /// Adds all pairs of another set.
+    fn add(&mut self, other: &PairSet) {
+        for (own, other) in self.0.iter_mut().zip(&other.0) {
+            *own |= other;
+        }
+    }
 }
 
+/// A service whose builds are released.
 #[derive(Clone, Debug)]
 pub struct Service {
+    /// Its name.
     pub name: String,
-    /// After so long without a sign of life, what was heard of it is unknown; never, if none is given.
+    /// After this time without a heartbeat its status is unknown. If there is none, it stays known.
     pub silent_after: Option<Duration>,
 }
 
 /// One ring of a ladder: who gets a build next.
 #[derive(Clone, Debug)]
 pub struct Ring {
+    /// Its name.
     pub name: String,
-    /// The platform's stage from which on it may open.
+    /// The stage from which on it may open.
     pub stage: Stage,
     /// The least time that the ring before it must have been open.
-    pub after: Duration,
-    pub pairs: Pairs,
-    /// The products that may use a build on trial there, as bits.
-    pub products: u64,
+    pub soak_before: Duration,
+    /// The pairs that it holds.
+    pub pairs: PairSet,
+    /// The request classes that may use a canary there, as bits.
+    pub request_classes: u64,
 }
 
-/// The order in which builds of a service come to zones and member firms. Pairs in no ring never get such a build.
+/// The order in which builds of a service come to zones and tenants. Pairs in no ring never get such a build.
 #[derive(Clone, Debug)]
 pub struct Ladder {
+    /// The service.
     pub service: ServiceId,
+    /// The builds that the ladder applies to.
     pub builds: Builds,
-    /// In their order; the stages never fall.
+    /// The rings, in their order; the stages never fall.
     pub rings: Vec<Ring>,
     /// The least time that the last ring must have been open before the release.
-    pub settles: Duration,
+    pub final_soak: Duration,
 }
 
 impl Ladder {
     /// All pairs that any of its rings holds.
-    pub fn pairs(&self) -> Pairs {
-        let mut all = vec![false; self.rings.first().map_or(0, |ring| ring.pairs.0.len())];
+    pub fn pairs(&self) -> PairSet {
+        let mut all = PairSet(vec![false; self.set_size()]);
         for ring in &self.rings {
-            all.iter_mut()
-                .zip(&ring.pairs.0)
-                .for_each(|(all, one)| *all |= one);
+            all.add(&ring.pairs);
         }
-        Pairs(all)
+        all
     }
 
-    /// The first ring that holds each pair.
+    /// By pair, the index of the first ring that holds it.
     pub fn first_rings(&self) -> Vec<Option<u8>> {
-        let pairs = self.rings.first().map_or(0, |ring| ring.pairs.0.len());
         let first = |pair| {
-            self.rings
-                .iter()
-                .position(|ring| ring.pairs.0[pair])
-                .map(|ring| ring as u8)
+            let mut rings = self.rings.iter();
+            let found = rings.position(|ring| ring.pairs.0[pair]);
+            found.map(|ring| ring as u8)
         };
-        (0..pairs).map(first).collect()
+        (0..self.set_size()).map(first).collect()
+    }
+
+    fn set_size(&self) -> usize {
+        self.rings.first().map_or(0, |ring| ring.pairs.0.len())
     }
 }
 
-/// Where a dependency must stand.
+/// Where a dependency must be satisfied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reach {
+pub enum DependencyScope {
+    /// In all zones, for any zone.
     Everywhere,
+    /// In the zone where the build is used.
     SameZone,
 }
 
-/// What becomes of a build while a dependency of it is unknown.
+/// What happens to a build while it is unknown whether a dependency is satisfied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum InDoubt {
-    /// Nobody new gets it; who has it keeps it.
+pub enum WhenUnknown {
+    /// Those who have it keep it, others do not get it.
     Hold,
+    /// It is closed to all.
     Close,
 }
 
-/// Builds of a service need another service at a released build, or a later one.
+/// Builds of a service require another service at a released build, or a later one.
 #[derive(Clone, Debug)]
-pub struct Need {
+pub struct Dependency {
+    /// The service that has the dependency.
     pub service: ServiceId,
+    /// Its builds that have it.
     pub builds: Builds,
-    pub of: ServiceId,
+    /// The service that is required.
+    pub requires: ServiceId,
+    /// The least build of it.
     pub at_least: Build,
-    pub reach: Reach,
-    /// For builds on trial, and for released ones.
-    pub on_trial: InDoubt,
-    pub released: InDoubt,
+    /// Where.
+    pub scope: DependencyScope,
+    /// For canaries.
+    pub canary_when_unknown: WhenUnknown,
+    /// For released builds.
+    pub released_when_unknown: WhenUnknown,
 }
 
-/// While it is in force, nobody new gets a build.
+/// While it is active, builds are closed to new users.
 #[derive(Clone, Debug)]
 pub struct Freeze {
+    /// Its name.
     pub name: String,
-    /// All services if none is named.
+    /// The service that it concerns; all services if there is none.
     pub service: Option<ServiceId>,
-    pub pairs: Pairs,
-    /// Whether builds on trial are closed to those who have them, too.
-    pub closes: bool,
-    pub when: When,
+    /// The pairs that it concerns.
+    pub pairs: PairSet,
+    /// Whether canaries are closed to those who have them, too.
+    pub closes_canary: bool,
+    /// When it is active.
+    pub schedule: Schedule,
+}
+
+/// An active freeze.
+#[derive(Clone, Copy, Debug)]
+pub struct ActiveFreeze<'a> {
+    /// Its index in the rules.
+    pub index: usize,
+    /// The freeze.
+    pub freeze: &'a Freeze,
+    /// Since and until when it is active.
+    pub window: ActiveWindow,
 }
 
-/// All that an operator orders.
+impl ActiveFreeze<'_> {
+    /// When it ends; a freeze without an end ends last.
+    pub(crate) fn end(&self) -> Duration {
+        self.window.until.unwrap_or(Duration::MAX)
+    }
+}
+
+/// Dependencies that form a cycle: their indices in the rules, with the first one again at the end.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+#[error("the dependencies {0:?} form a cycle")]
+pub struct DependencyCycle(pub Vec<usize>);
+
+/// All rules of an operator.
 #[derive(Clone, Debug)]
 pub struct Rules {
+    /// The names of the zones.
     pub zones: Vec<String>,
-    pub firms: Vec<String>,
-    pub products: Vec<String>,
+    /// The names of the tenants.
+    pub tenants: Vec<String>,
+    /// The names of the request classes.
+    pub request_classes: Vec<String>,
+    /// The services.
     pub services: Vec<Service>,
     /// The service whose builds are routed here.
-    pub own: ServiceId,
+    pub own_service: ServiceId,
+    /// The ladders.
     pub ladders: Vec<Ladder>,
-    pub needs: Vec<Need>,
+    /// The dependencies.
+    pub dependencies: Vec<Dependency>,
+    /// The freezes.
     pub freezes: Vec<Freeze>,
 }
 
 impl Rules {
-    pub fn pair(&self, zone: Zone, firm: Tenant) -> usize {
-        usize::from(zone.0) * self.firms.len() + usize::from(firm.0)
+    /// The index of a pair of a zone and a tenant.
+    pub fn pair(&self, zone: Zone, tenant: Tenant) -> usize {
+        usize::from(zone.0) * self.tenants.len() + usize::from(tenant.0)
     }
 
+    /// The number of pairs.
     pub fn pairs(&self) -> usize {
-        self.zones.len() * self.firms.len()
+        self.zones.len() * self.tenants.len()
     }
 
-    /// The pairs of a zone.
-    pub fn of_zone(&self, zone: Zone) -> std::ops::Range<usize> {
+    /// The indices of the pairs of a zone.
+    pub fn zone_pairs(&self, zone: Zone) -> std::ops::Range<usize> {
         let first = self.pair(zone, Tenant(0));
-        first..first + self.firms.len()
+        first..first + self.tenants.len()
     }
 
+    /// All zones.
     pub fn zone_ids(&self) -> impl Iterator<Item = Zone> + use<> {
         (0..self.zones.len()).map(|zone| Zone(zone as u8))
     }
 
+    /// The name of a service.
     pub fn service(&self, id: ServiceId) -> &str {
         self.services
             .get(usize::from(id.0))
             .map_or("?", |service| &service.name)
     }
 
+    /// All services.
     pub fn service_ids(&self) -> impl Iterator<Item = ServiceId> + use<> {
         (0..self.services.len()).map(|id| ServiceId(id as u8))
     }
 
-    pub fn product_bit(product: RequestClass) -> u64 {
-        1u64.checked_shl(u32::from(product.0)).unwrap_or(0)
+    /// The bit of a request class; 0 for one beyond the bits.
+    pub fn request_class_bit(class: RequestClass) -> u64 {
+        1u64.checked_shl(u32::from(class.0)).unwrap_or(0)
     }
 
-    /// The ladder that a build climbs: the first that holds it.
+    /// The ladder of a build: the first that applies to it.
     pub fn ladder(&self, service: ServiceId, build: Build) -> Option<&Ladder> {
+        let index = self.ladder_index(service, build)?;
+        self.ladders.get(index)
+    }
+
+    /// The index of a build's ladder.
+    pub(crate) fn ladder_index(&self, service: ServiceId, build: Build) -> Option<usize> {
         self.ladders
             .iter()
-            .find(|ladder| ladder.service == service && ladder.builds.holds(build))
+            .position(|ladder| ladder.service == service && ladder.builds.contains(build))
     }
 
-    /// What a build needs, with each need's place in the rules.
-    pub fn needs(&self, service: ServiceId, build: Build) -> impl Iterator<Item = (usize, &Need)> {
-        let of =
-            move |(_, need): &(usize, &Need)| need.service == service && need.builds.holds(build);
-        self.needs.iter().enumerate().filter(of)
+    /// The dependencies of a build, with their indices.
+    pub fn dependencies(
+        &self,
+        service: ServiceId,
+        build: Build,
+    ) -> impl Iterator<Item = (usize, &Dependency)> {
+        let concerns = move |dependency: &Dependency| {
+            dependency.service == service && dependency.builds.contains(build)
+        };
+        let all = self.dependencies.iter().enumerate();
+        all.filter(move |(_, dependency)| concerns(dependency))
     }
 
-    /// The freezes in force on a service, with their places and how long they last.
-    pub fn frozen(
+    /// The freezes that are active for a service, in the order of the rules.
+    pub fn active_freezes(
         &self,
         service: ServiceId,
         now: Duration,
-    ) -> impl Iterator<Item = (usize, &Freeze, InForce)> {
-        let of = move |freeze: &Freeze| freeze.service.is_none_or(|s| s == service);
-        let held = move |(i, freeze): (usize, &'_ Freeze)| {
-            let force = freeze.when.in_force(now).filter(|_| of(freeze))?;
-            Some((i, force))
-        };
-        let found: Vec<_> = self.freezes.iter().enumerate().filter_map(held).collect();
-        found
-            .into_iter()
-            .map(|(i, force)| (i, &self.freezes[i], force))
+    ) -> impl Iterator<Item = ActiveFreeze<'_>> {
+        let all = self.freezes.iter().enumerate();
+        all.filter_map(move |(index, freeze)| {
+            let concerns = freeze.service.is_none_or(|concerned| concerned == service);
+            let window = freeze.schedule.active_window(now).filter(|_| concerns)?;
+            Some(ActiveFreeze {
+                index,
+                freeze,
+                window,
+            })
+        })
     }
 
-    /// The freeze that holds up a step of a build: any that touches a pair the build may ever come to. The one that
-    /// lasts longest counts.
-    pub fn holds_step(
+    /// The freeze that holds a build in its stage: any that concerns a pair of its ladder; the one that ends last.
+    pub fn freeze_blocking_step(
         &self,
         service: ServiceId,
         build: Build,
         now: Duration,
-    ) -> Option<(usize, InForce)> {
-        let climbs = self.ladder(service, build).map(Ladder::pairs);
-        let touches = |freeze: &Freeze| {
-            climbs
-                .as_ref()
-                .is_none_or(|pairs| pairs.meets(&freeze.pairs))
+    ) -> Option<ActiveFreeze<'_>> {
+        let pairs = self.ladder(service, build).map(Ladder::pairs);
+        let concerns = |frozen: &ActiveFreeze<'_>| {
+            let pairs = pairs.as_ref();
+            pairs.is_none_or(|pairs| pairs.intersects(&frozen.freeze.pairs))
         };
-        let all = self
-            .frozen(service, now)
-            .filter(|(_, freeze, _)| touches(freeze));
-        all.map(|(i, _, force)| (i, force))
-            .max_by_key(|(_, force)| force.until.unwrap_or(Duration::MAX))
+        self.active_freezes(service, now)
+            .filter(concerns)
+            .max_by_key(ActiveFreeze::end)
     }
 
-    /// The freeze that keeps a ring shut: all of its pairs are frozen. The one that ends first counts.
-    pub fn holds_ring(
+    /// The freeze that keeps a ring from opening, if all pairs of the ring are frozen; the one that ends first.
+    pub fn freeze_blocking_ring(
         &self,
         service: ServiceId,
         ring: &Ring,
         now: Duration,
-    ) -> Option<(usize, InForce)> {
-        let frozen: Vec<_> = self.frozen(service, now).collect();
-        let covered = |pair: usize| frozen.iter().any(|(_, freeze, _)| freeze.pairs.0[pair]);
-        let all = ring
-            .pairs
-            .0
-            .iter()
-            .enumerate()
-            .filter(|(_, is)| **is)
-            .all(|(pair, _)| covered(pair));
-        let ends = |force: &InForce| force.until.unwrap_or(Duration::MAX);
-        let first = frozen
-            .iter()
-            .filter(|(_, freeze, _)| freeze.pairs.meets(&ring.pairs));
-        first
-            .map(|(i, _, force)| (*i, *force))
-            .filter(|_| all)
-            .min_by_key(|(_, force)| ends(force))
+    ) -> Option<ActiveFreeze<'_>> {
+        let active: Vec<ActiveFreeze<'_>> = self.active_freezes(service, now).collect();
+        let is_frozen = |pair: usize| active.iter().any(|frozen| frozen.freeze.pairs.0[pair]);
+        let mut pairs = ring.pairs.0.iter().enumerate();
+        if !pairs.all(|(pair, is_in_ring)| !is_in_ring || is_frozen(pair)) {
+            return None;
+        }
+        active
+            .into_iter()
+            .filter(|frozen| frozen.freeze.pairs.intersects(&ring.pairs))
+            .min_by_key(ActiveFreeze::end)
     }
 
-    /// The zones in which a build is used, or would be after the next step from a stage.
-    pub fn zones_up_to(&self, service: ServiceId, build: Build, stage: Stage) -> Vec<Zone> {
+    /// The zones in which a build is used after the next step from a stage.
+    pub fn zones_after_next_step(
+        &self,
+        service: ServiceId,
+        build: Build,
+        stage: Stage,
+    ) -> Vec<Zone> {
         let Some(ladder) = self.ladder(service, build) else {
             return self.zone_ids().collect();
         };
-        let next = ladder
-            .rings
-            .iter()
-            .map(|ring| ring.stage)
-            .find(|s| *s > stage)
+        let stages = ladder.rings.iter().map(|ring| ring.stage);
+        let next = stages
+            .into_iter()
+            .find(|later| *later > stage)
             .unwrap_or(stage);
-        let rings: Vec<_> = ladder
-            .rings
-            .iter()
-            .filter(|ring| ring.stage <= next)
-            .collect();
-        let used = |zone: &Zone| {
-            rings
-                .iter()
-                .any(|ring| self.of_zone(*zone).any(|pair| ring.pairs.0[pair]))
+        let in_ring = |ring: &Ring, zone: Zone| {
+            let mut pairs = self.zone_pairs(zone);
+            ring.stage <= next && pairs.any(|pair| ring.pairs.0[pair])
         };
-        self.zone_ids().filter(used).collect()
+        self.zone_ids()
+            .filter(|zone| ladder.rings.iter().any(|ring| in_ring(ring, *zone)))
+            .collect()
     }
 
-    /// The needs in an order in which each comes after all that it rests on.
+    /// The indices of the dependencies, each after all that it rests on.
     ///
     /// # Errors
-    /// A circle of needs, by their places in the rules, the first one again at its end.
-    pub fn needs_in_order(&self) -> Result<Vec<usize>, Vec<usize>> {
+    /// A shortest cycle of dependencies.
+    pub fn dependency_order(&self) -> Result<Vec<usize>, DependencyCycle> {
         let mut graph = DiGraph::<usize, ()>::new();
-        let nodes: Vec<_> = (0..self.needs.len()).map(|i| graph.add_node(i)).collect();
-        for (i, need) in self.needs.iter().enumerate() {
-            // A build that would do for this one may have needs of its own.
-            let rests = |other: &Need| other.service == need.of && other.builds.to >= need.at_least;
-            for (j, _) in self
-                .needs
-                .iter()
-                .enumerate()
-                .filter(|(_, other)| rests(other))
-            {
-                graph.add_edge(nodes[j], nodes[i], ());
+        let indices = 0..self.dependencies.len();
+        let nodes: Vec<NodeIndex> = indices.map(|index| graph.add_node(index)).collect();
+        for (index, dependency) in self.dependencies.iter().enumerate() {
+            for (other_index, other) in self.dependencies.iter().enumerate() {
+                // A build that satisfies this dependency may have dependencies of its own.
+                let rests_on =
+                    other.service == dependency.requires && other.builds.to >= dependency.at_least;
+                if rests_on {
+                    graph.add_edge(nodes[other_index], nodes[index], ());
+                }
             }
         }
         match toposort(&graph, None) {
             Ok(order) => Ok(order.into_iter().map(|node| graph[node]).collect()),
-            Err(cycle) => Err(circle(&graph, cycle.node_id())),
+            Err(cycle) => Err(DependencyCycle(shortest_cycle(&graph, cycle.node_id()))),
         }
     }
 }
 
-/// A shortest circle through a node that is on one.
-fn circle(graph: &DiGraph<usize, ()>, from: NodeIndex) -> Vec<usize> {
-    let mut before = std::collections::HashMap::new();
-    let mut queue = std::collections::VecDeque::from([from]);
+/// A shortest cycle through a node that is on one.
+fn shortest_cycle(graph: &DiGraph<usize, ()>, from: NodeIndex) -> Vec<usize> {
+    let mut reached_from = HashMap::new();
+    let mut queue = VecDeque::from([from]);
     while let Some(node) = queue.pop_front() {
         for next in graph.neighbors(node) {
             if next == from {
                 let mut path = vec![graph[from], graph[node]];
-                let mut at = node;
-                while at != from {
-                    at = before[&at];
-                    path.push(graph[at]);
+                let mut last = node;
+                while last != from {
+                    last = reached_from[&last];
+                    path.push(graph[last]);
                 }
                 return path;
             }
-            before.entry(next).or_insert_with(|| {
+            reached_from.entry(next).or_insert_with(|| {
                 queue.push_back(next);
                 node
             });
--- /dev/null
+++ b/crates/releases/src/permission_table.rs
@@ -0,0 +1,95 @@
+//! The table that is looked up for each request: by build, zone and tenant, which request classes are open, and why the
+//! others are not. It holds decisions and makes none; [`crate::gate`] fills it in.
+use lilacgate_decision::{Build, ReleasePermissions, Tenant};
+
+use crate::reason::{ClosedReason, PermittedAdvance};
+
+/// What holds for one pair of a zone and a tenant.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct PermissionCell {
+    /// The request classes that are open, as bits.
+    pub(crate) open: u64,
+    /// Why the build is closed, or closed to new users.
+    pub(crate) reason: ClosedReason,
+}
+
+impl PermissionCell {
+    /// The cell of a build that is not listed.
+    pub(crate) const CLOSED: PermissionCell = PermissionCell {
+        open: 0,
+        reason: ClosedReason::NotListed,
+    };
+}
+
+/// The cells of one build, by pair.
+#[derive(Clone, Debug)]
+pub(crate) struct PermissionRow {
+    /// Whether the pair has had the build since it was last closed to it.
+    pub(crate) had: Vec<bool>,
+    /// What holds now.
+    pub(crate) cells: Vec<PermissionCell>,
+}
+
+impl PermissionRow {
+    /// A closed row, in which all pairs have had the build or none.
+    pub(crate) fn new(pairs: usize, had: bool) -> Self {
+        PermissionRow {
+            had: vec![had; pairs],
+            cells: vec![PermissionCell::CLOSED; pairs],
+        }
+    }
+
+    /// The number of pairs that the build is open to.
+    pub(crate) fn open_pairs(&self) -> usize {
+        self.cells.iter().filter(|cell| cell.open != 0).count()
+    }
+}
+
+/// The size of a table, and the tenant whose requests are routed.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct TableShape {
+    /// The number of zones.
+    pub(crate) zones: usize,
+    /// The number of tenants.
+    pub(crate) tenants: usize,
+    /// The only tenant that the engine gets to see, as number 0; all tenants if there is none.
+    pub(crate) only: Option<Tenant>,
+}
+
+impl TableShape {
+    /// Whether the engine gets to see a pair.
+    pub(crate) fn shows(self, pair: usize) -> bool {
+        self.only
+            .is_none_or(|tenant| pair % self.tenants == usize::from(tenant.0))
+    }
+}
+
+/// The table in the form of the decision engine.
+pub(crate) fn permissions<'a>(
+    rows: impl Iterator<Item = (Build, &'a PermissionRow)>,
+    shape: TableShape,
+    advance: Option<PermittedAdvance>,
+) -> ReleasePermissions {
+    let open_classes = |row: &PermissionRow| -> Vec<u64> {
+        let shown = row
+            .cells
+            .iter()
+            .enumerate()
+            .filter(|(pair, _)| shape.shows(*pair));
+        shown.map(|(_, cell)| cell.open).collect()
+    };
+    let rows: Vec<(Build, Vec<u64>)> = rows
+        .map(|(build, row)| (build, open_classes(row)))
+        .collect();
+    let slices: Vec<(Build, &[u64])> = rows
+        .iter()
+        .map(|(build, cells)| (*build, &cells[..]))
+        .collect();
+    let tenants = if shape.only.is_some() {
+        1
+    } else {
+        shape.tenants
+    };
+    let advance = advance.map(|advance| (advance.build, advance.stage));
+    ReleasePermissions::new(shape.zones, tenants, &slices, advance)
+}
--- /dev/null
+++ b/crates/releases/src/planner/conflict.rs
@@ -0,0 +1,84 @@
+//! Finds a small set of statements that contradict each other.
+use std::collections::BTreeSet;
+
+use super::{Conflict, Problem, Statement, schedule};
+
+/// The most sets that the search for a smaller conflict tries.
+const MAX_TRIES: usize = 20_000;
+
+/// A smallest set of statements in conflict: first one of which none can be left out, then, as far as the tries reach,
+/// a smaller one.
+pub(super) fn find(problem: Problem<'_>, all: &BTreeSet<Statement>) -> Conflict {
+    let irreducible = irreducible(problem, all);
+    let mut search = SmallerSearch {
+        problem,
+        tries_left: MAX_TRIES,
+    };
+    let universe: Vec<Statement> = all.iter().copied().collect();
+    for size in 1..irreducible.len() {
+        match search.find(&universe, size, &mut BTreeSet::new()) {
+            Some(smaller) => {
+                return Conflict {
+                    statements: smaller.into_iter().collect(),
+                    is_smallest: true,
+                };
+            }
+            None if search.tries_left == 0 => break,
+            None => {}
+        }
+    }
+    Conflict {
+        statements: irreducible.into_iter().collect(),
+        is_smallest: search.tries_left > 0,
+    }
+}
+
+fn is_conflict(problem: Problem<'_>, statements: &BTreeSet<Statement>) -> bool {
+    schedule::earliest_times(problem, statements).is_none()
+}
+
+/// A set in conflict of which no statement can be left out.
+fn irreducible(problem: Problem<'_>, all: &BTreeSet<Statement>) -> BTreeSet<Statement> {
+    let mut set = all.clone();
+    for statement in all {
+        set.remove(statement);
+        if !is_conflict(problem, &set) {
+            set.insert(*statement);
+        }
+    }
+    set
+}
+
+/// The search through all sets of a size.
+struct SmallerSearch<'a> {
+    problem: Problem<'a>,
+    tries_left: usize,
+}
+
+impl SmallerSearch<'_> {
+    /// A set of this size in conflict that consists of `chosen` and statements of `rest`, if there is one and the tries
+    /// last.
+    fn find(
+        &mut self,
+        rest: &[Statement],
+        size: usize,
+        chosen: &mut BTreeSet<Statement>,
+    ) -> Option<BTreeSet<Statement>> {
+        if chosen.len() == size {
+            self.tries_left = self.tries_left.saturating_sub(1);
+            return is_conflict(self.problem, chosen).then(|| chosen.clone());
+        }
+        for (i, statement) in rest.iter().enumerate() {
+            if self.tries_left == 0 || rest.len() - i < size - chosen.len() {
+                return None;
+            }
+            chosen.insert(*statement);
+            let found = self.find(&rest[i + 1..], size, chosen);
+            chosen.remove(statement);
+            if found.is_some() {
+                return found;
+            }
+        }
+        None
+    }
+}
--- /dev/null
+++ b/crates/releases/src/row_update.rs
@@ -0,0 +1,213 @@
+//! Decides where and for whom one build is open: its row of the permission table.
+use std::collections::BTreeMap;
+
+use lilacgate_decision::{Build, Zone};
+
+use crate::dependencies::{DependencyState, DependencyStates};
+use crate::model::{Dependency, Ladder, WhenUnknown};
+use crate::observed::{BuildStanding, IndexedLadder, Observed};
+use crate::permission_table::{PermissionCell, PermissionRow};
+use crate::reason::ClosedReason;
+
+/// How far a build is open to a pair; the most restrictive access is the last.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+enum Access {
+    /// Open.
+    Open,
+    /// Open only to those who have the build.
+    Hold(ClosedReason),
+    /// Closed.
+    Closed(ClosedReason),
+}
+
+/// How many pairs got and lost a build.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub(crate) struct RowChange {
+    /// The number of pairs that got it.
+    pub(crate) opened: usize,
+    /// The number of pairs that lost it, by reason.
+    pub(crate) closed: BTreeMap<ClosedReason, usize>,
+}
+
+/// What decides about one build.
+struct RowUpdate<'a> {
+    observed: &'a Observed,
+    dependencies: &'a DependencyStates,
+    build: Build,
+    standing: BuildStanding,
+    /// The ladder, while it applies.
+    ladder: Option<IndexedLadder<'a>>,
+    open_rings: usize,
+}
+
+/// Brings a build's row up to date.
+pub(crate) fn update_row(
+    observed: &Observed,
+    dependencies: &DependencyStates,
+    build: Build,
+    row: &mut PermissionRow,
+) -> RowChange {
+    let own = observed.rules.own_service;
+    let standing = observed.standing(build);
+    let ladder = observed
+        .indexed_ladder(own, build)
+        .filter(|_| standing != BuildStanding::Earlier);
+    let update = RowUpdate {
+        observed,
+        dependencies,
+        build,
+        standing,
+        ladder,
+        open_rings: observed.open_rings(own, build),
+    };
+    update.apply(row)
+}
+
+impl RowUpdate<'_> {
+    fn apply(&self, row: &mut PermissionRow) -> RowChange {
+        let rules = &self.observed.rules;
+        let request_classes = self.request_classes(row.cells.len());
+        let frozen = self.access_by_freezes(row.cells.len());
+        let own_status = self.access_by_own_status();
+        let mut change = RowChange::default();
+        for zone in rules.zone_ids() {
+            let by_zone = self.access_by_dependencies(zone).max(own_status);
+            for pair in rules.zone_pairs(zone) {
+                let access = by_zone.max(frozen[pair]).max(self.access_by_ladder(pair));
+                let before = row.cells[pair];
+                let cell = next_cell(access, request_classes[pair], &mut row.had[pair]);
+                row.cells[pair] = cell;
+                match (before.open != 0, cell.open != 0) {
+                    (false, true) => change.opened += 1,
+                    (true, false) => *change.closed.entry(cell.reason).or_default() += 1,
+                    _ => {}
+                }
+            }
+        }
+        change
+    }
+
+    /// The open rings of the ladder that applies.
+    fn open_ladder_rings(&self) -> &[crate::model::Ring] {
+        let rings = self.ladder.map_or(&[][..], |indexed| {
+            let ladder: &Ladder = indexed.ladder;
+            &ladder.rings[..]
+        });
+        &rings[..self.open_rings.min(rings.len())]
+    }
+
+    /// By pair, the request classes that the open rings allow, as bits; all of them once the build is released.
+    fn request_classes(&self, pairs: usize) -> Vec<u64> {
+        let limited = self.standing.is_unreleased() && self.ladder.is_some();
+        let mut allowed = vec![if limited { 0 } else { u64::MAX }; pairs];
+        for ring in self.open_ladder_rings() {
+            for (allowed, is_in_ring) in allowed.iter_mut().zip(&ring.pairs.0) {
+                if *is_in_ring {
+                    *allowed |= ring.request_classes;
+                }
+            }
+        }
+        allowed
+    }
+
+    /// By pair, what the active freezes leave open.
+    fn access_by_freezes(&self, pairs: usize) -> Vec<Access> {
+        let mut by_pair = vec![Access::Open; pairs];
+        if self.standing == BuildStanding::Earlier {
+            return by_pair;
+        }
+        let rules = &self.observed.rules;
+        for frozen in rules.active_freezes(rules.own_service, self.observed.now) {
+            let reason = ClosedReason::Frozen(frozen.index as u16);
+            let access = if frozen.freeze.closes_canary && self.standing.is_unreleased() {
+                Access::Closed(reason)
+            } else {
+                Access::Hold(reason)
+            };
+            for (by_pair, is_frozen) in by_pair.iter_mut().zip(&frozen.freeze.pairs.0) {
+                if *is_frozen {
+                    *by_pair = access.max(*by_pair);
+                }
+            }
+        }
+        by_pair
+    }
+
+    /// What the own service's status leaves open.
+    fn access_by_own_status(&self) -> Access {
+        let own = self.observed.rules.own_service;
+        match self.observed.unknown_reason(own) {
+            Some(_) if self.standing != BuildStanding::Earlier => {
+                Access::Hold(ClosedReason::OwnStatusUnknown)
+            }
+            _ if self.standing == BuildStanding::RollingBack => {
+                Access::Hold(ClosedReason::RollingBack)
+            }
+            _ => Access::Open,
+        }
+    }
+
+    /// What the build's dependencies leave open in a zone.
+    fn access_by_dependencies(&self, zone: Zone) -> Access {
+        let rules = &self.observed.rules;
+        rules
+            .dependencies(rules.own_service, self.build)
+            .map(|(index, dependency)| self.access_by_dependency(index, dependency, zone))
+            .max()
+            .unwrap_or(Access::Open)
+    }
+
+    fn access_by_dependency(&self, index: usize, dependency: &Dependency, zone: Zone) -> Access {
+        let when_unknown = if self.standing.is_unreleased() {
+            dependency.canary_when_unknown
+        } else {
+            dependency.released_when_unknown
+        };
+        let number = index as u16;
+        match (self.dependencies.get(index, zone), when_unknown) {
+            (DependencyState::Satisfied, _) => Access::Open,
+            (DependencyState::Unsatisfied, _) => {
+                Access::Closed(ClosedReason::DependencyUnsatisfied(number))
+            }
+            (DependencyState::Unknown, WhenUnknown::Close) => {
+                Access::Closed(ClosedReason::DependencyUnknown(number))
+            }
+            (DependencyState::Unknown, WhenUnknown::Hold) => {
+                Access::Hold(ClosedReason::DependencyUnknown(number))
+            }
+        }
+    }
+
+    /// What the ladder leaves open to a pair.
+    fn access_by_ladder(&self, pair: usize) -> Access {
+        let Some(indexed) = self.ladder else {
+            return Access::Open;
+        };
+        match indexed.first_rings[pair] {
+            None => Access::Closed(ClosedReason::NoRing),
+            Some(ring) if usize::from(ring) < self.open_rings => Access::Open,
+            Some(ring) => Access::Closed(ClosedReason::RingNotOpen(ring)),
+        }
+    }
+}
+
+/// The cell for an access. `had` is whether the pair has the build, and is brought up to date.
+fn next_cell(access: Access, request_classes: u64, had: &mut bool) -> PermissionCell {
+    match access {
+        Access::Open => {
+            *had = true;
+            PermissionCell {
+                open: request_classes,
+                reason: ClosedReason::Open,
+            }
+        }
+        Access::Hold(reason) => PermissionCell {
+            open: if *had { request_classes } else { 0 },
+            reason,
+        },
+        Access::Closed(reason) => {
+            *had = false;
+            PermissionCell { open: 0, reason }
+        }
+    }
+}
--- a/crates/releases/tests/laws.rs
+++ b/crates/releases/tests/laws.rs
@@ -5,11 +5,12 @@
 use std::time::Duration;
 
 use lilacgate_decision::{Build, ReleasePhase, RequestClass, Stage, Tenant, Zone};
-use lilacgate_releases::calendar::When;
-use lilacgate_releases::facts::Told;
+use lilacgate_releases::calendar::Schedule;
 use lilacgate_releases::gate::Gate;
 use lilacgate_releases::model::*;
-use lilacgate_releases::planner::{Given, Statement, Step, Wish, plan};
+use lilacgate_releases::planner::{Goal, ReleasedBuilds, Statement, Step, plan};
+use lilacgate_releases::reason::PermittedAdvance;
+use lilacgate_releases::service_status::ReleaseStatus;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
@@ -23,14 +24,14 @@
     Duration::from_secs(secs)
 }
 
-fn pairs() -> impl Strategy<Value = Pairs> {
-    prop::collection::vec(prop::bool::weighted(0.6), ZONES * FIRMS).prop_map(Pairs)
+fn pairs() -> impl Strategy<Value = PairSet> {
+    prop::collection::vec(prop::bool::weighted(0.6), ZONES * FIRMS).prop_map(PairSet)
 }
 
 fn ladder() -> impl Strategy<Value = Ladder> {
     let ring = (0u8..2, 0u64..3, pairs(), 0u64..4);
     (0..SERVICES, prop::collection::vec(ring, 1..4), 0u64..3).prop_map(
-        |(service, rings, settles)| {
+        |(service, rings, final_soak)| {
             let mut stage = 0;
             let rings = rings
                 .into_iter()
@@ -40,9 +41,9 @@
                     Ring {
                         name: format!("r{i}"),
                         stage: Stage(stage),
-                        after: span(after),
+                        soak_before: span(after),
                         pairs,
-                        products,
+                        request_classes: products,
                     }
                 });
             let (service, builds) = (
@@ -56,13 +57,13 @@
                 service,
                 builds,
                 rings: rings.collect(),
-                settles: span(settles),
+                final_soak: span(final_soak),
             }
         },
     )
 }
 
-fn need() -> impl Strategy<Value = Need> {
+fn dependency() -> impl Strategy<Value = Dependency> {
     // A service needs later ones only: no circle.
     (
         0..SERVICES - 1,
@@ -72,22 +73,28 @@
         any::<[bool; 3]>(),
     )
         .prop_map(|(service, on, from, at_least, flags)| {
-            let doubt = |close| if close { InDoubt::Close } else { InDoubt::Hold };
-            Need {
+            let unknown_reason = |close| {
+                if close {
+                    WhenUnknown::Close
+                } else {
+                    WhenUnknown::Hold
+                }
+            };
+            Dependency {
                 service: ServiceId(service),
                 builds: Builds {
                     from: Build(from),
                     to: Build(9),
                 },
-                of: ServiceId((service + on).min(SERVICES - 1)),
+                requires: ServiceId((service + on).min(SERVICES - 1)),
                 at_least: Build(at_least),
-                reach: if flags[0] {
-                    Reach::Everywhere
+                scope: if flags[0] {
+                    DependencyScope::Everywhere
                 } else {
-                    Reach::SameZone
+                    DependencyScope::SameZone
                 },
-                on_trial: doubt(flags[1]),
-                released: doubt(flags[2]),
+                canary_when_unknown: unknown_reason(flags[1]),
+                released_when_unknown: unknown_reason(flags[2]),
             }
         })
 }
@@ -100,8 +107,8 @@
         0u64..8,
         1u64..4,
     )
-        .prop_map(|(service, pairs, closes, at, long)| {
-            let when = When::Once {
+        .prop_map(|(service, pairs, closes_canary, at, long)| {
+            let schedule = Schedule::OneTime {
                 from: span(at),
                 to: span(at + long),
             };
@@ -109,8 +116,8 @@
                 name: "z".into(),
                 service: service.map(ServiceId),
                 pairs,
-                closes,
-                when,
+                closes_canary,
+                schedule,
             }
         })
 }
@@ -118,10 +125,10 @@
 fn rules() -> impl Strategy<Value = Rules> {
     let lists = (
         prop::collection::vec(ladder(), 0..3),
-        prop::collection::vec(need(), 0..4),
+        prop::collection::vec(dependency(), 0..4),
         prop::collection::vec(freeze(), 0..3),
     );
-    (lists, 0u64..3).prop_map(|((mut ladders, needs, freezes), silent)| {
+    (lists, 0u64..3).prop_map(|((mut ladders, dependencies, freezes), silent)| {
         let mut seen = BTreeSet::new();
         ladders.retain(|ladder: &Ladder| seen.insert(ladder.service));
         let names = |what: &str, many| (0..many).map(|i| format!("{what}{i}")).collect();
@@ -132,12 +139,12 @@
         };
         Rules {
             zones: names("z", ZONES),
-            firms: names("f", FIRMS),
-            products: names("p", 2),
+            tenants: names("f", FIRMS),
+            request_classes: names("p", 2),
             services: (0..SERVICES).map(service).collect(),
-            own: ServiceId(0),
+            own_service: ServiceId(0),
             ladders,
-            needs,
+            dependencies,
             freezes,
         }
     })
@@ -150,16 +157,16 @@
     prop::collection::vec((0..SERVICES + 1, 1u16..5, 0u8..3, 0u8..5), 1..14)
 }
 
-fn told((_, build, stage, course): Heard, now: Duration) -> Told {
-    let course = match course {
+fn told((_, build, stage, phase): Heard, now: Duration) -> ReleaseStatus {
+    let phase = match phase {
         0 | 1 => ReleasePhase::Canary,
         2 | 3 => ReleasePhase::Released,
         _ => ReleasePhase::RollingBack,
     };
-    Told {
+    ReleaseStatus {
         build: Build(build),
         stage: Stage(stage),
-        course,
+        phase,
         since: now,
     }
 }
@@ -167,23 +174,24 @@
 fn play(gate: &mut Gate, one: Heard, now: Duration) {
     gate.advance(now);
     match one.0 {
-        0 => gate.list(now, [Build(one.1), Build(one.1 + 1)].into_iter()),
-        service => gate.hear(now, ServiceId(service - 1), told(one, now)),
+        0 => gate.set_listed_builds(now, [Build(one.1), Build(one.1 + 1)].into_iter()),
+        service => gate.on_release_status(now, ServiceId(service - 1), told(one, now)),
     }
 }
 
 fn cells(gate: &Gate) -> BTreeMap<(u16, u8, u16, u8), bool> {
     let mut found = BTreeMap::new();
     for build in 0..8 {
-        for (zone, firm) in (0..ZONES as u8).flat_map(|z| (0..FIRMS as u16).map(move |f| (z, f))) {
+        for (zone, tenant) in (0..ZONES as u8).flat_map(|z| (0..FIRMS as u16).map(move |f| (z, f)))
+        {
             for product in 0..2 {
                 let admits = gate.admits(
                     Build(build),
                     Zone(zone),
-                    Tenant(firm),
+                    Tenant(tenant),
                     RequestClass(product),
                 );
-                found.insert((build, zone, firm, product), admits.is_ok());
+                found.insert((build, zone, tenant, product), admits.is_ok());
             }
         }
     }
@@ -195,7 +203,7 @@
 struct Plain<'a> {
     rules: &'a Rules,
     now: u64,
-    last: BTreeMap<u8, Told>,
+    last: BTreeMap<u8, ReleaseStatus>,
     heard: BTreeMap<u8, u64>,
     odd: BTreeSet<u8>,
     released: BTreeMap<u8, BTreeSet<u16>>,
@@ -212,12 +220,12 @@
             .freezes
             .iter()
             .filter(|f| f.service.is_none_or(|s| s.0 == service) && f.pairs.0[pair]);
-        on.filter(|f| f.when.in_force(span(at)).is_some())
-            .map(|f| f.closes)
+        on.filter(|f| f.schedule.active_window(span(at)).is_some())
+            .map(|f| f.closes_canary)
             .max()
     }
 
-    fn hear(&mut self, one: Heard) {
+    fn on_release_status(&mut self, one: Heard) {
         let Some(service) = one.0.checked_sub(1) else {
             self.listed = [one.1, one.1 + 1].into();
             return;
@@ -226,7 +234,7 @@
         self.heard.insert(service, self.now);
         let odd = self.last.get(&service).is_some_and(|last| {
             let back = last.build == told.build
-                && match (last.course, told.course) {
+                && match (last.phase, told.phase) {
                     (ReleasePhase::Canary, ReleasePhase::Canary) => told.stage < last.stage,
                     (ReleasePhase::Released, ReleasePhase::Canary) => true,
                     (ReleasePhase::RollingBack, ReleasePhase::Canary | ReleasePhase::Released) => {
@@ -242,13 +250,13 @@
         }
         self.odd.remove(&service);
         let known = self.released.entry(service).or_default();
-        match told.course {
+        match told.phase {
             ReleasePhase::Released => drop(known.insert(told.build.0)),
             ReleasePhase::Canary => {}
             _ => known.retain(|build| *build < told.build.0),
         }
         self.last.insert(service, told);
-        let stage = match told.course {
+        let stage = match told.phase {
             ReleasePhase::Canary => told.stage.0,
             ReleasePhase::Released => u8::MAX,
             _ => return,
@@ -268,14 +276,14 @@
             || silent.is_some_and(|most| span(self.now) >= span(*heard) + most)
     }
 
-    fn climb(&mut self) {
+    fn progress(&mut self) {
         for ((service, build), reached) in self.reached.clone() {
             let Some(ladder) = self.rules.ladder(ServiceId(service), Build(build)) else {
                 continue;
             };
             let last = self.last.get(&service).filter(|last| last.build.0 == build);
             if last.is_some_and(|last| {
-                !matches!(last.course, ReleasePhase::Canary | ReleasePhase::Released)
+                !matches!(last.phase, ReleasePhase::Canary | ReleasePhase::Released)
             }) {
                 continue;
             }
@@ -287,7 +295,7 @@
                 };
                 let due = opened
                     .last()
-                    .map_or(*since, |at| (at + ring.after.as_secs()).max(*since));
+                    .map_or(*since, |at| (at + ring.soak_before.as_secs()).max(*since));
                 let all = |at| {
                     let mut of = (0..ring.pairs.0.len())
                         .filter(|pair| ring.pairs.0[*pair])
@@ -312,8 +320,8 @@
     }
 
     /// 0 met, 1 unknown, 2 not met.
-    fn need(&self, need: &Need, zone: usize) -> u8 {
-        let of = need.of.0;
+    fn dependency(&self, dependency: &Dependency, zone: usize) -> u8 {
+        let of = dependency.requires.0;
         if self.unknown(of) {
             return 1;
         }
@@ -321,15 +329,15 @@
             .released
             .get(&of)
             .and_then(|known| known.last().copied());
-        let Some(build) = newest.filter(|build| *build >= need.at_least.0) else {
+        let Some(build) = newest.filter(|build| *build >= dependency.at_least.0) else {
             let last = &self.last[&of];
-            return if last.course == ReleasePhase::Released || last.build <= need.at_least {
+            return if last.phase == ReleasePhase::Released || last.build <= dependency.at_least {
                 2
             } else {
                 1
             };
         };
-        let zones = if need.reach == Reach::Everywhere {
+        let zones = if dependency.scope == DependencyScope::Everywhere {
             0..ZONES
         } else {
             zone..zone + 1
@@ -339,39 +347,39 @@
                 .all(|pair| self.ring(of, build, pair) != Some(false));
             let deeper = self
                 .rules
-                .needs(need.of, Build(build))
-                .map(|(_, need)| self.need(need, zone))
+                .dependencies(dependency.requires, Build(build))
+                .map(|(_, dependency)| self.dependency(dependency, zone))
                 .max();
             deeper.unwrap_or(0).max(if brought { 0 } else { 2 })
         };
         zones.map(at).max().unwrap_or(0)
     }
 
-    fn admits(&mut self, build: u16, zone: usize, firm: usize, product: u8) -> bool {
+    fn admits(&mut self, build: u16, zone: usize, tenant: usize, product: u8) -> bool {
         let newest = self.last.get(&0).copied();
         let named =
             self.listed.contains(&build) || newest.is_some_and(|last| last.build.0 == build);
         if !named {
             return false;
         }
-        let pair = zone * FIRMS + firm;
+        let pair = zone * FIRMS + tenant;
         let earlier = newest.is_some_and(|last| build < last.build.0);
-        let course = newest
+        let phase = newest
             .filter(|last| last.build.0 == build)
-            .map(|last| last.course);
-        let released = earlier || course == Some(ReleasePhase::Released);
+            .map(|last| last.phase);
+        let released = earlier || phase == Some(ReleasePhase::Released);
         let (mut close, mut hold) = (false, !earlier && self.unknown(0));
         hold |= !earlier
-            && course.is_some_and(|c| !matches!(c, ReleasePhase::Canary | ReleasePhase::Released));
-        for (_, need) in self.rules.needs(ServiceId(0), Build(build)) {
-            let doubt = if released {
-                need.released
+            && phase.is_some_and(|c| !matches!(c, ReleasePhase::Canary | ReleasePhase::Released));
+        for (_, dependency) in self.rules.dependencies(ServiceId(0), Build(build)) {
+            let unknown_reason = if released {
+                dependency.released_when_unknown
             } else {
-                need.on_trial
+                dependency.canary_when_unknown
             };
-            match (self.need(need, zone), doubt) {
-                (2, _) | (1, InDoubt::Close) => close = true,
-                (1, InDoubt::Hold) => hold = true,
+            match (self.dependency(dependency, zone), unknown_reason) {
+                (2, _) | (1, WhenUnknown::Close) => close = true,
+                (1, WhenUnknown::Hold) => hold = true,
                 _ => {}
             }
         }
@@ -389,7 +397,7 @@
                     .iter()
                     .filter(|ring| ring.pairs.0[pair]);
                 if !released {
-                    products = rings.fold(0, |all, ring| all | ring.products);
+                    products = rings.fold(0, |all, ring| all | ring.request_classes);
                 }
             }
         }
@@ -415,10 +423,10 @@
             // Time passes, then something comes in: the gate looks twice, and so does the definition.
             gate.advance(span(now));
             plain.now = now;
-            for hear in [false, true] {
-                if hear {
+            for on_release_status in [false, true] {
+                if on_release_status {
                     play(&mut gate, one, span(now));
-                    plain.hear(one);
+                    plain.on_release_status(one);
                     let newest = plain.last.get(&0).map(|last| last.build.0);
                     let named: BTreeSet<u16> = plain.listed.iter().copied().chain(newest).collect();
                     for build in named.iter().filter(|b| newest.is_none_or(|newest| **b > newest)) {
@@ -441,25 +449,25 @@
                         plain.opened.remove(&key);
                     }
                 }
-                plain.climb();
-                for ((build, zone, firm, product), got) in cells(&gate) {
-                    let want = plain.admits(build, zone.into(), firm.into(), product);
-                    prop_assert_eq!(got, want, "{} in {} for {} product {} at {}", build, zone, firm, product, now);
+                plain.progress();
+                for ((build, zone, tenant, product), got) in cells(&gate) {
+                    let want = plain.admits(build, zone.into(), tenant.into(), product);
+                    prop_assert_eq!(got, want, "{} in {} for {} product {} at {}", build, zone, tenant, product, now);
                 }
             }
         }
     }
 
     #[test]
-    fn more_rules_never_admit_more(rules in rules(), heard in heard(), freeze in freeze(), need in need(), which in any::<bool>()) {
+    fn more_rules_never_admit_more(rules in rules(), heard in heard(), freeze in freeze(), dependency in dependency(), which in any::<bool>()) {
         let mut more = rules.clone();
-        if which { more.freezes.push(freeze) } else { more.needs.push(need) }
+        if which { more.freezes.push(freeze) } else { more.dependencies.push(dependency) }
         let mut gates = [rules, more].map(|rules| Gate::new(rules, None, span(0)).expect("no circle"));
         for (at, one) in heard.into_iter().enumerate() {
             gates.iter_mut().for_each(|gate| play(gate, one, span(at as u64 + 1)));
             let [fewer, more] = gates.each_ref().map(cells);
             prop_assert!(more.iter().all(|(cell, open)| !open || fewer[cell]));
-            prop_assert!(gates[1].step().is_err() || gates[0].step() == gates[1].step());
+            prop_assert!(gates[1].permitted_advance().is_err() || gates[0].permitted_advance() == gates[1].permitted_advance());
         }
     }
 
@@ -468,9 +476,9 @@
         let mut gate = Gate::new(rules, Some(Tenant(me)), span(0)).expect("no circle");
         for (at, one) in heard.into_iter().enumerate() {
             play(&mut gate, one, span(at as u64 + 1));
-            let open = gate.openings();
-            for ((build, zone, firm, product), admits) in cells(&gate).into_iter().filter(|(cell, _)| cell.2 == me) {
-                let _ = firm;
+            let open = gate.permissions();
+            for ((build, zone, tenant, product), admits) in cells(&gate).into_iter().filter(|(cell, _)| cell.2 == me) {
+                let _ = tenant;
                 let handed = open.admits(Build(build), Zone(zone), Tenant(0), RequestClass(product));
                 prop_assert_eq!(handed, admits);
                 prop_assert!(!handed || open.any(Build(build), Zone(zone)));
@@ -479,43 +487,43 @@
     }
 }
 
-fn wishes() -> impl Strategy<Value = Vec<Wish>> {
-    let wish = (
+fn goals() -> impl Strategy<Value = Vec<Goal>> {
+    let goal = (
         0..SERVICES,
         2u16..4,
         prop::option::of(0u64..4),
         prop::option::of(4u64..14),
     );
-    prop::collection::vec(wish, 1..4).prop_map(|list| {
+    prop::collection::vec(goal, 1..4).prop_map(|list| {
         let mut seen = BTreeSet::new();
-        let wish = |(service, build, from, by): (u8, u16, Option<u64>, Option<u64>)| Wish {
+        let goal = |(service, build, from, by): (u8, u16, Option<u64>, Option<u64>)| Goal {
             service: ServiceId(service),
             build: Build(build),
             not_before: from.map(span),
-            by: by.map(span),
+            deadline: by.map(span),
         };
         list.into_iter()
             .filter(|w| seen.insert((w.0, w.1)))
-            .map(wish)
+            .map(goal)
             .collect()
     })
 }
 
 /// The steps of a wish, each with the least time after the one before.
-fn way(rules: &Rules, wish: &Wish) -> Vec<(Step, u64)> {
-    let Some(ladder) = rules.ladder(wish.service, wish.build) else {
-        return vec![(Step::Released(wish.service, wish.build), 0)];
+fn way(rules: &Rules, goal: &Goal) -> Vec<(Step, u64)> {
+    let Some(ladder) = rules.ladder(goal.service, goal.build) else {
+        return vec![(Step::Released(goal.service, goal.build), 0)];
     };
     let ring = |(i, ring): (usize, &Ring)| {
         (
-            Step::Ring(wish.service, wish.build, i as u8),
-            ring.after.as_secs(),
+            Step::Ring(goal.service, goal.build, i as u8),
+            ring.soak_before.as_secs(),
         )
     };
     let mut way: Vec<_> = ladder.rings.iter().enumerate().map(ring).collect();
     way.push((
-        Step::Released(wish.service, wish.build),
-        ladder.settles.as_secs(),
+        Step::Released(goal.service, goal.build),
+        ladder.final_soak.as_secs(),
     ));
     way
 }
@@ -523,23 +531,23 @@
 /// Whether a step may be taken at a time, given when others were: the rules once more, checked instead of solved.
 fn may(
     rules: &Rules,
-    given: &Given,
-    wishes: &[Wish],
+    released_builds: &ReleasedBuilds,
+    goals: &[Goal],
     times: &BTreeMap<Step, u64>,
-    wish: &Wish,
+    goal: &Goal,
     i: usize,
     at: u64,
 ) -> bool {
-    let way = way(rules, wish);
-    let ladder = rules.ladder(wish.service, wish.build);
+    let way = way(rules, goal);
+    let ladder = rules.ladder(goal.service, goal.build);
     let early = if i > 0 {
         times
             .get(&way[i - 1].0)
             .is_none_or(|before| at < before + way[i].1)
     } else {
-        let earlier = wishes
+        let earlier = goals
             .iter()
-            .filter(|w| w.service == wish.service && w.build < wish.build);
+            .filter(|w| w.service == goal.service && w.build < goal.build);
         let last = earlier.max_by_key(|w| w.build);
         last.is_some_and(|w| {
             times
@@ -547,117 +555,132 @@
                 .is_none_or(|out| at < *out)
         })
     };
-    let climbs = ladder.map(|ladder| {
+    let progress_by_build = ladder.map(|ladder| {
         if i == 0 {
             ladder.rings[0].pairs.clone()
         } else {
             ladder.pairs()
         }
     });
-    let frozen = rules
-        .frozen(wish.service, span(at))
-        .any(|(_, f, _)| climbs.as_ref().is_none_or(|p| p.meets(&f.pairs)));
-    let unmet = rules.needs(wish.service, wish.build).any(|(_, need)| {
-        let stage = ladder.map_or(Stage(0), |l| {
-            l.rings[i.saturating_sub(1).min(l.rings.len() - 1)].stage
-        });
-        let zones: Vec<Zone> =
-            if need.reach == Reach::Everywhere || ladder.is_none_or(|l| i == l.rings.len()) {
+    let frozen = rules.active_freezes(goal.service, span(at)).any(|frozen| {
+        progress_by_build
+            .as_ref()
+            .is_none_or(|p| p.intersects(&frozen.freeze.pairs))
+    });
+    let unmet = rules
+        .dependencies(goal.service, goal.build)
+        .any(|(_, dependency)| {
+            let stage = ladder.map_or(Stage(0), |l| {
+                l.rings[i.saturating_sub(1).min(l.rings.len() - 1)].stage
+            });
+            let zones: Vec<Zone> = if dependency.scope == DependencyScope::Everywhere
+                || ladder.is_none_or(|l| i == l.rings.len())
+            {
                 rules.zone_ids().collect()
             } else {
-                rules.zones_up_to(wish.service, wish.build, stage)
+                rules.zones_after_next_step(goal.service, goal.build, stage)
             };
-        let does = |of: ServiceId, build: Build| of == need.of && build >= need.at_least;
-        let out = |w: &&Wish| {
-            let covers = rules.ladder(w.service, w.build).map(Ladder::pairs);
-            let covers = |zone: &Zone| {
-                covers
-                    .as_ref()
-                    .is_none_or(|p| rules.of_zone(*zone).all(|pair| p.0[pair]))
+            let does = |of: ServiceId, build: Build| {
+                of == dependency.requires && build >= dependency.at_least
             };
-            does(w.service, w.build)
-                && zones.iter().all(covers)
-                && times
-                    .get(&Step::Released(w.service, w.build))
-                    .is_some_and(|out| *out <= at)
-        };
-        !given.iter().any(|(of, build)| does(*of, *build)) && !wishes.iter().any(|w| out(&w))
-    });
-    !early && !frozen && !unmet && wish.not_before.is_none_or(|from| span(at) >= from)
+            let out = |w: &&Goal| {
+                let covers = rules.ladder(w.service, w.build).map(Ladder::pairs);
+                let covers = |zone: &Zone| {
+                    covers
+                        .as_ref()
+                        .is_none_or(|p| rules.zone_pairs(*zone).all(|pair| p.0[pair]))
+                };
+                does(w.service, w.build)
+                    && zones.iter().all(covers)
+                    && times
+                        .get(&Step::Released(w.service, w.build))
+                        .is_some_and(|out| *out <= at)
+            };
+            !released_builds.iter().any(|(of, build)| does(*of, *build))
+                && !goals.iter().any(|w| out(&w))
+        });
+    !early && !frozen && !unmet && goal.not_before.is_none_or(|from| span(at) >= from)
 }
 
 /// Second by second, whatever may be taken is: no plan can be earlier. Nothing, if a wish stays unmet.
-fn by_hand(rules: &Rules, given: &Given, wishes: &[Wish]) -> Option<BTreeMap<Step, u64>> {
+fn by_hand(
+    rules: &Rules,
+    released_builds: &ReleasedBuilds,
+    goals: &[Goal],
+) -> Option<BTreeMap<Step, u64>> {
     let mut times = BTreeMap::new();
     for at in 0..80 {
         loop {
-            let open = wishes
+            let open = goals
                 .iter()
-                .flat_map(|wish| (0..way(rules, wish).len()).map(move |i| (wish, i)));
-            let next = open.filter(|(wish, i)| !times.contains_key(&way(rules, wish)[*i].0));
-            let may = |(wish, i): &(&Wish, usize)| may(rules, given, wishes, &times, wish, *i, at);
-            let Some((wish, i)) = next.into_iter().find(may) else {
+                .flat_map(|goal| (0..way(rules, goal).len()).map(move |i| (goal, i)));
+            let next = open.filter(|(goal, i)| !times.contains_key(&way(rules, goal)[*i].0));
+            let may = |(goal, i): &(&Goal, usize)| {
+                may(rules, released_builds, goals, &times, goal, *i, at)
+            };
+            let Some((goal, i)) = next.into_iter().find(may) else {
                 break;
             };
-            times.insert(way(rules, wish)[i].0, at);
+            times.insert(way(rules, goal)[i].0, at);
         }
     }
-    let out = |wish: &Wish| {
+    let out = |goal: &Goal| {
         times
-            .get(&Step::Released(wish.service, wish.build))
+            .get(&Step::Released(goal.service, goal.build))
             .copied()
     };
-    let kept = |wish: &Wish| out(wish).is_some_and(|out| wish.by.is_none_or(|by| span(out) <= by));
-    wishes.iter().all(kept).then_some(times)
+    let kept =
+        |goal: &Goal| out(goal).is_some_and(|out| goal.deadline.is_none_or(|by| span(out) <= by));
+    goals.iter().all(kept).then_some(times)
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, rng_seed: RngSeed::Fixed(SEED), ..ProptestConfig::default() })]
 
     #[test]
-    fn plans_are_as_early_as_any(rules in rules(), wishes in wishes()) {
-        let given = Given::from([(ServiceId(2), Build(1))]);
-        let found = plan(&rules, &given, &wishes, span(0));
-        match by_hand(&rules, &given, &wishes) {
+    fn plans_are_as_early_as_any(rules in rules(), goals in goals()) {
+        let released_builds = ReleasedBuilds::from([(ServiceId(2), Build(1))]);
+        let found = plan(&rules, &released_builds, &goals, span(0));
+        match by_hand(&rules, &released_builds, &goals) {
             Some(times) => {
                 let plan = found.expect("there is a plan");
                 let planned: BTreeMap<Step, u64> = plan.steps.iter().map(|p| (p.step, p.at.as_secs())).collect();
                 prop_assert_eq!(&planned, &times);
-                prop_assert_eq!(plan.chain.last().map(|p| p.at), plan.steps.last().map(|p| p.at));
-                prop_assert!(plan.chain.is_sorted_by_key(|p| p.at));
+                prop_assert_eq!(plan.critical_path.last().map(|p| p.at), plan.steps.last().map(|p| p.at));
+                prop_assert!(plan.critical_path.is_sorted_by_key(|p| p.at));
             }
             None => prop_assert!(found.is_err(), "{:?}", found),
         }
     }
 
     #[test]
-    fn clashes_are_as_small_as_any(rules in rules(), wishes in wishes()) {
-        let given = Given::new();
-        let Err(clash) = plan(&rules, &given, &wishes, span(0)) else { return Ok(()) };
+    fn clashes_are_as_small_as_any(rules in rules(), goals in goals()) {
+        let released_builds = ReleasedBuilds::new();
+        let Err(conflict) = plan(&rules, &released_builds, &goals, span(0)) else { return Ok(()) };
         let left = |keep: &dyn Fn(&Statement) -> bool| {
             let mut less = rules.clone();
             let mut i = 0;
-            less.needs.retain(|_| { i += 1; keep(&Statement::Need(i - 1)) });
+            less.dependencies.retain(|_| { i += 1; keep(&Statement::Dependency(i - 1)) });
             i = 0;
             less.freezes.retain(|_| { i += 1; keep(&Statement::Freeze(i - 1)) });
             less
         };
         // With all needs and freezes of the clash alone it still clashes; without any one of them it does not.
-        let held: BTreeSet<Statement> = clash.statements.iter().copied().collect();
-        prop_assert!(clash.is_smallest);
-        prop_assert!(plan(&left(&|one| held.contains(one)), &given, &wishes, span(0)).is_err());
-        let removable = held.iter().filter(|one| matches!(one, Statement::Need(_) | Statement::Freeze(_)));
+        let held: BTreeSet<Statement> = conflict.statements.iter().copied().collect();
+        prop_assert!(conflict.is_smallest);
+        prop_assert!(plan(&left(&|one| held.contains(one)), &released_builds, &goals, span(0)).is_err());
+        let removable = held.iter().filter(|one| matches!(one, Statement::Dependency(_) | Statement::Freeze(_)));
         for gone in removable {
             let rest = left(&|one| held.contains(one) && one != gone);
-            let wanted = |i: usize, wish: &Wish| Wish {
-                by: wish.by.filter(|_| held.contains(&Statement::By(i))),
-                ..*wish
+            let wanted = |i: usize, goal: &Goal| Goal {
+                deadline: goal.deadline.filter(|_| held.contains(&Statement::Deadline(i))),
+                ..*goal
             };
             // Wishes that the clash does not name may stay unmet: only those it names are asked for.
-            let all: Vec<Wish> = wishes.iter().enumerate().map(|(i, wish)| wanted(i, wish)).collect();
-            let without = plan(&rest, &given, &all, span(0));
+            let all: Vec<Goal> = goals.iter().enumerate().map(|(i, goal)| wanted(i, goal)).collect();
+            let without = plan(&rest, &released_builds, &all, span(0));
             let fine = without.as_ref().is_ok_and(|_| true) || without.as_ref().is_err_and(|other| {
-                !other.statements.iter().all(|one| held.contains(one) || matches!(one, Statement::Need(_) | Statement::Freeze(_)))
+                !other.statements.iter().all(|one| held.contains(one) || matches!(one, Statement::Dependency(_) | Statement::Freeze(_)))
             });
             prop_assert!(fine, "{:?} without {:?} still {:?}", held, gone, without);
         }
@@ -668,15 +691,15 @@
     fn the_gate_admits_the_plan(rules in rules(), build in 2u16..4) {
         let mut rules = rules;
         rules.services.iter_mut().for_each(|service| service.silent_after = None);
-        rules.needs.retain(|need| need.service.0 == 0);
+        rules.dependencies.retain(|dependency| dependency.service.0 == 0);
         rules.ladders.retain(|ladder| ladder.service.0 == 0);
-        let wishes: Vec<Wish> = [0, 1, 2].map(|service| Wish {
-            service: ServiceId(service), build: Build(build), not_before: Some(span(1)), by: None,
+        let goals: Vec<Goal> = [0, 1, 2].map(|service| Goal {
+            service: ServiceId(service), build: Build(build), not_before: Some(span(1)), deadline: None,
         }).into();
-        let Ok(found) = plan(&rules, &Given::new(), &wishes, span(0)) else { return Ok(()) };
+        let Ok(found) = plan(&rules, &ReleasedBuilds::new(), &goals, span(0)) else { return Ok(()) };
         let mut gate = Gate::new(rules.clone(), None, span(0)).expect("no circle");
-        let tell = |gate: &mut Gate, service, build, stage, course, at| {
-            gate.hear(at, service, Told { build: Build(build), stage, course, since: at });
+        let tell = |gate: &mut Gate, service, build, stage, phase, at| {
+            gate.on_release_status(at, service, ReleaseStatus { build: Build(build), stage, phase, since: at });
         };
         tell(&mut gate, ServiceId(0), 1, Stage(0), ReleasePhase::Released, span(0));
         let mut stage = None;
@@ -689,26 +712,26 @@
                 Step::Ring(_, b, i) => {
                     let ring = &rules.ladders[0].rings[usize::from(i)];
                     if stage.is_some_and(|stage| stage < ring.stage) {
-                        let seen = gate.builds().any(|(known, open)| known == b && open > 0);
-                        prop_assert!(!seen || gate.step() == Ok((b, stage.expect("one"))), "{:?} at {:?}", gate.step(), planned);
+                        let seen = gate.open_pairs(b) > 0;
+                        prop_assert!(!seen || gate.permitted_advance() == Ok(PermittedAdvance { build: b, stage: stage.expect("one") }), "{:?} at {:?}", gate.permitted_advance(), planned);
                     }
                     if stage != Some(ring.stage) {
                         stage = Some(ring.stage);
                         tell(&mut gate, ServiceId(0), b.0, ring.stage, ReleasePhase::Canary, planned.at);
                     }
                     for pair in (0..ZONES * FIRMS).filter(|pair| ring.pairs.0[*pair]) {
-                        let (zone, firm) = (Zone((pair / FIRMS) as u8), Tenant((pair % FIRMS) as u16));
-                        let products = (0..2).filter(|p| ring.products >> p & 1 == 1);
+                        let (zone, tenant) = (Zone((pair / FIRMS) as u8), Tenant((pair % FIRMS) as u16));
+                        let products = (0..2).filter(|p| ring.request_classes >> p & 1 == 1);
                         for product in products {
-                            let admits = gate.admits(b, zone, firm, RequestClass(product));
+                            let admits = gate.admits(b, zone, tenant, RequestClass(product));
                             prop_assert_eq!(admits, Ok(()), "{:?}", planned);
                         }
                     }
                 }
                 Step::Released(_, b) => {
-                    let seen = gate.builds().any(|(known, open)| known == b && open > 0);
+                    let seen = gate.open_pairs(b) > 0;
                     if let Some(stage) = stage.filter(|_| seen) {
-                        prop_assert_eq!(gate.step(), Ok((b, stage)), "{:?}", planned);
+                        prop_assert_eq!(gate.permitted_advance(), Ok(PermittedAdvance { build: b, stage }), "{:?}", planned);
                     }
                     tell(&mut gate, ServiceId(0), b.0, Stage(9), ReleasePhase::Released, planned.at);
                 }
--- a/crates/releases/tests/scenarios.rs
+++ b/crates/releases/tests/scenarios.rs
@@ -1,16 +1,16 @@
 //! Plays every scenario in `tests/scenarios` against a gate: first an operator's file, then, behind a line `==`, steps:
 //!
-//!     firm NAME                        whose requests are routed here; all, if this does not stand first
-//!     at SECONDS|INSTANT               the time from now on: since 2026-12-01T00:00Z, or as RFC 3339 has it
-//!     tell SERVICE BUILD STAGE trial|released|back|withdrawn [AGO]   news, so many seconds old
-//!     alive SERVICE / list BUILD ..    a sign of life / the builds that are listed
-//!     restart                          the gate forgets all
-//!     swap ONE => OTHER                the file is replaced by one with other words
-//!     keep                             the state is written and read back: what it answers stays the same
-//!     open|shut BUILD ZONE FIRM PRODUCT [WHY]   what it answers; a `*` stands for all
-//!     step BUILD STAGE / stay WHY [SECONDS]     whether a step may be asked for, and if not, until when
+//!     tenant NAME                      whose requests are routed here; all, if this does not stand first
+//!     at SECONDS|INSTANT               the time from now on: since 2026-12-01T00:00Z, or in RFC 3339 form
+//!     status SERVICE BUILD STAGE canary|released|rolling-back|withdrawn [AGO]   a release status, AGO seconds old
+//!     heartbeat SERVICE / list BUILD ..   a heartbeat / the builds that are listed
+//!     restart                          a new gate, which has received nothing
+//!     edit ONE => OTHER                the rules are replaced, with one text of the file in place of another
+//!     store                            the state is written and restored; the permissions stay the same
+//!     open|closed BUILD ZONE TENANT CLASS [REASON]   whether requests are admitted; a `*` stands for all
+//!     advance BUILD STAGE / hold REASON [SECONDS]    whether the canary may advance, and if not, until when
 //!     next SECONDS|never               when something changes by time alone
-//!     event TEXT                       one of the events since the last look holds this
+//!     event TEXT                       one of the events since the last such step contains this
 #![allow(clippy::min_ident_chars)] // Not met yet.
 #![allow(clippy::too_many_lines)] // Not met yet.
 use std::path::PathBuf;
@@ -18,9 +18,10 @@
 
 use lilacgate_decision::{Build, ReleasePhase, RequestClass, Stage, Tenant, Zone};
 use lilacgate_operator_config::{Known, read};
-use lilacgate_releases::facts::Told;
 use lilacgate_releases::gate::Gate;
 use lilacgate_releases::model::{Rules, ServiceId};
+use lilacgate_releases::reason::PermittedAdvance;
+use lilacgate_releases::service_status::ReleaseStatus;
 use rstest::rstest;
 
 /// 2026-12-01T00:00Z.
@@ -45,15 +46,22 @@
 
 struct Play {
     text: String,
-    firm: Option<String>,
+    tenant: Option<String>,
     now: Duration,
     gate: Gate,
 }
 
-fn gate(text: &str, firm: Option<&str>, now: Duration) -> Gate {
+fn gate(text: &str, tenant: Option<&str>, now: Duration) -> Gate {
     let rules = rules(text);
-    let me =
-        firm.map(|firm| Tenant(rules.firms.iter().position(|f| f == firm).expect("a firm") as u16));
+    let me = tenant.map(|tenant| {
+        Tenant(
+            rules
+                .tenants
+                .iter()
+                .position(|f| f == tenant)
+                .expect("a firm") as u16,
+        )
+    });
     Gate::new(rules, me, now).unwrap_or_else(|_| panic!("a circle"))
 }
 
@@ -77,20 +85,21 @@
 
     fn step(&mut self, words: &[&str]) {
         match words {
-            ["firm", name] => {
-                self.firm = Some(name.to_string());
+            ["tenant", name] => {
+                self.tenant = Some(name.to_string());
                 self.step(&["restart"]);
             }
             ["at", at] => {
                 self.now = time(at);
                 self.gate.advance(self.now);
             }
-            ["tell", service, build, stage, course, ago @ ..] => {
-                let course = match *course {
-                    "trial" => ReleasePhase::Canary,
+            ["status", service, build, stage, phase, ago @ ..] => {
+                let phase = match *phase {
+                    "canary" => ReleasePhase::Canary,
                     "released" => ReleasePhase::Released,
-                    "back" => ReleasePhase::RollingBack,
-                    _ => ReleasePhase::Withdrawn,
+                    "rolling-back" => ReleasePhase::RollingBack,
+                    "withdrawn" => ReleasePhase::Withdrawn,
+                    other => panic!("no phase {other}"),
                 };
                 let (build, stage) = (
                     Build(build.parse().expect("a build")),
@@ -98,28 +107,28 @@
                 );
                 let since = self.now - ago.first().map_or(Duration::ZERO, |ago| secs(ago));
                 let service = self.service(service);
-                self.gate.hear(
+                self.gate.on_release_status(
                     self.now,
                     service,
-                    Told {
+                    ReleaseStatus {
                         build,
                         stage,
-                        course,
+                        phase,
                         since,
                     },
                 );
             }
-            ["alive", service] => self.gate.alive(self.now, self.service(service)),
+            ["heartbeat", service] => self.gate.on_heartbeat(self.now, self.service(service)),
             ["list", builds @ ..] => {
-                self.gate.list(
+                self.gate.set_listed_builds(
                     self.now,
                     builds
                         .iter()
                         .map(|build| Build(build.parse().expect("a build"))),
                 );
             }
-            ["restart"] => self.gate = gate(&self.text, self.firm.as_deref(), self.now),
-            ["swap", rest @ ..] => {
+            ["restart"] => self.gate = gate(&self.text, self.tenant.as_deref(), self.now),
+            ["edit", rest @ ..] => {
                 let rest = rest.join(" ");
                 let (one, other) = rest.split_once(" =>").expect("ONE => OTHER");
                 let other = other.trim();
@@ -127,65 +136,64 @@
                 self.text = self.text.replace(one, other);
                 let rules = rules(&self.text);
                 let me = self
-                    .firm
+                    .tenant
                     .as_ref()
-                    .and_then(|f| rules.firms.iter().position(|g| g == f));
+                    .and_then(|f| rules.tenants.iter().position(|g| g == f));
                 self.gate
-                    .replace(self.now, rules, me.map(|me| Tenant(me as u16)))
+                    .replace_rules(self.now, rules, me.map(|me| Tenant(me as u16)))
                     .expect("no circle");
             }
-            ["keep"] => {
+            ["store"] => {
                 let state = self.gate.state("n0", Vec::new());
                 let text = serde_json::to_string(&state).expect("it is written");
                 let state = serde_json::from_str(&text).expect("it is read");
                 let kept = Gate::from_state(rules(&self.text), &state).expect("it can be used");
-                assert_eq!(kept.openings(), self.gate.openings());
+                assert_eq!(kept.permissions(), self.gate.permissions());
                 self.gate = kept;
             }
             [
-                what @ ("open" | "shut"),
+                what @ ("open" | "closed"),
                 build,
                 zone,
-                firm,
+                tenant,
                 product,
                 why @ ..,
             ] => {
                 let rules = self.gate.rules();
                 let build = Build(build.parse().expect("a build"));
                 for zone in all(&rules.zones, zone).map(|zone| Zone(zone as u8)) {
-                    for firm in all(&rules.firms, firm).map(|firm| Tenant(firm as u16)) {
-                        for product in
-                            all(&rules.products, product).map(|product| RequestClass(product as u8))
+                    for tenant in all(&rules.tenants, tenant).map(|tenant| Tenant(tenant as u16)) {
+                        for product in all(&rules.request_classes, product)
+                            .map(|product| RequestClass(product as u8))
                         {
-                            let got = self.gate.admits(build, zone, firm, product);
+                            let got = self.gate.admits(build, zone, tenant, product);
                             let code = got.err().map_or("open", |why| why.code());
                             let fine = (*what == "open") == got.is_ok()
                                 && why.first().is_none_or(|w| *w == code);
-                            assert!(fine, "{code} in {zone:?} for {firm:?} and {product:?}");
+                            assert!(fine, "{code} in {zone:?} for {tenant:?} and {product:?}");
                         }
                     }
                 }
             }
-            ["step", build, stage] => {
-                let want = (
-                    Build(build.parse().expect("a build")),
-                    Stage(stage.parse().expect("a stage")),
-                );
-                assert_eq!(self.gate.step(), Ok(want));
-                assert!(self.gate.openings().may_step(want.0, want.1));
+            ["advance", build, stage] => {
+                let build = Build(build.parse().expect("a build"));
+                let stage = Stage(stage.parse().expect("a stage"));
+                let want = PermittedAdvance { build, stage };
+                assert_eq!(self.gate.permitted_advance(), Ok(want));
+                assert!(self.gate.permissions().may_step(build, stage));
             }
-            ["stay", why, until @ ..] => {
-                let stay = self.gate.step().expect_err("no step");
-                assert_eq!(stay.why.code(), *why);
-                assert_eq!(stay.until, until.first().map(|at| time(at)));
+            ["hold", reason, until @ ..] => {
+                let hold = self.gate.permitted_advance().expect_err("no step");
+                assert_eq!(hold.reason.code(), *reason);
+                assert_eq!(hold.until, until.first().map(|at| time(at)));
             }
             ["next", "never"] => assert_eq!(self.gate.next_change(), None),
             ["next", at] => assert_eq!(self.gate.next_change(), Some(time(at))),
             ["event", rest @ ..] => {
                 let events: Vec<String> = self
                     .gate
-                    .events()
-                    .0
+                    .take_events()
+                    .events
                     .iter()
                     .map(|event| format!("{event:?}"))
                     .collect();
@@ -205,7 +213,7 @@
     let (file, steps) = text.split_once("\n==\n").expect("a file, then steps");
     let mut play = Play {
         text: file.into(),
-        firm: None,
+        tenant: None,
         now: ZERO,
         gate: gate(file, None, ZERO),
     };
--- a/crates/releases/tests/stored_state.rs
+++ b/crates/releases/tests/stored_state.rs
@@ -3,7 +3,7 @@
 use lilacgate_operator_config::{Known, read};
 use lilacgate_releases::gate::Gate;
 use lilacgate_releases::model::Rules;
-use lilacgate_releases::record::State;
+use lilacgate_releases::stored_state::StoredState;
 use serde_json::Value;
 
 const OPERATOR_FILE: &str = include_str!("fixtures/operator.xml");
@@ -14,7 +14,7 @@
     operator.releases.expect("it has releases").rules
 }
 
-fn stored() -> State {
+fn stored() -> StoredState {
     serde_json::from_str(STATE_FILE).expect("the state is readable")
 }
 
@@ -57,7 +57,7 @@
     assert_eq!(admits(2, 0, 1), Err("product"));
     assert_eq!(admits(2, 1, 0), Err("ring-shut"));
     assert_eq!(
-        gate.step().map_err(|stay| stay.why.code()),
+        gate.permitted_advance().map_err(|hold| hold.reason.code()),
         Err("ring-time")
     );
 }
@@ -74,7 +74,7 @@
     for name in names {
         let mut state = fixture();
         state["services"][5]["odd"] = name.into();
-        let read: State = serde_json::from_value(state.clone()).expect("it is readable");
+        let read: StoredState = serde_json::from_value(state.clone()).expect("it is readable");
         assert_eq!(serde_json::to_value(read).expect("it is written"), state);
     }
 }
@@ -82,7 +82,7 @@
 #[test]
 fn a_newer_form_is_refused() {
     let mut state = stored();
-    state.form = 2;
+    state.format_version = 2;
     let fault = Gate::from_state(rules(), &state)
         .err()
         .expect("it is refused");
--- a/crates/test-bed/src/gauge.rs
+++ b/crates/test-bed/src/gauge.rs
@@ -6,10 +6,10 @@
 use std::time::{Duration, Instant};
 
 use lilacgate_decision::{Build, ReleasePhase, RequestClass, Stage, Tenant, Zone};
-use lilacgate_releases::calendar::{self, When};
-use lilacgate_releases::facts::Told;
+use lilacgate_releases::calendar::{self, Schedule};
 use lilacgate_releases::gate::Gate;
 use lilacgate_releases::model::*;
+use lilacgate_releases::service_status::ReleaseStatus;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -52,29 +52,29 @@
 pub fn large() -> Rules {
     let (zones, firms) = (8, 200);
     let names = |what: &str, many: usize| (0..many).map(|i| format!("{what}{i}")).collect();
-    let some = |of: usize| Pairs((0..zones * firms).map(|pair| pair % of == 0).collect());
+    let some = |of: usize| PairSet((0..zones * firms).map(|pair| pair % of == 0).collect());
     let ring = |i: usize| Ring {
         name: format!("r{i}"),
         stage: Stage(i as u8),
-        after: Duration::from_secs(60),
+        soak_before: Duration::from_secs(60),
         pairs: some(8 >> i),
-        products: u64::MAX,
+        request_classes: u64::MAX,
     };
-    let need = |i: usize| Need {
+    let need = |i: usize| Dependency {
         service: ServiceId(i as u8),
         builds: Builds {
             from: Build(2),
             to: Build(99),
         },
-        of: ServiceId(i as u8 + 1),
+        requires: ServiceId(i as u8 + 1),
         at_least: Build(2),
-        reach: if i.is_multiple_of(2) {
-            Reach::SameZone
+        scope: if i.is_multiple_of(2) {
+            DependencyScope::SameZone
         } else {
-            Reach::Everywhere
+            DependencyScope::Everywhere
         },
-        on_trial: InDoubt::Close,
-        released: InDoubt::Hold,
+        canary_when_unknown: WhenUnknown::Close,
+        released_when_unknown: WhenUnknown::Hold,
     };
     let zone = calendar::time_zone("Asia/Tokyo").expect("it is built in");
     let at = |text| calendar::week_time(text).expect("a time");
@@ -82,8 +82,8 @@
         name: format!("z{i}"),
         service: None,
         pairs: some(i + 2),
-        closes: i.is_multiple_of(2),
-        when: When::Weekly {
+        closes_canary: i.is_multiple_of(2),
+        schedule: Schedule::Weekly {
             zone: zone.clone(),
             from: at("Fri 18:00"),
             to: at("Mon 06:00"),
@@ -96,7 +96,7 @@
             to: Build(99),
         },
         rings: (0..4).map(ring).collect(),
-        settles: Duration::ZERO,
+        final_soak: Duration::ZERO,
     };
     let service = |name| Service {
         name,
@@ -104,12 +104,12 @@
     };
     Rules {
         zones: names("z", zones),
-        firms: names("f", firms),
-        products: names("p", 3),
+        tenants: names("f", firms),
+        request_classes: names("p", 3),
         services: names("s", 5).into_iter().map(service).collect(),
-        own: ServiceId(0),
+        own_service: ServiceId(0),
         ladders: vec![ladder],
-        needs: (0..4).map(need).collect(),
+        dependencies: (0..4).map(need).collect(),
         freezes: (0..6).map(freeze).collect(),
     }
 }
@@ -118,21 +118,21 @@
 fn gate() -> (f64, f64) {
     let mut now = Duration::from_secs(1_796_083_200);
     let mut gate = Gate::new(large(), None, now).unwrap_or_else(|_| unreachable!("no circle"));
-    let told = |build, stage, course, since| Told {
+    let told = |build, stage, course, since| ReleaseStatus {
         build: Build(build),
         stage: Stage(stage),
-        course,
+        phase: course,
         since,
     };
     for service in 1..5 {
-        gate.hear(
+        gate.on_release_status(
             now,
             ServiceId(service),
             told(5, 0, ReleasePhase::Released, now),
         );
     }
-    gate.hear(now, ServiceId(0), told(29, 2, ReleasePhase::Canary, now));
-    gate.list(now, (0..30).map(Build));
+    gate.on_release_status(now, ServiceId(0), told(29, 2, ReleasePhase::Canary, now));
+    gate.set_listed_builds(now, (0..30).map(Build));
     let mut chance = Pcg64Mcg::seed_from_u64(7);
     let asked: Vec<(Build, Zone, Tenant, RequestClass)> = (0..4096)
         .map(|_| {
@@ -168,7 +168,7 @@
                 ReleasePhase::Released
             };
             let began = Instant::now();
-            gate.hear(now, ServiceId(4), told(5 + i.div_ceil(2), 0, course, now));
+            gate.on_release_status(now, ServiceId(4), told(5 + i.div_ceil(2), 0, course, now));
             began.elapsed().as_secs_f64() * 1e6
         })
         .collect();
