--- a/crates/releases/src/dependencies.rs
+++ b/crates/releases/src/dependencies.rs
@@ -10,7 +10,7 @@
 pub(crate) enum DependencyState {
     /// It is.
     Satisfied,
-    /// It cannot be told.
+    /// There is not enough information.
     Unknown,
     /// It is not.
     Unsatisfied,
--- /dev/null
+++ b/crates/releases/src/dependency_order.rs
@@ -0,0 +1,63 @@
+//! The order in which dependencies are determined, and cycles of them.
+use std::collections::{HashMap, VecDeque};
+
+use petgraph::algo::toposort;
+use petgraph::graph::{DiGraph, NodeIndex};
+use thiserror::Error;
+
+use crate::model::Rules;
+
+/// Dependencies that form a cycle: their indices in the rules, with the first one again at the end.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+#[error("the dependencies {0:?} form a cycle")]
+pub struct DependencyCycle(pub Vec<usize>);
+
+impl Rules {
+    /// The indices of the dependencies, each after all that it rests on.
+    ///
+    /// # Errors
+    /// A shortest cycle of dependencies.
+    pub fn dependency_order(&self) -> Result<Vec<usize>, DependencyCycle> {
+        let mut graph = DiGraph::<usize, ()>::new();
+        let indices = 0..self.dependencies.len();
+        let nodes: Vec<NodeIndex> = indices.map(|index| graph.add_node(index)).collect();
+        for (index, dependency) in self.dependencies.iter().enumerate() {
+            for (other_index, other) in self.dependencies.iter().enumerate() {
+                // A build that satisfies this dependency may have dependencies of its own.
+                let rests_on =
+                    other.service == dependency.requires && other.builds.to >= dependency.at_least;
+                if rests_on {
+                    graph.add_edge(nodes[other_index], nodes[index], ());
+                }
+            }
+        }
+        match toposort(&graph, None) {
+            Ok(order) => Ok(order.into_iter().map(|node| graph[node]).collect()),
+            Err(cycle) => Err(DependencyCycle(shortest_cycle(&graph, cycle.node_id()))),
+        }
+    }
+}
+
+/// A shortest cycle through a node that is on one.
+fn shortest_cycle(graph: &DiGraph<usize, ()>, from: NodeIndex) -> Vec<usize> {
+    let mut reached_from = HashMap::new();
+    let mut queue = VecDeque::from([from]);
+    while let Some(node) = queue.pop_front() {
+        for next in graph.neighbors(node) {
+            if next == from {
+                let mut path = vec![graph[from], graph[node]];
+                let mut last = node;
+                while last != from {
+                    last = reached_from[&last];
+                    path.push(graph[last]);
+                }
+                return path;
+            }
+            reached_from.entry(next).or_insert_with(|| {
+                queue.push_back(next);
+                node
+            });
+        }
+    }
+    vec![graph[from]]
+}
--- a/crates/releases/src/lib.rs
+++ b/crates/releases/src/lib.rs
@@ -11,13 +11,11 @@
 //! Modules depend on each other in one direction: `model`, then what is observed (`service_status`, `stage_progress`,
 //! `observed`), then decisions (`dependencies`, `row_update`, `advance`), then `gate`, then `stored_state` and
 //! `describe`.
-#![allow(clippy::min_ident_chars)] // Not met yet.
-#![allow(clippy::missing_errors_doc)] // Not met yet.
-#![allow(missing_docs)] // Not met yet.
 
 mod advance;
 pub mod calendar;
 mod dependencies;
+mod dependency_order;
 mod describe;
 pub mod events;
 pub mod gate;
--- a/crates/releases/src/service_status.rs
+++ b/crates/releases/src/service_status.rs
@@ -69,7 +69,7 @@
     Found(Build),
     /// There is none.
     Missing,
-    /// It cannot be told.
+    /// There is not enough information.
     Unknown,
 }
 
@@ -117,7 +117,7 @@
         self.last
     }
 
-    /// When the service was last heard from, since 1970.
+    /// When the service last gave a sign of life, since 1970.
     pub(crate) fn last_heartbeat(&self) -> Option<Duration> {
         self.last_heartbeat
     }
--- a/crates/releases/src/stored_state.rs
+++ b/crates/releases/src/stored_state.rs
@@ -59,7 +59,7 @@
     /// The last release status that was accepted.
     #[serde(rename = "news")]
     pub status: Option<StatusState>,
-    /// When the service was last heard from.
+    /// When the service last gave a sign of life.
     #[serde(rename = "heard_ms")]
     pub last_heartbeat_ms: Option<u64>,
     /// Why the last release status was not accepted, if it was not.
--- /dev/null
+++ b/crates/releases/tests/laws/generated.rs
@@ -0,0 +1,231 @@
+//! Generated rules, and what comes in. They are the same in each run.
+use std::collections::BTreeSet;
+use std::time::Duration;
+
+use lilacgate_decision::{Build, ReleasePhase, Stage};
+use lilacgate_releases::calendar::Schedule;
+use lilacgate_releases::gate::Gate;
+use lilacgate_releases::model::{
+    Builds, Dependency, DependencyScope, Freeze, Ladder, PairSet, Ring, Rules, Service, ServiceId,
+    WhenUnknown,
+};
+use lilacgate_releases::planner::Goal;
+use lilacgate_releases::service_status::ReleaseStatus;
+use proptest::prelude::*;
+use proptest::test_runner::RngSeed;
+
+const SEED: u64 = 0x1a7e;
+pub(crate) const ZONES: usize = 2;
+pub(crate) const TENANTS: usize = 2;
+pub(crate) const SERVICES: u8 = 3;
+const LAST_BUILD: Build = Build(9);
+
+/// The settings of a law that is tried on this many cases.
+pub(crate) fn config(cases: u32) -> ProptestConfig {
+    ProptestConfig {
+        cases,
+        failure_persistence: None,
+        rng_seed: RngSeed::Fixed(SEED),
+        ..ProptestConfig::default()
+    }
+}
+
+pub(crate) fn seconds(count: u64) -> Duration {
+    Duration::from_secs(count)
+}
+
+fn pairs() -> impl Strategy<Value = PairSet> {
+    prop::collection::vec(prop::bool::weighted(0.6), ZONES * TENANTS).prop_map(PairSet)
+}
+
+fn ladder() -> impl Strategy<Value = Ladder> {
+    let ring = (0u8..2, 0u64..3, pairs(), 0u64..4);
+    (0..SERVICES, prop::collection::vec(ring, 1..4), 0u64..3).prop_map(
+        |(service, rings, final_soak)| {
+            let mut stage = 0;
+            let rings = rings.into_iter().enumerate().map(
+                |(i, (stages_up, soak, pairs, request_classes))| {
+                    stage += stages_up;
+                    Ring {
+                        name: format!("r{i}"),
+                        stage: Stage(stage),
+                        soak_before: seconds(soak),
+                        pairs,
+                        request_classes,
+                    }
+                },
+            );
+            Ladder {
+                service: ServiceId(service),
+                builds: Builds {
+                    from: Build(2),
+                    to: LAST_BUILD,
+                },
+                rings: rings.collect(),
+                final_soak: seconds(final_soak),
+            }
+        },
+    )
+}
+
+/// A service requires later ones only, so that there is no cycle.
+pub(crate) fn dependency() -> impl Strategy<Value = Dependency> {
+    let flags = any::<[bool; 3]>();
+    (0..SERVICES - 1, 1u8..3, 0u16..4, 0u16..4, flags).prop_map(
+        |(service, services_on, from, at_least, [everywhere, close_canary, close_released])| {
+            let when_unknown = |close| {
+                if close {
+                    WhenUnknown::Close
+                } else {
+                    WhenUnknown::Hold
+                }
+            };
+            Dependency {
+                service: ServiceId(service),
+                builds: Builds {
+                    from: Build(from),
+                    to: LAST_BUILD,
+                },
+                requires: ServiceId((service + services_on).min(SERVICES - 1)),
+                at_least: Build(at_least),
+                scope: if everywhere {
+                    DependencyScope::Everywhere
+                } else {
+                    DependencyScope::SameZone
+                },
+                canary_when_unknown: when_unknown(close_canary),
+                released_when_unknown: when_unknown(close_released),
+            }
+        },
+    )
+}
+
+pub(crate) fn freeze() -> impl Strategy<Value = Freeze> {
+    let service = prop::option::of(0..SERVICES);
+    (service, pairs(), any::<bool>(), 0u64..8, 1u64..4).prop_map(
+        |(service, pairs, closes_canary, at, length)| Freeze {
+            name: "z".into(),
+            service: service.map(ServiceId),
+            pairs,
+            closes_canary,
+            schedule: Schedule::OneTime {
+                from: seconds(at),
+                to: seconds(at + length),
+            },
+        },
+    )
+}
+
+pub(crate) fn rules() -> impl Strategy<Value = Rules> {
+    let lists = (
+        prop::collection::vec(ladder(), 0..3),
+        prop::collection::vec(dependency(), 0..4),
+        prop::collection::vec(freeze(), 0..3),
+    );
+    (lists, 0u64..3).prop_map(|((mut ladders, dependencies, freezes), silent)| {
+        let mut seen = BTreeSet::new();
+        ladders.retain(|ladder: &Ladder| seen.insert(ladder.service));
+        let names = |what: &str, count| (0..count).map(|i| format!("{what}{i}")).collect();
+        let silent_after = (silent > 0).then(|| seconds(silent * 2));
+        let service = |i| Service {
+            name: format!("s{i}"),
+            silent_after: silent_after.filter(|_| i > 0),
+        };
+        Rules {
+            zones: names("z", ZONES),
+            tenants: names("f", TENANTS),
+            request_classes: names("p", 2),
+            services: (0..SERVICES).map(service).collect(),
+            own_service: ServiceId(0),
+            ladders,
+            dependencies,
+            freezes,
+        }
+    })
+}
+
+/// Something that comes in, a second after what came before.
+#[derive(Clone, Copy, Debug)]
+pub(crate) enum Input {
+    /// This build and the next one are listed.
+    Listed { build: u16 },
+    /// A release status of a service.
+    Status {
+        service: u8,
+        build: u16,
+        stage: u8,
+        phase: ReleasePhase,
+    },
+}
+
+impl Input {
+    /// The builds that a list with this build holds.
+    pub(crate) fn listed(build: u16) -> [Build; 2] {
+        [Build(build), Build(build + 1)]
+    }
+
+    pub(crate) fn apply(self, gate: &mut Gate, now: Duration) {
+        gate.advance(now);
+        match self {
+            Input::Listed { build } => {
+                gate.set_listed_builds(now, Input::listed(build).into_iter());
+            }
+            Input::Status {
+                service,
+                build,
+                stage,
+                phase,
+            } => {
+                let status = ReleaseStatus {
+                    build: Build(build),
+                    stage: Stage(stage),
+                    phase,
+                    since: now,
+                };
+                gate.on_release_status(now, ServiceId(service), status);
+            }
+        }
+    }
+}
+
+pub(crate) fn inputs() -> impl Strategy<Value = Vec<Input>> {
+    let input =
+        (0..SERVICES + 1, 1u16..5, 0u8..3, 0u8..5).prop_map(|(source, build, stage, phase)| {
+            match source.checked_sub(1) {
+                None => Input::Listed { build },
+                Some(service) => Input::Status {
+                    service,
+                    build,
+                    stage,
+                    phase: match phase {
+                        0 | 1 => ReleasePhase::Canary,
+                        2 | 3 => ReleasePhase::Released,
+                        _ => ReleasePhase::RollingBack,
+                    },
+                },
+            }
+        });
+    prop::collection::vec(input, 1..14)
+}
+
+pub(crate) fn goals() -> impl Strategy<Value = Vec<Goal>> {
+    let goal = (
+        0..SERVICES,
+        2u16..4,
+        prop::option::of(0u64..4),
+        prop::option::of(4u64..14),
+    );
+    prop::collection::vec(goal, 1..4).prop_map(|drawn| {
+        let mut seen = BTreeSet::new();
+        drawn
+            .into_iter()
+            .filter(|(service, build, ..)| seen.insert((*service, *build)))
+            .map(|(service, build, from, deadline)| Goal {
+                service: ServiceId(service),
+                build: Build(build),
+                not_before: from.map(seconds),
+                deadline: deadline.map(seconds),
+            })
+            .collect()
+    })
+}
--- a/crates/releases/tests/stored_state.rs
+++ b/crates/releases/tests/stored_state.rs
@@ -83,9 +83,7 @@
 fn a_newer_form_is_refused() {
     let mut state = stored();
     state.format_version = 2;
-    let fault = Gate::from_state(rules(), &state)
-        .err()
-        .expect("it is refused");
+    let fault = Gate::from_state(rules(), &state).expect_err("it is refused");
     assert_eq!(
         fault.to_string(),
         "the state has form 2, which is newer than 1"
