--- a/crates/operator-config/src/releases/attributes.rs
+++ b/crates/operator-config/src/releases/attributes.rs
@@ -4,7 +4,7 @@
 
 use lilacgate_decision::Build;
 use lilacgate_releases::calendar;
-use lilacgate_releases::model::{Builds, InDoubt, Pairs};
+use lilacgate_releases::model::{Builds, PairSet, WhenUnknown};
 use roxmltree::Node;
 
 use super::ReleasesReader;
@@ -26,10 +26,10 @@
         .map_err(|_| AttributeError::Expected("a build, 0 to 65535"))
 }
 
-pub(super) fn read_in_doubt(text: &str) -> Result<InDoubt, AttributeError> {
+pub(super) fn read_when_unknown(text: &str) -> Result<WhenUnknown, AttributeError> {
     match text {
-        "hold" => Ok(InDoubt::Hold),
-        "close" => Ok(InDoubt::Close),
+        "hold" => Ok(WhenUnknown::Hold),
+        "close" => Ok(WhenUnknown::Close),
         _ => Err(AttributeError::Expected("hold or close")),
     }
 }
@@ -99,7 +99,7 @@
     }
 
     /// Each of the zones with each of the tenants that two attributes list.
-    pub(super) fn pairs(&self, node: Node<'_, '_>) -> Option<Pairs> {
+    pub(super) fn pairs(&self, node: Node<'_, '_>) -> Option<PairSet> {
         let zones = self.listed(
             node,
             &NameList {
@@ -118,7 +118,7 @@
         );
         let (zones, tenants) = zones.zip(tenants)?;
         let with_each_tenant = |zone: bool| tenants.iter().map(move |tenant| zone && *tenant);
-        Some(Pairs(
+        Some(PairSet(
             zones.into_iter().flat_map(with_each_tenant).collect(),
         ))
     }
--- a/crates/operator-config/src/releases/dependencies.rs
+++ b/crates/operator-config/src/releases/dependencies.rs
@@ -1,21 +1,21 @@
 //! The element `<needs>`: builds of a service that depend on a build of another one.
-use lilacgate_releases::model::{InDoubt, Need, Reach, Rules};
+use lilacgate_releases::model::{Dependency, DependencyCycle, DependencyScope, Rules, WhenUnknown};
 use roxmltree::Node;
 
 use super::ReleasesReader;
-use super::attributes::{read_build, read_in_doubt};
+use super::attributes::{read_build, read_when_unknown};
 use crate::xml::{AttributeError, FaultKind, XmlReader};
 
-fn read_reach(text: &str) -> Result<Reach, AttributeError> {
+fn read_scope(text: &str) -> Result<DependencyScope, AttributeError> {
     match text {
-        "everywhere" => Ok(Reach::Everywhere),
-        "same-zone" => Ok(Reach::SameZone),
+        "everywhere" => Ok(DependencyScope::Everywhere),
+        "same-zone" => Ok(DependencyScope::SameZone),
         _ => Err(AttributeError::Expected("everywhere or same-zone")),
     }
 }
 
 impl ReleasesReader<'_, '_> {
-    pub(super) fn need(&self, node: Node<'_, '_>) -> Option<Need> {
+    pub(super) fn dependency(&self, node: Node<'_, '_>) -> Option<Dependency> {
         let reader = self.reader;
         let attributes = [
             "service", "from", "to", "of", "at-least", "where", "on-trial", "released",
@@ -23,8 +23,8 @@
         reader.check_attributes(node, &attributes);
         reader.children(node, &[]);
         let service = reader.required(node, "service", |text| self.find_service(text));
-        let of = reader.required(node, "of", |text| self.find_service(text));
-        if service.is_some() && service == of {
+        let requires = reader.required(node, "of", |text| self.find_service(text));
+        if service.is_some() && service == requires {
             let fault = FaultKind::ContradictingAttribute {
                 attribute: "of",
                 expected: "another service",
@@ -33,36 +33,36 @@
             return None;
         }
         let at_least = reader.required(node, "at-least", read_build);
-        let reach = reader.optional(node, "where", read_reach);
-        let on_trial = reader.optional(node, "on-trial", read_in_doubt);
-        let released = reader.optional(node, "released", read_in_doubt);
-        Some(Need {
+        let scope = reader.optional(node, "where", read_scope);
+        let canary = reader.optional(node, "on-trial", read_when_unknown);
+        let released = reader.optional(node, "released", read_when_unknown);
+        Some(Dependency {
             builds: self.builds(node)?,
             service: service?,
-            of: of?,
+            requires: requires?,
             at_least: at_least?,
-            reach: reach.unwrap_or(Reach::Everywhere),
-            on_trial: on_trial.unwrap_or(InDoubt::Close),
-            released: released.unwrap_or(InDoubt::Hold),
+            scope: scope.unwrap_or(DependencyScope::Everywhere),
+            canary_when_unknown: canary.unwrap_or(WhenUnknown::Close),
+            released_when_unknown: released.unwrap_or(WhenUnknown::Hold),
         })
     }
 }
 
 /// Reports dependencies that lead back to where they began, at the first of them.
 pub(super) fn check_cycles(reader: &XmlReader<'_>, rules: &Rules, nodes: &[Node<'_, '_>]) {
-    if let Err(cycle) = rules.needs_in_order() {
+    if let Err(DependencyCycle(cycle)) = rules.dependency_order() {
         let steps: Vec<String> = cycle
             .iter()
-            .map(|index| describe(rules, &rules.needs[*index]))
+            .map(|index| describe(rules, &rules.dependencies[*index]))
             .collect();
         let fault = FaultKind::DependencyCycle(steps.join("; "));
         reader.report(nodes[cycle[0]], fault);
     }
 }
 
-fn describe(rules: &Rules, need: &Need) -> String {
-    let service = rules.service(need.service);
-    let needed = rules.service(need.of);
-    let (first_build, needed_build) = (need.builds.from.0, need.at_least.0);
+fn describe(rules: &Rules, dependency: &Dependency) -> String {
+    let service = rules.service(dependency.service);
+    let needed = rules.service(dependency.requires);
+    let (first_build, needed_build) = (dependency.builds.from.0, dependency.at_least.0);
     format!("{service} {first_build}.. needs {needed} {needed_build}")
 }
--- a/crates/operator-config/src/releases/freezes.rs
+++ b/crates/operator-config/src/releases/freezes.rs
@@ -1,5 +1,5 @@
 //! The element `<freeze>`: windows of time in which no build goes further.
-use lilacgate_releases::calendar::{self, TimeZone, When};
+use lilacgate_releases::calendar::{self, Schedule, TimeZone};
 use lilacgate_releases::model::{Freeze, ServiceId};
 use roxmltree::Node;
 
@@ -30,11 +30,11 @@
             return None;
         };
         Some(Freeze {
-            when: self.window(window)?,
+            schedule: self.window(window)?,
             service: service?,
             name: name?,
             pairs: pairs?,
-            closes: closes.unwrap_or(false),
+            closes_canary: closes.unwrap_or(false),
         })
     }
 
@@ -50,12 +50,12 @@
         service.map(Some)
     }
 
-    fn window(&self, node: Node<'_, '_>) -> Option<When> {
+    fn window(&self, node: Node<'_, '_>) -> Option<Schedule> {
         self.reader.children(node, &[]);
         let kind = node.tag_name().name();
         if kind == "declared" {
             self.reader.check_attributes(node, &[]);
-            return Some(When::Declared);
+            return Some(Schedule::Declared);
         }
         self.reader.check_attributes(node, &["from", "to"]);
         let zone = self.window_time_zone()?;
@@ -75,7 +75,7 @@
         self.time_zone.clone()
     }
 
-    fn once(&self, node: Node<'_, '_>, zone: &TimeZone) -> Option<When> {
+    fn once(&self, node: Node<'_, '_>, zone: &TimeZone) -> Option<Schedule> {
         let from = self.reader.required(node, "from", calendar::date_time);
         let to = self.reader.required(node, "to", calendar::date_time);
         let from = calendar::earliest(zone, from?);
@@ -88,23 +88,23 @@
             self.reader.report_at(node, "to", fault);
             return None;
         }
-        Some(When::Once { from, to })
+        Some(Schedule::OneTime { from, to })
     }
 
-    fn weekly(&self, node: Node<'_, '_>, zone: TimeZone) -> Option<When> {
+    fn weekly(&self, node: Node<'_, '_>, zone: TimeZone) -> Option<Schedule> {
         let from = self.reader.required(node, "from", calendar::week_time);
         let to = self.reader.required(node, "to", calendar::week_time);
-        Some(When::Weekly {
+        Some(Schedule::Weekly {
             zone,
             from: from?,
             to: to?,
         })
     }
 
-    fn yearly(&self, node: Node<'_, '_>, zone: TimeZone) -> Option<When> {
+    fn yearly(&self, node: Node<'_, '_>, zone: TimeZone) -> Option<Schedule> {
         let from = self.reader.required(node, "from", calendar::year_time);
         let to = self.reader.required(node, "to", calendar::year_time);
-        Some(When::Yearly {
+        Some(Schedule::Yearly {
             zone,
             from: from?,
             to: to?,
--- a/crates/operator-config/src/releases/ladders.rs
+++ b/crates/operator-config/src/releases/ladders.rs
@@ -1,7 +1,7 @@
 //! The element `<ladder>`: the rings to which the builds of a service come, one after the other.
 use lilacgate_decision::{RequestClass, Stage};
 use lilacgate_releases::calendar;
-use lilacgate_releases::model::{Ladder, Pairs, Ring, Rules};
+use lilacgate_releases::model::{Ladder, PairSet, Ring, Rules};
 use roxmltree::Node;
 
 use super::attributes::NameList;
@@ -34,7 +34,7 @@
             service: service?,
             builds: self.builds(node)?,
             rings,
-            settles: settles.unwrap_or_default(),
+            final_soak: settles.unwrap_or_default(),
         })
     }
 
@@ -69,19 +69,19 @@
         let name = reader.required(node, "name", places::read_name);
         let stage = reader.required(node, "stage", read_stage);
         let after = reader.optional(node, "after", calendar::span);
-        let products = self.products(node)?;
+        let request_classes = self.request_classes(node)?;
         let pairs = self.ring_pairs(node)?;
         Some(Ring {
             stage: self.stage_before_release(node, stage?)?,
             name: name?,
-            after: after.unwrap_or_default(),
+            soak_before: after.unwrap_or_default(),
             pairs,
-            products,
+            request_classes,
         })
     }
 
     /// The request classes that an attribute lists, as bits.
-    fn products(&self, node: Node<'_, '_>) -> Option<u64> {
+    fn request_classes(&self, node: Node<'_, '_>) -> Option<u64> {
         let listed = self.listed(
             node,
             &NameList {
@@ -91,11 +91,11 @@
             },
         )?;
         let numbers = (0..listed.len()).filter(|number| listed[*number]);
-        let bits = numbers.map(|number| Rules::product_bit(RequestClass(number as u8)));
+        let bits = numbers.map(|number| Rules::request_class_bit(RequestClass(number as u8)));
         Some(bits.fold(0, |all, bit| all | bit))
     }
 
-    fn ring_pairs(&self, node: Node<'_, '_>) -> Option<Pairs> {
+    fn ring_pairs(&self, node: Node<'_, '_>) -> Option<PairSet> {
         let reader = self.reader;
         let mut all = vec![false; self.places.zones.len() * self.places.tenants.len()];
         let children = reader.children(node, &["pairs"]);
@@ -110,7 +110,7 @@
                 *any |= one;
             }
         }
-        Some(Pairs(all))
+        Some(PairSet(all))
     }
 
     fn stage_before_release(&self, node: Node<'_, '_>, stage: u8) -> Option<Stage> {
--- a/crates/operator-config/src/releases/mod.rs
+++ b/crates/operator-config/src/releases/mod.rs
@@ -11,7 +11,7 @@
 use std::path::PathBuf;
 
 use lilacgate_releases::calendar::{self, TimeZone};
-use lilacgate_releases::model::{Freeze, Ladder, Need, Rules, Service, ServiceId};
+use lilacgate_releases::model::{Dependency, Freeze, Ladder, Rules, Service, ServiceId};
 use roxmltree::Node;
 
 use crate::places::{self, Places};
@@ -88,22 +88,23 @@
         self.check_own_desk(own);
         let ladders = self.read_all("ladder", |node| self.ladder(node));
         self.check_overlaps(&ladders);
-        let needs = self.read_all("needs", |node| self.need(node));
+        let dependencies = self.read_all("needs", |node| self.dependency(node));
         let freezes = self.read_all("freeze", |node| self.freeze(node));
         self.check_freeze_names(&freezes);
         self.check_counts();
-        let need_nodes: Vec<Node<'r, 'r>> = needs.iter().map(|need| need.node).collect();
+        let dependency_nodes: Vec<Node<'r, 'r>> =
+            dependencies.iter().map(|placed| placed.node).collect();
         let rules = Rules {
             zones: self.places.zones.clone(),
-            firms: self.places.tenants.clone(),
-            products: self.places.products.clone(),
+            tenants: self.places.tenants.clone(),
+            request_classes: self.places.products.clone(),
             services: self.services,
-            own: own?,
+            own_service: own?,
             ladders: rules_of::<Ladder>(ladders),
-            needs: rules_of::<Need>(needs),
+            dependencies: rules_of::<Dependency>(dependencies),
             freezes: rules_of::<Freeze>(freezes),
         };
-        dependencies::check_cycles(reader, &rules, &need_nodes);
+        dependencies::check_cycles(reader, &rules, &dependency_nodes);
         Some(Releases {
             rules,
             desks: self.desks,
--- a/crates/operator-config/src/xml/fault.rs
+++ b/crates/operator-config/src/xml/fault.rs
@@ -3,6 +3,8 @@
 use std::fmt;
 use std::path::PathBuf;
 
+use lilacgate_releases::calendar::TimeTextError;
+
 use super::LARGEST;
 
 /// Something in a file that cannot be used. Faults are ordered by their places, then by their texts.
@@ -139,6 +141,14 @@
         /// What is wanted.
         expected: String,
     },
+    /// An attribute is no time or no time zone.
+    #[error("{attribute}: {error}")]
+    UnusableTime {
+        /// The attribute.
+        attribute: String,
+        /// What was read and what is wanted.
+        error: TimeTextError,
+    },
     /// An attribute contradicts another one, or another element.
     #[error("{attribute}: expected {expected}")]
     ContradictingAttribute {
@@ -225,9 +235,9 @@
         /// The name.
         name: String,
     },
-    /// A whole message that says what was read.
-    #[error("{0}")]
-    Message(String),
+    /// The text is no time, or no time zone.
+    #[error(transparent)]
+    Time(#[from] TimeTextError),
 }
 
 impl AttributeError {
@@ -245,9 +255,7 @@
                 kind,
                 name,
             },
-            AttributeError::Message(message) => {
-                FaultKind::Message(format!("{attribute}: {message}"))
-            }
+            AttributeError::Time(error) => FaultKind::UnusableTime { attribute, error },
         }
     }
 }
@@ -257,9 +265,3 @@
         AttributeError::Expected(expected)
     }
 }
-
-impl From<String> for AttributeError {
-    fn from(message: String) -> Self {
-        AttributeError::Message(message)
-    }
-}
