--- a/crates/operator-config/src/releases/freezes.rs
+++ b/crates/operator-config/src/releases/freezes.rs
@@ -60,7 +60,7 @@
         self.reader.check_attributes(node, &["from", "to"]);
         let zone = self.window_time_zone()?;
         match kind {
-            "once" => self.once(node, &zone),
+            "once" => self.one_time(node, &zone),
             "weekly" => self.weekly(node, zone),
             _ => self.yearly(node, zone),
         }
@@ -75,7 +75,7 @@
         self.time_zone.clone()
     }
 
-    fn once(&self, node: Node<'_, '_>, zone: &TimeZone) -> Option<Schedule> {
+    fn one_time(&self, node: Node<'_, '_>, zone: &TimeZone) -> Option<Schedule> {
         let from = self.reader.required(node, "from", calendar::date_time);
         let to = self.reader.required(node, "to", calendar::date_time);
         let from = calendar::earliest(zone, from?);
--- a/crates/operator-config/src/releases/mod.rs
+++ b/crates/operator-config/src/releases/mod.rs
@@ -39,7 +39,7 @@
     pub rules: Rules,
     /// Where the release control planes of other services listen.
     pub desks: Vec<Desk>,
-    /// Where an agent writes its state when it is asked for it; nowhere if the file names no path.
+    /// Where an agent writes its state on request; nowhere if the file names no path.
     pub state: Option<PathBuf>,
 }
 
--- a/crates/operator-config/tests/files.rs
+++ b/crates/operator-config/tests/files.rs
@@ -1,5 +1,5 @@
 //! The schema and the reader agree: every example is valid by both; of the bad ones each is refused by the reader with
-//! the faults that its first lines name, and by the schema where these say so.
+//! the faults that its first lines name, and by the schema where these demand it.
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
@@ -113,8 +113,8 @@
     fn any_text(at in 0usize..2000, put in "[<>\"&;/a-z =]{0,12}") {
         let text = include_str!("../../../deploy/operator.xml");
         let at = (at % text.len()..text.len()).find(|i| text.is_char_boundary(*i)).unwrap_or(0);
-        let spoilt = format!("{}{put}{}", &text[..at], &text[at..]);
-        if let Err(faults) = read(&spoilt, &Known::default()) {
+        let changed = format!("{}{put}{}", &text[..at], &text[at..]);
+        if let Err(faults) = read(&changed, &Known::default()) {
             prop_assert!(!faults.is_empty() && faults.iter().all(|fault| !fault.kind.to_string().is_empty()));
         }
     }
--- a/crates/simulator-adapter/src/delivery.rs
+++ b/crates/simulator-adapter/src/delivery.rs
@@ -140,7 +140,7 @@
     }
 }
 
-/// The status comes first: a vote's answer is judged by the stage that the same notice names.
+/// The status comes first: the answer to a vote concerns the stage that the same notice names.
 fn deliver_release_notice(notice: ReleaseNotice, handler: &mut dyn EventHandler) {
     if let Some(status) = notice.status {
         handler.on_release_status(
--- a/crates/simulator-adapter/src/wire/event.rs
+++ b/crates/simulator-adapter/src/wire/event.rs
@@ -297,8 +297,8 @@
         return None;
     }
     let mut gauges = [f32::NAN; MAX_GAUGES];
-    for (index, gauge) in gauges.iter_mut().take(count).enumerate() {
-        *gauge = fields.f32(at + 1 + index * size_of::<f32>());
+    for (index, value) in gauges.iter_mut().take(count).enumerate() {
+        *value = fields.f32(at + 1 + index * size_of::<f32>());
     }
     Some(gauges)
 }
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -199,7 +199,7 @@
     };
     assert_eq!(decoded(&record, &tail), expected);
     for position in 1..EVENT_SIZE {
-        // A flag that is set stays set with some other bits, not with none.
+        // Any bit sets a flag, so that it takes 0 to clear one.
         let others = [record[position] ^ 0x7f, 0];
         let matters = others.iter().any(|other| {
             let mut changed = record.clone();
