--- a/crates/agent/src/clients.rs
+++ b/crates/agent/src/clients.rs
@@ -15,11 +15,13 @@
 use lilacgate_decision::{Idempotency, IdempotencyKey, Request, RequestClass, RequestId, Tenant};
 use lilacgate_start_settings::Paths;
 
-use crate::event_loop::{Answer, EncodedRequest, EventLoop};
+use crate::event_loop::EventLoop;
 use crate::json;
-use crate::log::{Count, End, count, info};
+use crate::log::{ConnectionEnd, Count, count, info};
+use crate::outbound::EncodedRequest;
 use crate::resp;
 use crate::ring::{Intake, Notifier, Ring, items, within};
+use crate::unanswered::FinalAnswer;
 use crate::upstream::UpstreamPool;
 
 /// A connection that brings no whole command in this time, from its start or from the command's, ends; an idle one may
@@ -93,7 +95,7 @@
     /// Whether something was read that is no whole command yet.
     amid: Rc<Cell<bool>>,
     /// Why it ends once it stands between commands.
-    ending: Cell<Option<End>>,
+    ending: Cell<Option<ConnectionEnd>>,
     /// Whether no more is read, as there is no time left for an answer.
     last: Cell<bool>,
     /// When something last came or went.
@@ -115,7 +117,7 @@
         });
     }
 
-    fn end(&self, why: End) {
+    fn end(&self, why: ConnectionEnd) {
         self.ending.set(Some(why));
         self.notifier.0.try_send(()).ok();
     }
@@ -131,8 +133,13 @@
                 .is_err_and(|e| e.kind() == ErrorKind::WouldBlock)
         };
         let deaf = match self.ending.get() {
-            Some(End::Malformed | End::TooLong | End::Flood | End::Silent) => true,
-            Some(End::Crowded) if !self.used.get() => true,
+            Some(
+                ConnectionEnd::Malformed
+                | ConnectionEnd::TooLong
+                | ConnectionEnd::Flood
+                | ConnectionEnd::Silent,
+            ) => true,
+            Some(ConnectionEnd::Crowded) if !self.used.get() => true,
             _ => self.last.get(),
         };
         self.due.borrow().is_empty()
@@ -176,7 +183,7 @@
     }
 
     /// The next answer, once it is ready, or the end.
-    async fn next(&self) -> Result<Vec<u8>, End> {
+    async fn next(&self) -> Result<Vec<u8>, ConnectionEnd> {
         loop {
             if let Some(ready) = self.take() {
                 return Ok(ready);
@@ -272,7 +279,7 @@
     pub async fn accept(self: Rc<Self>, listener: Async<TcpListener>) {
         let serial = Cell::new(0);
         let take = |stream| {
-            count(Count::ClientsIn);
+            count(Count::ClientsAccepted);
             serial.set(serial.get() + 1);
             self.event_loop
                 .spawn(self.clone().serve(serial.get(), stream));
@@ -292,14 +299,14 @@
                     future::yield_now().await;
                 }
                 Err(fault) => {
-                    info!("no client accepted: {}", End::from(fault));
+                    info!("no client accepted: {}", ConnectionEnd::from(fault));
                     self.make_room(false);
                     self.moment().await;
                 }
             }
             while self.open.borrow().len() >= self.most && !self.leaving.has_rung() {
                 // None ends before another waits for its place.
-                let waiting = async { listener.readable().await.map_err(End::from) };
+                let waiting = async { listener.readable().await.map_err(ConnectionEnd::from) };
                 if within(LOOK, waiting).await.is_ok() && self.open.borrow().len() >= self.most {
                     self.make_room(false);
                     self.moment().await;
@@ -362,7 +369,7 @@
             .min_by_key(first)
             .cloned();
         longest
-            .inspect(|counter| counter.end(End::Crowded))
+            .inspect(|counter| counter.end(ConnectionEnd::Crowded))
             .is_some()
     }
 
@@ -383,14 +390,14 @@
             if used * 4 >= self.most {
                 open.values()
                     .filter(long)
-                    .for_each(|counter| counter.end(End::Idle));
+                    .for_each(|counter| counter.end(ConnectionEnd::Idle));
             }
         }
     }
 
     /// Waits a moment for a connection to be gone.
     async fn moment(&self) {
-        let gone = async { self.ended.1.recv().await.map_err(|_| End::Closed) };
+        let gone = async { self.ended.1.recv().await.map_err(|_| ConnectionEnd::Closed) };
         within(LOOK, gone).await.ok();
     }
 
@@ -400,10 +407,10 @@
         let began = self.event_loop.clock.now();
         let last = began + self.patience.min(MOST_DEADLINE) + LAST;
         self.last.set(last - LOOK);
-        self.event_loop.ends(last - WAY_OUT);
+        self.event_loop.shut_down_by(last - WAY_OUT);
         self.event_loop
             .clock
-            .until(last - WAY_OUT)
+            .sleep_until(last - WAY_OUT)
             .or(self.leaving.rung())
             .await;
         self.leaving.ring();
@@ -426,12 +433,12 @@
                     WAY_OUT / 4
                 };
                 if late || counter.since.get() + rest <= now {
-                    counter.end(counter.ending.get().unwrap_or(End::Stopping));
+                    counter.end(counter.ending.get().unwrap_or(ConnectionEnd::Stopping));
                 }
             }
             self.moment().await;
         }
-        let left = self.event_loop.in_hand();
+        let left = self.event_loop.unanswered_requests();
         info!(
             "stopped after {} ms with {left} requests in hand",
             (self.event_loop.clock.now() - began).as_millis()
@@ -498,19 +505,19 @@
         drop(stream);
         self.open.borrow_mut().remove(&serial);
         self.ended.0.try_send(()).ok();
-        count(Count::ClientsOut);
+        count(Count::ClientsEnded);
         info!("client {who} ended: {end}");
     }
 
     /// Ends the sending side first, and waits until the client has seen it: to close while noise stands unread would
     /// reset the connection, and a reset destroys answers that the client has not read yet. It takes no longer than a
     /// connection may take to come up, nor beyond the agent's own end.
-    async fn linger(&self, stream: &Async<TcpStream>, why: End) {
+    async fn linger(&self, stream: &Async<TcpStream>, why: ConnectionEnd) {
         stream.get_ref().shutdown(Shutdown::Write).ok();
         let over = async {
             self.leaving.rung().await;
-            self.event_loop.clock.until(self.last.get()).await;
-            Err(End::Stopping)
+            self.event_loop.clock.sleep_until(self.last.get()).await;
+            Err(ConnectionEnd::Stopping)
         };
         let seen = async { Err::<(), _>(self.rest(stream, why).await) };
         within(self.settles, seen.or(over)).await.ok();
@@ -519,8 +526,11 @@
     /// What comes on a connection that takes nothing more: its client's end, or else `Flood`. What is noise, or behind
     /// it, is dropped, up to as many bytes as all clients together may have held. A command is left unread: its client
     /// has read all its answers, and sends what was not read once more elsewhere.
-    async fn rest(&self, stream: &Async<TcpStream>, why: End) -> End {
-        let noise = matches!(why, End::Malformed | End::TooLong | End::Flood);
+    async fn rest(&self, stream: &Async<TcpStream>, why: ConnectionEnd) -> ConnectionEnd {
+        let noise = matches!(
+            why,
+            ConnectionEnd::Malformed | ConnectionEnd::TooLong | ConnectionEnd::Flood
+        );
         // On the heap: in the task it would cost every connection as much for as long as it lives.
         let (mut dropped, mut bytes) = (0, vec![0; if noise { DISCARDED } else { 1 }]);
         while dropped < self.most_held {
@@ -530,14 +540,14 @@
                 stream.peek(&mut bytes).await
             };
             match came {
-                Ok(0) => return End::Closed,
+                Ok(0) => return ConnectionEnd::Closed,
                 Ok(_) if !noise => break,
                 Ok(many) => dropped += many,
                 Err(fault) => return fault.into(),
             }
             future::yield_now().await;
         }
-        End::Flood
+        ConnectionEnd::Flood
     }
 
     async fn read(
@@ -545,7 +555,7 @@
         stream: Rc<Async<TcpStream>>,
         intake: Intake<resp::Commands>,
         counter: &Rc<Counter>,
-    ) -> End {
+    ) -> ConnectionEnd {
         let commands = items(stream.clone(), intake);
         pin!(commands);
         let why = loop {
@@ -559,7 +569,8 @@
             };
             match next {
                 Some(Ok((came, command))) => {
-                    if let Err(why) = self.command(self.event_loop.clock.at(came), command, counter)
+                    if let Err(why) =
+                        self.command(self.event_loop.clock.time_of(came), command, counter)
                     {
                         count(Count::CommandsRefused);
                         counter.reply(&format!("-ERR {why}"));
@@ -568,26 +579,26 @@
                     if counter.due.borrow().len() > self.most_due {
                         count(Count::CommandsRefused);
                         counter.reply("-ERR too many commands at once");
-                        break End::Flood;
+                        break ConnectionEnd::Flood;
                     }
                     // One that pipelines without end leaves others their turn.
                     future::yield_now().await;
                 }
-                Some(Err(end @ (End::Malformed | End::TooLong))) => {
+                Some(Err(end @ (ConnectionEnd::Malformed | ConnectionEnd::TooLong))) => {
                     count(Count::CommandsRefused);
                     counter.reply(&format!("-ERR protocol error: {end}"));
                     break end;
                 }
                 // What came before a command that was never made whole has its answers still.
-                Some(Err(End::Silent)) => break End::Silent,
+                Some(Err(ConnectionEnd::Silent)) => break ConnectionEnd::Silent,
                 Some(Err(end)) => return end,
-                None => return End::Closed,
+                None => return ConnectionEnd::Closed,
             }
         };
         // Nothing more is taken; but a client that goes while it is owed an answer has to be noticed.
         counter.end(why);
         let gone = self.rest(&stream, why).await;
-        if gone != End::Flood && counter.owes() {
+        if gone != ConnectionEnd::Flood && counter.owes() {
             gone
         } else {
             future::pending().await
@@ -633,7 +644,7 @@
             }
         }
         let value = |name: &str| values.get(name).copied();
-        let class = json::word(value("c").ok_or("no class")?);
+        let class = json::settings_name(value("c").ok_or("no class")?);
         let named = self
             .products
             .iter()
@@ -673,10 +684,10 @@
             .iter()
             .map(|part| part.len() + size_of_val(part))
             .sum::<usize>();
-        let full = self.event_loop.in_hand() >= self.most_requests
+        let full = self.event_loop.unanswered_requests() >= self.most_requests
             || self.held.0.get() + size > self.most_held;
         if full || self.is_brief(counter) {
-            count(Count::TurnedAway);
+            count(Count::RequestsRefused);
             counter.reply("-BUSY");
             return Ok(());
         }
@@ -684,18 +695,18 @@
         let (to, advises) = (counter.clone(), self.advises);
         self.ids.borrow_mut().insert(id.clone());
         let in_hand = InHand(self.ids.clone(), id.clone());
-        let request = self.event_loop.take(
+        let request = self.event_loop.accept_request(
             request,
             encoded_request(command, self.held.share(size)),
             move |answer| {
                 drop(in_hand);
                 let answer = match answer {
-                    Answer::Settled(value) => resp::bulk(&value),
-                    Answer::Declined(wait) if advises && !wait.is_zero() => {
+                    FinalAnswer::Succeeded(value) => resp::bulk(&value),
+                    FinalAnswer::Rejected(wait) if advises && !wait.is_zero() => {
                         format!("-BUSY {}\r\n", wait.as_millis()).into_bytes()
                     }
-                    Answer::Declined(_) => b"-BUSY\r\n".to_vec(),
-                    Answer::Voided => b"-ERR failed\r\n".to_vec(),
+                    FinalAnswer::Rejected(_) => b"-BUSY\r\n".to_vec(),
+                    FinalAnswer::Failed => b"-ERR failed\r\n".to_vec(),
                 };
                 to.ready(place, answer);
             },
--- a/crates/agent/src/discovery.rs
+++ b/crates/agent/src/discovery.rs
@@ -1,372 +1,285 @@
-//! Owns the talk with discovery: the list of appliances, once or as a watch on its changes, over HTTP with chunks. It
-//! must never pass on half a message, nor forget the last good list because of a bad one.
-use std::cell::RefCell;
+//! Owns the connection to discovery: the list of endpoints, fetched once or watched for changes, over HTTP.
+//!
+//! A message is passed on whole or not at all, and a bad one never replaces the last good list. A watch that ends is
+//! followed by another one, at a bounded pace; a watch is given up when no heartbeat comes in time.
+use std::cell::{Cell, RefCell};
+use std::convert::Infallible;
+use std::fmt;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
 use async_channel::{Receiver, Sender};
-use futures_lite::{FutureExt, StreamExt, pin};
-use lilacgate_decision::EventHandler as _;
-use lilacgate_decision::{EndpointId, ListUpdate};
+use futures_lite::{FutureExt, Stream, StreamExt, pin};
+use lilacgate_decision::{EndpointId, EventHandler as _, ListUpdate};
 use lilacgate_start_settings::Paths;
 
 use crate::endpoint_list::EndpointListReader;
-use crate::event_loop::{EndpointListSource, EventLoop};
-use crate::json::{self, Json};
-use crate::log::{Count, End, count, info};
+use crate::error::SettingError;
+use crate::event_loop::EventLoop;
+use crate::http_response::{HttpResponse, MAX_LINE_BYTES, ValuesAndHeartbeats};
+use crate::json::Json;
+use crate::log::{ConnectionEnd, Count, count, info};
+use crate::outbound::EndpointListSource;
 use crate::pacing::{CallEnd, Pacing};
-use crate::ring::{Intake, Parse, Place, Ring, connect, items, within};
+use crate::ring::{Intake, Place, Ring, connect, items, within};
 use crate::upstream::UpstreamPool;
 
-/// A quiet watch sends an empty line this often.
-const QUIET: Duration = Duration::from_secs(2);
-/// One that says nothing for so long is given up.
-const SILENT: Duration = QUIET.saturating_mul(5).checked_div(4).unwrap();
-/// The longest line of a head, and the most lines.
-const HEAD_LINE: usize = 8 << 10;
-const HEAD_LINES: usize = 100;
+/// A watch without changes sends an empty line this often.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
+/// A watch on which nothing arrives for so long is given up.
+const HEARTBEAT_TIMEOUT: Duration = HEARTBEAT_INTERVAL.saturating_mul(5).checked_div(4).unwrap();
+/// The path of the endpoint list.
+const LIST_PATH: &str = "/catalog/members";
 
-enum State {
-    /// In the head, so many lines in; the body's form as far as the head has told.
-    Head(usize, Body),
-    /// In the line that gives a chunk's size, or its end.
-    Size,
-    /// So many bytes of a chunk are left.
-    Chunk(u64),
-    /// In the line end after a chunk.
-    ChunkEnd,
-    /// So many bytes of a body of known length are left.
-    Counted(u64),
-    /// A body that lasts as long as its connection.
-    Open,
-    /// Behind the last chunk, and behind the end of the body.
-    Trailer,
-    Over,
+/// Where a list of endpoints comes from.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ListOrigin {
+    /// Saved in the start file.
+    StartFile,
+    /// Received from discovery.
+    Discovery,
 }
 
-#[derive(Clone, Copy)]
-enum Body {
-    Chunked,
-    Counted(u64),
-    Open,
-}
-
-/// One answer of HTTP/1.1, and the values in its body.
-pub struct Answer {
-    state: State,
-    line: Vec<u8>,
-    values: json::Values,
-}
-
-impl Answer {
-    /// With values of at most so many bytes.
-    pub fn new(most: usize) -> Self {
-        Answer {
-            state: State::Head(0, Body::Open),
-            line: vec![],
-            values: json::Values::indented(most),
-        }
-    }
-
-    fn line(&mut self) -> Result<(), End> {
-        let line = String::from_utf8(std::mem::take(&mut self.line)).map_err(|_| End::Malformed)?;
-        let line = line.trim_end_matches(['\r', '\n']);
-        self.state = match self.state {
-            State::Head(0, body) => {
-                let mut words = line.split(' ');
-                let fine = words.next().is_some_and(|word| word.starts_with("HTTP/1."));
-                if !fine || words.next() != Some("200") {
-                    return Err(if fine { End::Refused } else { End::Malformed });
-                }
-                State::Head(1, body)
-            }
-            State::Head(_, body) if line.is_empty() => match body {
-                Body::Chunked => State::Size,
-                Body::Counted(0) => State::Over,
-                Body::Counted(many) => State::Counted(many),
-                Body::Open => State::Open,
-            },
-            State::Head(lines, _) if lines >= HEAD_LINES => return Err(End::TooLong),
-            State::Head(lines, body) => {
-                let (name, value) = line.split_once(':').ok_or(End::Malformed)?;
-                let value = value.trim();
-                let body = match name.to_ascii_lowercase().as_str() {
-                    "transfer-encoding" if value.eq_ignore_ascii_case("chunked") => Body::Chunked,
-                    "transfer-encoding" => return Err(End::Malformed),
-                    "content-length" if !matches!(body, Body::Chunked) => {
-                        Body::Counted(value.parse().map_err(|_| End::Malformed)?)
-                    }
-                    _ => body,
-                };
-                State::Head(lines + 1, body)
-            }
-            State::Size => {
-                let size = line.split(';').next().unwrap_or_default().trim();
-                let fine = !size.is_empty() && size.bytes().all(|b| b.is_ascii_hexdigit());
-                match u64::from_str_radix(size, 16) {
-                    Ok(0) => State::Trailer,
-                    Ok(many) if fine => State::Chunk(many),
-                    _ => return Err(End::Malformed),
-                }
-            }
-            State::ChunkEnd if line.is_empty() => State::Size,
-            State::Trailer if line.is_empty() => State::Over,
-            State::Trailer => State::Trailer,
-            _ => return Err(End::Malformed),
-        };
-        Ok(())
-    }
-}
-
-impl Parse for Answer {
-    type Item = Json;
-
-    fn is_between(&self) -> bool {
-        self.values.is_between()
-    }
+/// A message or a heartbeat, with the time at which its first byte arrived.
+type MessageOrHeartbeat = Result<(Instant, Option<Json>), ConnectionEnd>;
 
-    fn take(&mut self, bytes: &[u8]) -> Result<(usize, Option<Json>), End> {
-        let mut at = 0;
-        while at < bytes.len() {
-            let rest = &bytes[at..];
-            let left = match &mut self.state {
-                State::Over => return Err(End::Malformed),
-                State::Chunk(left) | State::Counted(left) => left,
-                State::Open => &mut u64::MAX.clone(),
-                _ => {
-                    let many = rest
-                        .iter()
-                        .position(|&b| b == b'\n')
-                        .map_or(rest.len(), |i| i + 1);
-                    self.line.extend_from_slice(&rest[..many]);
-                    at += many;
-                    if self.line.len() > HEAD_LINE {
-                        return Err(End::TooLong);
-                    }
-                    if self.line.ends_with(b"\n") {
-                        self.line()?;
-                    }
-                    continue;
-                }
-            };
-            let some = usize::try_from(*left).map_or(rest.len(), |left| left.min(rest.len()));
-            let (taken, value) = self.values.take(&rest[..some])?;
-            *left -= taken as u64;
-            at += taken;
-            match self.state {
-                State::Chunk(0) => self.state = State::ChunkEnd,
-                State::Counted(0) => self.state = State::Over,
-                _ => {}
-            }
-            if value.is_some() {
-                return Ok((at, value));
-            }
-        }
-        // A body that ends amid a value was cut.
-        if matches!(self.state, State::Over) && !self.values.is_between() {
-            return Err(End::Malformed);
-        }
-        Ok((at, None))
-    }
+/// How one watch ended.
+struct WatchEnd {
+    end: ConnectionEnd,
+    /// How long to wait before the next one.
+    pause: Duration,
 }
 
+/// The client of discovery.
 pub struct Discovery {
     event_loop: Rc<EventLoop>,
     upstream: Rc<UpstreamPool>,
+    /// Where discovery listens.
     pub place: Place,
-    connect_within: Duration,
-    /// Whether the module asks for the list; elsewhere it is watched always.
-    asked: bool,
-    /// The largest message.
-    most: usize,
+    connect_timeout: Duration,
+    /// Whether the decision engine asks for the list; otherwise it is always watched.
+    is_on_request: bool,
+    /// The longest message, in bytes.
+    max_message_bytes: usize,
     endpoint_list: RefCell<EndpointListReader>,
-    wish: (Sender<bool>, Receiver<bool>),
+    /// Whether the decision engine wants the list to be watched.
+    watch_sender: Sender<bool>,
+    watch_receiver: Receiver<bool>,
     pacing: RefCell<Pacing>,
 }
 
+impl fmt::Debug for Discovery {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter
+            .debug_struct("Discovery")
+            .field("address", &self.place.at())
+            .field("is_on_request", &self.is_on_request)
+            .finish_non_exhaustive()
+    }
+}
+
 impl Discovery {
+    /// A client of the discovery that listens at `address`, for messages of at most `max_message_bytes`.
+    ///
+    /// # Errors
+    /// A setting that cannot be used.
     pub fn new(
         event_loop: Rc<EventLoop>,
         upstream: Rc<UpstreamPool>,
-        at: SocketAddr,
-        told: &Paths,
-        most: usize,
-    ) -> Result<Rc<Self>, String> {
-        let endpoint_list = RefCell::new(EndpointListReader::new(told)?);
-        let connect_within = told.period("limits.connect-timeout")?;
+        address: SocketAddr,
+        settings: &Paths,
+        max_message_bytes: usize,
+    ) -> Result<Rc<Self>, SettingError> {
+        let endpoint_list = RefCell::new(EndpointListReader::new(settings)?);
+        let connect_timeout = settings.period("limits.connect-timeout")?;
+        let (watch_sender, watch_receiver) = async_channel::unbounded();
         Ok(Rc::new(Discovery {
             event_loop,
             upstream,
-            place: Place::new(at),
-            connect_within,
-            asked: told.asks()?,
-            most,
+            place: Place::new(address),
+            connect_timeout,
+            is_on_request: settings.asks()?,
+            max_message_bytes,
             endpoint_list,
-            wish: async_channel::unbounded(),
+            watch_sender,
+            watch_receiver,
             // Whoever answers at all goes on within the time in which a connection comes up.
-            pacing: RefCell::new(Pacing::new(connect_within, SILENT)),
+            pacing: RefCell::new(Pacing::new(connect_timeout, HEARTBEAT_TIMEOUT)),
         }))
     }
 
-    /// Passes a list or its changes on, if all of it can be read.
-    pub fn told(&self, list: &Json, saved: bool) -> Option<()> {
+    /// Passes a list or its changes on to the connections and the decision engine; none if a part of it cannot be
+    /// read, in which case nothing is passed on.
+    pub fn receive(&self, message: &Json, origin: ListOrigin) -> Option<()> {
         let event_loop = &self.event_loop;
-        let mut named = |number: EndpointId, name: &str| {
+        let mut named = |id: EndpointId, name: &str| {
             let name = name.to_owned();
-            event_loop.enqueue(move |router| router.recorder.named(number, &name));
+            event_loop.enqueue(move |router| router.recorder.endpoint_named(id, &name));
         };
-        let update = self.endpoint_list.borrow_mut().read(list, &mut named)?;
-        if update.whole {
+        let update = self.endpoint_list.borrow_mut().read(message, &mut named)?;
+        if update.is_full {
             self.upstream.keep_only(|id| update.names(*id));
         }
-        update
-            .entries
-            .iter()
-            .for_each(|(line, at)| self.upstream.place(line, *at));
-        count(Count::MembershipUpdates);
-        let listing = match (saved, update.whole) {
-            (true, _) => ListUpdate::Cached,
-            (false, true) => ListUpdate::Full,
-            (false, false) => ListUpdate::Delta,
+        for listed in &update.endpoints {
+            self.upstream.place(&listed.endpoint, listed.address);
+        }
+        count(Count::EndpointListUpdates);
+        let kind = match (origin, update.is_full) {
+            (ListOrigin::StartFile, _) => ListUpdate::Cached,
+            (ListOrigin::Discovery, true) => ListUpdate::Full,
+            (ListOrigin::Discovery, false) => ListUpdate::Delta,
         };
         self.event_loop.enqueue(move |router| {
-            router.on_endpoints(listing, &mut update.entries.iter().map(|(line, _)| *line))
+            let mut endpoints = update.endpoints.iter().map(|listed| listed.endpoint);
+            router.on_endpoints(kind, &mut endpoints);
         });
         Some(())
     }
 
-    fn failed(&self, end: End) {
+    fn failed(&self, end: ConnectionEnd) {
         info!("discovery {} ended: {end}", self.place.at());
-        if self.asked {
+        if self.is_on_request {
             self.event_loop
                 .enqueue(|router| router.on_endpoints(ListUpdate::Failed, &mut std::iter::empty()));
         }
     }
 
-    /// Watches the list, where the module does not ask for it by itself, as long as the agent runs.
+    /// Watches the list for as long as the agent runs: always, or while the decision engine wants it.
     pub async fn run(self: Rc<Self>) {
-        let mut on = !self.asked;
+        let mut is_wanted = !self.is_on_request;
         loop {
-            while !on {
-                on = self.wish.1.recv().await.unwrap_or(false);
+            while !is_wanted {
+                is_wanted = self.watch_receiver.recv().await.unwrap_or(false);
             }
-            let (end, pause) = self.watched().await;
-            let mut moved = end == Err(End::Moved);
-            if !moved {
-                on = !self.asked;
-                moved = on && within(pause, self.place.moved::<()>()).await == Err(End::Moved);
+            let WatchEnd { end, pause } = self.watch_once().await;
+            let mut has_moved = end == ConnectionEnd::Moved;
+            if !has_moved {
+                is_wanted = !self.is_on_request;
+                has_moved = is_wanted && self.moves_within(pause).await;
             }
-            if moved {
-                // Another service may count its versions otherwise: the whole list, at once.
+            if has_moved {
+                // Another discovery may count its versions otherwise: the full list is fetched at once.
                 self.endpoint_list.borrow_mut().restart();
                 self.pacing.borrow_mut().moved();
             }
         }
     }
 
-    /// One watch, up to its end; how it ended, and the pause before the next one.
-    async fn watched(&self) -> (Result<(), End>, Duration) {
-        let (at, heard, began) = (self.place.at(), std::cell::Cell::new(false), Instant::now());
-        let path = format!(
-            "/catalog/members?follow=1&since={}",
-            self.endpoint_list.borrow().version()
-        );
-        let call = self.call(path, false, &heard);
-        let off = async {
-            while self.wish.1.recv().await.unwrap_or(true) {}
-            Err(End::GivenUp)
+    /// Waits so long, or until discovery has moved; returns whether it has.
+    async fn moves_within(&self, pause: Duration) -> bool {
+        within(pause, self.place.moved::<()>()).await == Err(ConnectionEnd::Moved)
+    }
+
+    /// One watch, up to its end.
+    async fn watch_once(&self) -> WatchEnd {
+        let address = self.place.at();
+        let has_received = Cell::new(false);
+        let began = Instant::now();
+        let version = self.endpoint_list.borrow().version();
+        let path = format!("{LIST_PATH}?follow=1&since={version}");
+        let watch = self.watch_list(&path, &has_received);
+        let unwanted = async {
+            while self.watch_receiver.recv().await.unwrap_or(true) {}
+            Err(ConnectionEnd::GivenUp)
         };
-        let end = call.or(off).or(self.place.moved()).await;
-        match end {
-            Err(End::Moved) => info!("discovery {at} ended: {}", End::Moved),
-            Err(end) => self.failed(end),
-            Ok(()) => {}
+        let Err(end) = watch.or(unwanted).or(self.place.moved()).await;
+        if end == ConnectionEnd::Moved {
+            info!("discovery {address} ended: {end}");
+        } else {
+            self.failed(end);
         }
-        let how = match end {
-            _ if heard.get() => CallEnd::Answered,
-            Err(End::Stalled) => CallEnd::Stalled,
+        let call_end = match end {
+            _ if has_received.get() => CallEnd::Answered,
+            ConnectionEnd::Stalled => CallEnd::Stalled,
             _ => CallEnd::Unanswered,
         };
-        (
-            end,
-            self.pacing.borrow_mut().pause_after(how, began.elapsed()),
-        )
+        let pause = self
+            .pacing
+            .borrow_mut()
+            .pause_after(call_end, began.elapsed());
+        WatchEnd { end, pause }
+    }
+
+    /// Receives messages until the connection ends.
+    async fn watch_list(
+        &self,
+        path: &str,
+        has_received: &Cell<bool>,
+    ) -> Result<Infallible, ConnectionEnd> {
+        let messages = self.call(path).await?;
+        pin!(messages);
+        loop {
+            let message = next_message(&mut messages).await?;
+            has_received.set(true);
+            self.receive_from_discovery(&message)?;
+        }
+    }
+
+    /// Receives one message.
+    async fn fetch_list(&self) -> Result<(), ConnectionEnd> {
+        let messages = self.call(LIST_PATH).await?;
+        pin!(messages);
+        let message = next_message(&mut messages).await?;
+        self.receive_from_discovery(&message)
     }
 
-    /// One call, up to its end, or to its first message.
+    /// Sends a request; returns the messages of the response, and its heartbeats.
     async fn call(
         &self,
-        path: String,
-        once: bool,
-        heard: &std::cell::Cell<bool>,
-    ) -> Result<(), End> {
-        let at = self.place.at();
-        let stream = Rc::new(connect(at, self.connect_within).await?);
-        let mut ask = Ring::new(HEAD_LINE);
-        ask.put(
-            format!("GET {path} HTTP/1.1\r\nHost: {at}\r\nAccept: application/json\r\n\r\n")
+        path: &str,
+    ) -> Result<impl Stream<Item = MessageOrHeartbeat> + use<>, ConnectionEnd> {
+        let address = self.place.at();
+        let stream = Rc::new(connect(address, self.connect_timeout).await?);
+        let mut request = Ring::new(MAX_LINE_BYTES);
+        request.put(
+            format!("GET {path} HTTP/1.1\r\nHost: {address}\r\nAccept: application/json\r\n\r\n")
                 .as_bytes(),
         );
-        within(self.connect_within, ask.flush(&stream)).await?;
-        let intake = Intake::new(Lines(Answer::new(self.most)), self.most, SILENT);
-        let lists = items(stream, intake.stalls_after(self.pacing.borrow().stall()));
-        pin!(lists);
-        loop {
-            let next = async { lists.next().await.unwrap_or(Err(End::Closed)) };
-            let (_, Some(list)) = within(SILENT, next).await? else {
-                continue;
-            };
-            heard.set(true);
-            if self.told(&list, false).is_none() {
-                // The whole list next time: what was missed here cannot be known.
-                self.endpoint_list.borrow_mut().restart();
-                return Err(End::Malformed);
-            }
-            if once {
-                return Ok(());
-            }
+        within(self.connect_timeout, request.flush(&stream)).await?;
+        let parser = ValuesAndHeartbeats(HttpResponse::new(self.max_message_bytes));
+        let intake = Intake::new(parser, self.max_message_bytes, HEARTBEAT_TIMEOUT);
+        let stall = self.pacing.borrow().stall();
+        Ok(items(stream, intake.stalls_after(stall)))
+    }
+
+    fn receive_from_discovery(&self, message: &Json) -> Result<(), ConnectionEnd> {
+        if self.receive(message, ListOrigin::Discovery).is_some() {
+            return Ok(());
+        }
+        // What was missed here cannot be known: the full list is fetched next time.
+        self.endpoint_list.borrow_mut().restart();
+        Err(ConnectionEnd::Malformed)
+    }
+}
+
+/// The next message; heartbeats only show that there is still someone.
+async fn next_message(
+    messages: &mut (impl Stream<Item = MessageOrHeartbeat> + Unpin),
+) -> Result<Json, ConnectionEnd> {
+    loop {
+        let next = async { messages.next().await.unwrap_or(Err(ConnectionEnd::Closed)) };
+        if let (_, Some(message)) = within(HEARTBEAT_TIMEOUT, next).await? {
+            return Ok(message);
         }
     }
 }
 
 impl EndpointListSource for Discovery {
     fn watch(&self, on: bool) {
-        self.wish.0.try_send(on).ok();
+        self.watch_sender.try_send(on).ok();
     }
 
     fn fetch(self: Rc<Self>) {
-        let me = self.clone();
-        self.event_loop.clone().spawn(async move {
-            match me
-                .call(
-                    "/catalog/members".into(),
-                    true,
-                    &std::cell::Cell::new(false),
-                )
-                .await
-            {
-                Ok(()) => info!("discovery {} ended: {}", me.place.at(), End::Closed),
-                Err(end) => me.failed(end),
+        let discovery = self.clone();
+        self.event_loop.spawn(async move {
+            match discovery.fetch_list().await {
+                Ok(()) => {
+                    let address = discovery.place.at();
+                    info!("discovery {address} ended: {}", ConnectionEnd::Closed);
+                }
+                Err(end) => discovery.failed(end),
             }
         });
     }
 }
-
-/// The same, where whatever comes between values is an item too: a sign of life. What comes amid one is none, so that
-/// a value that was cut is not waited for without end.
-pub struct Lines(pub Answer);
-
-impl Parse for Lines {
-    type Item = Option<Json>;
-
-    fn is_between(&self) -> bool {
-        self.0.is_between()
-    }
-
-    fn take(&mut self, bytes: &[u8]) -> Result<(usize, Option<Option<Json>>), End> {
-        let (taken, value) = self.0.take(bytes)?;
-        let lives = value.is_some() || self.0.is_between();
-        Ok((taken, lives.then_some(value)))
-    }
-}
--- a/crates/agent/src/endpoint_list.rs
+++ b/crates/agent/src/endpoint_list.rs
@@ -1,5 +1,6 @@
-//! Reads messages of discovery, a whole list of appliances or changes to one, into lines of the membership. It does no
-//! input or output, and must read a message whole or not at all.
+//! Reads messages of discovery, a full list of endpoints or changes to one.
+//!
+//! It does no input or output, and reads a message whole or not at all.
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,50 +9,65 @@
 use lilacgate_start_settings::Paths;
 
 use crate::endpoint_ids::EndpointIds;
+use crate::error::SettingError;
 use crate::json::{self, Json};
 
+/// An endpoint in a message of discovery.
+#[derive(Clone, Debug)]
+pub struct ListedEndpoint {
+    /// Its entry.
+    pub endpoint: Endpoint,
+    /// Where it listens.
+    pub address: SocketAddr,
+}
+
 /// A message of discovery that has been read.
-pub struct Update {
-    /// Whether it is the whole list.
-    pub whole: bool,
-    /// Its entries, in their order, and where each appliance listens.
-    pub entries: Vec<(Endpoint, SocketAddr)>,
-    /// What it says of each appliance that it names.
-    modes: BTreeMap<EndpointId, EndpointStatus>,
+#[derive(Debug)]
+pub struct EndpointListUpdate {
+    /// Whether it is a full list; otherwise it holds changes.
+    pub is_full: bool,
+    /// Its endpoints, in their order.
+    pub endpoints: Vec<ListedEndpoint>,
+    /// The status of each endpoint that it names.
+    statuses: BTreeMap<EndpointId, EndpointStatus>,
 }
 
-impl Update {
-    /// Whether it names an appliance.
+impl EndpointListUpdate {
+    /// Whether it names an endpoint.
     pub fn names(&self, id: EndpointId) -> bool {
-        self.modes.contains_key(&id)
+        self.statuses.contains_key(&id)
     }
 
-    /// Whether an appliance that was listed before is listed after it.
+    /// Whether an endpoint that was listed before is still listed after it.
     fn keeps(&self, id: EndpointId) -> bool {
-        self.modes
-            .get(&id)
-            .map_or(!self.whole, |mode| *mode != EndpointStatus::Removed)
+        match self.statuses.get(&id) {
+            Some(status) => *status != EndpointStatus::Removed,
+            None => !self.is_full,
+        }
     }
 }
 
-/// The version of the list that was last read, and the numbers of the appliances on it.
+/// Reads the messages of discovery. It holds the version of the last one, and the ids of the endpoints on the list.
+#[derive(Debug)]
 pub struct EndpointListReader {
     zones: Vec<String>,
     models: Vec<String>,
     version: u64,
-    /// The number of each appliance by its name, the same at every agent and over its restarts.
+    /// The id of each endpoint by its name, the same at every agent and over its restarts.
     endpoint_ids: EndpointIds,
 }
 
 impl EndpointListReader {
-    /// With the zones and machine types that the start settings name.
-    pub fn new(told: &Paths) -> Result<Self, String> {
-        let (version, endpoint_ids) = Default::default();
+    /// A reader that knows the zones and machine models of the start settings.
+    ///
+    /// # Errors
+    /// A setting that is missing.
+    pub fn new(settings: &Paths) -> Result<Self, SettingError> {
         Ok(EndpointListReader {
-            zones: told.names("zones")?,
-            models: told.names("shapes")?,
-            version,
-            endpoint_ids,
+            zones: settings.names("zones")?,
+            models: settings.names("shapes")?,
+            version: 0,
+            endpoint_ids: EndpointIds::default(),
         })
     }
 
@@ -65,77 +81,89 @@
         self.version = 0;
     }
 
-    /// Reads a message, if all of it can be read; `named` is told of each name that gets a number.
-    pub fn read(&mut self, list: &Json, named: &mut dyn FnMut(EndpointId, &str)) -> Option<Update> {
-        let version = list.get("version").and_then(Json::whole)?;
-        let Json::Truth(whole) = *list.get("full")? else {
+    /// Reads a message; none if a part of it cannot be read, or if it is older than the last one. `named` is called
+    /// with each endpoint that gets an id.
+    pub fn read(
+        &mut self,
+        message: &Json,
+        named: &mut dyn FnMut(EndpointId, &str),
+    ) -> Option<EndpointListUpdate> {
+        let version = message.get("version").and_then(Json::as_u64)?;
+        let Json::Bool(is_full) = *message.get("full")? else {
             return None;
         };
-        let entries = list.get("servers").and_then(Json::list)?;
-        let entries = entries
+        let entries = message.get("servers").and_then(Json::as_array)?;
+        let endpoints = entries
             .iter()
-            .map(|entry| self.entry(entry, named))
+            .map(|entry| self.read_entry(entry, named))
             .collect::<Option<Vec<_>>>()?;
-        if !whole && version < self.version {
+        if !is_full && version < self.version {
             return None;
         }
         self.version = version;
-        let modes = entries
+        let statuses = endpoints
             .iter()
-            .map(|(line, _)| (line.id, line.status))
+            .map(|listed| (listed.endpoint.id, listed.endpoint.status))
             .collect();
-        let update = Update {
-            whole,
-            entries,
-            modes,
+        let update = EndpointListUpdate {
+            is_full,
+            endpoints,
+            statuses,
         };
-        // Names that are gone are forgotten: one that returns gets the same number.
+        // The names of removed endpoints are forgotten: one that returns gets the same id.
         self.endpoint_ids.retain(|id| update.keeps(id));
         Some(update)
     }
 
-    fn number(&mut self, name: &str, named: &mut dyn FnMut(EndpointId, &str)) -> EndpointId {
-        if let Some(number) = self.endpoint_ids.get(name) {
-            return number;
+    fn id_of(&mut self, name: &str, named: &mut dyn FnMut(EndpointId, &str)) -> EndpointId {
+        if let Some(id) = self.endpoint_ids.get(name) {
+            return id;
         }
-        let number = self.endpoint_ids.assign(name);
-        named(number, name);
-        number
+        let id = self.endpoint_ids.assign(name);
+        named(id, name);
+        id
     }
 
-    fn entry(
+    fn read_entry(
         &mut self,
         entry: &Json,
         named: &mut dyn FnMut(EndpointId, &str),
-    ) -> Option<(Endpoint, SocketAddr)> {
-        let text = |name: &str| entry.get(name).and_then(Json::text);
-        let place = |names: &[String], name: &str| {
-            let name = json::word(text(name)?);
-            names
-                .iter()
-                .position(|n| *n == name)
-                .and_then(|i| u8::try_from(i).ok())
-        };
-        let whole = |name| entry.get(name).and_then(Json::whole);
+    ) -> Option<ListedEndpoint> {
+        let text = |field: &str| entry.get(field).and_then(Json::as_str);
+        let number = |field| entry.get(field).and_then(Json::as_u64);
         let weight = entry
             .get("weight")
-            .and_then(Json::figure)
-            .filter(|w| *w >= 0.0)?;
-        let line = Endpoint {
-            id: self.number(text("id").filter(|id| !id.is_empty())?, named),
-            status: match text("state")? {
-                "ready" => EndpointStatus::Ready,
-                "draining" => EndpointStatus::Draining,
-                "gone" => EndpointStatus::Removed,
-                _ => return None,
-            },
-            model: Model(place(&self.models, "kind")?),
+            .and_then(Json::as_f64)
+            .filter(|weight| *weight >= 0.0)?;
+        let name = text("id").filter(|name| !name.is_empty())?;
+        let endpoint = Endpoint {
+            id: self.id_of(name, named),
+            status: read_status(text("state")?)?,
+            model: Model(index_of(&self.models, text("kind")?)?),
             weight: weight as f32,
-            started: Some(Duration::from_millis(whole("started_ms")?)).filter(|s| !s.is_zero()),
-            build: Build(u16::try_from(whole("release")?).ok()?),
-            cell: Cell(u16::try_from(whole("cell")?).ok()?),
-            zone: Zone(place(&self.zones, "zone")?),
+            started: Some(Duration::from_millis(number("started_ms")?))
+                .filter(|started| !started.is_zero()),
+            build: Build(u16::try_from(number("release")?).ok()?),
+            cell: Cell(u16::try_from(number("cell")?).ok()?),
+            zone: Zone(index_of(&self.zones, text("zone")?)?),
         };
-        Some((line, text("addr")?.parse().ok()?))
+        let address = text("addr")?.parse().ok()?;
+        Some(ListedEndpoint { endpoint, address })
     }
 }
+
+fn read_status(state: &str) -> Option<EndpointStatus> {
+    match state {
+        "ready" => Some(EndpointStatus::Ready),
+        "draining" => Some(EndpointStatus::Draining),
+        "gone" => Some(EndpointStatus::Removed),
+        _ => None,
+    }
+}
+
+/// The place of a name in a list of the start settings.
+fn index_of(names: &[String], name: &str) -> Option<u8> {
+    let name = json::settings_name(name);
+    let index = names.iter().position(|known| *known == name)?;
+    u8::try_from(index).ok()
+}
--- /dev/null
+++ b/crates/agent/src/file_writer.rs
@@ -0,0 +1,19 @@
+//! Replaces files that the agent writes on request, without holding up the event loop.
+use std::path::PathBuf;
+
+use crate::log::info;
+
+/// Replaces a file on a thread of its own, and logs the result behind `subject`.
+///
+/// The file is replaced by rename, so that a reader finds either the old or the new one whole.
+pub(crate) fn replace_file(subject: &'static str, path: PathBuf, bytes: Vec<u8>) {
+    std::thread::spawn(move || {
+        let new_path = path.with_extension("new");
+        let written = std::fs::write(&new_path, bytes);
+        let replaced = written.and_then(|()| std::fs::rename(&new_path, &path));
+        match replaced {
+            Ok(()) => info!("{subject} written to {}", path.display()),
+            Err(error) => info!("{subject} not written to {}: {error}", path.display()),
+        }
+    });
+}
--- /dev/null
+++ b/crates/agent/src/lifecycle.rs
@@ -0,0 +1,145 @@
+//! Handles the signals of a running agent: counters on request, reload, and shutdown.
+use std::fmt;
+use std::io;
+use std::rc::Rc;
+use std::time::Duration;
+
+use async_signal::{Signal, Signals};
+use futures_lite::{FutureExt, StreamExt};
+
+use crate::clients::Clients;
+use crate::discovery::Discovery;
+use crate::error::StartFileError;
+use crate::json::Json;
+use crate::log::{self, info};
+use crate::operator_file::OperatorFile;
+use crate::platform::Platform;
+use crate::start_config::{self, StartConfig};
+
+/// How long the reader of the log may take for the last lines, once everything else has ended.
+const LOG_FLUSH_TIMEOUT: Duration = Duration::from_secs(1);
+
+/// What a signal asks for.
+enum Command {
+    /// SIGUSR1: show the counters, and write state files.
+    ShowState,
+    /// SIGHUP: read the files again.
+    Reload,
+    /// SIGTERM and SIGINT: shut down.
+    Stop,
+}
+
+/// The signals that the agent handles.
+pub(crate) struct SignalStream(Signals);
+
+impl fmt::Debug for SignalStream {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str("SignalStream")
+    }
+}
+
+impl SignalStream {
+    /// Takes over the handling of the signals.
+    ///
+    /// # Errors
+    /// The handlers cannot be installed.
+    pub(crate) fn new() -> io::Result<Self> {
+        let handled = [Signal::Term, Signal::Int, Signal::Usr1, Signal::Hup];
+        Signals::new(handled).map(SignalStream)
+    }
+
+    /// The next signal; a stream that fails or ends stops the agent.
+    async fn next(&mut self) -> Command {
+        match self.0.next().await {
+            Some(Ok(Signal::Usr1)) => Command::ShowState,
+            Some(Ok(Signal::Hup)) => Command::Reload,
+            _ => Command::Stop,
+        }
+    }
+}
+
+/// Reads the start file at a path.
+///
+/// # Errors
+/// The file cannot be read, or cannot be used.
+pub(crate) fn read_start_file(path: &str) -> Result<StartConfig, StartFileError> {
+    let text = std::fs::read(path).map_err(|error| StartFileError::Unreadable {
+        path: path.to_owned(),
+        error,
+    })?;
+    start_config::read(&text)
+}
+
+/// What the signals act on.
+pub(crate) struct Lifecycle {
+    pub(crate) signals: SignalStream,
+    /// The path of the start file.
+    pub(crate) path: String,
+    /// The start file as it was at the start.
+    pub(crate) first_file: Json,
+    pub(crate) discovery: Rc<Discovery>,
+    pub(crate) platform: Rc<Platform>,
+    pub(crate) operator_file: OperatorFile,
+}
+
+impl Lifecycle {
+    /// Handles signals up to the end of the agent.
+    ///
+    /// At the first signal to stop the agent serves on for as long as it may, then answers everything that it has
+    /// accepted. A second one makes it accept nothing more, a third one ends it at once.
+    pub(crate) async fn run(mut self, clients: Rc<Clients>) {
+        self.until_stop().await;
+        info!("stopping");
+        let stopped_again = async {
+            self.until_stop().await;
+            info!("stopping sooner");
+            clients.hurry();
+            self.until_stop().await;
+        };
+        clients.stop().or(stopped_again).await;
+        // Room for the last line first, should others still wait.
+        log::flush(LOG_FLUSH_TIMEOUT);
+        write_counters();
+        log::flush(LOG_FLUSH_TIMEOUT);
+    }
+
+    /// Handles signals up to the next one to stop.
+    async fn until_stop(&mut self) {
+        loop {
+            match self.signals.next().await {
+                Command::ShowState => {
+                    write_counters();
+                    self.operator_file.write_state();
+                }
+                Command::Reload => {
+                    self.reload();
+                    self.operator_file.reload();
+                }
+                Command::Stop => return,
+            }
+        }
+    }
+
+    /// Takes over from the start file where discovery and the platform listen, and nothing else; a file that cannot be
+    /// used changes nothing.
+    fn reload(&self) {
+        let config = match read_start_file(&self.path) {
+            Ok(config) => config,
+            Err(error) => return info!("reload: {error}; nothing changes"),
+        };
+        let ignored = start_config::differences(&self.first_file, &config.file);
+        if !ignored.is_empty() {
+            info!("reload: only a restart takes over {}", ignored.join(", "));
+        }
+        info!(
+            "reload: discovery at {}, platform at {}",
+            config.discovery, config.platform
+        );
+        self.discovery.place.move_to(config.discovery);
+        self.platform.release_watch.place.move_to(config.platform);
+    }
+}
+
+fn write_counters() {
+    log::write(format!("counters:{}", log::counters()));
+}
--- /dev/null
+++ b/crates/agent/src/log/connection_end.rs
@@ -0,0 +1,100 @@
+//! Why connections end, and the code of each reason in log lines.
+use std::fmt;
+use std::io;
+
+/// The error numbers of Linux for a process or a machine that has no file descriptor left.
+const ENFILE: i32 = 23;
+const EMFILE: i32 = 24;
+
+/// Why a connection ended. What each code means, and what to do, is in `docs/on-call.md`.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ConnectionEnd {
+    /// The other side closed it.
+    Closed,
+    /// The other side reset it.
+    Reset,
+    /// It was refused.
+    Refused,
+    /// The other side cannot be reached.
+    Unreachable,
+    /// Nothing arrived in time.
+    Silent,
+    /// A message began, and the rest of it did not arrive in time.
+    Stalled,
+    /// Something arrived that cannot be read.
+    Malformed,
+    /// Something arrived that is longer than its bound.
+    TooLong,
+    /// More messages arrived than may.
+    Flood,
+    /// This agent has no more use for it.
+    GivenUp,
+    /// It carried nothing for too long.
+    Idle,
+    /// It made room for another one.
+    Crowded,
+    /// The other side closed it, or sent something on it, while it was idle.
+    Stale,
+    /// The endpoint is not listed any more, or takes no requests.
+    Gone,
+    /// The service listens elsewhere now.
+    Moved,
+    /// A limit of this machine or process was reached.
+    OwnLimit,
+    /// The agent shuts down.
+    Stopping,
+    /// It ended in another way.
+    Failed,
+}
+
+impl ConnectionEnd {
+    /// The code in log lines.
+    pub const fn code(self) -> &'static str {
+        match self {
+            ConnectionEnd::Closed => "closed",
+            ConnectionEnd::Reset => "reset",
+            ConnectionEnd::Refused => "refused",
+            ConnectionEnd::Unreachable => "unreachable",
+            ConnectionEnd::Silent => "silent",
+            ConnectionEnd::Stalled => "stalled",
+            ConnectionEnd::Malformed => "malformed",
+            ConnectionEnd::TooLong => "too-long",
+            ConnectionEnd::Flood => "flood",
+            ConnectionEnd::GivenUp => "given-up",
+            ConnectionEnd::Idle => "idle",
+            ConnectionEnd::Crowded => "crowded",
+            ConnectionEnd::Stale => "stale",
+            ConnectionEnd::Gone => "gone",
+            ConnectionEnd::Moved => "moved",
+            ConnectionEnd::OwnLimit => "own-limit",
+            ConnectionEnd::Stopping => "stopping",
+            ConnectionEnd::Failed => "failed",
+        }
+    }
+}
+
+impl fmt::Display for ConnectionEnd {
+    fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
+        formatter.write_str(self.code())
+    }
+}
+
+impl From<io::Error> for ConnectionEnd {
+    fn from(error: io::Error) -> ConnectionEnd {
+        match error.kind() {
+            io::ErrorKind::ConnectionRefused => ConnectionEnd::Refused,
+            io::ErrorKind::UnexpectedEof => ConnectionEnd::Closed,
+            io::ErrorKind::ConnectionReset
+            | io::ErrorKind::BrokenPipe
+            | io::ErrorKind::ConnectionAborted
+            | io::ErrorKind::NotConnected => ConnectionEnd::Reset,
+            io::ErrorKind::TimedOut
+            | io::ErrorKind::HostUnreachable
+            | io::ErrorKind::NetworkUnreachable => ConnectionEnd::Unreachable,
+            // No port is free. The lack of file descriptors has no kind of its own.
+            io::ErrorKind::AddrNotAvailable => ConnectionEnd::OwnLimit,
+            _ if matches!(error.raw_os_error(), Some(ENFILE | EMFILE)) => ConnectionEnd::OwnLimit,
+            _ => ConnectionEnd::Failed,
+        }
+    }
+}
--- /dev/null
+++ b/crates/agent/src/log/counters.rs
@@ -0,0 +1,109 @@
+//! Counters of what has happened since the agent's start. They are shown on request, and decide nothing.
+use std::fmt::Write;
+use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
+
+/// Declares the counters: the name of each in the code, and in the line that shows them.
+macro_rules! counters {
+    ($($(#[$doc:meta])* $counter:ident $name:literal)*) => {
+        /// What is counted since the start. Counters are shown in this order.
+        #[derive(Clone, Copy, Debug)]
+        pub enum Count { $($(#[$doc])* $counter),* }
+
+        const NAMES: &[&str] = &[$($name),*];
+    };
+}
+
+counters! {
+    /// Connections of clients that were accepted.
+    ClientsAccepted "clients_accepted"
+    /// Connections of clients that have ended.
+    ClientsEnded "clients_ended"
+    /// Requests that were passed to the decision engine.
+    RequestsAccepted "requests_taken"
+    /// Commands that were refused for their form.
+    CommandsRefused "commands_refused"
+    /// Requests that succeeded.
+    RequestsSucceeded "settled"
+    /// Requests that the decision engine rejected.
+    RequestsRejected "declined"
+    /// Requests that were refused for a bound, before the decision engine knew of them.
+    RequestsRefused "turned_away"
+    /// Requests that failed.
+    RequestsFailed "voided"
+    /// Requests whose client left before its answer.
+    RequestsAbandoned "left_by_client"
+    /// Attempts that were sent.
+    Attempts "attempts"
+    /// Attempts that succeeded.
+    AttemptsSucceeded "attempts_served"
+    /// Attempts that the endpoint answered as failed.
+    AttemptsFailed "attempts_failed"
+    /// Attempts that the endpoint rejected.
+    AttemptsRejected "attempts_turned_away"
+    /// Attempts without an answer in time.
+    AttemptsTimedOut "attempts_timed_out"
+    /// Attempts whose connection did not come up, or broke before the request was written.
+    AttemptsConnectFailed "attempts_unconnected"
+    /// Attempts whose connection broke after the request was written.
+    AttemptsConnectionLost "attempts_broken"
+    /// Attempts whose answer could not be read.
+    AttemptsMalformed "attempts_spoilt"
+    /// Attempts that the decision engine cancelled.
+    AttemptsCancelled "attempts_called_off"
+    /// Attempts that were never sent.
+    AttemptsNotSent "attempts_unsent"
+    /// Connections to endpoints that came up.
+    ConnectionsOpened "links_opened"
+    /// Connections to endpoints that have ended.
+    ConnectionsClosed "links_closed"
+    /// Health checks that were begun.
+    HealthChecks "probes"
+    /// Updates of the endpoint list.
+    EndpointListUpdates "membership_updates"
+    /// Release updates of the agent's own platform.
+    ReleaseUpdates "news"
+    /// Votes that were sent.
+    Votes "votes"
+    /// Release updates of other services.
+    DependencyUpdates "service_news"
+    /// Changes of what the operator's rules permit.
+    PermissionChanges "openings"
+    /// Departures from the baseline that were found in the time lines.
+    Departures "departures"
+    /// Datagrams to peers that were sent.
+    DatagramsSent "datagrams_sent"
+    /// Datagrams of peers that were received.
+    DatagramsReceived "datagrams_taken"
+    /// Datagrams that were dropped.
+    DatagramsDropped "datagrams_dropped"
+    /// Rounds of the decision engine.
+    Rounds "rounds"
+    /// Events that were queued for it.
+    EventsQueued "calls_queued"
+    /// Rounds that began later than they should.
+    LateRounds "rounds_late"
+    /// Log lines that were lost as nobody read them.
+    LogLinesLost "log_lines_lost"
+}
+
+static COUNTS: [AtomicU64; NAMES.len()] = [const { AtomicU64::new(0) }; NAMES.len()];
+
+/// Adds one to a counter.
+pub fn count(counter: Count) {
+    add(counter, 1);
+}
+
+/// Adds to a counter.
+pub fn add(counter: Count, amount: u64) {
+    COUNTS[counter as usize].fetch_add(amount, Relaxed);
+}
+
+/// All counters on one line: ` name=value` for each.
+pub fn counters() -> String {
+    let mut line = String::new();
+    for (name, count) in NAMES.iter().zip(&COUNTS) {
+        // Writing to a string cannot fail.
+        write!(line, " {name}={}", count.load(Relaxed)).ok();
+    }
+    line
+}
--- /dev/null
+++ b/crates/agent/src/operator_file.rs
@@ -0,0 +1,195 @@
+//! Owns the operator's file in a running agent: reads it at the start and at each reload, and hands its parts to the
+//! release gate, the recorder and the watches on other services.
+//!
+//! A file that cannot be used changes nothing: it is never taken over in part. What the file permits is the gate's to
+//! decide.
+use std::cell::RefCell;
+use std::fmt;
+use std::path::{Path, PathBuf};
+use std::rc::Rc;
+
+use lilacgate_operator_config::{Known, Operator, Releases, Timeline};
+use lilacgate_releases::gate::Gate;
+use lilacgate_start_settings::Paths;
+
+use crate::error::{OperatorFileError, SettingError, StartError};
+use crate::event_loop::EventLoop;
+use crate::file_writer::replace_file;
+use crate::log::info;
+use crate::recorder::class_names;
+use crate::release_gate::ReleaseRules;
+use crate::watched_services::WatchedServices;
+
+/// What an operator's file sets for this agent; nothing where there is no file.
+#[derive(Default)]
+struct OperatorSettings {
+    rules: Option<ReleaseRules>,
+    timeline: Option<Timeline>,
+}
+
+impl OperatorSettings {
+    fn releases(&self) -> Option<&Releases> {
+        self.rules.as_ref().map(|rules| &rules.releases)
+    }
+}
+
+/// What the operator's file sets at the start of the agent.
+pub(crate) struct OperatorStart {
+    /// The file, for reloads.
+    pub(crate) file: OperatorFile,
+    /// The release gate by its rules; none without rules.
+    pub(crate) gate: Option<Gate>,
+    /// Which time lines are kept.
+    pub(crate) timeline: Option<Timeline>,
+}
+
+/// The operator's file of a running agent.
+pub(crate) struct OperatorFile {
+    path: Option<PathBuf>,
+    /// This agent's name.
+    agent: String,
+    /// The zones and request classes of the start settings.
+    known: Known,
+    event_loop: Rc<EventLoop>,
+    /// Where the gate's state is written on request.
+    state_path: RefCell<Option<PathBuf>>,
+    services: WatchedServices,
+}
+
+impl fmt::Debug for OperatorFile {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter
+            .debug_struct("OperatorFile")
+            .field("path", &self.path)
+            .field("agent", &self.agent)
+            .finish_non_exhaustive()
+    }
+}
+
+impl OperatorFile {
+    /// Reads the file, if there is one, and starts the watches on the services that it names.
+    ///
+    /// # Errors
+    /// A start setting or a file that cannot be used.
+    pub(crate) fn open(
+        path: Option<PathBuf>,
+        agent: &str,
+        settings: &Paths,
+        event_loop: Rc<EventLoop>,
+    ) -> Result<OperatorStart, StartError> {
+        let known = known_names(settings)?;
+        let connect_timeout = settings.period("limits.connect-timeout")?;
+        let file = OperatorFile {
+            path,
+            agent: agent.to_owned(),
+            known,
+            event_loop: event_loop.clone(),
+            state_path: RefCell::default(),
+            services: WatchedServices::new(event_loop, connect_timeout),
+        };
+        let settings = file.read()?;
+        let gate = match &settings.rules {
+            Some(rules) => Some(file.gate(rules)?),
+            None => None,
+        };
+        file.apply_releases(settings.releases());
+        Ok(OperatorStart {
+            file,
+            gate,
+            timeline: settings.timeline,
+        })
+    }
+
+    fn gate(&self, rules: &ReleaseRules) -> Result<Gate, OperatorFileError> {
+        let now = self.event_loop.clock.now();
+        Gate::new(rules.releases.rules.clone(), Some(rules.tenant), now)
+            .map_err(|_| OperatorFileError::CircularDependency)
+    }
+
+    /// Reads what the file sets for this agent.
+    fn read(&self) -> Result<OperatorSettings, OperatorFileError> {
+        match &self.path {
+            Some(path) => self.read_from(path),
+            None => Ok(OperatorSettings::default()),
+        }
+    }
+
+    fn read_from(&self, path: &Path) -> Result<OperatorSettings, OperatorFileError> {
+        let operator = lilacgate_operator_config::load(path, &self.known);
+        let Operator {
+            places,
+            releases,
+            timeline,
+        } = operator.map_err(|faults| OperatorFileError::Faults {
+            path: path.to_owned(),
+            faults,
+        })?;
+        let rules = match releases {
+            Some(releases) => {
+                let tenant =
+                    places
+                        .firm_of(&self.agent)
+                        .ok_or_else(|| OperatorFileError::UnknownAgent {
+                            path: path.to_owned(),
+                            agent: self.agent.clone(),
+                        })?;
+                Some(ReleaseRules { releases, tenant })
+            }
+            None => None,
+        };
+        Ok(OperatorSettings { rules, timeline })
+    }
+
+    /// Reads the file again; one that cannot be used changes nothing.
+    pub(crate) fn reload(&self) {
+        let settings = match self.read() {
+            Ok(settings) => settings,
+            Err(error) => {
+                for message in error.messages() {
+                    info!("reload: {message}; nothing changes");
+                }
+                return;
+            }
+        };
+        if self.path.is_some() {
+            info!("reload: the operator's file is taken over");
+        }
+        let releases = settings.releases().cloned();
+        self.event_loop.enqueue(move |router| {
+            router.apply_rules(settings.rules);
+            router.recorder.apply(router.now, settings.timeline);
+        });
+        self.apply_releases(releases.as_ref());
+    }
+
+    /// Takes over which services are watched, and where the gate's state is written.
+    fn apply_releases(&self, releases: Option<&Releases>) {
+        let state_path = releases.and_then(|releases| releases.state.clone());
+        self.state_path.replace(state_path);
+        self.services.apply(releases);
+    }
+
+    /// Writes the time lines and the gate's state where the file wants them, off the event loop.
+    pub(crate) fn write_state(&self) {
+        self.event_loop
+            .enqueue(|router| router.recorder.dump(router.now));
+        let Some(path) = self.state_path.borrow().clone() else {
+            return;
+        };
+        let agent = self.agent.clone();
+        self.event_loop.enqueue(move |router| {
+            if let Some(state) = router.gate_state(&agent) {
+                replace_file("releases: state", path, state.into_bytes());
+            }
+        });
+    }
+}
+
+/// The names that an operator's file may use for zones and request classes, with their numbers.
+fn known_names(settings: &Paths) -> Result<Known, SettingError> {
+    let products = class_names(settings)?;
+    Ok(Known {
+        zones: settings.names("zones")?,
+        products,
+    })
+}
--- /dev/null
+++ b/crates/agent/src/outbound.rs
@@ -0,0 +1,82 @@
+//! The interfaces through which decisions leave the event loop: one trait for each kind of peer.
+//!
+//! Every method returns at once; what takes time is spawned as a task. The implementors do no deciding of their own.
+use std::fmt;
+use std::rc::Rc;
+use std::time::Duration;
+
+use lilacgate_decision::{AgentId, AttemptNumber, Build, EndpointId, RequestId, Stage, Vote};
+
+/// Encodes the command of a request for the time that remains for its answer.
+pub type EncodedRequest = Rc<dyn Fn(Duration) -> Vec<u8>>;
+
+/// One attempt of one request.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub struct AttemptId {
+    /// The request.
+    pub request: RequestId,
+    /// Which of its attempts, counted from 0.
+    pub number: AttemptNumber,
+}
+
+/// An attempt that is to be sent to an endpoint.
+pub struct OutgoingAttempt {
+    /// Which attempt of which request.
+    pub id: AttemptId,
+    /// Where it goes.
+    pub endpoint: EndpointId,
+    /// What is sent.
+    pub encoded_request: EncodedRequest,
+    /// When the decision to send it was made.
+    pub began: Duration,
+    /// When the wait for its answer ends.
+    pub until: Duration,
+}
+
+impl fmt::Debug for OutgoingAttempt {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter
+            .debug_struct("OutgoingAttempt")
+            .field("id", &self.id)
+            .field("endpoint", &self.endpoint)
+            .field("began", &self.began)
+            .field("until", &self.until)
+            .finish_non_exhaustive()
+    }
+}
+
+/// Carries attempts and health checks to endpoints.
+pub trait Upstream {
+    /// Sends an attempt; its end is reported to the event loop exactly once.
+    fn send_attempt(self: Rc<Self>, attempt: OutgoingAttempt);
+
+    /// Gives up an attempt that is under way; nothing happens if it has ended.
+    fn cancel(&self, id: AttemptId);
+
+    /// Asks an endpoint for its load; the outcome is reported to the event loop exactly once.
+    fn check_health(self: Rc<Self>, endpoint: EndpointId);
+
+    /// Closes the idle connections to an endpoint.
+    fn close_idle_connections(&self, endpoint: EndpointId);
+}
+
+/// Obtains the list of endpoints from discovery.
+pub trait EndpointListSource {
+    /// Starts or stops watching the list for changes.
+    fn watch(&self, on: bool);
+
+    /// Fetches the full list once.
+    fn fetch(self: Rc<Self>);
+}
+
+/// Sends votes on the release of a build.
+pub trait VoteSender {
+    /// Sends a vote; its outcome is reported to the event loop exactly once.
+    fn send_vote(self: Rc<Self>, build: Build, stage: Stage, vote: Vote);
+}
+
+/// Sends datagrams to other agents.
+pub trait PeerSender {
+    /// Sends a payload to one peer, or to all of them if none is named. It may be lost.
+    fn send_to_peer(&self, peer: Option<AgentId>, payload: &[u8]);
+}
--- a/crates/agent/src/peers.rs
+++ b/crates/agent/src/peers.rs
@@ -1,84 +1,121 @@
-//! Owns the datagrams between agents. It must never send one that is longer than the bound, nor pass on one from a
-//! stranger; what is lost is lost.
+//! Owns the datagrams between agents. None is sent or received that is longer than the bound, and none from an
+//! unknown sender is passed on; what is lost is not sent again.
+use std::fmt;
 use std::net::{SocketAddr, UdpSocket};
 use std::rc::Rc;
 
 use async_io::Async;
-use lilacgate_decision::{AgentId, EventHandler};
+use lilacgate_decision::{AgentId, EventHandler as _};
 
-use crate::event_loop::{EventLoop, PeerSender};
-use crate::log::{Count, End, count, info};
+use crate::error::StartError;
+use crate::event_loop::EventLoop;
+use crate::log::{ConnectionEnd, Count, count, info};
+use crate::outbound::PeerSender;
 
-/// The longest datagram.
-const MOST: usize = 256;
+/// The longest datagram, in bytes.
+const MAX_DATAGRAM_BYTES: usize = 256;
 
+/// The addresses by which agents reach each other.
+#[derive(Clone, Debug)]
+pub struct PeerAddresses {
+    /// Where this agent receives.
+    pub listen: SocketAddr,
+    /// Every agent, this one among them, by its number.
+    pub peers: Vec<SocketAddr>,
+    /// Where a datagram for all of them goes.
+    pub all: Option<SocketAddr>,
+}
+
+/// The socket on which agents reach each other.
 pub struct Peers {
     event_loop: Rc<EventLoop>,
     socket: Async<UdpSocket>,
-    own: SocketAddr,
-    peers: Vec<SocketAddr>,
-    all: Option<SocketAddr>,
+    addresses: PeerAddresses,
+}
+
+impl fmt::Debug for Peers {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter
+            .debug_struct("Peers")
+            .field("addresses", &self.addresses)
+            .finish_non_exhaustive()
+    }
 }
 
 impl Peers {
+    /// Opens the socket.
+    ///
+    /// # Errors
+    /// The address cannot be listened at.
     pub fn new(
         event_loop: Rc<EventLoop>,
-        listen: SocketAddr,
-        peers: Vec<SocketAddr>,
-        all: Option<SocketAddr>,
-    ) -> Result<Rc<Self>, String> {
-        let socket = Async::<UdpSocket>::bind(listen)
-            .map_err(|fault| format!("peer_listen {listen}: {fault}"))?;
+        addresses: PeerAddresses,
+    ) -> Result<Rc<Self>, StartError> {
+        let socket =
+            Async::<UdpSocket>::bind(addresses.listen).map_err(|error| StartError::PeerListen {
+                address: addresses.listen,
+                error,
+            })?;
         Ok(Rc::new(Peers {
             event_loop,
             socket,
-            own: listen,
-            peers,
-            all,
+            addresses,
         }))
     }
 
+    /// Receives datagrams for as long as the agent runs.
     pub async fn run(self: Rc<Self>) {
-        let mut octets = [0; MOST + 1];
+        // One byte more, to notice a datagram that is too long.
+        let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
-            match self.socket.recv_from(&mut octets).await {
-                Ok((len, from)) => match self.peers.iter().position(|peer| *peer == from) {
-                    // One to all may come back to its sender.
-                    Some(peer) if self.peers[peer] == self.own => {}
-                    Some(peer) if (1..=MOST).contains(&len) => {
-                        count(Count::PeersIn);
-                        let octets = octets[..len].to_vec();
-                        self.event_loop.enqueue(move |router| {
-                            router.on_peer_message(AgentId(peer as u32), &octets)
-                        });
-                    }
-                    _ => {
-                        count(Count::Strangers);
-                        info!("a datagram of {len} octets from {from} is dropped");
-                    }
-                },
-                Err(fault) => info!("a datagram was not read: {}", End::from(fault)),
+            match self.socket.recv_from(&mut buffer).await {
+                Ok((length, sender)) => self.receive(&buffer[..length], sender),
+                Err(error) => info!("a datagram was not read: {}", ConnectionEnd::from(error)),
+            }
+        }
+    }
+
+    fn receive(&self, payload: &[u8], sender: SocketAddr) {
+        let peers = &self.addresses.peers;
+        match peers.iter().position(|peer| *peer == sender) {
+            // A datagram to all may come back to its sender.
+            Some(peer) if peers[peer] == self.addresses.listen => {}
+            Some(peer) if (1..=MAX_DATAGRAM_BYTES).contains(&payload.len()) => {
+                count(Count::DatagramsReceived);
+                let payload = payload.to_vec();
+                self.event_loop.enqueue(move |router| {
+                    router.on_peer_message(AgentId(peer as u32), &payload);
+                });
+            }
+            _ => {
+                count(Count::DatagramsDropped);
+                info!(
+                    "a datagram of {} octets from {sender} is dropped",
+                    payload.len()
+                );
             }
         }
     }
 }
 
 impl PeerSender for Peers {
-    /// To one peer, or to all of them.
-    fn tell(&self, peer: Option<AgentId>, octets: &[u8]) {
-        let to = match peer {
-            Some(peer) => self.peers.get(peer.0 as usize).copied(),
-            None => self.all,
+    fn send_to_peer(&self, peer: Option<AgentId>, payload: &[u8]) {
+        let receiver = match peer {
+            Some(peer) => self.addresses.peers.get(peer.0 as usize).copied(),
+            None => self.addresses.all,
         };
-        let (Some(to), true) = (to, octets.len() <= MOST) else {
+        let (Some(receiver), true) = (receiver, payload.len() <= MAX_DATAGRAM_BYTES) else {
             return info!(
                 "a datagram of {} octets to {peer:?} stays here",
-                octets.len()
+                payload.len()
             );
         };
-        match self.socket.get_ref().send_to(octets, to) {
-            Ok(_) => count(Count::PeersOut),
-            Err(fault) => info!("a datagram to {to} is lost: {}", End::from(fault)),
+        match self.socket.get_ref().send_to(payload, receiver) {
+            Ok(_) => count(Count::DatagramsSent),
+            Err(error) => info!(
+                "a datagram to {receiver} is lost: {}",
+                ConnectionEnd::from(error)
+            ),
         }
     }
 }
--- a/crates/agent/src/platform.rs
+++ b/crates/agent/src/platform.rs
@@ -1,172 +1,232 @@
-//! Owns the talk with the platform that rolls builds out: its news by a desk's connection, votes on another, as
-//! JSON-RPC lines. Other platforms' protocols will stand beside it, through the same calls of the hub. It must never send a
-//! vote twice by itself, nor report one as not carried out that may have been.
+//! Owns the connections to the platform that rolls builds out: a watch on its release updates, and votes on another
+//! connection, as JSON-RPC lines.
+//!
+//! A vote is never sent twice from here, and one that may have been carried out is never reported as not sent. The
+//! protocol of another platform would stand beside this module, behind the same traits.
 use std::cell::{Cell, RefCell};
+use std::fmt;
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
 use std::time::Duration;
 
 use async_io::Async;
-use lilacgate_decision::EventHandler as _;
-use lilacgate_decision::{Build, Outcome, Stage, Vote};
+use lilacgate_decision::{Build, EventHandler as _, Outcome, Stage, Vote};
 use lilacgate_start_settings::Paths;
 
-use crate::event_loop::{EventLoop, VoteSender};
-use crate::json::{self, Json};
-use crate::log::{Count, End, count, info};
+use crate::error::SettingError;
+use crate::event_loop::EventLoop;
+use crate::json::{self, Json, JsonParser};
+use crate::log::{ConnectionEnd, Count, count, info};
+use crate::outbound::VoteSender;
 use crate::release_gate::EventRouter;
 use crate::release_watch::{
-    self, Bound, LINE, ReleaseUpdate, ReleaseWatch, ReleaseWatchListener as _,
+    MAX_LINE_BYTES, MessageLimit, ReleaseUpdate, ReleaseWatch, ReleaseWatchListener, encode_request,
 };
 use crate::ring::{Intake, connect, within};
 
-struct Line {
-    to: SocketAddr,
+/// The id of the request to listen, on the watch's connection; votes are numbered from the next one.
+const FIRST_REQUEST_ID: u64 = 1;
+
+/// A connection that votes are sent on.
+struct VoteConnection {
+    address: SocketAddr,
     stream: Async<TcpStream>,
-    intake: Intake<json::Values>,
+    intake: Intake<JsonParser>,
 }
 
+/// The client of the platform.
 pub struct Platform {
     event_loop: Rc<EventLoop>,
-    told: Rc<PlatformListener>,
-    /// Where it tells its news, and takes votes.
+    listener: Rc<PlatformListener>,
+    /// Receives its release updates; it takes votes at the same place.
     pub release_watch: Rc<ReleaseWatch>,
-    connect_within: Duration,
-    answer_within: Duration,
-    /// The connection of the last vote.
-    kept: RefCell<Option<Line>>,
-    last: Cell<u64>,
+    connect_timeout: Duration,
+    answer_timeout: Duration,
+    /// The connection of the last vote, for the next one.
+    idle_connection: RefCell<Option<VoteConnection>>,
+    last_request_id: Cell<u64>,
 }
 
-/// News as a call on the module.
-pub fn hear(news: ReleaseUpdate) -> impl FnOnce(&mut EventRouter) + 'static {
-    move |router| router.on_release_status(news.build, news.stage, news.course, news.cap, news.age)
+impl fmt::Debug for Platform {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter
+            .debug_struct("Platform")
+            .field("release_watch", &self.release_watch)
+            .field("last_request_id", &self.last_request_id)
+            .finish_non_exhaustive()
+    }
+}
+
+/// A release update as an event for the decision engine.
+pub(crate) fn release_event(update: ReleaseUpdate) -> impl FnOnce(&mut EventRouter) + 'static {
+    move |router| {
+        let ReleaseUpdate {
+            build,
+            stage,
+            phase,
+            cap,
+            age,
+        } = update;
+        router.on_release_status(build, stage, phase, cap, age);
+    }
 }
 
-/// Passes the platform's own news on.
+/// Passes the platform's release updates on.
 struct PlatformListener(Rc<EventLoop>);
 
-impl release_watch::ReleaseWatchListener for PlatformListener {
-    fn news(&self, news: ReleaseUpdate) {
-        count(Count::ReleaseUpdate);
-        self.0.enqueue(hear(news));
+impl ReleaseWatchListener for PlatformListener {
+    fn on_release_update(&self, update: ReleaseUpdate) {
+        count(Count::ReleaseUpdates);
+        self.0.enqueue(release_event(update));
     }
 }
 
 impl Platform {
+    /// A client of the platform that listens at `address`.
+    ///
+    /// # Errors
+    /// A setting that cannot be used.
     pub fn new(
         event_loop: Rc<EventLoop>,
-        at: SocketAddr,
-        told: &Paths,
-    ) -> Result<Rc<Self>, String> {
-        let connect_within = told.period("limits.connect-timeout")?;
-        let answer_within = told.period("family-info.call-timeout")?;
-        let told = Rc::new(PlatformListener(event_loop.clone()));
+        address: SocketAddr,
+        settings: &Paths,
+    ) -> Result<Rc<Self>, SettingError> {
+        let connect_timeout = settings.period("limits.connect-timeout")?;
+        let answer_timeout = settings.period("family-info.call-timeout")?;
+        let listener = Rc::new(PlatformListener(event_loop.clone()));
         let release_watch = ReleaseWatch::new(
             "platform".into(),
-            at,
-            connect_within,
-            Bound::None,
-            told.clone(),
+            address,
+            connect_timeout,
+            MessageLimit::Unlimited,
+            listener.clone(),
         );
-        // The desk's own call is the first.
-        let (kept, last) = (RefCell::default(), Cell::new(1));
         Ok(Rc::new(Platform {
             event_loop,
-            told,
+            listener,
             release_watch,
-            connect_within,
-            answer_within,
-            kept,
-            last,
+            connect_timeout,
+            answer_timeout,
+            idle_connection: RefCell::default(),
+            last_request_id: Cell::new(FIRST_REQUEST_ID),
         }))
     }
-}
 
-impl VoteSender for Platform {
-    fn vote(self: Rc<Self>, build: Build, stage: Stage, verdict: Vote) {
-        count(Count::VoteSender);
-        let me = self.clone();
-        let word = match verdict {
-            Vote::Retract => "abstain",
-            Vote::Advance => "promote",
-            Vote::Hold => "pause",
-            Vote::RollBack => "abort",
-        };
-        let params = format!(
-            ",\"params\":{{\"Revision\":{},\"Wave\":{},\"Decision\":{}}}",
-            build.0,
-            stage.0,
-            json::quoted(word)
-        );
-        self.event_loop.clone().spawn(async move {
-            let written = Cell::new(false);
-            let ending = match within(me.answer_within, me.ask(&params, &written)).await {
-                Ok(ending) => ending,
-                Err(end) => {
-                    info!(
-                        "platform {}: a vote's connection ended: {end}",
-                        me.release_watch.place.at()
-                    );
-                    // It may have been carried out, once it was written.
-                    if written.get() {
-                        Outcome::TimedOut
-                    } else {
-                        Outcome::ConnectFailed
-                    }
+    /// Sends a vote and waits for its answer; returns how it ended.
+    async fn deliver(&self, params: &str) -> Outcome {
+        let is_written = Cell::new(false);
+        let call = self.call(params, &is_written);
+        match within(self.answer_timeout, call).await {
+            Ok(outcome) => outcome,
+            Err(end) => {
+                info!(
+                    "platform {}: a vote's connection ended: {end}",
+                    self.release_watch.place.at()
+                );
+                // Once it was written, it may have been carried out.
+                if is_written.get() {
+                    Outcome::TimedOut
+                } else {
+                    Outcome::ConnectFailed
                 }
-            };
-            me.event_loop
-                .enqueue(move |router| router.on_vote_answered(ending));
-        });
+            }
+        }
     }
-}
 
-impl Platform {
-    /// Asks on the kept connection, if it still stands, or on a new one.
-    async fn ask(&self, params: &str, written: &Cell<bool>) -> Result<Outcome, End> {
-        let kept = self.kept.take();
-        let to = self.release_watch.place.at();
-        let kept = kept.filter(|line| line.to == to).and_then(|mut line| {
-            let quiet = line.intake.is_quiet(&line.stream);
-            if !quiet {
-                info!("platform {to}: a vote's connection ended: {}", End::Stale);
-            }
-            quiet.then_some(line)
-        });
-        let mut line = match kept {
-            Some(line) => line,
-            None => Line {
-                to,
-                stream: connect(to, self.connect_within).await?,
-                intake: Intake::new(json::Values::lines(LINE), LINE, self.answer_within),
-            },
+    /// One call on the idle connection, if it can still be used, or on a new one.
+    async fn call(&self, params: &str, is_written: &Cell<bool>) -> Result<Outcome, ConnectionEnd> {
+        let address = self.release_watch.place.at();
+        let mut connection = match self.take_idle_connection(address) {
+            Some(connection) => connection,
+            None => self.open_connection(address).await?,
         };
-        let id = self.last.get() + 1;
-        self.last.set(id);
-        let mut ask = release_watch::call(id, "verdict", params);
-        ask.flush(&line.stream).await?;
-        written.set(true);
-        let answer = line.intake.next(&line.stream).await?.ok_or(End::Closed)?;
-        let asked = answer.get("id").and_then(Json::whole) == Some(id);
-        let ending = if asked { self.read(&answer) } else { None };
-        if ending.is_some() {
-            self.kept.replace(Some(line));
+        let id = self.last_request_id.get() + 1;
+        self.last_request_id.set(id);
+        let mut request = encode_request(id, "verdict", params);
+        request.flush(&connection.stream).await?;
+        is_written.set(true);
+        let answer = connection
+            .intake
+            .next(&connection.stream)
+            .await?
+            .ok_or(ConnectionEnd::Closed)?;
+        if answer.get("id").and_then(Json::as_u64) != Some(id) {
+            return Err(ConnectionEnd::Malformed);
         }
-        ending.ok_or(End::Malformed)
+        let outcome = self.read_answer(&answer).ok_or(ConnectionEnd::Malformed)?;
+        self.idle_connection.replace(Some(connection));
+        Ok(outcome)
     }
 
-    /// How a vote's call ended, by an answer that can be read whole.
-    fn read(&self, answer: &Json) -> Option<Outcome> {
+    /// The idle connection, if it leads to this address and can still be used.
+    fn take_idle_connection(&self, address: SocketAddr) -> Option<VoteConnection> {
+        let mut connection = self.idle_connection.take()?;
+        if connection.address != address {
+            return None;
+        }
+        if connection.intake.is_quiet(&connection.stream) {
+            return Some(connection);
+        }
+        info!(
+            "platform {address}: a vote's connection ended: {}",
+            ConnectionEnd::Stale
+        );
+        None
+    }
+
+    async fn open_connection(&self, address: SocketAddr) -> Result<VoteConnection, ConnectionEnd> {
+        let stream = connect(address, self.connect_timeout).await?;
+        let parser = JsonParser::lines(MAX_LINE_BYTES);
+        Ok(VoteConnection {
+            address,
+            stream,
+            intake: Intake::new(parser, MAX_LINE_BYTES, self.answer_timeout),
+        })
+    }
+
+    /// How a vote ended by its answer; none if a part of the answer cannot be read. The state that comes with a
+    /// success is passed on like any release update.
+    fn read_answer(&self, answer: &Json) -> Option<Outcome> {
         if let Some(state) = answer.get("result") {
-            release_watch::news(state).map(|news| self.told.news(news))?;
+            let update = ReleaseUpdate::from_json(state)?;
+            self.listener.on_release_update(update);
             return Some(Outcome::Succeeded);
         }
-        Some(match answer.get("error")?.get("message")?.text()? {
-            "limit" => Outcome::Rejected,
-            "moot" => Outcome::NotSent,
-            "error" | "malformed" => Outcome::Failed,
-            _ => return None,
-        })
+        match answer.get("error")?.get("message")?.as_str()? {
+            "limit" => Some(Outcome::Rejected),
+            "moot" => Some(Outcome::NotSent),
+            "error" | "malformed" => Some(Outcome::Failed),
+            _ => None,
+        }
+    }
+}
+
+impl VoteSender for Platform {
+    fn send_vote(self: Rc<Self>, build: Build, stage: Stage, vote: Vote) {
+        count(Count::Votes);
+        let params = encode_vote(build, stage, vote);
+        let platform = self.clone();
+        self.event_loop.spawn(async move {
+            let outcome = platform.deliver(&params).await;
+            platform
+                .event_loop
+                .enqueue(move |router| router.on_vote_answered(outcome));
+        });
     }
 }
+
+/// The field of a JSON-RPC request that holds a vote.
+fn encode_vote(build: Build, stage: Stage, vote: Vote) -> String {
+    let decision = match vote {
+        Vote::Retract => "abstain",
+        Vote::Advance => "promote",
+        Vote::Hold => "pause",
+        Vote::RollBack => "abort",
+    };
+    format!(
+        ",\"params\":{{\"Revision\":{},\"Wave\":{},\"Decision\":{}}}",
+        build.0,
+        stage.0,
+        json::quote(decision)
+    )
+}
--- a/crates/agent/src/recorder.rs
+++ b/crates/agent/src/recorder.rs
@@ -1,363 +1,342 @@
-//! Owns the agent's time lines: what the module hears and decides goes into a book beside it, and from there, off the
-//! path of the requests, to the store that the operator's file names. It must never change a decision, wait for a disk,
-//! nor cost a request: what the disk is too slow for is left out and counted.
+//! Owns the agent's time lines: what is received and decided goes into a book beside the decision engine, and from
+//! there, off the path of the requests, to the store that the operator's file names.
+//!
+//! It never changes a decision, never waits for a disk and never costs a request: what the disk is too slow for is
+//! left out and counted. The events of requests are buffered, up to a bound, and passed to the book many at a time,
+//! which costs a third of passing them one by one.
+mod snapshot;
+mod store;
+
 use std::cell::{Cell, RefCell};
 use std::path::PathBuf;
 use std::time::Duration;
 
-use lilacgate_decision::{AttemptNumber, EndpointId, Outcome, RequestClass, RequestId};
+use lilacgate_decision::{EndpointId, Outcome, RequestClass, RequestId};
 use lilacgate_operator_config::Timeline;
 use lilacgate_start_settings::Paths;
-use lilacgate_store::frames;
-use lilacgate_store::pump::{Handed, Pump};
-use lilacgate_store::writer::{Bounds, Real, Writer};
 use lilacgate_timeline::book::{Book, Room};
-use lilacgate_timeline::entry::{Record, StepRecord, Whom};
-use lilacgate_timeline::steps::Step;
+use lilacgate_timeline::entry::{Departure, Record, Whom};
 use lilacgate_timeline::watch::Aims;
 
+use crate::error::SettingError;
+use crate::file_writer::replace_file;
 use crate::log::{Count, count, info};
+use crate::outbound::AttemptId;
+use crate::recorder::store::StoreQueue;
+
+/// How many records may wait for the disk, and how many names of endpoints are kept.
+const MAX_WAITING_RECORDS: usize = 4096;
 
-/// Records that wait for the disk at most.
-const WAITING: usize = 4096;
-/// They are handed over this often.
-const BATCH: Duration = Duration::from_secs(1);
+/// How many events of requests are buffered before they are passed to the book.
+const MAX_BUFFERED_EVENTS: usize = 4096;
 
-/// What happens with each request: put aside as it is, and told to the book many at a time, which costs a third of it.
-#[derive(Clone, Copy)]
+/// What happens to a request.
+#[derive(Clone, Copy, Debug)]
 pub enum RequestEvent {
-    Request(RequestId, RequestClass),
-    Attempt(RequestId, AttemptNumber, EndpointId),
-    Ended(
-        (RequestId, AttemptNumber),
-        EndpointId,
-        Outcome,
-        Duration,
-        bool,
-    ),
+    /// It has arrived.
+    Received {
+        /// The request.
+        id: RequestId,
+        /// Its class.
+        class: RequestClass,
+    },
+    /// An attempt of it has been sent.
+    AttemptSent {
+        /// Which attempt.
+        id: AttemptId,
+        /// Where it was sent.
+        endpoint: EndpointId,
+    },
+    /// An attempt of it has ended.
+    AttemptEnded {
+        /// Which attempt.
+        id: AttemptId,
+        /// Where it was sent.
+        endpoint: EndpointId,
+        /// How it ended.
+        outcome: Outcome,
+        /// How long it took.
+        took: Duration,
+        /// Whether the request has had its answer by then.
+        closed: bool,
+    },
+    /// It has had its answer, or its client has left.
     Closed(RequestId),
 }
 
-/// Deeds that are put aside at most.
-const ASIDE: usize = 4096;
+/// A buffered event.
+#[derive(Debug)]
+struct TimedEvent {
+    time: Duration,
+    event: RequestEvent,
+}
+
+/// The name of an endpoint.
+#[derive(Debug)]
+struct EndpointName {
+    id: EndpointId,
+    name: String,
+}
 
 /// What does not change while the agent runs.
+#[derive(Debug)]
 struct AgentFacts {
     agent: String,
-    products: Vec<String>,
+    /// The names of the request classes, in their order.
+    class_names: Vec<String>,
+    /// How long an endpoint may take to warm up.
     ramp: Duration,
 }
 
-struct Open {
+/// A book that is being written, and what it is written by.
+struct OpenBook {
     book: Book,
-    set: Timeline,
-    pump: Option<Pump>,
-    /// What the disk was too slow for, to be handed over first.
-    behind: Vec<Record>,
-    next: Duration,
+    settings: Timeline,
+    store: StoreQueue,
 }
 
-/// Keeps a record, if the operator's file wants one.
+/// Keeps the time lines, if the operator's file wants them.
 pub struct Recorder {
-    told: AgentFacts,
-    open: RefCell<Option<Open>>,
-    aside: RefCell<Vec<(Duration, RequestEvent)>>,
-    on: Cell<bool>,
-    /// The names of nodes: they outlast the book.
-    names: RefCell<Vec<(EndpointId, String)>>,
+    facts: AgentFacts,
+    open: RefCell<Option<OpenBook>>,
+    buffer: RefCell<Vec<TimedEvent>>,
+    /// Whether there is a book.
+    is_on: Cell<bool>,
+    /// The names of endpoints: they outlast the book.
+    names: RefCell<Vec<EndpointName>>,
+}
+
+impl std::fmt::Debug for Recorder {
+    fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        formatter
+            .debug_struct("Recorder")
+            .field("facts", &self.facts)
+            .field("is_on", &self.is_on)
+            .finish_non_exhaustive()
+    }
 }
 
 impl Recorder {
+    /// A recorder for an agent with these start settings, which records what `timeline` says.
+    ///
     /// # Errors
     /// A setting that cannot be used.
     pub fn new(
         agent: &str,
-        told: &Paths,
-        set: Option<Timeline>,
+        settings: &Paths,
+        timeline: Option<Timeline>,
         now: Duration,
-    ) -> Result<Recorder, String> {
-        let count: u8 = told.num("profiles.count")?;
-        let product = |i| told.text(&format!("profiles.{i}.name")).map(str::to_owned);
-        let products = (0..count).map(product).collect::<Result<_, _>>()?;
-        let told = AgentFacts {
-            agent: agent.into(),
-            products,
-            ramp: told.span("rules.ramp-time")?,
+    ) -> Result<Recorder, SettingError> {
+        let facts = AgentFacts {
+            agent: agent.to_owned(),
+            class_names: class_names(settings)?,
+            ramp: settings.span("rules.ramp-time")?,
         };
         let recorder = Recorder {
-            told,
+            facts,
             open: RefCell::default(),
-            aside: RefCell::default(),
-            on: Cell::new(false),
+            buffer: RefCell::default(),
+            is_on: Cell::new(false),
             names: RefCell::default(),
         };
-        recorder.order(now, set);
+        recorder.apply(now, timeline);
         Ok(recorder)
     }
 
-    /// Takes what the operator's file sets now; lines go on where it sets the same.
-    pub fn order(&self, now: Duration, set: Option<Timeline>) {
+    /// Takes over what the operator's file sets now; a book whose settings are the same goes on.
+    pub fn apply(&self, now: Duration, settings: Option<Timeline>) {
         let mut open = self.open.borrow_mut();
-        if open.as_ref().map(|open| &open.set) == set.as_ref() {
+        if open.as_ref().map(|open| &open.settings) == settings.as_ref() {
             return;
         }
-        self.on.set(set.is_some());
-        self.aside.borrow_mut().clear();
-        *open = set.map(|set| {
-            let aims = Aims {
-                false_per_hour: set.false_per_hour,
-                ramp: self.told.ramp,
-                products: self.told.products.len(),
-            };
-            let records = if set.store.is_some() { WAITING } else { 0 };
-            let book = Book::new(
-                now,
-                aims,
-                Room {
-                    octets: set.memory,
-                    records,
-                },
-            );
-            let pump = set.store.as_ref().and_then(|store| {
-                let bounds = Bounds {
-                    bytes: store.keep,
-                    age: store.age,
-                };
-                let writer = Writer::new(&store.folder, bounds, Box::new(Real));
-                let fault = |fault| {
-                    info!(
-                        "timeline: nothing is kept on disk: {}: {fault}",
-                        store.folder.display()
-                    )
-                };
-                writer.map_err(fault).ok().map(Pump::new)
-            });
-            let behind = if pump.is_some() {
-                self.beginning(now)
-            } else {
-                Vec::new()
-            };
-            Open {
-                book,
-                set,
-                pump,
-                behind,
-                next: now + BATCH,
-            }
-        });
+        self.is_on.set(settings.is_some());
+        self.buffer.borrow_mut().clear();
+        *open = settings.map(|settings| self.open_book(now, settings));
+    }
+
+    fn open_book(&self, now: Duration, settings: Timeline) -> OpenBook {
+        let aims = Aims {
+            false_per_hour: settings.false_per_hour,
+            ramp: self.facts.ramp,
+            products: self.facts.class_names.len(),
+        };
+        let room = Room {
+            octets: settings.memory,
+            records: match settings.store {
+                Some(_) => MAX_WAITING_RECORDS,
+                None => 0,
+            },
+        };
+        let book = Book::new(now, aims, room);
+        let mut store = StoreQueue::open(now, settings.store.as_ref());
+        if store.is_open() {
+            store.push_all(self.first_records(now));
+        }
+        OpenBook {
+            book,
+            settings,
+            store,
+        }
     }
 
-    /// What stands first: the start, and the names known.
-    fn beginning(&self, at: Duration) -> Vec<Record> {
+    /// The records that come before all others: the agent's start, and the names of the endpoints.
+    fn first_records(&self, time: Duration) -> Vec<Record> {
         let start = Record::Start {
-            agent: self.told.agent.clone(),
-            at,
-            products: self.told.products.clone(),
+            agent: self.facts.agent.clone(),
+            at: time,
+            products: self.facts.class_names.clone(),
         };
         let names = self.names.borrow();
-        let name = |(node, name): &(EndpointId, String)| Record::Name {
-            node: node.0,
-            name: name.clone(),
-        };
         std::iter::once(start)
-            .chain(names.iter().map(name))
+            .chain(names.iter().map(EndpointName::record))
             .collect()
     }
 
-    /// A node's number and name.
-    pub fn named(&self, node: EndpointId, name: &str) {
+    /// Keeps the name of an endpoint.
+    pub fn endpoint_named(&self, id: EndpointId, name: &str) {
         let mut names = self.names.borrow_mut();
-        if !names.iter().any(|(known, _)| *known == node) {
-            // As many names as a list may hold; what is gone for long is not needed.
-            if names.len() >= WAITING {
-                names.remove(0);
-            }
-            names.push((node, name.into()));
-            if let Some(open) = self
-                .open
-                .borrow_mut()
-                .as_mut()
-                .filter(|open| open.pump.is_some())
-            {
-                open.behind.push(Record::Name {
-                    node: node.0,
-                    name: name.into(),
-                });
-            }
+        if names.iter().any(|known| known.id == id) {
+            return;
+        }
+        // As many names as a list may hold; what has been gone for long is not needed.
+        if names.len() >= MAX_WAITING_RECORDS {
+            names.remove(0);
+        }
+        let name = EndpointName {
+            id,
+            name: name.to_owned(),
+        };
+        if let Some(open) = self.open.borrow_mut().as_mut()
+            && open.store.is_open()
+        {
+            open.store.push(name.record());
         }
+        names.push(name);
     }
 
-    /// Puts a deed aside, if there is a book.
-    pub fn put(&self, now: Duration, request_event: RequestEvent) {
-        if self.on.get() {
-            self.aside.borrow_mut().push((now, request_event));
-            if self.aside.borrow().len() >= ASIDE {
-                self.book(|_| {});
-            }
+    /// Buffers what happens to a request, if there is a book.
+    pub fn record(&self, time: Duration, event: RequestEvent) {
+        if !self.is_on.get() {
+            return;
+        }
+        self.buffer.borrow_mut().push(TimedEvent { time, event });
+        if self.buffer.borrow().len() >= MAX_BUFFERED_EVENTS {
+            self.update(|_| {});
         }
     }
 
-    /// Tells the book something, if there is one, after all that was put aside.
-    pub fn book(&self, tell: impl FnOnce(&mut Book)) {
+    /// Changes the book, if there is one, after all that is buffered.
+    pub fn update(&self, change: impl FnOnce(&mut Book)) {
         if let Some(open) = self.open.borrow_mut().as_mut() {
-            self.catch_up(&mut open.book);
-            tell(&mut open.book);
+            self.flush_buffer(&mut open.book);
+            change(&mut open.book);
         }
     }
 
-    fn catch_up(&self, book: &mut Book) {
-        for (now, request_event) in self.aside.borrow_mut().drain(..) {
-            match request_event {
-                RequestEvent::Request(id, product) => book.request(id, product),
-                RequestEvent::Attempt(id, attempt, to) => book.attempt(now, id, attempt, to),
-                RequestEvent::Ended(which, at, ending, took, closed) => {
-                    book.ended(now, which, at, ending, took, closed)
+    fn flush_buffer(&self, book: &mut Book) {
+        for TimedEvent { time, event } in self.buffer.borrow_mut().drain(..) {
+            match event {
+                RequestEvent::Received { id, class } => book.request(id, class),
+                RequestEvent::AttemptSent { id, endpoint } => {
+                    book.attempt(time, id.request, id.number, endpoint);
+                }
+                RequestEvent::AttemptEnded {
+                    id,
+                    endpoint,
+                    outcome,
+                    took,
+                    closed,
+                } => {
+                    let id = (id.request, id.number);
+                    book.ended(time, id, endpoint, outcome, took, closed);
                 }
                 RequestEvent::Closed(id) => book.closed(id),
             }
         }
     }
 
-    /// When time alone is to be told.
+    /// When [`Recorder::advance`] has something to do.
     pub fn next(&self) -> Option<Duration> {
         self.open.borrow().as_ref().map(|open| open.book.next())
     }
 
-    /// Time has passed: departures go to the log, records to the store.
+    /// Takes note that time has passed: departures go to the log, records to the store.
     pub fn advance(&self, now: Duration) {
         let mut open = self.open.borrow_mut();
         let Some(open) = open.as_mut() else { return };
         if now >= open.book.next() {
-            self.catch_up(&mut open.book);
+            self.flush_buffer(&mut open.book);
         }
         open.book.advance(now);
         for (departure, begins) in open.book.said() {
-            if !begins {
+            if begins {
+                count(Count::Departures);
+                self.log_departure(&departure);
+            } else {
                 info!("timeline: departure {} has ended", departure.number);
-                continue;
             }
-            count(Count::Departures);
-            let whom = match departure.whom {
-                Whom::Node(node) => {
-                    let names = self.names.borrow();
-                    let name = names
-                        .iter()
-                        .find(|(id, _)| id.0 == node)
-                        .map(|(_, name)| name.as_str());
-                    format!("node {}", name.unwrap_or("?"))
-                }
-                Whom::Build(build) => format!("build {build}"),
-                Whom::Fleet => "the fleet".into(),
-            };
-            let (number, kind) = (departure.number, departure.kind);
-            let product = departure
-                .product
-                .and_then(|product| self.told.products.get(usize::from(product)));
-            let product = product
-                .map(|name| format!(" for {name}"))
-                .unwrap_or_default();
-            let (usual, seen) = (departure.usual, departure.seen);
-            info!(
-                "timeline: departure {number}: {whom}: {kind:?}{product}, {seen:.2} where {usual:.2} is usual"
-            );
-        }
-        if now >= open.next {
-            open.next = now + BATCH;
-            open.hand(now);
         }
+        open.store.hand_over_if_due(now, &mut open.book);
     }
 
-    /// All lines as one segment, in the store's own form.
-    fn whole(&self, now: Duration) -> Vec<u8> {
-        let mut records = self.beginning(now);
-        if let Some(open) = self.open.borrow().as_ref() {
-            records.extend(
-                open.book
-                    .own()
-                    .as_of(Duration::MAX)
-                    .cloned()
-                    .map(Record::Entry),
-            );
-            for node in open.book.nodes() {
-                let Some(line) = open.book.line(node) else {
-                    continue;
-                };
-                records.extend(line.as_of(Duration::MAX).cloned().map(Record::Entry));
-                let step = |(long, step): (Duration, Step)| {
-                    let latency = step.latency.octets().to_vec();
-                    let (from, counts) = (step.from, step.counts);
-                    Record::Step(StepRecord {
-                        node,
-                        from,
-                        long,
-                        build: 0,
-                        counts,
-                        latency,
-                    })
-                };
-                records.extend(line.steps.since(Duration::ZERO).into_iter().map(step));
-            }
-        }
-        let mut bytes = frames::head(now.as_secs()).to_vec();
-        records
-            .iter()
-            .for_each(|record| frames::put(&mut bytes, record));
-        bytes
+    fn log_departure(&self, departure: &Departure) {
+        let whom = match departure.whom {
+            Whom::Node(node) => format!("node {}", self.name_of(EndpointId(node))),
+            Whom::Build(build) => format!("build {build}"),
+            Whom::Fleet => "the fleet".into(),
+        };
+        let class = departure
+            .product
+            .and_then(|class| self.facts.class_names.get(usize::from(class)))
+            .map(|name| format!(" for {name}"))
+            .unwrap_or_default();
+        let (number, kind) = (departure.number, departure.kind);
+        let (baseline, seen) = (departure.usual, departure.seen);
+        info!(
+            "timeline: departure {number}: {whom}: {kind:?}{class}, {seen:.2} where {baseline:.2} is usual"
+        );
     }
 
-    /// Writes all lines where the file wants them, off the loop, by rename.
+    fn name_of(&self, id: EndpointId) -> String {
+        let names = self.names.borrow();
+        let known = names.iter().find(|known| known.id == id);
+        known.map_or_else(|| "?".to_owned(), |known| known.name.clone())
+    }
+
+    /// Writes all time lines to the file that the operator's file names, off the event loop.
     pub fn dump(&self, now: Duration) {
         let path: Option<PathBuf> = self
             .open
             .borrow()
             .as_ref()
-            .and_then(|open| open.set.dump.clone());
+            .and_then(|open| open.settings.dump.clone());
         let Some(path) = path else { return };
-        let bytes = self.whole(now);
-        replace("timeline:", path, bytes);
+        let open = self.open.borrow();
+        let book = open.as_ref().map(|open| &open.book);
+        let bytes = snapshot::segment(now, self.first_records(now), book);
+        replace_file("timeline:", path, bytes);
     }
 }
 
-/// Replaces a file by rename, off the loop, and says what became of it: a reader finds the old or the new one whole.
-pub fn replace(what: &'static str, path: PathBuf, bytes: Vec<u8>) {
-    std::thread::spawn(move || {
-        let new = path.with_extension("new");
-        match std::fs::write(&new, bytes).and_then(|()| std::fs::rename(&new, &path)) {
-            Ok(()) => info!("{what} written to {}", path.display()),
-            Err(fault) => info!("{what} not written to {}: {fault}", path.display()),
+impl EndpointName {
+    fn record(&self) -> Record {
+        Record::Name {
+            node: self.id.0,
+            name: self.name.clone(),
         }
-    });
+    }
 }
 
-impl Open {
-    fn hand(&mut self, now: Duration) {
-        let Some(pump) = &mut self.pump else { return };
-        let mut batch = std::mem::take(&mut self.behind);
-        batch.extend(self.book.records());
-        if batch.is_empty() {
-            return;
-        }
-        match pump.hand(now, batch) {
-            Handed::Taken => {}
-            Handed::Behind(mut batch) => {
-                // The finest detail goes first; what is left waits for the next time.
-                let all = batch.len();
-                if all > WAITING {
-                    batch.retain(|record| !matches!(record, Record::Step(_)));
-                    batch.truncate(WAITING);
-                    batch.push(Record::LeftOut {
-                        at: now,
-                        many: (all - batch.len()) as u64,
-                    });
-                }
-                self.behind = batch;
-            }
-            Handed::Over(why) => {
-                self.pump = None;
-                if let Some(why) = why {
-                    info!("timeline: nothing more is kept on disk: {why}");
-                }
-            }
-        }
+/// The names of the request classes, in their order.
+///
+/// # Errors
+/// A setting that is missing or cannot be read.
+pub(crate) fn class_names(settings: &Paths) -> Result<Vec<String>, SettingError> {
+    let classes: u8 = settings.num("profiles.count")?;
+    let mut names = Vec::new();
+    for class in 0..classes {
+        let name = settings.text(&format!("profiles.{class}.name"))?;
+        names.push(name.to_owned());
     }
+    Ok(names)
 }
--- /dev/null
+++ b/crates/agent/src/recorder/store.rs
@@ -0,0 +1,109 @@
+//! Hands the records of the time lines over to the thread that writes them to disk.
+//!
+//! Handing over never waits: records that the disk is too slow for wait here, up to a bound, from which the finest
+//! detail goes first. The first fault of the disk ends the writing for good.
+use std::time::Duration;
+
+use lilacgate_operator_config::Store;
+use lilacgate_store::pump::{Handed, Pump};
+use lilacgate_store::writer::{Bounds, Real, Writer};
+use lilacgate_timeline::book::Book;
+use lilacgate_timeline::entry::Record;
+
+use crate::log::info;
+use crate::recorder::MAX_WAITING_RECORDS;
+
+/// The time between two batches.
+const BATCH_INTERVAL: Duration = Duration::from_secs(1);
+
+/// The records that wait for the disk, and the way to the thread that writes them.
+pub(super) struct StoreQueue {
+    /// None if there is no store, or if writing has ended.
+    pump: Option<Pump>,
+    /// What is handed over first, the oldest first.
+    waiting: Vec<Record>,
+    /// When the next batch is handed over.
+    next_batch: Duration,
+}
+
+impl StoreQueue {
+    /// Opens a store, if there is one; a folder that cannot be used is logged, and nothing is kept on disk.
+    pub(super) fn open(now: Duration, store: Option<&Store>) -> Self {
+        StoreQueue {
+            pump: store.and_then(open_pump),
+            waiting: Vec::new(),
+            next_batch: now + BATCH_INTERVAL,
+        }
+    }
+
+    /// Whether records are written to disk.
+    pub(super) fn is_open(&self) -> bool {
+        self.pump.is_some()
+    }
+
+    /// Adds a record to the next batch.
+    pub(super) fn push(&mut self, record: Record) {
+        self.waiting.push(record);
+    }
+
+    /// Adds records to the next batch.
+    pub(super) fn push_all(&mut self, records: Vec<Record>) {
+        self.waiting.extend(records);
+    }
+
+    /// Hands over what waits and what the book has for the store, once a batch is due.
+    pub(super) fn hand_over_if_due(&mut self, now: Duration, book: &mut Book) {
+        if now < self.next_batch {
+            return;
+        }
+        self.next_batch = now + BATCH_INTERVAL;
+        let Some(pump) = &mut self.pump else { return };
+        let mut batch = std::mem::take(&mut self.waiting);
+        batch.extend(book.records());
+        if batch.is_empty() {
+            return;
+        }
+        match pump.hand(now, batch) {
+            Handed::Taken => {}
+            Handed::Behind(batch) => self.waiting = shortened(now, batch),
+            Handed::Over(cause) => {
+                self.pump = None;
+                if let Some(cause) = cause {
+                    info!("timeline: nothing more is kept on disk: {cause}");
+                }
+            }
+        }
+    }
+}
+
+fn open_pump(store: &Store) -> Option<Pump> {
+    let bounds = Bounds {
+        bytes: store.keep,
+        age: store.age,
+    };
+    match Writer::new(&store.folder, bounds, Box::new(Real)) {
+        Ok(writer) => Some(Pump::new(writer)),
+        Err(error) => {
+            info!(
+                "timeline: nothing is kept on disk: {}: {error}",
+                store.folder.display()
+            );
+            None
+        }
+    }
+}
+
+/// A batch that came back, cut to the bound: the finest detail goes first, and one record says how many were left out.
+fn shortened(now: Duration, mut batch: Vec<Record>) -> Vec<Record> {
+    let before = batch.len();
+    if before <= MAX_WAITING_RECORDS {
+        return batch;
+    }
+    batch.retain(|record| !matches!(record, Record::Step(_)));
+    batch.truncate(MAX_WAITING_RECORDS);
+    batch.push(Record::LeftOut {
+        at: now,
+        many: (before - batch.len()) as u64,
+    });
+    batch
+}
--- a/crates/agent/src/release_gate.rs
+++ b/crates/agent/src/release_gate.rs
@@ -1,7 +1,10 @@
-//! Owns the gate beside the module: what it goes by, and the way of everything that is heard through it to the module,
-//! so that what narrows the module is always as new as what it is told; the recorder hears it by the way. It must never open anything by itself, nor do
-//! I/O.
+//! Owns the release gate beside the decision engine, and routes every event past it and the recorder to the engine.
+//!
+//! The gate narrows what the engine may do by the operator's rules; it never permits anything by itself. What it
+//! permits is passed on in the same round as the event that changed it, so the engine never decides by outdated
+//! permissions. Nothing here does input or output.
 use std::collections::BTreeMap;
+use std::fmt;
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -12,24 +15,56 @@
 };
 use lilacgate_operator_config::Releases;
 use lilacgate_releases::facts::Told;
-use lilacgate_releases::gate::{Gate, What};
+use lilacgate_releases::gate::{Event, Gate, What};
 use lilacgate_releases::model::ServiceId;
 
 use crate::log::{Count, count, info};
+use crate::outbound::AttemptId;
 use crate::recorder::{Recorder, RequestEvent};
 
-/// The gate and what it goes by, beside the module. Without an operator's file there is none, and nothing is narrowed.
+/// What an operator's file says of releases, and the tenant whose requests this agent routes.
+#[derive(Clone)]
+pub struct ReleaseRules {
+    /// The rules, and the services that they depend on.
+    pub releases: Releases,
+    /// The tenant whose requests this agent routes.
+    pub tenant: Tenant,
+}
+
+impl fmt::Debug for ReleaseRules {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter
+            .debug_struct("ReleaseRules")
+            .field("tenant", &self.tenant)
+            .finish_non_exhaustive()
+    }
+}
+
+/// The gate and what it goes by. Without an operator's file there is no gate, and nothing is narrowed.
 #[derive(Default)]
 pub struct ReleaseGateHost {
     gate: Option<Gate>,
-    handed: Option<Arc<ReleasePermissions>>,
-    /// The builds of the listed appliances.
-    listed: BTreeMap<EndpointId, Build>,
-    own: Option<Told>,
-    next: Option<Duration>,
+    /// The permissions that the engine has now.
+    permissions: Option<Arc<ReleasePermissions>>,
+    /// The builds of the listed endpoints.
+    builds: BTreeMap<EndpointId, Build>,
+    /// Where the newest build of the own service stands.
+    own_status: Option<Told>,
+    next_change: Option<Duration>,
+}
+
+impl fmt::Debug for ReleaseGateHost {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter
+            .debug_struct("ReleaseGateHost")
+            .field("has_gate", &self.gate.is_some())
+            .field("next_change", &self.next_change)
+            .finish_non_exhaustive()
+    }
 }
 
 impl ReleaseGateHost {
+    /// A host for this gate.
     pub fn new(gate: Option<Gate>) -> Self {
         ReleaseGateHost {
             gate,
@@ -39,210 +74,242 @@
 
     /// When something changes by time alone.
     pub fn next(&self) -> Option<Duration> {
-        self.next
+        self.next_change
     }
 }
 
-/// What the module's owner hears with: the module itself, and the gate on its way.
+/// Passes the events of one round to the recorder, the gate and the decision engine.
 pub struct EventRouter<'a> {
-    pub module: &'a mut dyn EventHandler,
+    /// The decision engine, or what stands in for it.
+    pub engine: &'a mut dyn EventHandler,
+    /// The gate beside it.
     pub gate_host: &'a mut ReleaseGateHost,
+    /// Takes what belongs in the time lines.
     pub recorder: &'a Recorder,
+    /// The time of the round.
     pub now: Duration,
 }
 
+impl fmt::Debug for EventRouter<'_> {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter
+            .debug_struct("EventRouter")
+            .field("gate_host", &self.gate_host)
+            .field("now", &self.now)
+            .finish_non_exhaustive()
+    }
+}
+
 impl EventRouter<'_> {
-    /// Lets the gate hear something, and passes on what has changed by it.
-    fn gate(&mut self, hear: impl FnOnce(&mut Gate, Duration)) {
+    /// Changes the gate, if there is one, and passes on what follows from it.
+    fn update_gate(&mut self, change: impl FnOnce(&mut Gate, Duration)) {
         let Some(gate) = &mut self.gate_host.gate else {
             return;
         };
-        hear(gate, self.now);
-        self.gate_host.next = gate.next_change();
+        change(gate, self.now);
+        self.gate_host.next_change = gate.next_change();
         let (events, left_out) = gate.events();
         if left_out > 0 {
             info!("releases: {left_out} changes left out");
         }
-        for event in events {
-            let build = event.build;
-            match event.what {
-                What::Opened(many) => info!("releases: build {build} open to {many} more"),
-                What::Closed(many, why) => info!("releases: build {build} closed to {many}: {why}"),
-                What::MayStep(stage) => {
-                    info!("releases: build {build} may go on from stage {stage}")
-                }
-                What::Stays(why) => info!("releases: build {build} stays: {why}"),
-            }
-        }
-        let open = gate.openings();
-        if self
-            .gate_host
-            .handed
-            .as_ref()
-            .is_none_or(|handed| !Arc::ptr_eq(handed, &open))
-        {
-            count(Count::Openings);
-            self.gate_host.handed = Some(open.clone());
-            self.module.on_release_permissions(Some(open));
+        events.iter().for_each(log_gate_event);
+        let permissions = gate.openings();
+        let unchanged = |known: &Arc<ReleasePermissions>| Arc::ptr_eq(known, &permissions);
+        if !self.gate_host.permissions.as_ref().is_some_and(unchanged) {
+            count(Count::PermissionChanges);
+            self.gate_host.permissions = Some(permissions.clone());
+            self.engine.on_release_permissions(Some(permissions));
         }
     }
 
-    /// Time has passed.
+    /// Takes note that time has passed.
     pub fn advance(&mut self) {
-        if self.gate_host.next.is_some_and(|next| next <= self.now) {
-            self.gate(Gate::advance);
+        if self.gate_host.next().is_some_and(|next| next <= self.now) {
+            self.update_gate(Gate::advance);
         }
     }
 
-    /// News of another service.
-    pub fn service(&mut self, service: ServiceId, told: Told) {
-        count(Count::ServiceNews);
-        self.gate(|gate, now| gate.hear(now, service, told));
+    /// The newest build of another service stands so.
+    pub fn on_service_status(&mut self, service: ServiceId, status: Told) {
+        count(Count::DependencyUpdates);
+        self.update_gate(|gate, now| gate.hear(now, service, status));
     }
 
-    pub fn service_lives(&mut self, service: ServiceId) {
-        self.gate(|gate, now| gate.alive(now, service));
+    /// The release control plane of another service has sent a heartbeat.
+    pub fn on_service_heartbeat(&mut self, service: ServiceId) {
+        self.update_gate(|gate, now| gate.alive(now, service));
     }
 
-    /// Takes a file's rules, or none any more.
-    pub fn order(&mut self, releases: Option<(Releases, Tenant)>) {
-        let Some((Releases { rules, .. }, me)) = releases else {
-            let had = self.gate_host.gate.take().is_some();
-            (self.gate_host.handed, self.gate_host.next) = (None, None);
-            if had {
-                self.module.on_release_permissions(None);
-            }
-            return;
+    /// Takes over the rules of an operator's file that was read again; without any, the gate goes.
+    pub fn apply_rules(&mut self, rules: Option<ReleaseRules>) {
+        let Some(ReleaseRules { releases, tenant }) = rules else {
+            return self.remove_gate();
         };
-        // The reader has refused circles of needs.
+        let rules = releases.rules;
         if self.gate_host.gate.is_some() {
-            self.gate(|gate, now| drop(gate.replace(now, rules, Some(me))));
-        } else {
-            self.gate_host.gate = Gate::new(rules, Some(me), self.now).ok();
-            let (own, listed) = (self.gate_host.own, self.gate_host.listed.clone());
-            self.gate(|gate, now| {
-                let service = gate.rules().own;
-                own.into_iter()
-                    .for_each(|told| gate.hear(now, service, told));
-                gate.list(now, listed.into_values());
-            });
+            // The reader has refused rules that cannot be used.
+            self.update_gate(|gate, now| drop(gate.replace(now, rules, Some(tenant))));
+            return;
+        }
+        self.gate_host.gate = Gate::new(rules, Some(tenant), self.now).ok();
+        let own_status = self.gate_host.own_status;
+        let builds = self.gate_host.builds.clone();
+        self.update_gate(|gate, now| {
+            let own = gate.rules().own;
+            if let Some(status) = own_status {
+                gate.hear(now, own, status);
+            }
+            gate.list(now, builds.into_values());
+        });
+    }
+
+    fn remove_gate(&mut self) {
+        let had_gate = self.gate_host.gate.take().is_some();
+        self.gate_host.permissions = None;
+        self.gate_host.next_change = None;
+        if had_gate {
+            self.engine.on_release_permissions(None);
         }
     }
 
     /// The gate's state as JSON, if there is a gate.
-    pub fn state(&self, agent: &str) -> Option<String> {
-        serde_json::to_string(&self.gate_host.gate.as_ref()?.state(agent, Vec::new())).ok()
+    pub fn gate_state(&self, agent: &str) -> Option<String> {
+        let gate = self.gate_host.gate.as_ref()?;
+        serde_json::to_string(&gate.state(agent, Vec::new())).ok()
     }
-}
 
-impl EventHandler for EventRouter<'_> {
-    fn on_endpoints(&mut self, listing: ListUpdate, lines: &mut dyn Iterator<Item = Endpoint>) {
-        let lines: Vec<Endpoint> = lines.collect();
-        if matches!(listing, ListUpdate::Full | ListUpdate::Cached) {
-            self.gate_host.listed.clear();
+    /// Keeps the builds of the listed endpoints up to date.
+    fn track_builds(&mut self, update: ListUpdate, endpoints: &[Endpoint]) {
+        let builds = &mut self.gate_host.builds;
+        if matches!(update, ListUpdate::Full | ListUpdate::Cached) {
+            builds.clear();
         }
-        for line in &lines {
-            match line.status {
-                EndpointStatus::Removed => drop(self.gate_host.listed.remove(&line.id)),
-                _ => drop(self.gate_host.listed.insert(line.id, line.build)),
-            }
+        for endpoint in endpoints {
+            match endpoint.status {
+                EndpointStatus::Removed => builds.remove(&endpoint.id),
+                _ => builds.insert(endpoint.id, endpoint.build),
+            };
         }
+    }
+}
+
+fn log_gate_event(event: &Event) {
+    let build = event.build;
+    match &event.what {
+        What::Opened(many) => info!("releases: build {build} open to {many} more"),
+        What::Closed(many, why) => info!("releases: build {build} closed to {many}: {why}"),
+        What::MayStep(stage) => info!("releases: build {build} may go on from stage {stage}"),
+        What::Stays(why) => info!("releases: build {build} stays: {why}"),
+    }
+}
+
+impl EventHandler for EventRouter<'_> {
+    fn on_endpoints(&mut self, update: ListUpdate, endpoints: &mut dyn Iterator<Item = Endpoint>) {
+        let endpoints: Vec<Endpoint> = endpoints.collect();
+        self.track_builds(update, &endpoints);
         self.recorder
-            .book(|book| book.membership(self.now, listing, &lines));
-        let builds: Vec<Build> = self.gate_host.listed.values().copied().collect();
-        self.gate(|gate, now| gate.list(now, builds.into_iter()));
-        self.module.on_endpoints(listing, &mut lines.into_iter());
+            .update(|book| book.membership(self.now, update, &endpoints));
+        let builds: Vec<Build> = self.gate_host.builds.values().copied().collect();
+        self.update_gate(|gate, now| gate.list(now, builds.into_iter()));
+        self.engine.on_endpoints(update, &mut endpoints.into_iter());
     }
 
     fn on_release_status(
         &mut self,
         build: Build,
         stage: Stage,
-        course: ReleasePhase,
+        phase: ReleasePhase,
         cap: f64,
         age: Duration,
     ) {
-        let told = Told {
+        let status = Told {
             build,
             stage,
-            course,
+            course: phase,
             since: self.now.saturating_sub(age),
         };
-        self.gate_host.own = Some(told);
+        self.gate_host.own_status = Some(status);
         self.recorder
-            .book(|book| book.stage(self.now, build, stage, course, age));
-        self.gate(|gate, now| gate.hear(now, gate.rules().own, told));
-        self.module
-            .on_release_status(build, stage, course, cap, age);
+            .update(|book| book.stage(self.now, build, stage, phase, age));
+        self.update_gate(|gate, now| gate.hear(now, gate.rules().own, status));
+        self.engine.on_release_status(build, stage, phase, cap, age);
     }
 
     fn on_request(&mut self, id: RequestId, request: Request) {
+        let class = request.class;
         self.recorder
-            .put(self.now, RequestEvent::Request(id, request.class));
-        self.module.on_request(id, request);
+            .record(self.now, RequestEvent::Received { id, class });
+        self.engine.on_request(id, request);
     }
 
     fn on_attempt_ended(
         &mut self,
         id: RequestId,
         attempt: AttemptNumber,
-        at: EndpointId,
-        ending: Outcome,
+        endpoint: EndpointId,
+        outcome: Outcome,
         took: Duration,
         closed: bool,
     ) {
-        self.recorder.put(
-            self.now,
-            RequestEvent::Ended((id, attempt), at, ending, took, closed),
-        );
-        self.module
-            .on_attempt_ended(id, attempt, at, ending, took, closed);
+        let event = RequestEvent::AttemptEnded {
+            id: AttemptId {
+                request: id,
+                number: attempt,
+            },
+            endpoint,
+            outcome,
+            took,
+            closed,
+        };
+        self.recorder.record(self.now, event);
+        self.engine
+            .on_attempt_ended(id, attempt, endpoint, outcome, took, closed);
     }
 
     fn on_response_started(
         &mut self,
         id: RequestId,
         attempt: AttemptNumber,
-        at: EndpointId,
+        endpoint: EndpointId,
         took: Duration,
     ) {
-        self.module.on_response_started(id, attempt, at, took);
+        self.engine.on_response_started(id, attempt, endpoint, took);
     }
 
     fn on_client_left(&mut self, id: RequestId) {
-        self.recorder.put(self.now, RequestEvent::Closed(id));
-        self.module.on_client_left(id);
+        self.recorder.record(self.now, RequestEvent::Closed(id));
+        self.engine.on_client_left(id);
     }
 
     fn may_send(&mut self, id: RequestId, attempt: AttemptNumber) -> bool {
-        self.module.may_send(id, attempt)
+        self.engine.may_send(id, attempt)
     }
 
-    fn on_load_report(&mut self, at: EndpointId, gauges: &[f32]) {
-        self.module.on_load_report(at, gauges);
+    fn on_load_report(&mut self, endpoint: EndpointId, values: &[f32]) {
+        self.engine.on_load_report(endpoint, values);
     }
 
-    fn on_health_check(&mut self, at: EndpointId, ending: Outcome, took: Duration) {
-        self.module.on_health_check(at, ending, took);
+    fn on_health_check(&mut self, endpoint: EndpointId, outcome: Outcome, took: Duration) {
+        self.engine.on_health_check(endpoint, outcome, took);
     }
 
-    fn on_peer_message(&mut self, from: AgentId, octets: &[u8]) {
-        self.module.on_peer_message(from, octets);
+    fn on_peer_message(&mut self, from: AgentId, payload: &[u8]) {
+        self.engine.on_peer_message(from, payload);
     }
 
-    fn on_vote_answered(&mut self, ending: Outcome) {
-        self.module.on_vote_answered(ending);
+    fn on_vote_answered(&mut self, outcome: Outcome) {
+        self.engine.on_vote_answered(outcome);
     }
 
-    fn on_wrong_answer(&mut self, at: EndpointId, product: RequestClass, sent_ago: Duration) {
-        self.module.on_wrong_answer(at, product, sent_ago);
+    fn on_wrong_answer(&mut self, endpoint: EndpointId, class: RequestClass, sent_ago: Duration) {
+        self.engine.on_wrong_answer(endpoint, class, sent_ago);
     }
 
-    fn on_shutdown(&mut self, last: Duration) {
-        self.module.on_shutdown(last);
+    fn on_shutdown(&mut self, deadline: Duration) {
+        self.engine.on_shutdown(deadline);
     }
 
-    fn on_wake_up(&mut self, ticket: TimerId) {
-        self.module.on_wake_up(ticket);
+    fn on_wake_up(&mut self, timer: TimerId) {
+        self.engine.on_wake_up(timer);
     }
 }
--- a/crates/agent/src/release_watch.rs
+++ b/crates/agent/src/release_watch.rs
@@ -1,8 +1,10 @@
-//! Owns listening to a release desk: its news and signs of life on one connection, as JSON-RPC lines, with back-off.
-//! The platform's own front listens through it, and so do the desks of other services. It must never hear half a
-//! line, nor let one desk's noise cost more than its own connection.
+//! Owns one connection to a release control plane: its updates and heartbeats, as JSON-RPC lines, with back-off.
+//!
+//! The agent's own platform is watched through it, and so are the release control planes of other services. A line is
+//! handled whole or not at all; its length and the number of messages a second are bounded.
 use std::cell::Cell;
 use std::convert::Infallible;
+use std::fmt;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -10,161 +12,210 @@
 use futures_lite::{FutureExt, StreamExt, pin};
 use lilacgate_decision::{Build, ReleasePhase, Stage};
 
-use crate::json::{self, Json};
-use crate::log::{End, info};
+use crate::json::{Json, JsonParser};
+use crate::log::{ConnectionEnd, info};
 use crate::ring::{Intake, Place, Ring, connect, items, within};
 
-/// A line as long as this ends the connection.
-pub const LINE: usize = 8 << 10;
-/// A desk gives a sign of life this often.
-const PING: Duration = Duration::from_secs(1);
+/// The longest line, in bytes; a longer one ends the connection.
+pub const MAX_LINE_BYTES: usize = 8 << 10;
+/// A release control plane sends a heartbeat this often.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
+/// A connection on which nothing arrives for so long is given up.
+const HEARTBEAT_TIMEOUT: Duration = HEARTBEAT_INTERVAL.saturating_mul(3);
+/// The pause before the next connection, at first and at most.
+const MIN_PAUSE: Duration = HEARTBEAT_INTERVAL.checked_div(20).unwrap();
+const MAX_PAUSE: Duration = HEARTBEAT_INTERVAL;
+/// The time over which messages are counted.
+const LIMIT_WINDOW: Duration = HEARTBEAT_INTERVAL;
 
-/// News of the newest build.
-#[derive(Clone, Copy)]
+/// Where the newest build of a service stands.
+#[derive(Clone, Copy, Debug)]
 pub struct ReleaseUpdate {
+    /// The build.
     pub build: Build,
+    /// Its stage.
     pub stage: Stage,
-    pub course: ReleasePhase,
+    /// Its phase.
+    pub phase: ReleasePhase,
     /// The share of requests that may go to it.
     pub cap: f64,
-    /// How long ago it came to stand so.
+    /// How long it has stood so.
     pub age: Duration,
 }
 
-/// News, if all their fields can be read.
-pub fn news(state: &Json) -> Option<ReleaseUpdate> {
-    let small = |name| state.get(name).and_then(Json::whole);
-    let build = Build(u16::try_from(small("Revision")?).ok()?);
-    let stage = Stage(u8::try_from(small("Wave")?).ok()?);
-    let course = match state.get("State")?.text()? {
-        "Progressing" => ReleasePhase::Canary,
-        "Aborting" => ReleasePhase::RollingBack,
-        "Healthy" => ReleasePhase::Released,
-        "Aborted" => ReleasePhase::Withdrawn,
-        _ => return None,
-    };
-    let cap = state.get("MaxShare")?.figure().filter(|cap| *cap >= 0.0)?;
-    let age = state
-        .get("AgeMs")?
-        .figure()
-        .filter(|ms| (0.0..1e15).contains(ms))?;
-    Some(ReleaseUpdate {
-        build,
-        stage,
-        course,
-        cap,
-        age: Duration::from_secs_f64(age / 1e3),
-    })
+impl ReleaseUpdate {
+    /// Reads an update; none unless all its fields can be read.
+    pub fn from_json(state: &Json) -> Option<ReleaseUpdate> {
+        let number = |field| state.get(field).and_then(Json::as_u64);
+        let build = Build(u16::try_from(number("Revision")?).ok()?);
+        let stage = Stage(u8::try_from(number("Wave")?).ok()?);
+        let phase = match state.get("State")?.as_str()? {
+            "Progressing" => ReleasePhase::Canary,
+            "Aborting" => ReleasePhase::RollingBack,
+            "Healthy" => ReleasePhase::Released,
+            "Aborted" => ReleasePhase::Withdrawn,
+            _ => return None,
+        };
+        let cap = state.get("MaxShare")?.as_f64()?;
+        let age_ms = state.get("AgeMs")?.as_f64()?;
+        if cap < 0.0 || !(0.0..1e15).contains(&age_ms) {
+            return None;
+        }
+        Some(ReleaseUpdate {
+            build,
+            stage,
+            phase,
+            cap,
+            age: Duration::from_secs_f64(age_ms / 1e3),
+        })
+    }
 }
 
-/// A call as a line.
-pub fn call(id: u64, method: &str, params: &str) -> Ring {
-    let mut ring = Ring::new(LINE);
+/// A JSON-RPC request as a line. `params` is empty, or a further field behind a comma.
+pub(crate) fn encode_request(id: u64, method: &str, params: &str) -> Ring {
+    let mut ring = Ring::new(MAX_LINE_BYTES);
     ring.put(
         format!("{{\"jsonrpc\":\"2.0\",\"id\":{id},\"method\":\"{method}\"{params}}}\n").as_bytes(),
     );
     ring
 }
 
-/// Who is told what a desk says.
+/// Receives what a release control plane sends.
 pub trait ReleaseWatchListener {
-    fn news(&self, news: ReleaseUpdate);
-    /// A sign of life.
-    fn lives(&self) {}
+    /// The newest build stands so.
+    fn on_release_update(&self, update: ReleaseUpdate);
+
+    /// A heartbeat has come.
+    fn on_heartbeat(&self) {}
 }
 
-/// How much a desk may say.
-#[derive(Clone, Copy)]
-pub enum Bound {
-    None,
-    ASecond(u32),
+/// How many messages a release control plane may send.
+#[derive(Clone, Copy, Debug)]
+pub enum MessageLimit {
+    /// Any number.
+    Unlimited,
+    /// So many in a second; more of them end the connection.
+    PerSecond(u32),
 }
 
+/// A watch on a release control plane.
 pub struct ReleaseWatch {
+    /// What log lines call it.
     name: String,
+    /// Where it listens.
     pub place: Place,
-    connect_within: Duration,
-    bound: Bound,
-    router: Rc<dyn ReleaseWatchListener>,
+    connect_timeout: Duration,
+    limit: MessageLimit,
+    listener: Rc<dyn ReleaseWatchListener>,
+}
+
+impl fmt::Debug for ReleaseWatch {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter
+            .debug_struct("ReleaseWatch")
+            .field("name", &self.name)
+            .field("address", &self.place.at())
+            .finish_non_exhaustive()
+    }
 }
 
 impl ReleaseWatch {
+    /// A watch on the release control plane that listens at `address`.
     pub fn new(
         name: String,
-        at: SocketAddr,
-        connect_within: Duration,
-        bound: Bound,
-        router: Rc<dyn ReleaseWatchListener>,
+        address: SocketAddr,
+        connect_timeout: Duration,
+        limit: MessageLimit,
+        listener: Rc<dyn ReleaseWatchListener>,
     ) -> Rc<Self> {
         Rc::new(ReleaseWatch {
             name,
-            place: Place::new(at),
-            connect_within,
-            bound,
-            router,
+            place: Place::new(address),
+            connect_timeout,
+            limit,
+            listener,
         })
     }
 
-    /// Listens for as long as the agent runs.
+    /// Watches for as long as the agent runs.
     pub async fn run(self: Rc<Self>) {
-        let mut pause = PING / 20;
+        let mut pause = MIN_PAUSE;
         loop {
-            let heard = Cell::new(false);
-            let at = self.place.at();
-            let Err(end) = self.listen(at, &heard).or(self.place.moved()).await;
-            info!("{} {at} ended: {end}", self.name);
-            // One that only makes noise is not asked again at once.
-            let fine = heard.get() && !matches!(end, End::Malformed | End::TooLong | End::Flood);
-            pause = if fine || end == End::Moved {
-                PING / 20
-            } else {
-                (pause * 2).min(PING)
-            };
-            if end != End::Moved {
+            let has_received = Cell::new(false);
+            let address = self.place.at();
+            let watch = self.watch_once(address, &has_received);
+            let Err(end) = watch.or(self.place.moved()).await;
+            info!("{} {address} ended: {end}", self.name);
+            pause = next_pause(pause, end, has_received.get());
+            if end != ConnectionEnd::Moved {
                 within(pause, self.place.moved::<()>()).await.ok();
             }
         }
     }
 
-    async fn listen(&self, at: SocketAddr, heard: &Cell<bool>) -> Result<Infallible, End> {
-        let stream = Rc::new(connect(at, self.connect_within).await?);
-        let mut ask = call(1, "listen", "");
-        within(self.connect_within, ask.flush(&stream)).await?;
-        let told = items(
+    /// One connection, up to its end.
+    async fn watch_once(
+        &self,
+        address: SocketAddr,
+        has_received: &Cell<bool>,
+    ) -> Result<Infallible, ConnectionEnd> {
+        let stream = Rc::new(connect(address, self.connect_timeout).await?);
+        let mut request = encode_request(1, "listen", "");
+        within(self.connect_timeout, request.flush(&stream)).await?;
+        let parser = JsonParser::lines(MAX_LINE_BYTES);
+        let messages = items(
             stream,
-            Intake::new(json::Values::lines(LINE), LINE, PING * 3),
+            Intake::new(parser, MAX_LINE_BYTES, HEARTBEAT_TIMEOUT),
         );
-        pin!(told);
-        let (mut second, mut said) = (Instant::now(), 0);
+        pin!(messages);
+        let mut window_began = Instant::now();
+        let mut messages_in_window = 0;
         loop {
-            let next = async { told.next().await.unwrap_or(Err(End::Closed)) };
-            let (_, message) = within(PING * 3, next).await?;
-            if second.elapsed() >= PING {
-                (second, said) = (Instant::now(), 0);
+            let next = async { messages.next().await.unwrap_or(Err(ConnectionEnd::Closed)) };
+            let (_, message) = within(HEARTBEAT_TIMEOUT, next).await?;
+            if window_began.elapsed() >= LIMIT_WINDOW {
+                window_began = Instant::now();
+                messages_in_window = 0;
             }
-            said += 1;
-            if matches!(self.bound, Bound::ASecond(most) if said > most) {
-                return Err(End::Flood);
+            messages_in_window += 1;
+            if matches!(self.limit, MessageLimit::PerSecond(most) if messages_in_window > most) {
+                return Err(ConnectionEnd::Flood);
             }
-            let fine = match (
-                message.get("method").and_then(Json::text),
-                message.get("params"),
-            ) {
-                (Some("ROLLOUT"), Some(state)) => {
-                    news(state).map(|news| self.router.news(news)).is_some()
-                }
-                (Some("ping"), _) => {
-                    self.router.lives();
-                    true
-                }
-                (None, _) => message.get("result") == Some(&Json::Truth(true)),
-                _ => false,
-            };
-            // What was told there is lost; a new connection begins with the state as it is.
-            if !fine {
-                return Err(End::Malformed);
+            // What cannot be read is lost; a new connection begins with the present state.
+            self.handle(&message).ok_or(ConnectionEnd::Malformed)?;
+            has_received.set(true);
+        }
+    }
+
+    /// Handles a message; none if it cannot be read.
+    fn handle(&self, message: &Json) -> Option<()> {
+        let method = message.get("method").and_then(Json::as_str);
+        match (method, message.get("params")) {
+            (Some("ROLLOUT"), Some(state)) => {
+                let update = ReleaseUpdate::from_json(state)?;
+                self.listener.on_release_update(update);
+                Some(())
             }
-            heard.set(true);
+            (Some("ping"), _) => {
+                self.listener.on_heartbeat();
+                Some(())
+            }
+            // The response to the request to listen.
+            (None, _) if message.get("result") == Some(&Json::Bool(true)) => Some(()),
+            _ => None,
         }
     }
 }
+
+/// The pause after a connection has ended. One that sends only what cannot be used is not asked again at once.
+fn next_pause(pause: Duration, end: ConnectionEnd, has_received: bool) -> Duration {
+    let is_misbehaving = matches!(
+        end,
+        ConnectionEnd::Malformed | ConnectionEnd::TooLong | ConnectionEnd::Flood
+    );
+    if end == ConnectionEnd::Moved || has_received && !is_misbehaving {
+        MIN_PAUSE
+    } else {
+        (pause * 2).min(MAX_PAUSE)
+    }
+}
--- a/crates/agent/src/resp.rs
+++ b/crates/agent/src/resp.rs
@@ -1,6 +1,6 @@
 //! Owns the reading and writing of RESP2, as its bytes come. It knows no command; it must never hold more than its
 //! bound, nor take a length on trust.
-use crate::log::End;
+use crate::log::ConnectionEnd;
 use crate::ring::Parse;
 
 /// The protocol's largest value.
@@ -48,16 +48,16 @@
 }
 
 impl Values {
-    fn line(&mut self) -> Result<Option<Resp>, End> {
+    fn line(&mut self) -> Result<Option<Resp>, ConnectionEnd> {
         let line = std::mem::take(&mut self.held);
-        let line = line.strip_suffix(b"\r\n").ok_or(End::Malformed)?;
-        let (&kind, rest) = line.split_first().ok_or(End::Malformed)?;
+        let line = line.strip_suffix(b"\r\n").ok_or(ConnectionEnd::Malformed)?;
+        let (&kind, rest) = line.split_first().ok_or(ConnectionEnd::Malformed)?;
         let number = || {
             let text = std::str::from_utf8(rest)
                 .ok()
                 .filter(|text| !text.starts_with('+'));
             text.and_then(|text| text.parse::<i64>().ok())
-                .ok_or(End::Malformed)
+                .ok_or(ConnectionEnd::Malformed)
         };
         Ok(Some(match kind {
             b'+' => Resp::Simple(rest.to_vec()),
@@ -69,8 +69,8 @@
                     self.state = State::Bulk(len as usize + 2);
                     return Ok(None);
                 }
-                0.. => return Err(End::TooLong),
-                _ => return Err(End::Malformed),
+                0.. => return Err(ConnectionEnd::TooLong),
+                _ => return Err(ConnectionEnd::Malformed),
             },
             b'*' => match number()? {
                 -1 => Resp::Array(None),
@@ -79,10 +79,10 @@
                     self.open.push((len as usize, vec![]));
                     return Ok(None);
                 }
-                1.. => return Err(End::TooLong),
-                _ => return Err(End::Malformed),
+                1.. => return Err(ConnectionEnd::TooLong),
+                _ => return Err(ConnectionEnd::Malformed),
             },
-            _ => return Err(End::Malformed),
+            _ => return Err(ConnectionEnd::Malformed),
         }))
     }
 
@@ -108,7 +108,7 @@
         self.seen == 0
     }
 
-    fn take(&mut self, bytes: &[u8]) -> Result<(usize, Option<Resp>), End> {
+    fn take(&mut self, bytes: &[u8]) -> Result<(usize, Option<Resp>), ConnectionEnd> {
         let mut at = 0;
         while at < bytes.len() {
             let rest = &bytes[at..];
@@ -121,7 +121,7 @@
             };
             self.seen += many;
             if self.seen > MESSAGE {
-                return Err(End::TooLong);
+                return Err(ConnectionEnd::TooLong);
             }
             self.held.extend_from_slice(&rest[..many]);
             at += many;
@@ -136,7 +136,7 @@
                     self.state = State::Line;
                     let mut value = std::mem::take(&mut self.held);
                     if !value.ends_with(b"\r\n") {
-                        return Err(End::Malformed);
+                        return Err(ConnectionEnd::Malformed);
                     }
                     value.truncate(value.len() - 2);
                     Some(Resp::Bulk(Some(value)))
@@ -161,27 +161,27 @@
         self.0.is_between()
     }
 
-    fn take(&mut self, bytes: &[u8]) -> Result<(usize, Option<Self::Item>), End> {
+    fn take(&mut self, bytes: &[u8]) -> Result<(usize, Option<Self::Item>), ConnectionEnd> {
         if self.0.seen == 0 && bytes.first().is_some_and(|&b| b != b'*') {
-            return Err(End::Malformed);
+            return Err(ConnectionEnd::Malformed);
         }
         let (taken, value) = self.0.take(bytes)?;
         let Some(value) = value else {
             return Ok((taken, None));
         };
         let Resp::Array(Some(items)) = value else {
-            return Err(End::Malformed);
+            return Err(ConnectionEnd::Malformed);
         };
         let item = |item| {
             if let Resp::Bulk(Some(text)) = item {
                 Ok(text)
             } else {
-                Err(End::Malformed)
+                Err(ConnectionEnd::Malformed)
             }
         };
         let command = items.into_iter().map(item).collect::<Result<Vec<_>, _>>()?;
         if command.is_empty() {
-            Err(End::Malformed)
+            Err(ConnectionEnd::Malformed)
         } else {
             Ok((taken, Some(command)))
         }
--- a/crates/agent/src/ring.rs
+++ b/crates/agent/src/ring.rs
@@ -13,7 +13,7 @@
 use futures_lite::stream::{self, Stream};
 use futures_lite::{FutureExt, pin};
 
-use crate::log::End;
+use crate::log::ConnectionEnd;
 
 /// What a ring starts with, and what it may keep while nothing is in it.
 const SMALL: usize = 1 << 10;
@@ -22,7 +22,7 @@
 pub trait Parse {
     type Item;
     /// Takes bytes from the front, up to the end of one item at most; returns how many it took.
-    fn take(&mut self, bytes: &[u8]) -> Result<(usize, Option<Self::Item>), End>;
+    fn take(&mut self, bytes: &[u8]) -> Result<(usize, Option<Self::Item>), ConnectionEnd>;
     /// Whether nothing of a next item has come.
     fn is_between(&self) -> bool;
 }
@@ -83,15 +83,15 @@
     }
 
     /// Writes all that is in it.
-    pub async fn flush(&mut self, to: &Async<TcpStream>) -> Result<(), End> {
+    pub async fn flush(&mut self, to: &Async<TcpStream>) -> Result<(), ConnectionEnd> {
         while !self.bytes.is_empty() {
             if to
                 .write_with(|to| self.drain(to))
                 .await
-                .map_err(End::from)?
+                .map_err(ConnectionEnd::from)?
                 == 0
             {
-                return Err(End::Reset);
+                return Err(ConnectionEnd::Reset);
             }
         }
         self.rest();
@@ -138,14 +138,17 @@
     }
 
     /// The next item; nothing at the end of the stream.
-    pub async fn next(&mut self, from: &Async<TcpStream>) -> Result<Option<P::Item>, End> {
+    pub async fn next(
+        &mut self,
+        from: &Async<TcpStream>,
+    ) -> Result<Option<P::Item>, ConnectionEnd> {
         if self.ring.is_empty() && self.parser.is_between() {
-            from.readable().await.map_err(End::from)?;
+            from.readable().await.map_err(ConnectionEnd::from)?;
         }
         within(self.patience, self.whole(from)).await
     }
 
-    async fn whole(&mut self, from: &Async<TcpStream>) -> Result<Option<P::Item>, End> {
+    async fn whole(&mut self, from: &Async<TcpStream>) -> Result<Option<P::Item>, ConnectionEnd> {
         loop {
             while !self.ring.is_empty() {
                 if self.parser.is_between() {
@@ -168,20 +171,20 @@
     }
 
     /// Reads what comes next, and waits for it no longer than an item that has begun may stall.
-    async fn read(&mut self, from: &Async<TcpStream>) -> Result<usize, End> {
+    async fn read(&mut self, from: &Async<TcpStream>) -> Result<usize, ConnectionEnd> {
         let stall = self.stall.filter(|_| !self.parser.is_between());
         let ring = &mut self.ring;
         let read = async {
             from.read_with(|from| ring.fill(from))
                 .await
-                .map_err(End::from)
+                .map_err(ConnectionEnd::from)
         };
         let Some(stall) = stall else {
             return read.await;
         };
         let stalled = async {
             Timer::after(stall).await;
-            Err(End::Stalled)
+            Err(ConnectionEnd::Stalled)
         };
         pin!(read);
         read.or(stalled).await
@@ -200,7 +203,7 @@
 pub fn items<P: Parse>(
     from: Rc<Async<TcpStream>>,
     intake: Intake<P>,
-) -> impl Stream<Item = Result<(Instant, P::Item), End>> {
+) -> impl Stream<Item = Result<(Instant, P::Item), ConnectionEnd>> {
     stream::try_unfold((from, intake), async |(from, mut intake)| {
         let item = intake.next(&from).await?;
         Ok(item.map(|item| ((intake.begun, item), (from, intake))))
@@ -210,11 +213,11 @@
 /// Waits for something no longer than so: a silent peer sends no reset.
 pub async fn within<T>(
     wait: Duration,
-    work: impl Future<Output = Result<T, End>>,
-) -> Result<T, End> {
+    work: impl Future<Output = Result<T, ConnectionEnd>>,
+) -> Result<T, ConnectionEnd> {
     let late = async {
         Timer::after(wait).await;
-        Err(End::Silent)
+        Err(ConnectionEnd::Silent)
     };
     pin!(work);
     work.or(late).await
@@ -269,17 +272,22 @@
     }
 
     /// Waits until it has moved.
-    pub async fn moved<T>(&self) -> Result<T, End> {
+    pub async fn moved<T>(&self) -> Result<T, ConnectionEnd> {
         self.notifier.1.recv().await.ok();
-        Err(End::Moved)
+        Err(ConnectionEnd::Moved)
     }
 }
 
-pub async fn connect(to: SocketAddr, wait: Duration) -> Result<Async<TcpStream>, End> {
+pub async fn connect(to: SocketAddr, wait: Duration) -> Result<Async<TcpStream>, ConnectionEnd> {
     let stream = within(wait, async {
-        Async::<TcpStream>::connect(to).await.map_err(End::from)
+        Async::<TcpStream>::connect(to)
+            .await
+            .map_err(ConnectionEnd::from)
     })
     .await?;
-    stream.get_ref().set_nodelay(true).map_err(End::from)?;
+    stream
+        .get_ref()
+        .set_nodelay(true)
+        .map_err(ConnectionEnd::from)?;
     Ok(stream)
 }
--- a/crates/agent/src/start_config.rs
+++ b/crates/agent/src/start_config.rs
@@ -1,123 +1,166 @@
-//! Owns what the agent is told: the start file, taken apart at the start and again whenever that is asked for. It must
-//! never guess: a field that is missing or unusable is named in one plain line, and the agent does not start, or goes
-//! on as it was.
+//! Reads the start file: the agent's addresses, its bounds, and the start settings of the decision engine.
+//!
+//! Nothing is guessed: a field that is missing or cannot be used is an error that names it.
+use std::fmt;
 use std::net::SocketAddr;
 
 use lilacgate_start_settings::Paths;
 
-use crate::json::{self, Json};
+use crate::error::StartFileError;
+use crate::json::{self, Json, JsonParser};
+use crate::peers::PeerAddresses;
 
 /// What a running agent takes over from a start file that was replaced.
-const MOVABLE: [&str; 2] = ["discovery", "pipeline.address"];
+const RELOADABLE: [&str; 2] = ["discovery", "pipeline.address"];
 
+/// The path of the platform's last release update.
+pub(crate) const RELEASE_UPDATE: &str = "pipeline.news";
+/// The path of the saved list of endpoints.
+pub(crate) const SAVED_LIST: &str = "known";
+/// The path of the bound on file descriptors.
+pub(crate) const MAX_DESCRIPTORS: &str = "limits.sockets";
+
+/// A start file that has been read.
 pub struct StartConfig {
+    /// This agent's name.
     pub name: String,
+    /// The seed of the decision engine's random numbers.
     pub seed: u64,
+    /// Where clients connect.
     pub listen: SocketAddr,
+    /// Where discovery listens.
     pub discovery: SocketAddr,
+    /// The bytes of memory that the agent may use.
     pub memory: usize,
-    pub sockets: usize,
-    /// Where peers' datagrams arrive, and every agent's address; none where there are no peers.
-    pub peer_listen: Option<SocketAddr>,
-    pub peers: Vec<SocketAddr>,
-    pub peers_all: Option<SocketAddr>,
+    /// The file descriptors that the agent may have open.
+    pub max_descriptors: usize,
+    /// How agents reach each other; none where there are no peers.
+    pub peers: Option<PeerAddresses>,
+    /// Where the platform listens.
     pub platform: SocketAddr,
+    /// The start settings, as path and value.
     pub settings: Paths,
-    /// All of it.
+    /// The whole file.
     pub file: Json,
 }
 
-/// A field, by its path.
+impl fmt::Debug for StartConfig {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter
+            .debug_struct("StartConfig")
+            .field("name", &self.name)
+            .field("listen", &self.listen)
+            .field("discovery", &self.discovery)
+            .field("peers", &self.peers)
+            .field("platform", &self.platform)
+            .finish_non_exhaustive()
+    }
+}
+
+/// The field at a path such as `limits.sockets`; none if it is missing or null.
 pub fn field<'a>(file: &'a Json, path: &str) -> Option<&'a Json> {
     path.split('.')
-        .try_fold(file, |at, name| at.get(name))
+        .try_fold(file, |value, name| value.get(name))
         .filter(|value| **value != Json::Null)
 }
 
-fn need<'a, T>(
+fn required<'a, T>(
+    file: &'a Json,
+    path: &str,
+    read: impl FnOnce(&'a Json) -> Option<T>,
+) -> Result<T, StartFileError> {
+    let value = field(file, path).ok_or_else(|| StartFileError::Missing(path.to_owned()))?;
+    read(value).ok_or_else(|| StartFileError::Unusable(path.to_owned()))
+}
+
+fn optional<'a, T>(
     file: &'a Json,
     path: &str,
     read: impl FnOnce(&'a Json) -> Option<T>,
-) -> Result<T, String> {
-    let value = field(file, path).ok_or_else(|| format!("the start file lacks {path}"))?;
-    read(value).ok_or_else(|| format!("the start file's {path} cannot be used"))
+) -> Result<Option<T>, StartFileError> {
+    match field(file, path) {
+        Some(_) => required(file, path, read).map(Some),
+        None => Ok(None),
+    }
 }
 
 fn address(value: &Json) -> Option<SocketAddr> {
-    value.text()?.parse().ok()
+    value.as_str()?.parse().ok()
 }
 
-pub fn read(text: &[u8]) -> Result<StartConfig, String> {
-    let file = json::Values::whole(text)
-        .map_err(|end| format!("the start file is no JSON object: {end}"))?;
-    let maybe = |path| {
-        if field(&file, path).is_some() {
-            need(&file, path, address).map(Some)
-        } else {
-            Ok(None)
-        }
-    };
-    let mut pairs = Vec::new();
-    let mut put = |path, value| pairs.push((path, value));
-    need(&file, "settings", Some)?.flatten("", &mut put);
-    need(&file, "pipeline.news", |_| Some(()))?;
-    need(&file, "known", |_| Some(()))?;
-    let peers = |value: &Json| value.list()?.iter().map(address).collect();
-    let megabytes = |value: &Json| value.whole().and_then(|mb| usize::try_from(mb << 20).ok());
+fn addresses(value: &Json) -> Option<Vec<SocketAddr>> {
+    value.as_array()?.iter().map(address).collect()
+}
+
+fn number(value: &Json) -> Option<usize> {
+    value.as_u64()?.try_into().ok()
+}
+
+/// A number of mebibytes, in bytes.
+fn mebibytes(value: &Json) -> Option<usize> {
+    usize::try_from(value.as_u64()? << 20).ok()
+}
+
+/// A number in hexadecimal digits.
+fn hexadecimal(value: &Json) -> Option<u64> {
+    u64::from_str_radix(value.as_str()?, 16).ok()
+}
+
+/// Reads a start file.
+///
+/// # Errors
+/// The first field that is missing or cannot be used.
+pub fn read(text: &[u8]) -> Result<StartConfig, StartFileError> {
+    let file = JsonParser::parse(text).map_err(StartFileError::NotJson)?;
+    let mut settings = Vec::new();
+    required(&file, "settings", Some)?.flatten("", &mut |path, value| {
+        settings.push((path, value));
+    });
+    required(&file, RELEASE_UPDATE, |_| Some(()))?;
+    required(&file, SAVED_LIST, |_| Some(()))?;
     Ok(StartConfig {
-        name: need(&file, "name", |value| value.text().map(str::to_owned))?,
-        seed: need(&file, "seed", |value| {
-            u64::from_str_radix(value.text()?, 16).ok()
-        })?,
-        listen: need(&file, "listen", address)?,
-        discovery: need(&file, "discovery", address)?,
-        memory: need(&file, "limits.memory_mb", megabytes)?,
-        sockets: need(&file, "limits.sockets", |value| {
-            value.whole().and_then(|n| n.try_into().ok())
-        })?,
-        peer_listen: maybe("peer_listen")?,
-        peers: if field(&file, "peers").is_some() {
-            need(&file, "peers", peers)?
-        } else {
-            Vec::new()
-        },
-        peers_all: maybe("peers_all")?,
-        platform: need(&file, "pipeline.address", address)?,
-        settings: pairs.into_iter().collect(),
+        name: required(&file, "name", |value| value.as_str().map(str::to_owned))?,
+        seed: required(&file, "seed", hexadecimal)?,
+        listen: required(&file, "listen", address)?,
+        discovery: required(&file, "discovery", address)?,
+        memory: required(&file, "limits.memory_mb", mebibytes)?,
+        max_descriptors: required(&file, MAX_DESCRIPTORS, number)?,
+        peers: read_peers(&file)?,
+        platform: required(&file, "pipeline.address", address)?,
+        settings: settings.into_iter().collect(),
         file,
     })
 }
 
-/// What stands differently in two start files, apart from what may move.
-pub fn differences(one: &Json, other: &Json) -> Vec<String> {
+fn read_peers(file: &Json) -> Result<Option<PeerAddresses>, StartFileError> {
+    let listen = optional(file, "peer_listen", address)?;
+    let peers = optional(file, "peers", addresses)?.unwrap_or_default();
+    let all = optional(file, "peers_all", address)?;
+    Ok(listen.map(|listen| PeerAddresses { listen, peers, all }))
+}
+
+/// The paths at which two start files differ, but for those that a running agent takes over.
+pub fn differences(old: &Json, new: &Json) -> Vec<String> {
     let mut found = Vec::new();
-    differ(one, other, "", &mut found);
-    found.retain(|path| !MOVABLE.contains(&path.as_str()));
+    add_differences(old, new, "", &mut found);
+    found.retain(|path| !RELOADABLE.contains(&path.as_str()));
     found
 }
 
-fn differ(one: &Json, other: &Json, path: &str, found: &mut Vec<String>) {
-    let (Json::Object(fields), Json::Object(others)) = (one, other) else {
-        if one != other {
+fn add_differences(old: &Json, new: &Json, path: &str, found: &mut Vec<String>) {
+    let (Json::Object(old_fields), Json::Object(new_fields)) = (old, new) else {
+        if old != new {
             found.push(path.to_owned());
         }
         return;
     };
-    let under = |name: &str| {
-        if path.is_empty() {
-            name.to_owned()
-        } else {
-            format!("{path}.{name}")
+    for (name, value) in old_fields {
+        let other = new.get(name).unwrap_or(&Json::Null);
+        add_differences(value, other, &json::child_path(path, name), found);
+    }
+    for (name, _) in new_fields {
+        if old.get(name).is_none() {
+            found.push(json::child_path(path, name));
         }
-    };
-    for (name, value) in fields {
-        differ(
-            value,
-            other.get(name).unwrap_or(&Json::Null),
-            &under(name),
-            found,
-        );
     }
-    let new = others.iter().filter(|(name, _)| one.get(name).is_none());
-    found.extend(new.map(|(name, _)| under(name)));
 }
--- /dev/null
+++ b/crates/agent/src/startup.rs
@@ -0,0 +1,216 @@
+//! Starts the agent: reads its settings, creates its parts and connects them with each other.
+//!
+//! The agent never starts in part: either everything that it was given can be used, or it says what cannot.
+use std::io;
+use std::net::{SocketAddr, TcpListener};
+use std::rc::Rc;
+
+use async_io::Async;
+use lilacgate_decision::DecisionEngine;
+use lilacgate_releases::gate::Gate;
+use socket2::{Domain, Socket, Type};
+
+use crate::clients::Clients;
+use crate::command_line::{self, Arguments};
+use crate::discovery::{Discovery, ListOrigin};
+use crate::dispatcher::{ActionDispatcher, WakeUps};
+use crate::engine_host::EngineHost;
+use crate::error::{StartError, StartFileError};
+use crate::event_loop::EventLoop;
+use crate::json::Json;
+use crate::lifecycle::{Lifecycle, SignalStream, read_start_file};
+use crate::log::info;
+use crate::operator_file::{OperatorFile, OperatorStart};
+use crate::outbound::PeerSender;
+use crate::peers::Peers;
+use crate::platform::{Platform, release_event};
+use crate::recorder::Recorder;
+use crate::release_gate::ReleaseGateHost;
+use crate::release_watch::ReleaseUpdate;
+use crate::start_config::{self, MAX_DESCRIPTORS, RELEASE_UPDATE, SAVED_LIST, StartConfig};
+use crate::upstream::UpstreamPool;
+
+/// File descriptors for everything but clients and endpoints: log, reactor, signals, listeners, discovery, platform.
+const RESERVED_DESCRIPTORS: usize = 32;
+/// The fewest connections of each kind that the agent can work with.
+const MIN_CONNECTIONS: usize = 2;
+/// Clients' requests and answers may hold this part of the memory.
+const CLIENT_MEMORY_DIVISOR: usize = 4;
+/// A message of discovery may hold this part of the memory.
+const LIST_MEMORY_DIVISOR: usize = 16;
+
+/// The parts of the agent that have tasks of their own.
+struct Components {
+    event_loop: Rc<EventLoop>,
+    upstream: Rc<UpstreamPool>,
+    clients: Rc<Clients>,
+    discovery: Rc<Discovery>,
+    platform: Rc<Platform>,
+    peers: Option<Rc<Peers>>,
+}
+
+/// Starts the agent and runs it up to its end.
+///
+/// # Errors
+/// Something that the agent was given cannot be used.
+pub(crate) fn start(arguments: Arguments) -> Result<(), StartError> {
+    let path = command_line::start_file_path()?;
+    // First of all: before that a signal may end the agent.
+    let signals = SignalStream::new().map_err(StartError::Signals)?;
+    let mut config = read_start_file(&path)?;
+    let settings = &config.settings;
+    let engine = lilacgate_start_settings::instance(config.seed, settings)?.brain;
+    let event_loop = EventLoop::new(settings.span("rules.answer-slack")?);
+    let max_connections = max_connections(&config)?;
+    let (upstream, clients) = create_data_path(&event_loop, &config, max_connections)?;
+    let discovery = Discovery::new(
+        event_loop.clone(),
+        upstream.clone(),
+        config.discovery,
+        settings,
+        config.memory / LIST_MEMORY_DIVISOR,
+    )?;
+    let platform = Platform::new(event_loop.clone(), config.platform, settings)?;
+    let operator = OperatorFile::open(
+        arguments.operator,
+        &config.name,
+        settings,
+        event_loop.clone(),
+    )?;
+    let OperatorStart {
+        file: operator_file,
+        gate,
+        timeline,
+    } = operator;
+    let peers = match config.peers.take() {
+        Some(addresses) => Some(Peers::new(event_loop.clone(), addresses)?),
+        None => None,
+    };
+    let components = Components {
+        event_loop,
+        upstream,
+        clients,
+        discovery,
+        platform,
+        peers,
+    };
+    components.queue_first_events(&config.file)?;
+    let listener = listen(config.listen, max_connections).map_err(|error| StartError::Listen {
+        address: config.listen,
+        error,
+    })?;
+    info!("{} listens at {}", config.name, config.listen);
+    components.spawn_control_tasks();
+    let now = components.event_loop.clock.now();
+    let recorder = Recorder::new(&config.name, &config.settings, timeline, now)?;
+    let host = components.engine_host(engine, gate, recorder);
+    components.event_loop.spawn(host.run());
+    components.spawn_client_tasks(listener);
+    let lifecycle = Lifecycle {
+        signals,
+        path,
+        first_file: config.file,
+        discovery: components.discovery,
+        platform: components.platform,
+        operator_file,
+    };
+    let lifetime = lifecycle.run(components.clients);
+    async_io::block_on(components.event_loop.run(lifetime));
+    Ok(())
+}
+
+/// How many connections there may be to clients, and how many to endpoints: what the agent itself needs comes first,
+/// and each kind has half of the rest.
+fn max_connections(config: &StartConfig) -> Result<usize, StartError> {
+    let max_connections = config.max_descriptors.saturating_sub(RESERVED_DESCRIPTORS) / 2;
+    if max_connections < MIN_CONNECTIONS {
+        return Err(unusable(MAX_DESCRIPTORS));
+    }
+    Ok(max_connections)
+}
+
+/// What carries requests: the connections to endpoints, and those to clients.
+fn create_data_path(
+    event_loop: &Rc<EventLoop>,
+    config: &StartConfig,
+    max_connections: usize,
+) -> Result<(Rc<UpstreamPool>, Rc<Clients>), StartError> {
+    let upstream = UpstreamPool::new(event_loop.clone(), &config.settings, max_connections)?;
+    let clients = Clients::new(
+        event_loop.clone(),
+        upstream.clone(),
+        &config.settings,
+        max_connections,
+        config.memory / CLIENT_MEMORY_DIVISOR,
+    )?;
+    Ok((upstream, clients))
+}
+
+fn unusable(path: &str) -> StartError {
+    StartError::StartFile(StartFileError::Unusable(path.to_owned()))
+}
+
+impl Components {
+    /// Queues what the start file says of the release and of the endpoints.
+    fn queue_first_events(&self, file: &Json) -> Result<(), StartError> {
+        let field = |path| start_config::field(file, path).unwrap_or(&Json::Null);
+        // The release update comes first: the list is read by it.
+        let update = ReleaseUpdate::from_json(field(RELEASE_UPDATE))
+            .ok_or_else(|| unusable(RELEASE_UPDATE))?;
+        self.event_loop.enqueue(release_event(update));
+        self.discovery
+            .receive(field(SAVED_LIST), ListOrigin::StartFile)
+            .ok_or_else(|| unusable(SAVED_LIST))
+    }
+
+    /// Spawns the tasks that talk with discovery, the platform, the peers and the endpoints.
+    fn spawn_control_tasks(&self) {
+        self.event_loop.spawn(self.discovery.clone().run());
+        let release_watch = self.platform.release_watch.clone();
+        self.event_loop.spawn(release_watch.run());
+        if let Some(peers) = &self.peers {
+            self.event_loop.spawn(peers.clone().run());
+        }
+        self.event_loop.spawn(self.upstream.clone().sweep());
+    }
+
+    /// Spawns the tasks that serve clients.
+    fn spawn_client_tasks(&self, listener: Async<TcpListener>) {
+        self.event_loop.spawn(self.clients.clone().sweep());
+        self.event_loop.spawn(self.clients.clone().accept(listener));
+    }
+
+    /// Connects the decision engine with the parts that carry its decisions out.
+    fn engine_host(
+        &self,
+        engine: DecisionEngine,
+        gate: Option<Gate>,
+        recorder: Recorder,
+    ) -> EngineHost {
+        let peers = self.peers.clone();
+        let dispatcher = ActionDispatcher {
+            event_loop: self.event_loop.clone(),
+            upstream: self.upstream.clone(),
+            discovery: self.discovery.clone(),
+            platform: self.platform.clone(),
+            peers: peers.map(|peers| peers as Rc<dyn PeerSender>),
+            recorder: Rc::new(recorder),
+            wake_ups: WakeUps::default(),
+        };
+        EngineHost {
+            engine,
+            gate_host: ReleaseGateHost::new(gate),
+            dispatcher,
+        }
+    }
+}
+
+/// Listens for clients. `backlog` is how many of them may wait in line while the agent is busy: one that finds the
+/// line full tries again only a second later.
+fn listen(address: SocketAddr, backlog: usize) -> io::Result<Async<TcpListener>> {
+    let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
+    socket.set_reuse_address(true)?;
+    socket.bind(&address.into())?;
+    socket.listen(i32::try_from(backlog).unwrap_or(i32::MAX))?;
+    Async::new(socket.into())
+}
--- a/crates/agent/src/upstream.rs
+++ b/crates/agent/src/upstream.rs
@@ -12,13 +12,13 @@
 use async_io::{Async, Timer};
 use futures_lite::{FutureExt, StreamExt};
 use lilacgate_decision::EventHandler as _;
-use lilacgate_decision::{
-    AttemptNumber, Build, Endpoint, EndpointId, EndpointStatus, Outcome, RequestId,
-};
+use lilacgate_decision::{Build, Endpoint, EndpointId, EndpointStatus, Outcome};
 use lilacgate_start_settings::Paths;
 
-use crate::event_loop::{Clock, EncodedRequest, EventLoop, Upstream};
-use crate::log::{Count, End, count, info};
+use crate::clock::Clock;
+use crate::event_loop::{AttemptResult, EventLoop};
+use crate::log::{ConnectionEnd, Count, count, info};
+use crate::outbound::{AttemptId, EncodedRequest, OutgoingAttempt, Upstream};
 use crate::resp::{self, Resp};
 use crate::ring::{Intake, Ring, connect, within};
 
@@ -40,14 +40,14 @@
     /// When it last carried something.
     since: Duration,
     /// Why it ends, if it ends now.
-    why: End,
+    why: ConnectionEnd,
     open: Rc<Cell<usize>>,
 }
 
 impl Drop for Link {
     fn drop(&mut self) {
         self.open.set(self.open.get() - 1);
-        count(Count::LinksClosed);
+        count(Count::ConnectionsClosed);
         info!("link to {} ended: {}", self.to.0, self.why);
     }
 }
@@ -55,9 +55,9 @@
 impl Link {
     fn is_usable(&mut self, now: Duration, idle_for: Duration) -> bool {
         if now > self.since + idle_for {
-            self.why = End::Idle;
+            self.why = ConnectionEnd::Idle;
         } else if !self.intake.is_quiet(&self.stream) {
-            self.why = End::Stale;
+            self.why = ConnectionEnd::Stale;
         } else {
             return true;
         }
@@ -75,7 +75,7 @@
 pub struct UpstreamPool {
     event_loop: Rc<EventLoop>,
     homes: RefCell<HashMap<EndpointId, Home>>,
-    out: RefCell<HashMap<(RequestId, AttemptNumber), Sender<()>>>,
+    out: RefCell<HashMap<AttemptId, Sender<()>>>,
     /// The fields of a load report, in the module's order.
     gauges: Vec<String>,
     connect_within: Duration,
@@ -125,7 +125,7 @@
             idle: Vec::new(),
         });
         if home.life != life || mode != EndpointStatus::Ready {
-            close(&mut home.idle, End::Gone);
+            close(&mut home.idle, ConnectionEnd::Gone);
         }
         (home.life, home.mode) = (life, mode);
         if mode == EndpointStatus::Removed {
@@ -136,7 +136,7 @@
     /// Notes that a whole list names these alone.
     pub fn keep_only(&self, listed: impl Fn(&EndpointId) -> bool) {
         for (_, mut home) in self.homes.borrow_mut().extract_if(|id, _| !listed(id)) {
-            close(&mut home.idle, End::Gone);
+            close(&mut home.idle, ConnectionEnd::Gone);
         }
     }
 
@@ -189,20 +189,20 @@
         let stream = connect(at, self.connect_within).await.map_err(|end| {
             info!("no link to {at}: {end}");
             // What is short here says nothing of the appliance.
-            if end == End::OwnLimit {
+            if end == ConnectionEnd::OwnLimit {
                 Outcome::NotSent
             } else {
                 Outcome::ConnectFailed
             }
         })?;
-        count(Count::LinksOpened);
+        count(Count::ConnectionsOpened);
         Ok(Link {
             stream,
             intake: Intake::new(resp::Values::default(), resp::MESSAGE, self.patience),
             out: Ring::new(resp::MESSAGE),
             to,
             since: self.clock().now(),
-            why: End::GivenUp,
+            why: ConnectionEnd::GivenUp,
             open: opening.done(),
         })
     }
@@ -214,7 +214,7 @@
             .filter(|home| !home.idle.is_empty())
             .min_by_key(|h| h.idle[0].since);
         oldest
-            .map(|home| home.idle.remove(0).why = End::Crowded)
+            .map(|home| home.idle.remove(0).why = ConnectionEnd::Crowded)
             .is_some()
     }
 
@@ -225,13 +225,13 @@
             Some(home) if home.life == link.to && home.mode == EndpointStatus::Ready => {
                 home.idle.push(link)
             }
-            _ => link.why = End::Gone,
+            _ => link.why = ConnectionEnd::Gone,
         }
     }
 
     async fn attempt(
         &self,
-        which: (RequestId, AttemptNumber),
+        which: AttemptId,
         to: EndpointId,
         encoded_request: EncodedRequest,
         until: Duration,
@@ -241,7 +241,7 @@
             Some(link) => link,
             None => {
                 let link = self.connect(to).await?;
-                if !self.event_loop.may_go(which.0, which.1).await {
+                if !self.event_loop.may_send(which.request, which.number).await {
                     self.keep(to, link);
                     return Err(Outcome::NotSent);
                 }
@@ -312,14 +312,16 @@
         let answer = link.intake.next(&link.stream).await;
         link.why = match answer {
             Ok(Some(answer)) => return Ok(answer),
-            Ok(None) => End::Closed,
+            Ok(None) => ConnectionEnd::Closed,
             Err(end) => end,
         };
-        Err(if matches!(link.why, End::Malformed | End::TooLong) {
-            Outcome::Malformed
-        } else {
-            Outcome::ConnectionLost
-        })
+        Err(
+            if matches!(link.why, ConnectionEnd::Malformed | ConnectionEnd::TooLong) {
+                Outcome::Malformed
+            } else {
+                Outcome::ConnectionLost
+            },
+        )
     }
 
     /// Passes a load report on; fields that it lacks are not numbers.
@@ -344,21 +346,21 @@
 }
 
 impl Upstream for UpstreamPool {
-    fn send_attempt(
-        self: Rc<Self>,
-        which: (RequestId, AttemptNumber),
-        to: EndpointId,
-        encoded_request: EncodedRequest,
-        began: Duration,
-        until: Duration,
-    ) {
+    fn send_attempt(self: Rc<Self>, attempt: OutgoingAttempt) {
+        let OutgoingAttempt {
+            id: which,
+            endpoint: to,
+            encoded_request,
+            began,
+            until,
+        } = attempt;
         let (off, called_off) = async_channel::bounded::<()>(1);
         self.out.borrow_mut().insert(which, off);
         let me = self.clone();
         self.event_loop.clone().spawn(async move {
             let written = Cell::new(false);
             let over = async {
-                me.event_loop.until(until).await;
+                me.event_loop.wait_until(until).await;
                 Err(Outcome::TimedOut)
             };
             let off = async {
@@ -380,19 +382,25 @@
                 Err(ending) => (ending, Vec::new()),
             };
             let took = me.clock().now().saturating_sub(began);
-            me.event_loop.ended(which, to, ending, took, value);
+            me.event_loop.attempt_ended(AttemptResult {
+                id: which,
+                endpoint: to,
+                outcome: ending,
+                took,
+                value,
+            });
         });
     }
 
-    fn call_off(&self, which: (RequestId, AttemptNumber)) {
+    fn cancel(&self, which: AttemptId) {
         if let Some(off) = self.out.borrow().get(&which) {
             off.try_send(()).ok();
         }
     }
 
     /// Asks an appliance for its load.
-    fn probe(self: Rc<Self>, to: EndpointId) {
-        count(Count::Probes);
+    fn check_health(self: Rc<Self>, to: EndpointId) {
+        count(Count::HealthChecks);
         let me = self.clone();
         self.event_loop.clone().spawn(async move {
             let began = me.clock().now();
@@ -423,9 +431,9 @@
         });
     }
 
-    fn free_links(&self, id: EndpointId) {
+    fn close_idle_connections(&self, id: EndpointId) {
         if let Some(home) = self.homes.borrow_mut().get_mut(&id) {
-            close(&mut home.idle, End::GivenUp);
+            close(&mut home.idle, ConnectionEnd::GivenUp);
         }
     }
 }
@@ -448,11 +456,11 @@
 }
 
 fn malformed(link: &mut Link) -> Outcome {
-    link.why = End::Malformed;
+    link.why = ConnectionEnd::Malformed;
     Outcome::Malformed
 }
 
-fn close(links: &mut Vec<Link>, why: End) {
+fn close(links: &mut Vec<Link>, why: ConnectionEnd) {
     links.iter_mut().for_each(|link| link.why = why);
     links.clear();
 }
--- /dev/null
+++ b/crates/agent/src/watched_services.rs
@@ -0,0 +1,144 @@
+//! Owns the watches on the release control planes of other services that the operator's file names.
+//!
+//! Each watch is a task and a connection of its own, so that trouble with one does not reach another. The messages
+//! that each may send are bounded.
+use std::cell::{Cell, RefCell};
+use std::collections::HashMap;
+use std::fmt;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+
+use async_channel::Sender;
+use futures_lite::future;
+use lilacgate_operator_config::{Desk, Releases};
+use lilacgate_releases::facts::Told;
+use lilacgate_releases::model::ServiceId;
+
+use crate::event_loop::EventLoop;
+use crate::release_watch::{MessageLimit, ReleaseUpdate, ReleaseWatch, ReleaseWatchListener};
+
+/// How many messages a service's release control plane may send in a second. One heartbeat a second is due, and a
+/// message for each change.
+const MAX_MESSAGES_PER_SECOND: u32 = 64;
+
+/// The watches on other services, by the name of the service.
+pub(crate) struct WatchedServices {
+    event_loop: Rc<EventLoop>,
+    connect_timeout: Duration,
+    watches: RefCell<HashMap<String, ServiceWatch>>,
+}
+
+impl fmt::Debug for WatchedServices {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter
+            .debug_struct("WatchedServices")
+            .field("connect_timeout", &self.connect_timeout)
+            .finish_non_exhaustive()
+    }
+}
+
+/// A watch on one service.
+struct ServiceWatch {
+    /// The number that the operator's file gives the service now.
+    service: Rc<Cell<ServiceId>>,
+    watch: Rc<ReleaseWatch>,
+    /// Dropping it stops the watch.
+    _stop: Sender<()>,
+}
+
+impl WatchedServices {
+    /// No watches yet.
+    pub(crate) fn new(event_loop: Rc<EventLoop>, connect_timeout: Duration) -> Self {
+        WatchedServices {
+            event_loop,
+            connect_timeout,
+            watches: RefCell::default(),
+        }
+    }
+
+    /// Watches the services that an operator's file names, and no others. A service that is watched already keeps its
+    /// watch.
+    pub(crate) fn apply(&self, releases: Option<&Releases>) {
+        let wanted = releases.map(services_by_name).unwrap_or_default();
+        let mut watches = self.watches.borrow_mut();
+        watches.retain(|name, _| wanted.contains_key(name));
+        for (name, desk) in wanted {
+            match watches.get(&name) {
+                Some(known) => {
+                    known.service.set(desk.service);
+                    known.watch.place.move_to(desk.at);
+                }
+                None => {
+                    let watch = self.start(&name, desk.service, desk.at);
+                    watches.insert(name, watch);
+                }
+            }
+        }
+    }
+
+    fn start(&self, name: &str, service: ServiceId, endpoint: SocketAddr) -> ServiceWatch {
+        let service = Rc::new(Cell::new(service));
+        let listener = Rc::new(ServiceListener {
+            event_loop: self.event_loop.clone(),
+            service: service.clone(),
+        });
+        let watch = ReleaseWatch::new(
+            format!("release desk of {name}"),
+            endpoint,
+            self.connect_timeout,
+            MessageLimit::PerSecond(MAX_MESSAGES_PER_SECOND),
+            listener,
+        );
+        let (stop, stopped) = async_channel::bounded::<()>(1);
+        let task = watch.clone();
+        self.event_loop.spawn(async move {
+            let stopped = async {
+                stopped.recv().await.ok();
+            };
+            future::or(task.run(), stopped).await;
+        });
+        ServiceWatch {
+            service,
+            watch,
+            _stop: stop,
+        }
+    }
+}
+
+/// The services whose release control plane an operator's file names.
+fn services_by_name(releases: &Releases) -> HashMap<String, Desk> {
+    let mut services = HashMap::new();
+    for desk in &releases.desks {
+        let name = releases.rules.service(desk.service).to_owned();
+        services.insert(name, *desk);
+    }
+    services
+}
+
+/// Passes on what the release control plane of another service sends.
+struct ServiceListener {
+    event_loop: Rc<EventLoop>,
+    service: Rc<Cell<ServiceId>>,
+}
+
+impl ReleaseWatchListener for ServiceListener {
+    fn on_release_update(&self, update: ReleaseUpdate) {
+        let service = self.service.get();
+        let now = self.event_loop.clock.now();
+        let status = Told {
+            build: update.build,
+            stage: update.stage,
+            course: update.phase,
+            since: now.saturating_sub(update.age),
+        };
+        self.event_loop
+            .enqueue(move |router| router.on_service_status(service, status));
+    }
+
+    fn on_heartbeat(&self) {
+        let service = self.service.get();
+        self.event_loop
+            .enqueue(move |router| router.on_service_heartbeat(service));
+    }
+}
--- a/crates/agent/tests/fleet.rs
+++ b/crates/agent/tests/fleet.rs
@@ -5,8 +5,8 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use lilacgate_agent::discovery::Answer;
-use lilacgate_agent::json::{Json, Values};
+use lilacgate_agent::http_response::HttpResponse;
+use lilacgate_agent::json::{Json, JsonParser};
 use lilacgate_agent::ring::Parse;
 use lilacgate_capacity::Sample;
 use lilacgate_loopback::fleet::Fleet;
@@ -123,7 +123,7 @@
     let line = Membership::new(7_400, &[address], 0.0, 1).whole();
     let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     let text = format!("{head}{:x}\r\n{line}\n\r\n", line.len() + 1);
-    let mut answer = Answer::new(text.len());
+    let mut answer = HttpResponse::new(text.len());
     let read = |byte: &u8| {
         answer
             .take(std::slice::from_ref(byte))
@@ -131,11 +131,11 @@
             .1
     };
     let lists: Vec<Json> = text.as_bytes().iter().filter_map(read).collect();
-    assert_eq!(lists, [Values::whole(line.as_bytes()).expect("JSON")]);
+    assert_eq!(lists, [JsonParser::parse(line.as_bytes()).expect("JSON")]);
     assert_eq!(
         lists[0]
             .get("servers")
-            .and_then(Json::list)
+            .and_then(Json::as_array)
             .map(<[Json]>::len),
         Some(7_400)
     );
--- a/crates/agent/tests/inside.rs
+++ b/crates/agent/tests/inside.rs
@@ -17,10 +17,12 @@
 use lilacgate_test_bed::start::{Start, entry};
 use rstest::rstest;
 
-use lilacgate_agent::discovery::{Answer, Discovery, Lines};
-use lilacgate_agent::event_loop::{EncodedRequest, EventLoop, Upstream};
-use lilacgate_agent::json::{self, Json};
-use lilacgate_agent::log::Place;
+use lilacgate_agent::discovery::{Discovery, ListOrigin};
+use lilacgate_agent::event_loop::EventLoop;
+use lilacgate_agent::http_response::{HttpResponse, ValuesAndHeartbeats};
+use lilacgate_agent::json::{Json, JsonParser};
+use lilacgate_agent::log::CallSite;
+use lilacgate_agent::outbound::{AttemptId, EncodedRequest, OutgoingAttempt, Upstream};
 use lilacgate_agent::recorder::Recorder;
 use lilacgate_agent::release_gate::{EventRouter, ReleaseGateHost};
 use lilacgate_agent::resp::{self, Resp};
@@ -108,10 +110,10 @@
         let got = match kind {
             "commands" => in_all_ways(resp::Commands::default, &what, words),
             "answers" => in_all_ways(resp::Values::default, &what, answer),
-            "json" => in_all_ways(|| json::Values::new(100), &what, flat),
-            "lines" => in_all_ways(|| json::Values::lines(100), &what, flat),
-            "indented" => in_all_ways(|| json::Values::indented(100), &what, flat),
-            "http" => in_all_ways(|| Answer::new(100), &what, flat),
+            "json" => in_all_ways(|| JsonParser::new(100), &what, flat),
+            "lines" => in_all_ways(|| JsonParser::lines(100), &what, flat),
+            "indented" => in_all_ways(|| JsonParser::indented(100), &what, flat),
+            "http" => in_all_ways(|| HttpResponse::new(100), &what, flat),
             other => panic!("no parser of {other}"),
         };
         assert_eq!(got, want.trim(), "{line:.300}");
@@ -167,7 +169,7 @@
         async_io::block_on(event_loop.run(async {
             while self.ended.is_none() {
                 event_loop.drain(&mut EventRouter {
-                    module: self,
+                    engine: self,
                     gate_host: &mut ReleaseGateHost::default(),
                     recorder: &no_record(),
                     now: Duration::ZERO,
@@ -179,6 +181,12 @@
     }
 }
 
+/// The first attempt of the first request.
+const FIRST_ATTEMPT: AttemptId = AttemptId {
+    request: RequestId(0),
+    number: AttemptNumber(0),
+};
+
 /// So many links, and a stand-in that listens as appliance 1.
 fn linked(links: usize) -> (Rc<EventLoop>, Rc<UpstreamPool>, TcpListener) {
     let told = "feedback.names=lat_ms,util\nlimits.connect-timeout=9000000\nlimits.conn-idle=30000000\ntick=1\nrules.answer-slack=1\n\
@@ -226,13 +234,13 @@
     });
     let now = event_loop.clock.now();
     let words: EncodedRequest = Rc::new(|_| b"hello".to_vec());
-    upstream.clone().send_attempt(
-        (RequestId(0), AttemptNumber(0)),
-        EndpointId(to),
-        words,
-        now,
-        now + Duration::from_secs(9),
-    );
+    upstream.clone().send_attempt(OutgoingAttempt {
+        id: FIRST_ATTEMPT,
+        endpoint: EndpointId(to),
+        encoded_request: words,
+        began: now,
+        until: now + Duration::from_secs(9),
+    });
     let mut router = Ear {
         may_go,
         ..Ear::default()
@@ -267,13 +275,13 @@
         });
         let now = event_loop.clock.now();
         let words: EncodedRequest = Rc::new(|_| b"hello".to_vec());
-        upstream.send_attempt(
-            (RequestId(0), AttemptNumber(0)),
-            EndpointId(1),
-            words,
-            now,
-            now + Duration::from_secs(9),
-        );
+        upstream.send_attempt(OutgoingAttempt {
+            id: FIRST_ATTEMPT,
+            endpoint: EndpointId(1),
+            encoded_request: words,
+            began: now,
+            until: now + Duration::from_secs(9),
+        });
         let mut router = Ear {
             may_go: true,
             ..Ear::default()
@@ -305,7 +313,7 @@
         conn.write_all(answer.as_bytes()).ok();
         conn.read_to_end(&mut Vec::new()).ok();
     });
-    upstream.clone().probe(EndpointId(1));
+    upstream.clone().check_health(EndpointId(1));
     let mut router = Ear::default();
     assert_eq!(router.until_ended(&event_loop), Some(want));
     let loads = router
@@ -326,7 +334,7 @@
 /// An empty line between lists is a sign of life; what comes amid one is none, so that a cut one has its time.
 #[rstest]
 fn only_between_lists_is_a_watch_alive() {
-    let mut watch = Lines(Answer::new(100));
+    let mut watch = ValuesAndHeartbeats(HttpResponse::new(100));
     let mut comes = |text: &str| {
         watch
             .take(text.as_bytes())
@@ -376,7 +384,7 @@
         ["PEER_LISTEN", "LISTEN", "DISCOVERY", "PLATFORM", "PEER"].map(|name| (name, own.clone()));
     let text = start.with(&[&places[..], &[("KNOWN", entries("1"))]].concat());
     let config = lilacgate_agent::start_config::read(text.as_bytes()).expect("a start file");
-    assert_eq!(config.peers.len(), agents);
+    assert_eq!(config.peers.expect("peers").peers.len(), agents);
     let mut brain = lilacgate_start_settings::instance(config.seed, &config.settings)
         .expect("a module")
         .brain;
@@ -392,9 +400,9 @@
     )
     .expect("discovery");
     discovery
-        .told(
+        .receive(
             lilacgate_agent::start_config::field(&config.file, "known").expect("a list"),
-            true,
+            ListOrigin::StartFile,
         )
         .expect("it can be used");
     // The same list again, under another build, with each field on a line of its own.
@@ -407,7 +415,7 @@
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{:x}\r\n{list}\n\r\n",
         list.len() + 1
     );
-    let (mut answer, mut lists) = (Answer::new(most), Vec::new());
+    let (mut answer, mut lists) = (HttpResponse::new(most), Vec::new());
     for mut piece in list.as_bytes().chunks(1400) {
         while !piece.is_empty() {
             let (taken, item) = answer.take(piece).expect("it can be read");
@@ -415,7 +423,9 @@
             piece = &piece[taken..];
         }
     }
-    discovery.told(&lists[0], false).expect("it can be used");
+    discovery
+        .receive(&lists[0], ListOrigin::Discovery)
+        .expect("it can be used");
     let mut out = Decided::default();
     let now = event_loop.clock.now();
     brain.round(
@@ -423,7 +433,7 @@
         |module| {
             let (gate_host, recorder) = (&mut ReleaseGateHost::default(), &no_record());
             event_loop.drain(&mut EventRouter {
-                module,
+                engine: module,
                 gate_host,
                 recorder,
                 now,
@@ -455,10 +465,10 @@
 /// A place writes so many lines a second, and says later how many it left out.
 #[rstest]
 fn log_lines_are_bounded() {
-    let place = Place::new();
+    let place = CallSite::new();
     let said = |second| {
         (0..100)
-            .filter_map(|_| place.may_say(second))
+            .filter_map(|_| place.may_write(second))
             .collect::<Vec<_>>()
     };
     let first = said(7);
--- a/crates/scale/src/module.rs
+++ b/crates/scale/src/module.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 use cpu_time::ThreadTime;
-use lilacgate_agent::discovery::{Answer, Lines};
 use lilacgate_agent::endpoint_list::EndpointListReader;
-use lilacgate_agent::json::{Json, Values};
+use lilacgate_agent::http_response::{HttpResponse, ValuesAndHeartbeats};
+use lilacgate_agent::json::{Json, JsonParser};
 use lilacgate_agent::release_watch;
 use lilacgate_agent::ring::Parse;
 use lilacgate_decision::{
@@ -124,8 +124,8 @@
     /// The last request's number.
     pub last_request: u32,
     catalog: EndpointListReader,
-    list_parser: Lines,
-    news_parser: Values,
+    list_parser: ValuesAndHeartbeats,
+    news_parser: JsonParser,
 }
 
 impl Module {
@@ -136,7 +136,8 @@
     pub fn new(seed: u64, settings: &Paths) -> Result<Self, ScaleError> {
         let instance =
             lilacgate_start_settings::instance(seed, settings).map_err(ScaleError::Settings)?;
-        let catalog = EndpointListReader::new(settings).map_err(ScaleError::Settings)?;
+        let catalog = EndpointListReader::new(settings)
+            .map_err(|error| ScaleError::Settings(error.to_string()))?;
         let (owed, not_ready, pending) = Default::default();
         Ok(Module {
             brain: instance.brain,
@@ -211,10 +212,10 @@
     /// Takes a saved list, as a start file holds it.
     pub fn take_saved(&mut self, text: &[u8], meter: &mut Meter) -> Option<Heard> {
         let start = ThreadTime::now();
-        let list = Values::whole(text).ok()?;
+        let list = JsonParser::parse(text).ok()?;
         let update = self.catalog.read(&list, &mut |_, _| {})?;
         meter.parse(start.elapsed());
-        let lines = update.entries.iter().map(|(line, _)| *line).collect();
+        let lines = update.endpoints.iter().map(|listed| listed.endpoint).collect();
         Some(Heard::Membership(ListUpdate::Cached, lines))
     }
 
@@ -247,12 +248,12 @@
 
     fn read_list(&mut self, list: &Json) -> Result<Heard, Unreadable> {
         let update = self.catalog.read(list, &mut |_, _| {}).ok_or(Unreadable)?;
-        let listing = if update.whole {
+        let listing = if update.is_full {
             ListUpdate::Full
         } else {
             ListUpdate::Delta
         };
-        let lines = update.entries.iter().map(|(line, _)| *line).collect();
+        let lines = update.endpoints.iter().map(|listed| listed.endpoint).collect();
         Ok(Heard::Membership(listing, lines))
     }
 
@@ -276,22 +277,22 @@
 /// A message that cannot be read.
 struct Unreadable;
 
-fn list_parser() -> Lines {
-    Lines(Answer::new(LARGEST_MESSAGE))
+fn list_parser() -> ValuesAndHeartbeats {
+    ValuesAndHeartbeats(HttpResponse::new(LARGEST_MESSAGE))
 }
 
-fn news_parser() -> Values {
-    Values::lines(release_watch::LINE)
+fn news_parser() -> JsonParser {
+    JsonParser::lines(release_watch::MAX_LINE_BYTES)
 }
 
-fn read_news(parser: &mut Values, bytes: &[u8]) -> Option<Vec<Heard>> {
+fn read_news(parser: &mut JsonParser, bytes: &[u8]) -> Option<Vec<Heard>> {
     let (mut rest, mut heard) = (bytes, Vec::new());
     while !rest.is_empty() {
         let (taken, message) = parser.take(rest).ok()?;
         rest = &rest[taken..];
         let Some(message) = message else { continue };
-        if message.get("method").and_then(Json::text) == Some("ROLLOUT") {
-            heard.push(Heard::News(release_watch::news(message.get("params")?)?));
+        if message.get("method").and_then(Json::as_str) == Some("ROLLOUT") {
+            heard.push(Heard::News(release_watch::ReleaseUpdate::from_json(message.get("params")?)?));
         }
     }
     Some(heard)
@@ -312,7 +313,7 @@
         }
         Heard::Membership(listing, lines) => ears.on_endpoints(listing, &mut lines.into_iter()),
         Heard::News(news) => {
-            ears.on_release_status(news.build, news.stage, news.course, news.cap, news.age);
+            ears.on_release_status(news.build, news.stage, news.phase, news.cap, news.age);
         }
         Heard::VoteAnswered(ending) => ears.on_vote_answered(ending),
         Heard::Datagram(from, octets) => ears.on_peer_message(from, &octets),
