--- a/crates/scale/src/simulation.rs
+++ b/crates/scale/src/simulation.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use lilacgate_agent::endpoint_list::EndpointListReader;
-use lilacgate_agent::json::Values;
+use lilacgate_agent::json::JsonParser;
 use lilacgate_capacity::fleet::{RegionId, ZoneId};
 use lilacgate_decision::{AgentId, EndpointId, Outcome};
 use lilacgate_start_settings::Paths;
@@ -629,13 +629,14 @@
         let start = common.start(AgentId(0), service as usize);
         let settings = Paths::from_lines(&settings::text(&start));
         let text = discovery.saved(ServiceIndex(service));
-        let mut catalog = EndpointListReader::new(&settings).map_err(ScaleError::Settings)?;
-        let list = Values::whole(&text).map_err(|_| unreadable())?;
+        let mut catalog = EndpointListReader::new(&settings)
+            .map_err(|error| ScaleError::Settings(error.to_string()))?;
+        let list = JsonParser::parse(&text).map_err(|_| unreadable())?;
         let update = catalog.read(&list, &mut |_, _| {}).ok_or_else(unreadable)?;
-        let number = |(line, at): &(lilacgate_decision::Endpoint, std::net::SocketAddr)| {
-            wire::index(*at).map(|index| (line.id, index))
+        let number = |listed: &lilacgate_agent::endpoint_list::ListedEndpoint| {
+            wire::index(listed.address).map(|index| (listed.endpoint.id, index))
         };
-        directories.push(update.entries.iter().filter_map(number).collect());
+        directories.push(update.endpoints.iter().filter_map(number).collect());
     }
     Ok(directories)
 }
