--- a/crates/agent/src/clients.rs
+++ b/crates/agent/src/clients.rs
@@ -19,7 +19,7 @@
 use crate::json;
 use crate::log::{Count, End, count, info};
 use crate::resp;
-use crate::ring::{Intake, Notifier, Ring, items, within};
+use crate::transport::{InputReader, Notifier, RingBuffer, items, with_timeout};
 use crate::upstream::UpstreamPool;
 
 /// A connection that brings no whole command in this time, from its start or from the command's, ends; an idle one may
@@ -278,7 +278,7 @@
                 .spawn(self.clone().serve(serial.get(), stream));
         };
         let leaving = async {
-            self.leaving.rung().await;
+            self.leaving.notified().await;
             None
         };
         pin!(leaving);
@@ -297,10 +297,12 @@
                     self.moment().await;
                 }
             }
-            while self.open.borrow().len() >= self.most && !self.leaving.has_rung() {
+            while self.open.borrow().len() >= self.most && !self.leaving.is_notified() {
                 // None ends before another waits for its place.
                 let waiting = async { listener.readable().await.map_err(End::from) };
-                if within(LOOK, waiting).await.is_ok() && self.open.borrow().len() >= self.most {
+                if with_timeout(LOOK, waiting).await.is_ok()
+                    && self.open.borrow().len() >= self.most
+                {
                     self.make_room(false);
                     self.moment().await;
                 }
@@ -315,7 +317,7 @@
             take(stream);
         }
         drop(listener);
-        self.deaf.ring();
+        self.deaf.notify();
     }
 
     /// So many connections are for requests. One that has brought none yet takes no place of theirs.
@@ -391,7 +393,7 @@
     /// Waits a moment for a connection to be gone.
     async fn moment(&self) {
         let gone = async { self.ended.1.recv().await.map_err(|_| End::Closed) };
-        within(LOOK, gone).await.ok();
+        with_timeout(LOOK, gone).await.ok();
     }
 
     /// Serves on for as long as the agent is sure to live: clients go on using connections that stay open. Then
@@ -404,10 +406,10 @@
         self.event_loop
             .clock
             .until(last - WAY_OUT)
-            .or(self.leaving.rung())
+            .or(self.leaving.notified())
             .await;
-        self.leaving.ring();
-        self.deaf.rung().await;
+        self.leaving.notify();
+        self.deaf.notified().await;
         let way_out = self.event_loop.clock.now();
         while !self.open.borrow().is_empty() && self.event_loop.clock.now() < last + self.patience {
             let now = self.event_loop.clock.now();
@@ -440,7 +442,7 @@
 
     /// Ends sooner: takes nothing from now on.
     pub fn hurry(&self) {
-        self.leaving.ring();
+        self.leaving.notify();
     }
 
     async fn serve(self: Rc<Self>, serial: u64, stream: Async<TcpStream>) {
@@ -450,7 +452,7 @@
             .peer_addr()
             .map_or_else(|_| "unknown".into(), |at| at.to_string());
         let stream = Rc::new(stream);
-        let intake = Intake::new(resp::Commands::default(), resp::MESSAGE, WHOLE);
+        let intake = InputReader::new(resp::Commands::default(), resp::MESSAGE, WHOLE);
         let (due, first, used, ending, last) = Default::default();
         let since = Cell::new(self.event_loop.clock.now());
         let notifier = async_channel::bounded(1);
@@ -462,7 +464,7 @@
             stream: Rc::downgrade(&stream),
             brief,
             used,
-            amid: intake.amid.clone(),
+            amid: intake.partial_item_flag(),
             ending,
             last,
             since,
@@ -470,14 +472,14 @@
         });
         self.open.borrow_mut().insert(serial, counter.clone());
         let answers = async {
-            let mut out = Ring::new(resp::MESSAGE);
+            let mut out = RingBuffer::new(resp::MESSAGE);
             loop {
                 match counter.next().await {
-                    Ok(answer) => out.put(&answer),
+                    Ok(answer) => out.append(&answer),
                     Err(end) => return end,
                 }
                 // A client that does not read its answers holds up nobody else, and not for ever.
-                if let Err(end) = within(self.patience, out.flush(&stream)).await {
+                if let Err(end) = with_timeout(self.patience, out.flush(&stream)).await {
                     return end;
                 }
                 counter.since.set(self.event_loop.clock.now());
@@ -508,12 +510,12 @@
     async fn linger(&self, stream: &Async<TcpStream>, why: End) {
         stream.get_ref().shutdown(Shutdown::Write).ok();
         let over = async {
-            self.leaving.rung().await;
+            self.leaving.notified().await;
             self.event_loop.clock.until(self.last.get()).await;
             Err(End::Stopping)
         };
         let seen = async { Err::<(), _>(self.rest(stream, why).await) };
-        within(self.settles, seen.or(over)).await.ok();
+        with_timeout(self.settles, seen.or(over)).await.ok();
     }
 
     /// What comes on a connection that takes nothing more: its client's end, or else `Flood`. What is noise, or behind
@@ -543,7 +545,7 @@
     async fn read(
         &self,
         stream: Rc<Async<TcpStream>>,
-        intake: Intake<resp::Commands>,
+        intake: InputReader<resp::Commands>,
         counter: &Rc<Counter>,
     ) -> End {
         let commands = items(stream.clone(), intake);
@@ -553,7 +555,7 @@
             let next = if counter.used.get() {
                 next.await
             } else {
-                within(WHOLE, async { Ok(next.await) })
+                with_timeout(WHOLE, async { Ok(next.await) })
                     .await
                     .unwrap_or_else(|end| Some(Err(end)))
             };
@@ -661,7 +663,7 @@
             tenant: Tenant(0),
             idempotency_key: Some(IdempotencyKey(hasher.finish())).filter(|_| !key.is_empty()),
             // What has no time left is declined by the module.
-            deadline: if self.leaving.has_rung() {
+            deadline: if self.leaving.is_notified() {
                 arrived
             } else {
                 arrived + Duration::from_millis(wait.into())
--- a/crates/agent/src/discovery.rs
+++ b/crates/agent/src/discovery.rs
@@ -16,7 +16,9 @@
 use crate::json::{self, Json};
 use crate::log::{Count, End, count, info};
 use crate::pacing::{CallEnd, Pacing};
-use crate::ring::{Intake, Parse, Place, Ring, connect, items, within};
+use crate::transport::{
+    InputReader, Parse, RingBuffer, ServiceAddress, connect, items, with_timeout,
+};
 use crate::upstream::UpstreamPool;
 
 /// A quiet watch sends an empty line this often.
@@ -174,7 +176,7 @@
 pub struct Discovery {
     event_loop: Rc<EventLoop>,
     upstream: Rc<UpstreamPool>,
-    pub place: Place,
+    pub place: ServiceAddress,
     connect_within: Duration,
     /// Whether the module asks for the list; elsewhere it is watched always.
     asked: bool,
@@ -198,7 +200,7 @@
         Ok(Rc::new(Discovery {
             event_loop,
             upstream,
-            place: Place::new(at),
+            place: ServiceAddress::new(at),
             connect_within,
             asked: told.asks()?,
             most,
@@ -237,7 +239,7 @@
     }
 
     fn failed(&self, end: End) {
-        info!("discovery {} ended: {end}", self.place.at());
+        info!("discovery {} ended: {end}", self.place.get());
         if self.asked {
             self.event_loop
                 .enqueue(|router| router.on_endpoints(ListUpdate::Failed, &mut std::iter::empty()));
@@ -255,7 +257,8 @@
             let mut moved = end == Err(End::Moved);
             if !moved {
                 on = !self.asked;
-                moved = on && within(pause, self.place.moved::<()>()).await == Err(End::Moved);
+                moved =
+                    on && with_timeout(pause, self.place.changed::<()>()).await == Err(End::Moved);
             }
             if moved {
                 // Another service may count its versions otherwise: the whole list, at once.
@@ -267,7 +270,11 @@
 
     /// One watch, up to its end; how it ended, and the pause before the next one.
     async fn watched(&self) -> (Result<(), End>, Duration) {
-        let (at, heard, began) = (self.place.at(), std::cell::Cell::new(false), Instant::now());
+        let (at, heard, began) = (
+            self.place.get(),
+            std::cell::Cell::new(false),
+            Instant::now(),
+        );
         let path = format!(
             "/catalog/members?follow=1&since={}",
             self.endpoint_list.borrow().version()
@@ -277,7 +284,7 @@
             while self.wish.1.recv().await.unwrap_or(true) {}
             Err(End::GivenUp)
         };
-        let end = call.or(off).or(self.place.moved()).await;
+        let end = call.or(off).or(self.place.changed()).await;
         match end {
             Err(End::Moved) => info!("discovery {at} ended: {}", End::Moved),
             Err(end) => self.failed(end),
@@ -301,20 +308,23 @@
         once: bool,
         heard: &std::cell::Cell<bool>,
     ) -> Result<(), End> {
-        let at = self.place.at();
+        let at = self.place.get();
         let stream = Rc::new(connect(at, self.connect_within).await?);
-        let mut ask = Ring::new(HEAD_LINE);
-        ask.put(
+        let mut ask = RingBuffer::new(HEAD_LINE);
+        ask.append(
             format!("GET {path} HTTP/1.1\r\nHost: {at}\r\nAccept: application/json\r\n\r\n")
                 .as_bytes(),
         );
-        within(self.connect_within, ask.flush(&stream)).await?;
-        let intake = Intake::new(Lines(Answer::new(self.most)), self.most, SILENT);
-        let lists = items(stream, intake.stalls_after(self.pacing.borrow().stall()));
+        with_timeout(self.connect_within, ask.flush(&stream)).await?;
+        let intake = InputReader::new(Lines(Answer::new(self.most)), self.most, SILENT);
+        let lists = items(
+            stream,
+            intake.with_stall_timeout(self.pacing.borrow().stall()),
+        );
         pin!(lists);
         loop {
             let next = async { lists.next().await.unwrap_or(Err(End::Closed)) };
-            let (_, Some(list)) = within(SILENT, next).await? else {
+            let (_, Some(list)) = with_timeout(SILENT, next).await? else {
                 continue;
             };
             heard.set(true);
@@ -346,7 +356,7 @@
                 )
                 .await
             {
-                Ok(()) => info!("discovery {} ended: {}", me.place.at(), End::Closed),
+                Ok(()) => info!("discovery {} ended: {}", me.place.get(), End::Closed),
                 Err(end) => me.failed(end),
             }
         });
--- a/crates/agent/src/event_loop.rs
+++ b/crates/agent/src/event_loop.rs
@@ -20,7 +20,7 @@
 use crate::log::{Count, count, info};
 use crate::recorder::{Recorder, RequestEvent};
 use crate::release_gate::{EventRouter, ReleaseGateHost};
-use crate::ring::Notifier;
+use crate::transport::Notifier;
 
 /// Something that the module is to hear, or the gate beside it.
 type Call = Box<dyn FnOnce(&mut EventRouter)>;
@@ -165,14 +165,14 @@
     /// The agent ends then: all that is in hand, or comes still, has its answer before.
     pub fn ends(&self, last: Duration) {
         self.ends.set(last);
-        self.ending.ring();
+        self.ending.notify();
         self.enqueue(move |router| router.on_shutdown(last));
     }
 
     /// Waits until then, or until the agent's end is so near that an answer has to go out.
     pub async fn until(&self, then: Duration) {
         let ending = async {
-            self.ending.rung().await;
+            self.ending.notified().await;
             self.clock
                 .until(self.ends.get().saturating_sub(self.slack))
                 .await;
--- a/crates/agent/src/json.rs
+++ b/crates/agent/src/json.rs
@@ -3,7 +3,7 @@
 use std::fmt::Write;
 
 use crate::log::End;
-use crate::ring::Parse;
+use crate::transport::Parse;
 
 /// No message of ours nests deeper than this.
 const DEEPEST: usize = 16;
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -23,8 +23,8 @@
 pub mod release_watch;
 pub mod releases;
 pub mod resp;
-pub mod ring;
 pub mod start_config;
+pub mod transport;
 pub mod upstream;
 
 use std::collections::BTreeSet;
@@ -250,7 +250,7 @@
             "reload: discovery at {}, platform at {}",
             config.discovery, config.platform
         );
-        self.discovery.place.move_to(config.discovery);
-        self.platform.release_watch.place.move_to(config.platform);
+        self.discovery.place.set(config.discovery);
+        self.platform.release_watch.place.set(config.platform);
     }
 }
--- a/crates/agent/src/platform.rs
+++ b/crates/agent/src/platform.rs
@@ -18,12 +18,12 @@
 use crate::release_watch::{
     self, Bound, LINE, ReleaseUpdate, ReleaseWatch, ReleaseWatchListener as _,
 };
-use crate::ring::{Intake, connect, within};
+use crate::transport::{InputReader, connect, with_timeout};
 
 struct Line {
     to: SocketAddr,
     stream: Async<TcpStream>,
-    intake: Intake<json::Values>,
+    intake: InputReader<json::Values>,
 }
 
 pub struct Platform {
@@ -101,12 +101,12 @@
         );
         self.event_loop.clone().spawn(async move {
             let written = Cell::new(false);
-            let ending = match within(me.answer_within, me.ask(&params, &written)).await {
+            let ending = match with_timeout(me.answer_within, me.ask(&params, &written)).await {
                 Ok(ending) => ending,
                 Err(end) => {
                     info!(
                         "platform {}: a vote's connection ended: {end}",
-                        me.release_watch.place.at()
+                        me.release_watch.place.get()
                     );
                     // It may have been carried out, once it was written.
                     if written.get() {
@@ -126,9 +126,9 @@
     /// Asks on the kept connection, if it still stands, or on a new one.
     async fn ask(&self, params: &str, written: &Cell<bool>) -> Result<Outcome, End> {
         let kept = self.kept.take();
-        let to = self.release_watch.place.at();
+        let to = self.release_watch.place.get();
         let kept = kept.filter(|line| line.to == to).and_then(|mut line| {
-            let quiet = line.intake.is_quiet(&line.stream);
+            let quiet = line.intake.is_open_and_empty(&line.stream);
             if !quiet {
                 info!("platform {to}: a vote's connection ended: {}", End::Stale);
             }
@@ -139,7 +139,7 @@
             None => Line {
                 to,
                 stream: connect(to, self.connect_within).await?,
-                intake: Intake::new(json::Values::lines(LINE), LINE, self.answer_within),
+                intake: InputReader::new(json::Values::lines(LINE), LINE, self.answer_within),
             },
         };
         let id = self.last.get() + 1;
--- a/crates/agent/src/release_watch.rs
+++ b/crates/agent/src/release_watch.rs
@@ -12,7 +12,7 @@
 
 use crate::json::{self, Json};
 use crate::log::{End, info};
-use crate::ring::{Intake, Place, Ring, connect, items, within};
+use crate::transport::{InputReader, RingBuffer, ServiceAddress, connect, items, with_timeout};
 
 /// A line as long as this ends the connection.
 pub const LINE: usize = 8 << 10;
@@ -58,9 +58,9 @@
 }
 
 /// A call as a line.
-pub fn call(id: u64, method: &str, params: &str) -> Ring {
-    let mut ring = Ring::new(LINE);
-    ring.put(
+pub fn call(id: u64, method: &str, params: &str) -> RingBuffer {
+    let mut ring = RingBuffer::new(LINE);
+    ring.append(
         format!("{{\"jsonrpc\":\"2.0\",\"id\":{id},\"method\":\"{method}\"{params}}}\n").as_bytes(),
     );
     ring
@@ -82,7 +82,7 @@
 
 pub struct ReleaseWatch {
     name: String,
-    pub place: Place,
+    pub place: ServiceAddress,
     connect_within: Duration,
     bound: Bound,
     router: Rc<dyn ReleaseWatchListener>,
@@ -98,7 +98,7 @@
     ) -> Rc<Self> {
         Rc::new(ReleaseWatch {
             name,
-            place: Place::new(at),
+            place: ServiceAddress::new(at),
             connect_within,
             bound,
             router,
@@ -110,8 +110,8 @@
         let mut pause = PING / 20;
         loop {
             let heard = Cell::new(false);
-            let at = self.place.at();
-            let Err(end) = self.listen(at, &heard).or(self.place.moved()).await;
+            let at = self.place.get();
+            let Err(end) = self.listen(at, &heard).or(self.place.changed()).await;
             info!("{} {at} ended: {end}", self.name);
             // One that only makes noise is not asked again at once.
             let fine = heard.get() && !matches!(end, End::Malformed | End::TooLong | End::Flood);
@@ -121,7 +121,7 @@
                 (pause * 2).min(PING)
             };
             if end != End::Moved {
-                within(pause, self.place.moved::<()>()).await.ok();
+                with_timeout(pause, self.place.changed::<()>()).await.ok();
             }
         }
     }
@@ -129,16 +129,16 @@
     async fn listen(&self, at: SocketAddr, heard: &Cell<bool>) -> Result<Infallible, End> {
         let stream = Rc::new(connect(at, self.connect_within).await?);
         let mut ask = call(1, "listen", "");
-        within(self.connect_within, ask.flush(&stream)).await?;
+        with_timeout(self.connect_within, ask.flush(&stream)).await?;
         let told = items(
             stream,
-            Intake::new(json::Values::lines(LINE), LINE, PING * 3),
+            InputReader::new(json::Values::lines(LINE), LINE, PING * 3),
         );
         pin!(told);
         let (mut second, mut said) = (Instant::now(), 0);
         loop {
             let next = async { told.next().await.unwrap_or(Err(End::Closed)) };
-            let (_, message) = within(PING * 3, next).await?;
+            let (_, message) = with_timeout(PING * 3, next).await?;
             if second.elapsed() >= PING {
                 (second, said) = (Instant::now(), 0);
             }
--- a/crates/agent/src/releases.rs
+++ b/crates/agent/src/releases.rs
@@ -156,7 +156,7 @@
         for (name, release_watch) in wanted {
             if let Some(attended) = desks.get(&name) {
                 attended.service.set(release_watch.service);
-                attended.release_watch.place.move_to(release_watch.at);
+                attended.release_watch.place.set(release_watch.at);
                 continue;
             }
             let service = Rc::new(Cell::new(release_watch.service));
--- a/crates/agent/src/resp.rs
+++ b/crates/agent/src/resp.rs
@@ -1,7 +1,7 @@
 //! Owns the reading and writing of RESP2, as its bytes come. It knows no command; it must never hold more than its
 //! bound, nor take a length on trust.
 use crate::log::End;
-use crate::ring::Parse;
+use crate::transport::Parse;
 
 /// The protocol's largest value.
 pub const VALUE: usize = 64 << 10;
--- /dev/null
+++ b/crates/agent/src/transport/input_reader.rs
@@ -0,0 +1,158 @@
+//! The incoming side of a connection: bytes from its socket, cut into items by a parser.
+use std::cell::Cell;
+use std::io;
+use std::net::TcpStream;
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+
+use async_io::{Async, Timer};
+use futures_lite::stream::{self, Stream};
+use futures_lite::{FutureExt, pin};
+
+use super::{RingBuffer, with_timeout};
+use crate::log::End;
+
+/// An incremental parser. After an error the stream cannot be parsed any further, and its connection has to end.
+pub trait Parse {
+    /// What the parser makes of the bytes.
+    type Item;
+
+    /// Consumes bytes from the front, up to the end of one item at most; returns how many, and the item if it is
+    /// complete.
+    ///
+    /// # Errors
+    ///
+    /// [`End::Malformed`] or [`End::TooLong`], the same however the bytes were split.
+    fn take(&mut self, bytes: &[u8]) -> Result<(usize, Option<Self::Item>), End>;
+
+    /// Whether no byte of a next item has been consumed yet.
+    fn is_between(&self) -> bool;
+}
+
+/// Reads items from one connection.
+#[derive(Debug)]
+pub struct InputReader<P> {
+    buffer: RingBuffer,
+    parser: P,
+    /// The time limit for an item from its first byte to its last.
+    read_timeout: Duration,
+    /// The time limit between two reads within an item, if there is one.
+    stall_timeout: Option<Duration>,
+    last_read: Instant,
+    /// When the first byte of the current item was read.
+    item_started: Instant,
+    /// Whether bytes were read that have not become an item yet; shared with the owner of the connection.
+    has_partial_item: Rc<Cell<bool>>,
+}
+
+impl<P: Parse> InputReader<P> {
+    /// A reader that buffers at most `limit` bytes, and whose items have to be complete `read_timeout` after their
+    /// first byte.
+    pub fn new(parser: P, limit: usize, read_timeout: Duration) -> Self {
+        let now = Instant::now();
+        InputReader {
+            buffer: RingBuffer::new(limit),
+            parser,
+            read_timeout,
+            stall_timeout: None,
+            last_read: now,
+            item_started: now,
+            has_partial_item: Rc::default(),
+        }
+    }
+
+    /// Adds a limit to the time between two reads within one item; beyond it the reader ends with [`End::Stalled`].
+    #[must_use]
+    pub fn with_stall_timeout(self, stall_timeout: Duration) -> Self {
+        InputReader {
+            stall_timeout: Some(stall_timeout),
+            ..self
+        }
+    }
+
+    /// A flag that says at any time whether bytes were read that have not become an item yet.
+    pub fn partial_item_flag(&self) -> Rc<Cell<bool>> {
+        self.has_partial_item.clone()
+    }
+
+    /// Waits for the next item; returns `None` at the end of the stream. No time limit holds before its first byte.
+    ///
+    /// # Errors
+    ///
+    /// [`End::Silent`] or [`End::Stalled`] for an item that is not completed in time, the parser's error, or the code
+    /// of the socket's error.
+    pub async fn next(&mut self, stream: &Async<TcpStream>) -> Result<Option<P::Item>, End> {
+        if self.buffer.is_empty() && self.parser.is_between() {
+            stream.readable().await.map_err(End::from)?;
+        }
+        with_timeout(self.read_timeout, self.read_item(stream)).await
+    }
+
+    async fn read_item(&mut self, stream: &Async<TcpStream>) -> Result<Option<P::Item>, End> {
+        loop {
+            while !self.buffer.is_empty() {
+                if self.parser.is_between() {
+                    self.item_started = self.last_read;
+                }
+                let (consumed, item) = self.parser.take(self.buffer.front())?;
+                self.buffer.consume(consumed);
+                if let Some(item) = item {
+                    self.has_partial_item.set(!self.buffer.is_empty());
+                    return Ok(Some(item));
+                }
+            }
+            self.buffer.shrink_if_empty();
+            if self.read(stream).await? == 0 {
+                return Ok(None);
+            }
+            self.last_read = Instant::now();
+            self.has_partial_item.set(true);
+        }
+    }
+
+    /// Reads what comes next, within the stall timeout if an item has begun.
+    async fn read(&mut self, stream: &Async<TcpStream>) -> Result<usize, End> {
+        let stall_timeout = self.stall_timeout.filter(|_| !self.parser.is_between());
+        let buffer = &mut self.buffer;
+        let read = async {
+            stream
+                .read_with(|socket| buffer.read_from(socket))
+                .await
+                .map_err(End::from)
+        };
+        let Some(stall_timeout) = stall_timeout else {
+            return read.await;
+        };
+        let stalled = async {
+            Timer::after(stall_timeout).await;
+            Err(End::Stalled)
+        };
+        pin!(read);
+        read.or(stalled).await
+    }
+
+    /// Whether an idle connection is still open and has brought nothing that nobody asked for. It reads from the
+    /// socket without waiting.
+    pub fn is_open_and_empty(&mut self, stream: &Async<TcpStream>) -> bool {
+        let would_block = |error: &io::Error| error.kind() == io::ErrorKind::WouldBlock;
+        self.buffer.is_empty()
+            && self.parser.is_between()
+            && self
+                .buffer
+                .read_from(stream.get_ref())
+                .as_ref()
+                .is_err_and(would_block)
+    }
+}
+
+/// A connection as a stream of items, each with the time at which its first byte was read. It ends after the first
+/// error.
+pub fn items<P: Parse>(
+    stream: Rc<Async<TcpStream>>,
+    reader: InputReader<P>,
+) -> impl Stream<Item = Result<(Instant, P::Item), End>> {
+    stream::try_unfold((stream, reader), async |(stream, mut reader)| {
+        let item = reader.next(&stream).await?;
+        Ok(item.map(|item| ((reader.item_started, item), (stream, reader))))
+    })
+}
--- /dev/null
+++ b/crates/agent/src/transport/ring_buffer.rs
@@ -0,0 +1,104 @@
+//! The buffer between a socket and a codec, for one direction of one connection.
+use std::collections::VecDeque;
+use std::io::{self, Read, Write};
+use std::net::TcpStream;
+
+use async_io::Async;
+
+use crate::log::End;
+
+/// The capacity in bytes that a buffer starts with, and that it may keep while it is empty.
+const IDLE_CAPACITY: usize = 1 << 10;
+
+/// Bytes on their way from or to a socket.
+///
+/// Reading from a socket never fills it beyond its limit, and no byte is lost. What is appended for sending has the
+/// bounds of its message.
+#[derive(Debug)]
+pub struct RingBuffer {
+    bytes: VecDeque<u8>,
+    limit: usize,
+}
+
+impl RingBuffer {
+    /// An empty buffer, without an allocation, that reads at most `limit` bytes ahead of their consumer.
+    pub fn new(limit: usize) -> Self {
+        RingBuffer {
+            bytes: VecDeque::new(),
+            limit,
+        }
+    }
+
+    /// Whether no byte is buffered.
+    pub fn is_empty(&self) -> bool {
+        self.bytes.is_empty()
+    }
+
+    /// Appends bytes that are to be sent.
+    pub fn append(&mut self, bytes: &[u8]) {
+        self.bytes.extend(bytes);
+    }
+
+    /// The first contiguous part of what is buffered; not empty unless the buffer is.
+    pub(super) fn front(&self) -> &[u8] {
+        self.bytes.as_slices().0
+    }
+
+    /// Drops the first `count` bytes.
+    pub(super) fn consume(&mut self, count: usize) {
+        self.bytes.drain(..count);
+    }
+
+    /// Returns memory that an idle connection does not need.
+    pub(super) fn shrink_if_empty(&mut self) {
+        if self.bytes.is_empty() && self.bytes.capacity() > IDLE_CAPACITY {
+            self.bytes = VecDeque::new();
+        }
+    }
+
+    /// Reads what the socket has, as far as there is room; returns 0 at the end of the stream. The buffer doubles only
+    /// once it is full, so that a connection with small messages stays small.
+    pub(super) fn read_from(&mut self, mut socket: &TcpStream) -> io::Result<usize> {
+        let buffered = self.bytes.len();
+        let unused = self
+            .bytes
+            .capacity()
+            .max(IDLE_CAPACITY)
+            .min(self.limit)
+            .saturating_sub(buffered);
+        let room = if unused == 0 {
+            buffered.min(self.limit - buffered)
+        } else {
+            unused
+        };
+        self.bytes.resize(buffered + room, 0);
+        let tail = &mut self.bytes.make_contiguous()[buffered..];
+        let result = socket.read(tail);
+        let count = *result.as_ref().unwrap_or(&0);
+        self.bytes.truncate(buffered + count);
+        result
+    }
+
+    /// Writes as much as the socket takes; returns how many bytes that were.
+    fn write_to(&mut self, mut socket: &TcpStream) -> io::Result<usize> {
+        let count = socket.write(self.front())?;
+        self.consume(count);
+        Ok(count)
+    }
+
+    /// Writes all that is buffered.
+    ///
+    /// # Errors
+    ///
+    /// The code of the socket's error; [`End::Reset`] if it takes nothing more.
+    pub async fn flush(&mut self, stream: &Async<TcpStream>) -> Result<(), End> {
+        while !self.bytes.is_empty() {
+            let written = stream.write_with(|socket| self.write_to(socket)).await;
+            if written.map_err(End::from)? == 0 {
+                return Err(End::Reset);
+            }
+        }
+        self.shrink_if_empty();
+        Ok(())
+    }
+}
--- a/crates/agent/src/upstream.rs
+++ b/crates/agent/src/upstream.rs
@@ -20,7 +20,7 @@
 use crate::event_loop::{Clock, EncodedRequest, EventLoop, Upstream};
 use crate::log::{Count, End, count, info};
 use crate::resp::{self, Resp};
-use crate::ring::{Intake, Ring, connect, within};
+use crate::transport::{InputReader, RingBuffer, connect, with_timeout};
 
 /// A process that an appliance runs: where it listens, its build, and when it started. Links are to it alone.
 type Life = (SocketAddr, Build, Option<Duration>);
@@ -34,8 +34,8 @@
 
 struct Link {
     stream: Async<TcpStream>,
-    intake: Intake<resp::Values>,
-    out: Ring,
+    intake: InputReader<resp::Values>,
+    out: RingBuffer,
     to: Life,
     /// When it last carried something.
     since: Duration,
@@ -56,7 +56,7 @@
     fn is_usable(&mut self, now: Duration, idle_for: Duration) -> bool {
         if now > self.since + idle_for {
             self.why = End::Idle;
-        } else if !self.intake.is_quiet(&self.stream) {
+        } else if !self.intake.is_open_and_empty(&self.stream) {
             self.why = End::Stale;
         } else {
             return true;
@@ -198,8 +198,8 @@
         count(Count::LinksOpened);
         Ok(Link {
             stream,
-            intake: Intake::new(resp::Values::default(), resp::MESSAGE, self.patience),
-            out: Ring::new(resp::MESSAGE),
+            intake: InputReader::new(resp::Values::default(), resp::MESSAGE, self.patience),
+            out: RingBuffer::new(resp::MESSAGE),
             to,
             since: self.clock().now(),
             why: End::GivenUp,
@@ -303,7 +303,7 @@
         bytes: &[u8],
         written: &Cell<bool>,
     ) -> Result<Resp, Outcome> {
-        link.out.put(bytes);
+        link.out.append(bytes);
         if let Err(end) = link.out.flush(&link.stream).await {
             link.why = end;
             return Err(Outcome::ConnectFailed);
@@ -411,7 +411,7 @@
                 me.keep(to, link);
                 load
             };
-            let answer = within(me.connect_within, async { Ok(ask.await) }).await;
+            let answer = with_timeout(me.connect_within, async { Ok(ask.await) }).await;
             let answer = answer.unwrap_or(Err(Outcome::TimedOut));
             let took = me.clock().now().saturating_sub(began);
             let ending = answer
--- a/crates/agent/tests/fleet.rs
+++ b/crates/agent/tests/fleet.rs
@@ -7,7 +7,7 @@
 
 use lilacgate_agent::discovery::Answer;
 use lilacgate_agent::json::{Json, Values};
-use lilacgate_agent::ring::Parse;
+use lilacgate_agent::transport::Parse;
 use lilacgate_capacity::Sample;
 use lilacgate_loopback::fleet::Fleet;
 use lilacgate_loopback::interrupt::{Interrupt, Trigger};
--- a/crates/agent/tests/inside.rs
+++ b/crates/agent/tests/inside.rs
@@ -24,7 +24,7 @@
 use lilacgate_agent::recorder::Recorder;
 use lilacgate_agent::release_gate::{EventRouter, ReleaseGateHost};
 use lilacgate_agent::resp::{self, Resp};
-use lilacgate_agent::ring::Parse;
+use lilacgate_agent::transport::Parse;
 use lilacgate_agent::upstream::UpstreamPool;
 
 /// What a parser finds in these pieces, as a text.
--- a/crates/scale/src/module.rs
+++ b/crates/scale/src/module.rs
@@ -7,7 +7,7 @@
 use lilacgate_agent::endpoint_list::EndpointListReader;
 use lilacgate_agent::json::{Json, Values};
 use lilacgate_agent::release_watch;
-use lilacgate_agent::ring::Parse;
+use lilacgate_agent::transport::Parse;
 use lilacgate_decision::{
     AgentId, AttemptNumber, DecisionEngine, Endpoint, EndpointId, EndpointStatus, EventHandler,
     ListUpdate, Outcome, Request, RequestId, TimerId,
