--- a/crates/agent/src/endpoint_ids.rs
+++ b/crates/agent/src/endpoint_ids.rs
@@ -1,49 +1,52 @@
-//! Gives each listed appliance its number: a hash of its name, so that agents which name appliances to each other mean
-//! the same one. A name whose hash is taken by another name gets the next free number.
+//! Assigns numeric ids to the endpoints that discovery lists by name.
+//!
+//! An id is a hash of the name, so that agents which mention an endpoint to each other mean the same one. A name whose
+//! hash belongs to another listed name gets the next free number.
 use std::collections::{HashMap, HashSet};
 
 use lilacgate_decision::EndpointId;
 
-/// The constants of the 32-bit FNV-1a hash.
+/// The offset basis of the 32-bit FNV-1a hash.
 const FNV_OFFSET: u32 = 0x811c_9dc5;
+/// The prime of the 32-bit FNV-1a hash.
 const FNV_PRIME: u32 = 0x0100_0193;
 
-/// The numbers of the names that are listed now.
+/// The ids of the names that are listed now.
 #[derive(Debug, Default)]
 pub struct EndpointIds {
     by_name: HashMap<String, EndpointId>,
-    /// The same numbers again, so that a new name costs the same however many there are.
-    taken: HashSet<EndpointId>,
+    /// The same ids once more, so that a new name costs the same however many there are.
+    assigned: HashSet<EndpointId>,
 }
 
 impl EndpointIds {
-    /// The number of a name, if it has one.
+    /// The id of a name, if it has one.
     pub fn get(&self, name: &str) -> Option<EndpointId> {
         self.by_name.get(name).copied()
     }
 
-    /// Gives a name its number; one that has a number keeps it.
+    /// Assigns an id to a name; a name that has one keeps it.
     pub fn assign(&mut self, name: &str) -> EndpointId {
-        if let Some(number) = self.get(name) {
-            return number;
+        if let Some(id) = self.get(name) {
+            return id;
         }
-        let mut number = EndpointId(hash(name));
-        while !self.taken.insert(number) {
-            number.0 = number.0.wrapping_add(1);
+        let mut id = EndpointId(fnv1a(name));
+        while !self.assigned.insert(id) {
+            id.0 = id.0.wrapping_add(1);
         }
-        self.by_name.insert(name.to_owned(), number);
-        number
+        self.by_name.insert(name.to_owned(), id);
+        id
     }
 
-    /// Forgets the names of all other numbers.
-    pub fn retain(&mut self, keeps: impl Fn(EndpointId) -> bool) {
-        self.by_name.retain(|_, number| keeps(*number));
-        self.taken.retain(|number| keeps(*number));
+    /// Forgets all names but those whose id is to be kept.
+    pub fn retain(&mut self, is_kept: impl Fn(EndpointId) -> bool) {
+        self.by_name.retain(|_, id| is_kept(*id));
+        self.assigned.retain(|id| is_kept(*id));
     }
 }
 
-/// The FNV-1a hash of a name.
-fn hash(name: &str) -> u32 {
-    let mix = |sum: u32, byte: u8| (sum ^ u32::from(byte)).wrapping_mul(FNV_PRIME);
+/// The 32-bit FNV-1a hash of a name.
+fn fnv1a(name: &str) -> u32 {
+    let mix = |hash: u32, byte: u8| (hash ^ u32::from(byte)).wrapping_mul(FNV_PRIME);
     name.bytes().fold(FNV_OFFSET, mix)
 }
