--- a/crates/agent/src/clients.rs
+++ b/crates/agent/src/clients.rs
@@ -452,7 +452,7 @@
             .peer_addr()
             .map_or_else(|_| "unknown".into(), |at| at.to_string());
         let stream = Rc::new(stream);
-        let intake = InputReader::new(resp::Commands::default(), resp::MESSAGE, WHOLE);
+        let intake = InputReader::new(resp::CommandParser::default(), resp::MAX_MESSAGE, WHOLE);
         let (due, first, used, ending, last) = Default::default();
         let since = Cell::new(self.event_loop.clock.now());
         let notifier = async_channel::bounded(1);
@@ -472,7 +472,7 @@
         });
         self.open.borrow_mut().insert(serial, counter.clone());
         let answers = async {
-            let mut out = RingBuffer::new(resp::MESSAGE);
+            let mut out = RingBuffer::new(resp::MAX_MESSAGE);
             loop {
                 match counter.next().await {
                     Ok(answer) => out.append(&answer),
@@ -545,7 +545,7 @@
     async fn read(
         &self,
         stream: Rc<Async<TcpStream>>,
-        intake: InputReader<resp::Commands>,
+        intake: InputReader<resp::CommandParser>,
         counter: &Rc<Counter>,
     ) -> End {
         let commands = items(stream.clone(), intake);
@@ -692,7 +692,7 @@
             move |answer| {
                 drop(in_hand);
                 let answer = match answer {
-                    Answer::Settled(value) => resp::bulk(&value),
+                    Answer::Settled(value) => resp::encode_bulk(&value),
                     Answer::Declined(wait) if advises && !wait.is_zero() => {
                         format!("-BUSY {}\r\n", wait.as_millis()).into_bytes()
                     }
@@ -727,6 +727,6 @@
                 Vec::as_slice(part)
             }
         };
-        resp::command(command.iter().enumerate().map(part))
+        resp::encode_command(command.iter().enumerate().map(part))
     })
 }
--- a/crates/agent/src/resp.rs
+++ b/crates/agent/src/resp.rs
@@ -1,82 +1,102 @@
-//! Owns the reading and writing of RESP2, as its bytes come. It knows no command; it must never hold more than its
-//! bound, nor take a length on trust.
+//! Parser and encoder of RESP2, the protocol of clients and endpoints.
+//!
+//! The parsers are incremental and know no command. They never buffer more than [`MAX_MESSAGE`] bytes, and no length
+//! that a peer announces reserves memory before its bytes have come.
 use crate::log::End;
 use crate::transport::Parse;
 
-/// The protocol's largest value.
-pub const VALUE: usize = 64 << 10;
-/// The largest message: a value, and what stands around it.
-pub const MESSAGE: usize = VALUE + VALUE / 8;
-/// No command or answer of ours has more items, nor nests deeper.
-const ITEMS: i64 = 64;
-const DEEPEST: usize = 4;
-
+/// The largest bulk string of the protocol, in bytes.
+pub const MAX_VALUE: usize = 64 << 10;
+/// The largest message in bytes: one largest value, and room for what stands around it.
+pub const MAX_MESSAGE: usize = MAX_VALUE + MAX_VALUE / 8;
+/// The most items of one array; no command or reply of ours has more.
+const MAX_ITEMS: i64 = 64;
+/// How deep arrays may be nested.
+const MAX_DEPTH: usize = 4;
+const LINE_END: &[u8] = b"\r\n";
+
+/// A RESP2 value; `None` stands for the null forms.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Resp {
+    /// A simple string, `+OK`.
     Simple(Vec<u8>),
+    /// An error, `-ERR failed`.
     Error(Vec<u8>),
+    /// An integer, `:1`.
     Integer(i64),
+    /// A bulk string, whose length comes first.
     Bulk(Option<Vec<u8>>),
+    /// An array of values.
     Array(Option<Vec<Resp>>),
 }
 
+#[derive(Clone, Copy, Debug)]
 enum State {
-    /// In a line that gives a kind, and a length or a short value.
+    /// In a line that holds a type, and a length or a short value.
     Line,
-    /// So many bytes of a bulk string are still to come, with the line end after it.
-    Bulk(usize),
+    /// In a bulk string; so many bytes of it and of its line end are missing.
+    Bulk { missing: usize },
+}
+
+/// An array some of whose items are still to come.
+#[derive(Debug)]
+struct PartialArray {
+    missing: usize,
+    items: Vec<Resp>,
 }
 
-/// Reads one value after another.
-pub struct Values {
+/// Parses one value after another.
+#[derive(Debug)]
+pub struct ValueParser {
     state: State,
-    held: Vec<u8>,
-    seen: usize,
-    /// Arrays that are not whole yet, and how many items each still lacks.
-    open: Vec<(usize, Vec<Resp>)>,
+    /// The bytes so far of the current line or bulk string.
+    token: Vec<u8>,
+    /// The bytes so far of the current message.
+    message_length: usize,
+    /// The arrays that are not complete yet, outermost first.
+    open_arrays: Vec<PartialArray>,
 }
 
-impl Default for Values {
+impl Default for ValueParser {
     fn default() -> Self {
-        Values {
+        ValueParser {
             state: State::Line,
-            held: vec![],
-            seen: 0,
-            open: vec![],
+            token: vec![],
+            message_length: 0,
+            open_arrays: vec![],
         }
     }
 }
 
-impl Values {
-    fn line(&mut self) -> Result<Option<Resp>, End> {
-        let line = std::mem::take(&mut self.held);
-        let line = line.strip_suffix(b"\r\n").ok_or(End::Malformed)?;
+impl ValueParser {
+    /// Parses a whole line; returns its value unless more has to come first.
+    fn parse_line(&mut self) -> Result<Option<Resp>, End> {
+        let line = std::mem::take(&mut self.token);
+        let line = line.strip_suffix(LINE_END).ok_or(End::Malformed)?;
         let (&kind, rest) = line.split_first().ok_or(End::Malformed)?;
-        let number = || {
-            let text = std::str::from_utf8(rest)
-                .ok()
-                .filter(|text| !text.starts_with('+'));
-            text.and_then(|text| text.parse::<i64>().ok())
-                .ok_or(End::Malformed)
-        };
         Ok(Some(match kind {
             b'+' => Resp::Simple(rest.to_vec()),
             b'-' => Resp::Error(rest.to_vec()),
-            b':' => Resp::Integer(number()?),
-            b'$' => match number()? {
+            b':' => Resp::Integer(parse_integer(rest)?),
+            b'$' => match parse_integer(rest)? {
                 -1 => Resp::Bulk(None),
-                len @ 0.. if len <= VALUE as i64 => {
-                    self.state = State::Bulk(len as usize + 2);
+                length @ 0.. if length <= MAX_VALUE as i64 => {
+                    self.state = State::Bulk {
+                        missing: length as usize + LINE_END.len(),
+                    };
                     return Ok(None);
                 }
                 0.. => return Err(End::TooLong),
                 _ => return Err(End::Malformed),
             },
-            b'*' => match number()? {
+            b'*' => match parse_integer(rest)? {
                 -1 => Resp::Array(None),
                 0 => Resp::Array(Some(vec![])),
-                len @ 1..=ITEMS if self.open.len() < DEEPEST => {
-                    self.open.push((len as usize, vec![]));
+                count @ 1..=MAX_ITEMS if self.open_arrays.len() < MAX_DEPTH => {
+                    self.open_arrays.push(PartialArray {
+                        missing: count as usize,
+                        items: vec![],
+                    });
                     return Ok(None);
                 }
                 1.. => return Err(End::TooLong),
@@ -86,75 +106,90 @@
         }))
     }
 
-    /// Puts a value where it belongs; returns it if it is the whole.
-    fn put(&mut self, mut value: Resp) -> Option<Resp> {
-        while let Some((left, mut items)) = self.open.pop() {
-            items.push(value);
-            if left > 1 {
-                self.open.push((left - 1, items));
+    /// Takes the value out of a whole bulk string.
+    fn parse_bulk(&mut self) -> Result<Resp, End> {
+        self.state = State::Line;
+        let mut value = std::mem::take(&mut self.token);
+        if !value.ends_with(LINE_END) {
+            return Err(End::Malformed);
+        }
+        value.truncate(value.len() - LINE_END.len());
+        Ok(Resp::Bulk(Some(value)))
+    }
+
+    /// Adds a value to the innermost open array; returns the outermost value once it is complete.
+    fn add_value(&mut self, mut value: Resp) -> Option<Resp> {
+        while let Some(mut array) = self.open_arrays.pop() {
+            array.items.push(value);
+            array.missing -= 1;
+            if array.missing > 0 {
+                self.open_arrays.push(array);
                 return None;
             }
-            value = Resp::Array(Some(items));
+            value = Resp::Array(Some(array.items));
         }
-        self.seen = 0;
+        self.message_length = 0;
         Some(value)
     }
 }
 
-impl Parse for Values {
+/// Parses a decimal integer; a plus sign is no part of the protocol.
+fn parse_integer(digits: &[u8]) -> Result<i64, End> {
+    std::str::from_utf8(digits)
+        .ok()
+        .filter(|text| !text.starts_with('+'))
+        .and_then(|text| text.parse().ok())
+        .ok_or(End::Malformed)
+}
+
+impl Parse for ValueParser {
     type Item = Resp;
 
     fn is_between(&self) -> bool {
-        self.seen == 0
+        self.message_length == 0
     }
 
     fn take(&mut self, bytes: &[u8]) -> Result<(usize, Option<Resp>), End> {
-        let mut at = 0;
-        while at < bytes.len() {
-            let rest = &bytes[at..];
-            let many = match self.state {
+        let mut consumed = 0;
+        while consumed < bytes.len() {
+            let rest = &bytes[consumed..];
+            let count = match self.state {
                 State::Line => rest
                     .iter()
-                    .position(|&b| b == b'\n')
-                    .map_or(rest.len(), |i| i + 1),
-                State::Bulk(left) => left.min(rest.len()),
+                    .position(|&byte| byte == b'\n')
+                    .map_or(rest.len(), |position| position + 1),
+                State::Bulk { missing } => missing.min(rest.len()),
             };
-            self.seen += many;
-            if self.seen > MESSAGE {
+            self.message_length += count;
+            if self.message_length > MAX_MESSAGE {
                 return Err(End::TooLong);
             }
-            self.held.extend_from_slice(&rest[..many]);
-            at += many;
+            self.token.extend_from_slice(&rest[..count]);
+            consumed += count;
             let value = match &mut self.state {
-                State::Line if self.held.last() == Some(&b'\n') => self.line()?,
+                State::Line if self.token.last() == Some(&b'\n') => self.parse_line()?,
                 State::Line => None,
-                State::Bulk(left) => {
-                    *left -= many;
-                    if *left > 0 {
+                State::Bulk { missing } => {
+                    *missing -= count;
+                    if *missing > 0 {
                         continue;
                     }
-                    self.state = State::Line;
-                    let mut value = std::mem::take(&mut self.held);
-                    if !value.ends_with(b"\r\n") {
-                        return Err(End::Malformed);
-                    }
-                    value.truncate(value.len() - 2);
-                    Some(Resp::Bulk(Some(value)))
+                    Some(self.parse_bulk()?)
                 }
             };
-            if let Some(whole) = value.and_then(|value| self.put(value)) {
-                return Ok((at, Some(whole)));
+            if let Some(message) = value.and_then(|value| self.add_value(value)) {
+                return Ok((consumed, Some(message)));
             }
         }
-        Ok((at, None))
+        Ok((consumed, None))
     }
 }
 
-/// Reads one command after another: arrays of bulk strings, and nothing else.
-#[derive(Default)]
-pub struct Commands(Values);
+/// Parses one command after another: arrays of bulk strings, with one item at least.
+#[derive(Debug, Default)]
+pub struct CommandParser(ValueParser);
 
-impl Parse for Commands {
+impl Parse for CommandParser {
     type Item = Vec<Vec<u8>>;
 
     fn is_between(&self) -> bool {
@@ -162,46 +197,46 @@
     }
 
     fn take(&mut self, bytes: &[u8]) -> Result<(usize, Option<Self::Item>), End> {
-        if self.0.seen == 0 && bytes.first().is_some_and(|&b| b != b'*') {
+        if self.0.is_between() && bytes.first().is_some_and(|&byte| byte != b'*') {
             return Err(End::Malformed);
         }
-        let (taken, value) = self.0.take(bytes)?;
+        let (consumed, value) = self.0.take(bytes)?;
         let Some(value) = value else {
-            return Ok((taken, None));
+            return Ok((consumed, None));
         };
         let Resp::Array(Some(items)) = value else {
             return Err(End::Malformed);
         };
-        let item = |item| {
-            if let Resp::Bulk(Some(text)) = item {
-                Ok(text)
-            } else {
-                Err(End::Malformed)
-            }
+        let part = |item| match item {
+            Resp::Bulk(Some(text)) => Ok(text),
+            _ => Err(End::Malformed),
         };
-        let command = items.into_iter().map(item).collect::<Result<Vec<_>, _>>()?;
+        let command = items.into_iter().map(part).collect::<Result<Vec<_>, _>>()?;
         if command.is_empty() {
             Err(End::Malformed)
         } else {
-            Ok((taken, Some(command)))
+            Ok((consumed, Some(command)))
         }
     }
 }
 
-pub fn put_bulk(out: &mut Vec<u8>, text: &[u8]) {
-    out.extend_from_slice(format!("${}\r\n", text.len()).as_bytes());
-    out.extend_from_slice(text);
-    out.extend_from_slice(b"\r\n");
+/// Appends a bulk string.
+pub fn append_bulk(output: &mut Vec<u8>, text: &[u8]) {
+    output.extend_from_slice(format!("${}\r\n", text.len()).as_bytes());
+    output.extend_from_slice(text);
+    output.extend_from_slice(LINE_END);
 }
 
-pub fn bulk(text: &[u8]) -> Vec<u8> {
-    let mut out = Vec::with_capacity(text.len() + 16);
-    put_bulk(&mut out, text);
-    out
+/// Encodes a bulk string.
+pub fn encode_bulk(text: &[u8]) -> Vec<u8> {
+    let mut output = Vec::with_capacity(text.len() + 16);
+    append_bulk(&mut output, text);
+    output
 }
 
-pub fn command<'a>(parts: impl ExactSizeIterator<Item = &'a [u8]>) -> Vec<u8> {
-    let mut out = format!("*{}\r\n", parts.len()).into_bytes();
-    parts.for_each(|part| put_bulk(&mut out, part));
-    out
+/// Encodes a command: an array of bulk strings.
+pub fn encode_command<'a>(parts: impl ExactSizeIterator<Item = &'a [u8]>) -> Vec<u8> {
+    let mut output = format!("*{}\r\n", parts.len()).into_bytes();
+    parts.for_each(|part| append_bulk(&mut output, part));
+    output
 }
--- a/crates/agent/src/upstream.rs
+++ b/crates/agent/src/upstream.rs
@@ -34,7 +34,7 @@
 
 struct Link {
     stream: Async<TcpStream>,
-    intake: InputReader<resp::Values>,
+    intake: InputReader<resp::ValueParser>,
     out: RingBuffer,
     to: Life,
     /// When it last carried something.
@@ -198,8 +198,12 @@
         count(Count::LinksOpened);
         Ok(Link {
             stream,
-            intake: InputReader::new(resp::Values::default(), resp::MESSAGE, self.patience),
-            out: RingBuffer::new(resp::MESSAGE),
+            intake: InputReader::new(
+                resp::ValueParser::default(),
+                resp::MAX_MESSAGE,
+                self.patience,
+            ),
+            out: RingBuffer::new(resp::MAX_MESSAGE),
             to,
             since: self.clock().now(),
             why: End::GivenUp,
@@ -401,7 +405,7 @@
                     Some(link) => link,
                     None => me.connect(to).await?,
                 };
-                let ask = resp::command([&b"INFO"[..], b"load"].into_iter());
+                let ask = resp::encode_command([&b"INFO"[..], b"load"].into_iter());
                 let answer = me.exchange(&mut link, &ask, &Cell::new(false)).await?;
                 let load = match answer {
                     Resp::Bulk(load) => Ok(load),
--- a/crates/agent/tests/inside.rs
+++ b/crates/agent/tests/inside.rs
@@ -106,8 +106,8 @@
         let (kind, what) = what.split_once(' ').expect("a kind");
         let what = bytes(what);
         let got = match kind {
-            "commands" => in_all_ways(resp::Commands::default, &what, words),
-            "answers" => in_all_ways(resp::Values::default, &what, answer),
+            "commands" => in_all_ways(resp::CommandParser::default, &what, words),
+            "answers" => in_all_ways(resp::ValueParser::default, &what, answer),
             "json" => in_all_ways(|| json::Values::new(100), &what, flat),
             "lines" => in_all_ways(|| json::Values::lines(100), &what, flat),
             "indented" => in_all_ways(|| json::Values::indented(100), &what, flat),
