--- a/crates/agent/src/clients.rs
+++ b/crates/agent/src/clients.rs
@@ -606,7 +606,7 @@
         counter.used.set(true);
         let writes = match command[0].to_ascii_uppercase().as_slice() {
             b"PING" => {
-                if !self.upstream.is_any_ready() {
+                if !self.upstream.has_ready_endpoint() {
                     return Err("no appliance is known".into());
                 }
                 counter.reply("+PONG");
--- a/crates/agent/src/discovery.rs
+++ b/crates/agent/src/discovery.rs
@@ -220,12 +220,12 @@
         };
         let update = self.endpoint_list.borrow_mut().read(list, &mut named)?;
         if update.whole {
-            self.upstream.keep_only(|id| update.names(*id));
+            self.upstream.retain(|id| update.names(*id));
         }
         update
             .entries
             .iter()
-            .for_each(|(line, at)| self.upstream.place(line, *at));
+            .for_each(|(line, at)| self.upstream.update_endpoint(line, *at));
         count(Count::MembershipUpdates);
         let listing = match (saved, update.whole) {
             (true, _) => ListUpdate::Cached,
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -136,7 +136,7 @@
     if let Some(peers) = &peers {
         event_loop.spawn(peers.clone().run());
     }
-    event_loop.spawn(upstream.clone().sweep());
+    event_loop.spawn(upstream.clone().sweep_idle_connections());
     let asked = (discovery.clone(), platform.clone());
     let signals = Asked {
         heard,
--- /dev/null
+++ b/crates/agent/src/upstream/connection.rs
@@ -0,0 +1,132 @@
+//! One connection to an endpoint.
+use std::cell::Cell;
+use std::net::{SocketAddr, TcpStream};
+use std::rc::Rc;
+use std::time::Duration;
+
+use async_io::Async;
+use lilacgate_decision::{Build, Outcome};
+
+use crate::log::{Count, End, count, info};
+use crate::resp::{self, Resp};
+use crate::transport::{InputReader, RingBuffer};
+
+/// The process that an endpoint runs. A connection belongs to one process: the same endpoint with another build, start
+/// time or address is another process, which knows nothing of earlier requests.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(super) struct EndpointProcess {
+    pub(super) address: SocketAddr,
+    pub(super) build: Build,
+    pub(super) started: Option<Duration>,
+}
+
+/// Counts one open connection, or one that is being opened, for as long as it lives.
+#[derive(Debug)]
+pub(super) struct OpenConnectionGuard(Rc<Cell<usize>>);
+
+impl OpenConnectionGuard {
+    pub(super) fn new(open_connections: &Rc<Cell<usize>>) -> Self {
+        open_connections.set(open_connections.get() + 1);
+        OpenConnectionGuard(open_connections.clone())
+    }
+}
+
+impl Drop for OpenConnectionGuard {
+    fn drop(&mut self) {
+        self.0.set(self.0.get() - 1);
+    }
+}
+
+/// A connection to a process, which is closed by being dropped.
+#[derive(Debug)]
+pub(super) struct Connection {
+    stream: Async<TcpStream>,
+    input: InputReader<resp::ValueParser>,
+    output: RingBuffer,
+    pub(super) process: EndpointProcess,
+    /// When its last exchange ended, or when it was opened.
+    pub(super) last_used: Duration,
+    /// What is logged as the reason if it is dropped now.
+    pub(super) close_reason: End,
+    _open: OpenConnectionGuard,
+}
+
+impl Drop for Connection {
+    fn drop(&mut self) {
+        count(Count::LinksClosed);
+        info!(
+            "link to {} ended: {}",
+            self.process.address, self.close_reason
+        );
+    }
+}
+
+impl Connection {
+    /// A connection that has just been opened. A reply has to be complete `read_timeout` after its first byte.
+    pub(super) fn new(
+        stream: Async<TcpStream>,
+        process: EndpointProcess,
+        opened: Duration,
+        read_timeout: Duration,
+        open: OpenConnectionGuard,
+    ) -> Self {
+        count(Count::LinksOpened);
+        let parser = resp::ValueParser::default();
+        Connection {
+            stream,
+            input: InputReader::new(parser, resp::MAX_MESSAGE, read_timeout),
+            output: RingBuffer::new(resp::MAX_MESSAGE),
+            process,
+            last_used: opened,
+            close_reason: End::GivenUp,
+            _open: open,
+        }
+    }
+
+    /// Whether an idle connection may carry another exchange; if not, notes why.
+    pub(super) fn is_usable(&mut self, now: Duration, idle_timeout: Duration) -> bool {
+        if now > self.last_used + idle_timeout {
+            self.close_reason = End::Idle;
+        } else if !self.input.is_open_and_empty(&self.stream) {
+            self.close_reason = End::Stale;
+        } else {
+            return true;
+        }
+        false
+    }
+
+    /// Sends a command and reads its reply. `fully_written` is set once the socket has taken the last byte; before
+    /// that, the endpoint cannot have run the command.
+    ///
+    /// # Errors
+    ///
+    /// The outcome of the exchange, if no reply was read.
+    pub(super) async fn exchange(
+        &mut self,
+        command: &[u8],
+        fully_written: &Cell<bool>,
+    ) -> Result<Resp, Outcome> {
+        self.output.append(command);
+        if let Err(end) = self.output.flush(&self.stream).await {
+            self.close_reason = end;
+            return Err(Outcome::ConnectFailed);
+        }
+        fully_written.set(true);
+        let reply = self.input.next(&self.stream).await;
+        self.close_reason = match reply {
+            Ok(Some(reply)) => return Ok(reply),
+            Ok(None) => End::Closed,
+            Err(end) => end,
+        };
+        Err(match self.close_reason {
+            End::Malformed | End::TooLong => Outcome::Malformed,
+            _ => Outcome::ConnectionLost,
+        })
+    }
+
+    /// Notes that a reply was well-formed RESP2, but not one that the command can have.
+    pub(super) fn reject_reply(&mut self) -> Outcome {
+        self.close_reason = End::Malformed;
+        Outcome::Malformed
+    }
+}
--- /dev/null
+++ b/crates/agent/src/upstream/pool.rs
@@ -0,0 +1,278 @@
+//! The listed endpoints, and the idle connections to each.
+use std::cell::{Cell, RefCell};
+use std::collections::HashMap;
+use std::fmt;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+
+use async_channel::Sender;
+use async_io::Timer;
+use futures_lite::StreamExt;
+use lilacgate_decision::{AttemptNumber, Endpoint, EndpointId, EndpointStatus, Outcome, RequestId};
+use lilacgate_start_settings::Paths;
+
+use super::attempt::Attempt;
+use super::connection::{Connection, EndpointProcess, OpenConnectionGuard};
+use crate::event_loop::{Clock, EncodedRequest, EventLoop, Upstream};
+use crate::log::{Count, End, count, info};
+use crate::transport::connect;
+
+/// How often idle connections are looked at within their timeout.
+const SWEEPS_IN_IDLE_TIMEOUT: u32 = 20;
+
+/// A listed endpoint.
+struct UpstreamEndpoint {
+    process: EndpointProcess,
+    status: EndpointStatus,
+    /// Its idle connections, the longest idle first.
+    idle: Vec<Connection>,
+}
+
+impl UpstreamEndpoint {
+    fn close_idle(&mut self, reason: End) {
+        for connection in &mut self.idle {
+            connection.close_reason = reason;
+        }
+        self.idle.clear();
+    }
+
+    fn takes_requests_at(&self, process: EndpointProcess) -> bool {
+        self.process == process && self.status == EndpointStatus::Ready
+    }
+}
+
+/// The connections to all listed endpoints.
+pub struct UpstreamPool {
+    pub(super) event_loop: Rc<EventLoop>,
+    endpoints: RefCell<HashMap<EndpointId, UpstreamEndpoint>>,
+    /// Wakes the task of an attempt that is to be cancelled.
+    pub(super) cancellations: RefCell<HashMap<(RequestId, AttemptNumber), Sender<()>>>,
+    /// The names of the fields of a load report, in the decision engine's order.
+    pub(super) load_fields: Vec<String>,
+    pub(super) connect_timeout: Duration,
+    /// The time limit for a reply from its first byte to its last.
+    read_timeout: Duration,
+    idle_timeout: Duration,
+    /// How long a connection rests after a reply, so that bytes which belong to no request show before the next one:
+    /// as long as a reply may be late on its way.
+    reuse_delay: Duration,
+    max_connections: usize,
+    open_connections: Rc<Cell<usize>>,
+}
+
+impl fmt::Debug for UpstreamPool {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter
+            .debug_struct("UpstreamPool")
+            .field("open_connections", &self.open_connections)
+            .finish_non_exhaustive()
+    }
+}
+
+impl UpstreamPool {
+    /// A pool without endpoints, of at most `max_connections` open connections.
+    ///
+    /// # Errors
+    ///
+    /// The setting that is missing or out of range.
+    pub fn new(
+        event_loop: Rc<EventLoop>,
+        settings: &Paths,
+        max_connections: usize,
+    ) -> Result<Rc<Self>, String> {
+        Ok(Rc::new(UpstreamPool {
+            event_loop,
+            endpoints: RefCell::default(),
+            cancellations: RefCell::default(),
+            load_fields: settings.names("feedback.names")?,
+            connect_timeout: settings.period("limits.connect-timeout")?,
+            read_timeout: settings.longest_deadline()?,
+            // Sooner than the endpoint would: what is written to a connection that it closes may have run.
+            idle_timeout: settings.period("limits.conn-idle")? * 9 / 10,
+            reuse_delay: settings
+                .period("tick")?
+                .max(settings.span("rules.answer-slack")?),
+            max_connections,
+            open_connections: Rc::default(),
+        }))
+    }
+
+    pub(super) fn clock(&self) -> Clock {
+        self.event_loop.clock
+    }
+
+    /// Takes over an entry of the endpoint list, and the address that the endpoint listens at. Idle connections to an
+    /// earlier process, or to one that takes no more requests, are closed.
+    pub fn update_endpoint(&self, entry: &Endpoint, address: SocketAddr) {
+        let mut endpoints = self.endpoints.borrow_mut();
+        let process = EndpointProcess {
+            address,
+            build: entry.build,
+            started: entry.started,
+        };
+        let endpoint = endpoints
+            .entry(entry.id)
+            .or_insert_with(|| UpstreamEndpoint {
+                process,
+                status: entry.status,
+                idle: Vec::new(),
+            });
+        if endpoint.process != process || entry.status != EndpointStatus::Ready {
+            endpoint.close_idle(End::Gone);
+        }
+        endpoint.process = process;
+        endpoint.status = entry.status;
+        if entry.status == EndpointStatus::Removed {
+            endpoints.remove(&entry.id);
+        }
+    }
+
+    /// Removes all endpoints that a full list does not name.
+    pub fn retain(&self, is_listed: impl Fn(&EndpointId) -> bool) {
+        let mut endpoints = self.endpoints.borrow_mut();
+        for (_, mut endpoint) in endpoints.extract_if(|id, _| !is_listed(id)) {
+            endpoint.close_idle(End::Gone);
+        }
+    }
+
+    /// Whether any endpoint takes requests.
+    pub fn has_ready_endpoint(&self) -> bool {
+        self.endpoints
+            .borrow()
+            .values()
+            .any(|endpoint| endpoint.status == EndpointStatus::Ready)
+    }
+
+    /// Closes connections that have been idle for too long, or were closed by the endpoint, as long as the agent runs.
+    pub async fn sweep_idle_connections(self: Rc<Self>) {
+        let mut ticks = Timer::interval(self.idle_timeout / SWEEPS_IN_IDLE_TIMEOUT);
+        while ticks.next().await.is_some() {
+            let now = self.clock().now();
+            for endpoint in self.endpoints.borrow_mut().values_mut() {
+                endpoint
+                    .idle
+                    .retain_mut(|connection| connection.is_usable(now, self.idle_timeout));
+            }
+        }
+    }
+
+    /// Takes the most recently used of the endpoint's connections that have rested for long enough.
+    pub(super) fn take_idle(&self, id: EndpointId) -> Option<Connection> {
+        let now = self.clock().now();
+        let mut endpoints = self.endpoints.borrow_mut();
+        let idle = &mut endpoints.get_mut(&id)?.idle;
+        idle.retain_mut(|connection| connection.is_usable(now, self.idle_timeout));
+        let rested = idle
+            .iter()
+            .rposition(|connection| connection.last_used + self.reuse_delay <= now)?;
+        Some(idle.remove(rested))
+    }
+
+    /// Opens a connection to an endpoint. At the bound the longest idle one to any endpoint is closed for it.
+    ///
+    /// # Errors
+    ///
+    /// [`Outcome::NotSent`] if the endpoint is not listed or this agent lacks the means, which says nothing of the
+    /// endpoint; [`Outcome::ConnectFailed`] if it cannot be reached.
+    pub(super) async fn open(&self, id: EndpointId) -> Result<Connection, Outcome> {
+        let process = self
+            .endpoints
+            .borrow()
+            .get(&id)
+            .map(|endpoint| endpoint.process)
+            .ok_or(Outcome::NotSent)?;
+        let address = process.address;
+        if self.open_connections.get() >= self.max_connections && !self.close_longest_idle() {
+            info!(
+                "no link to {address}: all {} are in use",
+                self.max_connections
+            );
+            return Err(Outcome::NotSent);
+        }
+        let guard = OpenConnectionGuard::new(&self.open_connections);
+        let stream = connect(address, self.connect_timeout)
+            .await
+            .map_err(|end| {
+                info!("no link to {address}: {end}");
+                if end == End::OwnLimit {
+                    Outcome::NotSent
+                } else {
+                    Outcome::ConnectFailed
+                }
+            })?;
+        let now = self.clock().now();
+        Ok(Connection::new(
+            stream,
+            process,
+            now,
+            self.read_timeout,
+            guard,
+        ))
+    }
+
+    /// Closes the longest idle connection to any endpoint; returns whether there was one.
+    fn close_longest_idle(&self) -> bool {
+        let mut endpoints = self.endpoints.borrow_mut();
+        let longest = endpoints
+            .values_mut()
+            .filter(|endpoint| !endpoint.idle.is_empty())
+            .min_by_key(|endpoint| endpoint.idle[0].last_used);
+        longest
+            .map(|endpoint| endpoint.idle.remove(0).close_reason = End::Crowded)
+            .is_some()
+    }
+
+    /// Puts a connection back after an exchange, or closes it if its process takes no more requests.
+    pub(super) fn put_back(&self, id: EndpointId, mut connection: Connection) {
+        connection.last_used = self.clock().now();
+        match self.endpoints.borrow_mut().get_mut(&id) {
+            Some(endpoint) if endpoint.takes_requests_at(connection.process) => {
+                endpoint.idle.push(connection);
+            }
+            _ => connection.close_reason = End::Gone,
+        }
+    }
+}
+
+impl Upstream for UpstreamPool {
+    fn send_attempt(
+        self: Rc<Self>,
+        which: (RequestId, AttemptNumber),
+        to: EndpointId,
+        encoded_request: EncodedRequest,
+        began: Duration,
+        until: Duration,
+    ) {
+        let attempt = Attempt {
+            id: which,
+            endpoint: to,
+            encoded_request,
+            started: began,
+            deadline: until,
+            fully_written: Cell::new(false),
+        };
+        let (canceller, cancelled) = async_channel::bounded(1);
+        self.cancellations.borrow_mut().insert(which, canceller);
+        let event_loop = self.event_loop.clone();
+        event_loop.spawn(attempt.run(self, cancelled));
+    }
+
+    fn call_off(&self, which: (RequestId, AttemptNumber)) {
+        if let Some(canceller) = self.cancellations.borrow().get(&which) {
+            canceller.try_send(()).ok();
+        }
+    }
+
+    fn probe(self: Rc<Self>, to: EndpointId) {
+        count(Count::Probes);
+        let event_loop = self.event_loop.clone();
+        event_loop.spawn(self.check_health(to));
+    }
+
+    fn free_links(&self, id: EndpointId) {
+        if let Some(endpoint) = self.endpoints.borrow_mut().get_mut(&id) {
+            endpoint.close_idle(End::GivenUp);
+        }
+    }
+}
--- a/crates/agent/tests/inside.rs
+++ b/crates/agent/tests/inside.rs
@@ -199,7 +199,7 @@
         cell,
         zone,
     };
-    upstream.place(&line, post.local_addr().expect("its address"));
+    upstream.update_endpoint(&line, post.local_addr().expect("its address"));
     (event_loop, upstream, post)
 }
 
