--- /dev/null
+++ b/crates/agent/src/clients/admission.rs
@@ -0,0 +1,140 @@
+//! The admission of requests: what exceeds a bound is rejected before the event loop takes it.
+use std::rc::Rc;
+use std::time::Duration;
+
+use lilacgate_decision::{Request, Tenant};
+
+use super::Clients;
+use super::command::{self, Command, CommandError, RequestArguments};
+use super::connection::ConnectionState;
+use super::eviction::Eviction;
+use crate::event_loop::Answer;
+use crate::log::{Count, count};
+use crate::resp;
+
+/// The share of all connections that gets no request slot: one of so many.
+const CONNECTIONS_PER_UNSLOTTED: usize = 5;
+
+impl Clients {
+    /// Carries out a command, or passes its request to the event loop.
+    ///
+    /// # Errors
+    ///
+    /// Why the command is invalid. One that is rejected for lack of room has its reply, and is no error.
+    pub(super) fn execute(
+        &self,
+        arrived: Duration,
+        parts: Vec<Vec<u8>>,
+        connection: &Rc<ConnectionState>,
+    ) -> Result<(), CommandError> {
+        connection.last_activity.set(arrived);
+        connection.has_received_command.set(true);
+        match command::parse(&parts, &self.classes)? {
+            Command::Ping if self.upstream.has_ready_endpoint() => {
+                connection.replies.push_line("+PONG");
+                Ok(())
+            }
+            Command::Ping => Err(CommandError::NoReadyEndpoint),
+            Command::Request(arguments) => self.admit(arrived, parts, arguments, connection),
+        }
+    }
+
+    fn admit(
+        &self,
+        arrived: Duration,
+        parts: Vec<Vec<u8>>,
+        arguments: RequestArguments,
+        connection: &Rc<ConnectionState>,
+    ) -> Result<(), CommandError> {
+        let id = &parts[command::ID];
+        if self.in_flight_ids.contains(id) {
+            return Err(CommandError::IdInFlight);
+        }
+        let size = held_size(&parts);
+        if self.is_full(size) || !self.claim_request_slot(connection) {
+            count(Count::TurnedAway);
+            connection.replies.push_line("-BUSY");
+            return Ok(());
+        }
+        let position = connection.replies.next_position();
+        let in_flight = self.in_flight_ids.insert(id);
+        let encoded_request = command::encode_request(parts, self.held_bytes.reserve(size));
+        let (to, sends_retry_after) = (connection.clone(), self.sends_retry_after);
+        let request = self.event_loop.take(
+            self.request(arrived, &arguments),
+            encoded_request,
+            move |answer| {
+                drop(in_flight);
+                to.replies
+                    .fill(position, encode_answer(answer, sends_retry_after));
+            },
+        );
+        connection.replies.push_unanswered(request);
+        Ok(())
+    }
+
+    /// The request as the decision engine sees it. While the agent drains its deadline is over on arrival, and the
+    /// engine rejects it.
+    fn request(&self, arrived: Duration, arguments: &RequestArguments) -> Request {
+        let deadline = if self.draining.is_notified() {
+            arrived
+        } else {
+            arrived + arguments.timeout
+        };
+        Request {
+            class: arguments.class,
+            tenant: Tenant(0),
+            idempotency_key: arguments.idempotency_key,
+            deadline,
+            estimated_work: arguments.estimated_work,
+            is_retry: arguments.is_retry,
+        }
+    }
+
+    /// Whether a request that holds so many bytes would exceed a bound that all clients share.
+    fn is_full(&self, size: usize) -> bool {
+        self.event_loop.in_hand() >= self.max_requests_in_flight
+            || self.held_bytes.held() + size > self.max_held_bytes
+    }
+
+    /// Whether the connection may have requests in flight. Its first request claims a slot, which it then keeps; an
+    /// idle connection may lose its own for that.
+    fn claim_request_slot(&self, connection: &ConnectionState) -> bool {
+        if !connection.has_request_slot.get() {
+            let is_free = self.has_free_request_slot() || self.evict_idle(Eviction::ForRequestSlot);
+            connection.has_request_slot.set(is_free);
+        }
+        connection.has_request_slot.get()
+    }
+
+    fn has_free_request_slot(&self) -> bool {
+        let connections = self.connections.borrow();
+        let used = connections
+            .values()
+            .filter(|connection| {
+                connection.has_request_slot.get() && connection.end_reason.get().is_none()
+            })
+            .count();
+        let unslotted = self.max_connections.div_ceil(CONNECTIONS_PER_UNSLOTTED);
+        used < self.max_connections - unslotted
+    }
+}
+
+/// The bytes that a request holds while it is in flight.
+fn held_size(parts: &[Vec<u8>]) -> usize {
+    parts
+        .iter()
+        .map(|part| part.len() + size_of_val(part))
+        .sum()
+}
+
+fn encode_answer(answer: Answer, sends_retry_after: bool) -> Vec<u8> {
+    match answer {
+        Answer::Settled(value) => resp::encode_bulk(&value),
+        Answer::Declined(retry_after) if sends_retry_after && !retry_after.is_zero() => {
+            format!("-BUSY {}\r\n", retry_after.as_millis()).into_bytes()
+        }
+        Answer::Declined(_) => b"-BUSY\r\n".to_vec(),
+        Answer::Voided => b"-ERR failed\r\n".to_vec(),
+    }
+}
--- /dev/null
+++ b/crates/agent/src/clients/command.rs
@@ -0,0 +1,221 @@
+//! The commands of clients: their syntax, their errors, and their encoding for an endpoint.
+use std::collections::BTreeMap;
+use std::hash::{DefaultHasher, Hash, Hasher};
+use std::rc::Rc;
+use std::time::Duration;
+
+use lilacgate_decision::{Idempotency, IdempotencyKey, RequestClass};
+use thiserror::Error;
+
+use super::byte_budget::ByteReservation;
+use crate::event_loop::EncodedRequest;
+use crate::json;
+use crate::resp;
+
+/// A request class under the name that clients give it.
+#[derive(Debug)]
+pub(super) struct NamedClass {
+    pub(super) name: String,
+    pub(super) class: RequestClass,
+    pub(super) idempotency: Idempotency,
+}
+
+/// A command of a client.
+#[derive(Debug)]
+pub(super) enum Command {
+    /// Asks whether requests can be served at all.
+    Ping,
+    /// A request for an endpoint.
+    Request(RequestArguments),
+}
+
+/// What a client asks for beside the request itself.
+#[derive(Debug)]
+pub(super) struct RequestArguments {
+    pub(super) class: RequestClass,
+    pub(super) idempotency_key: Option<IdempotencyKey>,
+    /// How long the client waits for the answer.
+    pub(super) timeout: Duration,
+    pub(super) estimated_work: Option<Duration>,
+    pub(super) is_retry: bool,
+}
+
+/// Why a command is rejected; clients receive the text behind `-ERR`.
+#[derive(Debug, Error)]
+pub(super) enum CommandError {
+    #[error("no appliance is known")]
+    NoReadyEndpoint,
+    #[error("unknown command {0}")]
+    UnknownCommand(String),
+    #[error("wrong number of arguments")]
+    ArgumentCount,
+    #[error("no id")]
+    MissingId,
+    #[error("bad id")]
+    InvalidId,
+    #[error("this id is in hand")]
+    IdInFlight,
+    #[error("values are not UTF-8")]
+    NotUtf8,
+    #[error("a value without a name")]
+    UnnamedValue,
+    #[error("{0} stands twice")]
+    RepeatedName(String),
+    #[error("no class")]
+    MissingClass,
+    #[error("unknown class")]
+    UnknownClass,
+    #[error("this class takes the other command")]
+    WrongCommandForClass,
+    #[error("no {0}")]
+    MissingValue(&'static str),
+    #[error("bad {0}")]
+    InvalidValue(&'static str),
+}
+
+/// The place of the request's id in its command.
+pub(super) const ID: usize = 2;
+/// The place of the `name=value` pairs.
+const PAIRS: usize = 3;
+
+/// The name of the class, in the pairs of a request.
+const CLASS: &str = "c";
+/// The deadline, in milliseconds from the command's arrival.
+const DEADLINE: &str = "d";
+/// The hint how much work the request is, in microseconds.
+const WORK_HINT: &str = "h";
+/// The idempotency key, which endpoints read.
+const KEY: &str = "k";
+/// Whether the client sends this request once more.
+const RETRY: &str = "r";
+
+/// Parses a command of at least one part.
+///
+/// # Errors
+///
+/// The first error that is found.
+pub(super) fn parse(parts: &[Vec<u8>], classes: &[NamedClass]) -> Result<Command, CommandError> {
+    let is_write = match parts[0].to_ascii_uppercase().as_slice() {
+        b"PING" => return Ok(Command::Ping),
+        b"SVC.QUERY" => false,
+        b"SVC.SUBMIT" => true,
+        other => {
+            let name = other.escape_ascii().to_string();
+            return Err(CommandError::UnknownCommand(name));
+        }
+    };
+    let (key, id, pairs) = match parts {
+        [_, key, id, pairs] | [_, key, id, pairs, _] => (key, id, pairs),
+        _ => return Err(CommandError::ArgumentCount),
+    };
+    if id.is_empty() {
+        return Err(CommandError::MissingId);
+    }
+    if !id.iter().all(u8::is_ascii_graphic) {
+        return Err(CommandError::InvalidId);
+    }
+    let pairs = Pairs::parse(pairs)?;
+    let class = pairs.class(classes)?;
+    if is_write == (class.idempotency == Idempotency::Idempotent) {
+        return Err(CommandError::WrongCommandForClass);
+    }
+    let timeout = pairs
+        .number(DEADLINE)?
+        .ok_or(CommandError::MissingValue(DEADLINE))?;
+    let work_hint = pairs.number(WORK_HINT)?;
+    let is_keyed = matches!(class.idempotency, Idempotency::Keyed(_));
+    if is_keyed && pairs.get(KEY).is_none_or(str::is_empty) {
+        return Err(CommandError::MissingValue(KEY));
+    }
+    Ok(Command::Request(RequestArguments {
+        class: class.class,
+        idempotency_key: hash_key(key),
+        timeout: Duration::from_millis(timeout.into()),
+        estimated_work: work_hint.map(|micros| Duration::from_micros(micros.into())),
+        is_retry: pairs.get(RETRY) == Some("1"),
+    }))
+}
+
+/// The `name=value` pairs of a request.
+struct Pairs<'a>(BTreeMap<&'a str, &'a str>);
+
+impl<'a> Pairs<'a> {
+    fn parse(bytes: &'a [u8]) -> Result<Self, CommandError> {
+        let text = std::str::from_utf8(bytes).map_err(|_| CommandError::NotUtf8)?;
+        let mut values = BTreeMap::new();
+        for pair in text.split(',') {
+            let (name, value) = pair.split_once('=').ok_or(CommandError::UnnamedValue)?;
+            if values.insert(name, value).is_some() {
+                return Err(CommandError::RepeatedName(name.to_owned()));
+            }
+        }
+        Ok(Pairs(values))
+    }
+
+    fn get(&self, name: &str) -> Option<&'a str> {
+        self.0.get(name).copied()
+    }
+
+    fn class<'c>(&self, classes: &'c [NamedClass]) -> Result<&'c NamedClass, CommandError> {
+        let name = json::word(self.get(CLASS).ok_or(CommandError::MissingClass)?);
+        classes
+            .iter()
+            .find(|class| class.name == name)
+            .ok_or(CommandError::UnknownClass)
+    }
+
+    /// A number of digits only, if it is given.
+    fn number(&self, name: &'static str) -> Result<Option<u32>, CommandError> {
+        let Some(value) = self.get(name) else {
+            return Ok(None);
+        };
+        let is_plain = value.bytes().all(|byte| byte.is_ascii_digit());
+        let number = Some(value).filter(|_| is_plain);
+        number
+            .and_then(|value| value.parse().ok())
+            .map(Some)
+            .ok_or(CommandError::InvalidValue(name))
+    }
+}
+
+/// What the request concerns, as the decision engine knows it; an empty key concerns nothing.
+fn hash_key(key: &[u8]) -> Option<IdempotencyKey> {
+    if key.is_empty() {
+        return None;
+    }
+    let mut hasher = DefaultHasher::new();
+    key.hash(&mut hasher);
+    Some(IdempotencyKey(hasher.finish()))
+}
+
+/// Encodes a request for an endpoint: as it came, but for its deadline, which becomes the time that is left. The
+/// reservation of its bytes is held for as long as the encoded request.
+pub(super) fn encode_request(parts: Vec<Vec<u8>>, reservation: ByteReservation) -> EncodedRequest {
+    Rc::new(move |time_left| {
+        // The closure has to own the reservation, and so to mention it.
+        let _ = &reservation;
+        let pairs = with_deadline(&parts[PAIRS], time_left);
+        let part = |(index, part)| {
+            if index == PAIRS {
+                pairs.as_bytes()
+            } else {
+                Vec::as_slice(part)
+            }
+        };
+        resp::encode_command(parts.iter().enumerate().map(part))
+    })
+}
+
+/// The pairs of a request with another deadline, in their order.
+fn with_deadline(pairs: &[u8], time_left: Duration) -> String {
+    let pairs = String::from_utf8_lossy(pairs);
+    let replace = |pair: &str| {
+        if pair.starts_with("d=") {
+            format!("{DEADLINE}={}", time_left.as_millis())
+        } else {
+            pair.to_owned()
+        }
+    };
+    let pairs: Vec<String> = pairs.split(',').map(replace).collect();
+    pairs.join(",")
+}
--- /dev/null
+++ b/crates/agent/src/clients/connection.rs
@@ -0,0 +1,251 @@
+//! One client connection: the task that reads its commands and writes its replies.
+use std::cell::Cell;
+use std::io::ErrorKind;
+use std::net::TcpStream;
+use std::rc::{Rc, Weak};
+use std::time::Duration;
+
+use async_io::Async;
+use futures_lite::{FutureExt, StreamExt, future, pin};
+
+use super::byte_budget::ByteBudget;
+use super::reply_queue::ReplyQueue;
+use super::{COMMAND_TIMEOUT, Clients};
+use crate::log::{Count, End, count, info};
+use crate::resp::{self, CommandParser};
+use crate::transport::{InputReader, RingBuffer, items, with_timeout};
+
+/// What other tasks can see of an open connection.
+pub(super) struct ConnectionState {
+    pub(super) replies: ReplyQueue,
+    stream: Weak<Async<TcpStream>>,
+    /// Whether it may have requests in flight; its first request claims that.
+    pub(super) has_request_slot: Cell<bool>,
+    pub(super) has_received_command: Cell<bool>,
+    /// Whether bytes were read that are no whole command yet.
+    has_partial_command: Rc<Cell<bool>>,
+    /// Why it is closed once it stands between commands.
+    pub(super) end_reason: Cell<Option<End>>,
+    /// Whether it may be closed although input is waiting: no time is left for a reply.
+    pub(super) ignores_input: Cell<bool>,
+    /// When a command last arrived or a reply was last written.
+    pub(super) last_activity: Cell<Duration>,
+}
+
+impl ConnectionState {
+    fn new(
+        stream: &Rc<Async<TcpStream>>,
+        has_partial_command: Rc<Cell<bool>>,
+        opened: Duration,
+        held_bytes: ByteBudget,
+    ) -> Self {
+        ConnectionState {
+            replies: ReplyQueue::new(held_bytes),
+            stream: Rc::downgrade(stream),
+            has_request_slot: Cell::default(),
+            has_received_command: Cell::default(),
+            has_partial_command,
+            end_reason: Cell::default(),
+            ignores_input: Cell::default(),
+            last_activity: Cell::new(opened),
+        }
+    }
+
+    /// Has the connection closed as soon as it stands between commands.
+    pub(super) fn end(&self, reason: End) {
+        self.end_reason.set(Some(reason));
+        self.replies.wake();
+    }
+
+    /// Whether the connection is not about to be closed, and stands between commands.
+    pub(super) fn is_idle(&self) -> bool {
+        self.end_reason.get().is_none() && self.is_between_commands()
+    }
+
+    /// Whether the connection can be closed without losing a command: all replies are written, no command was read in
+    /// part, and none is waiting to be read.
+    fn is_between_commands(&self) -> bool {
+        if !self.replies.is_empty() {
+            return false;
+        }
+        self.is_input_over()
+            || !self.has_partial_command.get()
+                && self
+                    .stream
+                    .upgrade()
+                    .is_some_and(|stream| has_no_input(&stream))
+    }
+
+    /// Whether input no longer counts. What follows a command that cannot be parsed cannot be parsed either; a
+    /// connection that is evicted before its first command has been promised nothing.
+    fn is_input_over(&self) -> bool {
+        match self.end_reason.get() {
+            Some(End::Malformed | End::TooLong | End::Flood | End::Silent) => true,
+            Some(End::Crowded) if !self.has_received_command.get() => true,
+            _ => self.ignores_input.get(),
+        }
+    }
+
+    /// Waits for the next reply to write.
+    ///
+    /// # Errors
+    ///
+    /// The reason to close the connection, once it stands between commands.
+    async fn next_reply(&self) -> Result<Vec<u8>, End> {
+        loop {
+            if let Some(reply) = self.replies.take_ready() {
+                return Ok(reply);
+            }
+            if let Some(reason) = self.end_reason.get().filter(|_| self.is_between_commands()) {
+                return Err(reason);
+            }
+            self.replies.changed().await;
+        }
+    }
+}
+
+/// Whether nothing is waiting to be read, not even the end of the stream.
+fn has_no_input(stream: &Async<TcpStream>) -> bool {
+    stream
+        .get_ref()
+        .peek(&mut [0])
+        .is_err_and(|error| error.kind() == ErrorKind::WouldBlock)
+}
+
+impl Clients {
+    /// Serves a connection up to its end.
+    pub(super) async fn serve(self: Rc<Self>, serial: u64, stream: Async<TcpStream>) {
+        stream.get_ref().set_nodelay(true).ok();
+        let peer = stream
+            .get_ref()
+            .peer_addr()
+            .map_or_else(|_| "unknown".into(), |address| address.to_string());
+        let stream = Rc::new(stream);
+        let reader = InputReader::new(CommandParser::default(), resp::MAX_MESSAGE, COMMAND_TIMEOUT);
+        let connection = Rc::new(ConnectionState::new(
+            &stream,
+            reader.partial_item_flag(),
+            self.event_loop.clock.now(),
+            self.held_bytes.clone(),
+        ));
+        self.connections
+            .borrow_mut()
+            .insert(serial, connection.clone());
+        let end = self
+            .read_commands(stream.clone(), reader, &connection)
+            .or(self.write_replies(&stream, &connection))
+            .await;
+        for request in connection.replies.abandon() {
+            self.event_loop.client_left(request);
+        }
+        if connection.end_reason.get() == Some(end) && connection.replies.has_sent_any() {
+            self.linger(&stream, end).await;
+        }
+        drop(stream);
+        self.connections.borrow_mut().remove(&serial);
+        self.connection_ended.wake();
+        count(Count::ClientsOut);
+        info!("client {peer} ended: {end}");
+    }
+
+    /// Writes replies in the order of their commands; returns why the connection ends.
+    async fn write_replies(&self, stream: &Async<TcpStream>, connection: &ConnectionState) -> End {
+        let mut output = RingBuffer::new(resp::MAX_MESSAGE);
+        loop {
+            match connection.next_reply().await {
+                Ok(reply) => output.append(&reply),
+                Err(reason) => return reason,
+            }
+            // A client that does not read its replies delays nobody else, and is not waited for without end.
+            if let Err(end) = with_timeout(self.longest_deadline, output.flush(stream)).await {
+                return end;
+            }
+            connection.last_activity.set(self.event_loop.clock.now());
+        }
+    }
+
+    /// Reads and executes commands; returns why the connection ends, unless that is for the replies to decide.
+    async fn read_commands(
+        &self,
+        stream: Rc<Async<TcpStream>>,
+        reader: InputReader<CommandParser>,
+        connection: &Rc<ConnectionState>,
+    ) -> End {
+        let commands = items(stream.clone(), reader);
+        pin!(commands);
+        let reason = loop {
+            let next = commands.next();
+            let next = if connection.has_received_command.get() {
+                next.await
+            } else {
+                with_timeout(COMMAND_TIMEOUT, async { Ok(next.await) })
+                    .await
+                    .unwrap_or_else(|end| Some(Err(end)))
+            };
+            match next {
+                Some(Ok((arrived, command))) => {
+                    let arrived = self.event_loop.clock.at(arrived);
+                    if let Err(reason) = self.execute_and_reply(arrived, command, connection) {
+                        break reason;
+                    }
+                    // A client that pipelines without end leaves others their turn.
+                    future::yield_now().await;
+                }
+                Some(Err(end @ (End::Malformed | End::TooLong))) => {
+                    count(Count::CommandsRefused);
+                    connection
+                        .replies
+                        .push_line(&format!("-ERR protocol error: {end}"));
+                    break end;
+                }
+                // The commands before one that was never completed get their replies still.
+                Some(Err(End::Silent)) => break End::Silent,
+                Some(Err(end)) => return end,
+                None => return End::Closed,
+            }
+        };
+        self.stop_reading(&stream, reason, connection).await
+    }
+
+    /// Executes a command. An invalid one gets its error as reply.
+    ///
+    /// # Errors
+    ///
+    /// [`End::Flood`] if too many replies are pending then; what follows is not read.
+    fn execute_and_reply(
+        &self,
+        arrived: Duration,
+        command: Vec<Vec<u8>>,
+        connection: &Rc<ConnectionState>,
+    ) -> Result<(), End> {
+        if let Err(error) = self.execute(arrived, command, connection) {
+            count(Count::CommandsRefused);
+            connection.replies.push_line(&format!("-ERR {error}"));
+        }
+        if connection.replies.len() > self.max_pending_replies {
+            count(Count::CommandsRefused);
+            connection
+                .replies
+                .push_line("-ERR too many commands at once");
+            return Err(End::Flood);
+        }
+        Ok(())
+    }
+
+    /// Takes no more commands. A client that leaves while one of its requests is in flight ends the connection; else
+    /// it ends with its last reply.
+    async fn stop_reading(
+        &self,
+        stream: &Async<TcpStream>,
+        reason: End,
+        connection: &ConnectionState,
+    ) -> End {
+        connection.end(reason);
+        let end = self.wait_for_client_end(stream, reason).await;
+        if end != End::Flood && connection.replies.has_unanswered() {
+            end
+        } else {
+            future::pending().await
+        }
+    }
+}
--- /dev/null
+++ b/crates/agent/src/clients/lingering_close.rs
@@ -0,0 +1,61 @@
+//! Lingering close: the sending side is shut down first, and the socket closed only once the client has seen that.
+//!
+//! Closing a socket while bytes stand unread resets the connection, and a reset destroys replies that the client has
+//! not read yet.
+use std::io::Read;
+use std::net::{Shutdown, TcpStream};
+
+use async_io::Async;
+use futures_lite::{FutureExt, future};
+
+use super::Clients;
+use crate::log::End;
+use crate::transport::with_timeout;
+
+/// The most bytes to read at a time where they are discarded.
+const DISCARD_CHUNK: usize = 4 << 10;
+
+impl Clients {
+    /// Shuts the sending side down, and waits for the client's end: no longer than a connection may take to be
+    /// established, nor beyond the agent's own shutdown.
+    pub(super) async fn linger(&self, stream: &Async<TcpStream>, reason: End) {
+        stream.get_ref().shutdown(Shutdown::Write).ok();
+        let shutdown = async {
+            self.draining.notified().await;
+            self.event_loop
+                .clock
+                .until(self.linger_deadline.get())
+                .await;
+            Err(End::Stopping)
+        };
+        let client_end = async { Err::<(), _>(self.wait_for_client_end(stream, reason).await) };
+        with_timeout(self.connect_timeout, client_end.or(shutdown))
+            .await
+            .ok();
+    }
+
+    /// Waits for the client's end on a connection that takes no more commands; returns [`End::Flood`] if it sends on
+    /// instead. What is malformed, or comes behind that, is discarded, up to as many bytes as all clients together may
+    /// hold. A command is left unread: its client has all its replies, and sends it again elsewhere.
+    pub(super) async fn wait_for_client_end(&self, stream: &Async<TcpStream>, reason: End) -> End {
+        let discards = matches!(reason, End::Malformed | End::TooLong | End::Flood);
+        // On the heap: within the task it would enlarge every connection for as long as that lives.
+        let mut bytes = vec![0; if discards { DISCARD_CHUNK } else { 1 }];
+        let mut discarded = 0;
+        while discarded < self.max_held_bytes {
+            let result = if discards {
+                stream.read_with(|mut socket| socket.read(&mut bytes)).await
+            } else {
+                stream.peek(&mut bytes).await
+            };
+            match result {
+                Ok(0) => return End::Closed,
+                Ok(_) if !discards => break,
+                Ok(count) => discarded += count,
+                Err(error) => return error.into(),
+            }
+            future::yield_now().await;
+        }
+        End::Flood
+    }
+}
--- /dev/null
+++ b/crates/agent/src/clients/reply_queue.rs
@@ -0,0 +1,137 @@
+//! The replies that one connection still has to send, in the order of its commands.
+use std::cell::{Cell, RefCell};
+use std::collections::VecDeque;
+
+use lilacgate_decision::RequestId;
+
+use super::byte_budget::{ByteBudget, ByteReservation};
+use crate::transport::WakeSignal;
+
+/// A reply that has not been handed to the socket yet.
+enum PendingReply {
+    /// The event loop has yet to answer the request.
+    Unanswered(RequestId),
+    Ready {
+        bytes: Vec<u8>,
+        _reservation: ByteReservation,
+    },
+}
+
+/// The place of a reply, counted from the start of the connection.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct ReplyPosition(u64);
+
+/// The pending replies of a connection. Replies may become ready in any order; they are taken in the order of their
+/// commands.
+pub(super) struct ReplyQueue {
+    pending: RefCell<VecDeque<PendingReply>>,
+    /// The position of the first pending reply, which is also the number of replies taken.
+    first_position: Cell<u64>,
+    changed: WakeSignal,
+    held_bytes: ByteBudget,
+}
+
+impl ReplyQueue {
+    pub(super) fn new(held_bytes: ByteBudget) -> Self {
+        ReplyQueue {
+            pending: RefCell::default(),
+            first_position: Cell::default(),
+            changed: WakeSignal::default(),
+            held_bytes,
+        }
+    }
+
+    pub(super) fn len(&self) -> usize {
+        self.pending.borrow().len()
+    }
+
+    pub(super) fn is_empty(&self) -> bool {
+        self.pending.borrow().is_empty()
+    }
+
+    /// Whether any reply was taken so far.
+    pub(super) fn has_sent_any(&self) -> bool {
+        self.first_position.get() > 0
+    }
+
+    /// Whether a request of this connection is in flight.
+    pub(super) fn has_unanswered(&self) -> bool {
+        self.pending
+            .borrow()
+            .iter()
+            .any(|reply| matches!(reply, PendingReply::Unanswered(_)))
+    }
+
+    /// The position of the reply that is pushed next.
+    pub(super) fn next_position(&self) -> ReplyPosition {
+        ReplyPosition(self.first_position.get() + self.len() as u64)
+    }
+
+    /// Adds a place for the answer to a request, which [`fill`](Self::fill) puts there.
+    pub(super) fn push_unanswered(&self, request: RequestId) {
+        self.push(PendingReply::Unanswered(request));
+    }
+
+    /// Adds a reply of one line, given without its line end.
+    pub(super) fn push_line(&self, line: &str) {
+        let bytes = format!("{line}\r\n").into_bytes();
+        self.push(PendingReply::Ready {
+            bytes,
+            _reservation: self.held_bytes.reserve(line.len()),
+        });
+    }
+
+    fn push(&self, reply: PendingReply) {
+        self.pending.borrow_mut().push_back(reply);
+        self.changed.wake();
+    }
+
+    /// Makes a reply ready, wherever in the order it stands.
+    pub(super) fn fill(&self, position: ReplyPosition, bytes: Vec<u8>) {
+        let index = position
+            .0
+            .checked_sub(self.first_position.get())
+            .and_then(|index| usize::try_from(index).ok());
+        let mut pending = self.pending.borrow_mut();
+        if let Some(reply) = index.and_then(|index| pending.get_mut(index)) {
+            *reply = PendingReply::Ready {
+                _reservation: self.held_bytes.reserve(bytes.len()),
+                bytes,
+            };
+            self.changed.wake();
+        }
+    }
+
+    /// Takes the first reply if it is ready.
+    pub(super) fn take_ready(&self) -> Option<Vec<u8>> {
+        let mut pending = self.pending.borrow_mut();
+        let bytes = match pending.front_mut()? {
+            PendingReply::Ready { bytes, .. } => std::mem::take(bytes),
+            PendingReply::Unanswered(_) => return None,
+        };
+        pending.pop_front();
+        self.first_position.set(self.first_position.get() + 1);
+        Some(bytes)
+    }
+
+    /// Drops all pending replies; returns the requests that were unanswered.
+    pub(super) fn abandon(&self) -> impl Iterator<Item = RequestId> {
+        self.pending
+            .take()
+            .into_iter()
+            .filter_map(|reply| match reply {
+                PendingReply::Unanswered(request) => Some(request),
+                PendingReply::Ready { .. } => None,
+            })
+    }
+
+    /// Makes [`changed`](Self::changed) return although no reply is new.
+    pub(super) fn wake(&self) {
+        self.changed.wake();
+    }
+
+    /// Waits until a reply was added or became ready.
+    pub(super) async fn changed(&self) {
+        self.changed.wait().await;
+    }
+}
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -169,7 +169,7 @@
         wakes,
     };
     event_loop.spawn(dispatcher.host(brain));
-    event_loop.spawn(clients.clone().sweep());
+    event_loop.spawn(clients.clone().sweep_idle_connections());
     event_loop.spawn(clients.clone().accept(listener));
     async_io::block_on(event_loop.run(signals.serve(clients)));
     Ok(())
@@ -210,10 +210,10 @@
         let asked_again = async {
             self.until_stop().await;
             info!("stopping sooner");
-            clients.hurry();
+            clients.drain();
             self.until_stop().await;
         };
-        clients.stop().or(asked_again).await;
+        clients.shut_down().or(asked_again).await;
         // Room for the last line first, should others still wait.
         log::flush(LAST_WORDS);
         log::write(format!("counters:{}", log::counters()));
