--- /dev/null
+++ b/crates/agent/tests/large_fleets.rs
@@ -0,0 +1,141 @@
+//! The largest fleets that an agent has to cope with, on the smallest memory that is given.
+mod support;
+
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+
+use lilacgate_decision::{
+    Build, DecisionEngine, ReleasePhase, Request, RequestClass, RequestId, Stage, Tenant,
+};
+use lilacgate_test_bed::decided::Decided;
+use lilacgate_test_bed::start::{Start, entry};
+use rstest::rstest;
+
+use lilacgate_agent::discovery::{Answer, Discovery};
+use lilacgate_agent::event_loop::EventLoop;
+use lilacgate_agent::json::Json;
+use lilacgate_agent::release_gate::{EventRouter, ReleaseGateHost};
+use lilacgate_agent::start_config::{self, StartConfig};
+use lilacgate_agent::transport::Parse;
+use lilacgate_agent::upstream::UpstreamPool;
+
+use crate::support::empty_recorder;
+
+/// The smallest memory that an agent may be given, in megabytes.
+const MEMORY_MB: &str = "32";
+/// A network packet's payload, in bytes.
+const PACKET: usize = 1400;
+const REQUESTS: u32 = 10;
+
+/// A fleet of this size goes through the start file, a list that comes indented and in pieces, and the decision
+/// engine; each request finds its endpoint.
+#[rstest]
+fn large_fleets_fit(
+    #[values(1, 350, 1024)] agents: usize,
+    #[values(1, 300, 1024)] endpoints: usize,
+) {
+    let config = read_start_file(agents, endpoints);
+    assert_eq!(config.peers.len(), agents);
+    let mut engine = lilacgate_start_settings::instance(config.seed, &config.settings)
+        .expect("a decision engine")
+        .brain;
+    let event_loop = EventLoop::new(Duration::ZERO);
+    let pool = UpstreamPool::new(event_loop.clone(), &config.settings, 100).expect("a pool");
+    let max_message = config.memory / 16;
+    let discovery = Discovery::new(
+        event_loop.clone(),
+        pool,
+        config.discovery,
+        &config.settings,
+        max_message,
+    )
+    .expect("discovery");
+    let known = start_config::field(&config.file, "known").expect("a list");
+    discovery.told(known, true).expect("it can be used");
+    // The same list again, under another build.
+    let lists = receive_list(&entries(endpoints, "2"), max_message);
+    discovery.told(&lists[0], false).expect("it can be used");
+    assert_eq!((lists.len(), attempts(&mut engine, &event_loop)), (1, 10));
+}
+
+fn entries(endpoints: usize, build: &str) -> String {
+    let address = |i: usize| -> SocketAddr {
+        format!("127.1.{}.{}:6379", i / 250, 1 + i % 250)
+            .parse()
+            .expect("an address")
+    };
+    let one = |i| entry(&format!("{i:08x}"), address(i), "x", "ready", build, None);
+    (0..endpoints).map(one).collect::<Vec<_>>().join(",")
+}
+
+fn read_start_file(agents: usize, endpoints: usize) -> StartConfig {
+    let mut start = Start::default();
+    let peers: Vec<_> = (0..agents)
+        .map(|i| format!("\"127.2.{}.{}:7946\"", i / 250, 1 + i % 250))
+        .collect();
+    start.0 = start
+        .0
+        .replace("\"PEER_LISTEN\",\"PEER\"", &peers.join(",\n"));
+    start.0 = start
+        .0
+        .replace("\"instances\":2", &format!("\"instances\":{agents}"));
+    start.set("memory_mb", MEMORY_MB);
+    let own = "127.0.0.1:1".to_owned();
+    let addresses =
+        ["PEER_LISTEN", "LISTEN", "DISCOVERY", "PLATFORM", "PEER"].map(|name| (name, own.clone()));
+    let known = [("KNOWN", entries(endpoints, "1"))];
+    let text = start.with(&[&addresses[..], &known].concat());
+    start_config::read(text.as_bytes()).expect("a start file")
+}
+
+/// A full list as discovery sends it: with each field on a line of its own, in pieces.
+fn receive_list(entries: &str, max_message: usize) -> Vec<Json> {
+    let list =
+        format!("{{\"version\":9,\"full\":true,\"servers\":[{entries}]}}").replace(',', ",\n    ");
+    let response = format!(
+        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{:x}\r\n{list}\n\r\n",
+        list.len() + 1
+    );
+    let (mut parser, mut lists) = (Answer::new(max_message), Vec::new());
+    for mut packet in response.as_bytes().chunks(PACKET) {
+        while !packet.is_empty() {
+            let (consumed, list) = parser.take(packet).expect("it can be read");
+            lists.extend(list);
+            packet = &packet[consumed..];
+        }
+    }
+    lists
+}
+
+/// How many attempts a decision engine makes of ten requests, once it has all events of the queue.
+fn attempts(engine: &mut DecisionEngine, event_loop: &Rc<EventLoop>) -> usize {
+    let mut decided = Decided::default();
+    let now = event_loop.clock.now();
+    let time_ahead = Duration::from_secs(9);
+    let request = Request {
+        class: RequestClass(0),
+        tenant: Tenant(0),
+        idempotency_key: None,
+        deadline: now + time_ahead,
+        estimated_work: None,
+        is_retry: false,
+    };
+    engine.round(
+        now,
+        |module| {
+            let (gate_host, recorder) = (&mut ReleaseGateHost::default(), &empty_recorder());
+            event_loop.drain(&mut EventRouter {
+                module,
+                gate_host,
+                recorder,
+                now,
+            });
+            let (build, stage) = (Build(2), Stage(3));
+            module.on_release_status(build, stage, ReleasePhase::Released, 1.0, time_ahead);
+            (0..REQUESTS).for_each(|id| module.on_request(RequestId(id), request));
+        },
+        &mut decided,
+    );
+    decided.sent.len()
+}
--- /dev/null
+++ b/crates/agent/tests/parsers.rs
@@ -0,0 +1,133 @@
+//! Incremental parsers. Fed as a whole, byte by byte and cut at every place, they must find the same: a line of their
+//! scenarios is `KIND BYTES => ITEM | ITEM !ERROR`, with \r \n \xHH and <COUNT*BYTES> in the bytes.
+use std::path::PathBuf;
+
+use lilacgate_agent::discovery::{Answer, Lines};
+use lilacgate_agent::json::{self, Json};
+use lilacgate_agent::resp::{self, Resp};
+use lilacgate_agent::transport::Parse;
+use lilacgate_test_bed::notation::bytes;
+use rstest::rstest;
+
+/// What a parser finds in these pieces, as a text.
+fn parse_pieces<P: Parse>(
+    mut parser: P,
+    pieces: &[&[u8]],
+    show: &impl Fn(P::Item) -> String,
+) -> String {
+    let mut items = Vec::new();
+    for piece in pieces {
+        let mut rest = *piece;
+        while !rest.is_empty() {
+            match parser.take(rest) {
+                Ok((consumed, item)) => {
+                    assert!(consumed <= rest.len() && (consumed > 0 || item.is_some()));
+                    items.extend(item.map(show));
+                    rest = &rest[consumed..];
+                }
+                Err(end) => return format!("{} !{end}", items.join(" | ")).trim().to_owned(),
+            }
+        }
+    }
+    items.join(" | ")
+}
+
+/// What a parser finds in a text, however that is cut.
+fn parse_in_all_ways<P: Parse>(
+    make_parser: impl Fn() -> P,
+    text: &[u8],
+    show: impl Fn(P::Item) -> String,
+) -> String {
+    let whole = parse_pieces(make_parser(), &[text], &show);
+    let single_bytes = text.chunks(1).collect::<Vec<_>>();
+    assert_eq!(
+        parse_pieces(make_parser(), &single_bytes, &show),
+        whole,
+        "byte by byte"
+    );
+    // Every place of a short text, and some of a long one.
+    for cut in (0..text.len()).step_by(1 + text.len() / 500) {
+        let (head, tail) = text.split_at(cut);
+        assert_eq!(
+            parse_pieces(make_parser(), &[head, tail], &show),
+            whole,
+            "cut at {cut}"
+        );
+    }
+    whole
+}
+
+fn show_command(command: Vec<Vec<u8>>) -> String {
+    command
+        .iter()
+        .map(|part| part.escape_ascii().to_string())
+        .collect::<Vec<_>>()
+        .join(" ")
+}
+
+fn show_value(value: Resp) -> String {
+    match value {
+        Resp::Simple(text) => format!("+{}", text.escape_ascii()),
+        Resp::Error(text) => format!("-{}", text.escape_ascii()),
+        Resp::Integer(number) => format!(":{number}"),
+        Resp::Bulk(text) => text.map_or("$null".into(), |text| format!("${}", text.escape_ascii())),
+        Resp::Array(None) => "*null".into(),
+        Resp::Array(Some(items)) => {
+            let items = items.into_iter().map(show_value).collect::<Vec<_>>();
+            format!("[{}]", items.join(" "))
+        }
+    }
+}
+
+fn show_json(value: Json) -> String {
+    let mut fields = Vec::new();
+    value.flatten("", &mut |path, value| {
+        fields.push(format!("{path}={value}"))
+    });
+    fields.join(" ")
+}
+
+#[rstest]
+fn parser(#[files("tests/parsers/*.txt")] path: PathBuf) {
+    let text = std::fs::read_to_string(&path).expect("a scenario");
+    for line in text
+        .lines()
+        .filter(|line| !line.is_empty() && !line.starts_with('#'))
+    {
+        let (input, expected) = line.split_once(" =>").expect("what it finds");
+        let (kind, input) = input.split_once(' ').expect("a kind");
+        let input = bytes(input);
+        let found = match kind {
+            "commands" => parse_in_all_ways(resp::CommandParser::default, &input, show_command),
+            "answers" => parse_in_all_ways(resp::ValueParser::default, &input, show_value),
+            "json" => parse_in_all_ways(|| json::Values::new(100), &input, show_json),
+            "lines" => parse_in_all_ways(|| json::Values::lines(100), &input, show_json),
+            "indented" => parse_in_all_ways(|| json::Values::indented(100), &input, show_json),
+            "http" => parse_in_all_ways(|| Answer::new(100), &input, show_json),
+            other => panic!("no parser of {other}"),
+        };
+        assert_eq!(found, expected.trim(), "{line:.300}");
+    }
+}
+
+/// An empty line between lists is a sign of life; what comes within one is none, so that one which was cut is not
+/// waited for without end.
+#[rstest]
+fn only_between_lists_is_a_watch_alive() {
+    let mut watch = Lines(Answer::new(100));
+    let mut receive = |text: &str| {
+        watch
+            .take(text.as_bytes())
+            .expect("it can be read")
+            .1
+            .map(|list| list.is_some())
+    };
+    assert_eq!(
+        receive("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"),
+        Some(false)
+    );
+    assert_eq!(receive("1\r\n\n\r\n"), Some(false));
+    assert_eq!(receive("4\r\n{\n  \r\n"), None);
+    assert_eq!(receive("6\r\n"), None);
+    assert_eq!(receive("\"a\":1}\r\n"), Some(true));
+}
--- /dev/null
+++ b/crates/agent/tests/upstream.rs
@@ -0,0 +1,217 @@
+//! The upstream pool against a listener of the test's own: how attempts and health checks end.
+mod support;
+
+use std::io::{Read, Write};
+use std::net::TcpListener;
+use std::rc::Rc;
+use std::time::Duration;
+
+use lilacgate_decision::{
+    AttemptNumber, Build, Endpoint, EndpointId, EndpointStatus, EventHandler, ListUpdate, Outcome,
+    ReleasePhase, Request, RequestClass, RequestId, Stage,
+};
+use lilacgate_start_settings::Paths;
+use rstest::rstest;
+
+use lilacgate_agent::event_loop::{EncodedRequest, EventLoop, Upstream};
+use lilacgate_agent::release_gate::{EventRouter, ReleaseGateHost};
+use lilacgate_agent::upstream::UpstreamPool;
+
+use crate::support::empty_recorder;
+
+const SETTINGS: &str = "feedback.names=lat_ms,util\nlimits.connect-timeout=9000000\nlimits.conn-idle=30000000\ntick=1\n\
+    rules.answer-slack=1\nprofiles.count=1\nprofiles.0.give-up=9000000";
+const ENDPOINT: EndpointId = EndpointId(1);
+const ATTEMPT: (RequestId, AttemptNumber) = (RequestId(0), AttemptNumber(0));
+const TIMEOUT: Duration = Duration::from_secs(9);
+
+/// Records how attempts and health checks end, and says whether an attempt may still be sent.
+#[derive(Default)]
+struct RecordingHandler {
+    may_send: bool,
+    outcome: Option<Outcome>,
+    loads: Vec<(EndpointId, Vec<f32>)>,
+}
+
+impl EventHandler for RecordingHandler {
+    fn on_request(&mut self, _: RequestId, _: Request) {}
+    fn on_attempt_ended(
+        &mut self,
+        _: RequestId,
+        _: AttemptNumber,
+        _: EndpointId,
+        outcome: Outcome,
+        _: Duration,
+        _: bool,
+    ) {
+        self.outcome = Some(outcome);
+    }
+    fn on_response_started(&mut self, _: RequestId, _: AttemptNumber, _: EndpointId, _: Duration) {}
+    fn on_client_left(&mut self, _: RequestId) {}
+    fn may_send(&mut self, _: RequestId, _: AttemptNumber) -> bool {
+        self.may_send
+    }
+    fn on_endpoints(&mut self, _: ListUpdate, _: &mut dyn Iterator<Item = Endpoint>) {}
+    fn on_load_report(&mut self, endpoint: EndpointId, loads: &[f32]) {
+        self.loads.push((endpoint, loads.to_vec()));
+    }
+    fn on_health_check(&mut self, _: EndpointId, outcome: Outcome, _: Duration) {
+        self.outcome = Some(outcome);
+    }
+    fn on_release_status(&mut self, _: Build, _: Stage, _: ReleasePhase, _: f64, _: Duration) {}
+    fn on_vote_answered(&mut self, _: Outcome) {}
+    fn on_wrong_answer(&mut self, _: EndpointId, _: RequestClass, _: Duration) {}
+}
+
+impl RecordingHandler {
+    /// Runs the event loop up to the first outcome.
+    fn wait_for_outcome(&mut self, event_loop: &EventLoop) -> Option<Outcome> {
+        async_io::block_on(event_loop.run(async {
+            while self.outcome.is_none() {
+                event_loop.drain(&mut EventRouter {
+                    module: self,
+                    gate_host: &mut ReleaseGateHost::default(),
+                    recorder: &empty_recorder(),
+                    now: Duration::ZERO,
+                });
+                futures_lite::future::yield_now().await;
+            }
+        }));
+        self.outcome
+    }
+}
+
+/// A pool of so many connections, and the listener of its one endpoint.
+fn pool_with_endpoint(max_connections: usize) -> (Rc<EventLoop>, Rc<UpstreamPool>, TcpListener) {
+    let event_loop = EventLoop::new(Duration::ZERO);
+    let settings = Paths::from_lines(SETTINGS);
+    let pool = UpstreamPool::new(event_loop.clone(), &settings, max_connections).expect("a pool");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+    let (model, build, cell, zone) = Default::default();
+    let entry = Endpoint {
+        id: ENDPOINT,
+        status: EndpointStatus::Ready,
+        model,
+        weight: 1.0,
+        started: None,
+        build,
+        cell,
+        zone,
+    };
+    pool.update_endpoint(&entry, listener.local_addr().expect("its address"));
+    (event_loop, pool, listener)
+}
+
+/// Sends an attempt whose request is the word `hello`.
+fn send_hello(event_loop: &EventLoop, pool: Rc<UpstreamPool>, endpoint: EndpointId) {
+    let now = event_loop.clock.now();
+    let request: EncodedRequest = Rc::new(|_| b"hello".to_vec());
+    pool.send_attempt(ATTEMPT, endpoint, request, now, now + TIMEOUT);
+}
+
+/// An attempt that had to wait for its connection goes out only if the decision engine still wants it; else it ends as
+/// not sent, with no byte out. A lack of connections of this agent's own, and an endpoint without an address, are not
+/// sent either: they say nothing of the endpoint.
+#[rstest]
+#[case::goes(true, 9, 1, Outcome::Rejected)]
+#[case::may_not(false, 9, 1, Outcome::NotSent)]
+#[case::no_link_left(true, 0, 1, Outcome::NotSent)]
+#[case::no_address(true, 9, 2, Outcome::NotSent)]
+fn asked_before_the_first_byte(
+    #[case] may_send: bool,
+    #[case] max_connections: usize,
+    #[case] endpoint: u32,
+    #[case] expected: Outcome,
+) {
+    let (event_loop, pool, listener) = pool_with_endpoint(max_connections);
+    let received = std::thread::spawn(move || {
+        let mut connection = listener.accept().expect("a connection").0;
+        let mut bytes = [0; 4];
+        let count = connection.read(&mut bytes).unwrap_or(0);
+        connection.write_all(b"-BUSY\r\n").ok();
+        count
+    });
+    send_hello(&event_loop, pool.clone(), EndpointId(endpoint));
+    let mut handler = RecordingHandler {
+        may_send,
+        ..RecordingHandler::default()
+    };
+    assert_eq!(handler.wait_for_outcome(&event_loop), Some(expected));
+    if max_connections > 0 && EndpointId(endpoint) == ENDPOINT {
+        drop((event_loop, pool));
+        assert_eq!(received.join().expect("it ends") > 0, may_send);
+    }
+}
+
+/// An attempt whose answer breaks off at any byte may have run; a complete answer counts, though its connection ends
+/// or is reset at the same instant. Nothing ends as not sent once the last byte is out.
+#[rstest]
+#[case::served("*3\r\n$5\r\nvalue\r\n$-1\r\n$3\r\nu=1\r\n", Outcome::Succeeded)]
+#[case::failed("-ERR failed util=0.5\r\n", Outcome::Failed)]
+#[case::turned_away("-BUSY\r\n", Outcome::Rejected)]
+fn an_answer_cut_at_each_byte(
+    #[case] answer: &'static str,
+    #[case] complete: Outcome,
+    #[values(false, true)] reset: bool,
+) {
+    for cut in 0..=answer.len() {
+        let (event_loop, pool, listener) = pool_with_endpoint(9);
+        std::thread::spawn(move || {
+            let mut connection = listener.accept().expect("a connection").0;
+            // What stands unread at the close resets the connection.
+            connection
+                .read_exact(&mut [0; 5][usize::from(reset)..])
+                .expect("the command");
+            connection
+                .write_all(&answer.as_bytes()[..cut])
+                .expect("it is written");
+        });
+        send_hello(&event_loop, pool, ENDPOINT);
+        let mut handler = RecordingHandler {
+            may_send: true,
+            ..RecordingHandler::default()
+        };
+        let expected = if cut == answer.len() {
+            complete
+        } else {
+            Outcome::ConnectionLost
+        };
+        let outcome = handler.wait_for_outcome(&event_loop);
+        assert_eq!(outcome, Some(expected), "cut at {cut}");
+    }
+}
+
+/// The outcome of a health check, and the fields of its report in the decision engine's order, whatever else the
+/// report holds.
+#[rstest]
+#[case::report("$28\r\nutil=0.61,queue=2,lat_ms=3.5\r\n", Outcome::Succeeded, &[3.5, 0.61])]
+#[case::none("$-1\r\n", Outcome::Succeeded, &[])]
+#[case::nonsense("$9\r\nlat_ms=??\r\n", Outcome::Succeeded, &[])]
+#[case::error("-NOPERM\r\n", Outcome::Failed, &[])]
+#[case::wrong("*x\r\n", Outcome::Malformed, &[])]
+#[case::odd(":3\r\n", Outcome::Malformed, &[])]
+fn probes(#[case] answer: &'static str, #[case] expected: Outcome, #[case] loads: &[f32]) {
+    let (event_loop, pool, listener) = pool_with_endpoint(9);
+    std::thread::spawn(move || {
+        let mut connection = listener.accept().expect("a connection").0;
+        let mut command = [0; 24];
+        connection.read_exact(&mut command).expect("a command");
+        assert_eq!(&command, b"*2\r\n$4\r\nINFO\r\n$4\r\nload\r\n");
+        connection.write_all(answer.as_bytes()).ok();
+        connection.read_to_end(&mut Vec::new()).ok();
+    });
+    pool.clone().probe(ENDPOINT);
+    let mut handler = RecordingHandler::default();
+    assert_eq!(handler.wait_for_outcome(&event_loop), Some(expected));
+    let reported = handler
+        .loads
+        .iter()
+        .map(|(endpoint, loads)| (*endpoint, loads.as_slice()))
+        .collect::<Vec<_>>();
+    let expected = if loads.is_empty() {
+        vec![]
+    } else {
+        vec![(ENDPOINT, loads)]
+    };
+    assert_eq!(reported, expected);
+}
