--- a/crates/agent/src/clients/admission.rs
+++ b/crates/agent/src/clients/admission.rs
@@ -35,7 +35,7 @@
                 Ok(())
             }
             Command::Ping => Err(CommandError::NoReadyEndpoint),
-            Command::Request(arguments) => self.admit(arrived, parts, arguments, connection),
+            Command::Request(arguments) => self.admit(arrived, parts, &arguments, connection),
         }
     }
 
@@ -43,7 +43,7 @@
         &self,
         arrived: Duration,
         parts: Vec<Vec<u8>>,
-        arguments: RequestArguments,
+        arguments: &RequestArguments,
         connection: &Rc<ConnectionState>,
     ) -> Result<(), CommandError> {
         let id = &parts[command::ID];
@@ -61,7 +61,7 @@
         let encoded_request = command::encode_request(parts, self.held_bytes.reserve(size));
         let (to, sends_retry_after) = (connection.clone(), self.sends_retry_after);
         let request = self.event_loop.take(
-            self.request(arrived, &arguments),
+            self.request(arrived, arguments),
             encoded_request,
             move |answer| {
                 drop(in_flight);
--- a/crates/agent/src/upstream/attempt.rs
+++ b/crates/agent/src/upstream/attempt.rs
@@ -34,13 +34,13 @@
 
 impl Attempt {
     /// Runs until its reply, its deadline or its cancellation, and reports the outcome to the event loop.
-    pub(super) async fn run(self, pool: Rc<UpstreamPool>, cancelled: Receiver<()>) {
+    pub(super) async fn run(self, pool: Rc<UpstreamPool>, cancel_receiver: Receiver<()>) {
         let timeout = async {
             pool.event_loop.until(self.deadline).await;
             Err(Outcome::TimedOut)
         };
         let cancellation = async {
-            cancelled.recv().await.ok();
+            cancel_receiver.recv().await.ok();
             Err(Outcome::Cancelled)
         };
         let result = self.exchange(&pool).or(cancellation).or(timeout).await;
--- a/crates/agent/src/upstream/pool.rs
+++ b/crates/agent/src/upstream/pool.rs
@@ -252,15 +252,15 @@
             deadline: until,
             fully_written: Cell::new(false),
         };
-        let (canceller, cancelled) = async_channel::bounded(1);
-        self.cancellations.borrow_mut().insert(which, canceller);
+        let (cancel_sender, cancel_receiver) = async_channel::bounded(1);
+        self.cancellations.borrow_mut().insert(which, cancel_sender);
         let event_loop = self.event_loop.clone();
-        event_loop.spawn(attempt.run(self, cancelled));
+        event_loop.spawn(attempt.run(self, cancel_receiver));
     }
 
     fn call_off(&self, which: (RequestId, AttemptNumber)) {
-        if let Some(canceller) = self.cancellations.borrow().get(&which) {
-            canceller.try_send(()).ok();
+        if let Some(cancel_sender) = self.cancellations.borrow().get(&which) {
+            cancel_sender.try_send(()).ok();
         }
     }
 
--- a/crates/agent/tests/endpoint_ids.rs
+++ b/crates/agent/tests/endpoint_ids.rs
@@ -1,5 +1,5 @@
-//! Appliances' numbers: the same for the same order of names as by the plain search through all numbers, and at a
-//! cost that does not grow with how many there are.
+//! The ids of endpoints: the same for the same order of names as by a plain search through all ids, and at a cost that
+//! does not grow with how many there are.
 use std::collections::HashMap;
 use std::time::Duration;
 
@@ -11,24 +11,24 @@
 /// Two pairs of names with one hash each.
 const ONE_HASH: [&str; 2] = ["s-000179bb", "s-00054848"];
 const ANOTHER_HASH: [&str; 2] = ["s-000179bc", "s-00054849"];
-const FIRST_NUMBER: u32 = 588_264_878;
+const FIRST_ID: u32 = 588_264_878;
 
-/// The rule without a shortcut: the hash, or the next number that no listed name has.
+/// The rule without a shortcut: the hash, or the next id that no listed name has.
 #[derive(Default)]
 struct Reference(HashMap<String, u32>);
 
 impl Reference {
     fn assign(&mut self, name: &str) -> u32 {
-        if let Some(&number) = self.0.get(name) {
-            return number;
+        if let Some(&id) = self.0.get(name) {
+            return id;
         }
-        let mix = |sum: u32, byte: u8| (sum ^ u32::from(byte)).wrapping_mul(0x0100_0193);
-        let mut number = name.bytes().fold(0x811c_9dc5, mix);
-        while self.0.values().any(|taken| *taken == number) {
-            number = number.wrapping_add(1);
+        let mix = |hash: u32, byte: u8| (hash ^ u32::from(byte)).wrapping_mul(0x0100_0193);
+        let mut id = name.bytes().fold(0x811c_9dc5, mix);
+        while self.0.values().any(|assigned| *assigned == id) {
+            id = id.wrapping_add(1);
         }
-        self.0.insert(name.to_owned(), number);
-        number
+        self.0.insert(name.to_owned(), id);
+        id
     }
 }
 
@@ -37,20 +37,20 @@
     let mut endpoint_ids = EndpointIds::default();
     assert_eq!(
         ONE_HASH.map(|name| endpoint_ids.assign(name).0),
-        [FIRST_NUMBER, FIRST_NUMBER + 1]
+        [FIRST_ID, FIRST_ID + 1]
     );
-    assert_eq!(endpoint_ids.assign(ONE_HASH[0]).0, FIRST_NUMBER);
-    // The first is gone: the second keeps its number, and the first gets its own again.
-    endpoint_ids.retain(|number| number != EndpointId(FIRST_NUMBER));
+    assert_eq!(endpoint_ids.assign(ONE_HASH[0]).0, FIRST_ID);
+    // The first is gone: the second keeps its id, and the first gets its own again.
+    endpoint_ids.retain(|id| id != EndpointId(FIRST_ID));
     assert_eq!(endpoint_ids.get(ONE_HASH[0]), None);
-    assert_eq!(endpoint_ids.assign(ONE_HASH[1]).0, FIRST_NUMBER + 1);
-    assert_eq!(endpoint_ids.assign(ONE_HASH[0]).0, FIRST_NUMBER);
+    assert_eq!(endpoint_ids.assign(ONE_HASH[1]).0, FIRST_ID + 1);
+    assert_eq!(endpoint_ids.assign(ONE_HASH[0]).0, FIRST_ID);
 }
 
 #[derive(Clone, Debug)]
 enum Step {
     Assign(String),
-    /// Only numbers with this remainder stay.
+    /// Only ids with this remainder are kept.
     Retain(u32),
 }
 
@@ -70,8 +70,8 @@
             match step {
                 Step::Assign(name) => prop_assert_eq!(endpoint_ids.assign(&name).0, reference.assign(&name)),
                 Step::Retain(remainder) => {
-                    endpoint_ids.retain(|number| number.0 % 2 == remainder);
-                    reference.0.retain(|_, number| *number % 2 == remainder);
+                    endpoint_ids.retain(|id| id.0 % 2 == remainder);
+                    reference.0.retain(|_, id| *id % 2 == remainder);
                 }
             }
         }
@@ -90,11 +90,11 @@
 #[rstest]
 fn a_hundred_thousand_names_take_no_time() {
     let names: Vec<String> = (0..100_000).map(|index| format!("s-{index:08x}")).collect();
-    let began = processor_time();
+    let started = processor_time();
     let mut endpoint_ids = EndpointIds::default();
     for name in &names {
         endpoint_ids.assign(name);
     }
-    let took = processor_time() - began;
-    assert!(took < Duration::from_secs(1), "it took {took:?}");
+    let duration = processor_time() - started;
+    assert!(duration < Duration::from_secs(1), "it took {duration:?}");
 }
--- a/crates/agent/tests/ends.rs
+++ b/crates/agent/tests/ends.rs
@@ -1,6 +1,6 @@
-//! Planned restarts on loopback: SIGTERM amid traffic on connections that are never idle, with new ones coming and a
-//! node that takes requests and says nothing. Whatever was taken has one whole answer in time, and the agent goes by
-//! itself before it may be killed.
+//! Planned restarts on loopback: SIGTERM under traffic on connections that are never idle, with new ones coming and an
+//! endpoint that takes requests and does not answer. Whatever was accepted gets one complete answer in time, and the
+//! agent exits by itself before it may be killed.
 use std::path::Path;
 use std::time::Duration;
 
@@ -8,9 +8,9 @@
 use lilacgate_test_bed::town::{Manners, State, Town, Traffic};
 use rstest::rstest;
 
-/// The longest deadline of a town's settings, and what the platform allows beside it.
-const MAY_BE_KILLED: Duration = Duration::from_millis(1000 + 700);
-/// What a loaded machine may need beside it.
+/// The longest deadline of the test bed's settings, and what the platform allows beside it.
+const KILL_TIMEOUT: Duration = Duration::from_millis(1000 + 700);
+/// How much later a loaded machine may be.
 const SLACK: Duration = Duration::from_millis(500);
 
 #[rstest]
@@ -45,13 +45,13 @@
     });
     for _ in 0..2 {
         town.pass(Duration::from_millis(600));
-        let (gone, log) = town.ends_within(MAY_BE_KILLED + SLACK);
+        let (gone, log) = town.ends_within(KILL_TIMEOUT + SLACK);
         assert!(gone && log.contains("with 0 requests in hand"), "{log}");
         assert!(town.up(false));
     }
     town.pass(Duration::from_millis(300));
     town.close();
-    // Up to half a second after its time an answer is none too many on a loaded machine.
+    // On a loaded machine an answer may come up to half a second after its deadline.
     let verdict = check(
         &town.record.events(),
         &Terms {
