--- a/crates/agent/src/clients/mod.rs
+++ b/crates/agent/src/clients/mod.rs
@@ -35,6 +35,7 @@
 use self::connection::ConnectionState;
 use self::in_flight_ids::InFlightIds;
 use crate::event_loop::EventLoop;
+use crate::setting_error::SettingError;
 use crate::transport::{Notifier, WakeSignal};
 use crate::upstream::UpstreamPool;
 
@@ -98,7 +99,7 @@
         settings: &Paths,
         max_connections: usize,
         max_held_bytes: usize,
-    ) -> Result<Rc<Self>, String> {
+    ) -> Result<Rc<Self>, SettingError> {
         Ok(Rc::new(Clients {
             event_loop,
             upstream,
@@ -122,7 +123,7 @@
 }
 
 /// The request classes, under the names that clients give them.
-fn read_classes(settings: &Paths) -> Result<Vec<NamedClass>, String> {
+fn read_classes(settings: &Paths) -> Result<Vec<NamedClass>, SettingError> {
     let count: u8 = settings.num("profiles.count")?;
     (0..count)
         .map(|index| {
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -23,6 +23,7 @@
 pub mod release_watch;
 pub mod releases;
 pub mod resp;
+pub mod setting_error;
 pub mod start_config;
 pub mod transport;
 pub mod upstream;
--- a/crates/agent/src/upstream/pool.rs
+++ b/crates/agent/src/upstream/pool.rs
@@ -16,6 +16,7 @@
 use super::connection::{Connection, EndpointProcess, OpenConnectionGuard};
 use crate::event_loop::{Clock, EncodedRequest, EventLoop, Upstream};
 use crate::log::{Count, End, count, info};
+use crate::setting_error::SettingError;
 use crate::transport::connect;
 
 /// How often idle connections are looked at within their timeout.
@@ -80,7 +81,7 @@
         event_loop: Rc<EventLoop>,
         settings: &Paths,
         max_connections: usize,
-    ) -> Result<Rc<Self>, String> {
+    ) -> Result<Rc<Self>, SettingError> {
         Ok(Rc::new(UpstreamPool {
             event_loop,
             endpoints: RefCell::default(),
