--- a/crates/agent/src/discovery.rs
+++ b/crates/agent/src/discovery.rs
@@ -22,7 +22,7 @@
 use crate::log::{ConnectionEnd, Count, count, info};
 use crate::outbound::EndpointListSource;
 use crate::pacing::{CallEnd, Pacing};
-use crate::ring::{Intake, Place, Ring, connect, items, within};
+use crate::transport::{InputReader, RingBuffer, ServiceAddress, connect, items, with_timeout};
 use crate::upstream::UpstreamPool;
 
 /// A watch without changes sends an empty line this often.
@@ -56,7 +56,7 @@
     event_loop: Rc<EventLoop>,
     upstream: Rc<UpstreamPool>,
     /// Where discovery listens.
-    pub place: Place,
+    pub address: ServiceAddress,
     connect_timeout: Duration,
     /// Whether the decision engine asks for the list; otherwise it is always watched.
     is_on_request: bool,
@@ -73,7 +73,7 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter
             .debug_struct("Discovery")
-            .field("address", &self.place.at())
+            .field("address", &self.address.get())
             .field("is_on_request", &self.is_on_request)
             .finish_non_exhaustive()
     }
@@ -97,7 +97,7 @@
         Ok(Rc::new(Discovery {
             event_loop,
             upstream,
-            place: Place::new(address),
+            address: ServiceAddress::new(address),
             connect_timeout,
             is_on_request: settings.asks()?,
             max_message_bytes,
@@ -119,10 +119,11 @@
         };
         let update = self.endpoint_list.borrow_mut().read(message, &mut named)?;
         if update.is_full {
-            self.upstream.keep_only(|id| update.names(*id));
+            self.upstream.retain(|id| update.names(*id));
         }
         for listed in &update.endpoints {
-            self.upstream.place(&listed.endpoint, listed.address);
+            self.upstream
+                .update_endpoint(&listed.endpoint, listed.address);
         }
         count(Count::EndpointListUpdates);
         let kind = match (origin, update.is_full) {
@@ -138,7 +139,7 @@
     }
 
     fn failed(&self, end: ConnectionEnd) {
-        info!("discovery {} ended: {end}", self.place.at());
+        info!("discovery {} ended: {end}", self.address.get());
         if self.is_on_request {
             self.event_loop
                 .enqueue(|router| router.on_endpoints(ListUpdate::Failed, &mut std::iter::empty()));
@@ -168,12 +169,12 @@
 
     /// Waits so long, or until discovery has moved; returns whether it has.
     async fn moves_within(&self, pause: Duration) -> bool {
-        within(pause, self.place.moved::<()>()).await == Err(ConnectionEnd::Moved)
+        with_timeout(pause, self.address.changed::<()>()).await == Err(ConnectionEnd::Moved)
     }
 
     /// One watch, up to its end.
     async fn watch_once(&self) -> WatchEnd {
-        let address = self.place.at();
+        let address = self.address.get();
         let has_received = Cell::new(false);
         let began = Instant::now();
         let version = self.endpoint_list.borrow().version();
@@ -183,7 +184,7 @@
             while self.watch_receiver.recv().await.unwrap_or(true) {}
             Err(ConnectionEnd::GivenUp)
         };
-        let Err(end) = watch.or(unwanted).or(self.place.moved()).await;
+        let Err(end) = watch.or(unwanted).or(self.address.changed()).await;
         if end == ConnectionEnd::Moved {
             info!("discovery {address} ended: {end}");
         } else {
@@ -229,18 +230,18 @@
         &self,
         path: &str,
     ) -> Result<impl Stream<Item = MessageOrHeartbeat> + use<>, ConnectionEnd> {
-        let address = self.place.at();
+        let address = self.address.get();
         let stream = Rc::new(connect(address, self.connect_timeout).await?);
-        let mut request = Ring::new(MAX_LINE_BYTES);
-        request.put(
+        let mut request = RingBuffer::new(MAX_LINE_BYTES);
+        request.append(
             format!("GET {path} HTTP/1.1\r\nHost: {address}\r\nAccept: application/json\r\n\r\n")
                 .as_bytes(),
         );
-        within(self.connect_timeout, request.flush(&stream)).await?;
+        with_timeout(self.connect_timeout, request.flush(&stream)).await?;
         let parser = ValuesAndHeartbeats(HttpResponse::new(self.max_message_bytes));
-        let intake = Intake::new(parser, self.max_message_bytes, HEARTBEAT_TIMEOUT);
+        let intake = InputReader::new(parser, self.max_message_bytes, HEARTBEAT_TIMEOUT);
         let stall = self.pacing.borrow().stall();
-        Ok(items(stream, intake.stalls_after(stall)))
+        Ok(items(stream, intake.with_stall_timeout(stall)))
     }
 
     fn receive_from_discovery(&self, message: &Json) -> Result<(), ConnectionEnd> {
@@ -259,7 +260,7 @@
 ) -> Result<Json, ConnectionEnd> {
     loop {
         let next = async { messages.next().await.unwrap_or(Err(ConnectionEnd::Closed)) };
-        if let (_, Some(message)) = within(HEARTBEAT_TIMEOUT, next).await? {
+        if let (_, Some(message)) = with_timeout(HEARTBEAT_TIMEOUT, next).await? {
             return Ok(message);
         }
     }
@@ -275,7 +276,7 @@
         self.event_loop.spawn(async move {
             match discovery.fetch_list().await {
                 Ok(()) => {
-                    let address = discovery.place.at();
+                    let address = discovery.address.get();
                     info!("discovery {address} ended: {}", ConnectionEnd::Closed);
                 }
                 Err(end) => discovery.failed(end),
--- a/crates/agent/src/event_loop.rs
+++ b/crates/agent/src/event_loop.rs
@@ -20,7 +20,7 @@
 use crate::log::{Count, count};
 use crate::outbound::{AttemptId, EncodedRequest};
 use crate::release_gate::EventRouter;
-use crate::ring::Notifier;
+use crate::transport::Notifier;
 use crate::unanswered::{FinalAnswer, UnansweredRequests};
 
 /// An event for the decision engine, or for the release gate beside it.
@@ -126,14 +126,14 @@
     /// Starts the shutdown: every request, also one that comes later, gets its answer before `deadline`.
     pub fn shut_down_by(&self, deadline: Duration) {
         self.shutdown_deadline.set(deadline);
-        self.shutdown_started.ring();
+        self.shutdown_started.notify();
         self.enqueue(move |router| router.on_shutdown(deadline));
     }
 
     /// Waits until `time`, or until a shutdown is so near that an answer has to go out.
     pub async fn wait_until(&self, time: Duration) {
         let shutdown = async {
-            self.shutdown_started.rung().await;
+            self.shutdown_started.notified().await;
             let last_answer = self
                 .shutdown_deadline
                 .get()
--- a/crates/agent/src/http_response.rs
+++ b/crates/agent/src/http_response.rs
@@ -4,7 +4,7 @@
 //! amid a value is malformed. Only status 200 is accepted.
 use crate::json::{Json, JsonParser};
 use crate::log::ConnectionEnd;
-use crate::ring::Parse;
+use crate::transport::Parse;
 
 /// The longest line of a head, in bytes.
 pub(crate) const MAX_LINE_BYTES: usize = 8 << 10;
--- a/crates/agent/src/json/parser.rs
+++ b/crates/agent/src/json/parser.rs
@@ -3,7 +3,7 @@
 //! It never holds more than the bound on a value's length, and never nests deeper than [`MAX_DEPTH`].
 use crate::json::Json;
 use crate::log::ConnectionEnd;
-use crate::ring::Parse;
+use crate::transport::Parse;
 
 /// How deep values may be nested; no message that the agent receives is deeper.
 const MAX_DEPTH: usize = 16;
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -3,11 +3,6 @@
 //! The start is [`startup`]'s, the signals up to the shutdown are [`lifecycle`]'s. Everything runs on one thread, in
 //! [`event_loop`]; beside it there is a thread that writes the log, and one that writes time lines to disk.
 //! `main.rs` only calls [`run`], so that tests can reach every part.
-#![allow(clippy::min_ident_chars)] // Not met yet.
-#![allow(clippy::missing_errors_doc)] // Not met yet.
-#![allow(clippy::too_many_lines)] // Not met yet.
-#![allow(missing_debug_implementations)] // Not met yet.
-#![allow(missing_docs)] // Not met yet.
 
 pub mod clients;
 pub mod clock;
@@ -33,9 +28,9 @@
 pub mod release_gate;
 pub mod release_watch;
 pub mod resp;
-pub mod ring;
 pub mod start_config;
 pub mod startup;
+pub mod transport;
 pub mod unanswered;
 pub mod upstream;
 mod watched_services;
--- a/crates/agent/src/lifecycle.rs
+++ b/crates/agent/src/lifecycle.rs
@@ -93,10 +93,10 @@
         let stopped_again = async {
             self.until_stop().await;
             info!("stopping sooner");
-            clients.hurry();
+            clients.drain();
             self.until_stop().await;
         };
-        clients.stop().or(stopped_again).await;
+        clients.shut_down().or(stopped_again).await;
         // Room for the last line first, should others still wait.
         log::flush(LOG_FLUSH_TIMEOUT);
         write_counters();
@@ -135,8 +135,8 @@
             "reload: discovery at {}, platform at {}",
             config.discovery, config.platform
         );
-        self.discovery.place.move_to(config.discovery);
-        self.platform.release_watch.place.move_to(config.platform);
+        self.discovery.address.set(config.discovery);
+        self.platform.release_watch.address.set(config.platform);
     }
 }
 
--- a/crates/agent/src/platform.rs
+++ b/crates/agent/src/platform.rs
@@ -22,7 +22,7 @@
 use crate::release_watch::{
     MAX_LINE_BYTES, MessageLimit, ReleaseUpdate, ReleaseWatch, ReleaseWatchListener, encode_request,
 };
-use crate::ring::{Intake, connect, within};
+use crate::transport::{InputReader, connect, with_timeout};
 
 /// The id of the request to listen, on the watch's connection; votes are numbered from the next one.
 const FIRST_REQUEST_ID: u64 = 1;
@@ -31,7 +31,7 @@
 struct VoteConnection {
     address: SocketAddr,
     stream: Async<TcpStream>,
-    intake: Intake<JsonParser>,
+    intake: InputReader<JsonParser>,
 }
 
 /// The client of the platform.
@@ -116,12 +116,12 @@
     async fn deliver(&self, params: &str) -> Outcome {
         let is_written = Cell::new(false);
         let call = self.call(params, &is_written);
-        match within(self.answer_timeout, call).await {
+        match with_timeout(self.answer_timeout, call).await {
             Ok(outcome) => outcome,
             Err(end) => {
                 info!(
                     "platform {}: a vote's connection ended: {end}",
-                    self.release_watch.place.at()
+                    self.release_watch.address.get()
                 );
                 // Once it was written, it may have been carried out.
                 if is_written.get() {
@@ -135,7 +135,7 @@
 
     /// One call on the idle connection, if it can still be used, or on a new one.
     async fn call(&self, params: &str, is_written: &Cell<bool>) -> Result<Outcome, ConnectionEnd> {
-        let address = self.release_watch.place.at();
+        let address = self.release_watch.address.get();
         let mut connection = match self.take_idle_connection(address) {
             Some(connection) => connection,
             None => self.open_connection(address).await?,
@@ -164,7 +164,7 @@
         if connection.address != address {
             return None;
         }
-        if connection.intake.is_quiet(&connection.stream) {
+        if connection.intake.is_open_and_empty(&connection.stream) {
             return Some(connection);
         }
         info!(
@@ -180,7 +180,7 @@
         Ok(VoteConnection {
             address,
             stream,
-            intake: Intake::new(parser, MAX_LINE_BYTES, self.answer_timeout),
+            intake: InputReader::new(parser, MAX_LINE_BYTES, self.answer_timeout),
         })
     }
 
--- a/crates/agent/src/release_watch.rs
+++ b/crates/agent/src/release_watch.rs
@@ -14,7 +14,7 @@
 
 use crate::json::{Json, JsonParser};
 use crate::log::{ConnectionEnd, info};
-use crate::ring::{Intake, Place, Ring, connect, items, within};
+use crate::transport::{InputReader, RingBuffer, ServiceAddress, connect, items, with_timeout};
 
 /// The longest line, in bytes; a longer one ends the connection.
 pub const MAX_LINE_BYTES: usize = 8 << 10;
@@ -72,9 +72,9 @@
 }
 
 /// A JSON-RPC request as a line. `params` is empty, or a further field behind a comma.
-pub(crate) fn encode_request(id: u64, method: &str, params: &str) -> Ring {
-    let mut ring = Ring::new(MAX_LINE_BYTES);
-    ring.put(
+pub(crate) fn encode_request(id: u64, method: &str, params: &str) -> RingBuffer {
+    let mut ring = RingBuffer::new(MAX_LINE_BYTES);
+    ring.append(
         format!("{{\"jsonrpc\":\"2.0\",\"id\":{id},\"method\":\"{method}\"{params}}}\n").as_bytes(),
     );
     ring
@@ -103,7 +103,7 @@
     /// What log lines call it.
     name: String,
     /// Where it listens.
-    pub place: Place,
+    pub address: ServiceAddress,
     connect_timeout: Duration,
     limit: MessageLimit,
     listener: Rc<dyn ReleaseWatchListener>,
@@ -114,7 +114,7 @@
         formatter
             .debug_struct("ReleaseWatch")
             .field("name", &self.name)
-            .field("address", &self.place.at())
+            .field("address", &self.address.get())
             .finish_non_exhaustive()
     }
 }
@@ -130,7 +130,7 @@
     ) -> Rc<Self> {
         Rc::new(ReleaseWatch {
             name,
-            place: Place::new(address),
+            address: ServiceAddress::new(address),
             connect_timeout,
             limit,
             listener,
@@ -142,13 +142,13 @@
         let mut pause = MIN_PAUSE;
         loop {
             let has_received = Cell::new(false);
-            let address = self.place.at();
+            let address = self.address.get();
             let watch = self.watch_once(address, &has_received);
-            let Err(end) = watch.or(self.place.moved()).await;
+            let Err(end) = watch.or(self.address.changed()).await;
             info!("{} {address} ended: {end}", self.name);
             pause = next_pause(pause, end, has_received.get());
             if end != ConnectionEnd::Moved {
-                within(pause, self.place.moved::<()>()).await.ok();
+                with_timeout(pause, self.address.changed::<()>()).await.ok();
             }
         }
     }
@@ -161,18 +161,18 @@
     ) -> Result<Infallible, ConnectionEnd> {
         let stream = Rc::new(connect(address, self.connect_timeout).await?);
         let mut request = encode_request(1, "listen", "");
-        within(self.connect_timeout, request.flush(&stream)).await?;
+        with_timeout(self.connect_timeout, request.flush(&stream)).await?;
         let parser = JsonParser::lines(MAX_LINE_BYTES);
         let messages = items(
             stream,
-            Intake::new(parser, MAX_LINE_BYTES, HEARTBEAT_TIMEOUT),
+            InputReader::new(parser, MAX_LINE_BYTES, HEARTBEAT_TIMEOUT),
         );
         pin!(messages);
         let mut window_began = Instant::now();
         let mut messages_in_window = 0;
         loop {
             let next = async { messages.next().await.unwrap_or(Err(ConnectionEnd::Closed)) };
-            let (_, message) = within(HEARTBEAT_TIMEOUT, next).await?;
+            let (_, message) = with_timeout(HEARTBEAT_TIMEOUT, next).await?;
             if window_began.elapsed() >= LIMIT_WINDOW {
                 window_began = Instant::now();
                 messages_in_window = 0;
--- a/crates/agent/src/startup.rs
+++ b/crates/agent/src/startup.rs
@@ -82,10 +82,9 @@
         gate,
         timeline,
     } = operator;
-    let peers = match config.peers.take() {
-        Some(addresses) => Some(Peers::new(event_loop.clone(), addresses)?),
-        None => None,
-    };
+    let peers = config.peers.take();
+    let peers = peers.map(|addresses| Peers::new(event_loop.clone(), addresses));
+    let peers = peers.transpose()?;
     let components = Components {
         event_loop,
         upstream,
@@ -95,11 +94,7 @@
         peers,
     };
     components.queue_first_events(&config.file)?;
-    let listener = listen(config.listen, max_connections).map_err(|error| StartError::Listen {
-        address: config.listen,
-        error,
-    })?;
-    info!("{} listens at {}", config.name, config.listen);
+    let listener = listen_for_clients(&config, max_connections)?;
     components.spawn_control_tasks();
     let now = components.event_loop.clock.now();
     let recorder = Recorder::new(&config.name, &config.settings, timeline, now)?;
@@ -171,12 +166,14 @@
         if let Some(peers) = &self.peers {
             self.event_loop.spawn(peers.clone().run());
         }
-        self.event_loop.spawn(self.upstream.clone().sweep());
+        self.event_loop
+            .spawn(self.upstream.clone().sweep_idle_connections());
     }
 
     /// Spawns the tasks that serve clients.
     fn spawn_client_tasks(&self, listener: Async<TcpListener>) {
-        self.event_loop.spawn(self.clients.clone().sweep());
+        self.event_loop
+            .spawn(self.clients.clone().sweep_idle_connections());
         self.event_loop.spawn(self.clients.clone().accept(listener));
     }
 
@@ -205,6 +202,19 @@
     }
 }
 
+/// Listens where the start file says.
+fn listen_for_clients(
+    config: &StartConfig,
+    backlog: usize,
+) -> Result<Async<TcpListener>, StartError> {
+    let listener = listen(config.listen, backlog).map_err(|error| StartError::Listen {
+        address: config.listen,
+        error,
+    })?;
+    info!("{} listens at {}", config.name, config.listen);
+    Ok(listener)
+}
+
 /// Listens for clients. `backlog` is how many of them may wait in line while the agent is busy: one that finds the
 /// line full tries again only a second later.
 fn listen(address: SocketAddr, backlog: usize) -> io::Result<Async<TcpListener>> {
--- a/crates/agent/src/watched_services.rs
+++ b/crates/agent/src/watched_services.rs
@@ -67,7 +67,7 @@
             match watches.get(&name) {
                 Some(known) => {
                     known.service.set(desk.service);
-                    known.watch.place.move_to(desk.at);
+                    known.watch.address.set(desk.at);
                 }
                 None => {
                     let watch = self.start(&name, desk.service, desk.at);
