--- a/crates/agent/tests/days.rs
+++ b/crates/agent/tests/days.rs
@@ -1,6 +1,6 @@
-//! One scripted day of releases of each kind, on loopback against the agent itself: nothing that is forbidden gets a
-//! attempt, nothing is lost, doubled or wrongly closed. The same days without the operator's file show that they
-//! can tell.
+//! One scripted day of releases of each kind, on loopback against the agent itself: no build gets an attempt that the
+//! operator's rules forbid, no request is lost, doubled or wrongly closed. The same days without the operator's file
+//! show that the check can tell.
 use std::path::Path;
 
 use lilacgate_test_bed::check::Verdict;
--- a/crates/agent/tests/pacing.rs
+++ b/crates/agent/tests/pacing.rs
@@ -1,4 +1,4 @@
-//! Laws of how calls to discovery are spaced, over any order of their ends.
+//! Properties of the pace of calls to discovery, over any order of their ends.
 use std::time::Duration;
 
 use lilacgate_agent::pacing::{CallEnd, LONGEST_GAP, Pacing, SHORTEST_GAP};
