--- /dev/null
+++ b/crates/agent/tests/scenario_player/agent_process.rs
@@ -0,0 +1,150 @@
+//! Steps that concern the agent's process: its files, its start and end, its signals, its log.
+use std::io::{BufReader, Write};
+use std::net::TcpStream;
+use std::path::{Path, PathBuf};
+use std::thread;
+use std::time::Duration;
+
+use lilacgate_test_bed::agent::{Agent, free_for_datagrams, logged};
+use lilacgate_test_bed::notation::bytes;
+use lilacgate_test_bed::post::{PATIENCE, resp};
+
+use super::{Scenario, Words};
+
+/// The command that asks whether the agent is there.
+const PING: &[u8] = b"*1\r\n$4\r\nPING\r\n";
+/// How long the agent may take to write its counters before it is asked again.
+const COUNTER_INTERVAL: Duration = Duration::from_millis(50);
+
+/// Asks whether the agent is there.
+pub(super) fn ping(connection: &mut BufReader<TcpStream>) {
+    connection.get_ref().write_all(PING).expect("it is written");
+    assert_eq!(
+        resp(connection).as_deref(),
+        Some("+PONG"),
+        "it stands still"
+    );
+}
+
+impl Scenario {
+    pub(super) fn agent_step(&mut self, words: Words) {
+        match words.first {
+            "set" => {
+                let field = Words::of(words.rest);
+                self.start_file.set(field.first, field.rest);
+            }
+            "start-file" => self.replace_start_file(words.rest),
+            "file-limit" => self.file_limit = Some(words.number()),
+            "start" => self.start(),
+            "refuses" => self.refuses(words.rest),
+            "signal" => self.agent().signal(words.rest),
+            "counter" => self.counter(Words::of(words.rest)),
+            "unread-log" => self.unread_log(words.number()),
+            "log" => assert!(logged(&self.log, words.rest), "{}", self.log_text()),
+            "ends" => {
+                let code = self.agent.take().expect("an agent").ended();
+                assert_eq!(code, words.rest);
+            }
+            other => panic!("no step {other}"),
+        }
+    }
+
+    fn replace_start_file(&self, what: &str) {
+        let words = Words::of(what);
+        match words.first {
+            "" => self.write_files(),
+            "raw" => {
+                std::fs::write(self.start_file_path(), bytes(words.rest)).expect("the start file");
+            }
+            "nothing" => std::fs::remove_file(self.start_file_path()).expect("the start file"),
+            other => panic!("no step start-file {other}"),
+        }
+    }
+
+    fn spawn(&mut self) {
+        let peer_address = free_for_datagrams().to_string();
+        self.start_file.0 = self.start_file.0.replace("PEER_LISTEN", &peer_address);
+        self.write_files();
+        let operator_path = self.operator_file.as_ref().map(|_| self.operator_path());
+        let program = Path::new(env!("CARGO_BIN_EXE_lilacgate-agent"));
+        let agent = Agent::spawn(
+            program,
+            &self.start_file_path(),
+            operator_path.as_deref(),
+            self.file_limit,
+        );
+        self.log = agent.log.clone();
+        self.agent = Some(agent);
+    }
+
+    fn start(&mut self) {
+        self.spawn();
+        ping(&mut self.connect());
+        self.discovery.heard();
+        self.platform.await_watch();
+    }
+
+    fn refuses(&mut self, text: &str) {
+        self.spawn();
+        assert_eq!(self.agent.take().expect("an agent").ended(), "1");
+        let log = self.log_text();
+        assert!(log.contains(text) && log.lines().count() == 1, "{log}");
+    }
+
+    fn counter(&self, words: Words) {
+        let expected = format!(" {}={} ", words.first, words.rest);
+        let tries = PATIENCE.as_millis() / COUNTER_INTERVAL.as_millis();
+        let is_shown = (0..tries).any(|_| {
+            self.agent().signal("USR1");
+            thread::sleep(COUNTER_INTERVAL);
+            let log = self.log_text();
+            let last = log.lines().rfind(|line| line.contains("counters:"));
+            last.is_some_and(|line| line.contains(&expected))
+        });
+        let log = self.log_text();
+        let last_line = log.lines().last().unwrap_or_default();
+        assert!(is_shown, "no{expected}in {last_line}");
+    }
+
+    /// Asks for the counters so many times while nobody reads the log.
+    fn unread_log(&self, times: u32) {
+        let mut connection = self.connect();
+        let reading = self.agent().reading.clone();
+        let held = reading.lock().expect("a lock");
+        for _ in 0..times {
+            self.agent().signal("USR1");
+            ping(&mut connection);
+        }
+        drop(held);
+    }
+
+    fn start_file_path(&self) -> PathBuf {
+        self.folder.path().join("start.json")
+    }
+
+    fn operator_path(&self) -> PathBuf {
+        self.folder.path().join("operator.xml")
+    }
+
+    /// Writes the start file, and the operator's file where there is one.
+    pub(super) fn write_files(&self) {
+        let peer = self.peers[0].local_addr().expect("its address");
+        let values = [
+            ("LISTEN", self.listen.to_string()),
+            ("DISCOVERY", self.discovery.at.to_string()),
+            ("PLATFORM", self.platform.server.at.to_string()),
+            ("PEER", peer.to_string()),
+            ("KNOWN", self.saved_list.join(",")),
+        ];
+        let text = self.start_file.with(&values);
+        std::fs::write(self.start_file_path(), text).expect("the start file");
+        let Some(mut text) = self.operator_file.clone() else {
+            return;
+        };
+        for (name, service) in &self.services {
+            let address = service.server.at.to_string();
+            text = text.replace(&format!("AT-{name}"), &address);
+        }
+        std::fs::write(self.operator_path(), text).expect("the operator's file");
+    }
+}
--- /dev/null
+++ b/crates/agent/tests/scenario_player/clients.rs
@@ -0,0 +1,137 @@
+//! Steps of clients.
+use std::io::{BufReader, ErrorKind, Read, Write};
+use std::net::{Shutdown, TcpStream};
+use std::thread;
+use std::time::Duration;
+
+use lilacgate_test_bed::notation::{bytes, fits};
+use lilacgate_test_bed::post::{PATIENCE, command, resp};
+
+use super::agent_process::ping;
+use super::{Scenario, Words};
+
+/// A client whose connection finds the backlog full gets an answer only to its next try, a second later.
+const BACKLOG_TIMEOUT: Duration = Duration::from_millis(900);
+/// The first bytes of a command.
+const PARTIAL_COMMAND: &[u8] = b"*4\r\n$9\r\nSVC";
+
+impl Scenario {
+    pub(super) fn client_step(&mut self, words: Words) {
+        match words.first {
+            "client" => {
+                let client = Words::of(words.rest);
+                self.named_client_step(client.first, client.rest);
+            }
+            "open" => {
+                for _ in 0..words.number() {
+                    let mut connection = self.connect();
+                    ping(&mut connection);
+                    self.other_clients.push(connection);
+                }
+            }
+            "open-partial" => {
+                for _ in 0..words.number() {
+                    let connection = self.connect();
+                    connection
+                        .get_ref()
+                        .write_all(PARTIAL_COMMAND)
+                        .expect("it is written");
+                    self.other_clients.push(connection);
+                }
+            }
+            "backlog" => {
+                for client in 0..words.number() {
+                    self.connect_at_once(client);
+                }
+            }
+            "close-all" => self.other_clients.clear(),
+            other => panic!("no step {other}"),
+        }
+    }
+
+    /// Connects without a second try.
+    fn connect_at_once(&mut self, client: u32) {
+        let connection = TcpStream::connect_timeout(&self.listen, BACKLOG_TIMEOUT);
+        let connection = connection
+            .unwrap_or_else(|error| panic!("client {client} finds no place in line: {error}"));
+        connection
+            .set_read_timeout(Some(PATIENCE))
+            .expect("a time-out");
+        self.other_clients.push(BufReader::new(connection));
+    }
+
+    fn named_client_step(&mut self, name: &str, what: &str) {
+        if !self.clients.contains_key(name) {
+            let connection = self.connect();
+            self.clients.insert(name.into(), connection);
+        }
+        let connection = self.clients.get_mut(name).expect("a client");
+        let words = Words::of(what);
+        match words.first {
+            "opens" => {}
+            "leaves" => drop(self.clients.remove(name)),
+            "raw" => connection
+                .get_ref()
+                .write_all(&bytes(words.rest))
+                .expect("it is written"),
+            "reads" => {
+                let answer = resp(connection).unwrap_or_else(|| "the end".into());
+                assert!(
+                    fits(words.rest, &answer),
+                    "client {name} reads {answer:.200}"
+                );
+            }
+            "stops" => connection
+                .get_ref()
+                .shutdown(Shutdown::Write)
+                .expect("its side ends"),
+            "reset" => assert!(is_reset(connection), "client {name}'s command was read"),
+            "closed" => {
+                let length = connection.read(&mut [0]).expect("no reset");
+                assert_eq!(length, 0, "client {name} is still served");
+            }
+            "ended" => {
+                let timeout = words.rest.parse().map_or(PATIENCE, Duration::from_millis);
+                assert!(
+                    ends_within(connection, timeout),
+                    "client {name} is still served"
+                );
+            }
+            _ => send_command(connection, what),
+        }
+    }
+}
+
+/// Whether the agent's side is reset: behind its end, that shows in what is written next.
+fn is_reset(connection: &BufReader<TcpStream>) -> bool {
+    (0..100).any(|_| {
+        thread::sleep(Duration::from_millis(10));
+        connection.get_ref().write_all(b"*").is_err()
+    })
+}
+
+/// Whether the connection ends within this time.
+fn ends_within(connection: &mut BufReader<TcpStream>, timeout: Duration) -> bool {
+    connection
+        .get_ref()
+        .set_read_timeout(Some(timeout))
+        .expect("a time-out");
+    match connection.read(&mut [0]) {
+        Ok(length) => length == 0,
+        Err(error) => error.kind() != ErrorKind::WouldBlock,
+    }
+}
+
+/// Sends a command; `,d` without a value stands for a deadline of 30 seconds.
+fn send_command(connection: &BufReader<TcpStream>, command_text: &str) {
+    let text = if command_text.contains(",d=") {
+        command_text.to_owned()
+    } else {
+        command_text.replace(",d", ",d=30000")
+    };
+    let parts: Vec<&str> = text.split(' ').collect();
+    connection
+        .get_ref()
+        .write_all(command(&parts).as_bytes())
+        .expect("it is written");
+}
--- /dev/null
+++ b/crates/agent/tests/scenario_player/control.rs
@@ -0,0 +1,133 @@
+//! Steps of discovery, of the platform and other release control planes, of the operator's file and of peers.
+use lilacgate_test_bed::notation::{bytes, fits};
+use lilacgate_test_bed::post::{self, THE_END, chunk, rollout};
+use lilacgate_test_bed::start::entry;
+
+use super::{ControlPlane, Scenario, Words};
+
+/// The places that an operator's file names.
+const PLACES: &str = r#"<places><zone name="x"/><firm name="f"/><firm name="g"/><product name="read"/>
+<product name="post"/><product name="book"/><agent name="n0" firm="f"/></places>"#;
+
+impl Scenario {
+    pub(super) fn discovery_step(&mut self, words: Words) {
+        if words.first == "discovery" {
+            self.discovery = match words.rest {
+                "moves silent" => post::silent_discovery(),
+                "moves" => post::discovery(),
+                other => panic!("no step discovery {other}"),
+            };
+            return self.write_files();
+        }
+        let list = Words::of(words.rest);
+        match list.first {
+            "raw" => self.discovery.write(&bytes(list.rest)),
+            "requested" if list.rest == THE_END => self.discovery.heard_end(),
+            "requested" => {
+                let request = self.discovery.heard();
+                assert!(request.contains(list.rest), "requested {request}");
+            }
+            "drops" => self.discovery.end(),
+            _ => self.send_list_changes(words.rest),
+        }
+    }
+
+    /// Sends changes to the list, each as `NAME[@WHERE]:STATE[:BUILD]`.
+    fn send_list_changes(&mut self, changes: &str) {
+        self.list_version += 1;
+        let entries: Vec<String> = changes
+            .split(' ')
+            .map(|change| self.list_entry(change))
+            .collect();
+        let text = format!(
+            "{{\"version\":{},\"full\":false,\"servers\":[{}]}}\n",
+            self.list_version,
+            entries.join(",")
+        );
+        self.discovery.write(chunk(&text).as_bytes());
+    }
+
+    fn list_entry(&self, change: &str) -> String {
+        let mut parts = change.split(':');
+        let name = parts.next().expect("a name");
+        let state = parts.next().expect("a state");
+        let build = parts.next().unwrap_or("1");
+        let (name, place) = name.split_once('@').unwrap_or((name, name));
+        entry(name, self.endpoints[place].at, "x", state, build, None)
+    }
+
+    pub(super) fn platform_step(&mut self, words: Words) {
+        let what = Words::of(words.rest);
+        match (words.first, what.first) {
+            ("platform", "moves") => {
+                self.platform = ControlPlane::new();
+                self.write_files();
+            }
+            ("release", "requested") => self.platform.await_watch(),
+            ("release", "raw") => self.platform.send(&bytes(what.rest)),
+            ("release", _) => {
+                let [build, stage, state, cap] = words.rest.split(' ').collect::<Vec<_>>()[..]
+                else {
+                    panic!("no step release {}", words.rest)
+                };
+                let update = rollout(&post::news(build, stage, state, cap));
+                self.platform.send(update.as_bytes());
+            }
+            ("vote", "gets") => {
+                let request = self.platform.server.heard();
+                assert!(fits(what.rest, &request), "the platform gets {request}");
+            }
+            ("vote", "answers") => self.platform.server.write(&bytes(what.rest)),
+            ("vote", "ends") => self.platform.server.end(),
+            (first, _) => panic!("no step {first} {}", words.rest),
+        }
+    }
+
+    pub(super) fn service_step(&mut self, words: Words) {
+        if words.first == "control-plane" {
+            self.services.insert(words.rest.into(), ControlPlane::new());
+            return;
+        }
+        let what = Words::of(words.rest);
+        let service = self.services.get_mut(what.first).expect("a control plane");
+        match what.rest.split(' ').collect::<Vec<_>>()[..] {
+            ["requested"] => service.await_watch(),
+            ["dies"] => service.server.end_of(service.last_watch),
+            ["vanishes"] => service.server.vanish(),
+            ["raw", ..] => service.send(&bytes(Words::of(what.rest).rest)),
+            [build, stage, state] => {
+                let update = rollout(&post::news(build, stage, state, "1"));
+                service.send(update.as_bytes());
+            }
+            _ => panic!("no step service {}", words.rest),
+        }
+    }
+
+    pub(super) fn operator_step(&mut self, words: Words) {
+        let rest = words.rest;
+        if words.first == "operator" {
+            let rules = format!(r#"<releases service="s"><service name="s"/>{rest}</releases>"#);
+            let text = format!(r#"<operator version="1">{PLACES}{rules}</operator>"#);
+            self.operator_file = Some(text);
+            return;
+        }
+        let text = self.operator_file.take().expect("an operator's file");
+        self.operator_file = Some(match words.first {
+            "another" => text.replace("n0", "n7"),
+            _ => text.replace("</operator>", &format!("<timeline {rest}/></operator>")),
+        });
+    }
+
+    pub(super) fn peer_step(&mut self, words: Words) {
+        let sender = &self.peers[usize::from(words.first == "stranger")];
+        let payload = bytes(Words::of(words.rest).rest);
+        let text = &self.start_file.0;
+        let receiver = text
+            .split("\"peer_listen\":\"")
+            .nth(1)
+            .and_then(|rest| rest.split('"').next());
+        sender
+            .send_to(&payload, receiver.expect("where peers listen"))
+            .expect("it is sent");
+    }
+}
--- /dev/null
+++ b/crates/agent/tests/scenario_player/mod.rs
@@ -0,0 +1,175 @@
+//! The state of a scenario, and the way of each step to whom it concerns.
+mod agent_process;
+mod clients;
+mod control;
+mod endpoints;
+
+use std::collections::HashMap;
+use std::io::BufReader;
+use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
+use std::sync::mpsc::Receiver;
+use std::sync::{Arc, Mutex, PoisonError};
+use std::thread;
+use std::time::Duration;
+
+use lilacgate_test_bed::agent::{Agent, free_at, own_host};
+use lilacgate_test_bed::post::{PATIENCE, Post, Said, discovery, platform};
+use lilacgate_test_bed::start::Start;
+
+/// The version of the list that the agent starts with.
+const FIRST_LIST_VERSION: u64 = 5;
+
+/// A step or a part of one: its first word, and the rest.
+#[derive(Clone, Copy)]
+struct Words<'a> {
+    first: &'a str,
+    rest: &'a str,
+}
+
+impl<'a> Words<'a> {
+    fn of(text: &'a str) -> Words<'a> {
+        let (first, rest) = text.split_once(' ').unwrap_or((text, ""));
+        Words { first, rest }
+    }
+
+    fn number<T: std::str::FromStr>(self) -> T {
+        self.rest.parse().ok().expect("a number")
+    }
+}
+
+/// A scripted release control plane, and the connection of its last watch.
+struct ControlPlane {
+    server: Post,
+    watches: Receiver<Said>,
+    last_watch: usize,
+}
+
+impl ControlPlane {
+    fn new() -> Self {
+        let (server, watches) = platform();
+        ControlPlane {
+            server,
+            watches,
+            last_watch: 0,
+        }
+    }
+
+    /// Waits for a new watch.
+    fn await_watch(&mut self) {
+        self.last_watch = self.watches.recv_timeout(PATIENCE).expect("a watch").0;
+    }
+
+    /// Sends bytes on the connection of the last watch.
+    fn send(&self, bytes: &[u8]) {
+        self.server.write_to(self.last_watch, bytes);
+    }
+}
+
+/// An endpoint whose backlog is full, and the connections that fill it.
+struct FullEndpoint {
+    listener: TcpListener,
+    connections: Vec<TcpStream>,
+}
+
+/// A scenario as far as it has been played.
+pub(crate) struct Scenario {
+    start_file: Start,
+    /// The entries of the list in the start file.
+    saved_list: Vec<String>,
+    endpoints: HashMap<String, Post>,
+    full_endpoints: HashMap<String, FullEndpoint>,
+    discovery: Post,
+    list_version: u64,
+    platform: ControlPlane,
+    /// The release control planes of other services.
+    services: HashMap<String, ControlPlane>,
+    /// A peer that the agent knows, and one that it does not.
+    peers: [UdpSocket; 2],
+    clients: HashMap<String, BufReader<TcpStream>>,
+    /// Clients without a name, which only stay connected.
+    other_clients: Vec<BufReader<TcpStream>>,
+    /// How many files the agent may open, if that is bounded.
+    file_limit: Option<u32>,
+    /// The operator's file, where there is one.
+    operator_file: Option<String>,
+    /// Where the agent listens for clients.
+    listen: SocketAddr,
+    folder: tempfile::TempDir,
+    agent: Option<Agent>,
+    /// The agent's log, which outlasts the agent.
+    log: Arc<Mutex<String>>,
+}
+
+impl Scenario {
+    pub(crate) fn new() -> Self {
+        let socket = || UdpSocket::bind("127.0.0.1:0").expect("a free port");
+        Scenario {
+            start_file: Start::default(),
+            saved_list: Vec::new(),
+            endpoints: HashMap::new(),
+            full_endpoints: HashMap::new(),
+            discovery: discovery(),
+            list_version: FIRST_LIST_VERSION,
+            platform: ControlPlane::new(),
+            services: HashMap::new(),
+            peers: [socket(), socket()],
+            clients: HashMap::new(),
+            other_clients: Vec::new(),
+            file_limit: None,
+            operator_file: None,
+            listen: free_at(own_host()),
+            folder: tempfile::tempdir().expect("a folder"),
+            agent: None,
+            log: Arc::default(),
+        }
+    }
+
+    /// Plays one step.
+    pub(crate) fn play(&mut self, step: &str) {
+        let words = Words::of(step);
+        match words.first {
+            "later" => thread::sleep(Duration::from_millis(words.number())),
+            "set" | "start" | "refuses" | "signal" | "counter" | "ends" | "log" | "file-limit"
+            | "unread-log" | "start-file" => self.agent_step(words),
+            "client" | "open" | "close-all" | "backlog" | "open-partial" => self.client_step(words),
+            "list" | "discovery" => self.discovery_step(words),
+            "release" | "vote" | "platform" => self.platform_step(words),
+            "control-plane" | "service" => self.service_step(words),
+            "operator" | "timeline" | "another" => self.operator_step(words),
+            "peer" | "stranger" => self.peer_step(words),
+            _ => self.endpoint_step(words),
+        }
+    }
+
+    /// Opens a connection to the agent, and tries again until it listens.
+    fn connect(&self) -> BufReader<TcpStream> {
+        for _ in 0..PATIENCE.as_millis() / 10 {
+            if let Ok(connection) = TcpStream::connect(self.listen) {
+                connection
+                    .set_read_timeout(Some(PATIENCE))
+                    .expect("a time-out");
+                return BufReader::new(connection);
+            }
+            thread::sleep(Duration::from_millis(10));
+        }
+        panic!("the agent does not listen");
+    }
+
+    fn agent(&self) -> &Agent {
+        self.agent.as_ref().expect("an agent")
+    }
+
+    fn log_text(&self) -> String {
+        self.log.lock().expect("a lock").clone()
+    }
+}
+
+/// A scenario that fails shows what its agent has logged, after the steps played so far.
+impl Drop for Scenario {
+    fn drop(&mut self) {
+        if thread::panicking() {
+            let log = self.log.lock().unwrap_or_else(PoisonError::into_inner);
+            println!("the agent's log:\n{log}");
+        }
+    }
+}
