--- a/crates/agent/src/clients/admission.rs
+++ b/crates/agent/src/clients/admission.rs
@@ -8,9 +8,9 @@
 use super::command::{self, Command, CommandError, RequestArguments};
 use super::connection::ConnectionState;
 use super::eviction::Eviction;
-use crate::event_loop::Answer;
 use crate::log::{Count, count};
 use crate::resp;
+use crate::unanswered::FinalAnswer;
 
 /// The share of all connections that gets no request slot: one of so many.
 const CONNECTIONS_PER_UNSLOTTED: usize = 5;
@@ -52,7 +52,7 @@
         }
         let size = held_size(&parts);
         if self.is_full(size) || !self.claim_request_slot(connection) {
-            count(Count::TurnedAway);
+            count(Count::RequestsRefused);
             connection.replies.push_line("-BUSY");
             return Ok(());
         }
@@ -60,7 +60,7 @@
         let in_flight = self.in_flight_ids.insert(id);
         let encoded_request = command::encode_request(parts, self.held_bytes.reserve(size));
         let (to, sends_retry_after) = (connection.clone(), self.sends_retry_after);
-        let request = self.event_loop.take(
+        let request = self.event_loop.accept_request(
             self.request(arrived, arguments),
             encoded_request,
             move |answer| {
@@ -93,7 +93,7 @@
 
     /// Whether a request that holds so many bytes would exceed a bound that all clients share.
     fn is_full(&self, size: usize) -> bool {
-        self.event_loop.in_hand() >= self.max_requests_in_flight
+        self.event_loop.unanswered_requests() >= self.max_requests_in_flight
             || self.held_bytes.held() + size > self.max_held_bytes
     }
 
@@ -128,13 +128,13 @@
         .sum()
 }
 
-fn encode_answer(answer: Answer, sends_retry_after: bool) -> Vec<u8> {
+fn encode_answer(answer: FinalAnswer, sends_retry_after: bool) -> Vec<u8> {
     match answer {
-        Answer::Settled(value) => resp::encode_bulk(&value),
-        Answer::Declined(retry_after) if sends_retry_after && !retry_after.is_zero() => {
+        FinalAnswer::Succeeded(value) => resp::encode_bulk(&value),
+        FinalAnswer::Rejected(retry_after) if sends_retry_after && !retry_after.is_zero() => {
             format!("-BUSY {}\r\n", retry_after.as_millis()).into_bytes()
         }
-        Answer::Declined(_) => b"-BUSY\r\n".to_vec(),
-        Answer::Voided => b"-ERR failed\r\n".to_vec(),
+        FinalAnswer::Rejected(_) => b"-BUSY\r\n".to_vec(),
+        FinalAnswer::Failed => b"-ERR failed\r\n".to_vec(),
     }
 }
--- a/crates/agent/src/clients/command.rs
+++ b/crates/agent/src/clients/command.rs
@@ -8,8 +8,8 @@
 use thiserror::Error;
 
 use super::byte_budget::ByteReservation;
-use crate::event_loop::EncodedRequest;
 use crate::json;
+use crate::outbound::EncodedRequest;
 use crate::resp;
 
 /// A request class under the name that clients give it.
@@ -157,7 +157,7 @@
     }
 
     fn class<'c>(&self, classes: &'c [NamedClass]) -> Result<&'c NamedClass, CommandError> {
-        let name = json::word(self.get(CLASS).ok_or(CommandError::MissingClass)?);
+        let name = json::settings_name(self.get(CLASS).ok_or(CommandError::MissingClass)?);
         classes
             .iter()
             .find(|class| class.name == name)
--- a/crates/agent/src/clients/connection.rs
+++ b/crates/agent/src/clients/connection.rs
@@ -11,7 +11,7 @@
 use super::byte_budget::ByteBudget;
 use super::reply_queue::ReplyQueue;
 use super::{COMMAND_TIMEOUT, Clients};
-use crate::log::{Count, End, count, info};
+use crate::log::{ConnectionEnd, Count, count, info};
 use crate::resp::{self, CommandParser};
 use crate::transport::{InputReader, RingBuffer, items, with_timeout};
 
@@ -25,7 +25,7 @@
     /// Whether bytes were read that are no whole command yet.
     has_partial_command: Rc<Cell<bool>>,
     /// Why it is closed once it stands between commands.
-    pub(super) end_reason: Cell<Option<End>>,
+    pub(super) end_reason: Cell<Option<ConnectionEnd>>,
     /// Whether it may be closed although input is waiting: no time is left for a reply.
     pub(super) ignores_input: Cell<bool>,
     /// When a command last arrived or a reply was last written.
@@ -52,7 +52,7 @@
     }
 
     /// Has the connection closed as soon as it stands between commands.
-    pub(super) fn end(&self, reason: End) {
+    pub(super) fn end(&self, reason: ConnectionEnd) {
         self.end_reason.set(Some(reason));
         self.replies.wake();
     }
@@ -80,8 +80,13 @@
     /// connection that is evicted before its first command has been promised nothing.
     fn is_input_over(&self) -> bool {
         match self.end_reason.get() {
-            Some(End::Malformed | End::TooLong | End::Flood | End::Silent) => true,
-            Some(End::Crowded) if !self.has_received_command.get() => true,
+            Some(
+                ConnectionEnd::Malformed
+                | ConnectionEnd::TooLong
+                | ConnectionEnd::Flood
+                | ConnectionEnd::Silent,
+            ) => true,
+            Some(ConnectionEnd::Crowded) if !self.has_received_command.get() => true,
             _ => self.ignores_input.get(),
         }
     }
@@ -91,7 +96,7 @@
     /// # Errors
     ///
     /// The reason to close the connection, once it stands between commands.
-    async fn next_reply(&self) -> Result<Vec<u8>, End> {
+    async fn next_reply(&self) -> Result<Vec<u8>, ConnectionEnd> {
         loop {
             if let Some(reply) = self.replies.take_ready() {
                 return Ok(reply);
@@ -144,12 +149,16 @@
         drop(stream);
         self.connections.borrow_mut().remove(&serial);
         self.connection_ended.wake();
-        count(Count::ClientsOut);
+        count(Count::ClientsEnded);
         info!("client {peer} ended: {end}");
     }
 
     /// Writes replies in the order of their commands; returns why the connection ends.
-    async fn write_replies(&self, stream: &Async<TcpStream>, connection: &ConnectionState) -> End {
+    async fn write_replies(
+        &self,
+        stream: &Async<TcpStream>,
+        connection: &ConnectionState,
+    ) -> ConnectionEnd {
         let mut output = RingBuffer::new(resp::MAX_MESSAGE);
         loop {
             match connection.next_reply().await {
@@ -170,7 +179,7 @@
         stream: Rc<Async<TcpStream>>,
         reader: InputReader<CommandParser>,
         connection: &Rc<ConnectionState>,
-    ) -> End {
+    ) -> ConnectionEnd {
         let commands = items(stream.clone(), reader);
         pin!(commands);
         let reason = loop {
@@ -184,14 +193,14 @@
             };
             match next {
                 Some(Ok((arrived, command))) => {
-                    let arrived = self.event_loop.clock.at(arrived);
+                    let arrived = self.event_loop.clock.time_of(arrived);
                     if let Err(reason) = self.execute_and_reply(arrived, command, connection) {
                         break reason;
                     }
                     // A client that pipelines without end leaves others their turn.
                     future::yield_now().await;
                 }
-                Some(Err(end @ (End::Malformed | End::TooLong))) => {
+                Some(Err(end @ (ConnectionEnd::Malformed | ConnectionEnd::TooLong))) => {
                     count(Count::CommandsRefused);
                     connection
                         .replies
@@ -199,9 +208,9 @@
                     break end;
                 }
                 // The commands before one that was never completed get their replies still.
-                Some(Err(End::Silent)) => break End::Silent,
+                Some(Err(ConnectionEnd::Silent)) => break ConnectionEnd::Silent,
                 Some(Err(end)) => return end,
-                None => return End::Closed,
+                None => return ConnectionEnd::Closed,
             }
         };
         self.stop_reading(&stream, reason, connection).await
@@ -211,13 +220,13 @@
     ///
     /// # Errors
     ///
-    /// [`End::Flood`] if too many replies are pending then; what follows is not read.
+    /// [`ConnectionEnd::Flood`] if too many replies are pending then; what follows is not read.
     fn execute_and_reply(
         &self,
         arrived: Duration,
         command: Vec<Vec<u8>>,
         connection: &Rc<ConnectionState>,
-    ) -> Result<(), End> {
+    ) -> Result<(), ConnectionEnd> {
         if let Err(error) = self.execute(arrived, command, connection) {
             count(Count::CommandsRefused);
             connection.replies.push_line(&format!("-ERR {error}"));
@@ -227,7 +236,7 @@
             connection
                 .replies
                 .push_line("-ERR too many commands at once");
-            return Err(End::Flood);
+            return Err(ConnectionEnd::Flood);
         }
         Ok(())
     }
@@ -237,12 +246,12 @@
     async fn stop_reading(
         &self,
         stream: &Async<TcpStream>,
-        reason: End,
+        reason: ConnectionEnd,
         connection: &ConnectionState,
-    ) -> End {
+    ) -> ConnectionEnd {
         connection.end(reason);
         let end = self.wait_for_client_end(stream, reason).await;
-        if end != End::Flood && connection.replies.has_unanswered() {
+        if end != ConnectionEnd::Flood && connection.replies.has_unanswered() {
             end
         } else {
             future::pending().await
--- a/crates/agent/src/clients/eviction.rs
+++ b/crates/agent/src/clients/eviction.rs
@@ -7,7 +7,7 @@
 
 use super::connection::ConnectionState;
 use super::{COMMAND_TIMEOUT, Clients};
-use crate::log::End;
+use crate::log::ConnectionEnd;
 
 /// How long a connection may be silent before its first command if another one needs its place.
 const FIRST_COMMAND_GRACE: Duration = COMMAND_TIMEOUT.checked_div(4).unwrap();
@@ -63,7 +63,7 @@
             .min_by_key(order)
             .cloned();
         longest_idle
-            .inspect(|connection| connection.end(End::Crowded))
+            .inspect(|connection| connection.end(ConnectionEnd::Crowded))
             .is_some()
     }
 
@@ -100,6 +100,6 @@
         connections
             .values()
             .filter(is_long_idle)
-            .for_each(|connection| connection.end(End::Idle));
+            .for_each(|connection| connection.end(ConnectionEnd::Idle));
     }
 }
--- a/crates/agent/src/clients/listener.rs
+++ b/crates/agent/src/clients/listener.rs
@@ -8,7 +8,7 @@
 
 use super::eviction::Eviction;
 use super::{Clients, POLL_INTERVAL};
-use crate::log::{Count, End, count, info};
+use crate::log::{ConnectionEnd, Count, count, info};
 use crate::transport::with_timeout;
 
 impl Clients {
@@ -17,7 +17,7 @@
     pub async fn accept(self: Rc<Self>, listener: Async<TcpListener>) {
         let last_serial = Cell::new(0);
         let spawn = |stream: Async<TcpStream>| {
-            count(Count::ClientsIn);
+            count(Count::ClientsAccepted);
             last_serial.set(last_serial.get() + 1);
             self.event_loop
                 .spawn(self.clone().serve(last_serial.get(), stream));
@@ -37,7 +37,7 @@
                     future::yield_now().await;
                 }
                 Err(error) => {
-                    info!("no client accepted: {}", End::from(error));
+                    info!("no client accepted: {}", ConnectionEnd::from(error));
                     self.evict_idle(Eviction::ForConnection);
                     self.wait_for_connection_end().await;
                 }
@@ -59,7 +59,7 @@
     /// Waits until another connection may be open. At the bound, a connection is evicted only once another one waits.
     async fn wait_for_room(&self, listener: &Async<TcpListener>) {
         while self.is_at_connection_bound() && !self.draining.is_notified() {
-            let backlog = async { listener.readable().await.map_err(End::from) };
+            let backlog = async { listener.readable().await.map_err(ConnectionEnd::from) };
             let is_waiting = with_timeout(POLL_INTERVAL, backlog).await.is_ok();
             if is_waiting && self.is_at_connection_bound() {
                 self.evict_idle(Eviction::ForConnection);
--- a/crates/agent/src/clients/mod.rs
+++ b/crates/agent/src/clients/mod.rs
@@ -34,8 +34,8 @@
 use self::command::NamedClass;
 use self::connection::ConnectionState;
 use self::in_flight_ids::InFlightIds;
+use crate::error::SettingError;
 use crate::event_loop::EventLoop;
-use crate::setting_error::SettingError;
 use crate::transport::{Notifier, WakeSignal};
 use crate::upstream::UpstreamPool;
 
--- a/crates/agent/src/clients/shutdown.rs
+++ b/crates/agent/src/clients/shutdown.rs
@@ -5,7 +5,7 @@
 
 use super::Clients;
 use super::POLL_INTERVAL;
-use crate::log::{End, info};
+use crate::log::{ConnectionEnd, info};
 
 /// A planned restart may kill the agent once the longest deadline, counted as this at most, and [`KILL_MARGIN`] have
 /// passed since SIGTERM.
@@ -27,9 +27,9 @@
         let started = clock.now();
         let deadline = started + self.longest_deadline.min(MAX_COUNTED_DEADLINE) + KILL_MARGIN;
         self.linger_deadline.set(deadline - POLL_INTERVAL);
-        self.event_loop.ends(deadline - CLOSING_PHASE);
+        self.event_loop.shut_down_by(deadline - CLOSING_PHASE);
         clock
-            .until(deadline - CLOSING_PHASE)
+            .sleep_until(deadline - CLOSING_PHASE)
             .or(self.draining.notified())
             .await;
         self.draining.notify();
@@ -41,7 +41,7 @@
             self.end_connections(closing_started);
             self.wait_for_connection_end().await;
         }
-        let left = self.event_loop.in_hand();
+        let left = self.event_loop.unanswered_requests();
         info!(
             "stopped after {} ms with {left} requests in hand",
             (clock.now() - started).as_millis()
@@ -64,7 +64,12 @@
                 FIRST_COMMAND_GRACE
             };
             if is_reading_over || connection.last_activity.get() + grace <= now {
-                connection.end(connection.end_reason.get().unwrap_or(End::Stopping));
+                connection.end(
+                    connection
+                        .end_reason
+                        .get()
+                        .unwrap_or(ConnectionEnd::Stopping),
+                );
             }
         }
     }
--- a/crates/agent/src/resp.rs
+++ b/crates/agent/src/resp.rs
@@ -2,7 +2,7 @@
 //!
 //! The parsers are incremental and know no command. They never buffer more than [`MAX_MESSAGE`] bytes, and no length
 //! that a peer announces reserves memory before its bytes have come.
-use crate::log::End;
+use crate::log::ConnectionEnd;
 use crate::transport::Parse;
 
 /// The largest bulk string of the protocol, in bytes.
@@ -70,10 +70,12 @@
 
 impl ValueParser {
     /// Parses a whole line; returns its value unless more has to come first.
-    fn parse_line(&mut self) -> Result<Option<Resp>, End> {
+    fn parse_line(&mut self) -> Result<Option<Resp>, ConnectionEnd> {
         let line = std::mem::take(&mut self.token);
-        let line = line.strip_suffix(LINE_END).ok_or(End::Malformed)?;
-        let (&kind, rest) = line.split_first().ok_or(End::Malformed)?;
+        let line = line
+            .strip_suffix(LINE_END)
+            .ok_or(ConnectionEnd::Malformed)?;
+        let (&kind, rest) = line.split_first().ok_or(ConnectionEnd::Malformed)?;
         Ok(Some(match kind {
             b'+' => Resp::Simple(rest.to_vec()),
             b'-' => Resp::Error(rest.to_vec()),
@@ -86,8 +88,8 @@
                     };
                     return Ok(None);
                 }
-                0.. => return Err(End::TooLong),
-                _ => return Err(End::Malformed),
+                0.. => return Err(ConnectionEnd::TooLong),
+                _ => return Err(ConnectionEnd::Malformed),
             },
             b'*' => match parse_integer(rest)? {
                 -1 => Resp::Array(None),
@@ -99,19 +101,19 @@
                     });
                     return Ok(None);
                 }
-                1.. => return Err(End::TooLong),
-                _ => return Err(End::Malformed),
+                1.. => return Err(ConnectionEnd::TooLong),
+                _ => return Err(ConnectionEnd::Malformed),
             },
-            _ => return Err(End::Malformed),
+            _ => return Err(ConnectionEnd::Malformed),
         }))
     }
 
     /// Takes the value out of a whole bulk string.
-    fn parse_bulk(&mut self) -> Result<Resp, End> {
+    fn parse_bulk(&mut self) -> Result<Resp, ConnectionEnd> {
         self.state = State::Line;
         let mut value = std::mem::take(&mut self.token);
         if !value.ends_with(LINE_END) {
-            return Err(End::Malformed);
+            return Err(ConnectionEnd::Malformed);
         }
         value.truncate(value.len() - LINE_END.len());
         Ok(Resp::Bulk(Some(value)))
@@ -134,12 +136,12 @@
 }
 
 /// Parses a decimal integer; a plus sign is no part of the protocol.
-fn parse_integer(digits: &[u8]) -> Result<i64, End> {
+fn parse_integer(digits: &[u8]) -> Result<i64, ConnectionEnd> {
     std::str::from_utf8(digits)
         .ok()
         .filter(|text| !text.starts_with('+'))
         .and_then(|text| text.parse().ok())
-        .ok_or(End::Malformed)
+        .ok_or(ConnectionEnd::Malformed)
 }
 
 impl Parse for ValueParser {
@@ -149,7 +151,7 @@
         self.message_length == 0
     }
 
-    fn take(&mut self, bytes: &[u8]) -> Result<(usize, Option<Resp>), End> {
+    fn take(&mut self, bytes: &[u8]) -> Result<(usize, Option<Resp>), ConnectionEnd> {
         let mut consumed = 0;
         while consumed < bytes.len() {
             let rest = &bytes[consumed..];
@@ -162,7 +164,7 @@
             };
             self.message_length += count;
             if self.message_length > MAX_MESSAGE {
-                return Err(End::TooLong);
+                return Err(ConnectionEnd::TooLong);
             }
             self.token.extend_from_slice(&rest[..count]);
             consumed += count;
@@ -196,24 +198,24 @@
         self.0.is_between()
     }
 
-    fn take(&mut self, bytes: &[u8]) -> Result<(usize, Option<Self::Item>), End> {
+    fn take(&mut self, bytes: &[u8]) -> Result<(usize, Option<Self::Item>), ConnectionEnd> {
         if self.0.is_between() && bytes.first().is_some_and(|&byte| byte != b'*') {
-            return Err(End::Malformed);
+            return Err(ConnectionEnd::Malformed);
         }
         let (consumed, value) = self.0.take(bytes)?;
         let Some(value) = value else {
             return Ok((consumed, None));
         };
         let Resp::Array(Some(items)) = value else {
-            return Err(End::Malformed);
+            return Err(ConnectionEnd::Malformed);
         };
         let part = |item| match item {
             Resp::Bulk(Some(text)) => Ok(text),
-            _ => Err(End::Malformed),
+            _ => Err(ConnectionEnd::Malformed),
         };
         let command = items.into_iter().map(part).collect::<Result<Vec<_>, _>>()?;
         if command.is_empty() {
-            Err(End::Malformed)
+            Err(ConnectionEnd::Malformed)
         } else {
             Ok((consumed, Some(command)))
         }
--- a/crates/agent/src/transport/connect.rs
+++ b/crates/agent/src/transport/connect.rs
@@ -6,21 +6,27 @@
 use async_io::{Async, Timer};
 use futures_lite::{FutureExt, pin};
 
-use crate::log::End;
+use crate::log::ConnectionEnd;
 
 /// Opens a connection with Nagle's algorithm switched off.
 ///
 /// # Errors
 ///
-/// [`End::Silent`] if the connection is not established within `timeout`, else the code of the socket's error.
-pub async fn connect(address: SocketAddr, timeout: Duration) -> Result<Async<TcpStream>, End> {
+/// [`ConnectionEnd::Silent`] if the connection is not established within `timeout`, else the code of the socket's error.
+pub async fn connect(
+    address: SocketAddr,
+    timeout: Duration,
+) -> Result<Async<TcpStream>, ConnectionEnd> {
     let stream = with_timeout(timeout, async {
         Async::<TcpStream>::connect(address)
             .await
-            .map_err(End::from)
+            .map_err(ConnectionEnd::from)
     })
     .await?;
-    stream.get_ref().set_nodelay(true).map_err(End::from)?;
+    stream
+        .get_ref()
+        .set_nodelay(true)
+        .map_err(ConnectionEnd::from)?;
     Ok(stream)
 }
 
@@ -28,14 +34,14 @@
 ///
 /// # Errors
 ///
-/// [`End::Silent`] after the timeout, else the error of the operation itself.
+/// [`ConnectionEnd::Silent`] after the timeout, else the error of the operation itself.
 pub async fn with_timeout<T>(
     timeout: Duration,
-    operation: impl Future<Output = Result<T, End>>,
-) -> Result<T, End> {
+    operation: impl Future<Output = Result<T, ConnectionEnd>>,
+) -> Result<T, ConnectionEnd> {
     let timed_out = async {
         Timer::after(timeout).await;
-        Err(End::Silent)
+        Err(ConnectionEnd::Silent)
     };
     pin!(operation);
     operation.or(timed_out).await
--- a/crates/agent/src/transport/input_reader.rs
+++ b/crates/agent/src/transport/input_reader.rs
@@ -10,7 +10,7 @@
 use futures_lite::{FutureExt, pin};
 
 use super::{RingBuffer, with_timeout};
-use crate::log::End;
+use crate::log::ConnectionEnd;
 
 /// An incremental parser. After an error the stream cannot be parsed any further, and its connection has to end.
 pub trait Parse {
@@ -22,8 +22,8 @@
     ///
     /// # Errors
     ///
-    /// [`End::Malformed`] or [`End::TooLong`], the same however the bytes were split.
-    fn take(&mut self, bytes: &[u8]) -> Result<(usize, Option<Self::Item>), End>;
+    /// [`ConnectionEnd::Malformed`] or [`ConnectionEnd::TooLong`], the same however the bytes were split.
+    fn take(&mut self, bytes: &[u8]) -> Result<(usize, Option<Self::Item>), ConnectionEnd>;
 
     /// Whether no byte of a next item has been consumed yet.
     fn is_between(&self) -> bool;
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Adds a limit to the time between two reads within one item; beyond it the reader ends with [`End::Stalled`].
+    /// Adds a limit to the time between two reads within one item; beyond it the reader ends with [`ConnectionEnd::Stalled`].
     #[must_use]
     pub fn with_stall_timeout(self, stall_timeout: Duration) -> Self {
         InputReader {
@@ -79,16 +79,22 @@
     ///
     /// # Errors
     ///
-    /// [`End::Silent`] or [`End::Stalled`] for an item that is not completed in time, the parser's error, or the code
+    /// [`ConnectionEnd::Silent`] or [`ConnectionEnd::Stalled`] for an item that is not completed in time, the parser's error, or the code
     /// of the socket's error.
-    pub async fn next(&mut self, stream: &Async<TcpStream>) -> Result<Option<P::Item>, End> {
+    pub async fn next(
+        &mut self,
+        stream: &Async<TcpStream>,
+    ) -> Result<Option<P::Item>, ConnectionEnd> {
         if self.buffer.is_empty() && self.parser.is_between() {
-            stream.readable().await.map_err(End::from)?;
+            stream.readable().await.map_err(ConnectionEnd::from)?;
         }
         with_timeout(self.read_timeout, self.read_item(stream)).await
     }
 
-    async fn read_item(&mut self, stream: &Async<TcpStream>) -> Result<Option<P::Item>, End> {
+    async fn read_item(
+        &mut self,
+        stream: &Async<TcpStream>,
+    ) -> Result<Option<P::Item>, ConnectionEnd> {
         loop {
             while !self.buffer.is_empty() {
                 if self.parser.is_between() {
@@ -111,21 +117,21 @@
     }
 
     /// Reads what comes next, within the stall timeout if an item has begun.
-    async fn read(&mut self, stream: &Async<TcpStream>) -> Result<usize, End> {
+    async fn read(&mut self, stream: &Async<TcpStream>) -> Result<usize, ConnectionEnd> {
         let stall_timeout = self.stall_timeout.filter(|_| !self.parser.is_between());
         let buffer = &mut self.buffer;
         let read = async {
             stream
                 .read_with(|socket| buffer.read_from(socket))
                 .await
-                .map_err(End::from)
+                .map_err(ConnectionEnd::from)
         };
         let Some(stall_timeout) = stall_timeout else {
             return read.await;
         };
         let stalled = async {
             Timer::after(stall_timeout).await;
-            Err(End::Stalled)
+            Err(ConnectionEnd::Stalled)
         };
         pin!(read);
         read.or(stalled).await
@@ -150,7 +156,7 @@
 pub fn items<P: Parse>(
     stream: Rc<Async<TcpStream>>,
     reader: InputReader<P>,
-) -> impl Stream<Item = Result<(Instant, P::Item), End>> {
+) -> impl Stream<Item = Result<(Instant, P::Item), ConnectionEnd>> {
     stream::try_unfold((stream, reader), async |(stream, mut reader)| {
         let item = reader.next(&stream).await?;
         Ok(item.map(|item| ((reader.item_started, item), (stream, reader))))
--- a/crates/agent/src/transport/ring_buffer.rs
+++ b/crates/agent/src/transport/ring_buffer.rs
@@ -5,7 +5,7 @@
 
 use async_io::Async;
 
-use crate::log::End;
+use crate::log::ConnectionEnd;
 
 /// The capacity in bytes that a buffer starts with, and that it may keep while it is empty.
 const IDLE_CAPACITY: usize = 1 << 10;
@@ -90,12 +90,12 @@
     ///
     /// # Errors
     ///
-    /// The code of the socket's error; [`End::Reset`] if it takes nothing more.
-    pub async fn flush(&mut self, stream: &Async<TcpStream>) -> Result<(), End> {
+    /// The code of the socket's error; [`ConnectionEnd::Reset`] if it takes nothing more.
+    pub async fn flush(&mut self, stream: &Async<TcpStream>) -> Result<(), ConnectionEnd> {
         while !self.bytes.is_empty() {
             let written = stream.write_with(|socket| self.write_to(socket)).await;
-            if written.map_err(End::from)? == 0 {
-                return Err(End::Reset);
+            if written.map_err(ConnectionEnd::from)? == 0 {
+                return Err(ConnectionEnd::Reset);
             }
         }
         self.shrink_if_empty();
--- a/crates/agent/src/transport/service_address.rs
+++ b/crates/agent/src/transport/service_address.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use super::WakeSignal;
-use crate::log::End;
+use crate::log::ConnectionEnd;
 
 /// Where a service listens. A change ends what one task does at the old address.
 #[derive(Debug)]
@@ -37,9 +37,9 @@
     ///
     /// # Errors
     ///
-    /// Always [`End::Moved`], so that it can end the operation it is raced against.
-    pub async fn changed<T>(&self) -> Result<T, End> {
+    /// Always [`ConnectionEnd::Moved`], so that it can end the operation it is raced against.
+    pub async fn changed<T>(&self) -> Result<T, ConnectionEnd> {
         self.changed.wait().await;
-        Err(End::Moved)
+        Err(ConnectionEnd::Moved)
     }
 }
--- a/crates/agent/src/upstream/connection.rs
+++ b/crates/agent/src/upstream/connection.rs
@@ -7,7 +7,7 @@
 use async_io::Async;
 use lilacgate_decision::{Build, Outcome};
 
-use crate::log::{Count, End, count, info};
+use crate::log::{ConnectionEnd, Count, count, info};
 use crate::resp::{self, Resp};
 use crate::transport::{InputReader, RingBuffer};
 
@@ -47,13 +47,13 @@
     /// When its last exchange ended, or when it was opened.
     pub(super) last_used: Duration,
     /// What is logged as the reason if it is dropped now.
-    pub(super) close_reason: End,
+    pub(super) close_reason: ConnectionEnd,
     _open: OpenConnectionGuard,
 }
 
 impl Drop for Connection {
     fn drop(&mut self) {
-        count(Count::LinksClosed);
+        count(Count::ConnectionsClosed);
         info!(
             "link to {} ended: {}",
             self.process.address, self.close_reason
@@ -70,7 +70,7 @@
         read_timeout: Duration,
         open: OpenConnectionGuard,
     ) -> Self {
-        count(Count::LinksOpened);
+        count(Count::ConnectionsOpened);
         let parser = resp::ValueParser::default();
         Connection {
             stream,
@@ -78,7 +78,7 @@
             output: RingBuffer::new(resp::MAX_MESSAGE),
             process,
             last_used: opened,
-            close_reason: End::GivenUp,
+            close_reason: ConnectionEnd::GivenUp,
             _open: open,
         }
     }
@@ -86,9 +86,9 @@
     /// Whether an idle connection may carry another exchange; if not, notes why.
     pub(super) fn is_usable(&mut self, now: Duration, idle_timeout: Duration) -> bool {
         if now > self.last_used + idle_timeout {
-            self.close_reason = End::Idle;
+            self.close_reason = ConnectionEnd::Idle;
         } else if !self.input.is_open_and_empty(&self.stream) {
-            self.close_reason = End::Stale;
+            self.close_reason = ConnectionEnd::Stale;
         } else {
             return true;
         }
@@ -115,18 +115,18 @@
         let reply = self.input.next(&self.stream).await;
         self.close_reason = match reply {
             Ok(Some(reply)) => return Ok(reply),
-            Ok(None) => End::Closed,
+            Ok(None) => ConnectionEnd::Closed,
             Err(end) => end,
         };
         Err(match self.close_reason {
-            End::Malformed | End::TooLong => Outcome::Malformed,
+            ConnectionEnd::Malformed | ConnectionEnd::TooLong => Outcome::Malformed,
             _ => Outcome::ConnectionLost,
         })
     }
 
     /// Notes that a reply was well-formed RESP2, but not one that the command can have.
     pub(super) fn reject_reply(&mut self) -> Outcome {
-        self.close_reason = End::Malformed;
+        self.close_reason = ConnectionEnd::Malformed;
         Outcome::Malformed
     }
 }
--- a/crates/agent/src/upstream/health_check.rs
+++ b/crates/agent/src/upstream/health_check.rs
@@ -10,7 +10,7 @@
 
 impl UpstreamPool {
     /// Checks an endpoint within the connect timeout, and passes the outcome on to the decision engine.
-    pub(super) async fn check_health(self: Rc<Self>, endpoint: EndpointId) {
+    pub(super) async fn run_health_check(self: Rc<Self>, endpoint: EndpointId) {
         let started = self.clock().now();
         let check = async { Ok(self.request_load(endpoint).await) };
         let result = with_timeout(self.connect_timeout, check)
--- a/crates/agent/src/upstream/pool.rs
+++ b/crates/agent/src/upstream/pool.rs
@@ -9,14 +9,16 @@
 use async_channel::Sender;
 use async_io::Timer;
 use futures_lite::StreamExt;
-use lilacgate_decision::{AttemptNumber, Endpoint, EndpointId, EndpointStatus, Outcome, RequestId};
+use lilacgate_decision::{Endpoint, EndpointId, EndpointStatus, Outcome};
 use lilacgate_start_settings::Paths;
 
 use super::attempt::Attempt;
 use super::connection::{Connection, EndpointProcess, OpenConnectionGuard};
-use crate::event_loop::{Clock, EncodedRequest, EventLoop, Upstream};
-use crate::log::{Count, End, count, info};
-use crate::setting_error::SettingError;
+use crate::clock::Clock;
+use crate::error::SettingError;
+use crate::event_loop::EventLoop;
+use crate::log::{ConnectionEnd, Count, count, info};
+use crate::outbound::{AttemptId, OutgoingAttempt, Upstream};
 use crate::transport::connect;
 
 /// How often idle connections are looked at within their timeout.
@@ -31,7 +33,7 @@
 }
 
 impl UpstreamEndpoint {
-    fn close_idle(&mut self, reason: End) {
+    fn close_idle(&mut self, reason: ConnectionEnd) {
         for connection in &mut self.idle {
             connection.close_reason = reason;
         }
@@ -48,7 +50,7 @@
     pub(super) event_loop: Rc<EventLoop>,
     endpoints: RefCell<HashMap<EndpointId, UpstreamEndpoint>>,
     /// Wakes the task of an attempt that is to be cancelled.
-    pub(super) cancellations: RefCell<HashMap<(RequestId, AttemptNumber), Sender<()>>>,
+    pub(super) cancellations: RefCell<HashMap<AttemptId, Sender<()>>>,
     /// The names of the fields of a load report, in the decision engine's order.
     pub(super) load_fields: Vec<String>,
     pub(super) connect_timeout: Duration,
@@ -120,7 +122,7 @@
                 idle: Vec::new(),
             });
         if endpoint.process != process || entry.status != EndpointStatus::Ready {
-            endpoint.close_idle(End::Gone);
+            endpoint.close_idle(ConnectionEnd::Gone);
         }
         endpoint.process = process;
         endpoint.status = entry.status;
@@ -133,7 +135,7 @@
     pub fn retain(&self, is_listed: impl Fn(&EndpointId) -> bool) {
         let mut endpoints = self.endpoints.borrow_mut();
         for (_, mut endpoint) in endpoints.extract_if(|id, _| !is_listed(id)) {
-            endpoint.close_idle(End::Gone);
+            endpoint.close_idle(ConnectionEnd::Gone);
         }
     }
 
@@ -196,7 +198,7 @@
             .await
             .map_err(|end| {
                 info!("no link to {address}: {end}");
-                if end == End::OwnLimit {
+                if end == ConnectionEnd::OwnLimit {
                     Outcome::NotSent
                 } else {
                     Outcome::ConnectFailed
@@ -220,7 +222,7 @@
             .filter(|endpoint| !endpoint.idle.is_empty())
             .min_by_key(|endpoint| endpoint.idle[0].last_used);
         longest
-            .map(|endpoint| endpoint.idle.remove(0).close_reason = End::Crowded)
+            .map(|endpoint| endpoint.idle.remove(0).close_reason = ConnectionEnd::Crowded)
             .is_some()
     }
 
@@ -231,49 +233,36 @@
             Some(endpoint) if endpoint.takes_requests_at(connection.process) => {
                 endpoint.idle.push(connection);
             }
-            _ => connection.close_reason = End::Gone,
+            _ => connection.close_reason = ConnectionEnd::Gone,
         }
     }
 }
 
 impl Upstream for UpstreamPool {
-    fn send_attempt(
-        self: Rc<Self>,
-        which: (RequestId, AttemptNumber),
-        to: EndpointId,
-        encoded_request: EncodedRequest,
-        began: Duration,
-        until: Duration,
-    ) {
-        let attempt = Attempt {
-            id: which,
-            endpoint: to,
-            encoded_request,
-            started: began,
-            deadline: until,
-            fully_written: Cell::new(false),
-        };
+    fn send_attempt(self: Rc<Self>, attempt: OutgoingAttempt) {
         let (cancel_sender, cancel_receiver) = async_channel::bounded(1);
-        self.cancellations.borrow_mut().insert(which, cancel_sender);
+        self.cancellations
+            .borrow_mut()
+            .insert(attempt.id, cancel_sender);
         let event_loop = self.event_loop.clone();
-        event_loop.spawn(attempt.run(self, cancel_receiver));
+        event_loop.spawn(Attempt::new(attempt).run(self, cancel_receiver));
     }
 
-    fn call_off(&self, which: (RequestId, AttemptNumber)) {
-        if let Some(cancel_sender) = self.cancellations.borrow().get(&which) {
+    fn cancel(&self, id: AttemptId) {
+        if let Some(cancel_sender) = self.cancellations.borrow().get(&id) {
             cancel_sender.try_send(()).ok();
         }
     }
 
-    fn probe(self: Rc<Self>, to: EndpointId) {
-        count(Count::Probes);
+    fn check_health(self: Rc<Self>, endpoint: EndpointId) {
+        count(Count::HealthChecks);
         let event_loop = self.event_loop.clone();
-        event_loop.spawn(self.check_health(to));
+        event_loop.spawn(self.run_health_check(endpoint));
     }
 
-    fn free_links(&self, id: EndpointId) {
-        if let Some(endpoint) = self.endpoints.borrow_mut().get_mut(&id) {
-            endpoint.close_idle(End::GivenUp);
+    fn close_idle_connections(&self, endpoint: EndpointId) {
+        if let Some(endpoint) = self.endpoints.borrow_mut().get_mut(&endpoint) {
+            endpoint.close_idle(ConnectionEnd::GivenUp);
         }
     }
 }
--- a/crates/agent/tests/large_fleets.rs
+++ b/crates/agent/tests/large_fleets.rs
@@ -12,8 +12,9 @@
 use lilacgate_test_bed::start::{Start, entry};
 use rstest::rstest;
 
-use lilacgate_agent::discovery::{Answer, Discovery};
+use lilacgate_agent::discovery::{Discovery, ListOrigin};
 use lilacgate_agent::event_loop::EventLoop;
+use lilacgate_agent::http_response::HttpResponse;
 use lilacgate_agent::json::Json;
 use lilacgate_agent::release_gate::{EventRouter, ReleaseGateHost};
 use lilacgate_agent::start_config::{self, StartConfig};
@@ -36,7 +37,7 @@
     #[values(1, 300, 1024)] endpoints: usize,
 ) {
     let config = read_start_file(agents, endpoints);
-    assert_eq!(config.peers.len(), agents);
+    assert_eq!(config.peers.as_ref().expect("peers").peers.len(), agents);
     let mut engine = lilacgate_start_settings::instance(config.seed, &config.settings)
         .expect("a decision engine")
         .brain;
@@ -52,10 +53,14 @@
     )
     .expect("discovery");
     let known = start_config::field(&config.file, "known").expect("a list");
-    discovery.told(known, true).expect("it can be used");
+    discovery
+        .receive(known, ListOrigin::StartFile)
+        .expect("it can be used");
     // The same list again, under another build.
     let lists = receive_list(&entries(endpoints, "2"), max_message);
-    discovery.told(&lists[0], false).expect("it can be used");
+    discovery
+        .receive(&lists[0], ListOrigin::Discovery)
+        .expect("it can be used");
     assert_eq!((lists.len(), attempts(&mut engine, &event_loop)), (1, 10));
 }
 
@@ -97,7 +102,7 @@
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{:x}\r\n{list}\n\r\n",
         list.len() + 1
     );
-    let (mut parser, mut lists) = (Answer::new(max_message), Vec::new());
+    let (mut parser, mut lists) = (HttpResponse::new(max_message), Vec::new());
     for mut packet in response.as_bytes().chunks(PACKET) {
         while !packet.is_empty() {
             let (consumed, list) = parser.take(packet).expect("it can be read");
@@ -126,7 +131,7 @@
         |module| {
             let (gate_host, recorder) = (&mut ReleaseGateHost::default(), &empty_recorder());
             event_loop.drain(&mut EventRouter {
-                module,
+                engine: module,
                 gate_host,
                 recorder,
                 now,
--- a/crates/agent/tests/parsers.rs
+++ b/crates/agent/tests/parsers.rs
@@ -2,8 +2,8 @@
 //! scenarios is `KIND BYTES => ITEM | ITEM !ERROR`, with \r \n \xHH and <COUNT*BYTES> in the bytes.
 use std::path::PathBuf;
 
-use lilacgate_agent::discovery::{Answer, Lines};
-use lilacgate_agent::json::{self, Json};
+use lilacgate_agent::http_response::{HttpResponse, ValuesAndHeartbeats};
+use lilacgate_agent::json::{Json, JsonParser};
 use lilacgate_agent::resp::{self, Resp};
 use lilacgate_agent::transport::Parse;
 use lilacgate_test_bed::notation::bytes;
@@ -100,10 +100,10 @@
         let found = match kind {
             "commands" => parse_in_all_ways(resp::CommandParser::default, &input, show_command),
             "answers" => parse_in_all_ways(resp::ValueParser::default, &input, show_value),
-            "json" => parse_in_all_ways(|| json::Values::new(100), &input, show_json),
-            "lines" => parse_in_all_ways(|| json::Values::lines(100), &input, show_json),
-            "indented" => parse_in_all_ways(|| json::Values::indented(100), &input, show_json),
-            "http" => parse_in_all_ways(|| Answer::new(100), &input, show_json),
+            "json" => parse_in_all_ways(|| JsonParser::new(100), &input, show_json),
+            "lines" => parse_in_all_ways(|| JsonParser::lines(100), &input, show_json),
+            "indented" => parse_in_all_ways(|| JsonParser::indented(100), &input, show_json),
+            "http" => parse_in_all_ways(|| HttpResponse::new(100), &input, show_json),
             other => panic!("no parser of {other}"),
         };
         assert_eq!(found, expected.trim(), "{line:.300}");
@@ -114,7 +114,7 @@
 /// waited for without end.
 #[rstest]
 fn only_between_lists_is_a_watch_alive() {
-    let mut watch = Lines(Answer::new(100));
+    let mut watch = ValuesAndHeartbeats(HttpResponse::new(100));
     let mut receive = |text: &str| {
         watch
             .take(text.as_bytes())
--- a/crates/agent/tests/upstream.rs
+++ b/crates/agent/tests/upstream.rs
@@ -13,7 +13,8 @@
 use lilacgate_start_settings::Paths;
 use rstest::rstest;
 
-use lilacgate_agent::event_loop::{EncodedRequest, EventLoop, Upstream};
+use lilacgate_agent::event_loop::EventLoop;
+use lilacgate_agent::outbound::{AttemptId, EncodedRequest, OutgoingAttempt, Upstream};
 use lilacgate_agent::release_gate::{EventRouter, ReleaseGateHost};
 use lilacgate_agent::upstream::UpstreamPool;
 
@@ -22,7 +23,10 @@
 const SETTINGS: &str = "feedback.names=lat_ms,util\nlimits.connect-timeout=9000000\nlimits.conn-idle=30000000\ntick=1\n\
     rules.answer-slack=1\nprofiles.count=1\nprofiles.0.give-up=9000000";
 const ENDPOINT: EndpointId = EndpointId(1);
-const ATTEMPT: (RequestId, AttemptNumber) = (RequestId(0), AttemptNumber(0));
+const ATTEMPT: AttemptId = AttemptId {
+    request: RequestId(0),
+    number: AttemptNumber(0),
+};
 const TIMEOUT: Duration = Duration::from_secs(9);
 
 /// Records how attempts and health checks end, and says whether an attempt may still be sent.
@@ -69,7 +73,7 @@
         async_io::block_on(event_loop.run(async {
             while self.outcome.is_none() {
                 event_loop.drain(&mut EventRouter {
-                    module: self,
+                    engine: self,
                     gate_host: &mut ReleaseGateHost::default(),
                     recorder: &empty_recorder(),
                     now: Duration::ZERO,
@@ -105,8 +109,14 @@
 /// Sends an attempt whose request is the word `hello`.
 fn send_hello(event_loop: &EventLoop, pool: Rc<UpstreamPool>, endpoint: EndpointId) {
     let now = event_loop.clock.now();
-    let request: EncodedRequest = Rc::new(|_| b"hello".to_vec());
-    pool.send_attempt(ATTEMPT, endpoint, request, now, now + TIMEOUT);
+    let encoded_request: EncodedRequest = Rc::new(|_| b"hello".to_vec());
+    pool.send_attempt(OutgoingAttempt {
+        id: ATTEMPT,
+        endpoint,
+        encoded_request,
+        began: now,
+        until: now + TIMEOUT,
+    });
 }
 
 /// An attempt that had to wait for its connection goes out only if the decision engine still wants it; else it ends as
@@ -200,7 +210,7 @@
         connection.write_all(answer.as_bytes()).ok();
         connection.read_to_end(&mut Vec::new()).ok();
     });
-    pool.clone().probe(ENDPOINT);
+    pool.clone().check_health(ENDPOINT);
     let mut handler = RecordingHandler::default();
     assert_eq!(handler.wait_for_outcome(&event_loop), Some(expected));
     let reported = handler
