--- a/crates/agent/src/clients/connection.rs
+++ b/crates/agent/src/clients/connection.rs
@@ -154,22 +154,29 @@
     }
 
     /// Writes replies in the order of their commands; returns why the connection ends.
-    async fn write_replies(
+    #[expect(
+        clippy::manual_async_fn,
+        reason = "an async fn keeps its arguments twice, in the task of every connection"
+    )]
+    fn write_replies(
         &self,
         stream: &Async<TcpStream>,
         connection: &ConnectionState,
-    ) -> ConnectionEnd {
-        let mut output = RingBuffer::new(resp::MAX_MESSAGE);
-        loop {
-            match connection.next_reply().await {
-                Ok(reply) => output.append(&reply),
-                Err(reason) => return reason,
-            }
-            // A client that does not read its replies delays nobody else, and is not waited for without end.
-            if let Err(end) = with_timeout(self.longest_deadline, output.flush(stream)).await {
-                return end;
+    ) -> impl Future<Output = ConnectionEnd> {
+        async move {
+            let mut output = RingBuffer::new(resp::MAX_MESSAGE);
+            loop {
+                match connection.next_reply().await {
+                    Ok(reply) => output.append(&reply),
+                    Err(reason) => return reason,
+                }
+                // A client that does not read its replies delays nobody else, and is not waited for without end.
+                let flush = output.flush(stream);
+                if let Err(end) = with_timeout(self.longest_deadline, flush).await {
+                    return end;
+                }
+                connection.last_activity.set(self.event_loop.clock.now());
             }
-            connection.last_activity.set(self.event_loop.clock.now());
         }
     }
 
@@ -213,7 +220,15 @@
                 None => return ConnectionEnd::Closed,
             }
         };
-        self.stop_reading(&stream, reason, connection).await
+        // No more commands are taken. A client that leaves while one of its requests is in flight ends the connection;
+        // else it ends with its last reply.
+        connection.end(reason);
+        let end = self.wait_for_client_end(&stream, reason).await;
+        if end != ConnectionEnd::Flood && connection.replies.has_unanswered() {
+            end
+        } else {
+            future::pending().await
+        }
     }
 
     /// Executes a command. An invalid one gets its error as reply.
@@ -240,21 +255,4 @@
         }
         Ok(())
     }
-
-    /// Takes no more commands. A client that leaves while one of its requests is in flight ends the connection; else
-    /// it ends with its last reply.
-    async fn stop_reading(
-        &self,
-        stream: &Async<TcpStream>,
-        reason: ConnectionEnd,
-        connection: &ConnectionState,
-    ) -> ConnectionEnd {
-        connection.end(reason);
-        let end = self.wait_for_client_end(stream, reason).await;
-        if end != ConnectionEnd::Flood && connection.replies.has_unanswered() {
-            end
-        } else {
-            future::pending().await
-        }
-    }
 }
