--- a/crates/agent/src/upstream/attempt.rs
+++ b/crates/agent/src/upstream/attempt.rs
@@ -1,28 +1,22 @@
 //! One attempt of a request at one endpoint.
 use std::cell::Cell;
 use std::rc::Rc;
-use std::time::Duration;
 
 use async_channel::Receiver;
 use futures_lite::FutureExt;
-use lilacgate_decision::{EndpointId, Outcome};
+use lilacgate_decision::Outcome;
 
 use super::UpstreamPool;
 use super::connection::Connection;
 use crate::event_loop::AttemptResult;
-use crate::outbound::{AttemptId, EncodedRequest};
+use crate::outbound::OutgoingAttempt;
 use crate::resp::Resp;
 
 /// An attempt, from its start to its outcome.
 pub(super) struct Attempt {
-    pub(super) id: AttemptId,
-    pub(super) endpoint: EndpointId,
-    pub(super) encoded_request: EncodedRequest,
-    pub(super) started: Duration,
-    /// When it is given up.
-    pub(super) deadline: Duration,
+    outgoing: OutgoingAttempt,
     /// Whether its last byte has gone out, so that it may have run.
-    pub(super) fully_written: Cell<bool>,
+    fully_written: Cell<bool>,
 }
 
 /// The reply of an endpoint to an attempt.
@@ -34,10 +28,24 @@
 }
 
 impl Attempt {
+    pub(super) fn new(outgoing: OutgoingAttempt) -> Self {
+        Attempt {
+            outgoing,
+            fully_written: Cell::new(false),
+        }
+    }
+
     /// Runs until its reply, its deadline or its cancellation, and reports the outcome to the event loop.
     pub(super) async fn run(self, pool: Rc<UpstreamPool>, cancel_receiver: Receiver<()>) {
+        let OutgoingAttempt {
+            id,
+            endpoint,
+            began,
+            until,
+            ..
+        } = self.outgoing;
         let timeout = async {
-            pool.event_loop.wait_until(self.deadline).await;
+            pool.event_loop.wait_until(until).await;
             Err(Outcome::TimedOut)
         };
         let cancellation = async {
@@ -45,10 +53,10 @@
             Err(Outcome::Cancelled)
         };
         let result = self.exchange(&pool).or(cancellation).or(timeout).await;
-        pool.cancellations.borrow_mut().remove(&self.id);
+        pool.cancellations.borrow_mut().remove(&id);
         let (outcome, value) = match result {
             Ok(reply) => {
-                pool.report_load(self.endpoint, reply.load_report);
+                pool.report_load(endpoint, reply.load_report);
                 (reply.outcome, reply.value)
             }
             // What was not written to its end cannot have run.
@@ -57,12 +65,12 @@
             }
             Err(outcome) => (outcome, Vec::new()),
         };
-        let duration = pool.clock().now().saturating_sub(self.started);
+        let took = pool.clock().now().saturating_sub(began);
         pool.event_loop.attempt_ended(AttemptResult {
-            id: self.id,
-            endpoint: self.endpoint,
+            id,
+            endpoint,
             outcome,
-            took: duration,
+            took,
             value,
         });
     }
@@ -70,25 +78,25 @@
     /// Sends the request and reads the reply, on an idle connection or on a new one.
     async fn exchange(&self, pool: &UpstreamPool) -> Result<Reply, Outcome> {
         let mut connection = self.connection(pool).await?;
-        let time_left = self.deadline.saturating_sub(pool.clock().now());
-        let command = (self.encoded_request)(time_left);
+        let time_left = self.outgoing.until.saturating_sub(pool.clock().now());
+        let command = (self.outgoing.encoded_request)(time_left);
         let reply = connection.exchange(&command, &self.fully_written).await?;
         let reply = parse_reply(reply).ok_or_else(|| connection.reject_reply())?;
-        pool.put_back(self.endpoint, connection);
+        pool.put_back(self.outgoing.endpoint, connection);
         Ok(reply)
     }
 
     /// While a connection is being opened the attempt may have become needless: the decision engine is asked again.
     async fn connection(&self, pool: &UpstreamPool) -> Result<Connection, Outcome> {
-        if let Some(connection) = pool.take_idle(self.endpoint) {
+        let OutgoingAttempt { id, endpoint, .. } = self.outgoing;
+        if let Some(connection) = pool.take_idle(endpoint) {
             return Ok(connection);
         }
-        let connection = pool.open(self.endpoint).await?;
-        let AttemptId { request, number } = self.id;
-        if pool.event_loop.may_send(request, number).await {
+        let connection = pool.open(endpoint).await?;
+        if pool.event_loop.may_send(id.request, id.number).await {
             Ok(connection)
         } else {
-            pool.put_back(self.endpoint, connection);
+            pool.put_back(endpoint, connection);
             Err(Outcome::NotSent)
         }
     }
--- a/crates/agent/src/upstream/pool.rs
+++ b/crates/agent/src/upstream/pool.rs
@@ -239,20 +239,13 @@
 }
 
 impl Upstream for UpstreamPool {
-    fn send_attempt(self: Rc<Self>, outgoing: OutgoingAttempt) {
-        let id = outgoing.id;
-        let attempt = Attempt {
-            id,
-            endpoint: outgoing.endpoint,
-            encoded_request: outgoing.encoded_request,
-            started: outgoing.began,
-            deadline: outgoing.until,
-            fully_written: Cell::new(false),
-        };
+    fn send_attempt(self: Rc<Self>, attempt: OutgoingAttempt) {
         let (cancel_sender, cancel_receiver) = async_channel::bounded(1);
-        self.cancellations.borrow_mut().insert(id, cancel_sender);
+        self.cancellations
+            .borrow_mut()
+            .insert(attempt.id, cancel_sender);
         let event_loop = self.event_loop.clone();
-        event_loop.spawn(attempt.run(self, cancel_receiver));
+        event_loop.spawn(Attempt::new(attempt).run(self, cancel_receiver));
     }
 
     fn cancel(&self, id: AttemptId) {
@@ -267,8 +260,8 @@
         event_loop.spawn(self.run_health_check(endpoint));
     }
 
-    fn close_idle_connections(&self, id: EndpointId) {
-        if let Some(endpoint) = self.endpoints.borrow_mut().get_mut(&id) {
+    fn close_idle_connections(&self, endpoint: EndpointId) {
+        if let Some(endpoint) = self.endpoints.borrow_mut().get_mut(&endpoint) {
             endpoint.close_idle(ConnectionEnd::GivenUp);
         }
     }
--- a/crates/agent/tests/large_fleets.rs
+++ b/crates/agent/tests/large_fleets.rs
@@ -37,10 +37,7 @@
     #[values(1, 300, 1024)] endpoints: usize,
 ) {
     let config = read_start_file(agents, endpoints);
-    assert_eq!(
-        config.peers.as_ref().map(|peers| peers.peers.len()),
-        Some(agents)
-    );
+    assert_eq!(config.peers.as_ref().expect("peers").peers.len(), agents);
     let mut engine = lilacgate_start_settings::instance(config.seed, &config.settings)
         .expect("a decision engine")
         .brain;
--- a/crates/agent/tests/log.rs
+++ b/crates/agent/tests/log.rs
@@ -5,10 +5,10 @@
 /// One place in the code writes so many lines a second, and says later how many it left out.
 #[rstest]
 fn log_lines_are_bounded() {
-    let place = CallSite::new();
+    let call_site = CallSite::new();
     let written = |second| {
         (0..100)
-            .filter_map(|_| place.may_write(second))
+            .filter_map(|_| call_site.may_write(second))
             .collect::<Vec<_>>()
     };
     let first = written(7);
--- a/crates/agent/tests/upstream.rs
+++ b/crates/agent/tests/upstream.rs
@@ -109,11 +109,11 @@
 /// Sends an attempt whose request is the word `hello`.
 fn send_hello(event_loop: &EventLoop, pool: Rc<UpstreamPool>, endpoint: EndpointId) {
     let now = event_loop.clock.now();
-    let request: EncodedRequest = Rc::new(|_| b"hello".to_vec());
+    let encoded_request: EncodedRequest = Rc::new(|_| b"hello".to_vec());
     pool.send_attempt(OutgoingAttempt {
         id: ATTEMPT,
         endpoint,
-        encoded_request: request,
+        encoded_request,
         began: now,
         until: now + TIMEOUT,
     });
--- a/crates/scale/src/module.rs
+++ b/crates/scale/src/module.rs
@@ -215,7 +215,11 @@
         let list = JsonParser::parse(text).ok()?;
         let update = self.catalog.read(&list, &mut |_, _| {})?;
         meter.parse(start.elapsed());
-        let lines = update.endpoints.iter().map(|listed| listed.endpoint).collect();
+        let lines = update
+            .endpoints
+            .iter()
+            .map(|listed| listed.endpoint)
+            .collect();
         Some(Heard::Membership(ListUpdate::Cached, lines))
     }
 
@@ -253,7 +257,11 @@
         } else {
             ListUpdate::Delta
         };
-        let lines = update.endpoints.iter().map(|listed| listed.endpoint).collect();
+        let lines = update
+            .endpoints
+            .iter()
+            .map(|listed| listed.endpoint)
+            .collect();
         Ok(Heard::Membership(listing, lines))
     }
 
@@ -292,7 +300,9 @@
         rest = &rest[taken..];
         let Some(message) = message else { continue };
         if message.get("method").and_then(Json::as_str) == Some("ROLLOUT") {
-            heard.push(Heard::News(release_watch::ReleaseUpdate::from_json(message.get("params")?)?));
+            heard.push(Heard::News(release_watch::ReleaseUpdate::from_json(
+                message.get("params")?,
+            )?));
         }
     }
     Some(heard)
