--- a/crates/agent/src/clients/mod.rs
+++ b/crates/agent/src/clients/mod.rs
@@ -28,7 +28,7 @@
 use std::time::Duration;
 
 use lilacgate_decision::RequestClass;
-use lilacgate_start_settings::{Paths, SettingsError};
+use lilacgate_start_settings::{Settings, SettingsError};
 
 use self::byte_budget::ByteBudget;
 use self::command::NamedClass;
@@ -95,7 +95,7 @@
     pub fn new(
         event_loop: Rc<EventLoop>,
         upstream: Rc<UpstreamPool>,
-        settings: &Paths,
+        settings: &Settings,
         max_connections: usize,
         max_held_bytes: usize,
     ) -> Result<Rc<Self>, SettingsError> {
@@ -103,11 +103,11 @@
             event_loop,
             upstream,
             classes: read_classes(settings)?,
-            sends_retry_after: settings.num("limits.retry-after")?,
+            sends_retry_after: settings.number("limits.retry-after")?,
             max_connections,
-            max_pending_replies: settings.num::<usize>("limits.streams-per-conn")?.max(1),
+            max_pending_replies: settings.number::<usize>("limits.streams-per-conn")?.max(1),
             max_held_bytes,
-            max_requests_in_flight: settings.num("limits.max-open")?,
+            max_requests_in_flight: settings.number("limits.max-open")?,
             connect_timeout: settings.period("limits.connect-timeout")?,
             longest_deadline: settings.longest_deadline()?,
             held_bytes: ByteBudget::default(),
@@ -122,14 +122,14 @@
 }
 
 /// The request classes, under the names that clients give them.
-fn read_classes(settings: &Paths) -> Result<Vec<NamedClass>, SettingsError> {
-    let count: u8 = settings.num("profiles.count")?;
+fn read_classes(settings: &Settings) -> Result<Vec<NamedClass>, SettingsError> {
+    let count: u8 = settings.number("profiles.count")?;
     (0..count)
         .map(|index| {
             Ok(NamedClass {
                 name: settings.text(&format!("profiles.{index}.name"))?.to_owned(),
                 class: RequestClass(index),
-                idempotency: settings.repeat(usize::from(index))?,
+                idempotency: settings.idempotency(usize::from(index))?,
             })
         })
         .collect()
--- a/crates/agent/src/discovery.rs
+++ b/crates/agent/src/discovery.rs
@@ -12,7 +12,7 @@
 use async_channel::{Receiver, Sender};
 use futures_lite::{FutureExt, Stream, StreamExt, pin};
 use lilacgate_decision::{EndpointId, EventHandler as _, ListUpdate};
-use lilacgate_start_settings::{Paths, SettingsError};
+use lilacgate_start_settings::{Settings, SettingsError};
 
 use crate::endpoint_list::EndpointListReader;
 use crate::event_loop::EventLoop;
@@ -87,7 +87,7 @@
         event_loop: Rc<EventLoop>,
         upstream: Rc<UpstreamPool>,
         address: SocketAddr,
-        settings: &Paths,
+        settings: &Settings,
         max_message_bytes: usize,
     ) -> Result<Rc<Self>, SettingsError> {
         let endpoint_list = RefCell::new(EndpointListReader::new(settings)?);
@@ -98,7 +98,7 @@
             upstream,
             address: ServiceAddress::new(address),
             connect_timeout,
-            is_on_request: settings.asks()?,
+            is_on_request: settings.requests_endpoint_list()?,
             max_message_bytes,
             endpoint_list,
             watch_sender,
--- a/crates/agent/src/endpoint_list.rs
+++ b/crates/agent/src/endpoint_list.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use lilacgate_decision::{Build, Cell, Endpoint, EndpointId, EndpointStatus, Model, Zone};
-use lilacgate_start_settings::{Paths, SettingsError};
+use lilacgate_start_settings::{Settings, SettingsError};
 
 use crate::endpoint_ids::EndpointIds;
 use crate::json::{self, Json};
@@ -61,7 +61,7 @@
     ///
     /// # Errors
     /// A setting that is missing.
-    pub fn new(settings: &Paths) -> Result<Self, SettingsError> {
+    pub fn new(settings: &Settings) -> Result<Self, SettingsError> {
         Ok(EndpointListReader {
             zones: settings.names("zones")?,
             models: settings.names("shapes")?,
--- a/crates/agent/src/operator_file.rs
+++ b/crates/agent/src/operator_file.rs
@@ -8,9 +8,9 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 
-use lilacgate_operator_config::{Known, Operator, Releases, Timeline};
+use lilacgate_operator_config::{Known, OperatorConfig, Releases, Timeline};
 use lilacgate_releases::gate::Gate;
-use lilacgate_start_settings::{Paths, SettingsError};
+use lilacgate_start_settings::{Settings, SettingsError};
 
 use crate::error::{OperatorFileError, StartError};
 use crate::event_loop::EventLoop;
@@ -74,7 +74,7 @@
     pub(crate) fn open(
         path: Option<PathBuf>,
         agent: &str,
-        settings: &Paths,
+        settings: &Settings,
         event_loop: Rc<EventLoop>,
     ) -> Result<OperatorStart, StartError> {
         let known = known_names(settings)?;
@@ -116,7 +116,7 @@
 
     fn read_from(&self, path: &Path) -> Result<OperatorSettings, OperatorFileError> {
         let operator = lilacgate_operator_config::load(path, &self.known);
-        let Operator {
+        let OperatorConfig {
             places,
             releases,
             timeline,
@@ -185,7 +185,7 @@
 }
 
 /// The names that an operator's file may use for zones and request classes, with their numbers.
-fn known_names(settings: &Paths) -> Result<Known, SettingsError> {
+fn known_names(settings: &Settings) -> Result<Known, SettingsError> {
     let products = class_names(settings)?;
     Ok(Known {
         zones: settings.names("zones")?,
--- a/crates/agent/src/platform.rs
+++ b/crates/agent/src/platform.rs
@@ -11,7 +11,7 @@
 
 use async_io::Async;
 use lilacgate_decision::{Build, EventHandler as _, Outcome, Stage, Vote};
-use lilacgate_start_settings::{Paths, SettingsError};
+use lilacgate_start_settings::{Settings, SettingsError};
 
 use crate::event_loop::EventLoop;
 use crate::json::{self, Json, JsonParser};
@@ -88,7 +88,7 @@
     pub fn new(
         event_loop: Rc<EventLoop>,
         address: SocketAddr,
-        settings: &Paths,
+        settings: &Settings,
     ) -> Result<Rc<Self>, SettingsError> {
         let connect_timeout = settings.period("limits.connect-timeout")?;
         let answer_timeout = settings.period("family-info.call-timeout")?;
--- a/crates/agent/src/recorder.rs
+++ b/crates/agent/src/recorder.rs
@@ -13,7 +13,7 @@
 
 use lilacgate_decision::{EndpointId, Outcome, RequestClass, RequestId};
 use lilacgate_operator_config::Timeline;
-use lilacgate_start_settings::{Paths, SettingsError};
+use lilacgate_start_settings::{Settings, SettingsError};
 use lilacgate_timeline::book::{Book, Room};
 use lilacgate_timeline::entry::{Departure, Record, Whom};
 use lilacgate_timeline::watch::Aims;
@@ -122,14 +122,14 @@
     /// A setting that cannot be used.
     pub fn new(
         agent: &str,
-        settings: &Paths,
+        settings: &Settings,
         timeline: Option<Timeline>,
         now: Duration,
     ) -> Result<Recorder, SettingsError> {
         let facts = AgentFacts {
             agent: agent.to_owned(),
             class_names: class_names(settings)?,
-            ramp: settings.span("rules.ramp-time")?,
+            ramp: settings.duration("rules.ramp-time")?,
         };
         let recorder = Recorder {
             facts,
@@ -330,8 +330,8 @@
 ///
 /// # Errors
 /// A setting that is missing or cannot be read.
-pub(crate) fn class_names(settings: &Paths) -> Result<Vec<String>, SettingsError> {
-    let classes: u8 = settings.num("profiles.count")?;
+pub(crate) fn class_names(settings: &Settings) -> Result<Vec<String>, SettingsError> {
+    let classes: u8 = settings.number("profiles.count")?;
     let mut names = Vec::new();
     for class in 0..classes {
         let name = settings.text(&format!("profiles.{class}.name"))?;
--- a/crates/agent/src/start_config.rs
+++ b/crates/agent/src/start_config.rs
@@ -4,7 +4,7 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-use lilacgate_start_settings::Paths;
+use lilacgate_start_settings::Settings;
 
 use crate::error::StartFileError;
 use crate::json::{self, Json, JsonParser};
@@ -39,7 +39,7 @@
     /// Where the platform listens.
     pub platform: SocketAddr,
     /// The start settings, as path and value.
-    pub settings: Paths,
+    pub settings: Settings,
     /// The whole file.
     pub file: Json,
 }
--- a/crates/agent/src/upstream/pool.rs
+++ b/crates/agent/src/upstream/pool.rs
@@ -10,7 +10,7 @@
 use async_io::Timer;
 use futures_lite::StreamExt;
 use lilacgate_decision::{Endpoint, EndpointId, EndpointStatus, Outcome};
-use lilacgate_start_settings::{Paths, SettingsError};
+use lilacgate_start_settings::{Settings, SettingsError};
 
 use super::attempt::Attempt;
 use super::connection::{Connection, EndpointProcess, OpenConnectionGuard};
@@ -80,7 +80,7 @@
     /// The setting that is missing or out of range.
     pub fn new(
         event_loop: Rc<EventLoop>,
-        settings: &Paths,
+        settings: &Settings,
         max_connections: usize,
     ) -> Result<Rc<Self>, SettingsError> {
         Ok(Rc::new(UpstreamPool {
@@ -94,7 +94,7 @@
             idle_timeout: settings.period("limits.conn-idle")? * 9 / 10,
             reuse_delay: settings
                 .period("tick")?
-                .max(settings.span("rules.answer-slack")?),
+                .max(settings.duration("rules.answer-slack")?),
             max_connections,
             open_connections: Rc::default(),
         }))
--- a/crates/agent/src/watched_services.rs
+++ b/crates/agent/src/watched_services.rs
@@ -11,7 +11,7 @@
 
 use async_channel::Sender;
 use futures_lite::future;
-use lilacgate_operator_config::{Desk, Releases};
+use lilacgate_operator_config::{ControlPlane, Releases};
 use lilacgate_releases::model::ServiceId;
 use lilacgate_releases::service_status::ReleaseStatus;
 
@@ -63,14 +63,14 @@
         let wanted = releases.map(services_by_name).unwrap_or_default();
         let mut watches = self.watches.borrow_mut();
         watches.retain(|name, _| wanted.contains_key(name));
-        for (name, desk) in wanted {
+        for (name, control_plane) in wanted {
             match watches.get(&name) {
                 Some(known) => {
-                    known.service.set(desk.service);
-                    known.watch.address.set(desk.at);
+                    known.service.set(control_plane.service);
+                    known.watch.address.set(control_plane.address);
                 }
                 None => {
-                    let watch = self.start(&name, desk.service, desk.at);
+                    let watch = self.start(&name, control_plane.service, control_plane.address);
                     watches.insert(name, watch);
                 }
             }
@@ -107,11 +107,11 @@
 }
 
 /// The services whose release control plane an operator's file names.
-fn services_by_name(releases: &Releases) -> HashMap<String, Desk> {
+fn services_by_name(releases: &Releases) -> HashMap<String, ControlPlane> {
     let mut services = HashMap::new();
-    for desk in &releases.desks {
-        let name = releases.rules.service(desk.service).to_owned();
-        services.insert(name, *desk);
+    for control_plane in &releases.control_planes {
+        let name = releases.rules.service(control_plane.service).to_owned();
+        services.insert(name, *control_plane);
     }
     services
 }
--- a/crates/agent/tests/large_fleets.rs
+++ b/crates/agent/tests/large_fleets.rs
@@ -40,7 +40,7 @@
     assert_eq!(config.peers.as_ref().expect("peers").peers.len(), agents);
     let mut engine = lilacgate_start_settings::instance(config.seed, &config.settings)
         .expect("a decision engine")
-        .brain;
+        .engine;
     let event_loop = EventLoop::new(Duration::ZERO);
     let pool = UpstreamPool::new(event_loop.clone(), &config.settings, 100).expect("a pool");
     let max_message = config.memory / 16;
--- a/crates/agent/tests/support/mod.rs
+++ b/crates/agent/tests/support/mod.rs
@@ -2,10 +2,10 @@
 use std::time::Duration;
 
 use lilacgate_agent::recorder::Recorder;
-use lilacgate_start_settings::Paths;
+use lilacgate_start_settings::Settings;
 
 /// A recorder that keeps nothing.
 pub(crate) fn empty_recorder() -> Recorder {
-    let settings = Paths::from_lines("profiles.count=0\nrules.ramp-time=0");
+    let settings = Settings::from_lines("profiles.count=0\nrules.ramp-time=0");
     Recorder::new("n0", &settings, None, Duration::ZERO).expect("a recorder")
 }
--- a/crates/agent/tests/upstream.rs
+++ b/crates/agent/tests/upstream.rs
@@ -10,7 +10,7 @@
     AttemptNumber, Build, Endpoint, EndpointId, EndpointStatus, EventHandler, ListUpdate, Outcome,
     ReleasePhase, Request, RequestClass, RequestId, Stage,
 };
-use lilacgate_start_settings::Paths;
+use lilacgate_start_settings::Settings;
 use rstest::rstest;
 
 use lilacgate_agent::event_loop::EventLoop;
@@ -88,7 +88,7 @@
 /// A pool of so many connections, and the listener of its one endpoint.
 fn pool_with_endpoint(max_connections: usize) -> (Rc<EventLoop>, Rc<UpstreamPool>, TcpListener) {
     let event_loop = EventLoop::new(Duration::ZERO);
-    let settings = Paths::from_lines(SETTINGS);
+    let settings = Settings::from_lines(SETTINGS);
     let pool = UpstreamPool::new(event_loop.clone(), &settings, max_connections).expect("a pool");
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let (model, build, cell, zone) = Default::default();
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -9,7 +9,7 @@
 use std::path::Path;
 
 pub use places::{Known, Places};
-pub use releases::{Desk, Releases};
+pub use releases::{ControlPlane, Releases};
 use roxmltree::Node;
 pub use timeline::{Store, Timeline};
 pub use xml::{AttributeError, Fault, FaultKind, LARGEST};
@@ -21,7 +21,7 @@
 
 /// All that an operator's file sets.
 #[derive(Clone, Debug)]
-pub struct Operator {
+pub struct OperatorConfig {
     /// The names that the other parts refer to.
     pub places: Places,
     /// Where builds may be used; without it they may be used everywhere.
@@ -34,7 +34,7 @@
 ///
 /// # Errors
 /// All faults, in the order of their places.
-pub fn read(text: &str, known: &Known) -> Result<Operator, Vec<Fault>> {
+pub fn read(text: &str, known: &Known) -> Result<OperatorConfig, Vec<Fault>> {
     xml::parse(text, |reader, root| read_root(reader, root, known))
 }
 
@@ -42,11 +42,15 @@
 ///
 /// # Errors
 /// All faults, in the order of their places; one without a place if the file itself cannot be read.
-pub fn load(path: &Path, known: &Known) -> Result<Operator, Vec<Fault>> {
+pub fn load(path: &Path, known: &Known) -> Result<OperatorConfig, Vec<Fault>> {
     read(&xml::text_of(path)?, known)
 }
 
-fn read_root<'a>(reader: &XmlReader<'a>, root: Node<'a, 'a>, known: &Known) -> Option<Operator> {
+fn read_root<'a>(
+    reader: &XmlReader<'a>,
+    root: Node<'a, 'a>,
+    known: &Known,
+) -> Option<OperatorConfig> {
     if root.tag_name().name() != "operator" {
         reader.report(root, FaultKind::WrongRoot("operator"));
         return None;
@@ -62,7 +66,7 @@
     let places = places::read(reader, root, child("places"), known);
     let releases = child("releases").map(|node| releases::read(reader, node, &places));
     let timeline = child("timeline").and_then(|node| timeline::read(reader, node));
-    version.map(|()| Operator {
+    version.map(|()| OperatorConfig {
         places,
         releases: releases.flatten(),
         timeline,
--- a/crates/operator-config/src/releases/mod.rs
+++ b/crates/operator-config/src/releases/mod.rs
@@ -25,11 +25,11 @@
 
 /// Where the release control plane of another service listens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Desk {
+pub struct ControlPlane {
     /// The service.
     pub service: ServiceId,
     /// The address.
-    pub at: SocketAddr,
+    pub address: SocketAddr,
 }
 
 /// What the operator orders of releases.
@@ -38,7 +38,7 @@
     /// The rules.
     pub rules: Rules,
     /// Where the release control planes of other services listen.
-    pub desks: Vec<Desk>,
+    pub control_planes: Vec<ControlPlane>,
     /// Where an agent writes its state on request; nowhere if the file names no path.
     pub state: Option<PathBuf>,
 }
@@ -52,7 +52,7 @@
     /// The time zone of the freezes' windows.
     time_zone: Option<TimeZone>,
     services: Vec<Service>,
-    desks: Vec<Desk>,
+    control_planes: Vec<ControlPlane>,
 }
 
 /// A rule and its element, for faults that show only when all rules have been read.
@@ -75,7 +75,7 @@
         places,
         time_zone: reader.optional(node, "time-zone", calendar::time_zone),
         services: Vec::new(),
-        desks: Vec::new(),
+        control_planes: Vec::new(),
     };
     releases.read_services();
     releases.finish()
@@ -85,7 +85,7 @@
     fn finish(self) -> Option<Releases> {
         let reader = self.reader;
         let own = reader.required(self.node, "service", |text| self.find_service(text));
-        self.check_own_desk(own);
+        self.check_own_control_plane(own);
         let ladders = self.read_all("ladder", |node| self.ladder(node));
         self.check_overlaps(&ladders);
         let dependencies = self.read_all("needs", |node| self.dependency(node));
@@ -107,7 +107,7 @@
         dependencies::check_cycles(reader, &rules, &dependency_nodes);
         Some(Releases {
             rules,
-            desks: self.desks,
+            control_planes: self.control_planes,
             state: reader.optional(self.node, "state", read_absolute_path),
         })
     }
@@ -161,16 +161,22 @@
         }
         let service = ServiceId(self.services.len() as u8);
         self.services.push(Service { name, silent_after });
-        self.desks.extend(address.map(|at| Desk { service, at }));
+        self.control_planes
+            .extend(address.map(|address| ControlPlane { service, address }));
     }
 
     /// The address of the own service's release control plane is in the start file.
-    fn check_own_desk(&self, own: Option<ServiceId>) {
-        let own_desk = self.desks.iter().find(|desk| Some(desk.service) == own);
-        if let Some(desk) = own_desk {
-            let name = self.services[usize::from(desk.service.0)].name.clone();
+    fn check_own_control_plane(&self, own: Option<ServiceId>) {
+        let own_control_plane = self
+            .control_planes
+            .iter()
+            .find(|control_plane| Some(control_plane.service) == own);
+        if let Some(control_plane) = own_control_plane {
+            let name = self.services[usize::from(control_plane.service.0)]
+                .name
+                .clone();
             self.reader
-                .report(self.node, FaultKind::OwnServiceHasDesk(name));
+                .report(self.node, FaultKind::OwnServiceHasControlPlane(name));
         }
     }
 
--- a/crates/operator-config/src/xml/fault.rs
+++ b/crates/operator-config/src/xml/fault.rs
@@ -188,7 +188,7 @@
     NoneDefined(&'static str),
     /// The agent's own service has an address of a release control plane.
     #[error("service {0:?} is the agent's own: its desk is in the start file")]
-    OwnServiceHasDesk(String),
+    OwnServiceHasControlPlane(String),
     /// Two rollouts of one service hold the same builds.
     #[error("another ladder of this service holds some of these builds")]
     OverlappingLadders,
--- a/crates/scale/src/agent.rs
+++ b/crates/scale/src/agent.rs
@@ -9,7 +9,7 @@
     AgentId, AttemptNumber, Build, EndpointId, IdempotencyKey, ListUpdate, Outcome,
     ReleasePermissions, Request, RequestClass, RequestId, Tenant,
 };
-use lilacgate_start_settings::Paths;
+use lilacgate_start_settings::Settings;
 use rand::{RngExt, SeedableRng};
 use rand_distr::weighted::WeightedAliasIndex;
 use rand_distr::{Distribution, Exp, LogNormal};
@@ -182,7 +182,7 @@
     fn create_modules(&mut self, common: &Common) -> Result<(), ScaleError> {
         self.modules.clear();
         for service in 0..common.fleet.services.len() {
-            let settings = Paths::from_lines(&settings::text(&common.start(self.id, service)));
+            let settings = Settings::from_lines(&settings::text(&common.start(self.id, service)));
             let life = self.lives * LIFE_STRIDE;
             let seed = self
                 .seed
--- a/crates/scale/src/module.rs
+++ b/crates/scale/src/module.rs
@@ -12,7 +12,7 @@
     AgentId, AttemptNumber, DecisionEngine, Endpoint, EndpointId, EndpointStatus, EventHandler,
     ListUpdate, Outcome, Request, RequestId, TimerId,
 };
-use lilacgate_start_settings::Paths;
+use lilacgate_start_settings::Settings;
 
 use crate::decisions::Decided;
 use crate::error::ScaleError;
@@ -133,14 +133,14 @@
     ///
     /// # Errors
     /// The settings cannot be used.
-    pub fn new(seed: u64, settings: &Paths) -> Result<Self, ScaleError> {
+    pub fn new(seed: u64, settings: &Settings) -> Result<Self, ScaleError> {
         let instance = lilacgate_start_settings::instance(seed, settings)
             .map_err(|error| ScaleError::Settings(error.to_string()))?;
         let catalog = EndpointListReader::new(settings)
             .map_err(|error| ScaleError::Settings(error.to_string()))?;
         let (owed, not_ready, pending) = Default::default();
         Ok(Module {
-            brain: instance.brain,
+            brain: instance.engine,
             owed,
             not_ready,
             connection: 0,
--- a/crates/scale/src/simulation.rs
+++ b/crates/scale/src/simulation.rs
@@ -9,7 +9,7 @@
 use lilacgate_agent::json::JsonParser;
 use lilacgate_capacity::fleet::{RegionId, ZoneId};
 use lilacgate_decision::{AgentId, EndpointId, Outcome};
-use lilacgate_start_settings::Paths;
+use lilacgate_start_settings::Settings;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use rayon::ThreadPool;
@@ -627,7 +627,7 @@
     let mut directories = Vec::new();
     for service in 0..common.size.services {
         let start = common.start(AgentId(0), service as usize);
-        let settings = Paths::from_lines(&settings::text(&start));
+        let settings = Settings::from_lines(&settings::text(&start));
         let text = discovery.saved(ServiceIndex(service));
         let mut catalog = EndpointListReader::new(&settings)
             .map_err(|error| ScaleError::Settings(error.to_string()))?;
--- a/crates/scale/tests/simulation.rs
+++ b/crates/scale/tests/simulation.rs
@@ -15,7 +15,7 @@
 use lilacgate_scale::settings::{self, Start};
 use lilacgate_scale::simulation::{START, Simulation};
 use lilacgate_scale::wire::{self, Entry, ListedState};
-use lilacgate_start_settings::Paths;
+use lilacgate_start_settings::Settings;
 use rstest::rstest;
 
 const LISTED: u32 = 7400;
@@ -155,7 +155,7 @@
         places: &places,
         routes: 4,
     };
-    let settings = Paths::from_lines(&settings::text(&start));
+    let settings = Settings::from_lines(&settings::text(&start));
     Module::new(1, &settings).expect("settings that can be used")
 }
 
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -3,7 +3,7 @@
 use std::io::{Read, Write};
 use std::time::Duration;
 
-use lilacgate_start_settings::{Instance, Paths};
+use lilacgate_start_settings::{Instance, Settings};
 
 use crate::delivery::{Limits, Pages, deliver};
 use crate::error::{AdapterError, EventError};
@@ -107,12 +107,12 @@
             return Err(segment.error(0, EventError::UnknownInstance));
         };
         let limits = Limits {
-            classes: instance.products,
+            classes: instance.request_classes,
             zones: instance.zones,
         };
         let pages = &mut self.pages;
         let mut result = Ok(());
-        instance.brain.round(
+        instance.engine.round(
             now,
             |handler| {
                 result = (0..segment.records.len()).try_for_each(|index| {
@@ -140,7 +140,7 @@
             };
             let settings = std::str::from_utf8(settings)
                 .map_err(|_| segment.error(index, EventError::SettingsNotUtf8))?;
-            match lilacgate_start_settings::instance(seed, &Paths::from_lines(settings)) {
+            match lilacgate_start_settings::instance(seed, &Settings::from_lines(settings)) {
                 Ok(instance) => drop(self.instances.insert(number, instance)),
                 Err(error) => {
                     reply.for_instance(number).fatal(&error.to_string());
--- a/crates/start-settings/src/engine.rs
+++ b/crates/start-settings/src/engine.rs
@@ -14,9 +14,9 @@
 /// A decision engine, and the sizes of the lists that its settings name.
 pub struct Instance {
     /// The engine.
-    pub brain: DecisionEngine,
+    pub engine: DecisionEngine,
     /// The number of request classes.
-    pub products: usize,
+    pub request_classes: usize,
     /// The number of zones.
     pub zones: usize,
 }
@@ -26,7 +26,7 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter
             .debug_struct("Instance")
-            .field("products", &self.products)
+            .field("request_classes", &self.request_classes)
             .field("zones", &self.zones)
             .finish_non_exhaustive()
     }
@@ -39,9 +39,9 @@
 pub fn instance(seed: u64, settings: &Settings) -> Result<Instance, SettingsError> {
     let engine_settings = engine_settings(seed, settings)?;
     Ok(Instance {
-        products: engine_settings.requests.classes.len(),
+        request_classes: engine_settings.requests.classes.len(),
         zones: zone_count(settings)?,
-        brain: DecisionEngine::new(engine_settings),
+        engine: DecisionEngine::new(engine_settings),
     })
 }
 
@@ -55,7 +55,7 @@
         requests: requests(settings)?,
         tick: settings.period("tick")?,
         discovery: discovery(settings)?,
-        zone: Zone(settings.num("zone")?),
+        zone: Zone(settings.number("zone")?),
         slow_start: slow_start(settings)?,
         exposure: exposure(settings)?,
         release_analysis: release_analysis(settings)?,
@@ -69,7 +69,7 @@
 }
 
 fn discovery(settings: &Settings) -> Result<EndpointDiscoverySettings, SettingsError> {
-    let request_within = if settings.asks()? {
+    let request_within = if settings.requests_endpoint_list()? {
         Some(settings.period("rules.ask-within")?)
     } else {
         None
@@ -80,9 +80,9 @@
 fn slow_start(settings: &Settings) -> Result<SlowStartSettings, SettingsError> {
     Ok(SlowStartSettings {
         initial_capacity_share: settings.amount("rules.cold-from")?,
-        ramp: settings.span("rules.ramp-time")?,
+        ramp: settings.duration("rules.ramp-time")?,
         overload_multiple: settings.amount("rules.fall-multiple")?,
-        overload_window: settings.span("rules.overload-for")?,
+        overload_window: settings.duration("rules.overload-for")?,
     })
 }
 
@@ -90,12 +90,12 @@
     let caps = settings.amounts("family-info.most-shares")?;
     let per_class_choices = [("all", false), ("per_lane", true)];
     Ok(ExposureSettings {
-        window: settings.span("family-info.span")?,
+        window: settings.duration("family-info.span")?,
         free_requests: settings.amount("family-info.free")?,
         initial_cap: caps.first().copied().unwrap_or(0.0),
         per_class: settings.choice("family-info.per", &per_class_choices)?,
-        guarded_stages: settings.num("family-info.guarded-stages")?,
-        forward_only: settings.num("family-info.forward-only")?,
+        guarded_stages: settings.number("family-info.guarded-stages")?,
+        forward_only: settings.number("family-info.forward-only")?,
     })
 }
 
@@ -121,9 +121,9 @@
 
 fn fleet_position(settings: &Settings) -> Result<FleetPosition, SettingsError> {
     Ok(FleetPosition {
-        own_id: AgentId(settings.num("me")?),
-        agent_count: settings.num("instances")?,
-        can_message_peers: settings.num("limits.peers")?,
+        own_id: AgentId(settings.number("me")?),
+        agent_count: settings.number("instances")?,
+        can_message_peers: settings.number("limits.peers")?,
     })
 }
 
@@ -132,18 +132,18 @@
         .map(|class| class_policy(settings, class))
         .collect::<Result<_, _>>()?;
     // An attempt's number is a byte on every wire.
-    let max_attempts: usize = settings.num("limits.max-attempts")?;
+    let max_attempts: usize = settings.number("limits.max-attempts")?;
     Ok(RequestSettings {
         classes,
         max_attempts: max_attempts.min(u8::MAX.into()),
-        may_cancel: settings.num("limits.may-cancel")?,
+        may_cancel: settings.number("limits.may-cancel")?,
         max_retry_after: max_retry_after(settings)?,
     })
 }
 
 fn max_retry_after(settings: &Settings) -> Result<Duration, SettingsError> {
-    if settings.num("limits.retry-after")? {
-        settings.span("limits.max-retry-after")
+    if settings.number("limits.retry-after")? {
+        settings.duration("limits.max-retry-after")
     } else {
         Ok(Duration::ZERO)
     }
@@ -151,9 +151,9 @@
 
 fn class_policy(settings: &Settings, class: usize) -> Result<ClassPolicy, SettingsError> {
     let path = |field| class_path(class, field);
-    let idempotency = settings.repeat(class)?;
+    let idempotency = settings.idempotency(class)?;
     let deduplication_window = match idempotency {
-        Idempotency::Keyed(_) => settings.span(&path("window"))?,
+        Idempotency::Keyed(_) => settings.duration(&path("window"))?,
         Idempotency::Idempotent | Idempotency::NonIdempotent => Duration::ZERO,
     };
     Ok(ClassPolicy {
--- a/crates/start-settings/src/error.rs
+++ b/crates/start-settings/src/error.rs
@@ -20,10 +20,3 @@
         expected: String,
     },
 }
-
-/// For callers that report errors as text.
-impl From<SettingsError> for String {
-    fn from(error: SettingsError) -> Self {
-        error.to_string()
-    }
-}
--- a/crates/start-settings/src/lib.rs
+++ b/crates/start-settings/src/lib.rs
@@ -11,6 +11,3 @@
 pub use engine::{Instance, engine_settings, instance};
 pub use error::SettingsError;
 pub use settings::{SettingValue, Settings};
-
-/// The former name of [`Settings`].
-pub type Paths = Settings;
--- a/crates/start-settings/src/settings.rs
+++ b/crates/start-settings/src/settings.rs
@@ -77,7 +77,7 @@
     ///
     /// # Errors
     /// The setting is missing, or does not have the form of a `T`.
-    pub fn num<T: SettingValue>(&self, path: &str) -> Result<T, SettingsError> {
+    pub fn number<T: SettingValue>(&self, path: &str) -> Result<T, SettingsError> {
         let text = self.text(path)?;
         text.parse().map_err(|_| unusable(path, text, T::EXPECTED))
     }
@@ -86,7 +86,7 @@
     ///
     /// # Errors
     /// The setting is missing or no whole number of microseconds.
-    pub fn span(&self, path: &str) -> Result<Duration, SettingsError> {
+    pub fn duration(&self, path: &str) -> Result<Duration, SettingsError> {
         let text = self.text(path)?;
         text.parse()
             .map(Duration::from_micros)
@@ -98,7 +98,7 @@
     /// # Errors
     /// The setting is missing or no whole number of microseconds above 0.
     pub fn period(&self, path: &str) -> Result<Duration, SettingsError> {
-        let duration = self.span(path)?;
+        let duration = self.duration(path)?;
         if duration.is_zero() {
             let expected = "a whole number of microseconds above 0";
             return Err(unusable(path, self.text(path)?, expected));
@@ -152,13 +152,13 @@
     ///
     /// # Errors
     /// The setting is missing or unknown.
-    pub fn asks(&self) -> Result<bool, SettingsError> {
+    pub fn requests_endpoint_list(&self) -> Result<bool, SettingsError> {
         self.choice("membership-mode", &[("push", false), ("ask", true)])
     }
 
     /// The number of request classes.
     pub(crate) fn class_count(&self) -> Result<usize, SettingsError> {
-        self.num::<u8>("profiles.count").map(usize::from)
+        self.number::<u8>("profiles.count").map(usize::from)
     }
 
     /// The longest deadline of all request classes.
@@ -176,7 +176,7 @@
     ///
     /// # Errors
     /// The setting, or the scope that deduplication needs, is missing or unknown.
-    pub fn repeat(&self, class: usize) -> Result<Idempotency, SettingsError> {
+    pub fn idempotency(&self, class: usize) -> Result<Idempotency, SettingsError> {
         let choices = [
             ("retryable", Repeatability::Idempotent),
             ("dedup", Repeatability::Keyed),
--- a/crates/start-settings/tests/settings.rs
+++ b/crates/start-settings/tests/settings.rs
@@ -112,7 +112,7 @@
 fn sizes_and_lists() {
     let settings = start();
     let instance = instance(SEED, &settings).expect("a whole file");
-    assert_eq!(instance.products, 3);
+    assert_eq!(instance.request_classes, 3);
     assert_eq!(instance.zones, 3);
     assert_eq!(settings.names("shapes").expect("names"), ["small", "large"]);
     assert!(
