--- a/crates/ctl/src/check.rs
+++ b/crates/ctl/src/check.rs
@@ -1,44 +1,61 @@
-//! Owns `lgctl check`: an operator's file, read as the agent reads it.
-use std::path::PathBuf;
+//! `lgctl check`: an operator's file, read as the agent reads it.
+use std::path::{Path, PathBuf};
 
 use clap::Args;
 use lilacgate_operator_config::{Fault, Known, load};
-use serde_json::json;
+use serde_json::{Value, json};
 
 use crate::Answer;
 
 #[derive(Args)]
-pub struct Check {
+pub(crate) struct CheckArguments {
     /// The files
     #[arg(required = true)]
     files: Vec<PathBuf>,
 }
 
-impl Check {
-    pub fn run(self, as_json: bool) -> Answer {
-        let mut fine = true;
-        let mut found = Vec::new();
+impl CheckArguments {
+    pub(crate) fn run(self, as_json: bool) -> Answer {
+        let mut all_fine = true;
+        let mut reports = Vec::new();
         for file in &self.files {
             tracing::debug!(file = %file.display(), "reading");
             let faults = load(file, &Known::default()).err().unwrap_or_default();
-            fine &= faults.is_empty();
-            let place = |fault: &Fault| json!({"line": fault.line, "column": fault.column, "element": fault.element, "what": fault.what});
+            all_fine &= faults.is_empty();
             if as_json {
-                let faults: Vec<_> = faults.iter().map(place).collect();
-                found.push(
-                    json!({"file": file.display().to_string(), "fine": faults.is_empty(), "faults": faults}),
-                );
-            } else if faults.is_empty() {
-                println!("{}: fine", file.display());
+                reports.push(report(file, &faults));
             } else {
-                faults
-                    .iter()
-                    .for_each(|fault| println!("{}:{fault}", file.display()));
+                print_report(file, &faults);
             }
         }
         if as_json {
-            println!("{}", json!(found));
+            println!("{}", json!(reports));
         }
-        Ok(fine)
+        Answer::yes_if(all_fine)
+    }
+}
+
+fn report(file: &Path, faults: &[Fault]) -> Value {
+    let fault = |fault: &Fault| {
+        json!({
+            "line": fault.line,
+            "column": fault.column,
+            "element": fault.element,
+            "what": fault.what,
+        })
+    };
+    json!({
+        "file": file.display().to_string(),
+        "fine": faults.is_empty(),
+        "faults": faults.iter().map(fault).collect::<Vec<Value>>(),
+    })
+}
+
+fn print_report(file: &Path, faults: &[Fault]) {
+    if faults.is_empty() {
+        println!("{}: fine", file.display());
+    }
+    for fault in faults {
+        println!("{}:{fault}", file.display());
     }
 }
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -1,18 +1,13 @@
 //! `lgctl`, the operators' command line. This file owns the arguments, the log and the exit codes; each subject has a
-//! file of its own. It reads files and prints; it talks with nothing and changes nothing but the files it is asked to
-//! write.
+//! module of its own. The program reads files and prints; it talks with no other program, and changes nothing but the
+//! files that it is asked to write.
 //!
 //! Exit codes: 0 fine; 1 the answer is no (faults in a file, not admitted, no plan); 2 the arguments cannot be used;
 //! 3 a file cannot be read, written or used.
-#![allow(clippy::min_ident_chars)] // Not met yet.
-#![allow(clippy::too_many_lines)] // Not met yet.
-#![allow(missing_debug_implementations)] // Not met yet.
-#![allow(unreachable_pub)] // Not met yet.
 
-mod chart;
 mod check;
-mod lines;
-mod plot;
+mod error;
+mod output;
 mod releases;
 mod time;
 mod timeline;
@@ -22,62 +17,69 @@
 
 use clap::{Parser, Subcommand, ValueEnum};
 
+use crate::error::CommandError;
+
+/// The exit code of the answer no.
+const EXIT_NO: u8 = 1;
+/// The exit code when a file cannot be read, written or used.
+const EXIT_UNUSABLE: u8 = 3;
+
 /// The operators' command line of lilacgate
 ///
 /// Exit codes: 0 fine; 1 the answer is no; 2 unusable arguments; 3 a file cannot be read, written or used.
 #[derive(Parser)]
 #[command(name = "lgctl", version)]
-struct Asking {
+struct Arguments {
     /// Answers as JSON, on standard output
     #[arg(long, global = true)]
     json: bool,
     /// How log lines look, on standard error
     #[arg(long, global = true, value_enum, default_value = "text")]
-    log: Form,
+    log: LogFormat,
     /// More log lines
     #[arg(short, long, global = true)]
     verbose: bool,
     #[command(subcommand)]
-    what: What,
+    command: Command,
 }
 
 #[derive(Clone, Copy, ValueEnum)]
-enum Form {
+enum LogFormat {
     Text,
     Json,
 }
 
 #[derive(Subcommand)]
-enum What {
+enum Command {
     /// Reads operator's files and names every fault
-    Check(check::Check),
+    Check(check::CheckArguments),
     /// Where builds may be used, why not, from when, and when they can come out
     #[command(subcommand)]
-    Releases(releases::Releases),
+    Releases(releases::ReleasesCommand),
     /// What happened at each desk node, from an agent's store or dump
     #[command(subcommand)]
-    Timeline(timeline::Timeline),
+    Timeline(timeline::TimelineCommand),
 }
 
-/// Why there is no answer: a file cannot be read, written or used.
-pub struct Unusable(String);
-
-/// Whether the answer is yes.
-pub type Answer = Result<bool, Unusable>;
+/// The answer of a command, for the exit code.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Answer {
+    Yes,
+    No,
+}
 
-/// A table without blanks at its lines' ends.
-pub fn trimmed(table: &comfy_table::Table) -> String {
-    table
-        .to_string()
-        .lines()
-        .map(str::trim_end)
-        .collect::<Vec<_>>()
-        .join("\n")
+impl Answer {
+    /// Yes, if this holds.
+    fn yes_if(holds: bool) -> Self {
+        if holds { Answer::Yes } else { Answer::No }
+    }
 }
 
-fn main() -> ExitCode {
-    let asking = Asking::parse();
-    let level = if asking.verbose {
+/// What a command ends with.
+type CommandResult = Result<Answer, CommandError>;
+
+fn start_log(format: LogFormat, verbose: bool) {
+    let level = if verbose {
         tracing::Level::DEBUG
     } else {
         tracing::Level::WARN
@@ -86,21 +88,26 @@
         .with_max_level(level)
         .with_writer(io::stderr)
         .with_target(false);
-    match asking.log {
-        Form::Text => log.init(),
-        Form::Json => log.json().init(),
+    match format {
+        LogFormat::Text => log.init(),
+        LogFormat::Json => log.json().init(),
     }
-    let answer = match asking.what {
-        What::Check(check) => check.run(asking.json),
-        What::Releases(releases) => releases.run(asking.json),
-        What::Timeline(timeline) => timeline.run(asking.json),
+}
+
+fn main() -> ExitCode {
+    let arguments = Arguments::parse();
+    start_log(arguments.log, arguments.verbose);
+    let result = match arguments.command {
+        Command::Check(check) => Ok(check.run(arguments.json)),
+        Command::Releases(releases) => releases.run(arguments.json),
+        Command::Timeline(timeline) => timeline.run(arguments.json),
     };
-    match answer {
-        Ok(true) => ExitCode::SUCCESS,
-        Ok(false) => ExitCode::from(1),
-        Err(Unusable(what)) => {
-            tracing::error!("{what}");
-            ExitCode::from(3)
+    match result {
+        Ok(Answer::Yes) => ExitCode::SUCCESS,
+        Ok(Answer::No) => ExitCode::from(EXIT_NO),
+        Err(error) => {
+            tracing::error!("{error}");
+            ExitCode::from(EXIT_UNUSABLE)
         }
     }
 }
--- /dev/null
+++ b/crates/ctl/src/releases/explain.rs
@@ -0,0 +1,302 @@
+//! `lgctl releases explain`: what a release gate admits, why not, and from when.
+use std::path::PathBuf;
+use std::time::Duration;
+
+use clap::Args;
+use jiff::tz::TimeZone;
+use lilacgate_decision::{Build, RequestClass, Tenant, Zone};
+use lilacgate_releases::calendar;
+use lilacgate_releases::gate::Gate;
+use lilacgate_releases::reason::{Hold, PermittedAdvance};
+use serde::Serialize;
+use serde_json::json;
+
+use super::{read_rules, read_state};
+use crate::error::CommandError;
+use crate::{Answer, CommandResult, output, time};
+
+/// How far ahead it is searched for when a build opens.
+const SEARCH_AHEAD: Duration = Duration::from_secs(400 * 24 * 3600);
+/// The most changes that the search goes through.
+const MAX_CHANGES: usize = 2000;
+
+#[derive(Args)]
+pub(crate) struct ExplainArguments {
+    /// The operator's file
+    #[arg(long)]
+    file: PathBuf,
+    /// An agent's state, which it writes at SIGUSR1 where the file says
+    #[arg(long)]
+    state: PathBuf,
+    /// At which time: as in 2026-12-28T00:00Z; the state's own, if left out. Later on, what was heard is taken to last
+    #[arg(long)]
+    at: Option<String>,
+    /// The reader's time zone
+    #[arg(long, default_value = "UTC")]
+    zone_of_reader: String,
+    #[arg(long)]
+    build: Option<u16>,
+    #[arg(long)]
+    zone: Option<String>,
+    #[arg(long = "firm", value_name = "FIRM")]
+    tenant: Option<String>,
+    #[arg(long = "product", value_name = "PRODUCT")]
+    request_class: Option<String>,
+}
+
+/// What a request would ask for.
+#[derive(Clone, Copy)]
+struct Place {
+    build: Build,
+    zone: Zone,
+    tenant: Tenant,
+    class: RequestClass,
+}
+
+/// Whether requests to a place are admitted.
+#[derive(Serialize)]
+struct Admission {
+    build: u16,
+    zone: String,
+    #[serde(rename = "firm")]
+    tenant: String,
+    #[serde(rename = "product")]
+    request_class: String,
+    open: bool,
+    /// Whether it is open only because the tenant has the build already.
+    #[serde(rename = "kept")]
+    retained: bool,
+    code: &'static str,
+    #[serde(rename = "why")]
+    explanation: String,
+    /// When it opens by time alone, in milliseconds since 1970.
+    #[serde(rename = "from_ms")]
+    opens_at_ms: Option<u64>,
+}
+
+/// Whether the canary may advance.
+#[derive(Serialize)]
+#[serde(untagged)]
+enum Advance {
+    Permitted {
+        may: bool,
+        build: u16,
+        stage: u8,
+    },
+    Held {
+        may: bool,
+        code: &'static str,
+        #[serde(rename = "why")]
+        explanation: String,
+        until: Option<String>,
+    },
+}
+
+impl Advance {
+    fn of(gate: &Gate, zone: &TimeZone) -> Self {
+        match gate.permitted_advance() {
+            Ok(PermittedAdvance { build, stage }) => Advance::Permitted {
+                may: true,
+                build: build.0,
+                stage: stage.0,
+            },
+            Err(Hold { reason, until }) => {
+                let build = gate.newest().unwrap_or_default();
+                Advance::Held {
+                    may: false,
+                    code: reason.code(),
+                    explanation: gate.describe_hold(build, reason),
+                    until: until.map(|until| time::show(until, zone)),
+                }
+            }
+        }
+    }
+
+    fn print(&self) {
+        match self {
+            Advance::Permitted { build, stage, .. } => {
+                println!("build {build} may be voted on from stage {stage}");
+            }
+            Advance::Held {
+                explanation, until, ..
+            } => {
+                let until = until
+                    .as_ref()
+                    .map(|until| format!("; not before {until}"))
+                    .unwrap_or_default();
+                println!("no step on: {explanation}{until}");
+            }
+        }
+    }
+}
+
+/// The indices of all names, or of the one that is asked for.
+fn wanted(
+    names: &[String],
+    kind: &'static str,
+    name: Option<&String>,
+) -> Result<Vec<usize>, CommandError> {
+    let found: Vec<usize> = (0..names.len())
+        .filter(|i| name.is_none_or(|name| *name == names[*i]))
+        .collect();
+    if found.is_empty() {
+        let name = name.cloned();
+        return Err(CommandError::NotInFile { kind, name });
+    }
+    Ok(found)
+}
+
+impl ExplainArguments {
+    pub(super) fn run(self, as_json: bool) -> CommandResult {
+        let zone = calendar::time_zone(&self.zone_of_reader)?;
+        let at = self.at.as_ref().map(|at| time::read(at, &zone));
+        let gate = self.gate(at.transpose()?)?;
+        let places = self.places(&gate)?;
+        let admissions = places
+            .into_iter()
+            .map(|place| self.admission(&gate, place))
+            .collect::<Result<Vec<Admission>, CommandError>>()?;
+        let advance = Advance::of(&gate, &zone);
+        let now = time::show(gate.now(), &zone);
+        if as_json {
+            println!(
+                "{}",
+                json!({"at": now, "step": advance, "cells": admissions})
+            );
+        } else {
+            println!("at {now}");
+            advance.print();
+            print_admissions(&admissions, &zone);
+        }
+        let all_open = admissions.iter().all(|admission| admission.open);
+        Ok(Answer::yes_if(all_open))
+    }
+
+    /// The gate of the file and the state, at the state's time or a later one.
+    fn gate(&self, at: Option<Duration>) -> Result<Gate, CommandError> {
+        let rules = read_rules(&self.file)?;
+        let state = read_state(&self.state)?;
+        let mut gate = Gate::from_state(rules, &state)
+            .map_err(|error| CommandError::file(&self.state, error))?;
+        if let Some(at) = at {
+            if at < gate.now() {
+                tracing::warn!("the state is of a later time; it is explained as it is");
+            }
+            gate.advance_assuming_heartbeats(at);
+        }
+        Ok(gate)
+    }
+
+    /// The places that are asked for.
+    fn places(&self, gate: &Gate) -> Result<Vec<Place>, CommandError> {
+        let rules = gate.rules();
+        let zones = wanted(&rules.zones, "zone", self.zone.as_ref())?;
+        let tenants = wanted(&rules.tenants, "firm", self.tenant.as_ref())?;
+        let classes = wanted(
+            &rules.request_classes,
+            "product",
+            self.request_class.as_ref(),
+        )?;
+        let builds: Vec<Build> = match self.build {
+            Some(build) => vec![Build(build)],
+            None => gate.builds().collect(),
+        };
+        let mut places = Vec::new();
+        for build in builds {
+            for zone in &zones {
+                for tenant in &tenants {
+                    for class in &classes {
+                        places.push(Place {
+                            build,
+                            zone: Zone(*zone as u8),
+                            tenant: Tenant(*tenant as u16),
+                            class: RequestClass(*class as u8),
+                        });
+                    }
+                }
+            }
+        }
+        Ok(places)
+    }
+
+    fn admission(&self, gate: &Gate, place: Place) -> Result<Admission, CommandError> {
+        let Place {
+            build,
+            zone,
+            tenant,
+            class,
+        } = place;
+        let rules = gate.rules();
+        let admits = gate.admits(build, zone, tenant, class);
+        let retained = gate
+            .retained_despite(build, zone, tenant)
+            .filter(|_| admits.is_ok());
+        let reason = retained.or(admits.err());
+        let explanation = reason.map_or_else(
+            || "open".into(),
+            |reason| gate.describe_closed(build, reason),
+        );
+        let explanation = if retained.is_some() {
+            format!("kept by who has it, though {explanation}")
+        } else {
+            explanation
+        };
+        let opens_at = if admits.is_err() {
+            self.opens_at(gate.now(), place)?
+        } else {
+            None
+        };
+        Ok(Admission {
+            build: build.0,
+            zone: rules.zones[usize::from(zone.0)].clone(),
+            tenant: rules.tenants[usize::from(tenant.0)].clone(),
+            request_class: rules.request_classes[usize::from(class.0)].clone(),
+            open: admits.is_ok(),
+            retained: retained.is_some(),
+            code: reason.map_or("open", |reason| reason.code()),
+            explanation,
+            opens_at_ms: opens_at.map(time::millis),
+        })
+    }
+
+    /// When a place opens by time alone, if it does.
+    fn opens_at(&self, from: Duration, place: Place) -> Result<Option<Duration>, CommandError> {
+        let mut gate = self.gate(Some(from))?;
+        for _ in 0..MAX_CHANGES {
+            let next = gate.next_scheduled_change();
+            let Some(next) = next.filter(|next| *next < from + SEARCH_AHEAD) else {
+                return Ok(None);
+            };
+            gate.advance_assuming_heartbeats(next);
+            let admits = gate.admits(place.build, place.zone, place.tenant, place.class);
+            if admits.is_ok() {
+                return Ok(Some(next));
+            }
+        }
+        Ok(None)
+    }
+}
+
+fn print_admissions(admissions: &[Admission], zone: &TimeZone) {
+    let mut table = output::table([
+        "build", "zone", "firm", "product", "open", "code", "why", "from",
+    ]);
+    for admission in admissions {
+        let opens_at = match admission.opens_at_ms {
+            Some(at) => time::show(Duration::from_millis(at), zone),
+            None if admission.open => String::new(),
+            None => "no time is known".into(),
+        };
+        table.add_row([
+            admission.build.to_string().as_str(),
+            admission.zone.as_str(),
+            admission.tenant.as_str(),
+            admission.request_class.as_str(),
+            if admission.open { "yes" } else { "no" },
+            admission.code,
+            admission.explanation.as_str(),
+            opens_at.as_str(),
+        ]);
+    }
+    println!("{}", output::render(&table));
+}
--- /dev/null
+++ b/crates/ctl/src/timeline/read.rs
@@ -0,0 +1,217 @@
+//! Timelines as they are read back: from a store's folder or one file, for a span of time, with the nodes' names.
+use std::collections::{BTreeMap, BTreeSet};
+use std::path::{Path, PathBuf};
+use std::time::Duration;
+
+use clap::Args;
+use jiff::tz::TimeZone;
+use lilacgate_releases::calendar;
+use lilacgate_store::reader;
+use lilacgate_timeline::entry::{Departure, Entry, Record, StepRecord, What};
+
+use crate::error::CommandError;
+use crate::time;
+
+// A doc comment here would become part of the commands' help.
+#[derive(Args)]
+pub(crate) struct ReadArguments {
+    /// A store's folder, or an agent's dump
+    path: PathBuf,
+    /// From when on: a time, or a span before the end such as -5m
+    #[arg(long, allow_hyphen_values = true)]
+    from: Option<String>,
+    /// Until when
+    #[arg(long, allow_hyphen_values = true)]
+    to: Option<String>,
+    /// The reader's time zone
+    #[arg(long, default_value = "UTC")]
+    zone_of_reader: String,
+}
+
+/// All that was read of a span.
+pub(super) struct Timelines {
+    /// The reader's time zone.
+    pub(super) zone: TimeZone,
+    /// The begin of the span, since 1970.
+    pub(super) from: Duration,
+    /// The end of the span, since 1970.
+    pub(super) to: Duration,
+    /// The agents that wrote the records.
+    pub(super) agents: Vec<String>,
+    /// The names of the request classes.
+    request_classes: Vec<String>,
+    /// The names of the nodes.
+    names: BTreeMap<u32, String>,
+    /// In the order in which they happened.
+    pub(super) entries: Vec<Entry>,
+    /// In the order of time.
+    pub(super) steps: Vec<StepRecord>,
+    /// The number of records that the agent had to leave out.
+    left_out: u64,
+}
+
+/// When something happened, and when the agent knew it.
+#[derive(Clone, Copy)]
+struct RecordTime {
+    happened: Duration,
+    known: Duration,
+}
+
+impl RecordTime {
+    /// The time of a record, if it has one.
+    fn of(record: &Record) -> Option<Self> {
+        let (happened, known) = match record {
+            Record::Entry(entry) => (entry.happened, entry.known),
+            Record::Step(step) => (step.from, step.from + step.long),
+            Record::Start { at, .. } | Record::LeftOut { at, .. } => (*at, *at),
+            Record::Name { .. } => return None,
+        };
+        Some(RecordTime { happened, known })
+    }
+}
+
+/// Reads a time, or a span before the end.
+fn read_moment(text: &str, end: Duration, zone: &TimeZone) -> Result<Duration, CommandError> {
+    match text.strip_prefix('-') {
+        Some(span) => Ok(end.saturating_sub(calendar::span(span)?)),
+        None => Ok(time::read(text, zone)?),
+    }
+}
+
+impl ReadArguments {
+    /// Reads all records of the span.
+    pub(super) fn read(&self) -> Result<Timelines, CommandError> {
+        let zone = calendar::time_zone(&self.zone_of_reader)?;
+        let records = self.records()?;
+        let known = || records.iter().filter_map(RecordTime::of).map(|at| at.known);
+        let (begin, end) = (
+            known().min().unwrap_or_default(),
+            known().max().unwrap_or_default(),
+        );
+        let moment = |text: &Option<String>, default| match text {
+            Some(text) => read_moment(text, end, &zone),
+            None => Ok(default),
+        };
+        let (from, to) = (moment(&self.from, begin)?, moment(&self.to, end)?);
+        let mut timelines = Timelines::new(zone, from, to);
+        for record in records {
+            timelines.add(record);
+        }
+        timelines.finish();
+        Ok(timelines)
+    }
+
+    /// All records; files that are damaged are only warned of, as long as anything can be read.
+    fn records(&self) -> Result<Vec<Record>, CommandError> {
+        let read =
+            reader::read(&self.path).map_err(|error| CommandError::file(&self.path, error))?;
+        for (path, damage) in &read.damaged {
+            let path: &Path = path;
+            tracing::warn!("{}: {damage}", path.display());
+        }
+        if read.records.is_empty() && !read.damaged.is_empty() {
+            return Err(CommandError::UnreadableStore(self.path.clone()));
+        }
+        Ok(read.records)
+    }
+}
+
+impl Timelines {
+    fn new(zone: TimeZone, from: Duration, to: Duration) -> Self {
+        Timelines {
+            zone,
+            from,
+            to,
+            agents: Vec::new(),
+            request_classes: Vec::new(),
+            names: BTreeMap::new(),
+            entries: Vec::new(),
+            steps: Vec::new(),
+            left_out: 0,
+        }
+    }
+
+    /// Adds a record. Entries and steps outside the span are left out.
+    fn add(&mut self, record: Record) {
+        let within = RecordTime::of(&record)
+            .is_none_or(|at| at.happened <= self.to && at.known >= self.from);
+        match record {
+            Record::Start {
+                agent, products, ..
+            } => {
+                self.agents.push(agent);
+                self.request_classes = products;
+            }
+            Record::Name { node, name } => drop(self.names.insert(node, name)),
+            Record::Entry(entry) if within => self.entries.push(entry),
+            Record::Step(step) if within => self.steps.push(step),
+            Record::LeftOut { many, .. } if within => self.left_out += many,
+            _ => {}
+        }
+    }
+
+    fn finish(&mut self) {
+        if self.left_out > 0 {
+            tracing::warn!(
+                "{} records were left out by the agent: its disk was behind",
+                self.left_out
+            );
+        }
+        self.entries.sort_by_key(|entry| entry.happened);
+        self.steps.sort_by_key(|step| (step.from, step.node));
+    }
+
+    /// A node's name, or its number.
+    pub(super) fn name(&self, node: u32) -> String {
+        let name = self.names.get(&node).cloned();
+        name.unwrap_or_else(|| format!("{node:08x}"))
+    }
+
+    /// A node by its name, or by its number.
+    pub(super) fn node(&self, name: &str) -> Option<u32> {
+        let mut names = self.names.iter();
+        let named = names.find(|(_, other)| *other == name);
+        if let Some((node, _)) = named {
+            return Some(*node);
+        }
+        let number = u32::from_str_radix(name, 16).ok()?;
+        self.nodes().contains(&number).then_some(number)
+    }
+
+    /// All nodes with anything in the span, by name; short names first, so that d2 stands before d10.
+    pub(super) fn nodes(&self) -> Vec<u32> {
+        let of_entries = self.entries.iter().filter_map(|entry| entry.node);
+        let of_steps = self.steps.iter().map(|step| step.node);
+        let unique: BTreeSet<u32> = of_entries.chain(of_steps).collect();
+        let mut nodes: Vec<u32> = unique.into_iter().collect();
+        nodes.sort_by_key(|node| (self.name(*node).len(), self.name(*node)));
+        nodes
+    }
+
+    /// The name of a request class, or its number.
+    pub(super) fn request_class(&self, class: u8) -> String {
+        let name = self.request_classes.get(usize::from(class)).cloned();
+        name.unwrap_or_else(|| format!("product {class}"))
+    }
+
+    /// All departures, each once: with its end, if that came in the span.
+    pub(super) fn departures(&self) -> Vec<Departure> {
+        let mut found: BTreeMap<(u32, Duration), Departure> = BTreeMap::new();
+        for entry in &self.entries {
+            match &entry.what {
+                What::Departed(departure) => {
+                    found
+                        .entry((departure.number, departure.confirmed))
+                        .or_insert_with(|| departure.clone());
+                }
+                What::Returned(departure) => {
+                    found.insert((departure.number, departure.confirmed), departure.clone());
+                }
+                _ => {}
+            }
+        }
+        let mut departures: Vec<Departure> = found.into_values().collect();
+        departures.sort_by_key(|departure| departure.confirmed);
+        departures
+    }
+}
--- /dev/null
+++ b/crates/ctl/src/timeline/totals.rs
@@ -0,0 +1,53 @@
+//! What the steps of a node add up to over a span.
+use std::ops::Range;
+use std::time::Duration;
+
+use lilacgate_timeline::entry::{Counts, StepRecord};
+use lilacgate_timeline::steps::Latency;
+
+use super::read::Timelines;
+
+/// All that a node's steps hold of a span, added up.
+pub(super) struct Totals {
+    pub(super) counts: Counts,
+    pub(super) latency: Latency,
+}
+
+impl Totals {
+    pub(super) fn of(steps: &[&StepRecord]) -> Self {
+        let mut counts = Counts::default();
+        for step in steps {
+            counts.add(&step.counts);
+        }
+        let latencies: Vec<Latency> = steps
+            .iter()
+            .map(|step| Latency::from_octets(step.latency.clone()))
+            .collect();
+        Totals {
+            counts,
+            latency: Latency::merged(latencies.iter()),
+        }
+    }
+
+    /// The totals of a node over the steps that begin in a span.
+    pub(super) fn of_span(timelines: &Timelines, node: u32, span: Range<Duration>) -> Self {
+        let steps = timelines.steps.iter();
+        let in_span: Vec<&StepRecord> = steps
+            .filter(|step| step.node == node && span.contains(&step.from))
+            .collect();
+        Totals::of(&in_span)
+    }
+
+    pub(super) fn is_empty(&self) -> bool {
+        self.counts.is_empty()
+    }
+
+    /// A quantile of the latencies, in milliseconds.
+    pub(super) fn latency_text(&self, quantile: f64) -> String {
+        let latency = self.latency.quantile(quantile);
+        latency.map_or_else(
+            || "-".into(),
+            |latency| format!("{:.1} ms", latency.as_secs_f64() * 1e3),
+        )
+    }
+}
--- a/crates/ctl/tests/commands.rs
+++ b/crates/ctl/tests/commands.rs
@@ -1,4 +1,4 @@
-//! `lgctl` as its users call it: what it prints and how it ends.
+//! `lgctl` as its users run it: its output and its exit code.
 use std::path::PathBuf;
 use std::process::{Command, Output};
 
@@ -20,23 +20,24 @@
 "heard_ms":1796086799000,"odd":null,"released":[5],"climbs":[]}],
 "builds":[{"build":1,"had":["1","1"]},{"build":2,"had":["1","0"]}],"events":[]}"#;
 
-struct Desk(tempfile::TempDir);
+/// A folder with an operator's file and a state, in which `lgctl` runs.
+struct Workspace(tempfile::TempDir);
 
-impl Desk {
-    fn new() -> Desk {
-        let desk = Desk(tempfile::tempdir().expect("a folder"));
-        desk.put("file.xml", FILE);
-        desk.put("state.json", STATE);
-        desk
+impl Workspace {
+    fn new() -> Workspace {
+        let workspace = Workspace(tempfile::tempdir().expect("a folder"));
+        workspace.write("file.xml", FILE);
+        workspace.write("state.json", STATE);
+        workspace
     }
 
-    fn put(&self, name: &str, text: &str) -> PathBuf {
+    fn write(&self, name: &str, text: &str) -> PathBuf {
         let path = self.0.path().join(name);
         std::fs::write(&path, text).expect("it is written");
         path
     }
 
-    fn call(&self, line: &str) -> (i32, String, String) {
+    fn run(&self, line: &str) -> (i32, String, String) {
         let call = Command::new(env!("CARGO_BIN_EXE_lgctl"))
             .args(line.split(' '))
             .current_dir(self.0.path())
@@ -136,31 +137,32 @@
     r#""determines_end":true"#
 )]
 #[case("{P} --bring x:2", 3, "\"x:2\" is no SERVICE:BUILD of the file")]
-fn calls(#[case] line: &str, #[case] code: i32, #[case] says: &str) {
-    let desk = Desk::new();
-    desk.put("bad.xml", "<x/>");
-    let (got, out, log) = desk.call(&line.replace("{E}", EXPLAIN).replace("{P}", PLAN));
-    assert_eq!(got, code, "{out}{log}");
+fn calls(#[case] line: &str, #[case] code: i32, #[case] expected: &str) {
+    let workspace = Workspace::new();
+    workspace.write("bad.xml", "<x/>");
+    let (exit_code, output, log) =
+        workspace.run(&line.replace("{E}", EXPLAIN).replace("{P}", PLAN));
+    assert_eq!(exit_code, code, "{output}{log}");
     let squeezed = |text: &str| text.split_whitespace().collect::<Vec<_>>().join(" ");
     assert!(
-        squeezed(&format!("{out}{log}")).contains(&squeezed(says)),
-        "{out}{log}"
+        squeezed(&format!("{output}{log}")).contains(&squeezed(expected)),
+        "{output}{log}"
     );
 }
 
 #[test]
 fn a_chart_is_drawn() {
-    let desk = Desk::new();
+    let workspace = Workspace::new();
     let line = format!("{PLAN} --bring d:5 --bring s:2 --svg plan.svg");
-    assert_eq!(desk.call(&line).0, 0);
-    let svg = std::fs::read_to_string(desk.0.path().join("plan.svg")).expect("it is drawn");
+    assert_eq!(workspace.run(&line).0, 0);
+    let svg = std::fs::read_to_string(workspace.0.path().join("plan.svg")).expect("it is drawn");
     assert!(
         svg.contains("s 2")
             && svg.contains("d 5")
             && svg.matches("<rect").count() > 2
             && svg.contains("<circle")
     );
-    let (code, _, log) = desk.call(&format!(
+    let (code, _, log) = workspace.run(&format!(
         "{PLAN} --bring d:5 --svg gone/plan.svg --log json"
     ));
     assert!(
--- a/crates/ctl/tests/timeline.rs
+++ b/crates/ctl/tests/timeline.rs
@@ -1,5 +1,4 @@
-//! `lgctl timeline` over a store that a virtual day has filled: a bad build comes to three of ten nodes.
-#![allow(clippy::min_ident_chars)] // Not met yet.
+//! `lgctl timeline` over a store filled by a simulated day: a bad build comes to three of ten nodes.
 use std::path::Path;
 use std::process::Command;
 use std::time::Duration;
@@ -75,7 +74,7 @@
 fn call(folder: &Path, line: &str) -> (i32, String, String) {
     let store = folder.display().to_string();
     let call = Command::new(env!("CARGO_BIN_EXE_lgctl"))
-        .args(line.split(' ').map(|w| w.replace("STORE", &store)))
+        .args(line.split(' ').map(|word| word.replace("STORE", &store)))
         .output();
     let call = call.expect("it runs");
     let text = |bytes| String::from_utf8(bytes).expect("text");
