--- a/crates/ctl/tests/commands.rs
+++ b/crates/ctl/tests/commands.rs
@@ -150,6 +150,36 @@
     );
 }
 
+/// The output of each form, to the byte, as earlier versions wrote it.
+#[rstest]
+#[case("{E} --json", include_str!("fixtures/explain.json"))]
+#[case(
+    "{E} --at 2026-12-01T21:00 --zone-of-reader Asia/Tokyo",
+    include_str!("fixtures/explain.txt")
+)]
+#[case("{E} --state unknown.json --build 2 --zone a", include_str!("fixtures/unknown.txt"))]
+#[case("{P} --state state.json --bring s:2 --json", include_str!("fixtures/plan.json"))]
+#[case("{P} --released d:5 --bring s:2", include_str!("fixtures/plan.txt"))]
+#[case("{P} --bring s:2 --json", include_str!("fixtures/conflict.json"))]
+#[case("{P} --bring s:2", include_str!("fixtures/conflict.txt"))]
+#[case("check bad.xml --json", include_str!("fixtures/faults.json"))]
+fn output_keeps_its_form(#[case] line: &str, #[case] expected: &str) {
+    let workspace = Workspace::new();
+    workspace.write("bad.xml", "<x/>");
+    let contradicted = r#""odd":"came-back","released":[5]"#;
+    workspace.write(
+        "unknown.json",
+        &STATE.replace(r#""odd":null,"released":[5]"#, contradicted),
+    );
+    let explain = if line.contains("unknown.json") {
+        "releases explain --file file.xml"
+    } else {
+        EXPLAIN
+    };
+    let (_, output, log) = workspace.run(&line.replace("{E}", explain).replace("{P}", PLAN));
+    assert_eq!(output, expected, "{log}");
+}
+
 #[test]
 fn a_chart_is_drawn() {
     let workspace = Workspace::new();
