--- a/crates/ctl/src/releases/plan.rs
+++ b/crates/ctl/src/releases/plan.rs
@@ -23,8 +23,13 @@
     /// An agent's state: what is released already
     #[arg(long)]
     state: Option<PathBuf>,
-    /// A build to bring out, as SERVICE:BUILD[,from=TIME][,by=TIME]
-    #[arg(long = "bring", required = true, value_name = "WISH")]
+    /// The builds to bring out.
+    #[arg(
+        long = "bring",
+        required = true,
+        value_name = "WISH",
+        help = "A build to bring out, as SERVICE:BUILD[,from=TIME][,by=TIME]"
+    )]
     goals: Vec<String>,
     /// A build that is released already, as SERVICE:BUILD
     #[arg(long, value_name = "SERVICE:BUILD")]
--- a/crates/releases/src/row_update.rs
+++ b/crates/releases/src/row_update.rs
@@ -4,7 +4,7 @@
 use lilacgate_decision::{Build, Zone};
 
 use crate::dependencies::{DependencyState, DependencyStates};
-use crate::model::{Dependency, Ladder, WhenUnknown};
+use crate::model::{Dependency, Ring, WhenUnknown};
 use crate::observed::{BuildStanding, IndexedLadder, Observed};
 use crate::permission_table::{PermissionCell, PermissionRow};
 use crate::reason::ClosedReason;
@@ -88,11 +88,8 @@
     }
 
     /// The open rings of the ladder that applies.
-    fn open_ladder_rings(&self) -> &[crate::model::Ring] {
-        let rings = self.ladder.map_or(&[][..], |indexed| {
-            let ladder: &Ladder = indexed.ladder;
-            &ladder.rings[..]
-        });
+    fn open_ladder_rings(&self) -> &[Ring] {
+        let rings: &[Ring] = self.ladder.map_or(&[], |indexed| &indexed.ladder.rings);
         &rings[..self.open_rings.min(rings.len())]
     }
 
--- a/crates/releases/tests/laws/generated.rs
+++ b/crates/releases/tests/laws/generated.rs
@@ -152,12 +152,29 @@
     /// A release status of a service.
     Status {
         service: u8,
-        build: u16,
-        stage: u8,
-        phase: ReleasePhase,
+        status: GeneratedStatus,
     },
 }
 
+/// A release status without its time.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct GeneratedStatus {
+    build: u16,
+    stage: u8,
+    phase: ReleasePhase,
+}
+
+impl GeneratedStatus {
+    pub(crate) fn since(self, since: Duration) -> ReleaseStatus {
+        ReleaseStatus {
+            build: Build(self.build),
+            stage: Stage(self.stage),
+            phase: self.phase,
+            since,
+        }
+    }
+}
+
 impl Input {
     /// The builds that a list with this build holds.
     pub(crate) fn listed(build: u16) -> [Build; 2] {
@@ -170,41 +187,35 @@
             Input::Listed { build } => {
                 gate.set_listed_builds(now, Input::listed(build).into_iter());
             }
-            Input::Status {
-                service,
-                build,
-                stage,
-                phase,
-            } => {
-                let status = ReleaseStatus {
-                    build: Build(build),
-                    stage: Stage(stage),
-                    phase,
-                    since: now,
-                };
-                gate.on_release_status(now, ServiceId(service), status);
+            Input::Status { service, status } => {
+                gate.on_release_status(now, ServiceId(service), status.since(now));
             }
         }
     }
 }
 
+/// The phase of a drawn number: two of five are canaries, two releases, one is a rollback.
+fn phase(drawn: u8) -> ReleasePhase {
+    match drawn {
+        0 | 1 => ReleasePhase::Canary,
+        2 | 3 => ReleasePhase::Released,
+        _ => ReleasePhase::RollingBack,
+    }
+}
+
 pub(crate) fn inputs() -> impl Strategy<Value = Vec<Input>> {
-    let input =
-        (0..SERVICES + 1, 1u16..5, 0u8..3, 0u8..5).prop_map(|(source, build, stage, phase)| {
-            match source.checked_sub(1) {
-                None => Input::Listed { build },
-                Some(service) => Input::Status {
-                    service,
-                    build,
-                    stage,
-                    phase: match phase {
-                        0 | 1 => ReleasePhase::Canary,
-                        2 | 3 => ReleasePhase::Released,
-                        _ => ReleasePhase::RollingBack,
-                    },
-                },
-            }
-        });
+    let drawn = (0..SERVICES + 1, 1u16..5, 0u8..3, 0u8..5);
+    let input = drawn.prop_map(|(source, build, stage, drawn_phase)| {
+        let status = GeneratedStatus {
+            build,
+            stage,
+            phase: phase(drawn_phase),
+        };
+        match source.checked_sub(1) {
+            None => Input::Listed { build },
+            Some(service) => Input::Status { service, status },
+        }
+    });
     prop::collection::vec(input, 1..14)
 }
 
--- a/crates/releases/tests/laws/reference_gate.rs
+++ b/crates/releases/tests/laws/reference_gate.rs
@@ -2,7 +2,7 @@
 //! ring opened, and what was received last.
 use std::collections::{BTreeMap, BTreeSet};
 
-use lilacgate_decision::{Build, ReleasePhase, Stage};
+use lilacgate_decision::{Build, ReleasePhase};
 use lilacgate_releases::model::{
     Dependency, DependencyScope, Ladder, Ring, Rules, ServiceId, WhenUnknown,
 };
@@ -74,19 +74,8 @@
             Input::Listed { build } => {
                 self.listed = Input::listed(build).map(|build| build.0).into();
             }
-            Input::Status {
-                service,
-                build,
-                stage,
-                phase,
-            } => {
-                let status = ReleaseStatus {
-                    build: Build(build),
-                    stage: Stage(stage),
-                    phase,
-                    since: seconds(self.now),
-                };
-                self.receive_status(service, status);
+            Input::Status { service, status } => {
+                self.receive_status(service, status.since(seconds(self.now)));
             }
         }
         self.forget_unnamed();
