--- /dev/null
+++ b/crates/store/tests/stored_form.rs
@@ -0,0 +1,326 @@
+//! What earlier versions stored stays readable, and what is stored today has the same bytes.
+//!
+//! The files in `fixtures/version-1` were written before the types of records were renamed: a store of several
+//! segments of which one is cut off, and a dump. `*.jsonl` hold what was read from them then, a record a line.
+use std::fs;
+use std::path::{Path, PathBuf};
+use std::time::Duration;
+
+use lilacgate_decision::{
+    AttemptNumber, Build, Cell, Endpoint, EndpointId, EndpointStatus, ListUpdate, Model, Note,
+    Outcome, ReleasePhase, RequestClass, RequestId, Stage, Vote, Zone,
+};
+use lilacgate_store::frames;
+use lilacgate_store::reader::read;
+use lilacgate_store::writer::{Bounds, Real, Writer};
+use lilacgate_timeline::book::{Book, Room};
+use lilacgate_timeline::entry::{Departure, Entry, Kind, Record, StepRecord, What, Whom};
+use lilacgate_timeline::steps::Latency;
+use lilacgate_timeline::watch::Aims;
+use serde_json::{Value, json};
+
+/// When the recorded session begins, since 1970.
+const START: Duration = Duration::from_secs(1_796_083_200);
+/// How long the session is, in steps of 25 ms.
+const SESSION_STEPS: u32 = 2400;
+const STEP: Duration = Duration::from_millis(25);
+const NODES: u32 = 4;
+/// During these steps half of the answers of node 3 are failures.
+const FAILING_STEPS: std::ops::Range<u32> = 1200..1600;
+/// The agent does not run during these steps.
+const PAUSED_STEPS: std::ops::Range<u32> = 2000..2080;
+
+fn endpoint_entry(node: u32, status: EndpointStatus, started: Option<Duration>) -> Endpoint {
+    Endpoint {
+        id: EndpointId(node),
+        status,
+        model: Model(0),
+        weight: 1.0,
+        started,
+        build: Build(1),
+        cell: Cell(0),
+        zone: Zone(0),
+    }
+}
+
+/// Releases, votes and notes, each kind of them once.
+fn record_decisions(book: &mut Book, step: u32, now: Duration) {
+    let (build, stage, endpoint) = (Build(2), Stage(1), EndpointId(2));
+    let phase = |book: &mut Book, phase| book.stage(now, build, stage, phase, STEP);
+    let vote = |book: &mut Book, vote| book.vote(now, build, stage, vote);
+    match step {
+        100 => phase(book, ReleasePhase::Canary),
+        110 => {
+            book.words("build 2: 12 of 400 failed");
+            vote(book, Vote::Hold);
+        }
+        120 => vote(book, Vote::Advance),
+        130 => phase(book, ReleasePhase::Released),
+        140 => vote(book, Vote::RollBack),
+        150 => phase(book, ReleasePhase::RollingBack),
+        160 => vote(book, Vote::Retract),
+        170 => phase(book, ReleasePhase::Withdrawn),
+        200 => book.note(
+            now,
+            Note::Ejected {
+                endpoint,
+                reason: "fails",
+                until: now + 40 * STEP,
+            },
+        ),
+        240 => book.note(now, Note::Tried(endpoint)),
+        250 => book.note(now, Note::Readmitted(endpoint)),
+        300 | 301 => book.note(now, Note::GivenUp("crowded")),
+        400 => {
+            let draining = endpoint_entry(2, EndpointStatus::Draining, None);
+            book.membership(now, ListUpdate::Delta, &[draining]);
+        }
+        420 => {
+            let removed = endpoint_entry(2, EndpointStatus::Removed, None);
+            book.membership(now, ListUpdate::Delta, &[removed]);
+        }
+        440 | 1800 => {
+            let restarted = endpoint_entry(2, EndpointStatus::Ready, Some(now));
+            book.membership(now, ListUpdate::Delta, &[restarted]);
+        }
+        _ => {}
+    }
+}
+
+/// One request, its attempt and how that ended.
+fn record_request(book: &mut Book, step: u32, now: Duration) {
+    let (id, attempt) = (RequestId(step), AttemptNumber(0));
+    let node = EndpointId(step % NODES);
+    let failing = FAILING_STEPS.contains(&step) && node.0 == 3;
+    let outcome = match step {
+        _ if failing && (step / NODES).is_multiple_of(2) => Outcome::Failed,
+        500 => Outcome::Rejected,
+        600 => Outcome::ConnectFailed,
+        700 => Outcome::TimedOut,
+        800 => Outcome::Malformed,
+        900 => Outcome::Cancelled,
+        1000 => Outcome::NotSent,
+        _ => Outcome::Succeeded,
+    };
+    book.request(id, RequestClass((step % 3) as u8));
+    book.attempt(now, id, attempt, node);
+    if outcome == Outcome::Cancelled {
+        book.called_off(now, id, attempt);
+    }
+    let took = Duration::from_micros(9000 + u64::from(step * 7919 % 4000));
+    book.ended(now + took, (id, attempt), node, outcome, took, true);
+}
+
+/// A minute of an agent's life, the same in each run.
+fn session() -> Book {
+    let aims = Aims {
+        false_per_hour: 50.0,
+        ramp: Duration::from_secs(4),
+        products: 3,
+    };
+    let room = Room {
+        octets: 1 << 22,
+        records: 1 << 16,
+    };
+    let mut book = Book::new(START, aims, room);
+    let endpoints: Vec<Endpoint> = (0..NODES)
+        .map(|node| endpoint_entry(node, EndpointStatus::Ready, None))
+        .collect();
+    book.membership(START, ListUpdate::Full, &endpoints);
+    for step in (0..SESSION_STEPS).filter(|step| !PAUSED_STEPS.contains(step)) {
+        let now = START + STEP * step;
+        record_decisions(&mut book, step, now);
+        record_request(&mut book, step, now);
+        book.advance(now + STEP / 2);
+    }
+    book
+}
+
+/// The records with which a store begins.
+fn first_records() -> Vec<Record> {
+    let start = Record::Start {
+        agent: "n0".into(),
+        at: START,
+        products: ["read", "post", "book"].map(str::to_owned).to_vec(),
+    };
+    let name = |node| Record::Name {
+        node,
+        name: format!("d{node}"),
+    };
+    std::iter::once(start).chain((0..NODES).map(name)).collect()
+}
+
+/// Departures of each kind and scope, as far as the session has none.
+fn other_departures() -> Vec<Record> {
+    let at = START + Duration::from_secs(61);
+    let departures = [
+        (Whom::Build(2), Kind::Latency, Some(1), Some((2, 1))),
+        (Whom::Fleet, Kind::Silence, None, None),
+        (Whom::Fleet, Kind::Load, None, None),
+        (Whom::Node(0), Kind::Links, None, None),
+    ];
+    let record = |(number, (whom, kind, product, beside))| {
+        let departure = Departure {
+            number: 100 + number,
+            whom,
+            kind,
+            product,
+            onset: at,
+            confirmed: at + Duration::from_millis(1500),
+            ended: None,
+            usual: 0.0625,
+            seen: 0.7,
+            beside,
+        };
+        Record::Entry(Entry {
+            happened: at,
+            known: at + Duration::from_millis(1500),
+            node: None,
+            what: What::Departed(departure),
+        })
+    };
+    (0u32..).zip(departures).map(record).collect()
+}
+
+/// Writes the session to a store of several segments, and cuts the last one off amid a record.
+fn write_store(folder: &Path, book: &mut Book) {
+    let bounds = Bounds {
+        bytes: 1 << 17,
+        age: Duration::from_secs(3600),
+    };
+    let mut writer = Writer::new(folder, bounds, Box::new(Real)).expect("a writer");
+    let mut records = first_records();
+    records.extend(other_departures());
+    records.extend(book.records());
+    records.push(Record::LeftOut {
+        at: START + Duration::from_secs(62),
+        many: 17,
+    });
+    for batch in records.chunks(10) {
+        writer.append(START, batch).expect("it is kept");
+    }
+    let last = segment_files(folder).pop().expect("segments");
+    let bytes = fs::read(&last).expect("a segment");
+    fs::write(&last, &bytes[..bytes.len() - 3]).expect("it is cut off");
+}
+
+/// A dump, as an agent puts it together.
+fn dump(book: &Book) -> Vec<u8> {
+    let mut records = first_records();
+    let entries = |line: &lilacgate_timeline::line::Line| -> Vec<Record> {
+        line.as_of(Duration::MAX)
+            .cloned()
+            .map(Record::Entry)
+            .collect()
+    };
+    records.extend(entries(book.own()));
+    for node in book.nodes() {
+        let line = book.line(node).expect("a line");
+        records.extend(entries(line));
+        for (long, step) in line.steps.since(Duration::ZERO) {
+            records.push(Record::Step(StepRecord {
+                node,
+                from: step.from,
+                long,
+                build: 0,
+                counts: step.counts,
+                latency: step.latency.octets().to_vec(),
+            }));
+        }
+    }
+    let mut bytes = frames::head(START.as_secs()).to_vec();
+    for record in &records {
+        frames::put(&mut bytes, record);
+    }
+    bytes
+}
+
+/// A record under its stored names; of a latency sketch, its quantiles in seconds.
+fn shown(record: &Record) -> Value {
+    let mut value = serde_json::to_value(record).expect("a record");
+    if let Record::Step(step) = record {
+        let latency = Latency::from_octets(step.latency.clone());
+        let quantile = |share| latency.quantile(share).map(|time| time.as_secs_f64());
+        value["Step"]["latency"] = json!([quantile(0.5), quantile(0.95), quantile(0.99)]);
+    }
+    value
+}
+
+fn shown_lines(path: &Path) -> String {
+    let records = read(path).expect("it is read").records;
+    records
+        .iter()
+        .map(|record| format!("{}\n", shown(record)))
+        .collect()
+}
+
+fn segment_files(folder: &Path) -> Vec<PathBuf> {
+    let mut files: Vec<PathBuf> = fs::read_dir(folder)
+        .expect("a folder")
+        .map(|entry| entry.expect("an entry").path())
+        .collect();
+    files.sort();
+    files
+}
+
+fn fixtures() -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/version-1")
+}
+
+fn assert_same_lines(read: &str, expected: &str) {
+    for (number, (read, expected)) in (1..).zip(read.lines().zip(expected.lines())) {
+        assert_eq!(read, expected, "record {number}");
+    }
+    assert_eq!(read.lines().count(), expected.lines().count());
+}
+
+#[test]
+fn a_stored_timeline_is_read_as_before() {
+    let expected = fs::read_to_string(fixtures().join("store.jsonl")).expect("a fixture");
+    assert_same_lines(&shown_lines(&fixtures().join("store")), &expected);
+}
+
+#[test]
+fn a_segment_that_is_cut_off_is_named_with_the_place() {
+    let damaged = read(&fixtures().join("store")).expect("it is read").damaged;
+    let [(path, reason)] = &damaged[..] else {
+        panic!("{damaged:?}")
+    };
+    let name = path.file_name().expect("a name").to_string_lossy();
+    assert_eq!(name, "000000000007.seg");
+    assert_eq!(reason, "damaged at octet 7667; 13 lost");
+}
+
+#[test]
+fn a_dump_is_read_as_before() {
+    let expected = fs::read_to_string(fixtures().join("dump.jsonl")).expect("a fixture");
+    assert_same_lines(&shown_lines(&fixtures().join("dump.seg")), &expected);
+}
+
+#[test]
+fn a_store_is_written_with_the_same_bytes() {
+    let folder = tempfile::tempdir().expect("a folder");
+    write_store(folder.path(), &mut session());
+    let (written, expected) = (
+        segment_files(folder.path()),
+        segment_files(&fixtures().join("store")),
+    );
+    assert!(expected.len() > 2);
+    let names = |files: &[PathBuf]| -> Vec<_> {
+        files
+            .iter()
+            .map(|file| file.file_name().map(ToOwned::to_owned))
+            .collect()
+    };
+    assert_eq!(names(&written), names(&expected));
+    for (written, expected) in written.iter().zip(&expected) {
+        let (written, expected) = (fs::read(written), fs::read(expected));
+        assert!(written.expect("bytes") == expected.expect("bytes"));
+    }
+}
+
+#[test]
+fn a_dump_is_written_with_the_same_bytes() {
+    let expected = fs::read(fixtures().join("dump.seg")).expect("a fixture");
+    assert!(dump(&session()) == expected);
+}
