--- a/crates/agent/src/recorder.rs
+++ b/crates/agent/src/recorder.rs
@@ -12,7 +12,7 @@
 use lilacgate_store::pump::{Handed, Pump};
 use lilacgate_store::writer::{Bounds, Real, Writer};
 use lilacgate_timeline::book::{Book, Room};
-use lilacgate_timeline::entry::{Record, StepRecord, Whom};
+use lilacgate_timeline::entry::{DepartureScope, Record, StepRecord};
 use lilacgate_timeline::steps::Step;
 use lilacgate_timeline::watch::Aims;
 
@@ -152,7 +152,7 @@
         let start = Record::Start {
             agent: self.told.agent.clone(),
             at,
-            products: self.told.products.clone(),
+            classes: self.told.products.clone(),
         };
         let names = self.names.borrow();
         let name = |(node, name): &(EndpointId, String)| Record::Name {
@@ -237,8 +237,8 @@
                 continue;
             }
             count(Count::Departures);
-            let whom = match departure.whom {
-                Whom::Node(node) => {
+            let whom = match departure.scope {
+                DepartureScope::Node(node) => {
                     let names = self.names.borrow();
                     let name = names
                         .iter()
@@ -246,17 +246,17 @@
                         .map(|(_, name)| name.as_str());
                     format!("node {}", name.unwrap_or("?"))
                 }
-                Whom::Build(build) => format!("build {build}"),
-                Whom::Fleet => "the fleet".into(),
+                DepartureScope::Build(build) => format!("build {build}"),
+                DepartureScope::Fleet => "the fleet".into(),
             };
             let (number, kind) = (departure.number, departure.kind);
             let product = departure
-                .product
+                .class
                 .and_then(|product| self.told.products.get(usize::from(product)));
             let product = product
                 .map(|name| format!(" for {name}"))
                 .unwrap_or_default();
-            let (usual, seen) = (departure.usual, departure.seen);
+            let (usual, seen) = (departure.baseline, departure.observed);
             say!(
                 "timeline: departure {number}: {whom}: {kind:?}{product}, {seen:.2} where {usual:.2} is usual"
             );
@@ -289,7 +289,7 @@
                     Record::Step(StepRecord {
                         node,
                         from,
-                        long,
+                        duration: long,
                         build: 0,
                         counts,
                         latency,
@@ -345,9 +345,9 @@
                 if all > WAITING {
                     batch.retain(|record| !matches!(record, Record::Step(_)));
                     batch.truncate(WAITING);
-                    batch.push(Record::LeftOut {
+                    batch.push(Record::Dropped {
                         at: now,
-                        many: (all - batch.len()) as u64,
+                        count: (all - batch.len()) as u64,
                     });
                 }
                 self.behind = batch;
--- a/crates/ctl/src/lines.rs
+++ b/crates/ctl/src/lines.rs
@@ -7,7 +7,9 @@
 use clap::Args;
 use jiff::tz::TimeZone;
 use lilacgate_store::reader;
-use lilacgate_timeline::entry::{Departure, Entry, Record, StepRecord, What, Whom};
+use lilacgate_timeline::entry::{
+    Departure, DepartureScope, Entry, Event, Record, ReleaseStage, StepRecord,
+};
 
 use crate::{Unusable, time};
 
@@ -45,8 +47,8 @@
 fn at(record: &Record) -> Option<(Duration, Duration)> {
     match record {
         Record::Entry(entry) => Some((entry.happened, entry.known)),
-        Record::Step(step) => Some((step.from, step.from + step.long)),
-        Record::Start { at, .. } | Record::LeftOut { at, .. } => Some((*at, *at)),
+        Record::Step(step) => Some((step.from, step.from + step.duration)),
+        Record::Start { at, .. } | Record::Dropped { at, .. } => Some((*at, *at)),
         Record::Name { .. } => None,
     }
 }
@@ -117,7 +119,9 @@
             let within = happened <= to && known >= from;
             match record {
                 Record::Start {
-                    agent, products, ..
+                    agent,
+                    classes: products,
+                    ..
                 } => {
                     lines.agents.push(agent);
                     lines.products = products;
@@ -125,7 +129,7 @@
                 Record::Name { node, name } => drop(lines.names.insert(node, name)),
                 Record::Entry(entry) if within => lines.entries.push(entry),
                 Record::Step(step) if within => lines.steps.push(step),
-                Record::LeftOut { many, .. } if within => lines.left_out += many,
+                Record::Dropped { count, .. } if within => lines.left_out += count,
                 _ => {}
             }
         }
@@ -201,13 +205,13 @@
     pub fn departures(&self) -> Vec<Departure> {
         let mut found: BTreeMap<(u32, Duration), Departure> = BTreeMap::new();
         for entry in &self.entries {
-            match &entry.what {
-                What::Departed(departure) => {
+            match &entry.event {
+                Event::DepartureBegan(departure) => {
                     found
                         .entry((departure.number, departure.confirmed))
                         .or_insert_with(|| departure.clone());
                 }
-                What::Returned(departure) => {
+                Event::DepartureEnded(departure) => {
                     found.insert((departure.number, departure.confirmed), departure.clone());
                 }
                 _ => {}
@@ -218,43 +222,49 @@
         all
     }
 
-    pub fn whom(&self, whom: Whom) -> String {
+    pub fn whom(&self, whom: DepartureScope) -> String {
         match whom {
-            Whom::Node(node) => format!("node {}", self.name(node)),
-            Whom::Build(build) => format!("build {build}"),
-            Whom::Fleet => "the fleet".into(),
+            DepartureScope::Node(node) => format!("node {}", self.name(node)),
+            DepartureScope::Build(build) => format!("build {build}"),
+            DepartureScope::Fleet => "the fleet".into(),
         }
     }
 
     /// A departure in plain words, without its times.
     pub fn words(&self, departure: &Departure) -> String {
-        use lilacgate_timeline::entry::Kind;
-        let whom = self.whom(departure.whom);
+        use lilacgate_timeline::entry::DepartureKind;
+        let whom = self.whom(departure.scope);
         let of = departure
-            .product
+            .class
             .map(|product| format!(" of {}", self.product(product)))
             .unwrap_or_default();
-        let (seen, usual) = (departure.seen * 100.0, departure.usual * 100.0);
+        let (seen, usual) = (departure.observed * 100.0, departure.baseline * 100.0);
         let text = match departure.kind {
-            Kind::Errors => format!("{whom} failed {seen:.0}%{of}, where {usual:.0}% are usual"),
-            Kind::Latency => {
+            DepartureKind::Errors => {
+                format!("{whom} failed {seen:.0}%{of}, where {usual:.0}% are usual")
+            }
+            DepartureKind::Latency => {
                 format!("{whom} was late with {seen:.0}%{of}, where {usual:.0}% are usual")
             }
-            Kind::Silence => format!("{whom} owed answers and said nothing"),
-            Kind::Links => format!("{whom} refused or broke {seen:.0}% of its links"),
-            Kind::Load => format!("{whom} held far more than its share"),
-            Kind::Restart => format!("{whom} came back as another process of the same build"),
+            DepartureKind::Silence => format!("{whom} owed answers and said nothing"),
+            DepartureKind::Links => format!("{whom} refused or broke {seen:.0}% of its links"),
+            DepartureKind::Load => format!("{whom} held far more than its share"),
+            DepartureKind::Restart => {
+                format!("{whom} came back as another process of the same build")
+            }
         };
-        let beside = departure.beside.map(|(build, stage)| {
-            format!("; stage {stage} of build {build} had begun shortly before")
-        });
+        let beside = departure
+            .concurrent_stage
+            .map(|ReleaseStage { build, stage }| {
+                format!("; stage {stage} of build {build} had begun shortly before")
+            });
         text + &beside.unwrap_or_default()
     }
 
     /// What an entry says.
     pub fn text(&self, entry: &Entry) -> String {
-        match &entry.what {
-            What::Listed {
+        match &entry.event {
+            Event::Listed {
                 state,
                 build,
                 started,
@@ -264,35 +274,35 @@
                     .unwrap_or_default();
                 format!("listed {state} with build {build}{since}")
             }
-            What::Barred { why, until } => {
-                format!("left alone until {}: {why}", self.clock(*until))
+            Event::Ejected { reason, until } => {
+                format!("left alone until {}: {reason}", self.clock(*until))
             }
-            What::Tried => "tried with a request".into(),
-            What::Unbarred => "taken in again".into(),
-            What::CalledOff { product } => {
-                format!("an attempt of {} called off", self.product(*product))
+            Event::Probed => "tried with a request".into(),
+            Event::Readmitted => "taken in again".into(),
+            Event::Cancelled { class } => {
+                format!("an attempt of {} called off", self.product(*class))
             }
-            What::GivenUp { why, many } => format!("{many} requests given up: {why}"),
-            What::Stage {
+            Event::GivenUp { reason, count } => format!("{count} requests given up: {reason}"),
+            Event::Stage {
                 build,
                 stage,
-                course,
-            } => format!("build {build} is {course} in stage {stage}"),
-            What::Vote {
+                phase,
+            } => format!("build {build} is {phase} in stage {stage}"),
+            Event::Vote {
                 build,
                 stage,
-                verdict,
+                vote,
                 figures,
             } => {
-                format!("voted {verdict} on build {build} in stage {stage}: {figures}")
+                format!("voted {vote} on build {build} in stage {stage}: {figures}")
             }
-            What::StoodStill { long } => {
-                format!("this agent stood still for {:.1} s", long.as_secs_f64())
+            Event::Paused { duration } => {
+                format!("this agent stood still for {:.1} s", duration.as_secs_f64())
             }
-            What::Departed(departure) => {
+            Event::DepartureBegan(departure) => {
                 format!("departure {}: {}", departure.number, self.words(departure))
             }
-            What::Returned(departure) => format!("departure {} has ended", departure.number),
+            Event::DepartureEnded(departure) => format!("departure {} has ended", departure.number),
         }
     }
 }
--- a/crates/ctl/src/plot.rs
+++ b/crates/ctl/src/plot.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use lilacgate_timeline::entry::{Counts, What, Whom};
+use lilacgate_timeline::entry::{AttemptCounts, DepartureScope, Event};
 use lilacgate_timeline::steps::Latency;
 use plotters::prelude::*;
 
@@ -29,7 +29,7 @@
 const MOST: u32 = 150;
 
 /// A bar's span and what it holds.
-type Bar = (f64, f64, Counts, Option<f64>);
+type Bar = (f64, f64, AttemptCounts, Option<f64>);
 
 fn bars(lines: &Lines, node: u32, long: f64) -> Vec<Bar> {
     let mut found: Vec<Bar> = Vec::new();
@@ -43,7 +43,7 @@
             .iter()
             .filter(|s| s.node == node && (from..to).contains(&at(s.from)))
             .collect();
-        let mut counts = Counts::default();
+        let mut counts = AttemptCounts::default();
         of.iter().for_each(|step| counts.add(&step.counts));
         let latency: Vec<Latency> = of
             .iter()
@@ -112,8 +112,8 @@
             .entries
             .iter()
             .filter(|entry| entry.node == Some(*node))
-            .filter_map(|entry| match &entry.what {
-                What::Listed { state, build, .. } if state != "gone" => {
+            .filter_map(|entry| match &entry.event {
+                Event::Listed { state, build, .. } if state != "gone" => {
                     Some((secs(entry.happened), *build))
                 }
                 _ => None,
@@ -141,7 +141,7 @@
         for (from, to, counts, _) in bars {
             let mut low = 0.0;
             // Bad and late ones at the foot, so that they show.
-            let bad = counts.failed + counts.unlinked + counts.timed_out;
+            let bad = counts.failed + counts.connection_errors + counts.timed_out;
             let late = counts.late.min(counts.attempts.saturating_sub(bad));
             let rest = counts.attempts.saturating_sub(bad + late);
             for (many, shade) in [(bad, BAD), (late, SLOW), (rest, BARS)] {
@@ -159,15 +159,15 @@
             .draw_series(LineSeries::new(points, LINE.stroke_width(2)))
             .map_err(fault)?;
         let build = listed.last().map(|(_, build)| *build);
-        let concerns = |whom: Whom| match whom {
-            Whom::Node(of) => of == *node,
-            Whom::Build(of) => listed.iter().any(|(_, build)| *build == of),
-            Whom::Fleet => true,
+        let concerns = |whom: DepartureScope| match whom {
+            DepartureScope::Node(of) => of == *node,
+            DepartureScope::Build(of) => listed.iter().any(|(_, build)| *build == of),
+            DepartureScope::Fleet => true,
         };
         for departure in lines
             .departures()
             .iter()
-            .filter(|departure| concerns(departure.whom))
+            .filter(|departure| concerns(departure.scope))
         {
             let (from, to) = (secs(departure.onset), departure.ended.map_or(whole, secs));
             let span = Rectangle::new(
@@ -181,12 +181,12 @@
         }
         for entry in &lines.entries {
             let x = secs(entry.happened);
-            match (&entry.what, entry.node) {
-                (What::Barred { .. }, Some(of)) if of == *node => {
+            match (&entry.event, entry.node) {
+                (Event::Ejected { .. }, Some(of)) if of == *node => {
                     let mark = TriangleMarker::new((x, 0.08), 5, BLACK.filled());
                     chart.draw_series([mark]).map_err(fault)?;
                 }
-                (What::Vote { .. } | What::Stage { .. }, None) => {
+                (Event::Vote { .. } | Event::Stage { .. }, None) => {
                     let mark = PathElement::new(
                         [(x, 0.0), (x, 1.0)],
                         RGBColor(90, 130, 90).stroke_width(1),
--- a/crates/ctl/src/timeline.rs
+++ b/crates/ctl/src/timeline.rs
@@ -4,7 +4,7 @@
 
 use clap::{Args, Subcommand};
 use comfy_table::{Table, presets};
-use lilacgate_timeline::entry::{Counts, Entry, What, Whom};
+use lilacgate_timeline::entry::{AttemptCounts, DepartureScope, Entry, Event};
 use lilacgate_timeline::steps::Latency;
 use serde_json::json;
 
@@ -139,10 +139,10 @@
     )
 }
 
-fn row(lines: &Lines, from: Duration, counts: &Counts, latency: &Latency) -> [String; 7] {
-    let Counts {
+fn row(lines: &Lines, from: Duration, counts: &AttemptCounts, latency: &Latency) -> [String; 7] {
+    let AttemptCounts {
         attempts,
-        served,
+        succeeded,
         failed,
         late,
         ..
@@ -150,7 +150,7 @@
     [
         lines.show(from),
         attempts.to_string(),
-        served.to_string(),
+        succeeded.to_string(),
         failed.to_string(),
         late.to_string(),
         millis(latency, 0.5),
@@ -159,7 +159,7 @@
 }
 
 /// The steps of a node, or of all, as so many equal spans.
-fn spans(lines: &Lines, node: Option<u32>, many: u32) -> Vec<(Duration, Counts, Latency)> {
+fn spans(lines: &Lines, node: Option<u32>, many: u32) -> Vec<(Duration, AttemptCounts, Latency)> {
     let long = (lines.to.saturating_sub(lines.from) / many).max(Duration::from_secs(1));
     (0..many)
         .map(|i| {
@@ -172,13 +172,18 @@
 }
 
 /// All that a node's steps hold of a span, added up.
-fn sums(lines: &Lines, node: Option<u32>, from: Duration, to: Duration) -> (Counts, Latency) {
+fn sums(
+    lines: &Lines,
+    node: Option<u32>,
+    from: Duration,
+    to: Duration,
+) -> (AttemptCounts, Latency) {
     let of: Vec<_> = lines
         .steps
         .iter()
         .filter(|step| node.is_none_or(|node| step.node == node) && (from..to).contains(&step.from))
         .collect();
-    let mut counts = Counts::default();
+    let mut counts = AttemptCounts::default();
     of.iter().for_each(|step| counts.add(&step.counts));
     let latency: Vec<Latency> = of
         .iter()
@@ -230,7 +235,10 @@
     for step in &lines.steps {
         let latency = Latency::from_octets(step.latency.clone());
         let ms = |share| latency.quantile(share).map(|took| took.as_secs_f64() * 1e3);
-        let (from, long) = (step.from.as_millis() as u64, step.long.as_millis() as u64);
+        let (from, long) = (
+            step.from.as_millis() as u64,
+            step.duration.as_millis() as u64,
+        );
         println!(
             "{}",
             json!({"node": lines.name(step.node), "from_ms": from, "long_ms": long, "build": step.build,
@@ -245,16 +253,16 @@
     fn span(&self, lines: &Lines) -> Option<(Duration, Duration, Option<String>)> {
         let mut found: Option<(Duration, Duration, Option<String>)> = None;
         for entry in &lines.entries {
-            let What::Stage {
+            let Event::Stage {
                 build,
                 stage,
-                course,
-            } = &entry.what
+                phase,
+            } = &entry.event
             else {
                 continue;
             };
             let is = *build == self.build
-                && course == "on-trial"
+                && phase == "on-trial"
                 && self.stage.is_none_or(|s| s == *stage);
             match &mut found {
                 None if is => found = Some((entry.happened, lines.to, None)),
@@ -294,8 +302,8 @@
             .filter(|e| e.node.is_none() && within(e.happened));
         let told = |e: &&Entry| {
             matches!(
-                e.what,
-                What::Stage { .. } | What::Vote { .. } | What::StoodStill { .. }
+                e.event,
+                Event::Stage { .. } | Event::Vote { .. } | Event::Paused { .. }
             )
         };
         let events: Vec<&Entry> = own.filter(told).collect();
@@ -309,7 +317,7 @@
                     .iter()
                     .filter(|e| e.node == Some(node) && e.happened <= until);
                 let builds = listed.filter_map(|e| {
-                    if let What::Listed { build, .. } = e.what {
+                    if let Event::Listed { build, .. } = e.event {
                         Some(build)
                     } else {
                         None
@@ -372,12 +380,12 @@
             "node", "build", "requests", "failed", "late", "p95", "", "requests", "failed", "late",
             "p95",
         ]);
-        let share = |part: u32, counts: &Counts| {
+        let share = |part: u32, counts: &AttemptCounts| {
             let all = counts.ended().max(1);
             format!("{:.0}%", f64::from(part) / f64::from(all) * 100.0)
         };
         for (node, build, was, is) in &nodes {
-            let four = |(counts, latency): &(Counts, Latency)| {
+            let four = |(counts, latency): &(AttemptCounts, Latency)| {
                 [
                     counts.attempts.to_string(),
                     share(counts.failed, counts),
@@ -394,12 +402,14 @@
             table.add_row(cells);
         }
         println!("{}", trimmed(&table));
-        let by = |of: &dyn Fn(&Whom) -> bool| departures.iter().filter(|d| of(&d.whom)).count();
+        let by = |of: &dyn Fn(&DepartureScope) -> bool| {
+            departures.iter().filter(|d| of(&d.scope)).count()
+        };
         println!(
             "\nIn short: {} departures of nodes, {} of builds, {} of the fleet; then: {}.",
-            by(&|whom| matches!(whom, Whom::Node(_))),
-            by(&|whom| matches!(whom, Whom::Build(_))),
-            by(&|whom| *whom == Whom::Fleet),
+            by(&|whom| matches!(whom, DepartureScope::Node(_))),
+            by(&|whom| matches!(whom, DepartureScope::Build(_))),
+            by(&|whom| *whom == DepartureScope::Fleet),
             after.unwrap_or_else(|| "it goes on".into())
         );
         Ok(true)
--- a/crates/ctl/tests/timeline.rs
+++ b/crates/ctl/tests/timeline.rs
@@ -54,7 +54,7 @@
     let mut records = vec![Record::Start {
         agent: "n0".into(),
         at: DAWN,
-        products,
+        classes: products,
     }];
     records.extend((0..10).map(|node| Record::Name {
         node,
--- a/crates/store/tests/store.rs
+++ b/crates/store/tests/store.rs
@@ -8,7 +8,7 @@
 use lilacgate_store::pump::{Handed, Pump};
 use lilacgate_store::reader::{read, segments};
 use lilacgate_store::writer::{Bounds, Disk, Real, Segment, Writer};
-use lilacgate_timeline::entry::{Entry, Record, What};
+use lilacgate_timeline::entry::{Entry, Event, Record};
 use proptest::prelude::*;
 
 const BOUNDS: Bounds = Bounds {
@@ -18,15 +18,15 @@
 
 fn record(number: u32) -> Record {
     let at = Duration::from_secs(number.into());
-    let what = What::GivenUp {
-        why: "crowded".into(),
-        many: number,
+    let event = Event::GivenUp {
+        reason: "crowded".into(),
+        count: number,
     };
     Record::Entry(Entry {
         happened: at,
         known: at,
         node: Some(number),
-        what,
+        event,
     })
 }
 
@@ -41,9 +41,9 @@
 fn numbers(folder: &Path) -> Vec<u32> {
     let number = |record: &Record| match record {
         Record::Entry(Entry {
-            what: What::GivenUp { many, .. },
+            event: Event::GivenUp { count, .. },
             ..
-        }) => *many,
+        }) => *count,
         other => panic!("{other:?}"),
     };
     read(folder)
--- a/crates/store/tests/stored_form.rs
+++ b/crates/store/tests/stored_form.rs
@@ -14,7 +14,9 @@
 use lilacgate_store::reader::read;
 use lilacgate_store::writer::{Bounds, Real, Writer};
 use lilacgate_timeline::book::{Book, Room};
-use lilacgate_timeline::entry::{Departure, Entry, Kind, Record, StepRecord, What, Whom};
+use lilacgate_timeline::entry::{
+    Departure, DepartureKind, DepartureScope, Entry, Event, Record, ReleaseStage, StepRecord,
+};
 use lilacgate_timeline::steps::Latency;
 use lilacgate_timeline::watch::Aims;
 use serde_json::{Value, json};
@@ -141,7 +143,7 @@
     let start = Record::Start {
         agent: "n0".into(),
         at: START,
-        products: ["read", "post", "book"].map(str::to_owned).to_vec(),
+        classes: ["read", "post", "book"].map(str::to_owned).to_vec(),
     };
     let name = |node| Record::Name {
         node,
@@ -154,29 +156,34 @@
 fn other_departures() -> Vec<Record> {
     let at = START + Duration::from_secs(61);
     let departures = [
-        (Whom::Build(2), Kind::Latency, Some(1), Some((2, 1))),
-        (Whom::Fleet, Kind::Silence, None, None),
-        (Whom::Fleet, Kind::Load, None, None),
-        (Whom::Node(0), Kind::Links, None, None),
+        (
+            DepartureScope::Build(2),
+            DepartureKind::Latency,
+            Some(1),
+            Some(ReleaseStage { build: 2, stage: 1 }),
+        ),
+        (DepartureScope::Fleet, DepartureKind::Silence, None, None),
+        (DepartureScope::Fleet, DepartureKind::Load, None, None),
+        (DepartureScope::Node(0), DepartureKind::Links, None, None),
     ];
     let record = |(number, (whom, kind, product, beside))| {
         let departure = Departure {
             number: 100 + number,
-            whom,
+            scope: whom,
             kind,
-            product,
+            class: product,
             onset: at,
             confirmed: at + Duration::from_millis(1500),
             ended: None,
-            usual: 0.0625,
-            seen: 0.7,
-            beside,
+            baseline: 0.0625,
+            observed: 0.7,
+            concurrent_stage: beside,
         };
         Record::Entry(Entry {
             happened: at,
             known: at + Duration::from_millis(1500),
             node: None,
-            what: What::Departed(departure),
+            event: Event::DepartureBegan(departure),
         })
     };
     (0u32..).zip(departures).map(record).collect()
@@ -192,9 +199,9 @@
     let mut records = first_records();
     records.extend(other_departures());
     records.extend(book.records());
-    records.push(Record::LeftOut {
+    records.push(Record::Dropped {
         at: START + Duration::from_secs(62),
-        many: 17,
+        count: 17,
     });
     for batch in records.chunks(10) {
         writer.append(START, batch).expect("it is kept");
@@ -221,7 +228,7 @@
             records.push(Record::Step(StepRecord {
                 node,
                 from: step.from,
-                long,
+                duration: long,
                 build: 0,
                 counts: step.counts,
                 latency: step.latency.octets().to_vec(),
--- a/crates/test-bed/src/kills.rs
+++ b/crates/test-bed/src/kills.rs
@@ -7,21 +7,21 @@
 
 use lilacgate_store::reader::read;
 use lilacgate_store::writer::{Bounds, Real, Writer};
-use lilacgate_timeline::entry::{Entry, Record, What};
+use lilacgate_timeline::entry::{Entry, Event, Record};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
 fn record(number: u32) -> Record {
     let at = Duration::from_secs(u64::from(number));
-    let what = What::GivenUp {
-        why: "x".repeat(number as usize % 300),
-        many: number,
+    let event = Event::GivenUp {
+        reason: "x".repeat(number as usize % 300),
+        count: number,
     };
     Record::Entry(Entry {
         happened: at,
         known: at,
         node: None,
-        what,
+        event,
     })
 }
 
@@ -87,9 +87,9 @@
             .iter()
             .filter_map(|record| match record {
                 Record::Entry(Entry {
-                    what: What::GivenUp { many, .. },
+                    event: Event::GivenUp { count, .. },
                     ..
-                }) => Some(*many),
+                }) => Some(*count),
                 _ => None,
             })
             .collect();
--- a/crates/test-bed/src/lines.rs
+++ b/crates/test-bed/src/lines.rs
@@ -8,7 +8,7 @@
 
 use lilacgate_decision::{AttemptNumber, EndpointId, Outcome, RequestClass, RequestId};
 use lilacgate_store::reader::read;
-use lilacgate_timeline::entry::{Entry, Kind, Record, What, Whom};
+use lilacgate_timeline::entry::{DepartureKind, DepartureScope, Entry, Event, Record};
 
 use crate::days::order;
 use crate::kills;
@@ -184,7 +184,7 @@
         matches!(
             record,
             Record::Entry(Entry {
-                what: What::StoodStill { .. },
+                event: Event::Paused { .. },
                 ..
             })
         )
@@ -199,7 +199,7 @@
 /// A rule of our own that is simpler: by node and second, what it says of failures and of latency.
 trait Rule: Default {
     /// Looks at a second of a node: the share of failures, the mean latency as a multiple of its product's, requests.
-    fn second(&mut self, node: u32, fails: f64, latency: f64, many: u32) -> Option<Kind>;
+    fn second(&mut self, node: u32, fails: f64, latency: f64, many: u32) -> Option<DepartureKind>;
 }
 
 /// More than a fifth failed, or twice as slow as the work should take.
@@ -207,10 +207,10 @@
 struct Fixed;
 
 impl Rule for Fixed {
-    fn second(&mut self, _: u32, fails: f64, latency: f64, many: u32) -> Option<Kind> {
+    fn second(&mut self, _: u32, fails: f64, latency: f64, many: u32) -> Option<DepartureKind> {
         match many >= 3 {
-            true if fails > 0.2 => Some(Kind::Errors),
-            true if latency > 2.0 => Some(Kind::Latency),
+            true if fails > 0.2 => Some(DepartureKind::Errors),
+            true if latency > 2.0 => Some(DepartureKind::Latency),
             _ => None,
         }
     }
@@ -221,12 +221,15 @@
 struct Weighted(BTreeMap<(u32, bool), (f64, f64, u32)>);
 
 impl Rule for Weighted {
-    fn second(&mut self, node: u32, fails: f64, latency: f64, many: u32) -> Option<Kind> {
+    fn second(&mut self, node: u32, fails: f64, latency: f64, many: u32) -> Option<DepartureKind> {
         let mut event = None;
-        for (kind, x) in [(Kind::Errors, fails), (Kind::Latency, latency)] {
+        for (kind, x) in [
+            (DepartureKind::Errors, fails),
+            (DepartureKind::Latency, latency),
+        ] {
             let (mean, var, seen) = self
                 .0
-                .entry((node, kind == Kind::Errors))
+                .entry((node, kind == DepartureKind::Errors))
                 .or_insert((x, 0.0, 0));
             *seen += 1;
             if *seen > 30 && many >= 3 && x > *mean + 3.0 * var.sqrt().max(0.01) {
@@ -245,8 +248,8 @@
     rule: R,
     second: u64,
     sums: BTreeMap<u32, (f64, f64, u32)>,
-    last: BTreeMap<(u32, Kind), u64>,
-    events: Vec<(Duration, u32, Kind)>,
+    last: BTreeMap<(u32, DepartureKind), u64>,
+    events: Vec<(Duration, u32, DepartureKind)>,
 }
 
 impl<R: Rule> Judge<R> {
@@ -332,14 +335,14 @@
 /// Virtual days with one fault each: how many each rule names at the right node within 5 s, of how many.
 fn virtual_faults() -> ([usize; 3], usize) {
     let secs = Duration::from_secs;
-    let kinds: [(Fault, Kind); 6] = [
+    let kinds: [(Fault, DepartureKind); 6] = [
         (
             Fault::Errors {
                 node: 3,
                 share: 0.4,
                 product: None,
             },
-            Kind::Errors,
+            DepartureKind::Errors,
         ),
         (
             Fault::Errors {
@@ -347,7 +350,7 @@
                 share: 0.6,
                 product: Some(1),
             },
-            Kind::Errors,
+            DepartureKind::Errors,
         ),
         (
             Fault::Slow {
@@ -355,7 +358,7 @@
                 times: 4.0,
                 product: None,
             },
-            Kind::Latency,
+            DepartureKind::Latency,
         ),
         (
             Fault::Slow {
@@ -363,10 +366,10 @@
                 times: 5.0,
                 product: Some(1),
             },
-            Kind::Latency,
+            DepartureKind::Latency,
         ),
-        (Fault::Silent { node: 3 }, Kind::Silence),
-        (Fault::Unlinked { node: 3 }, Kind::Links),
+        (Fault::Silent { node: 3 }, DepartureKind::Silence),
+        (Fault::Unlinked { node: 3 }, DepartureKind::Links),
     ];
     let (mut found, mut all) = ([0; 3], 0);
     for seed in 0..5 {
@@ -391,11 +394,11 @@
                 weighted.take(outcome);
             });
             let soon = |at: Duration| at >= DAWN + secs(60) && at <= DAWN + secs(65);
-            let own = said
-                .iter()
-                .any(|(at, d, b)| *b && soon(*at) && d.whom == Whom::Node(3) && d.kind == kind);
+            let own = said.iter().any(|(at, d, b)| {
+                *b && soon(*at) && d.scope == DepartureScope::Node(3) && d.kind == kind
+            });
             // Any word of the right node counts for the others: they know failures and latency only.
-            let of = |events: &[(Duration, u32, Kind)]| {
+            let of = |events: &[(Duration, u32, DepartureKind)]| {
                 events.iter().any(|(at, node, _)| *node == 3 && soon(*at))
             };
             if !own {
@@ -404,9 +407,9 @@
                     said.iter()
                         .map(|(at, d, b)| (
                             (*at - DAWN).as_secs_f64(),
-                            d.whom,
+                            d.scope,
                             d.kind,
-                            d.product,
+                            d.class,
                             *b
                         ))
                         .collect::<Vec<_>>()
--- a/crates/timeline/src/book.rs
+++ b/crates/timeline/src/book.rs
@@ -9,7 +9,7 @@
     Outcome, ReleasePhase, RequestClass, RequestId, Stage, Vote,
 };
 
-use crate::entry::{Departure, Entry, Record, StepRecord, What, Whom};
+use crate::entry::{Departure, DepartureScope, Entry, Event, Record, StepRecord};
 use crate::line::Line;
 use crate::steps::{LEVELS, Step};
 use crate::watch::{Aims, Ended, TICK, Watch};
@@ -124,7 +124,7 @@
             EndpointStatus::Draining => "draining",
             EndpointStatus::Removed => "gone",
         };
-        let what = What::Listed {
+        let event = Event::Listed {
             state: state.into(),
             build: line.build.0,
             started: line.started,
@@ -133,7 +133,7 @@
             happened,
             known: now,
             node: Some(node),
-            what,
+            event,
         });
         if line.status == EndpointStatus::Removed {
             self.watch.gone(now, node);
@@ -153,24 +153,24 @@
         age: Duration,
     ) {
         let happened = now.saturating_sub(age);
-        let what = What::Stage {
+        let event = Event::Stage {
             build: build.0,
             stage: stage.0,
-            course: course(to).into(),
+            phase: course(to).into(),
         };
         let last = self
             .own
             .as_of(Duration::MAX)
-            .filter(|entry| matches!(entry.what, What::Stage { .. }))
+            .filter(|entry| matches!(entry.event, Event::Stage { .. }))
             .last();
-        if last.is_some_and(|entry| entry.what == what) {
+        if last.is_some_and(|entry| entry.event == event) {
             return;
         }
         self.put(Entry {
             happened,
             known: now,
             node: None,
-            what,
+            event,
         });
         if to == ReleasePhase::Canary {
             self.watch.staged(build.0, stage.0, happened);
@@ -201,7 +201,7 @@
         self.count(now, to.0, |counts| {
             counts.attempts += 1;
             let out = counts.attempts.saturating_sub(counts.ended());
-            counts.most_out = counts.most_out.max(out);
+            counts.max_in_flight = counts.max_in_flight.max(out);
         });
     }
 
@@ -235,10 +235,10 @@
             .ended(now, at.0, (id.0, attempt.0), product, how, took);
         self.count(now, at.0, |counts| {
             match how {
-                Ended::Served => counts.served += 1,
+                Ended::Served => counts.succeeded += 1,
                 Ended::Failed => counts.failed += 1,
-                Ended::TurnedAway => counts.turned_away += 1,
-                Ended::Unlinked => counts.unlinked += 1,
+                Ended::TurnedAway => counts.rejected += 1,
+                Ended::Unlinked => counts.connection_errors += 1,
                 Ended::Unanswered => counts.timed_out += 1,
                 Ended::Unsent => {}
             }
@@ -258,11 +258,11 @@
 
     /// What the module notes by the way.
     pub fn note(&mut self, now: Duration, note: Note) {
-        let at = |node: EndpointId, what| Entry {
+        let at = |node: EndpointId, event| Entry {
             happened: now,
             known: now,
             node: Some(node.0),
-            what,
+            event,
         };
         match note {
             Note::Ejected {
@@ -271,27 +271,25 @@
                 until,
             } => self.put(at(
                 node,
-                What::Barred {
-                    why: why.into(),
+                Event::Ejected {
+                    reason: why.into(),
                     until,
                 },
             )),
-            Note::Tried(node) => self.put(at(node, What::Tried)),
-            Note::Readmitted(node) => self.put(at(node, What::Unbarred)),
+            Note::Tried(node) => self.put(at(node, Event::Probed)),
+            Note::Readmitted(node) => self.put(at(node, Event::Readmitted)),
             Note::GivenUp(why) => *self.given_up.entry(why).or_default() += 1,
         }
     }
 
     pub fn called_off(&mut self, now: Duration, id: RequestId, attempt: AttemptNumber) {
         if let Some(out) = self.out.get(&(id.0, attempt.0)) {
-            let what = What::CalledOff {
-                product: out.product,
-            };
+            let event = Event::Cancelled { class: out.product };
             let entry = Entry {
                 happened: now,
                 known: now,
                 node: Some(out.node),
-                what,
+                event,
             };
             self.put(entry);
         }
@@ -310,17 +308,17 @@
             Vote::RollBack => "back",
         };
         let figures = std::mem::take(&mut self.figures);
-        let what = What::Vote {
+        let event = Event::Vote {
             build: build.0,
             stage: stage.0,
-            verdict: verdict.into(),
+            vote: verdict.into(),
             figures,
         };
         self.put(Entry {
             happened: now,
             known: now,
             node: None,
-            what,
+            event,
         });
     }
 
@@ -341,38 +339,38 @@
                 happened,
                 known: now,
                 node: None,
-                what: What::StoodStill { long },
+                event: Event::Paused { duration: long },
             });
         }
         for (why, many) in std::mem::take(&mut self.given_up) {
-            let what = What::GivenUp {
-                why: why.into(),
-                many,
+            let event = Event::GivenUp {
+                reason: why.into(),
+                count: many,
             };
             self.put(Entry {
                 happened: now,
                 known: now,
                 node: None,
-                what,
+                event,
             });
         }
         for (departure, begins) in self.watch.said() {
-            let node = if let Whom::Node(node) = departure.whom {
+            let node = if let DepartureScope::Node(node) = departure.scope {
                 Some(node)
             } else {
                 None
             };
             let happened = if begins { departure.onset } else { now };
-            let what = if begins {
-                What::Departed(departure.clone())
+            let event = if begins {
+                Event::DepartureBegan(departure.clone())
             } else {
-                What::Returned(departure.clone())
+                Event::DepartureEnded(departure.clone())
             };
             self.put(Entry {
                 happened,
                 known: now,
                 node,
-                what,
+                event,
             });
             self.said.push((departure, begins));
         }
@@ -388,7 +386,12 @@
         std::mem::take(&mut self.said)
     }
 
-    fn count(&mut self, now: Duration, node: u32, count: impl FnOnce(&mut crate::entry::Counts)) {
+    fn count(
+        &mut self,
+        now: Duration,
+        node: u32,
+        count: impl FnOnce(&mut crate::entry::AttemptCounts),
+    ) {
         let Some((line, listed, octets)) = self.lines.get_mut(&node) else {
             return;
         };
@@ -400,7 +403,7 @@
             let record = StepRecord {
                 node,
                 from: step.from,
-                long: LEVELS[0].long,
+                duration: LEVELS[0].long,
                 build: listed.build.0,
                 counts: step.counts,
                 latency: step.latency.octets().to_vec(),
@@ -443,7 +446,10 @@
             self.left_out += 1;
         } else if self.left_out > 0 && self.records.len() + 1 < self.room.records {
             let many = std::mem::take(&mut self.left_out);
-            self.records.push_back(Record::LeftOut { at: now, many });
+            self.records.push_back(Record::Dropped {
+                at: now,
+                count: many,
+            });
         }
         self.records.push_back(record);
     }
--- a/crates/timeline/src/steps.rs
+++ b/crates/timeline/src/steps.rs
@@ -5,7 +5,7 @@
 
 use sketches_ddsketch::{Config, DDSketch};
 
-use crate::entry::Counts;
+use crate::entry::AttemptCounts;
 
 /// A level: how long a step is, and how many are kept.
 #[derive(Clone, Copy, Debug)]
@@ -88,14 +88,14 @@
 #[derive(Clone, Debug)]
 pub struct Step {
     pub from: Duration,
-    pub counts: Counts,
+    pub counts: AttemptCounts,
     pub latency: Latency,
 }
 
 /// The step that is being filled.
 struct Open {
     from: Duration,
-    counts: Counts,
+    counts: AttemptCounts,
     latency: DDSketch,
 }
 
@@ -117,7 +117,7 @@
     pub fn new(now: Duration) -> Self {
         let open = Open {
             from: floor(now, LEVELS[0].long),
-            counts: Counts::default(),
+            counts: AttemptCounts::default(),
             latency: empty(),
         };
         Steps {
@@ -128,7 +128,7 @@
     }
 
     /// The counts of the present step, brought up to date; a step that has ended is passed on.
-    pub fn now(&mut self, now: Duration, ended: &mut impl FnMut(&Step)) -> &mut Counts {
+    pub fn now(&mut self, now: Duration, ended: &mut impl FnMut(&Step)) -> &mut AttemptCounts {
         let from = floor(now, LEVELS[0].long);
         if from > self.open.from {
             let latency = Latency::pack(&self.open.latency);
@@ -217,7 +217,7 @@
 }
 
 fn fold(from: Duration, all: &[Step]) -> Step {
-    let mut counts = Counts::default();
+    let mut counts = AttemptCounts::default();
     all.iter().for_each(|step| counts.add(&step.counts));
     Step {
         from,
--- a/crates/timeline/src/watch/attempts.rs
+++ b/crates/timeline/src/watch/attempts.rs
@@ -4,7 +4,7 @@
 use super::Watch;
 use super::settings::{LATE_FACTOR, LATENCY_PRIOR_WEIGHT};
 use super::signals::{ALL_PRODUCTS, Observation, Observations, Signals};
-use crate::entry::Kind;
+use crate::entry::DepartureKind;
 use crate::usual::Sum;
 
 /// How an attempt ended, as far as a watch is concerned.
@@ -96,19 +96,23 @@
     fn observe_outcome(&self, attempt: &EndedAttempt, observations: &mut Observations) {
         // An attempt that was given up says nothing about the link.
         if attempt.how != Ended::Unanswered {
-            observations.push(Kind::Links, ALL_PRODUCTS, attempt.how == Ended::Unlinked);
+            observations.push(
+                DepartureKind::Links,
+                ALL_PRODUCTS,
+                attempt.how == Ended::Unlinked,
+            );
         }
         match attempt.how {
             Ended::Served | Ended::Failed => {
                 let failed = attempt.how == Ended::Failed;
-                observations.push(Kind::Silence, ALL_PRODUCTS, false);
-                observations.push(Kind::Errors, ALL_PRODUCTS, failed);
+                observations.push(DepartureKind::Silence, ALL_PRODUCTS, false);
+                observations.push(DepartureKind::Errors, ALL_PRODUCTS, failed);
                 if let Some(place) = self.place_of(attempt.product) {
-                    observations.push(Kind::Errors, place, failed);
+                    observations.push(DepartureKind::Errors, place, failed);
                 }
             }
             Ended::Unanswered if self.shows_silence(attempt) => {
-                observations.push(Kind::Silence, ALL_PRODUCTS, true);
+                observations.push(DepartureKind::Silence, ALL_PRODUCTS, true);
             }
             _ => {}
         }
@@ -141,8 +145,8 @@
             return false;
         };
         if answer.counts {
-            observations.push(Kind::Latency, ALL_PRODUCTS, answer.late);
-            observations.push(Kind::Latency, place, answer.late);
+            observations.push(DepartureKind::Latency, ALL_PRODUCTS, answer.late);
+            observations.push(DepartureKind::Latency, place, answer.late);
         }
         answer.late
     }
--- a/crates/timeline/src/watch/attribution.rs
+++ b/crates/timeline/src/watch/attribution.rs
@@ -6,7 +6,7 @@
 use super::Watch;
 use super::settings::{LATENCY_PRIOR_WEIGHT, MIN_FLEET, MOST};
 use super::signals::{ALL_PRODUCTS, Signal};
-use crate::entry::{Departure, Kind, Whom};
+use crate::entry::{Departure, DepartureKind, DepartureScope};
 
 /// The fewest observations of other products from which one product can be told to be the only one.
 const MIN_OF_OTHER_PRODUCTS: f64 = LATENCY_PRIOR_WEIGHT;
@@ -33,7 +33,13 @@
 
 impl Watch {
     /// Opens the departure that a node's evidence shows, or adds the node to one that is open.
-    pub(super) fn confirm_at_node(&mut self, now: Duration, node: u32, kind: Kind, threshold: f64) {
+    pub(super) fn confirm_at_node(
+        &mut self,
+        now: Duration,
+        node: u32,
+        kind: DepartureKind,
+        threshold: f64,
+    ) {
         let Some(build) = self.nodes.get(&node).map(|watched| watched.build) else {
             return;
         };
@@ -53,13 +59,13 @@
     }
 
     /// The number of an open departure of the fleet or of a build.
-    fn open_departure_of_group(&self, build: u16, kind: Kind) -> Option<u32> {
-        let groups = [Whom::Fleet, Whom::Build(build)];
-        let includes = |open: &&Departure| open.kind == kind && groups.contains(&open.whom);
+    fn open_departure_of_group(&self, build: u16, kind: DepartureKind) -> Option<u32> {
+        let groups = [DepartureScope::Fleet, DepartureScope::Build(build)];
+        let includes = |open: &&Departure| open.kind == kind && groups.contains(&open.scope);
         self.open.values().find(includes).map(|open| open.number)
     }
 
-    fn join(&mut self, node: u32, kind: Kind, number: u32) {
+    fn join(&mut self, node: u32, kind: DepartureKind, number: u32) {
         if let Some(watched) = self.nodes.get_mut(&node) {
             watched.open.insert(kind, number);
         }
@@ -72,9 +78,9 @@
         now: Duration,
         node: u32,
         build: u16,
-        kind: Kind,
+        kind: DepartureKind,
         suspicious: f64,
-    ) -> (Whom, Vec<u32>) {
+    ) -> (DepartureScope, Vec<u32>) {
         let active = self.active_nodes(now);
         let suspects = self.suspects(&active, kind, suspicious);
         let same_build = self.nodes_of_build(&active, build);
@@ -84,20 +90,20 @@
 
         let beyond_build = only_build || fleet_group.suspected > build_group.suspected;
         if fleet_group.size >= MIN_FLEET && fleet_group.is_mostly_suspected() && beyond_build {
-            return (Whom::Fleet, suspects.into_iter().collect());
+            return (DepartureScope::Fleet, suspects.into_iter().collect());
         }
         if build_group.suspected >= 2 && build_group.is_mostly_suspected() && !only_build {
             let members = same_build
                 .into_iter()
                 .filter(|node| suspects.contains(node))
                 .collect();
-            return (Whom::Build(build), members);
+            return (DepartureScope::Build(build), members);
         }
-        (Whom::Node(node), vec![node])
+        (DepartureScope::Node(node), vec![node])
     }
 
     /// Those of the nodes for which there is some evidence.
-    fn suspects(&self, nodes: &[u32], kind: Kind, suspicious: f64) -> BTreeSet<u32> {
+    fn suspects(&self, nodes: &[u32], kind: DepartureKind, suspicious: f64) -> BTreeSet<u32> {
         let is_suspect = |node: &u32| {
             let watched = self.nodes.get(node);
             watched.is_some_and(|watched| watched.signals.any_reaches(kind, suspicious))
--- a/crates/timeline/src/watch/baseline.rs
+++ b/crates/timeline/src/watch/baseline.rs
@@ -9,19 +9,30 @@
 use super::settings::{MIN_RECENT, PRIOR_WEIGHT, QUEUES_DRAIN, RISE_FACTOR, margin};
 use super::signals::KINDS;
 use crate::detect::Bets;
-use crate::entry::{Kind, Whom};
+use crate::entry::{DepartureKind, DepartureScope};
 use crate::usual::Sum;
 
 impl Watch {
     /// The limit of a signal of the fleet; nothing while too little is known to test.
-    pub(super) fn fleet_limit(&self, now: Duration, kind: Kind, place: usize) -> Option<f64> {
+    pub(super) fn fleet_limit(
+        &self,
+        now: Duration,
+        kind: DepartureKind,
+        place: usize,
+    ) -> Option<f64> {
         let known = self.fleet.of(kind)[place].usual.looks() >= PRIOR_WEIGHT;
         let testable = known && !self.is_excused(now, kind);
         testable.then(|| raised(self.fleet_share(kind, place), kind))
     }
 
     /// The limit of a signal of a node; nothing while too little is known to test.
-    fn node_limit(&self, now: Duration, node: u32, kind: Kind, place: usize) -> Option<f64> {
+    fn node_limit(
+        &self,
+        now: Duration,
+        node: u32,
+        kind: DepartureKind,
+        place: usize,
+    ) -> Option<f64> {
         self.fleet_limit(now, kind, place)?;
         let watched = self.nodes.get(&node)?;
         let own = &watched.signals.of(kind)[place].usual;
@@ -33,7 +44,7 @@
     }
 
     /// The usual share of bad observations in the fleet.
-    pub(super) fn fleet_share(&self, kind: Kind, place: usize) -> f64 {
+    pub(super) fn fleet_share(&self, kind: DepartureKind, place: usize) -> f64 {
         self.fleet.of(kind)[place].usual.share(0.0, 1.0)
     }
 
@@ -42,7 +53,7 @@
         &self,
         now: Duration,
         watched: &WatchedNode,
-        kind: Kind,
+        kind: DepartureKind,
         place: usize,
     ) -> f64 {
         let all = self.fleet.of(kind)[place].usual.lately(now);
@@ -63,8 +74,11 @@
     }
 
     /// Whether a jump of the send rate explains bad observations of this kind.
-    fn is_excused(&self, now: Duration, kind: Kind) -> bool {
-        let from_queues = matches!(kind, Kind::Latency | Kind::Load | Kind::Silence);
+    fn is_excused(&self, now: Duration, kind: DepartureKind) -> bool {
+        let from_queues = matches!(
+            kind,
+            DepartureKind::Latency | DepartureKind::Load | DepartureKind::Silence
+        );
         from_queues
             && self
                 .rate_jumped_at
@@ -85,7 +99,7 @@
         }
     }
 
-    fn update_node_bets(&mut self, now: Duration, node: u32, kind: Kind, place: usize) {
+    fn update_node_bets(&mut self, now: Duration, node: u32, kind: DepartureKind, place: usize) {
         let limit = self.node_limit(now, node, kind, place);
         if let Some(watched) = self.nodes.get_mut(&node) {
             watched.signals.of_mut(kind)[place].bets = limit.map(Bets::new);
@@ -127,7 +141,7 @@
             let held = self
                 .open
                 .values()
-                .any(|open| open.whom == Whom::Fleet && open.kind == kind);
+                .any(|open| open.scope == DepartureScope::Fleet && open.kind == kind);
             self.fleet.learn(now, kind, held);
         }
     }
@@ -136,7 +150,7 @@
 fn learn_node(watched: &mut WatchedNode, now: Duration, suspicious: f64) {
     watched
         .relative_latency
-        .learn(now, watched.open.contains_key(&Kind::Latency));
+        .learn(now, watched.open.contains_key(&DepartureKind::Latency));
     watched
         .usual_outstanding
         .learn(now, !watched.open.is_empty());
@@ -148,6 +162,6 @@
 }
 
 /// A share of bad observations, raised by what ordinary days vary.
-pub(super) fn raised(share: f64, kind: Kind) -> f64 {
+pub(super) fn raised(share: f64, kind: DepartureKind) -> f64 {
     share * RISE_FACTOR + margin(kind)
 }
--- a/crates/timeline/src/watch/confirm.rs
+++ b/crates/timeline/src/watch/confirm.rs
@@ -6,7 +6,7 @@
 use super::node::WatchedNode;
 use super::settings::{CALM, CONFIRM_AFTER, MIN_FLEET, MOST};
 use super::signals::{ALL_PRODUCTS, KINDS};
-use crate::entry::{Kind, Whom};
+use crate::entry::{DepartureKind, DepartureScope};
 
 impl Watch {
     /// Opens the departures that have become certain.
@@ -30,7 +30,7 @@
     }
 
     /// The nodes and kinds whose evidence has been above the threshold for long enough.
-    fn certain_nodes(&mut self, now: Duration, threshold: f64) -> Vec<(u32, Kind)> {
+    fn certain_nodes(&mut self, now: Duration, threshold: f64) -> Vec<(u32, DepartureKind)> {
         let mut certain = Vec::new();
         for (&node, watched) in &mut self.nodes {
             for kind in KINDS {
@@ -45,14 +45,14 @@
     }
 
     /// Whether the fleet as a whole is above the threshold and no departure of this kind is open anywhere.
-    fn fleet_is_certain(&self, kind: Kind, threshold: f64) -> bool {
+    fn fleet_is_certain(&self, kind: DepartureKind, threshold: f64) -> bool {
         let is_open = self.open.values().any(|open| open.kind == kind);
-        kind != Kind::Load && !is_open && self.fleet.any_reaches(kind, threshold)
+        kind != DepartureKind::Load && !is_open && self.fleet.any_reaches(kind, threshold)
     }
 
     /// Opens a departure of the fleet if most active nodes show more bad observations now than the fleet's limit;
     /// compared with each other they may look alike.
-    fn confirm_in_fleet(&mut self, now: Duration, kind: Kind) {
+    fn confirm_in_fleet(&mut self, now: Duration, kind: DepartureKind) {
         let limit = self.fleet_limit(now, kind, ALL_PRODUCTS).unwrap_or(1.0);
         let active = self.active_nodes(now);
         let exceeds = |node: &u32| self.exceeds_now(now, *node, kind, limit);
@@ -60,12 +60,12 @@
         let most = members.len() as f64 >= MOST * active.len() as f64;
         if active.len() >= MIN_FLEET && most {
             let figures = self.figures(&self.fleet, kind, ALL_PRODUCTS, now);
-            self.open_departure(now, Whom::Fleet, kind, None, figures, &members);
+            self.open_departure(now, DepartureScope::Fleet, kind, None, figures, &members);
         }
     }
 
     /// Whether a node's recent share of bad observations is above `limit`.
-    fn exceeds_now(&self, now: Duration, node: u32, kind: Kind, limit: f64) -> bool {
+    fn exceeds_now(&self, now: Duration, node: u32, kind: DepartureKind, limit: f64) -> bool {
         let Some(watched) = self.nodes.get(&node) else {
             return false;
         };
@@ -85,7 +85,7 @@
 fn update_alarms(
     watched: &mut WatchedNode,
     now: Duration,
-    kind: Kind,
+    kind: DepartureKind,
     threshold: f64,
 ) -> Option<Duration> {
     let signals = watched.signals.of_mut(kind);
--- a/crates/timeline/src/watch/departures.rs
+++ b/crates/timeline/src/watch/departures.rs
@@ -4,7 +4,7 @@
 use super::Watch;
 use super::settings::{PRIOR_WEIGHT, STAGE_TOLERANCE, STAGE_WINDOW};
 use super::signals::Signals;
-use crate::entry::{Departure, Kind, Whom};
+use crate::entry::{Departure, DepartureKind, DepartureScope, ReleaseStage};
 
 /// The stage of a build that began last.
 #[derive(Clone, Copy, Debug)]
@@ -40,7 +40,7 @@
     pub(super) fn figures(
         &self,
         signals: &Signals,
-        kind: Kind,
+        kind: DepartureKind,
         place: usize,
         now: Duration,
     ) -> Figures {
@@ -60,8 +60,8 @@
     pub(super) fn new_departure(
         &mut self,
         now: Duration,
-        whom: Whom,
-        kind: Kind,
+        whom: DepartureScope,
+        kind: DepartureKind,
         product: Option<u8>,
         figures: Figures,
     ) -> Departure {
@@ -69,18 +69,21 @@
         self.next_number += 1;
         let Figures { onset, usual, seen } = figures;
         let stage = self.latest_stage.filter(|stage| stage.is_near(now, onset));
-        let beside = stage.map(|stage| (stage.build, stage.stage));
+        let concurrent_stage = stage.map(|stage| ReleaseStage {
+            build: stage.build,
+            stage: stage.stage,
+        });
         Departure {
             number,
-            whom,
+            scope: whom,
             kind,
-            product,
+            class: product,
             onset,
             confirmed: now,
             ended: None,
-            usual,
-            seen,
-            beside,
+            baseline: usual,
+            observed: seen,
+            concurrent_stage,
         }
     }
 
@@ -88,8 +91,8 @@
     pub(super) fn open_departure(
         &mut self,
         now: Duration,
-        whom: Whom,
-        kind: Kind,
+        whom: DepartureScope,
+        kind: DepartureKind,
         product: Option<u8>,
         figures: Figures,
         members: &[u32],
@@ -135,7 +138,7 @@
             if self
                 .open
                 .get(&number)
-                .is_some_and(|departure| departure.whom == Whom::Node(node))
+                .is_some_and(|departure| departure.scope == DepartureScope::Node(node))
             {
                 self.end_departure(now, number);
             }
--- a/crates/timeline/src/watch/membership.rs
+++ b/crates/timeline/src/watch/membership.rs
@@ -4,7 +4,7 @@
 use super::Watch;
 use super::departures::{Figures, StageStart};
 use super::node::WatchedNode;
-use crate::entry::{Departure, Kind, Whom};
+use crate::entry::{Departure, DepartureKind, DepartureScope};
 
 impl Watch {
     /// A node is listed, or its state has changed. Another start time or build means another process: a new build is a
@@ -37,7 +37,13 @@
             usual: 0.0,
             seen: 1.0,
         };
-        let departure = self.new_departure(now, Whom::Node(node), Kind::Restart, None, figures);
+        let departure = self.new_departure(
+            now,
+            DepartureScope::Node(node),
+            DepartureKind::Restart,
+            None,
+            figures,
+        );
         let departure = Departure {
             ended: Some(now),
             ..departure
--- a/crates/timeline/src/watch/node.rs
+++ b/crates/timeline/src/watch/node.rs
@@ -4,7 +4,7 @@
 
 use super::settings::{HEARD_RECENTLY, LATENCY_PRIOR_WEIGHT};
 use super::signals::Signals;
-use crate::entry::Kind;
+use crate::entry::DepartureKind;
 use crate::usual::Usual;
 
 /// A node that is listed.
@@ -24,7 +24,7 @@
     /// When it last gave an observation.
     pub(super) last_observed: Duration,
     /// The numbers of the open departures it is a member of, by kind.
-    pub(super) open: BTreeMap<Kind, u32>,
+    pub(super) open: BTreeMap<DepartureKind, u32>,
     /// Since when an open departure it stands for has been back to the usual.
     pub(super) calm_since: Option<Duration>,
 }
@@ -68,12 +68,12 @@
     }
 
     /// Whether it is a member of the departure `number` of this kind.
-    pub(super) fn is_member(&self, kind: Kind, number: u32) -> bool {
+    pub(super) fn is_member(&self, kind: DepartureKind, number: u32) -> bool {
         self.open.get(&kind) == Some(&number)
     }
 
     /// Whether a departure of this kind would be news: none is open, nor one that explains it.
-    pub(super) fn would_be_news(&self, kind: Kind) -> bool {
+    pub(super) fn would_be_news(&self, kind: DepartureKind) -> bool {
         let explained = explained_by(kind)
             .iter()
             .any(|other| self.open.contains_key(other));
@@ -83,12 +83,19 @@
 
 /// The kinds that explain another kind at the same node: a silent node also has a high load, for instance, and at a
 /// slow one attempts pile up.
-fn explained_by(kind: Kind) -> &'static [Kind] {
+fn explained_by(kind: DepartureKind) -> &'static [DepartureKind] {
     match kind {
-        Kind::Load => &[Kind::Silence, Kind::Links, Kind::Latency, Kind::Errors],
-        Kind::Latency | Kind::Errors => &[Kind::Silence, Kind::Links],
-        Kind::Links => &[Kind::Silence],
-        Kind::Silence => &[Kind::Links],
-        Kind::Restart => &[],
+        DepartureKind::Load => &[
+            DepartureKind::Silence,
+            DepartureKind::Links,
+            DepartureKind::Latency,
+            DepartureKind::Errors,
+        ],
+        DepartureKind::Latency | DepartureKind::Errors => {
+            &[DepartureKind::Silence, DepartureKind::Links]
+        }
+        DepartureKind::Links => &[DepartureKind::Silence],
+        DepartureKind::Silence => &[DepartureKind::Links],
+        DepartureKind::Restart => &[],
     }
 }
--- a/crates/timeline/src/watch/outstanding.rs
+++ b/crates/timeline/src/watch/outstanding.rs
@@ -6,7 +6,7 @@
 use super::node::WatchedNode;
 use super::settings::{OVERDUE_FACTOR, OVERDUE_MARGIN, OVERDUE_MAX_SECONDS};
 use super::signals::{ALL_PRODUCTS, Observation};
-use crate::entry::Kind;
+use crate::entry::DepartureKind;
 use crate::usual::Sum;
 
 /// Fewer outstanding attempts than this are never too many.
@@ -29,11 +29,11 @@
         for (&node, watched) in &mut self.nodes {
             let others_mean = (total - watched.outstanding.len()) as f64 / other_nodes as f64;
             if let Some(high) = observe_load(watched, now, others_mean) {
-                observed.push((node, Kind::Load, high));
+                observed.push((node, DepartureKind::Load, high));
             }
             // Answers are the good observations of silence; while nothing is overdue there is nothing to observe.
             if is_overdue(watched, now, self.resumed_at, usual_seconds) {
-                observed.push((node, Kind::Silence, true));
+                observed.push((node, DepartureKind::Silence, true));
             }
         }
         if after_pause {
--- a/crates/timeline/src/watch/recovery.rs
+++ b/crates/timeline/src/watch/recovery.rs
@@ -5,12 +5,12 @@
 use super::baseline::raised;
 use super::settings::{CALM, MOST, PRIOR_WEIGHT};
 use super::signals::{ALL_PRODUCTS, Signal};
-use crate::entry::Kind;
+use crate::entry::DepartureKind;
 
 /// An open departure, and whether its members are back to the usual at this tick.
 struct Progress {
     number: u32,
-    kind: Kind,
+    kind: DepartureKind,
     is_back: bool,
 }
 
@@ -37,7 +37,7 @@
     }
 
     /// Whether most members of a departure are back to the usual.
-    fn is_back(&self, now: Duration, number: u32, kind: Kind) -> bool {
+    fn is_back(&self, now: Duration, number: u32, kind: DepartureKind) -> bool {
         let of_departure = self
             .nodes
             .iter()
@@ -68,11 +68,11 @@
     }
 
     /// Whether a node shows no more bad observations of a kind now than is usual there.
-    fn is_calm(&self, now: Duration, node: u32, kind: Kind) -> bool {
+    fn is_calm(&self, now: Duration, node: u32, kind: DepartureKind) -> bool {
         let Some(watched) = self.nodes.get(&node) else {
             return true;
         };
-        if kind == Kind::Silence {
+        if kind == DepartureKind::Silence {
             return watched.heard_recently(now);
         }
         let signals = watched.signals.of(kind);
@@ -84,7 +84,13 @@
 
     /// Whether a signal's recent observations are usual. Without any, that of one product is calm, and that of all
     /// products is not: nothing shows that the node is back.
-    fn signal_is_calm(&self, now: Duration, signal: &Signal, kind: Kind, place: usize) -> bool {
+    fn signal_is_calm(
+        &self,
+        now: Duration,
+        signal: &Signal,
+        kind: DepartureKind,
+        place: usize,
+    ) -> bool {
         let recent = signal.usual.lately(now);
         if recent.all == 0.0 {
             return place != ALL_PRODUCTS;
--- a/crates/timeline/src/watch/settings.rs
+++ b/crates/timeline/src/watch/settings.rs
@@ -1,7 +1,7 @@
 //! The settings of a watch: what its user chooses ([`Aims`]), and the fixed limits the other modules share.
 use std::time::Duration;
 
-use crate::entry::Kind;
+use crate::entry::DepartureKind;
 
 /// How often [`super::Watch::tick`] is to be called.
 pub const TICK: Duration = Duration::from_millis(250);
@@ -69,12 +69,12 @@
 }
 
 /// How far above the usual share a share of bad observations must lie.
-pub(super) fn margin(kind: Kind) -> f64 {
+pub(super) fn margin(kind: DepartureKind) -> f64 {
     match kind {
-        Kind::Errors => 0.03,
-        Kind::Links => 0.001,
-        Kind::Latency => 0.12,
-        Kind::Silence => 0.002,
-        Kind::Load | Kind::Restart => 0.1,
+        DepartureKind::Errors => 0.03,
+        DepartureKind::Links => 0.001,
+        DepartureKind::Latency => 0.12,
+        DepartureKind::Silence => 0.002,
+        DepartureKind::Load | DepartureKind::Restart => 0.1,
     }
 }
--- a/crates/timeline/src/watch/signals.rs
+++ b/crates/timeline/src/watch/signals.rs
@@ -3,16 +3,16 @@
 use std::time::Duration;
 
 use crate::detect::{Bets, Detector};
-use crate::entry::Kind;
+use crate::entry::DepartureKind;
 use crate::usual::Usual;
 
 /// The kinds that are tested for; a restart is not tested for but heard of.
-pub(super) const KINDS: [Kind; 5] = [
-    Kind::Silence,
-    Kind::Links,
-    Kind::Errors,
-    Kind::Latency,
-    Kind::Load,
+pub(super) const KINDS: [DepartureKind; 5] = [
+    DepartureKind::Silence,
+    DepartureKind::Links,
+    DepartureKind::Errors,
+    DepartureKind::Latency,
+    DepartureKind::Load,
 ];
 
 /// The place of the signal over all products; product `p` has place `p + 1`.
@@ -24,7 +24,7 @@
 /// One outcome, good or bad, for one signal.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Observation {
-    pub(super) kind: Kind,
+    pub(super) kind: DepartureKind,
     pub(super) place: usize,
     pub(super) bad: bool,
 }
@@ -38,7 +38,7 @@
 impl Observations {
     pub(super) fn new() -> Self {
         let unused = Observation {
-            kind: Kind::Links,
+            kind: DepartureKind::Links,
             place: ALL_PRODUCTS,
             bad: false,
         };
@@ -48,7 +48,7 @@
         }
     }
 
-    pub(super) fn push(&mut self, kind: Kind, place: usize, bad: bool) {
+    pub(super) fn push(&mut self, kind: DepartureKind, place: usize, bad: bool) {
         self.list[self.count] = Observation { kind, place, bad };
         self.count += 1;
     }
@@ -123,41 +123,41 @@
     }
 
     /// The signals of a kind: the one over all products first, then by product.
-    pub(super) fn of(&self, kind: Kind) -> &[Signal] {
+    pub(super) fn of(&self, kind: DepartureKind) -> &[Signal] {
         match kind {
-            Kind::Errors => &self.errors,
-            Kind::Latency => &self.latency,
-            Kind::Links => std::slice::from_ref(&self.links),
-            Kind::Silence => std::slice::from_ref(&self.silence),
-            Kind::Load | Kind::Restart => std::slice::from_ref(&self.load),
+            DepartureKind::Errors => &self.errors,
+            DepartureKind::Latency => &self.latency,
+            DepartureKind::Links => std::slice::from_ref(&self.links),
+            DepartureKind::Silence => std::slice::from_ref(&self.silence),
+            DepartureKind::Load | DepartureKind::Restart => std::slice::from_ref(&self.load),
         }
     }
 
     /// As [`Signals::of`], to be changed.
-    pub(super) fn of_mut(&mut self, kind: Kind) -> &mut [Signal] {
+    pub(super) fn of_mut(&mut self, kind: DepartureKind) -> &mut [Signal] {
         match kind {
-            Kind::Errors => &mut self.errors,
-            Kind::Latency => &mut self.latency,
-            Kind::Links => std::slice::from_mut(&mut self.links),
-            Kind::Silence => std::slice::from_mut(&mut self.silence),
-            Kind::Load | Kind::Restart => std::slice::from_mut(&mut self.load),
+            DepartureKind::Errors => &mut self.errors,
+            DepartureKind::Latency => &mut self.latency,
+            DepartureKind::Links => std::slice::from_mut(&mut self.links),
+            DepartureKind::Silence => std::slice::from_mut(&mut self.silence),
+            DepartureKind::Load | DepartureKind::Restart => std::slice::from_mut(&mut self.load),
         }
     }
 
     /// Whether the evidence of any signal of a kind has reached `threshold`.
-    pub(super) fn any_reaches(&self, kind: Kind, threshold: f64) -> bool {
+    pub(super) fn any_reaches(&self, kind: DepartureKind, threshold: f64) -> bool {
         self.of(kind).iter().any(|signal| signal.reaches(threshold))
     }
 
     /// Lets the baselines of a kind learn; while `held`, what they would learn is dropped.
-    pub(super) fn learn(&mut self, now: Duration, kind: Kind, held: bool) {
+    pub(super) fn learn(&mut self, now: Duration, kind: DepartureKind, held: bool) {
         for signal in self.of_mut(kind) {
             signal.usual.learn(now, held);
         }
     }
 
     /// Starts the tests of a kind anew.
-    pub(super) fn reset_tests(&mut self, kind: Kind) {
+    pub(super) fn reset_tests(&mut self, kind: DepartureKind) {
         for signal in self.of_mut(kind) {
             signal.reset_test();
         }
--- a/crates/timeline/tests/departures.rs
+++ b/crates/timeline/tests/departures.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use lilacgate_test_bed::virtually::{DAWN, Day, Event, Fault, book, play};
-use lilacgate_timeline::entry::{Kind, Whom};
+use lilacgate_timeline::entry::{DepartureKind, DepartureScope, ReleaseStage};
 use rstest::rstest;
 
 /// When the fault begins.
@@ -30,31 +30,31 @@
 }
 
 /// What was said: whose, of what kind and product, and how long after the fault's beginning.
-fn said(day: &Day) -> Vec<(Whom, Kind, Option<u8>, f64)> {
+fn said(day: &Day) -> Vec<(DepartureScope, DepartureKind, Option<u8>, f64)> {
     let mut book = book(0.5);
     let all = play(day, &mut book, &mut |_| {});
     let begun = all.into_iter().filter(|(_, _, begins)| *begins);
     let after = |at: Duration| at.as_secs_f64() - (DAWN + AT).as_secs_f64();
     begun
-        .map(|(at, d, _)| (d.whom, d.kind, d.product, after(at)))
+        .map(|(at, d, _)| (d.scope, d.kind, d.class, after(at)))
         .collect()
 }
 
 #[rstest]
-#[case::errors(Fault::Errors { node: 3, share: 0.4, product: None }, 20_000, Whom::Node(3), Kind::Errors, None)]
-#[case::slow(Fault::Slow { node: 3, times: 4.0, product: None }, 20_000, Whom::Node(3), Kind::Latency, None)]
-#[case::one_product_fails(Fault::Errors { node: 3, share: 0.6, product: Some(1) }, 20_000, Whom::Node(3), Kind::Errors, Some(1))]
-#[case::one_product_slow(Fault::Slow { node: 3, times: 5.0, product: Some(1) }, 20_000, Whom::Node(3), Kind::Latency, Some(1))]
-#[case::silent(Fault::Silent { node: 3 }, 20_000, Whom::Node(3), Kind::Silence, None)]
-#[case::silent_for_three_seconds(Fault::Silent { node: 3 }, 3_000, Whom::Node(3), Kind::Silence, None)]
-#[case::unlinked(Fault::Unlinked { node: 3 }, 20_000, Whom::Node(3), Kind::Links, None)]
-#[case::all_slow(Fault::AllSlow { times: 3.5 }, 15_000, Whom::Fleet, Kind::Latency, None)]
-#[case::restart(Fault::Replace { node: 3, build: 1 }, 1_000, Whom::Node(3), Kind::Restart, None)]
+#[case::errors(Fault::Errors { node: 3, share: 0.4, product: None }, 20_000, DepartureScope::Node(3), DepartureKind::Errors, None)]
+#[case::slow(Fault::Slow { node: 3, times: 4.0, product: None }, 20_000, DepartureScope::Node(3), DepartureKind::Latency, None)]
+#[case::one_product_fails(Fault::Errors { node: 3, share: 0.6, product: Some(1) }, 20_000, DepartureScope::Node(3), DepartureKind::Errors, Some(1))]
+#[case::one_product_slow(Fault::Slow { node: 3, times: 5.0, product: Some(1) }, 20_000, DepartureScope::Node(3), DepartureKind::Latency, Some(1))]
+#[case::silent(Fault::Silent { node: 3 }, 20_000, DepartureScope::Node(3), DepartureKind::Silence, None)]
+#[case::silent_for_three_seconds(Fault::Silent { node: 3 }, 3_000, DepartureScope::Node(3), DepartureKind::Silence, None)]
+#[case::unlinked(Fault::Unlinked { node: 3 }, 20_000, DepartureScope::Node(3), DepartureKind::Links, None)]
+#[case::all_slow(Fault::AllSlow { times: 3.5 }, 15_000, DepartureScope::Fleet, DepartureKind::Latency, None)]
+#[case::restart(Fault::Replace { node: 3, build: 1 }, 1_000, DepartureScope::Node(3), DepartureKind::Restart, None)]
 fn one_event(
     #[case] fault: Fault,
     #[case] long: u64,
-    #[case] whom: Whom,
-    #[case] kind: Kind,
+    #[case] whom: DepartureScope,
+    #[case] kind: DepartureKind,
     #[case] product: Option<u8>,
 ) {
     let said = said(&day(fault, long));
@@ -90,12 +90,13 @@
     });
     let mut said = said(&day);
     said.sort_by_key(|one| one.0);
-    let found: Vec<(Whom, Kind)> = said.iter().map(|one| (one.0, one.1)).collect();
+    let found: Vec<(DepartureScope, DepartureKind)> =
+        said.iter().map(|one| (one.0, one.1)).collect();
     assert_eq!(
         found,
         [
-            (Whom::Node(3), Kind::Errors),
-            (Whom::Node(5), Kind::Silence)
+            (DepartureScope::Node(3), DepartureKind::Errors),
+            (DepartureScope::Node(5), DepartureKind::Silence)
         ]
     );
     assert!(said.iter().all(|one| one.3 < 5.0), "{said:?}");
@@ -119,7 +120,7 @@
     let said = said(&day);
     assert_eq!(
         said.iter().map(|one| (one.0, one.1)).collect::<Vec<_>>(),
-        [(Whom::Build(2), Kind::Errors)],
+        [(DepartureScope::Build(2), DepartureKind::Errors)],
         "{said:?}"
     );
 }
@@ -134,7 +135,7 @@
         45_000,
     );
     let said = said(&day);
-    let [(Whom::Node(3), Kind::Latency, None, after)] = said[..] else {
+    let [(DepartureScope::Node(3), DepartureKind::Latency, None, after)] = said[..] else {
         panic!("{said:?}")
     };
     // It is twice as slow after 15 s, and late by this line's measure after 22 s.
@@ -147,7 +148,7 @@
     day.list_late = ms(5000);
     let said = said(&day);
     assert!(
-        said.len() == 1 && said[0].0 == Whom::Node(3) && said[0].3 < 5.5,
+        said.len() == 1 && said[0].0 == DepartureScope::Node(3) && said[0].3 < 5.5,
         "{said:?}"
     );
 }
@@ -172,7 +173,7 @@
     };
     let onset = begun.onset.as_secs_f64() - (DAWN + AT).as_secs_f64();
     assert!(
-        (-1.0..3.0).contains(&onset) && begun.seen > 0.2 && begun.usual < 0.02,
+        (-1.0..3.0).contains(&onset) && begun.observed > 0.2 && begun.baseline < 0.02,
         "{begun:?}"
     );
     let after = ended.as_secs_f64() - (DAWN + AT + ms(20_000)).as_secs_f64();
@@ -202,7 +203,11 @@
         panic!("{begun:?}")
     };
     assert_eq!(
-        (only.whom, only.kind, only.beside),
-        (Whom::Fleet, Kind::Latency, Some((2, 0)))
+        (only.scope, only.kind, only.concurrent_stage),
+        (
+            DepartureScope::Fleet,
+            DepartureKind::Latency,
+            Some(ReleaseStage { build: 2, stage: 0 })
+        )
     );
 }
--- a/crates/timeline/tests/lines.rs
+++ b/crates/timeline/tests/lines.rs
@@ -9,7 +9,7 @@
 };
 use lilacgate_test_bed::virtually::{DAWN, aims, listed};
 use lilacgate_timeline::book::{Book, Room};
-use lilacgate_timeline::entry::{Record, What};
+use lilacgate_timeline::entry::{Event, Record};
 use lilacgate_timeline::steps::{LEVELS, Latency, Steps};
 use proptest::prelude::*;
 
@@ -24,8 +24,8 @@
 /// What an entry says of the list, in the order in which it happened.
 fn told(book: &Book, known: Duration) -> Vec<(u64, u16, String)> {
     let line = book.line(1).expect("a line");
-    let listed = line.as_of(known).filter_map(|entry| match &entry.what {
-        What::Listed { state, build, .. } => {
+    let listed = line.as_of(known).filter_map(|entry| match &entry.event {
+        Event::Listed { state, build, .. } => {
             Some(((entry.happened - DAWN).as_secs(), *build, state.clone()))
         }
         _ => None,
@@ -148,12 +148,12 @@
     let kept = book.records();
     let votes = kept
         .iter()
-        .filter(|r| matches!(r, Record::Entry(e) if matches!(e.what, What::Vote { .. })))
+        .filter(|r| matches!(r, Record::Entry(e) if matches!(e.event, Event::Vote { .. })))
         .count();
     assert_eq!((kept.len(), votes), (50, 40));
     // What was left out is said as soon as there is room.
     book.vote(secs(300.0), Build(2), Stage(0), Vote::Advance);
-    assert!(matches!(book.records()[0], Record::LeftOut { many, .. } if many > 60));
+    assert!(matches!(book.records()[0], Record::Dropped { count, .. } if count > 60));
 }
 
 proptest! {
@@ -167,14 +167,14 @@
         for (gap, many, ms) in gaps {
             now += Duration::from_secs(gap);
             let counts = steps.now(now, &mut |_| {});
-            counts.served += many;
+            counts.succeeded += many;
             all += many;
             worst = worst.max(ms);
             steps.took(Duration::from_millis(ms));
         }
         steps.now(now + Duration::from_secs(1), &mut |_| {});
         let found = steps.since(Duration::ZERO);
-        let served: u32 = found.iter().map(|(_, step)| step.counts.served).sum();
+        let served: u32 = found.iter().map(|(_, step)| step.counts.succeeded).sum();
         // What is folding still is not in a coarse level yet; it stands in the fine one as far as that reaches.
         let long: Duration = LEVELS[0].long * LEVELS[0].kept as u32;
         if now - DAWN < long {
