--- a/crates/agent/src/hub.rs
+++ b/crates/agent/src/hub.rs
@@ -418,7 +418,7 @@
     fn cancel(&mut self, id: RequestId, attempt: AttemptNumber) {
         self.hands
             .recorder
-            .book(|book| book.called_off(self.now, id, attempt));
+            .book(|book| book.attempt_cancelled(self.now, id, attempt));
         self.hands.appliances.call_off((id, attempt));
     }
 
@@ -441,7 +441,7 @@
     }
 
     fn log(&mut self, text: &str) {
-        self.hands.recorder.book(|book| book.words(text));
+        self.hands.recorder.book(|book| book.set_vote_figures(text));
         say!("{text}");
     }
 
@@ -456,11 +456,13 @@
     fn vote(&mut self, build: Build, stage: Stage, verdict: Vote) {
         self.hands
             .recorder
-            .book(|book| book.vote(self.now, build, stage, verdict));
+            .book(|book| book.record_vote(self.now, build, stage, verdict));
         self.hands.platform.clone().vote(build, stage, verdict);
     }
 
     fn note(&mut self, note: Note) {
-        self.hands.recorder.book(|book| book.note(self.now, note));
+        self.hands
+            .recorder
+            .book(|book| book.record_note(self.now, note));
     }
 }
--- a/crates/agent/src/keeper.rs
+++ b/crates/agent/src/keeper.rs
@@ -148,7 +148,7 @@
             }
         }
         self.recorder
-            .book(|book| book.membership(self.now, listing, &lines));
+            .book(|book| book.apply_list_update(self.now, listing, &lines));
         let builds: Vec<Build> = self.keeper.listed.values().copied().collect();
         self.gate(|gate, now| gate.list(now, builds.into_iter()));
         self.module.on_endpoints(listing, &mut lines.into_iter());
@@ -170,7 +170,7 @@
         };
         self.keeper.own = Some(told);
         self.recorder
-            .book(|book| book.stage(self.now, build, stage, course, age));
+            .book(|book| book.record_stage(self.now, build, stage, course, age));
         self.gate(|gate, now| gate.hear(now, gate.rules().own, told));
         self.module
             .on_release_status(build, stage, course, cap, age);
--- a/crates/agent/src/recorder.rs
+++ b/crates/agent/src/recorder.rs
@@ -11,10 +11,10 @@
 use lilacgate_store::frames;
 use lilacgate_store::pump::{Handed, Pump};
 use lilacgate_store::writer::{Bounds, Real, Writer};
-use lilacgate_timeline::book::{Book, Room};
 use lilacgate_timeline::entry::{DepartureScope, Record, StepRecord};
-use lilacgate_timeline::steps::Step;
-use lilacgate_timeline::watch::Aims;
+use lilacgate_timeline::fleet_timeline::{AttemptEnd, FleetTimeline, MemoryLimits};
+use lilacgate_timeline::monitor::MonitorConfig;
+use lilacgate_timeline::step_history::TimedStep;
 
 use crate::log::{Count, count, say};
 
@@ -49,7 +49,7 @@
 }
 
 struct Open {
-    book: Book,
+    book: FleetTimeline,
     set: Timeline,
     pump: Option<Pump>,
     /// What the disk was too slow for, to be handed over first.
@@ -104,18 +104,18 @@
         self.on.set(set.is_some());
         self.aside.borrow_mut().clear();
         *open = set.map(|set| {
-            let aims = Aims {
-                false_per_hour: set.false_per_hour,
-                ramp: self.told.ramp,
-                products: self.told.products.len(),
+            let aims = MonitorConfig {
+                false_alarms_per_hour: set.false_per_hour,
+                slow_start: self.told.ramp,
+                classes: self.told.products.len(),
             };
             let records = if set.store.is_some() { WAITING } else { 0 };
-            let book = Book::new(
+            let book = FleetTimeline::new(
                 now,
                 aims,
-                Room {
-                    octets: set.memory,
-                    records,
+                MemoryLimits {
+                    timeline_bytes: set.memory,
+                    queued_records: records,
                 },
             );
             let pump = set.store.as_ref().and_then(|store| {
@@ -198,41 +198,53 @@
     }
 
     /// Tells the book something, if there is one, after all that was put aside.
-    pub fn book(&self, tell: impl FnOnce(&mut Book)) {
+    pub fn book(&self, tell: impl FnOnce(&mut FleetTimeline)) {
         if let Some(open) = self.open.borrow_mut().as_mut() {
             self.catch_up(&mut open.book);
             tell(&mut open.book);
         }
     }
 
-    fn catch_up(&self, book: &mut Book) {
+    fn catch_up(&self, book: &mut FleetTimeline) {
         for (now, deed) in self.aside.borrow_mut().drain(..) {
             match deed {
-                Deed::Request(id, product) => book.request(id, product),
-                Deed::Attempt(id, attempt, to) => book.attempt(now, id, attempt, to),
-                Deed::Ended(which, at, ending, took, closed) => {
-                    book.ended(now, which, at, ending, took, closed)
-                }
-                Deed::Closed(id) => book.closed(id),
+                Deed::Request(id, product) => book.request_started(id, product),
+                Deed::Attempt(id, attempt, to) => book.attempt_started(now, id, attempt, to),
+                Deed::Ended(which, at, ending, took, closed) => book.attempt_ended(
+                    now,
+                    &AttemptEnd {
+                        request: which.0,
+                        attempt: which.1,
+                        endpoint: at,
+                        outcome: ending,
+                        duration: took,
+                        request_closed: closed,
+                    },
+                ),
+                Deed::Closed(id) => book.request_closed(id),
             }
         }
     }
 
     /// When time alone is to be told.
     pub fn next(&self) -> Option<Duration> {
-        self.open.borrow().as_ref().map(|open| open.book.next())
+        self.open
+            .borrow()
+            .as_ref()
+            .map(|open| open.book.next_tick())
     }
 
     /// Time has passed: departures go to the log, records to the store.
     pub fn advance(&self, now: Duration) {
         let mut open = self.open.borrow_mut();
         let Some(open) = open.as_mut() else { return };
-        if now >= open.book.next() {
+        if now >= open.book.next_tick() {
             self.catch_up(&mut open.book);
         }
         open.book.advance(now);
-        for (departure, begins) in open.book.said() {
-            if !begins {
+        for report in open.book.take_reports() {
+            let departure = report.departure;
+            if !report.began {
                 say!("timeline: departure {} has ended", departure.number);
                 continue;
             }
@@ -273,29 +285,29 @@
         if let Some(open) = self.open.borrow().as_ref() {
             records.extend(
                 open.book
-                    .own()
+                    .agent()
                     .as_of(Duration::MAX)
                     .cloned()
                     .map(Record::Entry),
             );
             for node in open.book.nodes() {
-                let Some(line) = open.book.line(node) else {
+                let Some(line) = open.book.node(node) else {
                     continue;
                 };
                 records.extend(line.as_of(Duration::MAX).cloned().map(Record::Entry));
-                let step = |(long, step): (Duration, Step)| {
-                    let latency = step.latency.octets().to_vec();
+                let step = |TimedStep { duration, step }: TimedStep| {
+                    let latency = step.latency.as_bytes().to_vec();
                     let (from, counts) = (step.from, step.counts);
                     Record::Step(StepRecord {
                         node,
                         from,
-                        duration: long,
+                        duration,
                         build: 0,
                         counts,
                         latency,
                     })
                 };
-                records.extend(line.steps.since(Duration::ZERO).into_iter().map(step));
+                records.extend(line.steps().since(Duration::ZERO).into_iter().map(step));
             }
         }
         let mut bytes = frames::head(now.as_secs()).to_vec();
@@ -333,7 +345,7 @@
     fn hand(&mut self, now: Duration) {
         let Some(pump) = &mut self.pump else { return };
         let mut batch = std::mem::take(&mut self.behind);
-        batch.extend(self.book.records());
+        batch.extend(self.book.take_records());
         if batch.is_empty() {
             return;
         }
--- a/crates/ctl/src/plot.rs
+++ b/crates/ctl/src/plot.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use lilacgate_timeline::entry::{AttemptCounts, DepartureScope, Event};
-use lilacgate_timeline::steps::Latency;
+use lilacgate_timeline::latency_sketch::LatencySketch;
 use plotters::prelude::*;
 
 use crate::lines::Lines;
@@ -45,11 +45,11 @@
             .collect();
         let mut counts = AttemptCounts::default();
         of.iter().for_each(|step| counts.add(&step.counts));
-        let latency: Vec<Latency> = of
+        let latency: Vec<LatencySketch> = of
             .iter()
-            .map(|s| Latency::from_octets(s.latency.clone()))
+            .map(|s| LatencySketch::from_bytes(s.latency.clone()))
             .collect();
-        let p95 = Latency::merged(latency.iter())
+        let p95 = LatencySketch::merged(latency.iter())
             .quantile(0.95)
             .map(|took| took.as_secs_f64());
         if !counts.is_empty() {
--- a/crates/ctl/src/timeline.rs
+++ b/crates/ctl/src/timeline.rs
@@ -5,7 +5,7 @@
 use clap::{Args, Subcommand};
 use comfy_table::{Table, presets};
 use lilacgate_timeline::entry::{AttemptCounts, DepartureScope, Entry, Event};
-use lilacgate_timeline::steps::Latency;
+use lilacgate_timeline::latency_sketch::LatencySketch;
 use serde_json::json;
 
 use crate::lines::{Lines, Reading};
@@ -132,14 +132,19 @@
     }
 }
 
-fn millis(latency: &Latency, share: f64) -> String {
+fn millis(latency: &LatencySketch, share: f64) -> String {
     latency.quantile(share).map_or_else(
         || "-".into(),
         |took| format!("{:.1} ms", took.as_secs_f64() * 1e3),
     )
 }
 
-fn row(lines: &Lines, from: Duration, counts: &AttemptCounts, latency: &Latency) -> [String; 7] {
+fn row(
+    lines: &Lines,
+    from: Duration,
+    counts: &AttemptCounts,
+    latency: &LatencySketch,
+) -> [String; 7] {
     let AttemptCounts {
         attempts,
         succeeded,
@@ -159,7 +164,11 @@
 }
 
 /// The steps of a node, or of all, as so many equal spans.
-fn spans(lines: &Lines, node: Option<u32>, many: u32) -> Vec<(Duration, AttemptCounts, Latency)> {
+fn spans(
+    lines: &Lines,
+    node: Option<u32>,
+    many: u32,
+) -> Vec<(Duration, AttemptCounts, LatencySketch)> {
     let long = (lines.to.saturating_sub(lines.from) / many).max(Duration::from_secs(1));
     (0..many)
         .map(|i| {
@@ -177,7 +186,7 @@
     node: Option<u32>,
     from: Duration,
     to: Duration,
-) -> (AttemptCounts, Latency) {
+) -> (AttemptCounts, LatencySketch) {
     let of: Vec<_> = lines
         .steps
         .iter()
@@ -185,11 +194,11 @@
         .collect();
     let mut counts = AttemptCounts::default();
     of.iter().for_each(|step| counts.add(&step.counts));
-    let latency: Vec<Latency> = of
+    let latency: Vec<LatencySketch> = of
         .iter()
-        .map(|step| Latency::from_octets(step.latency.clone()))
+        .map(|step| LatencySketch::from_bytes(step.latency.clone()))
         .collect();
-    (counts, Latency::merged(latency.iter()))
+    (counts, LatencySketch::merged(latency.iter()))
 }
 
 fn events(lines: &Lines, as_json: bool) -> Answer {
@@ -233,7 +242,7 @@
         println!("{}", json!({"node": node, "entry": entry}));
     }
     for step in &lines.steps {
-        let latency = Latency::from_octets(step.latency.clone());
+        let latency = LatencySketch::from_bytes(step.latency.clone());
         let ms = |share| latency.quantile(share).map(|took| took.as_secs_f64() * 1e3);
         let (from, long) = (
             step.from.as_millis() as u64,
@@ -385,7 +394,7 @@
             format!("{:.0}%", f64::from(part) / f64::from(all) * 100.0)
         };
         for (node, build, was, is) in &nodes {
-            let four = |(counts, latency): &(AttemptCounts, Latency)| {
+            let four = |(counts, latency): &(AttemptCounts, LatencySketch)| {
                 [
                     counts.attempts.to_string(),
                     share(counts.failed, counts),
--- a/crates/ctl/tests/timeline.rs
+++ b/crates/ctl/tests/timeline.rs
@@ -6,8 +6,8 @@
 
 use lilacgate_store::writer::{Bounds, Real, Writer};
 use lilacgate_test_bed::virtually::{DAWN, Day, Event, Fault, aims, play};
-use lilacgate_timeline::book::{Book, Room};
 use lilacgate_timeline::entry::Record;
+use lilacgate_timeline::fleet_timeline::{FleetTimeline, MemoryLimits};
 use rstest::{fixture, rstest};
 
 fn secs(many: u64) -> Duration {
@@ -41,12 +41,12 @@
         list_late: secs(1),
         seed: 7,
     };
-    let mut book = Book::new(
+    let mut book = FleetTimeline::new(
         DAWN,
         aims(0.5),
-        Room {
-            octets: 1 << 24,
-            records: 1 << 20,
+        MemoryLimits {
+            timeline_bytes: 1 << 24,
+            queued_records: 1 << 20,
         },
     );
     play(&day, &mut book, &mut |_| {});
@@ -60,7 +60,7 @@
         node,
         name: format!("d{node}"),
     }));
-    records.extend(book.records());
+    records.extend(book.take_records());
     let bounds = Bounds {
         bytes: 1 << 24,
         age: secs(1 << 20),
--- a/crates/decision/tests/scenarios.rs
+++ b/crates/decision/tests/scenarios.rs
@@ -33,30 +33,30 @@
     PendingRequests, ReleaseAnalysis, ReleasePermissions, ReleasePhase, Request, RequestClass,
     RequestId, SlowStart, Stage, Tenant, Test, TimerId, Vote, VoteTiming, Zone,
 };
-use lilacgate_timeline::book::{Book, Room};
-use lilacgate_timeline::watch::Aims;
+use lilacgate_timeline::fleet_timeline::{FleetTimeline, MemoryLimits};
+use lilacgate_timeline::monitor::MonitorConfig;
 use rstest::rstest;
 
 /// Where a record is kept beside, it must change nothing.
-fn book() -> Book {
-    let aims = Aims {
-        false_per_hour: 0.5,
-        ramp: Duration::from_secs(4),
-        products: 3,
+fn book() -> FleetTimeline {
+    let aims = MonitorConfig {
+        false_alarms_per_hour: 0.5,
+        slow_start: Duration::from_secs(4),
+        classes: 3,
     };
-    Book::new(
+    FleetTimeline::new(
         Duration::ZERO,
         aims,
-        Room {
-            octets: 1 << 20,
-            records: 100,
+        MemoryLimits {
+            timeline_bytes: 1 << 20,
+            queued_records: 100,
         },
     )
 }
 
 #[derive(Default)]
 struct Written {
-    book: Option<Book>,
+    book: Option<FleetTimeline>,
     at: Duration,
     now: Vec<String>,
     ever: Vec<String>,
@@ -78,7 +78,7 @@
         let attempt = self.attempts.entry(id).or_default();
         self.book
             .iter_mut()
-            .for_each(|book| book.attempt(self.at, id, AttemptNumber(*attempt), to));
+            .for_each(|book| book.attempt_started(self.at, id, AttemptNumber(*attempt), to));
         self.out.push_back((id, AttemptNumber(*attempt), to));
         *attempt += 1;
     }
@@ -110,12 +110,12 @@
         self.noted.push(format!("{note:?}"));
         self.book
             .iter_mut()
-            .for_each(|book| book.note(self.at, note));
+            .for_each(|book| book.record_note(self.at, note));
     }
     fn vote(&mut self, build: Build, stage: Stage, verdict: Vote) {
         self.book
             .iter_mut()
-            .for_each(|book| book.vote(self.at, build, stage, verdict));
+            .for_each(|book| book.record_vote(self.at, build, stage, verdict));
         self.put(format!("vote {} {} {verdict:?}", build.0, stage.0).to_lowercase());
     }
 }
@@ -521,7 +521,7 @@
 }
 
 /// Plays a scenario; all decisions since the start.
-fn play(text: &str, book: Option<Book>) -> Vec<String> {
+fn play(text: &str, book: Option<FleetTimeline>) -> Vec<String> {
     let mut play = Play {
         now: Duration::ZERO,
         set: BTreeMap::new(),
--- a/crates/store/tests/stored_form.rs
+++ b/crates/store/tests/stored_form.rs
@@ -13,12 +13,14 @@
 use lilacgate_store::frames;
 use lilacgate_store::reader::read;
 use lilacgate_store::writer::{Bounds, Real, Writer};
-use lilacgate_timeline::book::{Book, Room};
 use lilacgate_timeline::entry::{
     Departure, DepartureKind, DepartureScope, Entry, Event, Record, ReleaseStage, StepRecord,
 };
-use lilacgate_timeline::steps::Latency;
-use lilacgate_timeline::watch::Aims;
+use lilacgate_timeline::fleet_timeline::{AttemptEnd, FleetTimeline, MemoryLimits};
+use lilacgate_timeline::latency_sketch::LatencySketch;
+use lilacgate_timeline::monitor::MonitorConfig;
+use lilacgate_timeline::node_timeline::NodeTimeline;
+use lilacgate_timeline::step_history::TimedStep;
 use serde_json::{Value, json};
 
 /// When the recorded session begins, since 1970.
@@ -46,23 +48,24 @@
 }
 
 /// Releases, votes and notes, each kind of them once.
-fn record_decisions(book: &mut Book, step: u32, now: Duration) {
+fn record_decisions(timeline: &mut FleetTimeline, step: u32, now: Duration) {
     let (build, stage, endpoint) = (Build(2), Stage(1), EndpointId(2));
-    let phase = |book: &mut Book, phase| book.stage(now, build, stage, phase, STEP);
-    let vote = |book: &mut Book, vote| book.vote(now, build, stage, vote);
+    let phase =
+        |timeline: &mut FleetTimeline, phase| timeline.record_stage(now, build, stage, phase, STEP);
+    let vote = |timeline: &mut FleetTimeline, vote| timeline.record_vote(now, build, stage, vote);
     match step {
-        100 => phase(book, ReleasePhase::Canary),
+        100 => phase(timeline, ReleasePhase::Canary),
         110 => {
-            book.words("build 2: 12 of 400 failed");
-            vote(book, Vote::Hold);
+            timeline.set_vote_figures("build 2: 12 of 400 failed");
+            vote(timeline, Vote::Hold);
         }
-        120 => vote(book, Vote::Advance),
-        130 => phase(book, ReleasePhase::Released),
-        140 => vote(book, Vote::RollBack),
-        150 => phase(book, ReleasePhase::RollingBack),
-        160 => vote(book, Vote::Retract),
-        170 => phase(book, ReleasePhase::Withdrawn),
-        200 => book.note(
+        120 => vote(timeline, Vote::Advance),
+        130 => phase(timeline, ReleasePhase::Released),
+        140 => vote(timeline, Vote::RollBack),
+        150 => phase(timeline, ReleasePhase::RollingBack),
+        160 => vote(timeline, Vote::Retract),
+        170 => phase(timeline, ReleasePhase::Withdrawn),
+        200 => timeline.record_note(
             now,
             Note::Ejected {
                 endpoint,
@@ -70,27 +73,27 @@
                 until: now + 40 * STEP,
             },
         ),
-        240 => book.note(now, Note::Tried(endpoint)),
-        250 => book.note(now, Note::Readmitted(endpoint)),
-        300 | 301 => book.note(now, Note::GivenUp("crowded")),
+        240 => timeline.record_note(now, Note::Tried(endpoint)),
+        250 => timeline.record_note(now, Note::Readmitted(endpoint)),
+        300 | 301 => timeline.record_note(now, Note::GivenUp("crowded")),
         400 => {
             let draining = endpoint_entry(2, EndpointStatus::Draining, None);
-            book.membership(now, ListUpdate::Delta, &[draining]);
+            timeline.apply_list_update(now, ListUpdate::Delta, &[draining]);
         }
         420 => {
             let removed = endpoint_entry(2, EndpointStatus::Removed, None);
-            book.membership(now, ListUpdate::Delta, &[removed]);
+            timeline.apply_list_update(now, ListUpdate::Delta, &[removed]);
         }
         440 | 1800 => {
             let restarted = endpoint_entry(2, EndpointStatus::Ready, Some(now));
-            book.membership(now, ListUpdate::Delta, &[restarted]);
+            timeline.apply_list_update(now, ListUpdate::Delta, &[restarted]);
         }
         _ => {}
     }
 }
 
 /// One request, its attempt and how that ended.
-fn record_request(book: &mut Book, step: u32, now: Duration) {
+fn record_request(timeline: &mut FleetTimeline, step: u32, now: Duration) {
     let (id, attempt) = (RequestId(step), AttemptNumber(0));
     let node = EndpointId(step % NODES);
     let failing = FAILING_STEPS.contains(&step) && node.0 == 3;
@@ -104,38 +107,46 @@
         1000 => Outcome::NotSent,
         _ => Outcome::Succeeded,
     };
-    book.request(id, RequestClass((step % 3) as u8));
-    book.attempt(now, id, attempt, node);
+    timeline.request_started(id, RequestClass((step % 3) as u8));
+    timeline.attempt_started(now, id, attempt, node);
     if outcome == Outcome::Cancelled {
-        book.called_off(now, id, attempt);
+        timeline.attempt_cancelled(now, id, attempt);
     }
     let took = Duration::from_micros(9000 + u64::from(step * 7919 % 4000));
-    book.ended(now + took, (id, attempt), node, outcome, took, true);
+    let end = AttemptEnd {
+        request: id,
+        attempt,
+        endpoint: node,
+        outcome,
+        duration: took,
+        request_closed: true,
+    };
+    timeline.attempt_ended(now + took, &end);
 }
 
 /// A minute of an agent's life, the same in each run.
-fn session() -> Book {
-    let aims = Aims {
-        false_per_hour: 50.0,
-        ramp: Duration::from_secs(4),
-        products: 3,
+fn session() -> FleetTimeline {
+    let config = MonitorConfig {
+        false_alarms_per_hour: 50.0,
+        slow_start: Duration::from_secs(4),
+        classes: 3,
     };
-    let room = Room {
-        octets: 1 << 22,
-        records: 1 << 16,
+    let limits = MemoryLimits {
+        timeline_bytes: 1 << 22,
+        queued_records: 1 << 16,
     };
-    let mut book = Book::new(START, aims, room);
+    let mut timeline = FleetTimeline::new(START, config, limits);
     let endpoints: Vec<Endpoint> = (0..NODES)
         .map(|node| endpoint_entry(node, EndpointStatus::Ready, None))
         .collect();
-    book.membership(START, ListUpdate::Full, &endpoints);
+    timeline.apply_list_update(START, ListUpdate::Full, &endpoints);
     for step in (0..SESSION_STEPS).filter(|step| !PAUSED_STEPS.contains(step)) {
         let now = START + STEP * step;
-        record_decisions(&mut book, step, now);
-        record_request(&mut book, step, now);
-        book.advance(now + STEP / 2);
+        record_decisions(&mut timeline, step, now);
+        record_request(&mut timeline, step, now);
+        timeline.advance(now + STEP / 2);
     }
-    book
+    timeline
 }
 
 /// The records with which a store begins.
@@ -190,7 +201,7 @@
 }
 
 /// Writes the session to a store of several segments, and cuts the last one off amid a record.
-fn write_store(folder: &Path, book: &mut Book) {
+fn write_store(folder: &Path, timeline: &mut FleetTimeline) {
     let bounds = Bounds {
         bytes: 1 << 17,
         age: Duration::from_secs(3600),
@@ -198,7 +209,7 @@
     let mut writer = Writer::new(folder, bounds, Box::new(Real)).expect("a writer");
     let mut records = first_records();
     records.extend(other_departures());
-    records.extend(book.records());
+    records.extend(timeline.take_records());
     records.push(Record::Dropped {
         at: START + Duration::from_secs(62),
         count: 17,
@@ -212,26 +223,26 @@
 }
 
 /// A dump, as an agent puts it together.
-fn dump(book: &Book) -> Vec<u8> {
+fn dump(timeline: &FleetTimeline) -> Vec<u8> {
     let mut records = first_records();
-    let entries = |line: &lilacgate_timeline::line::Line| -> Vec<Record> {
+    let entries = |line: &NodeTimeline| -> Vec<Record> {
         line.as_of(Duration::MAX)
             .cloned()
             .map(Record::Entry)
             .collect()
     };
-    records.extend(entries(book.own()));
-    for node in book.nodes() {
-        let line = book.line(node).expect("a line");
+    records.extend(entries(timeline.agent()));
+    for node in timeline.nodes() {
+        let line = timeline.node(node).expect("a line");
         records.extend(entries(line));
-        for (long, step) in line.steps.since(Duration::ZERO) {
+        for TimedStep { duration, step } in line.steps().since(Duration::ZERO) {
             records.push(Record::Step(StepRecord {
                 node,
                 from: step.from,
-                duration: long,
+                duration,
                 build: 0,
                 counts: step.counts,
-                latency: step.latency.octets().to_vec(),
+                latency: step.latency.as_bytes().to_vec(),
             }));
         }
     }
@@ -246,7 +257,7 @@
 fn shown(record: &Record) -> Value {
     let mut value = serde_json::to_value(record).expect("a record");
     if let Record::Step(step) = record {
-        let latency = Latency::from_octets(step.latency.clone());
+        let latency = LatencySketch::from_bytes(step.latency.clone());
         let quantile = |share| latency.quantile(share).map(|time| time.as_secs_f64());
         value["Step"]["latency"] = json!([quantile(0.5), quantile(0.95), quantile(0.99)]);
     }
--- a/crates/test-bed/src/lines.rs
+++ b/crates/test-bed/src/lines.rs
@@ -9,6 +9,7 @@
 use lilacgate_decision::{AttemptNumber, EndpointId, Outcome, RequestClass, RequestId};
 use lilacgate_store::reader::read;
 use lilacgate_timeline::entry::{DepartureKind, DepartureScope, Entry, Event, Record};
+use lilacgate_timeline::fleet_timeline::AttemptEnd;
 
 use crate::days::order;
 use crate::kills;
@@ -315,7 +316,7 @@
                             weighted.take(outcome);
                         });
                     let own = said.iter().filter(|(_, _, begins)| *begins).count();
-                    let octets = book.octets() / book.nodes().count().max(1);
+                    let octets = book.memory_bytes() / book.nodes().count().max(1);
                     let mut sum = sum.lock().expect("a lock");
                     for (all, one) in
                         sum.0
@@ -432,7 +433,7 @@
     let lines: Vec<lilacgate_decision::Endpoint> = (0..14)
         .map(|node| virtually::listed(node, 1, None))
         .collect();
-    book.membership(DAWN, lilacgate_decision::ListUpdate::Full, &lines);
+    book.apply_list_update(DAWN, lilacgate_decision::ListUpdate::Full, &lines);
     let many = 300_000u32;
     let mut spent = Vec::new();
     for chunk in 0..many / 1000 {
@@ -440,16 +441,19 @@
         for i in 0..1000 {
             let (id, node) = (RequestId(chunk * 1000 + i), EndpointId(i % 14));
             let now = DAWN + Duration::from_micros(u64::from(chunk * 1000 + i) * 500);
-            book.request(id, RequestClass((i % 3) as u8));
-            book.attempt(now, id, AttemptNumber(0), node);
+            book.request_started(id, RequestClass((i % 3) as u8));
+            book.attempt_started(now, id, AttemptNumber(0), node);
             let took = Duration::from_micros(20_000 + u64::from(i * 7 % 9000));
-            book.ended(
+            book.attempt_ended(
                 now + took,
-                (id, AttemptNumber(0)),
-                node,
-                Outcome::Succeeded,
-                took,
-                true,
+                &AttemptEnd {
+                    request: id,
+                    attempt: AttemptNumber(0),
+                    endpoint: node,
+                    outcome: Outcome::Succeeded,
+                    duration: took,
+                    request_closed: true,
+                },
             );
         }
         book.advance(DAWN + Duration::from_micros(u64::from(chunk + 1) * 500_000));
--- a/crates/test-bed/src/virtually.rs
+++ b/crates/test-bed/src/virtually.rs
@@ -9,9 +9,9 @@
     AttemptNumber, Build, Cell, Endpoint, EndpointId, EndpointStatus, ListUpdate, Model, Outcome,
     ReleasePhase, RequestClass, RequestId, Stage, Zone,
 };
-use lilacgate_timeline::book::{Book, Room};
 use lilacgate_timeline::entry::Departure;
-use lilacgate_timeline::watch::{Aims, TICK};
+use lilacgate_timeline::fleet_timeline::{AttemptEnd, FleetTimeline, MemoryLimits};
+use lilacgate_timeline::monitor::{MonitorConfig, TICK};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -128,11 +128,11 @@
 }
 
 /// The aims of an agent with this many false events an hour.
-pub fn aims(false_per_hour: f64) -> Aims {
-    Aims {
-        false_per_hour,
-        ramp: RAMP,
-        products: WORK.len(),
+pub fn aims(false_per_hour: f64) -> MonitorConfig {
+    MonitorConfig {
+        false_alarms_per_hour: false_per_hour,
+        slow_start: RAMP,
+        classes: WORK.len(),
     }
 }
 
@@ -142,7 +142,7 @@
 /// Plays a day into a book. Returns what it said: each departure, whether it begins, and when; `also` sees each outcome.
 pub fn play(
     day: &Day,
-    book: &mut Book,
+    book: &mut FleetTimeline,
     also: &mut dyn FnMut(EndedAttempt),
 ) -> Vec<(Duration, Departure, bool)> {
     let mut chance = Pcg64Mcg::seed_from_u64(day.seed);
@@ -164,8 +164,8 @@
         })
         .collect();
     let lines: Vec<Endpoint> = nodes.keys().map(|node| listed(*node, 1, None)).collect();
-    book.membership(DAWN, ListUpdate::Full, &lines);
-    book.stage(
+    book.apply_list_update(DAWN, ListUpdate::Full, &lines);
+    book.record_stage(
         DAWN,
         Build(1),
         Stage(3),
@@ -211,9 +211,9 @@
                 if awake == now {
                     book.advance(now);
                     said.extend(
-                        book.said()
+                        book.take_reports()
                             .into_iter()
-                            .map(|(departure, begins)| (now, departure, begins)),
+                            .map(|report| (now, report.departure, report.began)),
                     );
                 }
                 for (event, done) in day.events.iter().zip(&mut replaced) {
@@ -225,7 +225,7 @@
                             continue;
                         };
                         if of.build != build {
-                            book.stage(
+                            book.record_stage(
                                 now,
                                 Build(build),
                                 Stage(0),
@@ -252,7 +252,7 @@
                 node,
                 build,
                 started,
-            } => book.membership(awake, ListUpdate::Delta, &[listed(node, build, started)]),
+            } => book.apply_list_update(awake, ListUpdate::Delta, &[listed(node, build, started)]),
             Due::Request => {
                 let rate = faults.iter().fold(day.rate, |rate, (fault, _)| {
                     if let Fault::Burst { times } = fault {
@@ -300,8 +300,8 @@
                 };
                 last += 1;
                 let id = last;
-                book.request(RequestId(id), RequestClass(product));
-                book.attempt(now, RequestId(id), AttemptNumber(0), EndpointId(node));
+                book.request_started(RequestId(id), RequestClass(product));
+                book.attempt_started(now, RequestId(id), AttemptNumber(0), EndpointId(node));
                 let mut times = 1.0;
                 let (mut share, mut mute, mut unlinked) = (0.0f64, false, false);
                 for (fault, way) in &faults {
@@ -399,13 +399,16 @@
                 if matches!(ending, Outcome::TimedOut | Outcome::ConnectFailed) {
                     of.barred = now + Duration::from_millis(700);
                 }
-                book.ended(
+                book.attempt_ended(
                     now,
-                    (RequestId(id), AttemptNumber(0)),
-                    EndpointId(node),
-                    ending,
-                    now - sent,
-                    true,
+                    &AttemptEnd {
+                        request: RequestId(id),
+                        attempt: AttemptNumber(0),
+                        endpoint: EndpointId(node),
+                        outcome: ending,
+                        duration: now - sent,
+                        request_closed: true,
+                    },
                 );
                 also((now, node, product, ending, now - sent));
             }
@@ -415,13 +418,13 @@
 }
 
 /// A book for a day, with memory to spare.
-pub fn book(false_per_hour: f64) -> Book {
-    Book::new(
+pub fn book(false_per_hour: f64) -> FleetTimeline {
+    FleetTimeline::new(
         DAWN,
         aims(false_per_hour),
-        Room {
-            octets: 64 << 20,
-            records: 0,
+        MemoryLimits {
+            timeline_bytes: 64 << 20,
+            queued_records: 0,
         },
     )
 }
--- a/crates/timeline/src/entry.rs
+++ b/crates/timeline/src/entry.rs
@@ -249,7 +249,7 @@
     pub build: u16,
     /// The span's attempts.
     pub counts: AttemptCounts,
-    /// A sketch of latencies, as [`crate::steps::LatencySketch::as_bytes`] gives it.
+    /// A sketch of latencies, as [`crate::latency_sketch::LatencySketch::as_bytes`] gives it.
     pub latency: Vec<u8>,
 }
 
--- /dev/null
+++ b/crates/timeline/src/fleet_timeline/decisions.rs
@@ -0,0 +1,80 @@
+//! Records what the agent decides: ejections, votes, and where the release of a build stands.
+use std::time::Duration;
+
+use lilacgate_decision::{Build, EndpointId, Note, ReleasePhase, Stage, Vote};
+
+use super::{FleetTimeline, stored_text};
+use crate::entry::{Entry, Event};
+
+impl FleetTimeline {
+    /// Records that a build is in a stage and phase of its release, since `age`. A repeated report is ignored.
+    pub fn record_stage(
+        &mut self,
+        now: Duration,
+        build: Build,
+        stage: Stage,
+        phase: ReleasePhase,
+        age: Duration,
+    ) {
+        let happened = now.saturating_sub(age);
+        let event = Event::Stage {
+            build: build.0,
+            stage: stage.0,
+            phase: stored_text::phase(phase).into(),
+        };
+        let last = self
+            .agent
+            .as_of(Duration::MAX)
+            .filter(|entry| matches!(entry.event, Event::Stage { .. }))
+            .last();
+        if last.is_some_and(|entry| entry.event == event) {
+            return;
+        }
+        self.put(Entry {
+            happened,
+            known: now,
+            node: None,
+            event,
+        });
+        if phase == ReleasePhase::Canary {
+            self.monitor.stage_started(build.0, stage.0, happened);
+        }
+    }
+
+    /// Records a note of the decision engine. Requests given up are counted, and recorded at the next tick.
+    pub fn record_note(&mut self, now: Duration, note: Note) {
+        let mut put = |endpoint: EndpointId, event| self.put_now(now, Some(endpoint.0), event);
+        match note {
+            Note::Ejected {
+                endpoint,
+                reason,
+                until,
+            } => put(
+                endpoint,
+                Event::Ejected {
+                    reason: reason.into(),
+                    until,
+                },
+            ),
+            Note::Tried(endpoint) => put(endpoint, Event::Probed),
+            Note::Readmitted(endpoint) => put(endpoint, Event::Readmitted),
+            Note::GivenUp(reason) => *self.given_up.entry(reason).or_default() += 1,
+        }
+    }
+
+    /// Keeps a text that the decision engine logged; the last one before a vote holds the vote's figures.
+    pub fn set_vote_figures(&mut self, text: &str) {
+        self.vote_figures = text.into();
+    }
+
+    /// Records a vote with the figures that were logged last.
+    pub fn record_vote(&mut self, now: Duration, build: Build, stage: Stage, vote: Vote) {
+        let event = Event::Vote {
+            build: build.0,
+            stage: stage.0,
+            vote: stored_text::vote(vote).into(),
+            figures: std::mem::take(&mut self.vote_figures),
+        };
+        self.put_now(now, None, event);
+    }
+}
--- /dev/null
+++ b/crates/timeline/src/fleet_timeline/endpoints.rs
@@ -0,0 +1,134 @@
+//! Keeps the timelines in step with the endpoint list, and all of them within their memory limit.
+use std::time::Duration;
+
+use lilacgate_decision::{Endpoint, EndpointStatus, ListUpdate};
+
+use super::{FleetTimeline, stored_text};
+use crate::entry::{Entry, Event};
+use crate::node_timeline::NodeTimeline;
+
+/// A node counts for the memory limit with this many bytes at least.
+const MIN_NODE_BYTES: usize = 1 << 14;
+
+/// A node's timeline and its entry in the endpoint list.
+#[derive(Debug)]
+pub(super) struct TrackedNode {
+    pub(super) timeline: NodeTimeline,
+    pub(super) endpoint: Endpoint,
+    /// What the timeline took when its last step was completed, in bytes.
+    pub(super) memory_bytes: usize,
+}
+
+impl TrackedNode {
+    fn new(now: Duration, endpoint: Endpoint) -> Self {
+        TrackedNode {
+            timeline: NodeTimeline::new(now),
+            endpoint,
+            memory_bytes: 0,
+        }
+    }
+
+    /// What counts for the memory limit, without what the monitor holds.
+    fn charged_bytes(&self) -> usize {
+        self.memory_bytes.max(MIN_NODE_BYTES)
+    }
+
+    fn is_removed(&self) -> bool {
+        self.endpoint.status == EndpointStatus::Removed
+    }
+}
+
+impl FleetTimeline {
+    /// Applies an update of the endpoint list. After a full list, nodes that are missing in it count as removed.
+    pub fn apply_list_update(&mut self, now: Duration, update: ListUpdate, endpoints: &[Endpoint]) {
+        if matches!(update, ListUpdate::Full | ListUpdate::Cached) {
+            self.remove_missing(now, endpoints);
+        }
+        for endpoint in endpoints {
+            self.apply_endpoint(now, *endpoint);
+        }
+    }
+
+    fn remove_missing(&mut self, now: Duration, endpoints: &[Endpoint]) {
+        let is_missing = |tracked: &&TrackedNode| {
+            let id = tracked.endpoint.id;
+            !tracked.is_removed() && !endpoints.iter().any(|endpoint| endpoint.id == id)
+        };
+        let missing: Vec<Endpoint> = self
+            .nodes
+            .values()
+            .filter(is_missing)
+            .map(|tracked| tracked.endpoint)
+            .collect();
+        for mut endpoint in missing {
+            endpoint.status = EndpointStatus::Removed;
+            self.apply_endpoint(now, endpoint);
+        }
+    }
+
+    /// Records what has changed at an endpoint, if anything has.
+    fn apply_endpoint(&mut self, now: Duration, endpoint: Endpoint) {
+        let node = endpoint.id.0;
+        let known = self.nodes.get(&node).map(|tracked| tracked.endpoint);
+        let same_process = known.is_some_and(|known| {
+            (known.build, known.started) == (endpoint.build, endpoint.started)
+        });
+        if same_process && known.is_some_and(|known| known.status == endpoint.status) {
+            return;
+        }
+        self.nodes
+            .entry(node)
+            .or_insert_with(|| TrackedNode::new(now, endpoint))
+            .endpoint = endpoint;
+        // A new process happened when it started; of another change no better time is known than now.
+        let happened = endpoint
+            .started
+            .filter(|_| !same_process)
+            .map_or(now, |started| started.min(now));
+        self.put(Entry {
+            happened,
+            known: now,
+            node: Some(node),
+            event: Event::Listed {
+                state: stored_text::status(endpoint.status).into(),
+                build: endpoint.build.0,
+                started: endpoint.started,
+            },
+        });
+        if endpoint.status == EndpointStatus::Removed {
+            self.monitor.node_removed(now, node);
+        } else {
+            self.monitor
+                .node_listed(now, node, endpoint.build.0, endpoint.started);
+        }
+        self.evict_beyond_limit();
+    }
+
+    /// Drops timelines until the rest fits the memory limit: those of removed nodes first, then those that have been
+    /// unchanged longest. The last timeline stays.
+    fn evict_beyond_limit(&mut self) {
+        let per_node = self.monitor.memory_bytes_per_node();
+        let mut total: usize = self
+            .nodes
+            .values()
+            .map(|tracked| tracked.charged_bytes() + per_node)
+            .sum();
+        while total > self.limits.timeline_bytes && self.nodes.len() > 1 {
+            let Some(node) = self.least_needed_node() else {
+                return;
+            };
+            if let Some(tracked) = self.nodes.remove(&node) {
+                self.dropped += 1 + tracked.timeline.as_of(Duration::MAX).count() as u64;
+                total -= tracked.charged_bytes() + per_node;
+                self.monitor.node_removed(Duration::ZERO, node);
+            }
+        }
+    }
+
+    fn least_needed_node(&self) -> Option<u32> {
+        self.nodes
+            .iter()
+            .min_by_key(|(_, tracked)| (!tracked.is_removed(), tracked.timeline.last_change()))
+            .map(|(node, _)| *node)
+    }
+}
--- /dev/null
+++ b/crates/timeline/src/fleet_timeline/record_queue.rs
@@ -0,0 +1,62 @@
+//! The bounded queue of records for a store. Where there is no room, steps are dropped before entries, and what was
+//! dropped is counted in a record of its own as soon as there is room again.
+use std::collections::VecDeque;
+use std::time::Duration;
+
+use crate::entry::Record;
+
+/// Records that wait for a store.
+#[derive(Debug)]
+pub(super) struct RecordQueue {
+    /// With 0, no record is kept.
+    capacity: usize,
+    records: VecDeque<Record>,
+    /// Records dropped since the last [`Record::Dropped`].
+    dropped: u64,
+}
+
+impl RecordQueue {
+    pub(super) fn new(capacity: usize) -> Self {
+        RecordQueue {
+            capacity,
+            records: VecDeque::new(),
+            dropped: 0,
+        }
+    }
+
+    /// Adds a record; `now` stands in the note of dropped ones.
+    pub(super) fn push(&mut self, now: Duration, record: Record) {
+        if self.capacity == 0 {
+            return;
+        }
+        if self.records.len() >= self.capacity {
+            self.dropped += 1;
+            if !self.make_room_for(&record) {
+                return;
+            }
+        } else if self.dropped > 0 && self.records.len() + 1 < self.capacity {
+            let count = std::mem::take(&mut self.dropped);
+            self.records.push_back(Record::Dropped { at: now, count });
+        }
+        self.records.push_back(record);
+    }
+
+    /// Drops the oldest step in favour of an entry. Returns whether there is room now.
+    fn make_room_for(&mut self, record: &Record) -> bool {
+        if !matches!(record, Record::Entry(_)) {
+            return false;
+        }
+        let oldest_step = self
+            .records
+            .iter()
+            .position(|queued| matches!(queued, Record::Step(_)));
+        oldest_step
+            .and_then(|place| self.records.remove(place))
+            .is_some()
+    }
+
+    /// Takes all records, in their order.
+    pub(super) fn take(&mut self) -> Vec<Record> {
+        self.records.drain(..).collect()
+    }
+}
--- a/crates/timeline/src/lib.rs
+++ b/crates/timeline/src/lib.rs
@@ -1,17 +1,18 @@
-//! A time line for each desk node: its state and build, load, errors, latency, and every decision about it, each with
-//! when it happened and when this agent came to know it; and an event when a node, a build or the fleet departs from
-//! its usual behaviour. State and decisions without any I/O; the clock is passed in, as spans since 1970.
+//! A timeline for each desk node: its state and build, load, errors, latency, and every decision about it, each with
+//! when it happened and when this agent came to know of it; and an event when a node, a build or the fleet departs from
+//! its baseline. No I/O and no clock: instants are passed in, as spans since 1970.
 //!
-//! [`book::Book`] takes what an agent hears and decides, [`line`] and [`steps`] keep it in bounds, [`detect`] tells a
-//! departure from chance at a stated rate, [`watch`] decides what is an event of a node, a build or the fleet.
-#![allow(clippy::min_ident_chars)] // Not met yet.
-#![allow(missing_debug_implementations)] // Not met yet.
-#![allow(missing_docs)] // Not met yet.
+//! - [`fleet_timeline`] takes what an agent receives and decides, and keeps one [`node_timeline`] a node;
+//! - [`step_history`] holds counts over time, with latencies as [`latency_sketch`];
+//! - [`monitor`] decides what is a departure, and whether of a node, a build or the fleet, by a [`sequential_test`]
+//!   against a [`baseline`];
+//! - [`entry`] holds the records, as they are stored.
 
-pub mod book;
-pub mod detect;
+pub mod baseline;
 pub mod entry;
-pub mod line;
-pub mod steps;
-pub mod usual;
-pub mod watch;
+pub mod fleet_timeline;
+pub mod latency_sketch;
+pub mod monitor;
+pub mod node_timeline;
+pub mod sequential_test;
+pub mod step_history;
--- /dev/null
+++ b/crates/timeline/src/monitor/attempts.rs
@@ -0,0 +1,194 @@
+//! Turns the ends of attempts into observations of the node they were sent to.
+use std::time::Duration;
+
+use super::FleetMonitor;
+use super::settings::{LATE_FACTOR, LATENCY_PRIOR_WEIGHT, MIN_BASELINE_SECONDS};
+use super::signals::{ALL_CLASSES, Observation, Observations, Signals};
+use crate::baseline::WeightedSum;
+use crate::entry::DepartureKind;
+
+/// What names an attempt.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct AttemptId {
+    /// The number of its request.
+    pub request: u32,
+    /// Its number among the request's attempts.
+    pub attempt: u8,
+}
+
+/// How an attempt ended, as far as a monitor is concerned.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum AttemptResult {
+    /// The node did what was requested.
+    Succeeded,
+    /// The node answered with an error, or with a malformed answer.
+    Failed,
+    /// The node rejected the request.
+    Rejected,
+    /// The connection could not be opened, or broke.
+    ConnectionError,
+    /// There was no answer before the attempt timed out or was cancelled.
+    Unanswered,
+    /// The attempt was never sent.
+    NotSent,
+}
+
+/// An attempt that has ended.
+#[derive(Clone, Copy, Debug)]
+pub struct EndedAttempt {
+    /// Which attempt.
+    pub id: AttemptId,
+    /// The node it was sent to.
+    pub node: u32,
+    /// The class of its request.
+    pub class: u8,
+    /// How it ended.
+    pub result: AttemptResult,
+    /// How long it took since it was sent.
+    pub duration: Duration,
+}
+
+/// An answer time compared with the baseline.
+struct AnswerTime {
+    late: bool,
+    /// Whether it counts as an observation of the node's latency.
+    counts: bool,
+}
+
+impl FleetMonitor {
+    /// An attempt was sent to a node.
+    pub fn attempt_sent(&mut self, now: Duration, node: u32, id: AttemptId) {
+        self.sent_since_tick += 1.0;
+        if let Some(watched) = self.nodes.get_mut(&node) {
+            watched.outstanding.insert(id, now);
+        }
+    }
+
+    /// An attempt ended. Returns whether its answer was late.
+    pub fn attempt_ended(&mut self, now: Duration, attempt: &EndedAttempt) -> bool {
+        let Some(watched) = self.nodes.get_mut(&attempt.node) else {
+            return false;
+        };
+        let sent = watched
+            .outstanding
+            .remove(&attempt.id)
+            .unwrap_or_else(|| now.saturating_sub(attempt.duration));
+        if attempt.result == AttemptResult::NotSent {
+            return false;
+        }
+        if attempt.result != AttemptResult::Unanswered {
+            watched.last_received = watched.last_received.max(now);
+        }
+        let mut observations = Observations::new();
+        self.observe_result(attempt, sent, &mut observations);
+        let late = self.observe_answer_time(now, attempt, sent, &mut observations);
+        self.observe(now, attempt.node, observations.as_slice());
+        late
+    }
+
+    /// The place of a class's own signals, if the class is known.
+    fn place_of(&self, class: u8) -> Option<usize> {
+        let class = usize::from(class);
+        (class < self.config.classes).then_some(class + 1)
+    }
+
+    /// Adds what the end of an attempt says about connections, silence and errors.
+    fn observe_result(
+        &self,
+        attempt: &EndedAttempt,
+        sent: Duration,
+        observations: &mut Observations,
+    ) {
+        // An attempt that timed out or was cancelled says nothing about the connection.
+        if attempt.result != AttemptResult::Unanswered {
+            let broken = attempt.result == AttemptResult::ConnectionError;
+            observations.push(DepartureKind::Links, ALL_CLASSES, broken);
+        }
+        match attempt.result {
+            AttemptResult::Succeeded | AttemptResult::Failed => {
+                let failed = attempt.result == AttemptResult::Failed;
+                observations.push(DepartureKind::Silence, ALL_CLASSES, false);
+                observations.push(DepartureKind::Errors, ALL_CLASSES, failed);
+                if let Some(place) = self.place_of(attempt.class) {
+                    observations.push(DepartureKind::Errors, place, failed);
+                }
+            }
+            AttemptResult::Unanswered if self.shows_silence(attempt.node, sent) => {
+                observations.push(DepartureKind::Silence, ALL_CLASSES, true);
+            }
+            _ => {}
+        }
+    }
+
+    /// Whether nothing was received from the node since an attempt was sent, and the agent was not paused meanwhile.
+    fn shows_silence(&self, node: u32, sent: Duration) -> bool {
+        let nothing_received = self
+            .nodes
+            .get(&node)
+            .is_some_and(|watched| watched.last_received < sent);
+        nothing_received && sent >= self.resumed_at
+    }
+
+    /// Adds what the time to an answer says about latency. Returns whether the answer was late.
+    fn observe_answer_time(
+        &mut self,
+        now: Duration,
+        attempt: &EndedAttempt,
+        sent: Duration,
+        observations: &mut Observations,
+    ) -> bool {
+        // While the agent was paused, the time to an answer was not the node's.
+        if attempt.result != AttemptResult::Succeeded || sent < self.resumed_at {
+            return false;
+        }
+        let Some(place) = self.place_of(attempt.class) else {
+            return false;
+        };
+        let Some(answer) = self.compare_answer_time(now, attempt, sent) else {
+            return false;
+        };
+        if answer.counts {
+            observations.push(DepartureKind::Latency, ALL_CLASSES, answer.late);
+            observations.push(DepartureKind::Latency, place, answer.late);
+        }
+        answer.late
+    }
+
+    /// Compares an answer time with the baseline, and takes it into the baseline.
+    fn compare_answer_time(
+        &mut self,
+        now: Duration,
+        attempt: &EndedAttempt,
+        sent: Duration,
+    ) -> Option<AnswerTime> {
+        let baseline = self.answer_seconds.get_mut(usize::from(attempt.class))?;
+        let watched = self.nodes.get_mut(&attempt.node)?;
+        let seconds = attempt.duration.as_secs_f64();
+        let baseline_seconds = baseline.mean(seconds, 1.0);
+        let known = baseline.weight() >= LATENCY_PRIOR_WEIGHT;
+        baseline.add(now, WeightedSum::of(seconds));
+        let ratio = seconds / baseline_seconds.max(MIN_BASELINE_SECONDS);
+        let late = known && ratio > LATE_FACTOR * watched.baseline_relative_latency();
+        watched.relative_latency.add(now, WeightedSum::of(ratio));
+        let counts = known && !watched.is_warming_up(sent, self.config.slow_start);
+        Some(AnswerTime { late, counts })
+    }
+
+    /// Takes observations of a node into its signals, and into those of its build and of the fleet.
+    pub(super) fn observe(&mut self, now: Duration, node: u32, observations: &[Observation]) {
+        let Some(watched) = self.nodes.get_mut(&node) else {
+            return;
+        };
+        watched.last_observed = now;
+        let classes = self.config.classes;
+        let build = self
+            .builds
+            .entry(watched.build)
+            .or_insert_with(|| Signals::new(classes));
+        for &Observation { kind, place, bad } in observations {
+            build.of_mut(kind)[place].baseline.observe(now, bad);
+            watched.signals.of_mut(kind)[place].observe(now, bad);
+            self.fleet.of_mut(kind)[place].observe(now, bad);
+        }
+    }
+}
--- a/crates/timeline/src/watch/attribution.rs
+++ b/crates/timeline/src/monitor/attribution.rs
@@ -1,15 +1,16 @@
-//! Decides whom a confirmed departure concerns (the node, its build, or the fleet) and whether it shows in one product
-//! alone.
+//! Decides what a confirmed departure concerns (the node, its build, or the fleet) and whether it shows in one request
+//! class alone.
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use super::Watch;
+use super::FleetMonitor;
+use super::departures::Finding;
 use super::settings::{LATENCY_PRIOR_WEIGHT, MIN_FLEET, MOST};
-use super::signals::{ALL_PRODUCTS, Signal};
+use super::signals::{ALL_CLASSES, Signal};
 use crate::entry::{Departure, DepartureKind, DepartureScope};
 
-/// The fewest observations of other products from which one product can be told to be the only one.
-const MIN_OF_OTHER_PRODUCTS: f64 = LATENCY_PRIOR_WEIGHT;
+/// The fewest observations of other request classes that show that a departure is not theirs.
+const MIN_OF_OTHER_CLASSES: f64 = LATENCY_PRIOR_WEIGHT;
 
 /// Some nodes, and how many of them are suspected.
 struct Group {
@@ -31,7 +32,13 @@
     }
 }
 
-impl Watch {
+/// What a departure concerns, and the nodes that are its members.
+struct Attribution {
+    scope: DepartureScope,
+    members: Vec<u32>,
+}
+
+impl FleetMonitor {
     /// Opens the departure that a node's evidence shows, or adds the node to one that is open.
     pub(super) fn confirm_at_node(
         &mut self,
@@ -48,14 +55,20 @@
             return;
         }
         let suspicious = threshold.sqrt();
-        let (whom, members) = self.attribute(now, node, build, kind, suspicious);
+        let Attribution { scope, members } = self.attribute(now, node, kind, suspicious);
         let Some(watched) = self.nodes.get(&node) else {
             return;
         };
         let place = place_of_departure(watched.signals.of(kind), suspicious);
         let figures = self.figures(&watched.signals, kind, place, now);
-        let product = place.checked_sub(1).map(|product| product as u8);
-        self.open_departure(now, whom, kind, product, figures, &members);
+        let class = place.checked_sub(1).map(|class| class as u8);
+        let finding = Finding {
+            scope,
+            kind,
+            class,
+            figures,
+        };
+        self.open_departure(now, finding, &members);
     }
 
     /// The number of an open departure of the fleet or of a build.
@@ -71,16 +84,22 @@
         }
     }
 
-    /// Whom a departure at `node` concerns, and its members: the fleet or the build if most others there are suspected
+    /// What a departure at `node` concerns, and its members: the fleet or the build if most others there are suspected
     /// too, else the node.
     fn attribute(
         &self,
         now: Duration,
         node: u32,
-        build: u16,
         kind: DepartureKind,
         suspicious: f64,
-    ) -> (DepartureScope, Vec<u32>) {
+    ) -> Attribution {
+        let alone = Attribution {
+            scope: DepartureScope::Node(node),
+            members: vec![node],
+        };
+        let Some(build) = self.nodes.get(&node).map(|watched| watched.build) else {
+            return alone;
+        };
         let active = self.active_nodes(now);
         let suspects = self.suspects(&active, kind, suspicious);
         let same_build = self.nodes_of_build(&active, build);
@@ -90,16 +109,19 @@
 
         let beyond_build = only_build || fleet_group.suspected > build_group.suspected;
         if fleet_group.size >= MIN_FLEET && fleet_group.is_mostly_suspected() && beyond_build {
-            return (DepartureScope::Fleet, suspects.into_iter().collect());
+            return Attribution {
+                scope: DepartureScope::Fleet,
+                members: suspects.into_iter().collect(),
+            };
         }
         if build_group.suspected >= 2 && build_group.is_mostly_suspected() && !only_build {
-            let members = same_build
-                .into_iter()
-                .filter(|node| suspects.contains(node))
-                .collect();
-            return (DepartureScope::Build(build), members);
+            let is_suspect = |node: &u32| suspects.contains(node);
+            return Attribution {
+                scope: DepartureScope::Build(build),
+                members: same_build.into_iter().filter(is_suspect).collect(),
+            };
         }
-        (DepartureScope::Node(node), vec![node])
+        alone
     }
 
     /// Those of the nodes for which there is some evidence.
@@ -121,18 +143,18 @@
     }
 }
 
-/// The place of the one product that shows a departure while the others show nothing of it; else that of all products.
+/// The place of the one request class that shows a departure while the others show nothing of it; else that of all.
 fn place_of_departure(signals: &[Signal], suspicious: f64) -> usize {
     let (showing, others): (Vec<usize>, Vec<usize>) =
         (1..signals.len()).partition(|place| signals[*place].reaches(suspicious));
     let others_known = others
         .iter()
-        .any(|place| signals[*place].usual.looks() >= MIN_OF_OTHER_PRODUCTS);
+        .any(|place| signals[*place].baseline.weight() >= MIN_OF_OTHER_CLASSES);
     let others_show = others
         .iter()
         .any(|place| signals[*place].reaches(suspicious.sqrt()));
     match showing[..] {
         [place] if others_known && !others_show => place,
-        _ => ALL_PRODUCTS,
+        _ => ALL_CLASSES,
     }
 }
--- a/crates/timeline/src/watch/confirm.rs
+++ b/crates/timeline/src/monitor/confirm.rs
@@ -2,13 +2,14 @@
 //! as a whole.
 use std::time::Duration;
 
-use super::Watch;
+use super::FleetMonitor;
+use super::departures::Finding;
 use super::node::WatchedNode;
 use super::settings::{CALM, CONFIRM_AFTER, MIN_FLEET, MOST};
-use super::signals::{ALL_PRODUCTS, KINDS};
+use super::signals::{ALL_CLASSES, KINDS};
 use crate::entry::{DepartureKind, DepartureScope};
 
-impl Watch {
+impl FleetMonitor {
     /// Opens the departures that have become certain.
     pub(super) fn confirm(&mut self, now: Duration) {
         let threshold = self.threshold();
@@ -17,7 +18,7 @@
             if self
                 .nodes
                 .get(&node)
-                .is_some_and(|watched| watched.would_be_news(kind))
+                .is_some_and(|watched| watched.is_reportable(kind))
             {
                 self.confirm_at_node(now, node, kind, threshold);
             }
@@ -36,7 +37,7 @@
             for kind in KINDS {
                 let since = update_alarms(watched, now, kind, threshold);
                 let long_enough = since.is_some_and(|at| now >= at + CONFIRM_AFTER);
-                if long_enough && watched.would_be_news(kind) {
+                if long_enough && watched.is_reportable(kind) {
                     certain.push((node, kind));
                 }
             }
@@ -53,14 +54,20 @@
     /// Opens a departure of the fleet if most active nodes show more bad observations now than the fleet's limit;
     /// compared with each other they may look alike.
     fn confirm_in_fleet(&mut self, now: Duration, kind: DepartureKind) {
-        let limit = self.fleet_limit(now, kind, ALL_PRODUCTS).unwrap_or(1.0);
+        let limit = self.fleet_limit(now, kind, ALL_CLASSES).unwrap_or(1.0);
         let active = self.active_nodes(now);
         let exceeds = |node: &u32| self.exceeds_now(now, *node, kind, limit);
         let members: Vec<u32> = active.iter().copied().filter(exceeds).collect();
         let most = members.len() as f64 >= MOST * active.len() as f64;
         if active.len() >= MIN_FLEET && most {
-            let figures = self.figures(&self.fleet, kind, ALL_PRODUCTS, now);
-            self.open_departure(now, DepartureScope::Fleet, kind, None, figures, &members);
+            let figures = self.figures(&self.fleet, kind, ALL_CLASSES, now);
+            let finding = Finding {
+                scope: DepartureScope::Fleet,
+                kind,
+                class: None,
+                figures,
+            };
+            self.open_departure(now, finding, &members);
         }
     }
 
@@ -69,8 +76,8 @@
         let Some(watched) = self.nodes.get(&node) else {
             return false;
         };
-        let recent = watched.signals.of(kind)[ALL_PRODUCTS].usual.lately(now);
-        recent.yes > limit * recent.all
+        let recent = watched.signals.of(kind)[ALL_CLASSES].baseline.recent(now);
+        recent.sum > limit * recent.weight
     }
 
     /// The nodes that gave an observation a short while ago.
--- a/crates/timeline/src/watch/departures.rs
+++ b/crates/timeline/src/monitor/departures.rs
@@ -1,16 +1,24 @@
 //! Keeps the open departures: opens and ends them, and reports both.
 use std::time::Duration;
 
-use super::Watch;
+use super::FleetMonitor;
 use super::settings::{PRIOR_WEIGHT, STAGE_TOLERANCE, STAGE_WINDOW};
 use super::signals::Signals;
 use crate::entry::{Departure, DepartureKind, DepartureScope, ReleaseStage};
 
+/// A departure that was confirmed or has ended.
+#[derive(Clone, Debug, PartialEq)]
+pub struct DepartureReport {
+    /// The departure as it was then.
+    pub departure: Departure,
+    /// Whether it was confirmed; if not, it has ended.
+    pub began: bool,
+}
+
 /// The stage of a build that began last.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct StageStart {
-    pub(super) build: u16,
-    pub(super) stage: u8,
+    pub(super) release: ReleaseStage,
     pub(super) since: Duration,
 }
 
@@ -24,18 +32,28 @@
     }
 }
 
-/// What a departure is reported with.
+/// The figures a departure is reported with.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Figures {
     /// When it seems to have begun.
     pub(super) onset: Duration,
-    /// The usual share of bad observations.
-    pub(super) usual: f64,
+    /// The share of bad observations in the baseline.
+    pub(super) baseline: f64,
     /// The share of bad observations since the onset.
-    pub(super) seen: f64,
+    pub(super) observed: f64,
+}
+
+/// What is found out about a departure before it gets its number.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct Finding {
+    pub(super) scope: DepartureScope,
+    pub(super) kind: DepartureKind,
+    /// The request class, where it shows in one class alone.
+    pub(super) class: Option<u8>,
+    pub(super) figures: Figures,
 }
 
-impl Watch {
+impl FleetMonitor {
     /// The figures of a signal of a node or of the fleet.
     pub(super) fn figures(
         &self,
@@ -45,66 +63,49 @@
         now: Duration,
     ) -> Figures {
         let signal = &signals.of(kind)[place];
-        let (onset, seen) = signal.detector.onset();
-        let usual = signal
-            .usual
-            .share(self.fleet_share(kind, place), PRIOR_WEIGHT);
+        let change = signal.test.change_estimate();
+        let baseline = signal
+            .baseline
+            .mean(self.fleet_share(kind, place), PRIOR_WEIGHT);
         Figures {
-            onset: onset.min(now),
-            usual,
-            seen,
+            onset: change.onset.min(now),
+            baseline,
+            observed: change.bad_share,
         }
     }
 
     /// A departure with the next number; it is neither opened nor reported here.
-    pub(super) fn new_departure(
-        &mut self,
-        now: Duration,
-        whom: DepartureScope,
-        kind: DepartureKind,
-        product: Option<u8>,
-        figures: Figures,
-    ) -> Departure {
+    pub(super) fn new_departure(&mut self, now: Duration, finding: Finding) -> Departure {
         let number = self.next_number;
         self.next_number += 1;
-        let Figures { onset, usual, seen } = figures;
-        let stage = self.latest_stage.filter(|stage| stage.is_near(now, onset));
-        let concurrent_stage = stage.map(|stage| ReleaseStage {
-            build: stage.build,
-            stage: stage.stage,
-        });
+        let figures = finding.figures;
+        let stage = self
+            .latest_stage
+            .filter(|stage| stage.is_near(now, figures.onset));
         Departure {
             number,
-            scope: whom,
-            kind,
-            class: product,
-            onset,
+            scope: finding.scope,
+            kind: finding.kind,
+            class: finding.class,
+            onset: figures.onset,
             confirmed: now,
             ended: None,
-            baseline: usual,
-            observed: seen,
-            concurrent_stage,
+            baseline: figures.baseline,
+            observed: figures.observed,
+            concurrent_stage: stage.map(|stage| stage.release),
         }
     }
 
     /// Opens and reports a departure.
-    pub(super) fn open_departure(
-        &mut self,
-        now: Duration,
-        whom: DepartureScope,
-        kind: DepartureKind,
-        product: Option<u8>,
-        figures: Figures,
-        members: &[u32],
-    ) {
-        let departure = self.new_departure(now, whom, kind, product, figures);
+    pub(super) fn open_departure(&mut self, now: Duration, finding: Finding, members: &[u32]) {
+        let departure = self.new_departure(now, finding);
         for member in members {
             if let Some(watched) = self.nodes.get_mut(member) {
-                watched.open.entry(kind).or_insert(departure.number);
+                watched.open.entry(finding.kind).or_insert(departure.number);
                 watched.calm_since = None;
             }
         }
-        self.reports.push((departure.clone(), true));
+        self.report(departure.clone(), true);
         self.open.insert(departure.number, departure);
     }
 
@@ -125,11 +126,15 @@
             watched.signals.reset_tests(kind);
         }
         self.fleet.reset_tests(kind);
-        self.reports.push((departure, false));
+        self.report(departure, false);
+    }
+
+    pub(super) fn report(&mut self, departure: Departure, began: bool) {
+        self.reports.push(DepartureReport { departure, began });
     }
 
     /// Ends the departures that concern this node alone.
-    pub(super) fn end_all_of(&mut self, now: Duration, node: u32) {
+    pub(super) fn end_departures_of(&mut self, now: Duration, node: u32) {
         let Some(watched) = self.nodes.get(&node) else {
             return;
         };
--- /dev/null
+++ b/crates/timeline/src/monitor/learning.rs
@@ -0,0 +1,62 @@
+//! Takes what was observed into the baselines, except where a departure lasts or is suspected.
+use std::collections::BTreeSet;
+use std::time::Duration;
+
+use super::FleetMonitor;
+use super::node::WatchedNode;
+use super::signals::KINDS;
+use crate::entry::{DepartureKind, DepartureScope};
+
+impl FleetMonitor {
+    /// Learns what has waited long enough.
+    pub(super) fn learn(&mut self, now: Duration) {
+        self.send_rate.learn(now, false);
+        for baseline in &mut self.answer_seconds {
+            baseline.learn(now, false);
+        }
+        self.learn_builds(now);
+        let suspicious = self.suspicion_threshold();
+        for watched in self.nodes.values_mut() {
+            learn_node(watched, now, suspicious);
+        }
+        self.learn_fleet(now);
+    }
+
+    /// The evidence from which on a signal is suspected, though not yet confirmed.
+    fn suspicion_threshold(&self) -> f64 {
+        self.threshold().sqrt()
+    }
+
+    /// Drops builds that no longer run. Of the others only recent observations are used, so nothing is learned.
+    fn learn_builds(&mut self, now: Duration) {
+        let running: BTreeSet<u16> = self.nodes.values().map(|watched| watched.build).collect();
+        self.builds.retain(|build, _| running.contains(build));
+        for signals in self.builds.values_mut() {
+            for kind in KINDS {
+                signals.learn(now, kind, true);
+            }
+        }
+    }
+
+    fn learn_fleet(&mut self, now: Duration) {
+        for kind in KINDS {
+            let departed = self
+                .open
+                .values()
+                .any(|open| open.scope == DepartureScope::Fleet && open.kind == kind);
+            self.fleet.learn(now, kind, departed);
+        }
+    }
+}
+
+fn learn_node(watched: &mut WatchedNode, now: Duration, suspicious: f64) {
+    let is_slow = watched.open.contains_key(&DepartureKind::Latency);
+    watched.relative_latency.learn(now, is_slow);
+    let has_departed = !watched.open.is_empty();
+    watched.mean_outstanding.learn(now, has_departed);
+    for kind in KINDS {
+        let suspected = watched.signals.any_reaches(kind, suspicious);
+        let suspended = watched.open.contains_key(&kind) || suspected;
+        watched.signals.learn(now, kind, suspended);
+    }
+}
--- a/crates/timeline/src/watch/membership.rs
+++ b/crates/timeline/src/monitor/membership.rs
@@ -1,15 +1,15 @@
-//! Keeps the watched nodes in step with the membership list, and notes restarts and the stages of builds.
+//! Keeps the watched nodes in step with the endpoint list, and notes restarts and the stages of builds.
 use std::time::Duration;
 
-use super::Watch;
-use super::departures::{Figures, StageStart};
+use super::FleetMonitor;
+use super::departures::{Figures, Finding, StageStart};
 use super::node::WatchedNode;
-use crate::entry::{Departure, DepartureKind, DepartureScope};
+use crate::entry::{Departure, DepartureKind, DepartureScope, ReleaseStage};
 
-impl Watch {
-    /// A node is listed, or its state has changed. Another start time or build means another process: a new build is a
+impl FleetMonitor {
+    /// A node is listed, or its entry has changed. Another start time or build means another process: a new build is a
     /// release, and the same build again is a restart, which is reported unless a departure was open there.
-    pub fn listed(&mut self, now: Duration, node: u32, build: u16, started: Option<Duration>) {
+    pub fn node_listed(&mut self, now: Duration, node: u32, build: u16, started: Option<Duration>) {
         let Some(known) = self.nodes.get(&node) else {
             self.insert_node(now, node, build, started);
             return;
@@ -19,7 +19,7 @@
         }
         let same_build = known.build == build;
         let already_reported = !known.open.is_empty();
-        self.end_all_of(now, node);
+        self.end_departures_of(now, node);
         self.insert_node(now, node, build, started);
         if same_build && !already_reported {
             self.report_restart(now, node, started);
@@ -27,47 +27,42 @@
     }
 
     fn insert_node(&mut self, now: Duration, node: u32, build: u16, started: Option<Duration>) {
-        let watched = WatchedNode::new(now, build, started, self.aims.products);
+        let watched = WatchedNode::new(now, build, started, self.config.classes);
         self.nodes.insert(node, watched);
     }
 
     fn report_restart(&mut self, now: Duration, node: u32, started: Option<Duration>) {
-        let figures = Figures {
-            onset: started.unwrap_or(now),
-            usual: 0.0,
-            seen: 1.0,
+        let finding = Finding {
+            scope: DepartureScope::Node(node),
+            kind: DepartureKind::Restart,
+            class: None,
+            figures: Figures {
+                onset: started.unwrap_or(now),
+                baseline: 0.0,
+                observed: 1.0,
+            },
         };
-        let departure = self.new_departure(
-            now,
-            DepartureScope::Node(node),
-            DepartureKind::Restart,
-            None,
-            figures,
-        );
         let departure = Departure {
             ended: Some(now),
-            ..departure
+            ..self.new_departure(now, finding)
         };
-        self.reports.push((departure, true));
+        self.report(departure, true);
     }
 
     /// A node is no longer listed.
-    pub fn gone(&mut self, now: Duration, node: u32) {
-        self.end_all_of(now, node);
+    pub fn node_removed(&mut self, now: Duration, node: u32) {
+        self.end_departures_of(now, node);
         self.nodes.remove(&node);
     }
 
     /// A stage of a build began at `since`.
-    pub fn staged(&mut self, build: u16, stage: u8, since: Duration) {
-        let known = self
+    pub fn stage_started(&mut self, build: u16, stage: u8, since: Duration) {
+        let release = ReleaseStage { build, stage };
+        if self
             .latest_stage
-            .is_some_and(|latest| (latest.build, latest.stage) == (build, stage));
-        if !known {
-            self.latest_stage = Some(StageStart {
-                build,
-                stage,
-                since,
-            });
+            .is_none_or(|latest| latest.release != release)
+        {
+            self.latest_stage = Some(StageStart { release, since });
         }
     }
 }
--- a/crates/timeline/src/watch/node.rs
+++ b/crates/timeline/src/monitor/node.rs
@@ -1,31 +1,33 @@
-//! What a watch knows of one node.
+//! What a monitor knows of one node.
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use super::settings::{HEARD_RECENTLY, LATENCY_PRIOR_WEIGHT};
+use super::AttemptId;
+use super::settings::{LATENCY_PRIOR_WEIGHT, RECEIVED_RECENTLY};
 use super::signals::Signals;
+use crate::baseline::Baseline;
 use crate::entry::DepartureKind;
-use crate::usual::Usual;
 
 /// A node that is listed.
+#[derive(Debug)]
 pub(super) struct WatchedNode {
     pub(super) build: u16,
     /// When its process started, if that is known.
     pub(super) started: Option<Duration>,
     pub(super) signals: Signals,
-    /// Its answer times as multiples of what is usual for the product.
-    pub(super) relative_latency: Usual,
-    /// When each outstanding attempt was sent, by request and attempt number.
-    pub(super) outstanding: BTreeMap<(u32, u8), Duration>,
+    /// Its answer times as multiples of the baseline of the request class.
+    pub(super) relative_latency: Baseline,
+    /// When each outstanding attempt was sent.
+    pub(super) outstanding: BTreeMap<AttemptId, Duration>,
     /// How many attempts are outstanding in the mean.
-    pub(super) usual_outstanding: Usual,
-    /// When it last gave a sign of life.
-    pub(super) last_heard: Duration,
+    pub(super) mean_outstanding: Baseline,
+    /// When an answer or a connection error was last received from it.
+    pub(super) last_received: Duration,
     /// When it last gave an observation.
     pub(super) last_observed: Duration,
     /// The numbers of the open departures it is a member of, by kind.
     pub(super) open: BTreeMap<DepartureKind, u32>,
-    /// Since when an open departure it stands for has been back to the usual.
+    /// Since when an open departure it stands for has been back to the baseline.
     pub(super) calm_since: Option<Duration>,
 }
 
@@ -35,36 +37,36 @@
         now: Duration,
         build: u16,
         started: Option<Duration>,
-        products: usize,
+        classes: usize,
     ) -> Self {
         WatchedNode {
             build,
             started,
-            signals: Signals::new(products),
-            relative_latency: Usual::default(),
+            signals: Signals::new(classes),
+            relative_latency: Baseline::default(),
             outstanding: BTreeMap::new(),
-            usual_outstanding: Usual::default(),
-            last_heard: now,
+            mean_outstanding: Baseline::default(),
+            last_received: now,
             last_observed: Duration::ZERO,
             open: BTreeMap::new(),
             calm_since: None,
         }
     }
 
-    /// Its usual answer time as a multiple of what is usual for the product.
-    pub(super) fn usual_relative_latency(&self) -> f64 {
-        self.relative_latency.share(1.0, LATENCY_PRIOR_WEIGHT)
+    /// Its mean answer time as a multiple of the baseline of the request class.
+    pub(super) fn baseline_relative_latency(&self) -> f64 {
+        self.relative_latency.mean(1.0, LATENCY_PRIOR_WEIGHT)
     }
 
     /// Whether an attempt sent at `sent` falls into the time after its start in which it may be slow.
-    pub(super) fn is_ramping_up(&self, sent: Duration, ramp: Duration) -> bool {
+    pub(super) fn is_warming_up(&self, sent: Duration, slow_start: Duration) -> bool {
         self.started
-            .is_some_and(|started| sent < started + ramp * 9 / 8)
+            .is_some_and(|started| sent < started + slow_start * 9 / 8)
     }
 
-    /// Whether it gave a sign of life a short while ago.
-    pub(super) fn heard_recently(&self, now: Duration) -> bool {
-        self.last_heard + HEARD_RECENTLY > now
+    /// Whether anything was received from it a short while ago.
+    pub(super) fn received_recently(&self, now: Duration) -> bool {
+        self.last_received + RECEIVED_RECENTLY > now
     }
 
     /// Whether it is a member of the departure `number` of this kind.
@@ -72,8 +74,8 @@
         self.open.get(&kind) == Some(&number)
     }
 
-    /// Whether a departure of this kind would be news: none is open, nor one that explains it.
-    pub(super) fn would_be_news(&self, kind: DepartureKind) -> bool {
+    /// Whether a departure of this kind would be reported: none is open, nor one that explains it.
+    pub(super) fn is_reportable(&self, kind: DepartureKind) -> bool {
         let explained = explained_by(kind)
             .iter()
             .any(|other| self.open.contains_key(other));
--- a/crates/timeline/src/watch/outstanding.rs
+++ b/crates/timeline/src/monitor/outstanding.rs
@@ -2,23 +2,23 @@
 //! whether a node has more outstanding than its share.
 use std::time::Duration;
 
-use super::Watch;
+use super::FleetMonitor;
 use super::node::WatchedNode;
 use super::settings::{OVERDUE_FACTOR, OVERDUE_MARGIN, OVERDUE_MAX_SECONDS};
-use super::signals::{ALL_PRODUCTS, Observation};
+use super::signals::{ALL_CLASSES, Observation};
+use crate::baseline::WeightedSum;
 use crate::entry::DepartureKind;
-use crate::usual::Sum;
 
 /// Fewer outstanding attempts than this are never too many.
 const MIN_HIGH_LOAD: usize = 4;
-/// More outstanding attempts than this multiple of the usual number are too many.
+/// More outstanding attempts than this multiple of the baseline are too many.
 const HIGH_LOAD_FACTOR: f64 = 3.0;
 
-impl Watch {
+impl FleetMonitor {
     /// Observes load and silence at each node. After a pause only the mean numbers are noted, since nothing could be
-    /// heard meanwhile.
+    /// received meanwhile.
     pub(super) fn check_outstanding(&mut self, now: Duration, after_pause: bool) {
-        let usual_seconds = self.longest_usual_answer();
+        let baseline_seconds = self.longest_baseline_answer();
         let total: usize = self
             .nodes
             .values()
@@ -32,7 +32,7 @@
                 observed.push((node, DepartureKind::Load, high));
             }
             // Answers are the good observations of silence; while nothing is overdue there is nothing to observe.
-            if is_overdue(watched, now, self.resumed_at, usual_seconds) {
+            if is_overdue(watched, now, self.resumed_at, baseline_seconds) {
                 observed.push((node, DepartureKind::Silence, true));
             }
         }
@@ -45,18 +45,18 @@
                 node,
                 &[Observation {
                     kind,
-                    place: ALL_PRODUCTS,
+                    place: ALL_CLASSES,
                     bad,
                 }],
             );
         }
     }
 
-    /// The usual time to an answer of the product that takes longest, in seconds.
-    fn longest_usual_answer(&self) -> f64 {
+    /// The mean time to an answer of the request class that takes longest, in seconds.
+    fn longest_baseline_answer(&self) -> f64 {
         self.answer_seconds
             .iter()
-            .map(|usual| usual.share(0.0, 1e-3))
+            .map(|baseline| baseline.mean(0.0, 1e-3))
             .fold(0.0, f64::max)
     }
 }
@@ -64,32 +64,28 @@
 /// Notes how many attempts are outstanding. Returns whether they are too many, or nothing if there are none.
 fn observe_load(watched: &mut WatchedNode, now: Duration, others_mean: f64) -> Option<bool> {
     let outstanding = watched.outstanding.len();
-    let own_mean = watched.usual_outstanding.share(1.0, 4.0);
-    watched.usual_outstanding.put(
-        now,
-        Sum {
-            yes: outstanding as f64,
-            all: 1.0,
-        },
-    );
-    let usual = own_mean.max(others_mean).max(1.0);
-    let high = outstanding >= MIN_HIGH_LOAD && outstanding as f64 > HIGH_LOAD_FACTOR * usual;
+    let own_mean = watched.mean_outstanding.mean(1.0, 4.0);
+    let sample = WeightedSum::of(outstanding as f64);
+    watched.mean_outstanding.add(now, sample);
+    let baseline = own_mean.max(others_mean).max(1.0);
+    let high = outstanding >= MIN_HIGH_LOAD && outstanding as f64 > HIGH_LOAD_FACTOR * baseline;
     (outstanding > 0).then_some(high)
 }
 
-/// Whether nothing was heard of a node since its oldest outstanding attempt was sent, for longer than is usual.
+/// Whether nothing was received from a node since its oldest outstanding attempt was sent, for longer than the baseline
+/// allows.
 fn is_overdue(
     watched: &WatchedNode,
     now: Duration,
     resumed_at: Duration,
-    usual_seconds: f64,
+    baseline_seconds: f64,
 ) -> bool {
     let Some(oldest) = watched.outstanding.values().min().copied() else {
         return false;
     };
-    let relative = watched.usual_relative_latency().max(1.0);
-    let seconds = (usual_seconds * relative * OVERDUE_FACTOR).min(OVERDUE_MAX_SECONDS);
-    let patience = Duration::from_secs_f64(seconds) + OVERDUE_MARGIN;
+    let relative = watched.baseline_relative_latency().max(1.0);
+    let seconds = (baseline_seconds * relative * OVERDUE_FACTOR).min(OVERDUE_MAX_SECONDS);
+    let allowance = Duration::from_secs_f64(seconds) + OVERDUE_MARGIN;
     let waiting_since = oldest.max(resumed_at);
-    watched.last_heard < oldest && now >= waiting_since + patience
+    watched.last_received < oldest && now >= waiting_since + allowance
 }
--- a/crates/timeline/src/watch/recovery.rs
+++ b/crates/timeline/src/monitor/recovery.rs
@@ -1,21 +1,21 @@
-//! Ends departures whose nodes are back to the usual.
+//! Ends departures whose nodes are back to the baseline.
 use std::time::Duration;
 
-use super::Watch;
-use super::baseline::raised;
+use super::FleetMonitor;
+use super::limits::raised;
 use super::settings::{CALM, MOST, PRIOR_WEIGHT};
-use super::signals::{ALL_PRODUCTS, Signal};
+use super::signals::{ALL_CLASSES, Signal};
 use crate::entry::DepartureKind;
 
-/// An open departure, and whether its members are back to the usual at this tick.
+/// An open departure, and whether its members are back to the baseline at this tick.
 struct Progress {
     number: u32,
     kind: DepartureKind,
     is_back: bool,
 }
 
-impl Watch {
-    /// Ends the departures that have been back to the usual for long enough.
+impl FleetMonitor {
+    /// Ends the departures that have been back to the baseline for long enough.
     pub(super) fn end_recovered(&mut self, now: Duration) {
         let progress: Vec<Progress> = self
             .open
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Whether most members of a departure are back to the usual.
+    /// Whether most members of a departure are back to the baseline.
     fn is_back(&self, now: Duration, number: u32, kind: DepartureKind) -> bool {
         let of_departure = self
             .nodes
@@ -50,7 +50,7 @@
         calm as f64 >= MOST * members.len() as f64
     }
 
-    /// Notes at the first member since when the departure has been back to the usual. Returns whether that is long
+    /// Notes at the first member since when the departure has been back to the baseline. Returns whether that is long
     /// enough, or whether no member is left.
     fn has_recovered(&mut self, now: Duration, progress: &Progress) -> bool {
         let (kind, number) = (progress.kind, progress.number);
@@ -67,13 +67,13 @@
         first.calm_since.is_some_and(|since| now >= since + CALM)
     }
 
-    /// Whether a node shows no more bad observations of a kind now than is usual there.
+    /// Whether a node shows no more bad observations of a kind now than in its baseline.
     fn is_calm(&self, now: Duration, node: u32, kind: DepartureKind) -> bool {
         let Some(watched) = self.nodes.get(&node) else {
             return true;
         };
         if kind == DepartureKind::Silence {
-            return watched.heard_recently(now);
+            return watched.received_recently(now);
         }
         let signals = watched.signals.of(kind);
         signals
@@ -82,8 +82,8 @@
             .all(|(place, signal)| self.signal_is_calm(now, signal, kind, place))
     }
 
-    /// Whether a signal's recent observations are usual. Without any, that of one product is calm, and that of all
-    /// products is not: nothing shows that the node is back.
+    /// Whether a signal's recent observations are as in its baseline. Without any, that of one request class is calm,
+    /// and that of all classes is not: nothing shows that the node is back.
     fn signal_is_calm(
         &self,
         now: Duration,
@@ -91,13 +91,13 @@
         kind: DepartureKind,
         place: usize,
     ) -> bool {
-        let recent = signal.usual.lately(now);
-        if recent.all == 0.0 {
-            return place != ALL_PRODUCTS;
+        let recent = signal.baseline.recent(now);
+        if recent.weight == 0.0 {
+            return place != ALL_CLASSES;
         }
-        let usual = signal
-            .usual
-            .share(self.fleet_share(kind, place), PRIOR_WEIGHT);
-        recent.yes <= raised(usual, kind) * recent.all + 1.0
+        let baseline = signal
+            .baseline
+            .mean(self.fleet_share(kind, place), PRIOR_WEIGHT);
+        recent.sum <= raised(baseline, kind) * recent.weight + 1.0
     }
 }
--- a/crates/timeline/src/watch/signals.rs
+++ b/crates/timeline/src/monitor/signals.rs
@@ -2,11 +2,11 @@
 //! observations that feed them.
 use std::time::Duration;
 
-use crate::detect::{Bets, Detector};
+use crate::baseline::Baseline;
 use crate::entry::DepartureKind;
-use crate::usual::Usual;
+use crate::sequential_test::{Bets, SequentialTest};
 
-/// The kinds that are tested for; a restart is not tested for but heard of.
+/// The kinds that are tested for; a restart follows from the endpoint list.
 pub(super) const KINDS: [DepartureKind; 5] = [
     DepartureKind::Silence,
     DepartureKind::Links,
@@ -15,8 +15,8 @@
     DepartureKind::Load,
 ];
 
-/// The place of the signal over all products; product `p` has place `p + 1`.
-pub(super) const ALL_PRODUCTS: usize = 0;
+/// The place of the signal over all request classes; class `n` has place `n + 1`.
+pub(super) const ALL_CLASSES: usize = 0;
 
 /// The most observations one attempt gives.
 const MOST_PER_ATTEMPT: usize = 6;
@@ -39,7 +39,7 @@
     pub(super) fn new() -> Self {
         let unused = Observation {
             kind: DepartureKind::Links,
-            place: ALL_PRODUCTS,
+            place: ALL_CLASSES,
             bad: false,
         };
         Observations {
@@ -58,11 +58,11 @@
     }
 }
 
-/// One signal: its test, and what is usual.
+/// One signal: its test and its baseline.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Signal {
-    pub(super) detector: Detector,
-    pub(super) usual: Usual,
+    pub(super) test: SequentialTest,
+    pub(super) baseline: Baseline,
     /// Since when the evidence has been above the threshold.
     pub(super) alarming_since: Option<Duration>,
     /// The bets for observations until the next tick; none while too little is known to test.
@@ -72,15 +72,15 @@
 impl Signal {
     /// Takes an observation into the baseline and, if there are bets, into the test.
     pub(super) fn observe(&mut self, now: Duration, bad: bool) {
-        self.usual.look(now, bad);
+        self.baseline.observe(now, bad);
         if let Some(bets) = &self.bets {
-            self.detector.look(now, bets, bad);
+            self.test.observe(now, bets, bad);
         }
     }
 
     /// Whether the evidence has reached `threshold`.
     pub(super) fn reaches(&self, threshold: f64) -> bool {
-        self.detector.evidence() >= threshold
+        self.test.evidence() >= threshold
     }
 
     /// Notes whether the evidence is above the threshold, and since when.
@@ -95,12 +95,12 @@
 
     /// Starts the test anew; the baseline stays.
     pub(super) fn reset_test(&mut self) {
-        self.detector = Detector::default();
+        self.test = SequentialTest::default();
         self.alarming_since = None;
     }
 }
 
-/// All signals of a node, a build or the fleet. Errors and latency have one over all products and one for each.
+/// All signals of a node, a build or the fleet. Errors and latency have one over all request classes and one for each.
 #[derive(Clone, Debug)]
 pub(super) struct Signals {
     errors: Vec<Signal>,
@@ -111,18 +111,18 @@
 }
 
 impl Signals {
-    pub(super) fn new(products: usize) -> Self {
-        let by_product = vec![Signal::default(); products + 1];
+    pub(super) fn new(classes: usize) -> Self {
+        let by_class = vec![Signal::default(); classes + 1];
         Signals {
-            errors: by_product.clone(),
-            latency: by_product,
+            errors: by_class.clone(),
+            latency: by_class,
             links: Signal::default(),
             silence: Signal::default(),
             load: Signal::default(),
         }
     }
 
-    /// The signals of a kind: the one over all products first, then by product.
+    /// The signals of a kind: the one over all request classes first, then by class.
     pub(super) fn of(&self, kind: DepartureKind) -> &[Signal] {
         match kind {
             DepartureKind::Errors => &self.errors,
@@ -149,10 +149,10 @@
         self.of(kind).iter().any(|signal| signal.reaches(threshold))
     }
 
-    /// Lets the baselines of a kind learn; while `held`, what they would learn is dropped.
-    pub(super) fn learn(&mut self, now: Duration, kind: DepartureKind, held: bool) {
+    /// Lets the baselines of a kind learn; while `suspended`, what they would learn is dropped.
+    pub(super) fn learn(&mut self, now: Duration, kind: DepartureKind, suspended: bool) {
         for signal in self.of_mut(kind) {
-            signal.usual.learn(now, held);
+            signal.baseline.learn(now, suspended);
         }
     }
 
--- /dev/null
+++ b/crates/timeline/src/step_history.rs
@@ -0,0 +1,207 @@
+//! The counts of a node over time, at several levels: fine steps for the last minutes, coarser ones for the last hour
+//! and day. Steps are folded into coarser ones as they complete; the number of steps of each level is bounded.
+use std::collections::VecDeque;
+use std::fmt;
+use std::time::Duration;
+
+use sketches_ddsketch::DDSketch;
+
+use crate::entry::AttemptCounts;
+use crate::latency_sketch::{LatencySketch, MAX_BINS, empty_sketch};
+
+/// A level of detail.
+#[derive(Clone, Copy, Debug)]
+pub struct Level {
+    /// How long a step is, in whole seconds.
+    pub step_duration: Duration,
+    /// How many steps are kept.
+    pub capacity: usize,
+}
+
+/// Two minutes by the second, an hour by fifteen seconds, a day by five minutes.
+pub const LEVELS: [Level; 3] = [
+    Level {
+        step_duration: Duration::from_secs(1),
+        capacity: 120,
+    },
+    Level {
+        step_duration: Duration::from_secs(15),
+        capacity: 240,
+    },
+    Level {
+        step_duration: Duration::from_secs(300),
+        capacity: 288,
+    },
+];
+
+/// The counts and latencies of a time span.
+#[derive(Clone, Debug)]
+pub struct Step {
+    /// When the span begins, since 1970.
+    pub from: Duration,
+    /// Its attempts.
+    pub counts: AttemptCounts,
+    /// The latencies of its successful attempts.
+    pub latency: LatencySketch,
+}
+
+/// A step and how long it is.
+#[derive(Clone, Debug)]
+pub struct TimedStep {
+    /// How long the step is.
+    pub duration: Duration,
+    /// The step.
+    pub step: Step,
+}
+
+/// The step that is being filled.
+struct CurrentStep {
+    from: Duration,
+    counts: AttemptCounts,
+    latency: DDSketch,
+}
+
+/// A node's counts over time.
+pub struct StepHistory {
+    current: CurrentStep,
+    levels: [VecDeque<Step>; LEVELS.len()],
+    /// The steps of each level that are to be folded into the next one.
+    to_fold: [Vec<Step>; LEVELS.len() - 1],
+}
+
+impl fmt::Debug for StepHistory {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter
+            .debug_struct("StepHistory")
+            .field("current_from", &self.current.from)
+            .field("levels", &self.levels)
+            .finish_non_exhaustive()
+    }
+}
+
+/// The beginning of the step of this duration in which `at` lies.
+fn step_start(at: Duration, step_duration: Duration) -> Duration {
+    let step_seconds = step_duration.as_secs().max(1);
+    Duration::from_secs(at.as_secs() / step_seconds * step_seconds)
+}
+
+impl StepHistory {
+    /// An empty history; its first step is the one in which `now` lies.
+    pub fn new(now: Duration) -> Self {
+        let current = CurrentStep {
+            from: step_start(now, LEVELS[0].step_duration),
+            counts: AttemptCounts::default(),
+            latency: empty_sketch(),
+        };
+        StepHistory {
+            current,
+            levels: Default::default(),
+            to_fold: Default::default(),
+        }
+    }
+
+    /// The counts of the step in which `now` lies. If the step before has ended and is not empty, `on_completed` gets
+    /// it.
+    pub fn current(
+        &mut self,
+        now: Duration,
+        on_completed: &mut impl FnMut(&Step),
+    ) -> &mut AttemptCounts {
+        let from = step_start(now, LEVELS[0].step_duration);
+        if from > self.current.from {
+            let step = self.begin_step(from);
+            if !step.counts.is_empty() {
+                on_completed(&step);
+                self.keep(0, step);
+            }
+        }
+        &mut self.current.counts
+    }
+
+    /// Begins a step, and returns the one before.
+    fn begin_step(&mut self, from: Duration) -> Step {
+        let step = Step {
+            from: self.current.from,
+            counts: std::mem::take(&mut self.current.counts),
+            latency: LatencySketch::pack(&self.current.latency),
+        };
+        self.current.from = from;
+        if self.current.latency.count() > 0 {
+            self.current.latency = empty_sketch();
+        }
+        step
+    }
+
+    /// Adds the latency of a successful attempt to the current step.
+    pub fn record_latency(&mut self, latency: Duration) {
+        self.current.latency.add(latency.as_secs_f64());
+    }
+
+    /// Adds a step to a level, and folds the steps before it into the next level if they fill a step there.
+    fn keep(&mut self, level: usize, step: Step) {
+        if let Some(coarser) = LEVELS.get(level + 1) {
+            let coarse_start = |step: &Step| step_start(step.from, coarser.step_duration);
+            let gathered = &mut self.to_fold[level];
+            let begins_new = gathered
+                .first()
+                .is_some_and(|first| coarse_start(first) != coarse_start(&step));
+            if begins_new {
+                let steps = std::mem::take(gathered);
+                gathered.push(step.clone());
+                let folded = fold(coarse_start(&steps[0]), &steps);
+                self.keep(level + 1, folded);
+            } else {
+                gathered.push(step.clone());
+            }
+        }
+        let kept = &mut self.levels[level];
+        kept.push_back(step);
+        if kept.len() > LEVELS[level].capacity {
+            kept.pop_front();
+        }
+    }
+
+    /// The completed steps from an instant on, in their order: coarse ones where finer ones are dropped already.
+    pub fn since(&self, from: Duration) -> Vec<TimedStep> {
+        let mut found = Vec::new();
+        let mut until = Duration::MAX;
+        for (kept, level) in self.levels.iter().zip(LEVELS) {
+            let duration = level.step_duration;
+            let within = |step: &&Step| step.from + duration <= until && step.from >= from;
+            found.extend(kept.iter().filter(within).map(|step| TimedStep {
+                duration,
+                step: step.clone(),
+            }));
+            until = until.min(kept.front().map_or(until, |first| first.from));
+        }
+        found.sort_by_key(|timed| timed.step.from);
+        found
+    }
+
+    /// An estimate of the memory it takes, in bytes.
+    pub fn memory_bytes(&self) -> usize {
+        let step_bytes = |step: &Step| size_of::<Step>() + step.latency.memory_bytes();
+        let kept: usize = self
+            .levels
+            .iter()
+            .flatten()
+            .chain(self.to_fold.iter().flatten())
+            .map(step_bytes)
+            .sum();
+        // The current sketch holds its bins unpacked.
+        kept + size_of::<Self>() + MAX_BINS as usize * size_of::<u64>()
+    }
+}
+
+/// The step that begins at `from` and holds all of `steps`.
+fn fold(from: Duration, steps: &[Step]) -> Step {
+    let mut counts = AttemptCounts::default();
+    for step in steps {
+        counts.add(&step.counts);
+    }
+    Step {
+        from,
+        counts,
+        latency: LatencySketch::merged(steps.iter().map(|step| &step.latency)),
+    }
+}
--- a/crates/timeline/tests/departures.rs
+++ b/crates/timeline/tests/departures.rs
@@ -31,8 +31,8 @@
 
 /// What was said: whose, of what kind and product, and how long after the fault's beginning.
 fn said(day: &Day) -> Vec<(DepartureScope, DepartureKind, Option<u8>, f64)> {
-    let mut book = book(0.5);
-    let all = play(day, &mut book, &mut |_| {});
+    let mut timeline = book(0.5);
+    let all = play(day, &mut timeline, &mut |_| {});
     let begun = all.into_iter().filter(|(_, _, begins)| *begins);
     let after = |at: Duration| at.as_secs_f64() - (DAWN + AT).as_secs_f64();
     begun
@@ -155,7 +155,7 @@
 
 #[test]
 fn a_departure_has_an_onset_and_an_end() {
-    let mut book = book(0.5);
+    let mut timeline = book(0.5);
     let said = play(
         &day(
             Fault::Errors {
@@ -165,7 +165,7 @@
             },
             20_000,
         ),
-        &mut book,
+        &mut timeline,
         &mut |_| {},
     );
     let [(_, begun, true), (ended, over, false)] = &said[..] else {
