--- a/crates/agent/src/recorder.rs
+++ b/crates/agent/src/recorder.rs
@@ -8,9 +8,10 @@
 use lilacgate_decision::{AttemptNumber, EndpointId, Outcome, RequestClass, RequestId};
 use lilacgate_operator_config::Timeline;
 use lilacgate_start_settings::Paths;
-use lilacgate_store::frames;
-use lilacgate_store::pump::{Handed, Pump};
-use lilacgate_store::writer::{Bounds, Real, Writer};
+use lilacgate_store::background_writer::{BackgroundWriter, Submitted};
+use lilacgate_store::segment_format;
+use lilacgate_store::storage::FileSystem;
+use lilacgate_store::writer::{Retention, StoreWriter};
 use lilacgate_timeline::entry::{DepartureScope, Record, StepRecord};
 use lilacgate_timeline::fleet_timeline::{AttemptEnd, FleetTimeline, MemoryLimits};
 use lilacgate_timeline::monitor::MonitorConfig;
@@ -51,7 +52,7 @@
 struct Open {
     book: FleetTimeline,
     set: Timeline,
-    pump: Option<Pump>,
+    pump: Option<BackgroundWriter>,
     /// What the disk was too slow for, to be handed over first.
     behind: Vec<Record>,
     next: Duration,
@@ -119,18 +120,18 @@
                 },
             );
             let pump = set.store.as_ref().and_then(|store| {
-                let bounds = Bounds {
-                    bytes: store.keep,
-                    age: store.age,
+                let bounds = Retention {
+                    max_bytes: store.keep,
+                    max_age: store.age,
                 };
-                let writer = Writer::new(&store.folder, bounds, Box::new(Real));
+                let writer = StoreWriter::new(&store.folder, bounds, Box::new(FileSystem));
                 let fault = |fault| {
                     say!(
                         "timeline: nothing is kept on disk: {}: {fault}",
                         store.folder.display()
                     )
                 };
-                writer.map_err(fault).ok().map(Pump::new)
+                writer.map_err(fault).ok().map(BackgroundWriter::new)
             });
             let behind = if pump.is_some() {
                 self.beginning(now)
@@ -310,10 +311,10 @@
                 records.extend(line.steps().since(Duration::ZERO).into_iter().map(step));
             }
         }
-        let mut bytes = frames::head(now.as_secs()).to_vec();
+        let mut bytes = segment_format::header(now.as_secs()).to_vec();
         records
             .iter()
-            .for_each(|record| frames::put(&mut bytes, record));
+            .for_each(|record| segment_format::append_record(&mut bytes, record));
         bytes
     }
 
@@ -349,9 +350,9 @@
         if batch.is_empty() {
             return;
         }
-        match pump.hand(now, batch) {
-            Handed::Taken => {}
-            Handed::Behind(mut batch) => {
+        match pump.submit(now, batch) {
+            Submitted::Accepted => {}
+            Submitted::QueueFull(mut batch) => {
                 // The finest detail goes first; what is left waits for the next time.
                 let all = batch.len();
                 if all > WAITING {
@@ -364,7 +365,7 @@
                 }
                 self.behind = batch;
             }
-            Handed::Over(why) => {
+            Submitted::Closed(why) => {
                 self.pump = None;
                 if let Some(why) = why {
                     say!("timeline: nothing more is kept on disk: {why}");
--- a/crates/ctl/src/lines.rs
+++ b/crates/ctl/src/lines.rs
@@ -74,7 +74,7 @@
         let damaged: Vec<String> = read
             .damaged
             .iter()
-            .map(|(path, why)| named(path, why))
+            .map(|file| named(&file.path, &file.error.to_string()))
             .collect();
         damaged.iter().for_each(|what| tracing::warn!("{what}"));
         if read.records.is_empty() && !damaged.is_empty() {
--- a/crates/ctl/tests/timeline.rs
+++ b/crates/ctl/tests/timeline.rs
@@ -4,7 +4,8 @@
 use std::process::Command;
 use std::time::Duration;
 
-use lilacgate_store::writer::{Bounds, Real, Writer};
+use lilacgate_store::storage::FileSystem;
+use lilacgate_store::writer::{Retention, StoreWriter};
 use lilacgate_test_bed::virtually::{DAWN, Day, Event, Fault, aims, play};
 use lilacgate_timeline::entry::Record;
 use lilacgate_timeline::fleet_timeline::{FleetTimeline, MemoryLimits};
@@ -61,11 +62,12 @@
         name: format!("d{node}"),
     }));
     records.extend(book.take_records());
-    let bounds = Bounds {
-        bytes: 1 << 24,
-        age: secs(1 << 20),
+    let bounds = Retention {
+        max_bytes: 1 << 24,
+        max_age: secs(1 << 20),
     };
-    let mut writer = Writer::new(folder.path(), bounds, Box::new(Real)).expect("a writer");
+    let mut writer =
+        StoreWriter::new(folder.path(), bounds, Box::new(FileSystem)).expect("a writer");
     records
         .chunks(50)
         .for_each(|batch| writer.append(DAWN, batch).expect("it is kept"));
--- a/crates/store/src/reader.rs
+++ b/crates/store/src/reader.rs
@@ -1,4 +1,4 @@
-//! Owns the reading side: all records of a folder, or of one file, in their order, and what is damaged. It changes
+//! Reads all records of a store, or of a single segment such as a dump, and reports what is damaged. It changes
 //! nothing.
 use std::fs;
 use std::io;
@@ -6,61 +6,95 @@
 
 use lilacgate_timeline::entry::Record;
 
-use crate::frames;
+use crate::segment_format::{SegmentError, begun_at, decode_records};
 
-/// The segments of a folder with their numbers, in their order.
+/// The file name extension of segments.
+pub(crate) const EXTENSION: &str = "seg";
+
+/// A segment's file.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct SegmentPath {
+    /// Its number; later segments have higher ones.
+    pub number: u64,
+    /// Where it is.
+    pub path: PathBuf,
+}
+
+impl SegmentPath {
+    /// The segment with this file name, if it is one of a segment.
+    fn of(path: PathBuf) -> Option<SegmentPath> {
+        if path.extension()? != EXTENSION {
+            return None;
+        }
+        let number = path.file_stem()?.to_str()?.parse().ok()?;
+        Some(SegmentPath { number, path })
+    }
+}
+
+/// The segments of a folder, in their order.
 ///
 /// # Errors
-/// What the file system says.
-pub fn segments(folder: &Path) -> io::Result<Vec<(u64, PathBuf)>> {
+/// What the file system reports.
+pub fn segments(folder: &Path) -> io::Result<Vec<SegmentPath>> {
     let mut found = Vec::new();
     for entry in fs::read_dir(folder)? {
-        let path = entry?.path();
-        let is = path.extension().is_some_and(|extension| extension == "seg");
-        let number = path
-            .file_stem()
-            .and_then(|stem| stem.to_str())
-            .and_then(|stem| stem.parse().ok());
-        found.extend(number.filter(|_| is).map(|number| (number, path)));
+        found.extend(SegmentPath::of(entry?.path()));
     }
     found.sort();
     Ok(found)
 }
 
-/// What was read.
-#[derive(Debug, Default)]
-pub struct Read {
+/// A file of which a part, or all, can't be read.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct DamagedFile {
+    /// Where it is.
+    pub path: PathBuf,
+    /// What is damaged.
+    pub error: SegmentError,
+}
+
+/// What was read from a store.
+#[derive(Clone, Debug, Default)]
+pub struct StoreContents {
+    /// All records that can be read, in their order.
     pub records: Vec<Record>,
-    /// Files with a damaged or torn end, where it begins, and how many octets are lost with it; or why all are.
-    pub damaged: Vec<(PathBuf, String)>,
+    /// The files that are damaged.
+    pub damaged: Vec<DamagedFile>,
 }
 
 /// Reads a folder of segments, or a file that is one.
 ///
 /// # Errors
-/// What the file system says; damage is none.
-pub fn read(path: &Path) -> io::Result<Read> {
+/// What the file system reports; damage is no error.
+pub fn read(path: &Path) -> io::Result<StoreContents> {
     let files = if path.is_dir() {
-        segments(path)?.into_iter().map(|(_, path)| path).collect()
+        segments(path)?
+            .into_iter()
+            .map(|segment| segment.path)
+            .collect()
     } else {
         vec![path.to_owned()]
     };
-    let mut read = Read::default();
-    for file in files {
-        let bytes = fs::read(&file)?;
-        match frames::begun(&bytes) {
-            Ok(_) => {
-                let (records, end) = frames::records(&bytes);
-                read.records.extend(records);
-                if end < bytes.len() {
-                    read.damaged.push((
-                        file,
-                        format!("damaged at octet {end}; {} lost", bytes.len() - end),
-                    ));
-                }
-            }
-            Err(why) => read.damaged.push((file, why)),
+    let mut contents = StoreContents::default();
+    for path in files {
+        let bytes = fs::read(&path)?;
+        if let Err(error) = read_segment(&bytes, &mut contents.records) {
+            contents.damaged.push(DamagedFile { path, error });
         }
     }
-    Ok(read)
+    Ok(contents)
+}
+
+/// Adds a segment's records up to the first that is damaged.
+fn read_segment(bytes: &[u8], records: &mut Vec<Record>) -> Result<(), SegmentError> {
+    begun_at(bytes)?;
+    let decoded = decode_records(bytes);
+    records.extend(decoded.records);
+    if decoded.end < bytes.len() {
+        return Err(SegmentError::Damaged {
+            offset: decoded.end,
+            lost: bytes.len() - decoded.end,
+        });
+    }
+    Ok(())
 }
--- /dev/null
+++ b/crates/store/src/segment_format.rs
@@ -0,0 +1,118 @@
+//! The bytes of a segment: a header, then frames, each with a record's length, its checksum and the record itself.
+//!
+//! | offset in the header | bytes | content |
+//! | --- | --- | --- |
+//! | 0 | 4 | `lgtl` |
+//! | 4 | 2 | the version |
+//! | 6 | 2 | unused |
+//! | 8 | 8 | when the segment was begun, in seconds since 1970 |
+//!
+//! A frame begins with the length (4 bytes) and the CRC-32 (4 bytes) of its record. Numbers are little-endian.
+use lilacgate_timeline::entry::Record;
+
+/// The version that is written; it and all before it are read.
+pub const VERSION: u16 = 1;
+/// The length of a segment's header.
+pub const HEADER_BYTES: usize = 16;
+/// The length of what stands before each record.
+pub const FRAME_HEADER_BYTES: usize = 8;
+/// The longest record; a greater length is damage.
+pub const MAX_RECORD_BYTES: usize = 1 << 20;
+
+const MAGIC: [u8; 4] = *b"lgtl";
+
+/// Why a segment, or the rest of it, can't be read.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum SegmentError {
+    /// The file does not begin like a segment.
+    #[error("no segment of a time line")]
+    NotASegment,
+    /// The segment was written by a later version of this crate.
+    #[error("version {found}; {VERSION} is the last that is known here")]
+    UnknownVersion {
+        /// The version in the header.
+        found: u16,
+    },
+    /// A record is damaged or torn; it and what follows are lost.
+    #[error("damaged at byte {offset}; {lost} lost")]
+    Damaged {
+        /// Where the damage begins, in bytes from the file's beginning.
+        offset: usize,
+        /// How many bytes are lost.
+        lost: usize,
+    },
+}
+
+/// The records of a segment up to the first that is damaged or torn.
+#[derive(Clone, Debug, PartialEq)]
+pub struct DecodedRecords {
+    /// The records, in their order.
+    pub records: Vec<Record>,
+    /// Where the last of them ends, in bytes from the segment's beginning.
+    pub end: usize,
+}
+
+/// The header of a segment that is begun at `begun`, in seconds since 1970.
+pub fn header(begun: u64) -> [u8; HEADER_BYTES] {
+    let mut header = [0; HEADER_BYTES];
+    header[..4].copy_from_slice(&MAGIC);
+    header[4..6].copy_from_slice(&VERSION.to_le_bytes());
+    header[8..].copy_from_slice(&begun.to_le_bytes());
+    header
+}
+
+/// When a segment was begun, in seconds since 1970.
+///
+/// # Errors
+/// [`SegmentError::NotASegment`] or [`SegmentError::UnknownVersion`].
+pub fn begun_at(bytes: &[u8]) -> Result<u64, SegmentError> {
+    let header = bytes
+        .first_chunk::<HEADER_BYTES>()
+        .filter(|header| header[..4] == MAGIC)
+        .ok_or(SegmentError::NotASegment)?;
+    let version = u16::from_le_bytes([header[4], header[5]]);
+    if version == 0 || version > VERSION {
+        return Err(SegmentError::UnknownVersion { found: version });
+    }
+    let begun = header.last_chunk().copied().unwrap_or_default();
+    Ok(u64::from_le_bytes(begun))
+}
+
+/// Appends a record's frame. A record that is too long, or can't be serialized, is left out.
+pub fn append_record(bytes: &mut Vec<u8>, record: &Record) {
+    let Ok(body) = postcard::to_stdvec(record) else {
+        return;
+    };
+    if body.len() > MAX_RECORD_BYTES {
+        return;
+    }
+    bytes.extend((body.len() as u32).to_le_bytes());
+    bytes.extend(crc32fast::hash(&body).to_le_bytes());
+    bytes.extend(body);
+}
+
+/// Reads the records that follow the header of a segment.
+pub fn decode_records(bytes: &[u8]) -> DecodedRecords {
+    let mut records = Vec::new();
+    let mut end = HEADER_BYTES;
+    while let Some((record, length)) = bytes.get(end..).and_then(decode_frame) {
+        records.push(record);
+        end += length;
+    }
+    DecodedRecords { records, end }
+}
+
+/// The record of the frame with which `bytes` begin, and the frame's length.
+fn decode_frame(bytes: &[u8]) -> Option<(Record, usize)> {
+    let (length, rest) = bytes.split_first_chunk()?;
+    let (checksum, rest) = rest.split_first_chunk()?;
+    let length = u32::from_le_bytes(*length) as usize;
+    let body = rest
+        .get(..length)
+        .filter(|body| body.len() <= MAX_RECORD_BYTES)?;
+    if crc32fast::hash(body) != u32::from_le_bytes(*checksum) {
+        return None;
+    }
+    let record = postcard::from_bytes(body).ok()?;
+    Some((record, FRAME_HEADER_BYTES + length))
+}
--- a/crates/store/src/writer.rs
+++ b/crates/store/src/writer.rs
@@ -1,157 +1,191 @@
-//! Owns the writing side: appends batches to the last segment, syncs, begins a new one when it is full, and takes away
-//! the oldest beyond the bounds. It must never write into the middle of anything, nor keep more than it may.
+//! Appends batches of records to the last segment and syncs them, begins a new segment when that is full, and removes
+//! the oldest ones beyond the retention. It never writes into the middle of a file.
+use std::fmt;
 use std::fs::{self, File, OpenOptions};
-use std::io::{self, Write};
+use std::io::{self, Read};
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
 use lilacgate_timeline::entry::Record;
 
-use crate::frames::{self, HEAD};
-use crate::reader::segments;
+use crate::reader::{EXTENSION, segments};
+use crate::segment_format::{HEADER_BYTES, append_record, begun_at, decode_records, header};
+use crate::storage::{SegmentFile, Storage};
 
-/// What is kept at most.
+/// A store is this many segments at most, so that little is removed at a time.
+const SEGMENTS_PER_STORE: u64 = 16;
+/// The bounds of a segment's size, in bytes.
+const MIN_SEGMENT_BYTES: u64 = 1 << 12;
+const MAX_SEGMENT_BYTES: u64 = 16 << 20;
+
+/// How much is kept.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Bounds {
-    pub bytes: u64,
-    pub age: Duration,
+pub struct Retention {
+    /// The most bytes of all segments together.
+    pub max_bytes: u64,
+    /// Segments that were begun longer ago than this are removed.
+    pub max_age: Duration,
 }
 
-impl Bounds {
-    /// A segment's size: a sixteenth of all, so that what goes at a time is little.
-    fn segment(self) -> u64 {
-        (self.bytes / 16).clamp(1 << 12, 16 << 20)
+impl Retention {
+    /// The most bytes of a segment.
+    fn segment_bytes(self) -> u64 {
+        (self.max_bytes / SEGMENTS_PER_STORE).clamp(MIN_SEGMENT_BYTES, MAX_SEGMENT_BYTES)
     }
 }
 
-/// Where segments are written; another one stands in for tests.
-pub trait Disk: Send {
-    /// Opens a file for appending, and makes it where it is missing.
-    fn open(&mut self, path: &Path) -> io::Result<Box<dyn Segment>>;
+/// The segment to which batches are appended.
+struct OpenSegment {
+    file: Box<dyn SegmentFile>,
+    /// Its size, in bytes.
+    size: u64,
 }
 
-pub trait Segment: Write + Send {
-    fn sync(&mut self) -> io::Result<()>;
+/// A segment that may be removed.
+struct KeptSegment {
+    path: PathBuf,
+    /// Its size, in bytes.
+    size: u64,
+    /// When it was begun, in seconds since 1970; `None` if it can't be read.
+    begun: Option<u64>,
 }
 
-impl Segment for File {
-    fn sync(&mut self) -> io::Result<()> {
-        self.sync_data()
-    }
+/// Writes a store.
+pub struct StoreWriter {
+    folder: PathBuf,
+    retention: Retention,
+    storage: Box<dyn Storage>,
+    open: Option<OpenSegment>,
+    next_number: u64,
 }
 
-/// The file system as it is.
-pub struct Real;
-
-impl Disk for Real {
-    fn open(&mut self, path: &Path) -> io::Result<Box<dyn Segment>> {
-        let file = OpenOptions::new().append(true).create(true).open(path)?;
-        Ok(Box::new(file))
+impl fmt::Debug for StoreWriter {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter
+            .debug_struct("StoreWriter")
+            .field("folder", &self.folder)
+            .field("retention", &self.retention)
+            .field("next_number", &self.next_number)
+            .finish_non_exhaustive()
     }
 }
 
-pub struct Writer {
-    folder: PathBuf,
-    bounds: Bounds,
-    disk: Box<dyn Disk>,
-    open: Option<(Box<dyn Segment>, u64)>,
-    number: u64,
-}
-
-impl Writer {
-    /// Goes on where the last one stopped: the torn end of its last segment is cut off, and a new segment begins.
+impl StoreWriter {
+    /// Continues a store, or begins one: the torn end of its last segment is cut off, and the next batch begins a new
+    /// segment.
     ///
     /// # Errors
-    /// What the file system says.
-    pub fn new(folder: &Path, bounds: Bounds, disk: Box<dyn Disk>) -> io::Result<Writer> {
+    /// What the file system reports.
+    pub fn new(
+        folder: &Path,
+        retention: Retention,
+        storage: Box<dyn Storage>,
+    ) -> io::Result<StoreWriter> {
         fs::create_dir_all(folder)?;
         let last = segments(folder)?.pop();
-        if let Some((_, path)) = &last {
-            let bytes = fs::read(path)?;
-            let end = if frames::begun(&bytes).is_ok() {
-                frames::records(&bytes).1
-            } else {
-                bytes.len()
-            };
-            if end < bytes.len() {
-                OpenOptions::new()
-                    .write(true)
-                    .open(path)?
-                    .set_len(end as u64)?;
-            }
+        if let Some(last) = &last {
+            cut_off_torn_end(&last.path)?;
         }
-        let number = last.map_or(0, |(number, _)| number + 1);
-        Ok(Writer {
+        Ok(StoreWriter {
             folder: folder.to_owned(),
-            bounds,
-            disk,
+            retention,
+            storage,
             open: None,
-            number,
+            next_number: last.map_or(0, |last| last.number + 1),
         })
     }
 
-    /// Appends a batch and syncs it: when this returns, it is kept.
+    /// Appends a batch and syncs it: once this returns, the batch is kept. `now` is a span since 1970.
     ///
     /// # Errors
-    /// What the file system says; of this batch anything may be there then.
+    /// What the file system reports; any part of the batch may be written then.
     pub fn append(&mut self, now: Duration, batch: &[Record]) -> io::Result<()> {
         let mut bytes = Vec::new();
-        batch
-            .iter()
-            .for_each(|record| frames::put(&mut bytes, record));
-        let full =
-            |size: u64| size > HEAD as u64 && size + bytes.len() as u64 > self.bounds.segment();
-        if self.open.as_ref().is_none_or(|(_, size)| full(*size)) {
-            self.begin(now)?;
+        for record in batch {
+            append_record(&mut bytes, record);
         }
-        let Some((file, size)) = &mut self.open else {
-            return Ok(());
+        let added = bytes.len() as u64;
+        let open = match self.open.take().filter(|open| self.has_room(open, added)) {
+            Some(open) => open,
+            None => self.begin_segment(now)?,
         };
-        file.write_all(&bytes)?;
-        file.sync()?;
-        *size += bytes.len() as u64;
+        let open = self.open.insert(open);
+        open.file.write_all(&bytes)?;
+        open.file.sync()?;
+        open.size += added;
         Ok(())
     }
 
-    fn begin(&mut self, now: Duration) -> io::Result<()> {
-        self.open = None;
-        self.prune(now)?;
-        let path = self.folder.join(format!("{:012}.seg", self.number));
-        let mut file = self.disk.open(&path)?;
-        file.write_all(&frames::head(now.as_secs()))?;
+    /// Whether a batch fits into a segment. An empty segment takes a batch of any size.
+    fn has_room(&self, open: &OpenSegment, added: u64) -> bool {
+        let is_empty = open.size <= HEADER_BYTES as u64;
+        is_empty || open.size + added <= self.retention.segment_bytes()
+    }
+
+    fn begin_segment(&mut self, now: Duration) -> io::Result<OpenSegment> {
+        self.remove_beyond_retention(now)?;
+        let name = format!("{:012}.{EXTENSION}", self.next_number);
+        let mut file = self.storage.open(&self.folder.join(name))?;
+        file.write_all(&header(now.as_secs()))?;
         file.sync()?;
-        // The folder too: else the file's name may be gone after a loss of power.
+        // Without syncing the folder, the file's name may be gone after a loss of power.
         File::open(&self.folder)?.sync_all()?;
-        self.number += 1;
-        self.open = Some((file, HEAD as u64));
-        Ok(())
+        self.next_number += 1;
+        Ok(OpenSegment {
+            file,
+            size: HEADER_BYTES as u64,
+        })
     }
 
-    /// Takes away what is too old or too much, the oldest first; there is room for a new segment then.
-    fn prune(&mut self, now: Duration) -> io::Result<()> {
-        let mut all = Vec::new();
-        for (_, path) in segments(&self.folder)? {
-            let size = fs::metadata(&path)?.len();
-            let mut head = [0; HEAD];
-            let begun =
-                File::open(&path).and_then(|mut file| io::Read::read_exact(&mut file, &mut head));
-            all.push((
-                path,
-                size,
-                begun.ok().and_then(|()| frames::begun(&head).ok()),
-            ));
-        }
-        let mut sum: u64 = all.iter().map(|(_, size, _)| size).sum::<u64>() + self.bounds.segment();
-        for (path, size, begun) in all {
-            // Of what is not known to be a segment, nobody knows the age.
-            let aged = |begun| now.saturating_sub(Duration::from_secs(begun)) > self.bounds.age;
-            let old = begun.is_some_and(aged);
-            if !old && sum <= self.bounds.bytes {
+    /// Removes the oldest segments until the rest is young enough and leaves room for a new one.
+    fn remove_beyond_retention(&self, now: Duration) -> io::Result<()> {
+        let kept = self.kept_segments()?;
+        let sizes: u64 = kept.iter().map(|segment| segment.size).sum();
+        let mut total = sizes + self.retention.segment_bytes();
+        for segment in kept {
+            let is_old = segment.begun.is_some_and(|begun| {
+                now.saturating_sub(Duration::from_secs(begun)) > self.retention.max_age
+            });
+            if !is_old && total <= self.retention.max_bytes {
                 return Ok(());
             }
-            fs::remove_file(&path)?;
-            sum -= size;
+            fs::remove_file(&segment.path)?;
+            total -= segment.size;
         }
         Ok(())
     }
+
+    fn kept_segments(&self) -> io::Result<Vec<KeptSegment>> {
+        let mut kept = Vec::new();
+        for segment in segments(&self.folder)? {
+            let size = fs::metadata(&segment.path)?.len();
+            kept.push(KeptSegment {
+                begun: begun_of_file(&segment.path),
+                path: segment.path,
+                size,
+            });
+        }
+        Ok(kept)
+    }
+}
+
+/// When the segment in a file was begun, in seconds since 1970; `None` if it is none, or can't be read.
+fn begun_of_file(path: &Path) -> Option<u64> {
+    let mut header = [0; HEADER_BYTES];
+    File::open(path).ok()?.read_exact(&mut header).ok()?;
+    begun_at(&header).ok()
+}
+
+/// Cuts a segment off behind its last whole record. A file that is no segment stays as it is.
+fn cut_off_torn_end(path: &Path) -> io::Result<()> {
+    let bytes = fs::read(path)?;
+    if begun_at(&bytes).is_err() {
+        return Ok(());
+    }
+    let end = decode_records(&bytes).end;
+    if end < bytes.len() {
+        let file = OpenOptions::new().write(true).open(path)?;
+        file.set_len(end as u64)?;
+    }
+    Ok(())
 }
--- a/crates/store/tests/store.rs
+++ b/crates/store/tests/store.rs
@@ -4,16 +4,19 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use lilacgate_store::frames::{self, HEAD};
-use lilacgate_store::pump::{Handed, Pump};
+use lilacgate_store::background_writer::{BackgroundWriter, Submitted};
 use lilacgate_store::reader::{read, segments};
-use lilacgate_store::writer::{Bounds, Disk, Real, Segment, Writer};
+use lilacgate_store::segment_format::{
+    HEADER_BYTES, SegmentError, begun_at, decode_records, header,
+};
+use lilacgate_store::storage::{FileSystem, SegmentFile, Storage};
+use lilacgate_store::writer::{Retention, StoreWriter};
 use lilacgate_timeline::entry::{Entry, Event, Record};
 use proptest::prelude::*;
 
-const BOUNDS: Bounds = Bounds {
-    bytes: 1 << 20,
-    age: Duration::from_secs(3600),
+const RETENTION: Retention = Retention {
+    max_bytes: 1 << 20,
+    max_age: Duration::from_secs(3600),
 };
 
 fn record(number: u32) -> Record {
@@ -34,8 +37,8 @@
     Duration::from_secs(1_796_083_200 + secs)
 }
 
-fn writer(folder: &Path, bounds: Bounds) -> Writer {
-    Writer::new(folder, bounds, Box::new(Real)).expect("a writer")
+fn writer(folder: &Path, retention: Retention) -> StoreWriter {
+    StoreWriter::new(folder, retention, Box::new(FileSystem)).expect("a writer")
 }
 
 fn numbers(folder: &Path) -> Vec<u32> {
@@ -58,7 +61,7 @@
 fn what_was_appended_is_there_again() {
     let folder = tempfile::tempdir().expect("a folder");
     for life in 0..3 {
-        let mut writer = writer(folder.path(), BOUNDS);
+        let mut writer = writer(folder.path(), RETENTION);
         for batch in 0..4 {
             let first = life * 40 + batch * 10;
             writer
@@ -72,11 +75,11 @@
 #[test]
 fn bounds_hold_in_bytes_and_age() {
     let folder = tempfile::tempdir().expect("a folder");
-    let bounds = Bounds {
-        bytes: 1 << 17,
-        age: Duration::from_secs(100),
+    let retention = Retention {
+        max_bytes: 1 << 17,
+        max_age: Duration::from_secs(100),
     };
-    let mut old = writer(folder.path(), bounds);
+    let mut old = writer(folder.path(), retention);
     for number in 0..40 {
         old.append(
             now(u64::from(number)),
@@ -86,67 +89,78 @@
         let sum: u64 = segments(folder.path())
             .expect("files")
             .iter()
-            .map(|(_, p)| p.metadata().expect("a size").len())
+            .map(|segment| segment.path.metadata().expect("a size").len())
             .sum();
-        assert!(sum <= bounds.bytes, "{sum}");
+        assert!(sum <= retention.max_bytes, "{sum}");
     }
     let kept = numbers(folder.path());
     assert!(kept.first() > Some(&0) && kept.last() == Some(&39) && kept.is_sorted());
-    writer(folder.path(), bounds)
+    writer(folder.path(), retention)
         .append(now(1000), &[record(99)])
         .expect("it is kept");
     assert_eq!(numbers(folder.path()), [99]);
 }
 
-/// A disk with so much room.
-struct Full(Arc<Mutex<usize>>);
+/// A disk with this many bytes left.
+struct SmallDisk {
+    bytes_left: Arc<Mutex<usize>>,
+}
 
-impl Disk for Full {
-    fn open(&mut self, path: &Path) -> io::Result<Box<dyn Segment>> {
-        Ok(Box::new(Filling(Real.open(path)?, self.0.clone())))
+impl Storage for SmallDisk {
+    fn open(&mut self, path: &Path) -> io::Result<Box<dyn SegmentFile>> {
+        Ok(Box::new(FillingFile {
+            file: FileSystem.open(path)?,
+            bytes_left: self.bytes_left.clone(),
+        }))
     }
 }
 
-struct Filling(Box<dyn Segment>, Arc<Mutex<usize>>);
+struct FillingFile {
+    file: Box<dyn SegmentFile>,
+    bytes_left: Arc<Mutex<usize>>,
+}
 
-impl Write for Filling {
+impl Write for FillingFile {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        let mut room = self.1.lock().expect("a lock");
-        let some = bytes.len().min(*room);
+        let mut bytes_left = self.bytes_left.lock().expect("a lock");
+        let some = bytes.len().min(*bytes_left);
         if some == 0 {
             return Err(io::ErrorKind::StorageFull.into());
         }
-        *room -= some;
-        self.0.write(&bytes[..some])
+        *bytes_left -= some;
+        self.file.write(&bytes[..some])
     }
 
     fn flush(&mut self) -> io::Result<()> {
-        self.0.flush()
+        self.file.flush()
     }
 }
 
-impl Segment for Filling {
+impl SegmentFile for FillingFile {
     fn sync(&mut self) -> io::Result<()> {
-        self.0.sync()
+        self.file.sync()
     }
 }
 
 #[test]
 fn a_disk_that_fills_amid_a_batch_ends_writing_and_nothing_else() {
     let folder = tempfile::tempdir().expect("a folder");
-    let room = Arc::new(Mutex::new(HEAD + 110));
-    let writer = Writer::new(folder.path(), BOUNDS, Box::new(Full(room))).expect("a writer");
-    let mut pump = Pump::new(writer);
-    assert_eq!(pump.hand(now(0), vec![record(0)]), Handed::Taken);
-    let mut faults = Vec::new();
+    let disk = SmallDisk {
+        bytes_left: Arc::new(Mutex::new(HEADER_BYTES + 110)),
+    };
+    let writer = StoreWriter::new(folder.path(), RETENTION, Box::new(disk)).expect("a writer");
+    let mut background = BackgroundWriter::new(writer);
+    let first = background.submit(now(0), vec![record(0)]);
+    assert!(matches!(first, Submitted::Accepted), "{first:?}");
+    let mut errors = Vec::new();
     for number in 1..2000 {
-        match pump.hand(now(0), vec![record(number)]) {
-            Handed::Over(why) => faults.extend(why),
+        match background.submit(now(0), vec![record(number)]) {
+            Submitted::Closed(error) => errors.extend(error.map(|error| error.to_string())),
             _ => std::thread::sleep(Duration::from_micros(100)),
         }
     }
-    assert_eq!(faults, ["no storage space"]);
-    drop(pump);
+    assert_eq!(errors, ["no storage space"]);
+    drop(background);
     // What was whole is there; the next life cuts the torn end off and goes on.
     let kept = numbers(folder.path());
     assert!(
@@ -154,7 +168,7 @@
         "{kept:?}"
     );
     assert_eq!(read(folder.path()).expect("it is read").damaged.len(), 1);
-    self::writer(folder.path(), BOUNDS)
+    self::writer(folder.path(), RETENTION)
         .append(now(0), &[record(7000)])
         .expect("it is kept");
     assert!(read(folder.path()).expect("it is read").damaged.is_empty());
@@ -162,11 +176,11 @@
 }
 
 #[test]
-fn a_folder_that_cannot_be_written_is_said() {
+fn a_folder_that_cannot_be_written_is_an_error() {
     let folder = tempfile::tempdir().expect("a folder");
     let file = folder.path().join("file");
     std::fs::write(&file, "x").expect("it is written");
-    assert!(Writer::new(&file.join("under"), BOUNDS, Box::new(Real)).is_err());
+    assert!(StoreWriter::new(&file.join("under"), RETENTION, Box::new(FileSystem)).is_err());
 }
 
 #[test]
@@ -177,24 +191,33 @@
         "something else altogether",
     )
     .expect("it is written");
-    let mut later = frames::head(0);
+    let mut later = header(0);
     later[4] = 9;
     std::fs::write(folder.path().join("000000000001.seg"), later).expect("it is written");
     std::fs::write(folder.path().join("notes.txt"), "x").expect("it is written");
-    writer(folder.path(), BOUNDS)
+    writer(folder.path(), RETENTION)
         .append(now(0), &[record(5)])
         .expect("it is kept");
     let read = read(folder.path()).expect("it is read");
-    assert_eq!((read.records, read.damaged.len()), (vec![record(5)], 2));
+    assert_eq!(read.records, [record(5)]);
+    let errors: Vec<SegmentError> = read.damaged.into_iter().map(|file| file.error).collect();
+    assert_eq!(
+        errors,
+        [
+            SegmentError::NotASegment,
+            SegmentError::UnknownVersion { found: 9 }
+        ]
+    );
 }
 
 /// A segment of the first version, as it was written then, stays readable.
 #[test]
 fn the_first_version_stays_readable() {
     let bytes = include_bytes!("version-1.seg");
-    let (records, end) = frames::records(bytes);
-    assert_eq!((records, end), (vec![record(1), record(300)], bytes.len()));
-    assert_eq!(frames::begun(bytes), Ok(1_796_083_200));
+    let decoded = decode_records(bytes);
+    assert_eq!(decoded.records, [record(1), record(300)]);
+    assert_eq!(decoded.end, bytes.len());
+    assert_eq!(begun_at(bytes), Ok(1_796_083_200));
 }
 
 proptest! {
@@ -205,16 +228,16 @@
     fn a_flipped_byte(at in 0usize..10_000, bit in 0u8..8) {
         let folder = tempfile::tempdir().expect("a folder");
         for life in 0..3 {
-            writer(folder.path(), BOUNDS).append(now(0), &(life * 10..life * 10 + 10).map(record).collect::<Vec<_>>()).expect("kept");
+            writer(folder.path(), RETENTION).append(now(0), &(life * 10..life * 10 + 10).map(record).collect::<Vec<_>>()).expect("kept");
         }
         let path = folder.path().join("000000000001.seg");
         let mut bytes = std::fs::read(&path).expect("a segment");
         let at = at % bytes.len();
-        let before = frames::records(&bytes[..at.max(HEAD)]).0.len() as u32;
+        let before = decode_records(&bytes[..at.max(HEADER_BYTES)]).records.len() as u32;
         bytes[at] ^= 1 << bit;
         std::fs::write(&path, &bytes).expect("it is written");
         let kept = numbers(folder.path());
-        let harmless = (6..HEAD).contains(&at);
+        let harmless = (6..HEADER_BYTES).contains(&at);
         let whole = if at < 6 { 0 } else if harmless { 10 } else { before };
         let want: Vec<u32> = (0..10).chain(10..10 + whole).chain(20..30).collect();
         prop_assert_eq!(kept, want);
@@ -222,9 +245,9 @@
 
     /// Whatever stands in a file, reading ends.
     #[test]
-    fn any_octets(octets in prop::collection::vec(any::<u8>(), 0..300)) {
-        let mut bytes = frames::head(0).to_vec();
-        bytes.extend(octets);
-        prop_assert!(frames::records(&bytes).1 <= bytes.len());
+    fn any_bytes(tail in prop::collection::vec(any::<u8>(), 0..300)) {
+        let mut bytes = header(0).to_vec();
+        bytes.extend(tail);
+        prop_assert!(decode_records(&bytes).end <= bytes.len());
     }
 }
--- a/crates/store/tests/stored_form.rs
+++ b/crates/store/tests/stored_form.rs
@@ -10,9 +10,10 @@
     AttemptNumber, Build, Cell, Endpoint, EndpointId, EndpointStatus, ListUpdate, Model, Note,
     Outcome, ReleasePhase, RequestClass, RequestId, Stage, Vote, Zone,
 };
-use lilacgate_store::frames;
-use lilacgate_store::reader::read;
-use lilacgate_store::writer::{Bounds, Real, Writer};
+use lilacgate_store::reader::{DamagedFile, read};
+use lilacgate_store::segment_format::{SegmentError, append_record, header};
+use lilacgate_store::storage::FileSystem;
+use lilacgate_store::writer::{Retention, StoreWriter};
 use lilacgate_timeline::entry::{
     Departure, DepartureKind, DepartureScope, Entry, Event, Record, ReleaseStage, StepRecord,
 };
@@ -202,11 +203,11 @@
 
 /// Writes the session to a store of several segments, and cuts the last one off amid a record.
 fn write_store(folder: &Path, timeline: &mut FleetTimeline) {
-    let bounds = Bounds {
-        bytes: 1 << 17,
-        age: Duration::from_secs(3600),
+    let retention = Retention {
+        max_bytes: 1 << 17,
+        max_age: Duration::from_secs(3600),
     };
-    let mut writer = Writer::new(folder, bounds, Box::new(Real)).expect("a writer");
+    let mut writer = StoreWriter::new(folder, retention, Box::new(FileSystem)).expect("a writer");
     let mut records = first_records();
     records.extend(other_departures());
     records.extend(timeline.take_records());
@@ -246,9 +247,9 @@
             }));
         }
     }
-    let mut bytes = frames::head(START.as_secs()).to_vec();
+    let mut bytes = header(START.as_secs()).to_vec();
     for record in &records {
-        frames::put(&mut bytes, record);
+        append_record(&mut bytes, record);
     }
     bytes
 }
@@ -301,12 +302,14 @@
 #[test]
 fn a_segment_that_is_cut_off_is_named_with_the_place() {
     let damaged = read(&fixtures().join("store")).expect("it is read").damaged;
-    let [(path, reason)] = &damaged[..] else {
+    let [DamagedFile { path, error }] = &damaged[..] else {
         panic!("{damaged:?}")
     };
     let name = path.file_name().expect("a name").to_string_lossy();
     assert_eq!(name, "000000000007.seg");
-    assert_eq!(reason, "damaged at octet 7667; 13 lost");
+    let (offset, lost) = (7667, 13);
+    assert_eq!(*error, SegmentError::Damaged { offset, lost });
+    assert_eq!(error.to_string(), "damaged at byte 7667; 13 lost");
 }
 
 #[test]
--- a/crates/test-bed/src/kills.rs
+++ b/crates/test-bed/src/kills.rs
@@ -6,7 +6,8 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use lilacgate_store::reader::read;
-use lilacgate_store::writer::{Bounds, Real, Writer};
+use lilacgate_store::storage::FileSystem;
+use lilacgate_store::writer::{Retention, StoreWriter};
 use lilacgate_timeline::entry::{Entry, Event, Record};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -27,11 +28,11 @@
 
 /// Writes from a number on, in batches of drawn sizes, and prints the last number of each once it is synced.
 pub fn write(folder: &Path, first: u32) {
-    let bounds = Bounds {
-        bytes: 1 << 28,
-        age: Duration::from_secs(1 << 30),
+    let bounds = Retention {
+        max_bytes: 1 << 28,
+        max_age: Duration::from_secs(1 << 30),
     };
-    let Ok(mut writer) = Writer::new(folder, bounds, Box::new(Real)) else {
+    let Ok(mut writer) = StoreWriter::new(folder, bounds, Box::new(FileSystem)) else {
         return;
     };
     let mut chance = Pcg64Mcg::seed_from_u64(u64::from(first));
