--- a/crates/agent/src/dispatcher.rs
+++ b/crates/agent/src/dispatcher.rs
@@ -138,7 +138,7 @@
     fn cancel(&mut self, id: RequestId, attempt: AttemptNumber) {
         self.dispatcher
             .recorder
-            .update(|book| book.called_off(self.now, id, attempt));
+            .update(|book| book.attempt_cancelled(self.now, id, attempt));
         self.dispatcher.upstream.cancel(AttemptId {
             request: id,
             number: attempt,
@@ -164,7 +164,9 @@
     }
 
     fn log(&mut self, text: &str) {
-        self.dispatcher.recorder.update(|book| book.words(text));
+        self.dispatcher
+            .recorder
+            .update(|book| book.set_vote_figures(text));
         info!("{text}");
     }
 
@@ -179,7 +181,7 @@
     fn vote(&mut self, build: Build, stage: Stage, vote: Vote) {
         self.dispatcher
             .recorder
-            .update(|book| book.vote(self.now, build, stage, vote));
+            .update(|book| book.record_vote(self.now, build, stage, vote));
         self.dispatcher
             .platform
             .clone()
@@ -189,6 +191,6 @@
     fn note(&mut self, note: Note) {
         self.dispatcher
             .recorder
-            .update(|book| book.note(self.now, note));
+            .update(|book| book.record_note(self.now, note));
     }
 }
--- a/crates/agent/src/recorder.rs
+++ b/crates/agent/src/recorder.rs
@@ -14,9 +14,9 @@
 use lilacgate_decision::{EndpointId, Outcome, RequestClass, RequestId};
 use lilacgate_operator_config::Timeline;
 use lilacgate_start_settings::{Settings, SettingsError};
-use lilacgate_timeline::book::{Book, Room};
-use lilacgate_timeline::entry::{Departure, Record, Whom};
-use lilacgate_timeline::watch::Aims;
+use lilacgate_timeline::entry::{Departure, DepartureScope, Record};
+use lilacgate_timeline::fleet_timeline::{AttemptEnd, FleetTimeline, MemoryLimits};
+use lilacgate_timeline::monitor::MonitorConfig;
 
 use crate::file_writer::replace_file;
 use crate::log::{Count, count, info};
@@ -89,7 +89,7 @@
 
 /// A book that is being written, and what it is written by.
 struct OpenBook {
-    book: Book,
+    book: FleetTimeline,
     settings: Timeline,
     store: StoreQueue,
 }
@@ -154,19 +154,19 @@
     }
 
     fn open_book(&self, now: Duration, settings: Timeline) -> OpenBook {
-        let aims = Aims {
-            false_per_hour: settings.false_per_hour,
-            ramp: self.facts.ramp,
-            products: self.facts.class_names.len(),
+        let aims = MonitorConfig {
+            false_alarms_per_hour: settings.false_per_hour,
+            slow_start: self.facts.ramp,
+            classes: self.facts.class_names.len(),
         };
-        let room = Room {
-            octets: settings.memory,
-            records: match settings.store {
+        let room = MemoryLimits {
+            timeline_bytes: settings.memory,
+            queued_records: match settings.store {
                 Some(_) => MAX_WAITING_RECORDS,
                 None => 0,
             },
         };
-        let book = Book::new(now, aims, room);
+        let book = FleetTimeline::new(now, aims, room);
         let mut store = StoreQueue::open(now, settings.store.as_ref());
         if store.is_open() {
             store.push_all(self.first_records(now));
@@ -183,7 +183,7 @@
         let start = Record::Start {
             agent: self.facts.agent.clone(),
             at: time,
-            products: self.facts.class_names.clone(),
+            classes: self.facts.class_names.clone(),
         };
         let names = self.names.borrow();
         std::iter::once(start)
@@ -225,19 +225,19 @@
     }
 
     /// Changes the book, if there is one, after all that is buffered.
-    pub fn update(&self, change: impl FnOnce(&mut Book)) {
+    pub fn update(&self, change: impl FnOnce(&mut FleetTimeline)) {
         if let Some(open) = self.open.borrow_mut().as_mut() {
             self.flush_buffer(&mut open.book);
             change(&mut open.book);
         }
     }
 
-    fn flush_buffer(&self, book: &mut Book) {
+    fn flush_buffer(&self, book: &mut FleetTimeline) {
         for TimedEvent { time, event } in self.buffer.borrow_mut().drain(..) {
             match event {
-                RequestEvent::Received { id, class } => book.request(id, class),
+                RequestEvent::Received { id, class } => book.request_started(id, class),
                 RequestEvent::AttemptSent { id, endpoint } => {
-                    book.attempt(time, id.request, id.number, endpoint);
+                    book.attempt_started(time, id.request, id.number, endpoint);
                 }
                 RequestEvent::AttemptEnded {
                     id,
@@ -246,51 +246,61 @@
                     took,
                     closed,
                 } => {
-                    let id = (id.request, id.number);
-                    book.ended(time, id, endpoint, outcome, took, closed);
+                    let end = AttemptEnd {
+                        request: id.request,
+                        attempt: id.number,
+                        endpoint,
+                        outcome,
+                        duration: took,
+                        request_closed: closed,
+                    };
+                    book.attempt_ended(time, &end);
                 }
-                RequestEvent::Closed(id) => book.closed(id),
+                RequestEvent::Closed(id) => book.request_closed(id),
             }
         }
     }
 
     /// When [`Recorder::advance`] has something to do.
     pub fn next(&self) -> Option<Duration> {
-        self.open.borrow().as_ref().map(|open| open.book.next())
+        self.open
+            .borrow()
+            .as_ref()
+            .map(|open| open.book.next_tick())
     }
 
     /// Takes note that time has passed: departures go to the log, records to the store.
     pub fn advance(&self, now: Duration) {
         let mut open = self.open.borrow_mut();
         let Some(open) = open.as_mut() else { return };
-        if now >= open.book.next() {
+        if now >= open.book.next_tick() {
             self.flush_buffer(&mut open.book);
         }
         open.book.advance(now);
-        for (departure, begins) in open.book.said() {
-            if begins {
+        for report in open.book.take_reports() {
+            if report.began {
                 count(Count::Departures);
-                self.log_departure(&departure);
+                self.log_departure(&report.departure);
             } else {
-                info!("timeline: departure {} has ended", departure.number);
+                info!("timeline: departure {} has ended", report.departure.number);
             }
         }
         open.store.hand_over_if_due(now, &mut open.book);
     }
 
     fn log_departure(&self, departure: &Departure) {
-        let whom = match departure.whom {
-            Whom::Node(node) => format!("node {}", self.name_of(EndpointId(node))),
-            Whom::Build(build) => format!("build {build}"),
-            Whom::Fleet => "the fleet".into(),
+        let whom = match departure.scope {
+            DepartureScope::Node(node) => format!("node {}", self.name_of(EndpointId(node))),
+            DepartureScope::Build(build) => format!("build {build}"),
+            DepartureScope::Fleet => "the fleet".into(),
         };
         let class = departure
-            .product
+            .class
             .and_then(|class| self.facts.class_names.get(usize::from(class)))
             .map(|name| format!(" for {name}"))
             .unwrap_or_default();
         let (number, kind) = (departure.number, departure.kind);
-        let (baseline, seen) = (departure.usual, departure.seen);
+        let (baseline, seen) = (departure.baseline, departure.observed);
         info!(
             "timeline: departure {number}: {whom}: {kind:?}{class}, {seen:.2} where {baseline:.2} is usual"
         );
--- a/crates/agent/src/recorder/store.rs
+++ b/crates/agent/src/recorder/store.rs
@@ -5,10 +5,11 @@
 use std::time::Duration;
 
 use lilacgate_operator_config::Store;
-use lilacgate_store::pump::{Handed, Pump};
-use lilacgate_store::writer::{Bounds, Real, Writer};
-use lilacgate_timeline::book::Book;
+use lilacgate_store::background_writer::{BackgroundWriter, Submitted};
+use lilacgate_store::storage::FileSystem;
+use lilacgate_store::writer::{Retention, StoreWriter};
 use lilacgate_timeline::entry::Record;
+use lilacgate_timeline::fleet_timeline::FleetTimeline;
 
 use crate::log::info;
 use crate::recorder::MAX_WAITING_RECORDS;
@@ -19,7 +20,7 @@
 /// The records that wait for the disk, and the way to the thread that writes them.
 pub(super) struct StoreQueue {
     /// None if there is no store, or if writing has ended.
-    pump: Option<Pump>,
+    pump: Option<BackgroundWriter>,
     /// What is handed over first, the oldest first.
     waiting: Vec<Record>,
     /// When the next batch is handed over.
@@ -52,21 +53,21 @@
     }
 
     /// Hands over what waits and what the book has for the store, once a batch is due.
-    pub(super) fn hand_over_if_due(&mut self, now: Duration, book: &mut Book) {
+    pub(super) fn hand_over_if_due(&mut self, now: Duration, book: &mut FleetTimeline) {
         if now < self.next_batch {
             return;
         }
         self.next_batch = now + BATCH_INTERVAL;
         let Some(pump) = &mut self.pump else { return };
         let mut batch = std::mem::take(&mut self.waiting);
-        batch.extend(book.records());
+        batch.extend(book.take_records());
         if batch.is_empty() {
             return;
         }
-        match pump.hand(now, batch) {
-            Handed::Taken => {}
-            Handed::Behind(batch) => self.waiting = shortened(now, batch),
-            Handed::Over(cause) => {
+        match pump.submit(now, batch) {
+            Submitted::Accepted => {}
+            Submitted::QueueFull(batch) => self.waiting = shortened(now, batch),
+            Submitted::Closed(cause) => {
                 self.pump = None;
                 if let Some(cause) = cause {
                     info!("timeline: nothing more is kept on disk: {cause}");
@@ -76,13 +77,13 @@
     }
 }
 
-fn open_pump(store: &Store) -> Option<Pump> {
-    let bounds = Bounds {
-        bytes: store.keep,
-        age: store.age,
+fn open_pump(store: &Store) -> Option<BackgroundWriter> {
+    let bounds = Retention {
+        max_bytes: store.keep,
+        max_age: store.age,
     };
-    match Writer::new(&store.folder, bounds, Box::new(Real)) {
-        Ok(writer) => Some(Pump::new(writer)),
+    match StoreWriter::new(&store.folder, bounds, Box::new(FileSystem)) {
+        Ok(writer) => Some(BackgroundWriter::new(writer)),
         Err(error) => {
             info!(
                 "timeline: nothing is kept on disk: {}: {error}",
@@ -101,9 +102,9 @@
     }
     batch.retain(|record| !matches!(record, Record::Step(_)));
     batch.truncate(MAX_WAITING_RECORDS);
-    batch.push(Record::LeftOut {
+    batch.push(Record::Dropped {
         at: now,
-        many: (before - batch.len()) as u64,
+        count: (before - batch.len()) as u64,
     });
     batch
 }
--- a/crates/agent/src/release_gate.rs
+++ b/crates/agent/src/release_gate.rs
@@ -221,7 +221,7 @@
         let endpoints: Vec<Endpoint> = endpoints.collect();
         self.track_builds(update, &endpoints);
         self.recorder
-            .update(|book| book.membership(self.now, update, &endpoints));
+            .update(|book| book.apply_list_update(self.now, update, &endpoints));
         let builds: Vec<Build> = self.gate_host.builds.values().copied().collect();
         self.update_gate(|gate, now| gate.set_listed_builds(now, builds.into_iter()));
         self.engine.on_endpoints(update, &mut endpoints.into_iter());
@@ -243,7 +243,7 @@
         };
         self.gate_host.own_status = Some(status);
         self.recorder
-            .update(|book| book.stage(self.now, build, stage, phase, age));
+            .update(|book| book.record_stage(self.now, build, stage, phase, age));
         self.update_gate(|gate, now| gate.on_release_status(now, gate.rules().own_service, status));
         self.engine.on_release_status(build, stage, phase, cap, age);
     }
--- a/crates/ctl/src/timeline/export.rs
+++ b/crates/ctl/src/timeline/export.rs
@@ -1,6 +1,6 @@
 //! `lgctl timeline export`: all entries and steps as JSON Lines.
-use lilacgate_timeline::entry::{Counts, Entry, StepRecord};
-use lilacgate_timeline::steps::Latency;
+use lilacgate_timeline::entry::{AttemptCounts, Entry, StepRecord};
+use lilacgate_timeline::latency_sketch::LatencySketch;
 use serde::Serialize;
 use serde_json::json;
 
@@ -20,7 +20,7 @@
     #[serde(rename = "long_ms")]
     length_ms: u64,
     build: u16,
-    counts: &'a Counts,
+    counts: &'a AttemptCounts,
     p50_ms: Option<f64>,
     p95_ms: Option<f64>,
     p99_ms: Option<f64>,
@@ -39,7 +39,7 @@
 }
 
 fn step_line<'a>(timelines: &Timelines, step: &'a StepRecord) -> StepLine<'a> {
-    let latency = Latency::from_octets(step.latency.clone());
+    let latency = LatencySketch::from_bytes(step.latency.clone());
     let quantile_ms = |quantile| {
         let found = latency.quantile(quantile);
         found.map(|latency| latency.as_secs_f64() * 1e3)
@@ -47,7 +47,7 @@
     StepLine {
         node: timelines.name(step.node),
         from_ms: time::millis(step.from),
-        length_ms: time::millis(step.long),
+        length_ms: time::millis(step.duration),
         build: step.build,
         counts: &step.counts,
         p50_ms: quantile_ms(0.5),
--- a/crates/ctl/src/timeline/plot.rs
+++ b/crates/ctl/src/timeline/plot.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use lilacgate_timeline::entry::{Counts, Departure, Entry, What, Whom};
+use lilacgate_timeline::entry::{AttemptCounts, Departure, DepartureScope, Entry, Event};
 use plotters::coord::Shift;
 use plotters::coord::types::RangedCoordf64;
 use plotters::prelude::{
@@ -57,7 +57,7 @@
     /// Seconds since the begin of the span.
     from: f64,
     to: f64,
-    counts: Counts,
+    counts: AttemptCounts,
     /// The 95th percentile of latency, in seconds.
     p95: Option<f64>,
 }
@@ -211,7 +211,7 @@
     draw_bars(&mut context, scale, &node.bars)?;
     draw_latency(&mut context, scale, &node.bars)?;
     for departure in scale.timelines.departures() {
-        if concerns(departure.whom, node.number, &listed) {
+        if concerns(departure.scope, node.number, &listed) {
             draw_departure(&mut context, scale, &departure)?;
         }
     }
@@ -233,8 +233,8 @@
     let entries = scale.timelines.entries.iter();
     entries
         .filter(|entry| entry.node == Some(node))
-        .filter_map(|entry| match &entry.what {
-            What::Listed { state, build, .. } if state != REMOVED => Some(Listed {
+        .filter_map(|entry| match &entry.event {
+            Event::Listed { state, build, .. } if state != REMOVED => Some(Listed {
                 from: scale.position(entry.happened),
                 build: *build,
             }),
@@ -244,11 +244,11 @@
 }
 
 /// Whether a departure concerns a node.
-fn concerns(whom: Whom, node: u32, listed: &[Listed]) -> bool {
+fn concerns(whom: DepartureScope, node: u32, listed: &[Listed]) -> bool {
     match whom {
-        Whom::Node(concerned) => concerned == node,
-        Whom::Build(build) => listed.iter().any(|listed| listed.build == build),
-        Whom::Fleet => true,
+        DepartureScope::Node(concerned) => concerned == node,
+        DepartureScope::Build(build) => listed.iter().any(|listed| listed.build == build),
+        DepartureScope::Fleet => true,
     }
 }
 
@@ -293,7 +293,7 @@
         from, to, counts, ..
     } in bars
     {
-        let failed = counts.failed + counts.unlinked + counts.timed_out;
+        let failed = counts.failed + counts.connection_errors + counts.timed_out;
         let late = counts.late.min(counts.attempts.saturating_sub(failed));
         let rest = counts.attempts.saturating_sub(failed + late);
         let parts = [
@@ -349,13 +349,13 @@
     entry: &Entry,
 ) -> Result<(), DrawError> {
     let position = scale.position(entry.happened);
-    match (&entry.what, entry.node) {
-        (What::Barred { .. }, Some(ejected)) if ejected == node => {
+    match (&entry.event, entry.node) {
+        (Event::Ejected { .. }, Some(ejected)) if ejected == node => {
             let mark = TriangleMarker::new((position, 0.08), 5, BLACK.filled());
             context.draw_series([mark])?;
             Ok(())
         }
-        (What::Vote { .. } | What::Stage { .. }, None) => {
+        (Event::Vote { .. } | Event::Stage { .. }, None) => {
             draw_line(context, position, DECISION_COLOR)
         }
         _ => Ok(()),
--- a/crates/ctl/src/timeline/read.rs
+++ b/crates/ctl/src/timeline/read.rs
@@ -7,7 +7,7 @@
 use jiff::tz::TimeZone;
 use lilacgate_releases::calendar;
 use lilacgate_store::reader;
-use lilacgate_timeline::entry::{Departure, Entry, Record, StepRecord, What};
+use lilacgate_timeline::entry::{Departure, Entry, Event, Record, StepRecord};
 
 use crate::error::CommandError;
 use crate::time;
@@ -62,8 +62,8 @@
     fn of(record: &Record) -> Option<Self> {
         let (happened, known) = match record {
             Record::Entry(entry) => (entry.happened, entry.known),
-            Record::Step(step) => (step.from, step.from + step.long),
-            Record::Start { at, .. } | Record::LeftOut { at, .. } => (*at, *at),
+            Record::Step(step) => (step.from, step.from + step.duration),
+            Record::Start { at, .. } | Record::Dropped { at, .. } => (*at, *at),
             Record::Name { .. } => return None,
         };
         Some(RecordTime { happened, known })
@@ -105,9 +105,8 @@
     fn records(&self) -> Result<Vec<Record>, CommandError> {
         let read =
             reader::read(&self.path).map_err(|error| CommandError::file(&self.path, error))?;
-        for (path, damage) in &read.damaged {
-            let path: &Path = path;
-            tracing::warn!("{}: {damage}", path.display());
+        for file in &read.damaged {
+            tracing::warn!("{}: {}", file.path.display(), file.error);
         }
         if read.records.is_empty() && !read.damaged.is_empty() {
             return Err(CommandError::UnreadableStore(self.path.clone()));
@@ -137,7 +136,9 @@
             .is_none_or(|at| at.happened <= self.to && at.known >= self.from);
         match record {
             Record::Start {
-                agent, products, ..
+                agent,
+                classes: products,
+                ..
             } => {
                 self.agents.push(agent);
                 self.request_classes = products;
@@ -145,7 +146,7 @@
             Record::Name { node, name } => drop(self.names.insert(node, name)),
             Record::Entry(entry) if within => self.entries.push(entry),
             Record::Step(step) if within => self.steps.push(step),
-            Record::LeftOut { many, .. } if within => self.left_out += many,
+            Record::Dropped { count: many, .. } if within => self.left_out += many,
             _ => {}
         }
     }
@@ -198,13 +199,13 @@
     pub(super) fn departures(&self) -> Vec<Departure> {
         let mut found: BTreeMap<(u32, Duration), Departure> = BTreeMap::new();
         for entry in &self.entries {
-            match &entry.what {
-                What::Departed(departure) => {
+            match &entry.event {
+                Event::DepartureBegan(departure) => {
                     found
                         .entry((departure.number, departure.confirmed))
                         .or_insert_with(|| departure.clone());
                 }
-                What::Returned(departure) => {
+                Event::DepartureEnded(departure) => {
                     found.insert((departure.number, departure.confirmed), departure.clone());
                 }
                 _ => {}
--- a/crates/ctl/src/timeline/report.rs
+++ b/crates/ctl/src/timeline/report.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use clap::Args;
-use lilacgate_timeline::entry::{Counts, Departure, Entry, What, Whom};
+use lilacgate_timeline::entry::{AttemptCounts, Departure, DepartureScope, Entry, Event};
 use serde::Serialize;
 use serde_json::json;
 
@@ -56,8 +56,8 @@
 struct NodeJson<'a> {
     node: String,
     build: Option<u16>,
-    before: &'a Counts,
-    during: &'a Counts,
+    before: &'a AttemptCounts,
+    during: &'a AttemptCounts,
 }
 
 #[derive(Serialize)]
@@ -115,11 +115,11 @@
     fn span(&self, timelines: &Timelines) -> Option<StageSpan> {
         let mut found: Option<StageSpan> = None;
         for entry in &timelines.entries {
-            let What::Stage {
+            let Event::Stage {
                 build,
                 stage,
-                course,
-            } = &entry.what
+                phase: course,
+            } = &entry.event
             else {
                 continue;
             };
@@ -159,8 +159,8 @@
 fn events<'a>(timelines: &'a Timelines, span: &StageSpan) -> Vec<&'a Entry> {
     let is_reported = |entry: &&Entry| {
         let kind = matches!(
-            entry.what,
-            What::Stage { .. } | What::Vote { .. } | What::StoodStill { .. }
+            entry.event,
+            Event::Stage { .. } | Event::Vote { .. } | Event::Paused { .. }
         );
         let within = entry.happened >= span.from && entry.happened <= span.until();
         kind && within && entry.node.is_none()
@@ -186,8 +186,8 @@
 /// The build that a node was last listed with.
 fn last_listed_build(timelines: &Timelines, node: u32, until: Duration) -> Option<u16> {
     let mut entries = timelines.entries.iter().rev();
-    entries.find_map(|entry| match entry.what {
-        What::Listed { build, .. } if entry.node == Some(node) && entry.happened <= until => {
+    entries.find_map(|entry| match entry.event {
+        Event::Listed { build, .. } if entry.node == Some(node) && entry.happened <= until => {
             Some(build)
         }
         _ => None,
@@ -279,17 +279,17 @@
     }
 
     fn print_summary(&self) {
-        let count = |concerns: fn(Whom) -> bool| {
+        let count = |concerns: fn(DepartureScope) -> bool| {
             let departures = self.departures.iter();
             departures
-                .filter(|departure| concerns(departure.whom))
+                .filter(|departure| concerns(departure.scope))
                 .count()
         };
         println!(
             "\nIn short: {} departures of nodes, {} of builds, {} of the fleet; then: {}.",
-            count(|whom| matches!(whom, Whom::Node(_))),
-            count(|whom| matches!(whom, Whom::Build(_))),
-            count(|whom| whom == Whom::Fleet),
+            count(|whom| matches!(whom, DepartureScope::Node(_))),
+            count(|whom| matches!(whom, DepartureScope::Build(_))),
+            count(|whom| whom == DepartureScope::Fleet),
             self.span.next.as_deref().unwrap_or("it goes on")
         );
     }
--- a/crates/ctl/src/timeline/show.rs
+++ b/crates/ctl/src/timeline/show.rs
@@ -88,7 +88,7 @@
         table.add_row([
             timelines.show(from),
             totals.counts.attempts.to_string(),
-            totals.counts.served.to_string(),
+            totals.counts.succeeded.to_string(),
             totals.counts.failed.to_string(),
             totals.counts.late.to_string(),
             totals.latency_text(0.5),
--- a/crates/ctl/src/timeline/text.rs
+++ b/crates/ctl/src/timeline/text.rs
@@ -1,7 +1,9 @@
 //! Entries and departures in plain words.
 use std::time::Duration;
 
-use lilacgate_timeline::entry::{Departure, Entry, Kind, What, Whom};
+use lilacgate_timeline::entry::{
+    Departure, DepartureKind, DepartureScope, Entry, Event, ReleaseStage,
+};
 
 use super::read::Timelines;
 use crate::time;
@@ -19,44 +21,48 @@
         format!("{time_of_day}.{}", at.subsec_millis() / 100)
     }
 
-    fn whom(&self, whom: Whom) -> String {
+    fn whom(&self, whom: DepartureScope) -> String {
         match whom {
-            Whom::Node(node) => format!("node {}", self.name(node)),
-            Whom::Build(build) => format!("build {build}"),
-            Whom::Fleet => "the fleet".into(),
+            DepartureScope::Node(node) => format!("node {}", self.name(node)),
+            DepartureScope::Build(build) => format!("build {build}"),
+            DepartureScope::Fleet => "the fleet".into(),
         }
     }
 
     /// A departure, without its times.
     pub(super) fn describe_departure(&self, departure: &Departure) -> String {
-        let whom = self.whom(departure.whom);
+        let whom = self.whom(departure.scope);
         let class = departure
-            .product
+            .class
             .map(|class| format!(" of {}", self.request_class(class)))
             .unwrap_or_default();
-        let (seen, usual) = (departure.seen * 100.0, departure.usual * 100.0);
+        let (seen, usual) = (departure.observed * 100.0, departure.baseline * 100.0);
         let text = match departure.kind {
-            Kind::Errors => {
+            DepartureKind::Errors => {
                 format!("{whom} failed {seen:.0}%{class}, where {usual:.0}% are usual")
             }
-            Kind::Latency => {
+            DepartureKind::Latency => {
                 format!("{whom} was late with {seen:.0}%{class}, where {usual:.0}% are usual")
             }
-            Kind::Silence => format!("{whom} owed answers and said nothing"),
-            Kind::Links => format!("{whom} refused or broke {seen:.0}% of its links"),
-            Kind::Load => format!("{whom} held far more than its share"),
-            Kind::Restart => format!("{whom} came back as another process of the same build"),
+            DepartureKind::Silence => format!("{whom} owed answers and said nothing"),
+            DepartureKind::Links => format!("{whom} refused or broke {seen:.0}% of its links"),
+            DepartureKind::Load => format!("{whom} held far more than its share"),
+            DepartureKind::Restart => {
+                format!("{whom} came back as another process of the same build")
+            }
         };
-        let beside = departure.beside.map(|(build, stage)| {
-            format!("; stage {stage} of build {build} had begun shortly before")
-        });
+        let beside = departure
+            .concurrent_stage
+            .map(|ReleaseStage { build, stage }| {
+                format!("; stage {stage} of build {build} had begun shortly before")
+            });
         text + &beside.unwrap_or_default()
     }
 
     /// What an entry records.
     pub(super) fn describe_entry(&self, entry: &Entry) -> String {
-        match &entry.what {
-            What::Listed {
+        match &entry.event {
+            Event::Listed {
                 state,
                 build,
                 started,
@@ -66,36 +72,39 @@
                     .unwrap_or_default();
                 format!("listed {state} with build {build}{since}")
             }
-            What::Barred { why, until } => {
+            Event::Ejected { reason: why, until } => {
                 format!("left alone until {}: {why}", self.clock(*until))
             }
-            What::Tried => "tried with a request".into(),
-            What::Unbarred => "taken in again".into(),
-            What::CalledOff { product } => {
+            Event::Probed => "tried with a request".into(),
+            Event::Readmitted => "taken in again".into(),
+            Event::Cancelled { class: product } => {
                 format!("an attempt of {} called off", self.request_class(*product))
             }
-            What::GivenUp { why, many } => format!("{many} requests given up: {why}"),
-            What::Stage {
+            Event::GivenUp {
+                reason: why,
+                count: many,
+            } => format!("{many} requests given up: {why}"),
+            Event::Stage {
                 build,
                 stage,
-                course,
+                phase: course,
             } => format!("build {build} is {course} in stage {stage}"),
-            What::Vote {
+            Event::Vote {
                 build,
                 stage,
-                verdict,
+                vote: verdict,
                 figures,
             } => {
                 format!("voted {verdict} on build {build} in stage {stage}: {figures}")
             }
-            What::StoodStill { long } => {
+            Event::Paused { duration: long } => {
                 format!("this agent stood still for {:.1} s", long.as_secs_f64())
             }
-            What::Departed(departure) => {
+            Event::DepartureBegan(departure) => {
                 let text = self.describe_departure(departure);
                 format!("departure {}: {text}", departure.number)
             }
-            What::Returned(departure) => format!("departure {} has ended", departure.number),
+            Event::DepartureEnded(departure) => format!("departure {} has ended", departure.number),
         }
     }
 }
--- a/crates/ctl/src/timeline/totals.rs
+++ b/crates/ctl/src/timeline/totals.rs
@@ -2,30 +2,30 @@
 use std::ops::Range;
 use std::time::Duration;
 
-use lilacgate_timeline::entry::{Counts, StepRecord};
-use lilacgate_timeline::steps::Latency;
+use lilacgate_timeline::entry::{AttemptCounts, StepRecord};
+use lilacgate_timeline::latency_sketch::LatencySketch;
 
 use super::read::Timelines;
 
 /// All that a node's steps hold of a span, added up.
 pub(super) struct Totals {
-    pub(super) counts: Counts,
-    pub(super) latency: Latency,
+    pub(super) counts: AttemptCounts,
+    pub(super) latency: LatencySketch,
 }
 
 impl Totals {
     pub(super) fn of(steps: &[&StepRecord]) -> Self {
-        let mut counts = Counts::default();
+        let mut counts = AttemptCounts::default();
         for step in steps {
             counts.add(&step.counts);
         }
-        let latencies: Vec<Latency> = steps
+        let latencies: Vec<LatencySketch> = steps
             .iter()
-            .map(|step| Latency::from_octets(step.latency.clone()))
+            .map(|step| LatencySketch::from_bytes(step.latency.clone()))
             .collect();
         Totals {
             counts,
-            latency: Latency::merged(latencies.iter()),
+            latency: LatencySketch::merged(latencies.iter()),
         }
     }
 
--- a/crates/ctl/tests/timeline.rs
+++ b/crates/ctl/tests/timeline.rs
@@ -3,10 +3,11 @@
 use std::process::Command;
 use std::time::Duration;
 
-use lilacgate_store::writer::{Bounds, Real, Writer};
+use lilacgate_store::storage::FileSystem;
+use lilacgate_store::writer::{Retention, StoreWriter};
 use lilacgate_test_bed::virtually::{DAWN, Day, Event, Fault, aims, play};
-use lilacgate_timeline::book::{Book, Room};
 use lilacgate_timeline::entry::Record;
+use lilacgate_timeline::fleet_timeline::{FleetTimeline, MemoryLimits};
 use rstest::{fixture, rstest};
 
 fn secs(many: u64) -> Duration {
@@ -40,12 +41,12 @@
         list_late: secs(1),
         seed: 7,
     };
-    let mut book = Book::new(
+    let mut book = FleetTimeline::new(
         DAWN,
         aims(0.5),
-        Room {
-            octets: 1 << 24,
-            records: 1 << 20,
+        MemoryLimits {
+            timeline_bytes: 1 << 24,
+            queued_records: 1 << 20,
         },
     );
     play(&day, &mut book, &mut |_| {});
@@ -53,18 +54,19 @@
     let mut records = vec![Record::Start {
         agent: "n0".into(),
         at: DAWN,
-        products,
+        classes: products,
     }];
     records.extend((0..10).map(|node| Record::Name {
         node,
         name: format!("d{node}"),
     }));
-    records.extend(book.records());
-    let bounds = Bounds {
-        bytes: 1 << 24,
-        age: secs(1 << 20),
+    records.extend(book.take_records());
+    let bounds = Retention {
+        max_bytes: 1 << 24,
+        max_age: secs(1 << 20),
     };
-    let mut writer = Writer::new(folder.path(), bounds, Box::new(Real)).expect("a writer");
+    let mut writer =
+        StoreWriter::new(folder.path(), bounds, Box::new(FileSystem)).expect("a writer");
     records
         .chunks(50)
         .for_each(|batch| writer.append(DAWN, batch).expect("it is kept"));
--- a/crates/decision/tests/engine/scenarios/recorder.rs
+++ b/crates/decision/tests/engine/scenarios/recorder.rs
@@ -5,21 +5,21 @@
 use lilacgate_decision::{
     Actions, AgentId, AttemptNumber, Build, EndpointId, Note, RequestId, Stage, TimerId, Vote,
 };
-use lilacgate_timeline::book::{Book, Room};
-use lilacgate_timeline::watch::Aims;
+use lilacgate_timeline::fleet_timeline::{FleetTimeline, MemoryLimits};
+use lilacgate_timeline::monitor::MonitorConfig;
 
 /// An agent's record, kept beside its decisions; it must not change any.
-fn record() -> Book {
-    let aims = Aims {
-        false_per_hour: 0.5,
-        ramp: Duration::from_secs(4),
-        products: 3,
+fn record() -> FleetTimeline {
+    let aims = MonitorConfig {
+        false_alarms_per_hour: 0.5,
+        slow_start: Duration::from_secs(4),
+        classes: 3,
     };
-    let room = Room {
-        octets: 1 << 20,
-        records: 100,
+    let room = MemoryLimits {
+        timeline_bytes: 1 << 20,
+        queued_records: 100,
     };
-    Book::new(Duration::ZERO, aims, room)
+    FleetTimeline::new(Duration::ZERO, aims, room)
 }
 
 /// An attempt that was sent and has no answer yet.
@@ -31,7 +31,7 @@
 
 #[derive(Default)]
 pub(super) struct Recorder {
-    record: Option<Book>,
+    record: Option<FleetTimeline>,
     now: Duration,
     /// The decisions since they were last cleared, and all since the start.
     pub(super) recent: Vec<String>,
@@ -70,7 +70,7 @@
         let number = AttemptNumber(*attempts);
         *attempts += 1;
         if let Some(record) = &mut self.record {
-            record.attempt(self.now, request, number, endpoint);
+            record.attempt_started(self.now, request, number, endpoint);
         }
         self.in_flight.push_back(Sent {
             request,
@@ -105,12 +105,12 @@
     fn note(&mut self, note: Note) {
         self.notes.push(format!("{note:?}"));
         if let Some(record) = &mut self.record {
-            record.note(self.now, note);
+            record.record_note(self.now, note);
         }
     }
     fn vote(&mut self, build: Build, stage: Stage, vote: Vote) {
         if let Some(record) = &mut self.record {
-            record.vote(self.now, build, stage, vote);
+            record.record_vote(self.now, build, stage, vote);
         }
         self.add(format!("vote {} {} {vote:?}", build.0, stage.0).to_lowercase());
     }
--- a/crates/test-bed/src/kills.rs
+++ b/crates/test-bed/src/kills.rs
@@ -6,32 +6,33 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use lilacgate_store::reader::read;
-use lilacgate_store::writer::{Bounds, Real, Writer};
-use lilacgate_timeline::entry::{Entry, Record, What};
+use lilacgate_store::storage::FileSystem;
+use lilacgate_store::writer::{Retention, StoreWriter};
+use lilacgate_timeline::entry::{Entry, Event, Record};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
 fn record(number: u32) -> Record {
     let at = Duration::from_secs(u64::from(number));
-    let what = What::GivenUp {
-        why: "x".repeat(number as usize % 300),
-        many: number,
+    let event = Event::GivenUp {
+        reason: "x".repeat(number as usize % 300),
+        count: number,
     };
     Record::Entry(Entry {
         happened: at,
         known: at,
         node: None,
-        what,
+        event,
     })
 }
 
 /// Writes from a number on, in batches of drawn sizes, and prints the last number of each once it is synced.
 pub fn write(folder: &Path, first: u32) {
-    let bounds = Bounds {
-        bytes: 1 << 28,
-        age: Duration::from_secs(1 << 30),
+    let bounds = Retention {
+        max_bytes: 1 << 28,
+        max_age: Duration::from_secs(1 << 30),
     };
-    let Ok(mut writer) = Writer::new(folder, bounds, Box::new(Real)) else {
+    let Ok(mut writer) = StoreWriter::new(folder, bounds, Box::new(FileSystem)) else {
         return;
     };
     let mut chance = Pcg64Mcg::seed_from_u64(u64::from(first));
@@ -87,9 +88,9 @@
             .iter()
             .filter_map(|record| match record {
                 Record::Entry(Entry {
-                    what: What::GivenUp { many, .. },
+                    event: Event::GivenUp { count, .. },
                     ..
-                }) => Some(*many),
+                }) => Some(*count),
                 _ => None,
             })
             .collect();
--- a/crates/timeline/src/watch/confirm.rs
+++ b/crates/timeline/src/monitor/confirm.rs
@@ -2,13 +2,14 @@
 //! as a whole.
 use std::time::Duration;
 
-use super::Watch;
+use super::FleetMonitor;
+use super::departures::Finding;
 use super::node::WatchedNode;
 use super::settings::{CALM, CONFIRM_AFTER, MIN_FLEET, MOST};
-use super::signals::{ALL_PRODUCTS, KINDS};
-use crate::entry::{Kind, Whom};
+use super::signals::{ALL_CLASSES, KINDS};
+use crate::entry::{DepartureKind, DepartureScope};
 
-impl Watch {
+impl FleetMonitor {
     /// Opens the departures that have become certain.
     pub(super) fn confirm(&mut self, now: Duration) {
         let threshold = self.threshold();
@@ -17,7 +18,7 @@
             if self
                 .nodes
                 .get(&node)
-                .is_some_and(|watched| watched.would_be_news(kind))
+                .is_some_and(|watched| watched.is_reportable(kind))
             {
                 self.confirm_at_node(now, node, kind, threshold);
             }
@@ -30,13 +31,13 @@
     }
 
     /// The nodes and kinds whose evidence has been above the threshold for long enough.
-    fn certain_nodes(&mut self, now: Duration, threshold: f64) -> Vec<(u32, Kind)> {
+    fn certain_nodes(&mut self, now: Duration, threshold: f64) -> Vec<(u32, DepartureKind)> {
         let mut certain = Vec::new();
         for (&node, watched) in &mut self.nodes {
             for kind in KINDS {
                 let since = update_alarms(watched, now, kind, threshold);
                 let long_enough = since.is_some_and(|at| now >= at + CONFIRM_AFTER);
-                if long_enough && watched.would_be_news(kind) {
+                if long_enough && watched.is_reportable(kind) {
                     certain.push((node, kind));
                 }
             }
@@ -45,32 +46,38 @@
     }
 
     /// Whether the fleet as a whole is above the threshold and no departure of this kind is open anywhere.
-    fn fleet_is_certain(&self, kind: Kind, threshold: f64) -> bool {
+    fn fleet_is_certain(&self, kind: DepartureKind, threshold: f64) -> bool {
         let is_open = self.open.values().any(|open| open.kind == kind);
-        kind != Kind::Load && !is_open && self.fleet.any_reaches(kind, threshold)
+        kind != DepartureKind::Load && !is_open && self.fleet.any_reaches(kind, threshold)
     }
 
     /// Opens a departure of the fleet if most active nodes show more bad observations now than the fleet's limit;
     /// compared with each other they may look alike.
-    fn confirm_in_fleet(&mut self, now: Duration, kind: Kind) {
-        let limit = self.fleet_limit(now, kind, ALL_PRODUCTS).unwrap_or(1.0);
+    fn confirm_in_fleet(&mut self, now: Duration, kind: DepartureKind) {
+        let limit = self.fleet_limit(now, kind, ALL_CLASSES).unwrap_or(1.0);
         let active = self.active_nodes(now);
         let exceeds = |node: &u32| self.exceeds_now(now, *node, kind, limit);
         let members: Vec<u32> = active.iter().copied().filter(exceeds).collect();
         let most = members.len() as f64 >= MOST * active.len() as f64;
         if active.len() >= MIN_FLEET && most {
-            let figures = self.figures(&self.fleet, kind, ALL_PRODUCTS, now);
-            self.open_departure(now, Whom::Fleet, kind, None, figures, &members);
+            let figures = self.figures(&self.fleet, kind, ALL_CLASSES, now);
+            let finding = Finding {
+                scope: DepartureScope::Fleet,
+                kind,
+                class: None,
+                figures,
+            };
+            self.open_departure(now, finding, &members);
         }
     }
 
     /// Whether a node's recent share of bad observations is above `limit`.
-    fn exceeds_now(&self, now: Duration, node: u32, kind: Kind, limit: f64) -> bool {
+    fn exceeds_now(&self, now: Duration, node: u32, kind: DepartureKind, limit: f64) -> bool {
         let Some(watched) = self.nodes.get(&node) else {
             return false;
         };
-        let recent = watched.signals.of(kind)[ALL_PRODUCTS].usual.lately(now);
-        recent.yes > limit * recent.all
+        let recent = watched.signals.of(kind)[ALL_CLASSES].baseline.recent(now);
+        recent.sum > limit * recent.weight
     }
 
     /// The nodes that gave an observation a short while ago.
@@ -85,7 +92,7 @@
 fn update_alarms(
     watched: &mut WatchedNode,
     now: Duration,
-    kind: Kind,
+    kind: DepartureKind,
     threshold: f64,
 ) -> Option<Duration> {
     let signals = watched.signals.of_mut(kind);
--- /dev/null
+++ b/crates/timeline/tests/fleet_timeline.rs
@@ -0,0 +1,220 @@
+//! What a timeline keeps: two times on each entry, steps that fold without losing a count, and bounds that hold whatever
+//! ids come and go.
+use std::time::Duration;
+
+use lilacgate_decision::{
+    AttemptNumber, Build, Endpoint, EndpointId, EndpointStatus, ListUpdate, Outcome, RequestClass,
+    RequestId, Stage, Vote,
+};
+use lilacgate_test_bed::virtually::{DAWN, aims, listed};
+use lilacgate_timeline::entry::{Event, Record};
+use lilacgate_timeline::fleet_timeline::{AttemptEnd, FleetTimeline, MemoryLimits};
+use lilacgate_timeline::latency_sketch::LatencySketch;
+use lilacgate_timeline::step_history::{LEVELS, StepHistory};
+use proptest::prelude::*;
+
+/// An instant, in seconds after the beginning.
+fn secs(seconds: f64) -> Duration {
+    DAWN + Duration::from_secs_f64(seconds)
+}
+
+fn timeline(timeline_bytes: usize, queued_records: usize) -> FleetTimeline {
+    let limits = MemoryLimits {
+        timeline_bytes,
+        queued_records,
+    };
+    FleetTimeline::new(DAWN, aims(0.5), limits)
+}
+
+fn succeeded(request: RequestId, endpoint: EndpointId, duration: Duration) -> AttemptEnd {
+    AttemptEnd {
+        request,
+        attempt: AttemptNumber(0),
+        endpoint,
+        outcome: Outcome::Succeeded,
+        duration,
+        request_closed: true,
+    }
+}
+
+/// An entry about the endpoint list.
+#[derive(Clone, Debug, PartialEq)]
+struct ListedState {
+    /// When it happened, in whole seconds after the beginning.
+    second: u64,
+    build: u16,
+    state: String,
+}
+
+/// The entries about node 1 in the endpoint list that were known at `known`, in the order in which they happened.
+fn listed_states(timeline: &FleetTimeline, known: Duration) -> Vec<ListedState> {
+    let node = timeline.node(1).expect("a timeline");
+    let listed = node.as_of(known).filter_map(|entry| match &entry.event {
+        Event::Listed { state, build, .. } => Some(ListedState {
+            second: (entry.happened - DAWN).as_secs(),
+            build: *build,
+            state: state.clone(),
+        }),
+        _ => None,
+    });
+    listed.collect()
+}
+
+/// Updates that come late are inserted where they happened, and what was known earlier stays as it was known.
+#[test]
+fn late_updates_are_inserted_where_they_happened() {
+    let mut timeline = timeline(1 << 20, 0);
+    let entry = |build, started: f64| listed(1, build, Some(secs(started)));
+    timeline.apply_list_update(secs(10.0), ListUpdate::Full, &[entry(1, 1.0)]);
+    timeline.apply_list_update(
+        secs(20.0),
+        ListUpdate::Delta,
+        &[Endpoint {
+            status: EndpointStatus::Draining,
+            ..entry(1, 1.0)
+        }],
+    );
+    // It came back at 15 with another build, which is received only now; then the list goes back a version, and on.
+    timeline.apply_list_update(secs(25.0), ListUpdate::Delta, &[entry(2, 15.0)]);
+    timeline.apply_list_update(secs(26.0), ListUpdate::Delta, &[entry(1, 1.0)]);
+    timeline.apply_list_update(secs(27.0), ListUpdate::Delta, &[entry(2, 15.0)]);
+    let ready = |second, build| ListedState {
+        second,
+        build,
+        state: "ready".to_owned(),
+    };
+    let draining = ListedState {
+        second: 20,
+        build: 1,
+        state: "draining".to_owned(),
+    };
+    assert_eq!(listed_states(&timeline, secs(12.0)), [ready(1, 1)]);
+    assert_eq!(
+        listed_states(&timeline, secs(24.0)),
+        [ready(1, 1), draining.clone()]
+    );
+    assert_eq!(
+        listed_states(&timeline, secs(25.0)),
+        [ready(1, 1), ready(15, 2), draining.clone()]
+    );
+    assert_eq!(
+        listed_states(&timeline, secs(27.0)),
+        [
+            ready(1, 1),
+            ready(1, 1),
+            ready(15, 2),
+            ready(15, 2),
+            draining
+        ]
+    );
+}
+
+#[test]
+fn a_node_that_restarts_within_one_step_has_both_incarnations() {
+    let mut timeline = timeline(1 << 20, 0);
+    for at in [10.0, 10.3, 10.6] {
+        timeline.apply_list_update(secs(at), ListUpdate::Delta, &[listed(1, 1, Some(secs(at)))]);
+    }
+    assert_eq!(listed_states(&timeline, Duration::MAX).len(), 3);
+}
+
+/// 5,000 ids within an hour: memory holds, and what was dropped is counted.
+#[test]
+fn memory_is_bounded_whatever_ids_come() {
+    let limit = 8 << 20;
+    let mut timeline = timeline(limit, 0);
+    for id in 0..5000u32 {
+        let now = secs(f64::from(id) * 0.72);
+        let (old, new) = (
+            listed(id.saturating_sub(3), 1, None),
+            listed(id, (id % 7) as u16, Some(now)),
+        );
+        timeline.apply_list_update(
+            now,
+            ListUpdate::Delta,
+            &[
+                new,
+                Endpoint {
+                    status: EndpointStatus::Removed,
+                    ..old
+                },
+            ],
+        );
+        for i in 0..20 {
+            let request = RequestId(id * 20 + i);
+            timeline.request_started(request, RequestClass(0));
+            timeline.attempt_started(now, request, AttemptNumber(0), EndpointId(id));
+            timeline.attempt_ended(
+                now,
+                &succeeded(request, EndpointId(id), Duration::from_millis(9)),
+            );
+        }
+        timeline.advance(now);
+        assert!(
+            timeline.memory_bytes() < limit + (1 << 20),
+            "{} at {id}",
+            timeline.memory_bytes()
+        );
+    }
+    assert!(timeline.dropped() > 3000 && timeline.nodes().count() < 1000);
+}
+
+#[test]
+fn a_full_queue_drops_the_finest_detail_first() {
+    let mut timeline = timeline(1 << 20, 50);
+    timeline.apply_list_update(DAWN, ListUpdate::Full, &[listed(1, 1, None)]);
+    for i in 0..200u32 {
+        let now = secs(f64::from(i) * 0.5);
+        timeline.attempt_started(now, RequestId(i), AttemptNumber(0), EndpointId(1));
+        timeline.attempt_ended(
+            now,
+            &succeeded(RequestId(i), EndpointId(1), Duration::from_millis(5)),
+        );
+        if i % 5 == 0 {
+            timeline.record_vote(now, Build(2), Stage(0), Vote::Advance);
+        }
+        timeline.advance(now);
+    }
+    let kept = timeline.take_records();
+    let votes = kept
+        .iter()
+        .filter(|record| matches!(record, Record::Entry(entry) if matches!(entry.event, Event::Vote { .. })))
+        .count();
+    assert_eq!((kept.len(), votes), (50, 40));
+    // What was dropped is recorded as soon as there is room.
+    timeline.record_vote(secs(300.0), Build(2), Stage(0), Vote::Advance);
+    assert!(matches!(timeline.take_records()[0], Record::Dropped { count, .. } if count > 60));
+}
+
+proptest! {
+    #![proptest_config(ProptestConfig { cases: 64, failure_persistence: None, ..ProptestConfig::default() })]
+
+    /// Folding loses no count as long as a level reaches back, and latencies read back within their error.
+    #[test]
+    fn folding_keeps_counts(gaps in prop::collection::vec((0u64..40, 1u32..30, 1u64..2000), 1..300)) {
+        let mut steps = StepHistory::new(DAWN);
+        let mut now = DAWN;
+        let mut all = 0;
+        let mut slowest_ms = 0;
+        for (gap, count, ms) in gaps {
+            now += Duration::from_secs(gap);
+            let counts = steps.current(now, &mut |_| {});
+            counts.succeeded += count;
+            all += count;
+            slowest_ms = slowest_ms.max(ms);
+            steps.record_latency(Duration::from_millis(ms));
+        }
+        steps.current(now + Duration::from_secs(1), &mut |_| {});
+        let found = steps.since(Duration::ZERO);
+        let succeeded: u32 = found.iter().map(|timed| timed.step.counts.succeeded).sum();
+        // What is folding still is not in a coarse level yet; it stands in the fine one as far as that reaches.
+        let reach: Duration = LEVELS[0].step_duration * LEVELS[0].capacity as u32;
+        if now - DAWN < reach {
+            prop_assert_eq!(succeeded, all);
+            let merged = LatencySketch::merged(found.iter().map(|timed| &timed.step.latency));
+            let top = merged.quantile(1.0).expect("some").as_secs_f64() * 1e3;
+            prop_assert!((top / slowest_ms as f64 - 1.0).abs() < 0.05, "{} {}", top, slowest_ms);
+        }
+        prop_assert!(succeeded <= all && found.len() <= LEVELS.iter().map(|level| level.capacity).sum());
+    }
+}
