--- a/crates/agent/tests/agent.rs
+++ b/crates/agent/tests/agent.rs
@@ -50,22 +50,28 @@
 use std::thread;
 use std::time::Duration;
 
-use lilacgate_test_bed::agent::{Agent, free_at, free_for_datagrams, logged, own_host};
-use lilacgate_test_bed::notation::{bytes, fits};
-use lilacgate_test_bed::post::{
-    self, PATIENCE, Post, Said, THE_END, chunk, command, discovery, platform, resp, rollout,
+use lilacgate_test_bed::agent_process::{AgentProcess, wait_for_log};
+use lilacgate_test_bed::framing::{encode_command, encode_http_chunk, read_resp};
+use lilacgate_test_bed::loopback_address::{
+    unique_loopback_host, unused_tcp_address, unused_udp_address,
 };
-use lilacgate_test_bed::start::{Start, entry};
+use lilacgate_test_bed::protocol_messages::{release_update, rollout_notification};
+use lilacgate_test_bed::scenario_text::{matches_pattern, unescape};
+use lilacgate_test_bed::scripted_server::{
+    CONNECTION_END, MAX_WAIT, Received, ScriptedServer, discovery_server, release_server,
+    silent_discovery_server,
+};
+use lilacgate_test_bed::start_file::{EndpointEntry, StartFileTemplate};
 use rstest::rstest;
 use socket2::{Domain, Socket, Type};
 
 struct Play {
-    start: Start,
+    start: StartFileTemplate,
     known: Vec<String>,
-    appliances: HashMap<String, Post>,
-    discovery: Post,
-    platform: Post,
-    listeners: Receiver<Said>,
+    appliances: HashMap<String, ScriptedServer>,
+    discovery: ScriptedServer,
+    platform: ScriptedServer,
+    listeners: Receiver<Received>,
     listener: usize,
     peers: [UdpSocket; 2],
     clients: HashMap<String, BufReader<TcpStream>>,
@@ -75,26 +81,26 @@
     /// Appliances whose line is full, and who stands in it.
     full: HashMap<String, (TcpListener, Vec<TcpStream>)>,
     /// Release desks of other services, by name, each with its last listener.
-    desks: HashMap<String, (Post, Receiver<Said>, usize)>,
+    desks: HashMap<String, (ScriptedServer, Receiver<Received>, usize)>,
     /// The operator's file, where it has one.
     operator: Option<String>,
     version: u64,
     listen: SocketAddr,
     folder: tempfile::TempDir,
-    agent: Option<Agent>,
+    agent: Option<AgentProcess>,
     /// Outlasts the agent.
     log: Arc<Mutex<String>>,
 }
 
 impl Play {
     fn new() -> Play {
-        let (platform, listeners) = platform();
+        let (platform, listeners) = release_server();
         let socket = || UdpSocket::bind("127.0.0.1:0").expect("a free port");
         Play {
-            start: Start::default(),
+            start: StartFileTemplate::default(),
             known: Vec::new(),
             appliances: HashMap::new(),
-            discovery: discovery(),
+            discovery: discovery_server(),
             platform,
             listeners,
             listener: 0,
@@ -106,7 +112,7 @@
             desks: HashMap::new(),
             operator: None,
             version: 5,
-            listen: free_at(own_host()),
+            listen: unused_tcp_address(unique_loopback_host()),
             folder: tempfile::tempdir().expect("a folder"),
             agent: None,
             log: Arc::default(),
@@ -114,17 +120,17 @@
     }
 
     fn spawn(&mut self) {
-        self.start.0 = self
-            .start
-            .0
-            .replace("PEER_LISTEN", &free_for_datagrams().to_string());
+        self.start.text = self.start.text.replace(
+            "PEER_LISTEN",
+            &unused_udp_address(std::net::Ipv4Addr::LOCALHOST).to_string(),
+        );
         self.write_told();
         let operator = self
             .operator
             .is_some()
             .then(|| self.folder.path().join("operator.xml"));
         let program = Path::new(env!("CARGO_BIN_EXE_lilacgate-agent"));
-        let agent = Agent::spawn(program, &self.file(), operator.as_deref(), self.files);
+        let agent = AgentProcess::spawn(program, &self.file(), operator.as_deref(), self.files);
         self.log = agent.log.clone();
         self.agent = Some(agent);
     }
@@ -137,18 +143,18 @@
     fn write_told(&self) {
         let places = [
             ("LISTEN", self.listen.to_string()),
-            ("DISCOVERY", self.discovery.at.to_string()),
-            ("PLATFORM", self.platform.at.to_string()),
+            ("DISCOVERY", self.discovery.address.to_string()),
+            ("PLATFORM", self.platform.address.to_string()),
             (
                 "PEER",
                 self.peers[0].local_addr().expect("its address").to_string(),
             ),
             ("KNOWN", self.known.join(",")),
         ];
-        std::fs::write(self.file(), self.start.with(&places)).expect("the start file");
+        std::fs::write(self.file(), self.start.render(&places)).expect("the start file");
         if let Some(rules) = &self.operator {
-            let desks = |text: String, (name, desk): (&String, &(Post, Receiver<Said>, usize))| {
-                text.replace(&format!("AT-{name}"), &desk.0.at.to_string())
+            let desks = |text: String, (name, desk): (&String, &(ScriptedServer, Receiver<Received>, usize))| {
+                text.replace(&format!("AT-{name}"), &desk.0.address.to_string())
             };
             let text = self.desks.iter().fold(rules.clone(), desks);
             std::fs::write(self.folder.path().join("operator.xml"), text)
@@ -158,9 +164,9 @@
 
     /// Opens a connection to the agent, and again until it listens.
     fn open(&self) -> BufReader<TcpStream> {
-        for _ in 0..PATIENCE.as_millis() / 10 {
+        for _ in 0..MAX_WAIT.as_millis() / 10 {
             if let Ok(conn) = TcpStream::connect(self.listen) {
-                conn.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+                conn.set_read_timeout(Some(MAX_WAIT)).expect("a time-out");
                 return BufReader::new(conn);
             }
             thread::sleep(Duration::from_millis(10));
@@ -168,7 +174,7 @@
         panic!("the agent does not listen");
     }
 
-    fn agent(&self) -> &Agent {
+    fn agent(&self) -> &AgentProcess {
         self.agent.as_ref().expect("an agent")
     }
 
@@ -187,14 +193,14 @@
                     parts.next().expect("a state"),
                 );
                 let (name, at) = name.split_once('@').unwrap_or((name, name));
-                entry(
+                EndpointEntry::new(
                     name,
-                    self.appliances[at].at,
+                    self.appliances[at].address,
                     "x",
                     state,
                     parts.next().unwrap_or("1"),
-                    None,
                 )
+                .to_json()
             })
             .collect();
         let entries = entries.join(",");
@@ -202,7 +208,7 @@
             "{{\"version\":{},\"full\":false,\"servers\":[{entries}]}}\n",
             self.version
         );
-        self.discovery.write(chunk(&text).as_bytes());
+        self.discovery.write(encode_http_chunk(&text).as_bytes());
     }
 
     fn client(&mut self, name: &str, what: &str) {
@@ -215,11 +221,14 @@
         match verb {
             "raw" => conn
                 .get_ref()
-                .write_all(&bytes(rest))
+                .write_all(&unescape(rest))
                 .expect("it is written"),
             "reads" => {
-                let got = resp(conn).unwrap_or_else(|| "the end".into());
-                assert!(fits(rest, &got), "client {name} reads {got:.200}");
+                let got = read_resp(conn).unwrap_or_else(|| "the end".into());
+                assert!(
+                    matches_pattern(rest, &got),
+                    "client {name} reads {got:.200}"
+                );
             }
             "opens" => {}
             "leaves" => drop(self.clients.remove(name)),
@@ -243,7 +252,7 @@
                 )
             }
             "ended" => {
-                let within = rest.parse().map_or(PATIENCE, Duration::from_millis);
+                let within = rest.parse().map_or(MAX_WAIT, Duration::from_millis);
                 conn.get_ref()
                     .set_read_timeout(Some(within))
                     .expect("a time-out");
@@ -262,7 +271,7 @@
                 };
                 let parts: Vec<_> = what.split(' ').collect();
                 conn.get_ref()
-                    .write_all(command(&parts).as_bytes())
+                    .write_all(encode_command(&parts).as_bytes())
                     .expect("it is written");
             }
         }
@@ -275,17 +284,20 @@
             .unwrap_or_else(|| panic!("no step {name} {what}"));
         let (verb, rest) = what.split_once(' ').unwrap_or((what, ""));
         match verb {
-            "gets" if rest == THE_END => post.heard_end(),
+            "gets" if rest == CONNECTION_END => post.expect_connection_end(),
             "gets" => {
-                let got = post.heard();
-                assert!(fits(rest, &got), "{name} gets {got:.200}");
-            }
-            "answers" => post.write(&bytes(rest)),
-            "ends" => post.end(),
-            "vanishes" => post.vanish(),
-            "waits" => assert!(post.is_quiet(), "{name} got something"),
-            "turns" => post.turn(rest),
-            "links" => assert_eq!(post.conns.lock().expect("a lock").len().to_string(), rest),
+                let got = post.next_message();
+                assert!(matches_pattern(rest, &got), "{name} gets {got:.200}");
+            }
+            "answers" => post.write(&unescape(rest)),
+            "ends" => post.close_current(),
+            "vanishes" => post.shut_down(),
+            "waits" => assert!(post.is_idle(), "{name} got something"),
+            "turns" => post.select_connection_of(rest),
+            "links" => assert_eq!(
+                post.connections.lock().expect("a lock").len().to_string(),
+                rest
+            ),
             _ => panic!("no step {name} {what}"),
         }
     }
@@ -294,10 +306,10 @@
         let (verb, rest) = step.split_once(' ').unwrap_or((step, ""));
         match (verb, rest.split_once(' ').unwrap_or((rest, ""))) {
             ("appliance", (name, build)) => {
-                let post = Post::new(resp, "", b"", b"");
+                let post = ScriptedServer::silent(read_resp);
                 let build = if build.is_empty() { "1" } else { build };
                 self.known
-                    .push(entry(name, post.at, "x", "ready", build, None));
+                    .push(EndpointEntry::new(name, post.address, "x", "ready", build).to_json());
                 self.appliances.insert(name.into(), post);
             }
             ("full", _) => {
@@ -312,7 +324,8 @@
                 let fill = || TcpStream::connect_timeout(&at, brief).ok();
                 let line = std::iter::from_fn(fill).take(16).collect::<Vec<_>>();
                 assert!(line.len() < 16, "its line is never full");
-                self.known.push(entry(rest, at, "x", "ready", "1", None));
+                self.known
+                    .push(EndpointEntry::new(rest, at, "x", "ready", "1").to_json());
                 self.full.insert(rest.into(), (listener, line));
             }
             (name, ("takes", _)) if self.full.contains_key(name) => {
@@ -336,13 +349,24 @@
                 conn.get_ref()
                     .write_all(b"*1\r\n$4\r\nPING\r\n")
                     .expect("it is written");
-                assert_eq!(resp(&mut conn).as_deref(), Some("+PONG"));
-                self.discovery.heard();
-                self.listener = self.listeners.recv_timeout(PATIENCE).expect("a listener").0;
+                assert_eq!(read_resp(&mut conn).as_deref(), Some("+PONG"));
+                self.discovery.next_message();
+                self.listener = self
+                    .listeners
+                    .recv_timeout(MAX_WAIT)
+                    .expect("a listener")
+                    .connection;
             }
             ("refuses", _) => {
                 self.spawn();
-                assert_eq!(self.agent.take().expect("an agent").ended(), "1");
+                assert_eq!(
+                    self.agent
+                        .take()
+                        .expect("an agent")
+                        .wait_for_exit()
+                        .to_string(),
+                    "1"
+                );
                 let log = self.log();
                 assert!(log.contains(rest) && log.lines().count() == 1, "{log}");
             }
@@ -353,7 +377,7 @@
                     conn.get_ref()
                         .write_all(b"*1\r\n$4\r\nPING\r\n")
                         .expect("it is written");
-                    assert_eq!(resp(&mut conn).as_deref(), Some("+PONG"));
+                    assert_eq!(read_resp(&mut conn).as_deref(), Some("+PONG"));
                     self.crowd.push(conn);
                 }
             }
@@ -364,7 +388,7 @@
                     let conn = conn.unwrap_or_else(|fault| {
                         panic!("client {i} finds no place in line: {fault}")
                     });
-                    conn.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+                    conn.set_read_timeout(Some(MAX_WAIT)).expect("a time-out");
                     self.crowd.push(BufReader::new(conn));
                 }
             }
@@ -380,76 +404,84 @@
             ("disperse", _) => self.crowd.clear(),
             ("discovery", (_, how)) => {
                 self.discovery = if how == "silent" {
-                    post::silent_discovery()
+                    silent_discovery_server()
                 } else {
-                    discovery()
+                    discovery_server()
                 };
                 self.write_told();
             }
             ("platform", _) => {
-                (self.platform, self.listeners) = platform();
+                (self.platform, self.listeners) = release_server();
                 self.write_told();
             }
             ("told", ("raw", text)) => {
-                std::fs::write(self.file(), bytes(text)).expect("the start file")
+                std::fs::write(self.file(), unescape(text)).expect("the start file")
             }
             ("told", ("nothing", _)) => std::fs::remove_file(self.file()).expect("the start file"),
             ("told", _) => self.write_told(),
             ("later", _) => thread::sleep(Duration::from_millis(rest.parse().expect("a number"))),
             ("files", _) => self.files = Some(rest.parse().expect("a number")),
-            ("membership", ("raw", text)) => self.discovery.write(&bytes(text)),
-            ("membership", ("asked", THE_END)) => self.discovery.heard_end(),
+            ("membership", ("raw", text)) => self.discovery.write(&unescape(text)),
+            ("membership", ("asked", CONNECTION_END)) => self.discovery.expect_connection_end(),
             ("membership", ("asked", text)) => {
-                let got = self.discovery.heard();
+                let got = self.discovery.next_message();
                 assert!(got.contains(text), "asked {got}");
             }
-            ("membership", ("drops", _)) => self.discovery.end(),
+            ("membership", ("drops", _)) => self.discovery.close_current(),
             ("membership", _) => self.tell_membership(rest),
             ("news", ("asked", _)) => {
-                self.listener = self.listeners.recv_timeout(PATIENCE).expect("a listener").0
+                self.listener = self
+                    .listeners
+                    .recv_timeout(MAX_WAIT)
+                    .expect("a listener")
+                    .connection
             }
-            ("news", ("raw", text)) => self.platform.write_to(self.listener, &bytes(text)),
+            ("news", ("raw", text)) => self.platform.write_to(self.listener, &unescape(text)),
             ("news", _) => {
                 let [build, stage, state, cap] = rest.split(' ').collect::<Vec<_>>()[..] else {
                     panic!("{step}")
                 };
-                let text = rollout(&post::news(build, stage, state, cap));
+                let text = rollout_notification(&release_update(build, stage, state, cap));
                 self.platform.write_to(self.listener, text.as_bytes());
             }
             ("vote", ("gets", text)) => {
-                let got = self.platform.heard();
-                assert!(fits(text, &got), "the platform gets {got}");
+                let got = self.platform.next_message();
+                assert!(matches_pattern(text, &got), "the platform gets {got}");
             }
-            ("vote", ("answers", text)) => self.platform.write(&bytes(text)),
-            ("vote", _) => self.platform.end(),
+            ("vote", ("answers", text)) => self.platform.write(&unescape(text)),
+            ("vote", _) => self.platform.close_current(),
             ("peer" | "stranger", (_, what)) => {
                 let from = &self.peers[usize::from(verb == "stranger")];
                 let to = self
                     .start
-                    .0
+                    .text
                     .split("\"peer_listen\":\"")
                     .nth(1)
                     .and_then(|s| s.split('"').next());
-                from.send_to(&bytes(what), to.expect("where peers listen"))
+                from.send_to(&unescape(what), to.expect("where peers listen"))
                     .expect("it is sent");
             }
             ("signal", (name, _)) => self.agent().signal(name),
             ("unread", _) => {
                 let mut conn = self.open();
-                let reading = self.agent().reading.clone();
+                let reading = self.agent().log_reader_gate.clone();
                 let held = reading.lock().expect("a lock");
                 for _ in 0..rest.parse().expect("a number") {
                     self.agent().signal("USR1");
                     conn.get_ref()
                         .write_all(b"*1\r\n$4\r\nPING\r\n")
                         .expect("it is written");
-                    assert_eq!(resp(&mut conn).as_deref(), Some("+PONG"), "it stands still");
+                    assert_eq!(
+                        read_resp(&mut conn).as_deref(),
+                        Some("+PONG"),
+                        "it stands still"
+                    );
                 }
                 drop(held);
             }
             ("counter", (name, many)) => {
                 let want = format!(" {name}={many} ");
-                let there = (0..PATIENCE.as_millis() / 50).any(|_| {
+                let there = (0..MAX_WAIT.as_millis() / 50).any(|_| {
                     self.agent().signal("USR1");
                     thread::sleep(Duration::from_millis(50));
                     let log = self.log();
@@ -464,9 +496,16 @@
                     log.lines().last().unwrap_or_default()
                 );
             }
-            ("log", _) => assert!(logged(&self.log, rest), "{}", self.log()),
+            ("log", _) => assert!(wait_for_log(&self.log, rest), "{}", self.log()),
             ("ends", _) if !rest.is_empty() => {
-                assert_eq!(self.agent.take().expect("an agent").ended(), rest);
+                assert_eq!(
+                    self.agent
+                        .take()
+                        .expect("an agent")
+                        .wait_for_exit()
+                        .to_string(),
+                    rest
+                );
             }
             ("another", _) => {
                 self.operator = self.operator.take().map(|text| text.replace("n0", "n7"));
@@ -486,18 +525,23 @@
                 ));
             }
             ("desk", (name, _)) => {
-                let (post, listeners) = platform();
+                let (post, listeners) = release_server();
                 self.desks.insert(name.into(), (post, listeners, 0));
             }
             ("service", (name, what)) => {
                 let (post, listeners, last) = self.desks.get_mut(name).expect("a desk");
                 match what.split(' ').collect::<Vec<_>>()[..] {
-                    ["asked"] => *last = listeners.recv_timeout(PATIENCE).expect("a listener").0,
-                    ["dies"] => post.end_of(*last),
-                    ["vanishes"] => post.vanish(),
-                    ["raw", ..] => post.write_to(*last, &bytes(&what[4..])),
+                    ["asked"] => {
+                        *last = listeners
+                            .recv_timeout(MAX_WAIT)
+                            .expect("a listener")
+                            .connection
+                    }
+                    ["dies"] => post.close(*last),
+                    ["vanishes"] => post.shut_down(),
+                    ["raw", ..] => post.write_to(*last, &unescape(&what[4..])),
                     [build, stage, state] => {
-                        let text = rollout(&post::news(build, stage, state, "1"));
+                        let text = rollout_notification(&release_update(build, stage, state, "1"));
                         post.write_to(*last, text.as_bytes());
                     }
                     _ => panic!("{step}"),
--- a/crates/agent/tests/inside.rs
+++ b/crates/agent/tests/inside.rs
@@ -12,9 +12,9 @@
     ReleasePhase, Request, RequestClass, RequestId, Stage, Tenant,
 };
 use lilacgate_start_settings::Paths;
-use lilacgate_test_bed::decided::Decided;
-use lilacgate_test_bed::notation::bytes;
-use lilacgate_test_bed::start::{Start, entry};
+use lilacgate_test_bed::recorded_actions::RecordedActions;
+use lilacgate_test_bed::scenario_text::unescape;
+use lilacgate_test_bed::start_file::{EndpointEntry, StartFileTemplate};
 use rstest::rstest;
 
 use lilacgate_agent::appliances::Appliances;
@@ -104,7 +104,7 @@
     {
         let (what, want) = line.split_once(" =>").expect("what it finds");
         let (kind, what) = what.split_once(' ').expect("a kind");
-        let what = bytes(what);
+        let what = unescape(what);
         let got = match kind {
             "commands" => in_all_ways(resp::Commands::default, &what, words),
             "answers" => in_all_ways(resp::Values::default, &what, answer),
@@ -356,24 +356,24 @@
             .expect("an address")
     };
     let entries = |build: &str| {
-        let one = |i| entry(&format!("{i:08x}"), at(i), "x", "ready", build, None);
+        let one = |i| EndpointEntry::new(&format!("{i:08x}"), at(i), "x", "ready", build).to_json();
         (0..appliances).map(one).collect::<Vec<_>>().join(",")
     };
-    let mut start = Start::default();
+    let mut start = StartFileTemplate::default();
     let peers: Vec<_> = (0..agents)
         .map(|i| format!("\"127.2.{}.{}:7946\"", i / 250, 1 + i % 250))
         .collect();
-    start.0 = start
-        .0
+    start.text = start
+        .text
         .replace("\"PEER_LISTEN\",\"PEER\"", &peers.join(",\n"));
-    start.0 = start
-        .0
+    start.text = start
+        .text
         .replace("\"instances\":2", &format!("\"instances\":{agents}"));
     start.set("memory_mb", "32");
     let own = "127.0.0.1:1".to_owned();
     let places =
         ["PEER_LISTEN", "LISTEN", "DISCOVERY", "PLATFORM", "PEER"].map(|name| (name, own.clone()));
-    let text = start.with(&[&places[..], &[("KNOWN", entries("1"))]].concat());
+    let text = start.render(&[&places[..], &[("KNOWN", entries("1"))]].concat());
     let told = lilacgate_agent::told::read(text.as_bytes()).expect("a start file");
     assert_eq!(told.peers.len(), agents);
     let mut brain = lilacgate_start_settings::instance(told.seed, &told.settings)
@@ -409,7 +409,7 @@
         }
     }
     discovery.told(&lists[0], false).expect("it can be used");
-    let mut out = Decided::default();
+    let mut out = RecordedActions::default();
     let now = hub.clock.now();
     brain.round(
         now,
--- a/crates/decision/tests/fleet.rs
+++ b/crates/decision/tests/fleet.rs
@@ -10,7 +10,7 @@
     Idempotency, ListUpdate, Model, Outcome, PendingRequests, ReleaseAnalysis, ReleasePhase,
     Request, RequestClass, RequestId, SlowStart, Stage, Tenant, VoteTiming, Zone,
 };
-use lilacgate_test_bed::decided::Decided;
+use lilacgate_test_bed::recorded_actions::RecordedActions;
 use rstest::rstest;
 
 const ASK_WITHIN: Duration = Duration::from_secs(10);
@@ -80,13 +80,13 @@
 
 /// A round in which a list came, or failed; whether the agent asks for one then.
 fn asks(brain: &mut DecisionEngine, now: Duration, told: Option<ListUpdate>) -> bool {
-    let mut decided = Decided::default();
+    let mut decided = RecordedActions::default();
     let hear = |ears: &mut dyn EventHandler| {
         told.into_iter()
             .for_each(|l| ears.on_endpoints(l, &mut std::iter::empty()))
     };
     brain.round(now, hear, &mut decided);
-    decided.watches
+    decided.watching_endpoints
 }
 
 /// When the last of so many agents that come up together had the list, and how many calls failed.
@@ -223,7 +223,7 @@
     let (mut out, mut next) = (VecDeque::new(), 0);
     for beat in 0..beats {
         let now = DAWN + BEAT * beat;
-        let mut decided = Decided::default();
+        let mut decided = RecordedActions::default();
         let hear = |ears: &mut dyn EventHandler| {
             if let Some((lines, news)) = list(beat) {
                 ears.on_endpoints(ListUpdate::Full, &mut lines.into_iter());
--- a/crates/decision/tests/owed.rs
+++ b/crates/decision/tests/owed.rs
@@ -14,7 +14,7 @@
     PendingRequests, ReleaseAnalysis, ReleasePhase, Request, RequestClass, RequestId, SlowStart,
     Stage, Tenant, VoteTiming, Zone,
 };
-use lilacgate_test_bed::decided::Decided;
+use lilacgate_test_bed::recorded_actions::RecordedActions;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
@@ -163,7 +163,7 @@
     let (mut ids, mut turn, mut ends) = (0, 0, Duration::MAX);
     for step in 0..ALL {
         let now = DAWN + STEP * step;
-        let mut decided = Decided::default();
+        let mut decided = RecordedActions::default();
         let hear = |ears: &mut dyn EventHandler| {
             if step == 0 {
                 ears.on_release_status(
@@ -286,14 +286,14 @@
             out.push((due, id, AttemptNumber(taken.attempts), to, ending));
             (taken.attempts, taken.out) = (taken.attempts + 1, Some((now, zone)));
         }
-        for (id, attempt) in decided.called_off {
+        for (id, attempt) in decided.cancelled {
             out.iter_mut()
                 .filter(|one| (one.1, one.2) == (id, attempt))
                 .for_each(|one| {
                     (one.0, one.4) = (now, Outcome::Cancelled);
                 });
         }
-        for (id, again) in decided.given_up {
+        for (id, again) in decided.unserved {
             let taken = owed.remove(&id).expect("one answer, and no second");
             done.insert(id);
             assert!(taken.out.is_none(), "an attempt is out");
--- a/crates/decision/tests/reports/fleet.rs
+++ b/crates/decision/tests/reports/fleet.rs
@@ -8,7 +8,7 @@
     Idempotency, ListUpdate, Model, Outcome, PendingRequests, ReleaseAnalysis, ReleasePhase,
     Request, RequestClass, RequestId, SlowStart, Stage, Tenant, Vote, VoteTiming, Zone,
 };
-use lilacgate_test_bed::decided::Decided;
+use lilacgate_test_bed::recorded_actions::RecordedActions;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -196,7 +196,7 @@
             if decided.votes.contains(&Vote::RollBack) {
                 outcome.convicted.get_or_insert((now, me));
             }
-            for (to, octets) in decided.told {
+            for (to, octets) in decided.peer_messages {
                 let Some(to) = to else { continue };
                 let datagram = Datagram {
                     at: now,
@@ -241,13 +241,13 @@
     scene: Scene,
     inbox: Vec<Datagram>,
     luck: &mut Pcg64Mcg,
-) -> Option<Decided> {
+) -> Option<RecordedActions> {
     let lists = now == DAWN || now == RELEASED;
     let answered = agent.out.front().is_some_and(|out| out.0 <= now);
     if !lists && !answered && inbox.is_empty() && agent.wake > now && agent.next_request > now {
         return None;
     }
-    let mut decided = Decided::default();
+    let mut decided = RecordedActions::default();
     let Agent {
         brain,
         wake,
@@ -292,7 +292,7 @@
         }
     };
     brain.round(now, hear, &mut decided);
-    if let Some(&at) = decided.wakes.last() {
+    if let Some(&at) = decided.wake_ups.last() {
         *wake = at;
     } else if *wake <= now {
         *wake = now + STEP;
--- a/crates/decision/tests/reports/relaying.rs
+++ b/crates/decision/tests/reports/relaying.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use lilacgate_decision::{AgentId, DecisionEngine, EndpointId, EventHandler, RequestClass};
-use lilacgate_test_bed::decided::Decided;
+use lilacgate_test_bed::recorded_actions::RecordedActions;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, RngSeed, TestRng, TestRunner};
 
@@ -56,9 +56,9 @@
         hear: impl FnOnce(&mut dyn EventHandler),
     ) -> Vec<(Option<AgentId>, Vec<u8>)> {
         self.now += later;
-        let mut decided = Decided::default();
+        let mut decided = RecordedActions::default();
         self.brain.round(self.now, hear, &mut decided);
-        decided.told
+        decided.peer_messages
     }
 }
 
--- a/crates/decision/tests/subset.rs
+++ b/crates/decision/tests/subset.rs
@@ -12,7 +12,7 @@
     PendingRequests, ReleaseAnalysis, ReleasePermissions, ReleasePhase, Request, RequestClass,
     RequestId, SlowStart, Stage, Tenant, VoteTiming, Zone,
 };
-use lilacgate_test_bed::decided::Decided;
+use lilacgate_test_bed::recorded_actions::RecordedActions;
 use rstest::rstest;
 
 const DAWN: Duration = Duration::from_secs(100);
@@ -170,7 +170,7 @@
         hear: impl FnOnce(&mut dyn EventHandler),
         mut fate: impl FnMut(u8, EndpointId) -> (Outcome, Duration),
     ) -> Vec<(RequestId, EndpointId)> {
-        let (now, mut decided) = (self.now, Decided::default());
+        let (now, mut decided) = (self.now, RecordedActions::default());
         let due: Vec<_> = self.out.extract_if(.., |one| one.due <= now).collect();
         let all = |ears: &mut dyn EventHandler| {
             for one in due {
@@ -195,8 +195,8 @@
             *attempt += 1;
         }
         self.given_up
-            .extend(decided.given_up.into_iter().map(|(id, _)| id));
-        self.wakes.extend(decided.wakes);
+            .extend(decided.unserved.into_iter().map(|(id, _)| id));
+        self.wakes.extend(decided.wake_ups);
         decided.sent
     }
 
--- a/crates/loopback/src/client.rs
+++ b/crates/loopback/src/client.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use lilacgate_test_bed::post::command;
+use lilacgate_test_bed::framing::encode_command;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
@@ -80,7 +80,7 @@
             Kind::Post => ("SVC.SUBMIT", format!("c=post,d={deadline},k={key}")),
             Kind::Book => ("SVC.SUBMIT", format!("c=book,d={deadline}")),
         };
-        command(&[verb, &key, &id, &pairs])
+        encode_command(&[verb, &key, &id, &pairs])
     }
 }
 
--- a/crates/loopback/src/fleet.rs
+++ b/crates/loopback/src/fleet.rs
@@ -5,7 +5,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use lilacgate_test_bed::agent::{free_at, free_datagrams_at, own_host};
+use lilacgate_test_bed::loopback_address::{
+    unique_loopback_host, unused_tcp_address, unused_udp_address,
+};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use serde_json::{Value, json};
@@ -93,7 +95,7 @@
     pub async fn new(plan: Plan, interrupt: Interrupt) -> Result<Self, LoopbackError> {
         plan.check()?;
         let listeners = limits::listeners(&plan, limits::descriptors())?;
-        let host = own_host();
+        let host = unique_loopback_host();
         let served = Arc::<ServedLog>::default();
         let appliances = appliance::start(host, listeners, plan.service_time, &served).await?;
         let addresses: Vec<SocketAddr> = appliances.iter().map(Appliance::address).collect();
@@ -375,10 +377,10 @@
 }
 
 fn place() -> Place {
-    let host: Ipv4Addr = own_host();
+    let host: Ipv4Addr = unique_loopback_host();
     Place {
-        clients: free_at(host),
-        datagrams: free_datagrams_at(host),
+        clients: unused_tcp_address(host),
+        datagrams: unused_udp_address(host),
     }
 }
 
--- a/crates/loopback/src/membership.rs
+++ b/crates/loopback/src/membership.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::SystemTime;
 
-use lilacgate_test_bed::start::entry;
+use lilacgate_test_bed::start_file::EndpointEntry;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -30,7 +30,9 @@
         };
         let build = self.build.to_string();
         let started: Option<SystemTime> = None;
-        entry(&self.name, self.address, ZONE, state, &build, started)
+        EndpointEntry::new(&self.name, self.address, ZONE, state, &build)
+            .started_at(started)
+            .to_json()
     }
 }
 
--- a/crates/loopback/src/platform.rs
+++ b/crates/loopback/src/platform.rs
@@ -5,7 +5,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use lilacgate_test_bed::post::{LISTENS, PING, rollout};
+use lilacgate_test_bed::protocol_messages::{
+    LISTEN_ACCEPTED, RELEASE_HEARTBEAT, rollout_notification,
+};
 use serde_json::Value;
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
 use tokio::net::tcp::OwnedWriteHalf;
@@ -83,11 +85,16 @@
 
 /// Tells a listener the news, and pings it for as long as it stays.
 async fn tell(writer: &mut OwnedWriteHalf, news: &Value, traffic: &Traffic) -> std::io::Result<()> {
-    send(writer, LISTENS, traffic).await?;
-    send(writer, rollout(&news.to_string()).as_bytes(), traffic).await?;
+    send(writer, LISTEN_ACCEPTED, traffic).await?;
+    send(
+        writer,
+        rollout_notification(&news.to_string()).as_bytes(),
+        traffic,
+    )
+    .await?;
     loop {
         sleep(PING_PERIOD).await;
-        send(writer, PING, traffic).await?;
+        send(writer, RELEASE_HEARTBEAT, traffic).await?;
     }
 }
 
--- a/crates/loopback/src/start_file.rs
+++ b/crates/loopback/src/start_file.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use lilacgate_test_bed::start::Start;
+use lilacgate_test_bed::start_file::StartFileTemplate;
 use serde_json::{Value, json};
 
 /// The service's latency target and its clients' deadline, in microseconds.
@@ -55,7 +55,7 @@
     /// # Panics
     /// Where the template is no JSON.
     pub fn text(&self) -> String {
-        let template = Start::default().0.replace("[KNOWN]", "[]");
+        let template = StartFileTemplate::default().text.replace("[KNOWN]", "[]");
         let mut file: Value = serde_json::from_str(&template).expect("the template is JSON");
         file["name"] = json!(format!("n{}", self.agent));
         file["seed"] = json!(format!("{:016x}", self.seed));
--- a/crates/test-bed/src/lib.rs
+++ b/crates/test-bed/src/lib.rs
@@ -11,17 +11,20 @@
 #![allow(missing_debug_implementations)] // Not met yet.
 #![allow(missing_docs)] // Not met yet.
 
-pub mod agent;
+pub mod agent_process;
 pub mod check;
 pub mod days;
-pub mod decided;
 pub mod demo;
+pub mod framing;
 pub mod gauge;
 pub mod kills;
 pub mod lines;
-pub mod notation;
-pub mod post;
+pub mod loopback_address;
+pub mod protocol_messages;
 pub mod record;
-pub mod start;
+pub mod recorded_actions;
+pub mod scenario_text;
+pub mod scripted_server;
+pub mod start_file;
 pub mod town;
 pub mod virtually;
--- a/crates/test-bed/src/main.rs
+++ b/crates/test-bed/src/main.rs
@@ -3,7 +3,7 @@
 use std::process::ExitCode;
 
 use clap::{Parser, Subcommand};
-use lilacgate_test_bed::agent::Agent;
+use lilacgate_test_bed::agent_process::AgentProcess;
 use lilacgate_test_bed::{demo, gauge, kills, lines};
 
 /// Plays an agent against stand-ins on loopback. Exit code 1: something was not as it should be.
@@ -37,7 +37,7 @@
         kills::write(&folder, first);
         return ExitCode::FAILURE;
     }
-    let program = asking.program.unwrap_or_else(Agent::program);
+    let program = asking.program.unwrap_or_else(AgentProcess::default_program);
     if !program.is_file() {
         eprintln!(
             "lilacgate-test-bed: no agent at {}: build it first, or name it by --program",
--- a/crates/test-bed/src/town.rs
+++ b/crates/test-bed/src/town.rs
@@ -13,10 +13,15 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use crate::agent::{Agent, free_at, free_datagrams_at, logged, own_host};
-use crate::post::{self, LISTENS, PING, QUIET, WATCH, chunk, command, head, line, resp, rollout};
+use crate::agent_process::{AgentProcess, wait_for_log};
+use crate::framing::{encode_command, encode_http_chunk, read_http_head, read_line, read_resp};
+use crate::loopback_address::{unique_loopback_host, unused_tcp_address, unused_udp_address};
+use crate::protocol_messages::{
+    LISTEN_ACCEPTED, RELEASE_HEARTBEAT, WATCH_HEARTBEAT, WATCH_RESPONSE_HEAD, release_update,
+    rollout_notification,
+};
 use crate::record::{Final, Kind, Record, Seen};
-use crate::start::{Start, entry};
+use crate::start_file::{EndpointEntry, StartFileTemplate};
 
 fn locked<T>(of: &Mutex<T>) -> MutexGuard<'_, T> {
     of.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
@@ -122,7 +127,7 @@
         let (kept, chance) = (manners.clone(), Mutex::new(Pcg64Mcg::seed_from_u64(seed)));
         let listening = Listening::new(host, move |conn| {
             let mut from = BufReader::new(conn.try_clone().expect("a second handle"));
-            while let Some(said) = resp(&mut from) {
+            while let Some(said) = read_resp(&mut from) {
                 let id = said
                     .split(' ')
                     .nth(2)
@@ -240,7 +245,7 @@
             self.stage.to_string(),
             self.cap.to_string(),
         );
-        post::news(&build, &stage, self.course, &cap)
+        release_update(&build, &stage, self.course, &cap)
     }
 }
 
@@ -258,12 +263,15 @@
 
 impl Desk {
     fn new(host: Ipv4Addr, state: State, own: bool, record: Record, on_vote: OnVote) -> Desk {
-        let (audience, state) = (Audience::new(PING), Arc::new(Mutex::new(state)));
+        let (audience, state) = (
+            Audience::new(RELEASE_HEARTBEAT),
+            Arc::new(Mutex::new(state)),
+        );
         let (all, kept, noted) = (audience.clone(), state.clone(), record.clone());
         let on_vote = Mutex::new(on_vote);
         let listening = Listening::new(host, move |conn| {
             let mut from = BufReader::new(conn.try_clone().expect("a second handle"));
-            while let Some(said) = line(&mut from) {
+            while let Some(said) = read_line(&mut from) {
                 let number = |name: &str| {
                     let after = said.split(&format!("\"{name}\":")).nth(1)?;
                     after.split([',', '}']).next()?.parse::<u16>().ok()
@@ -272,7 +280,11 @@
                     // Held meanwhile, so that nothing is told twice or not at all.
                     let mut conns = locked(&all.conns);
                     let now = *locked(&kept);
-                    let hello = [LISTENS, rollout(&now.object()).as_bytes()].concat();
+                    let hello = [
+                        LISTEN_ACCEPTED,
+                        rollout_notification(&now.object()).as_bytes(),
+                    ]
+                    .concat();
                     if all.lives.load(Ordering::Relaxed) && (&conn).write_all(&hello).is_ok() {
                         conns.extend(conn.try_clone());
                     } else {
@@ -302,7 +314,7 @@
                     Some(state) => {
                         *locked(&kept) = state;
                         note_news(&noted, state);
-                        all.tell(rollout(&state.object()).as_bytes());
+                        all.tell(rollout_notification(&state.object()).as_bytes());
                         format!(
                             "{{\"jsonrpc\":\"2.0\",\"id\":{id},\"result\":{}}}\n",
                             state.object()
@@ -337,7 +349,8 @@
     /// Tells that a build stands so from now on.
     pub fn tell(&self, state: State) {
         *locked(&self.state) = state;
-        self.audience.tell(rollout(&state.object()).as_bytes());
+        self.audience
+            .tell(rollout_notification(&state.object()).as_bytes());
         if self.own {
             note_news(&self.record, state);
         }
@@ -347,7 +360,7 @@
     pub fn die(&self) {
         self.audience.lives.store(false, Ordering::Relaxed);
         self.audience
-            .tell(&rollout(&self.state().object()).as_bytes()[..40]);
+            .tell(&rollout_notification(&self.state().object()).as_bytes()[..40]);
         self.listening.cut();
         locked(&self.audience.conns).clear();
     }
@@ -397,11 +410,11 @@
     list: Arc<Mutex<(u64, Vec<String>)>>,
     folder: tempfile::TempDir,
     program: PathBuf,
-    start: Start,
+    start: StartFileTemplate,
     listen: SocketAddr,
     /// The address at which all of it listens.
     host: Ipv4Addr,
-    pub agent: Option<Agent>,
+    pub agent: Option<AgentProcess>,
     has_operator: bool,
     clients: Vec<JoinHandle<()>>,
     closing: Arc<AtomicBool>,
@@ -415,30 +428,30 @@
 impl Town {
     /// Everything but the agent, which plays the program at this path.
     pub fn new(program: &Path, seed: u64, state: State, on_vote: OnVote) -> Town {
-        let (record, host) = (Record::default(), own_host());
+        let (record, host) = (Record::default(), unique_loopback_host());
         let platform = Desk::new(host, state, true, record.clone(), on_vote);
         note_news(&record, state);
         let (watchers, list) = (
-            Audience::new(QUIET),
+            Audience::new(WATCH_HEARTBEAT),
             Arc::new(Mutex::new((1, Vec::<String>::new()))),
         );
         let (all, whole) = (watchers.clone(), list.clone());
         let discovery = Listening::new(host, move |conn| {
             let mut from = BufReader::new(conn.try_clone().expect("a second handle"));
-            while head(&mut from).is_some() {
+            while read_http_head(&mut from).is_some() {
                 let mut conns = locked(&all.conns);
                 let (version, entries) = &*locked(&whole);
                 let text = format!(
                     "{{\"version\":{version},\"full\":true,\"servers\":[{}]}}\n",
                     entries.join(",")
                 );
-                let hello = [WATCH, chunk(&text).as_bytes()].concat();
+                let hello = [WATCH_RESPONSE_HEAD, encode_http_chunk(&text).as_bytes()].concat();
                 if (&conn).write_all(&hello).is_ok() {
                     conns.extend(conn.try_clone());
                 }
             }
         });
-        let mut start = Start::default();
+        let mut start = StartFileTemplate::default();
         for (field, value) in [
             ("zones", r#"["a","b"]"#),
             ("instances", "1"),
@@ -449,7 +462,7 @@
             start.set(field, value);
         }
         // The settings' own permission has the same name as the list of peers.
-        start.0 = start.0.replace(
+        start.text = start.text.replace(
             r#""may-cancel":true,"peers":["PEER_LISTEN"]"#,
             r#""may-cancel":true,"peers":true"#,
         );
@@ -468,7 +481,7 @@
             folder: tempfile::tempdir().expect("a folder"),
             program: program.to_owned(),
             start,
-            listen: free_at(host),
+            listen: unused_tcp_address(host),
             host,
             agent: None,
             has_operator: false,
@@ -522,7 +535,9 @@
             let (node, name) = (&self.nodes[number], format!("d{number}"));
             let (zone, build) = (ZONES[node.manners().zone], node.manners().build.to_string());
             let state = if node.ready { "ready" } else { "draining" };
-            entry(&name, node.listening.at, zone, state, &build, node.started)
+            EndpointEntry::new(&name, node.listening.at, zone, state, &build)
+                .started_at(node.started)
+                .to_json()
         };
         of.map(line).collect()
     }
@@ -539,7 +554,7 @@
         );
         // The watchers' lock is taken before the list's elsewhere; here the list is done first.
         drop(list);
-        self.watchers.tell(chunk(&text).as_bytes());
+        self.watchers.tell(encode_http_chunk(&text).as_bytes());
         for &number in changed {
             let node = &self.nodes[number];
             let Manners { build, zone, .. } = node.manners();
@@ -591,7 +606,7 @@
             return false;
         };
         agent.signal("USR1");
-        logged(&agent.log, "timeline: written")
+        wait_for_log(&agent.log, "timeline: written")
     }
 
     /// Writes the operator's file; a running agent is told to read it.
@@ -621,19 +636,19 @@
             Some(self.file("operator.xml")).filter(|_| with_operator && self.has_operator);
         let up = (0..5).any(|_| {
             if self.clients.is_empty() {
-                self.listen = free_at(self.host);
+                self.listen = unused_tcp_address(self.host);
             }
             let places = [
-                ("PEER_LISTEN", free_datagrams_at(self.host).to_string()),
+                ("PEER_LISTEN", unused_udp_address(self.host).to_string()),
                 ("LISTEN", self.listen.to_string()),
                 ("DISCOVERY", self.discovery.at.to_string()),
                 ("PLATFORM", self.platform.at().to_string()),
-                ("PEER", free_datagrams_at(self.host).to_string()),
+                ("PEER", unused_udp_address(self.host).to_string()),
                 ("KNOWN", locked(&self.list).1.join(",")),
             ];
-            std::fs::write(self.file("start.json"), self.start.with(&places))
+            std::fs::write(self.file("start.json"), self.start.render(&places))
                 .expect("the start file");
-            let agent = Agent::spawn(
+            let agent = AgentProcess::spawn(
                 &self.program,
                 &self.file("start.json"),
                 operator.as_deref(),
@@ -652,15 +667,15 @@
     fn answers(&mut self) -> bool {
         for _ in 0..500 {
             thread::sleep(Duration::from_millis(10));
-            if !self.agent.as_mut().is_some_and(Agent::runs) {
+            if !self.agent.as_mut().is_some_and(AgentProcess::is_running) {
                 return false;
             }
             let Ok(mut conn) = TcpStream::connect(self.listen) else {
                 continue;
             };
             conn.set_read_timeout(Some(Duration::from_secs(1))).ok();
-            let asked = conn.write_all(command(&["PING"]).as_bytes()).is_ok();
-            if asked && resp(&mut BufReader::new(conn)).as_deref() == Some("+PONG") {
+            let asked = conn.write_all(encode_command(&["PING"]).as_bytes()).is_ok();
+            if asked && read_resp(&mut BufReader::new(conn)).as_deref() == Some("+PONG") {
                 return true;
             }
         }
@@ -683,9 +698,9 @@
             return (false, String::new());
         };
         agent.signal("TERM");
-        let gone = agent.ends_within(wait).is_some();
+        let gone = agent.wait_for_exit_within(wait).is_some();
         // Its last words may still be on their way here.
-        logged(&agent.log, "requests in hand");
+        wait_for_log(&agent.log, "requests in hand");
         let log = locked(&agent.log).clone();
         (gone, log)
     }
@@ -795,7 +810,7 @@
             String::new()
         };
         let pairs = format!("c={product},d={}{mark}", self.traffic.deadline.as_millis());
-        let words = command(&[verb, &key, &name, &pairs]);
+        let words = encode_command(&[verb, &key, &name, &pairs]);
         self.record.put(Seen::Sent {
             id,
             kind,
@@ -833,6 +848,6 @@
         Ok([]) => Said::Ended,
         Err(fault) if fault.kind() != ErrorKind::WouldBlock => Said::Ended,
         Err(_) => Said::Nothing,
-        Ok(_) => resp(conn).map_or(Said::Nothing, Said::Text),
+        Ok(_) => read_resp(conn).map_or(Said::Nothing, Said::Text),
     }
 }
