--- a/crates/agent/tests/days.rs
+++ b/crates/agent/tests/days.rs
@@ -3,25 +3,24 @@
 //! can tell.
 use std::path::Path;
 
-use lilacgate_test_bed::check::Verdict;
-use lilacgate_test_bed::days::{KINDS, play};
+use lilacgate_test_bed::check::CheckReport;
+use lilacgate_test_bed::release_scenarios::ReleaseScenario;
 
-fn days(with_operator: bool) -> Verdict {
+fn days(with_operator: bool) -> CheckReport {
     let program = Path::new(env!("CARGO_BIN_EXE_lilacgate-agent"));
-    let mut all = Verdict::default();
+    let mut all = CheckReport::default();
     // A few at a time: each has some thirty threads.
-    for few in KINDS.chunks(4) {
-        let day = |kind| std::thread::spawn(move || (kind, play(kind, 7, program, with_operator)));
+    for few in ReleaseScenario::ALL.chunks(4) {
+        let day = |kind: ReleaseScenario| {
+            std::thread::spawn(move || (kind, kind.run(7, program, with_operator)))
+        };
         for day in few.iter().map(|kind| day(*kind)).collect::<Vec<_>>() {
-            let (kind, verdict) = day.join().expect("a day");
-            let verdict = verdict.unwrap_or_else(|fault| panic!("{kind:?}: {fault}"));
-            println!("{kind:?}: {verdict:?}");
-            assert!(verdict.settled > 200, "{kind:?}: {verdict:?}");
-            assert!(
-                !with_operator || verdict.is_clean(),
-                "{kind:?}: {verdict:?}"
-            );
-            all.add(&verdict);
+            let (kind, report) = day.join().expect("a day");
+            let report = report.unwrap_or_else(|fault| panic!("{kind:?}: {fault}"));
+            println!("{kind:?}: {report:?}");
+            assert!(report.succeeded > 200, "{kind:?}: {report:?}");
+            assert!(!with_operator || report.is_clean(), "{kind:?}: {report:?}");
+            all.merge(&report);
         }
     }
     all
@@ -34,5 +33,5 @@
 
 #[test]
 fn the_days_can_tell() {
-    assert!(days(false).forbidden > 1000);
+    assert!(days(false).forbidden_attempts > 1000);
 }
--- a/crates/agent/tests/ends.rs
+++ b/crates/agent/tests/ends.rs
@@ -4,11 +4,14 @@
 use std::path::Path;
 use std::time::Duration;
 
-use lilacgate_test_bed::check::{Terms, check};
-use lilacgate_test_bed::town::{Manners, State, Town, Traffic};
+use lilacgate_test_bed::check::{CheckLimits, check};
+use lilacgate_test_bed::client::Traffic;
+use lilacgate_test_bed::endpoint_server::EndpointBehavior;
+use lilacgate_test_bed::release_control_plane::{ReleaseState, ignore_votes};
+use lilacgate_test_bed::test_bed::{AgentTermination, TestBed};
 use rstest::rstest;
 
-/// The longest deadline of a town's settings, and what the platform allows beside it.
+/// The longest deadline of a bed's settings, and what the platform allows beside it.
 const MAY_BE_KILLED: Duration = Duration::from_millis(1000 + 700);
 /// What a loaded machine may need beside it.
 const SLACK: Duration = Duration::from_millis(500);
@@ -23,41 +26,39 @@
     #[case] hangs: bool,
 ) {
     let program = Path::new(env!("CARGO_BIN_EXE_lilacgate-agent"));
-    let released = State {
-        build: 1,
-        stage: 3,
-        course: "Healthy",
-        cap: 1.0,
-    };
-    let mut town = Town::new(program, 11, released, Box::new(|_, _, _, _| None));
+    let mut bed = TestBed::new(program, 11, ReleaseState::released(1), ignore_votes());
     for zone in [0, 0, 1, 1] {
-        town.node(Manners::good(1, zone, Duration::from_millis(20)));
+        bed.add_endpoint(EndpointBehavior::healthy(
+            1,
+            zone,
+            Duration::from_millis(20),
+        ));
     }
-    assert!(town.up(false));
+    bed.start_agent(false).expect("the agent serves");
     if hangs {
-        town.change(3, |manners| manners.silent = true);
+        bed.change_behavior(3, |behavior| behavior.silent = true);
     }
     let (pause, deadline) = (Duration::from_millis(pause), Duration::from_millis(1000));
-    town.open(Traffic {
+    bed.start_clients(Traffic {
         clients,
-        pause,
+        mean_pause: pause,
         deadline,
     });
     for _ in 0..2 {
-        town.pass(Duration::from_millis(600));
-        let (gone, log) = town.ends_within(MAY_BE_KILLED + SLACK);
-        assert!(gone && log.contains("with 0 requests in hand"), "{log}");
-        assert!(town.up(false));
+        bed.wait(Duration::from_millis(600));
+        let AgentTermination { exited, log } = bed.terminate_agent(MAY_BE_KILLED + SLACK);
+        assert!(exited && log.contains("with 0 requests in hand"), "{log}");
+        bed.start_agent(false).expect("the agent serves");
     }
-    town.pass(Duration::from_millis(300));
-    town.close();
+    bed.wait(Duration::from_millis(300));
+    bed.shut_down();
     // Up to half a second after its time an answer is none too many on a loaded machine.
-    let verdict = check(
-        &town.record.events(),
-        &Terms {
-            slack: SLACK,
-            ..Terms::default()
+    let report = check(
+        &bed.event_log.events(),
+        &CheckLimits {
+            answer_slack: SLACK,
+            ..CheckLimits::default()
         },
     );
-    assert!(verdict.settled > 500 && verdict.lost == 0, "{verdict:?}");
+    assert!(report.succeeded > 500 && report.lost == 0, "{report:?}");
 }
--- a/crates/ctl/tests/timeline.rs
+++ b/crates/ctl/tests/timeline.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use lilacgate_store::writer::{Bounds, Real, Writer};
-use lilacgate_test_bed::virtually::{DAWN, Day, Event, Fault, aims, play};
+use lilacgate_test_bed::virtual_time::{EPOCH, Fault, ScheduledFault, VirtualFleet, aims, run};
 use lilacgate_timeline::book::{Book, Room};
 use lilacgate_timeline::entry::Record;
 use rstest::{fixture, rstest};
@@ -19,41 +19,41 @@
 fn store() -> tempfile::TempDir {
     let folder = tempfile::tempdir().expect("a folder");
     let at = secs(60);
-    let start = |node| Event {
+    let start = |node| ScheduledFault {
         at,
-        long: secs(1),
+        duration: secs(1),
         fault: Fault::Replace { node, build: 2 },
     };
-    let mut events = vec![Event {
+    let mut events = vec![ScheduledFault {
         at,
-        long: secs(40),
+        duration: secs(40),
         fault: Fault::BadBuild {
             build: 2,
             share: 0.5,
         },
     }];
     events.extend([1, 4, 8].map(start));
-    let day = Day {
+    let day = VirtualFleet {
         nodes: 10,
-        rate: 100.0,
-        long: secs(90),
-        events,
-        list_late: secs(1),
+        request_rate: 100.0,
+        duration: secs(90),
+        faults: events,
+        list_delay: secs(1),
         seed: 7,
     };
     let mut book = Book::new(
-        DAWN,
+        EPOCH,
         aims(0.5),
         Room {
             octets: 1 << 24,
             records: 1 << 20,
         },
     );
-    play(&day, &mut book, &mut |_| {});
+    run(&day, &mut book, &mut |_| {});
     let products = ["read", "post", "book"].map(str::to_owned).to_vec();
     let mut records = vec![Record::Start {
         agent: "n0".into(),
-        at: DAWN,
+        at: EPOCH,
         products,
     }];
     records.extend((0..10).map(|node| Record::Name {
@@ -68,7 +68,7 @@
     let mut writer = Writer::new(folder.path(), bounds, Box::new(Real)).expect("a writer");
     records
         .chunks(50)
-        .for_each(|batch| writer.append(DAWN, batch).expect("it is kept"));
+        .for_each(|batch| writer.append(EPOCH, batch).expect("it is kept"));
     folder
 }
 
--- a/crates/test-bed/src/lib.rs
+++ b/crates/test-bed/src/lib.rs
@@ -1,30 +1,29 @@
-//! Stand-ins for all that an agent talks with, on loopback and free ports, written from the published protocol: posts
-//! that listen and are scripted step by step (for scenarios), and a small town that plays whole days by itself (for
-//! the demonstration and measurements). Everything that happens there is on record with its time, and a checker reads
-//! the record for the rules. Chance comes from a seed. Nothing here is part of a running agent.
-#![allow(clippy::cognitive_complexity)] // Not met yet.
-#![allow(clippy::min_ident_chars)] // Not met yet.
-#![allow(clippy::missing_errors_doc)] // Not met yet.
-#![allow(clippy::missing_panics_doc)] // Not met yet.
-#![allow(clippy::too_many_lines)] // Not met yet.
-#![allow(clippy::wildcard_imports)] // Not met yet.
-#![allow(missing_debug_implementations)] // Not met yet.
-#![allow(missing_docs)] // Not met yet.
+//! Stand-ins for all that an agent talks with, on loopback and unused ports, written from the published protocol.
+//! [`scripted_server`] has servers that a test scripts step by step; [`test_bed`] has a small fleet that runs by
+//! itself, for the demonstration, scenarios and measurements. What happens there goes into an [`event_log`], and
+//! [`check`] looks for broken rules in it. All that is random comes from a seed. No part of this runs in production.
 
 pub mod agent_process;
 pub mod check;
-pub mod days;
+pub mod client;
+pub mod crash_test;
 pub mod demo;
+mod endpoint_list;
+pub mod endpoint_server;
+pub mod error;
+pub mod event_log;
 pub mod framing;
-pub mod gauge;
-pub mod kills;
-pub mod lines;
+mod listener;
 pub mod loopback_address;
+pub mod measure_releases;
+pub mod measure_timeline;
 pub mod protocol_messages;
-pub mod record;
 pub mod recorded_actions;
+pub mod release_control_plane;
+pub mod release_scenarios;
 pub mod scenario_text;
 pub mod scripted_server;
 pub mod start_file;
-pub mod town;
-pub mod virtually;
+mod subscribers;
+pub mod test_bed;
+pub mod virtual_time;
--- a/crates/test-bed/src/main.rs
+++ b/crates/test-bed/src/main.rs
@@ -1,57 +1,71 @@
-//! The program around the stand-ins: the demonstration, and the measurements. It plays the agent beside it.
+//! The command line of the test bed: the demonstration and the measurements, with the agent beside it.
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-use clap::{Parser, Subcommand};
+use clap::{Parser, Subcommand, ValueEnum};
 use lilacgate_test_bed::agent_process::AgentProcess;
-use lilacgate_test_bed::{demo, gauge, kills, lines};
+use lilacgate_test_bed::{crash_test, demo, measure_releases, measure_timeline};
 
-/// Plays an agent against stand-ins on loopback. Exit code 1: something was not as it should be.
-#[derive(Parser)]
+/// Runs an agent against stand-ins on loopback. Exit code 1: something was not as it should be.
+#[derive(Debug, Parser)]
 #[command(name = "lilacgate-test-bed", version)]
-struct Asking {
+struct Arguments {
     /// The agent's program; the one beside this program, if left out
     #[arg(long, value_name = "FILE", global = true)]
     program: Option<PathBuf>,
     #[command(subcommand)]
-    what: What,
+    command: Command,
 }
 
-#[derive(Subcommand)]
-enum What {
+#[derive(Debug, Subcommand)]
+enum Command {
     /// Three releases on a small fleet, told in plain words, in under a minute
     Demo,
     /// Figures of a subsystem, the line `measure NAME: ..` last
-    Measure {
-        #[arg(value_parser = ["releases", "timeline"])]
-        name: String,
-    },
+    Measure { name: Measurement },
     /// Writes records into a store until it is killed; prints the number of each that is kept
     #[command(hide = true)]
     WriteStore { folder: PathBuf, first: u32 },
 }
 
+#[derive(Clone, Copy, Debug, ValueEnum)]
+enum Measurement {
+    Releases,
+    Timeline,
+}
+
+/// The agent's program is missing, or the command line is wrong.
+const USAGE_ERROR: u8 = 2;
+
 fn main() -> ExitCode {
-    let asking = Asking::parse();
-    if let What::WriteStore { folder, first } = asking.what {
-        kills::write(&folder, first);
-        return ExitCode::FAILURE;
-    }
-    let program = asking.program.unwrap_or_else(AgentProcess::default_program);
+    let arguments = Arguments::parse();
+    let program = arguments
+        .program
+        .unwrap_or_else(AgentProcess::default_program);
+    let run: fn(&std::path::Path) -> bool = match arguments.command {
+        Command::WriteStore { folder, first } => {
+            // It ends only with an error: else it is killed.
+            if let Err(error) = crash_test::write_until_killed(&folder, first) {
+                eprintln!("lilacgate-test-bed: {error}");
+            }
+            return ExitCode::FAILURE;
+        }
+        Command::Demo => demo::run,
+        Command::Measure {
+            name: Measurement::Releases,
+        } => measure_releases::run,
+        Command::Measure {
+            name: Measurement::Timeline,
+        } => measure_timeline::run,
+    };
     if !program.is_file() {
         eprintln!(
             "lilacgate-test-bed: no agent at {}: build it first, or name it by --program",
             program.display()
         );
-        return ExitCode::from(2);
+        return ExitCode::from(USAGE_ERROR);
     }
-    let fine = match asking.what {
-        What::Demo => demo::play(&program),
-        What::Measure { name } if name == "timeline" => lines::measure(&program),
-        What::Measure { .. } => gauge::releases(&program),
-        What::WriteStore { .. } => false,
-    };
-    if fine {
+    if run(&program) {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
--- a/crates/timeline/tests/departures.rs
+++ b/crates/timeline/tests/departures.rs
@@ -2,7 +2,9 @@
 #![allow(clippy::min_ident_chars)] // Not met yet.
 use std::time::Duration;
 
-use lilacgate_test_bed::virtually::{DAWN, Day, Event, Fault, book, play};
+use lilacgate_test_bed::virtual_time::{
+    DepartureNotice, EPOCH, Fault, ScheduledFault, VirtualFleet, new_book, run,
+};
 use lilacgate_timeline::entry::{Kind, Whom};
 use rstest::rstest;
 
@@ -13,42 +15,46 @@
     Duration::from_millis(many)
 }
 
-fn day(fault: Fault, long: u64) -> Day {
-    let events = vec![Event {
+fn day(fault: Fault, long: u64) -> VirtualFleet {
+    let events = vec![ScheduledFault {
         at: AT,
-        long: ms(long),
+        duration: ms(long),
         fault,
     }];
-    Day {
+    VirtualFleet {
         nodes: 10,
-        rate: 100.0,
-        long: ms(110_000),
-        events,
-        list_late: ms(300),
+        request_rate: 100.0,
+        duration: ms(110_000),
+        faults: events,
+        list_delay: ms(300),
         seed: 7,
     }
 }
 
 /// What was said: whose, of what kind and product, and how long after the fault's beginning.
-fn said(day: &Day) -> Vec<(Whom, Kind, Option<u8>, f64)> {
-    let mut book = book(0.5);
-    let all = play(day, &mut book, &mut |_| {});
-    let begun = all.into_iter().filter(|(_, _, begins)| *begins);
-    let after = |at: Duration| at.as_secs_f64() - (DAWN + AT).as_secs_f64();
+fn said(day: &VirtualFleet) -> Vec<(Whom, Kind, Option<u8>, f64)> {
+    let mut book = new_book(0.5);
+    let all = run(day, &mut book, &mut |_| {});
+    let begun = all.into_iter().filter(|notice| notice.begins);
+    let after = |at: Duration| at.as_secs_f64() - (EPOCH + AT).as_secs_f64();
     begun
-        .map(|(at, d, _)| (d.whom, d.kind, d.product, after(at)))
+        .map(
+            |DepartureNotice {
+                 at, departure: d, ..
+             }| (d.whom, d.kind, d.product, after(at)),
+        )
         .collect()
 }
 
 #[rstest]
-#[case::errors(Fault::Errors { node: 3, share: 0.4, product: None }, 20_000, Whom::Node(3), Kind::Errors, None)]
-#[case::slow(Fault::Slow { node: 3, times: 4.0, product: None }, 20_000, Whom::Node(3), Kind::Latency, None)]
-#[case::one_product_fails(Fault::Errors { node: 3, share: 0.6, product: Some(1) }, 20_000, Whom::Node(3), Kind::Errors, Some(1))]
-#[case::one_product_slow(Fault::Slow { node: 3, times: 5.0, product: Some(1) }, 20_000, Whom::Node(3), Kind::Latency, Some(1))]
+#[case::errors(Fault::Errors { node: 3, share: 0.4, class: None }, 20_000, Whom::Node(3), Kind::Errors, None)]
+#[case::slow(Fault::Slow { node: 3, factor: 4.0, class: None }, 20_000, Whom::Node(3), Kind::Latency, None)]
+#[case::one_product_fails(Fault::Errors { node: 3, share: 0.6, class: Some(1) }, 20_000, Whom::Node(3), Kind::Errors, Some(1))]
+#[case::one_product_slow(Fault::Slow { node: 3, factor: 5.0, class: Some(1) }, 20_000, Whom::Node(3), Kind::Latency, Some(1))]
 #[case::silent(Fault::Silent { node: 3 }, 20_000, Whom::Node(3), Kind::Silence, None)]
 #[case::silent_for_three_seconds(Fault::Silent { node: 3 }, 3_000, Whom::Node(3), Kind::Silence, None)]
-#[case::unlinked(Fault::Unlinked { node: 3 }, 20_000, Whom::Node(3), Kind::Links, None)]
-#[case::all_slow(Fault::AllSlow { times: 3.5 }, 15_000, Whom::Fleet, Kind::Latency, None)]
+#[case::unlinked(Fault::ConnectionsRefused { node: 3 }, 20_000, Whom::Node(3), Kind::Links, None)]
+#[case::all_slow(Fault::AllSlow { factor: 3.5 }, 15_000, Whom::Fleet, Kind::Latency, None)]
 #[case::restart(Fault::Replace { node: 3, build: 1 }, 1_000, Whom::Node(3), Kind::Restart, None)]
 fn one_event(
     #[case] fault: Fault,
@@ -66,10 +72,10 @@
 }
 
 #[rstest]
-#[case::burst(Fault::Burst { times: 2.5 }, 10_000)]
-#[case::mix(Fault::Mix { first: 0.2 }, 10_000)]
-#[case::still(Fault::Still, 2_000)]
-#[case::few(Fault::Burst { times: 0.1 }, 20_000)]
+#[case::burst(Fault::TrafficChange { factor: 2.5 }, 10_000)]
+#[case::mix(Fault::ClassMix { first_share: 0.2 }, 10_000)]
+#[case::still(Fault::AgentSuspended, 2_000)]
+#[case::few(Fault::TrafficChange { factor: 0.1 }, 20_000)]
 fn no_event(#[case] fault: Fault, #[case] long: u64) {
     assert_eq!(said(&day(fault, long)), []);
 }
@@ -80,13 +86,13 @@
         Fault::Errors {
             node: 3,
             share: 0.5,
-            product: None,
+            class: None,
         },
         20_000,
     );
-    day.events.push(Event {
+    day.faults.push(ScheduledFault {
         fault: Fault::Silent { node: 5 },
-        ..day.events[0]
+        ..day.faults[0]
     });
     let mut said = said(&day);
     said.sort_by_key(|one| one.0);
@@ -110,12 +116,12 @@
         },
         50_000,
     );
-    let start = |node| Event {
+    let start = |node| ScheduledFault {
         at: AT,
-        long: ms(1000),
+        duration: ms(1000),
         fault: Fault::Replace { node, build: 2 },
     };
-    day.events.extend([1, 4, 8].map(start));
+    day.faults.extend([1, 4, 8].map(start));
     let said = said(&day);
     assert_eq!(
         said.iter().map(|one| (one.0, one.1)).collect::<Vec<_>>(),
@@ -129,7 +135,7 @@
     let day = day(
         Fault::Drift {
             node: 3,
-            times: 4.0,
+            factor: 4.0,
         },
         45_000,
     );
@@ -144,7 +150,7 @@
 #[test]
 fn a_list_that_is_five_seconds_late() {
     let mut day = day(Fault::Replace { node: 3, build: 1 }, 1000);
-    day.list_late = ms(5000);
+    day.list_delay = ms(5000);
     let said = said(&day);
     assert!(
         said.len() == 1 && said[0].0 == Whom::Node(3) && said[0].3 < 5.5,
@@ -154,28 +160,40 @@
 
 #[test]
 fn a_departure_has_an_onset_and_an_end() {
-    let mut book = book(0.5);
-    let said = play(
+    let mut book = new_book(0.5);
+    let said = run(
         &day(
             Fault::Errors {
                 node: 3,
                 share: 0.4,
-                product: None,
+                class: None,
             },
             20_000,
         ),
         &mut book,
         &mut |_| {},
     );
-    let [(_, begun, true), (ended, over, false)] = &said[..] else {
+    let [
+        DepartureNotice {
+            departure: begun,
+            begins: true,
+            ..
+        },
+        DepartureNotice {
+            at: ended,
+            departure: over,
+            begins: false,
+        },
+    ] = &said[..]
+    else {
         panic!("{said:?}")
     };
-    let onset = begun.onset.as_secs_f64() - (DAWN + AT).as_secs_f64();
+    let onset = begun.onset.as_secs_f64() - (EPOCH + AT).as_secs_f64();
     assert!(
         (-1.0..3.0).contains(&onset) && begun.seen > 0.2 && begun.usual < 0.02,
         "{begun:?}"
     );
-    let after = ended.as_secs_f64() - (DAWN + AT + ms(20_000)).as_secs_f64();
+    let after = ended.as_secs_f64() - (EPOCH + AT + ms(20_000)).as_secs_f64();
     assert!(
         (0.0..12.0).contains(&after) && over.number == begun.number,
         "{after} {over:?}"
@@ -185,18 +203,18 @@
 /// A build that slows old and new nodes alike: one event of the fleet, its stage named beside it.
 #[test]
 fn a_build_that_slows_all_is_the_fleets() {
-    let mut day = day(Fault::AllSlow { times: 3.5 }, 15_000);
-    let start = |node| Event {
+    let mut day = day(Fault::AllSlow { factor: 3.5 }, 15_000);
+    let start = |node| ScheduledFault {
         at: AT - ms(2000),
-        long: ms(1000),
+        duration: ms(1000),
         fault: Fault::Replace { node, build: 2 },
     };
-    day.events.extend([1, 4].map(start));
-    let said = play(&day, &mut book(0.5), &mut |_| {});
+    day.faults.extend([1, 4].map(start));
+    let said = run(&day, &mut new_book(0.5), &mut |_| {});
     let begun: Vec<_> = said
         .iter()
-        .filter(|(_, _, begins)| *begins)
-        .map(|(_, departure, _)| departure)
+        .filter(|notice| notice.begins)
+        .map(|notice| &notice.departure)
         .collect();
     let [only] = begun[..] else {
         panic!("{begun:?}")
--- a/crates/timeline/tests/lines.rs
+++ b/crates/timeline/tests/lines.rs
@@ -7,18 +7,18 @@
     AttemptNumber, Build, Endpoint, EndpointId, EndpointStatus, ListUpdate, Outcome, RequestClass,
     RequestId, Stage, Vote,
 };
-use lilacgate_test_bed::virtually::{DAWN, aims, listed};
+use lilacgate_test_bed::virtual_time::{EPOCH, aims, listed_endpoint};
 use lilacgate_timeline::book::{Book, Room};
 use lilacgate_timeline::entry::{Record, What};
 use lilacgate_timeline::steps::{LEVELS, Latency, Steps};
 use proptest::prelude::*;
 
 fn secs(many: f64) -> Duration {
-    DAWN + Duration::from_secs_f64(many)
+    EPOCH + Duration::from_secs_f64(many)
 }
 
 fn book(octets: usize, records: usize) -> Book {
-    Book::new(DAWN, aims(0.5), Room { octets, records })
+    Book::new(EPOCH, aims(0.5), Room { octets, records })
 }
 
 /// What an entry says of the list, in the order in which it happened.
@@ -26,7 +26,7 @@
     let line = book.line(1).expect("a line");
     let listed = line.as_of(known).filter_map(|entry| match &entry.what {
         What::Listed { state, build, .. } => {
-            Some(((entry.happened - DAWN).as_secs(), *build, state.clone()))
+            Some(((entry.happened - EPOCH).as_secs(), *build, state.clone()))
         }
         _ => None,
     });
@@ -37,7 +37,7 @@
 #[test]
 fn late_news_go_to_their_place() {
     let mut book = book(1 << 20, 0);
-    let line = |build, started: f64| listed(1, build, Some(secs(started)));
+    let line = |build, started: f64| listed_endpoint(1, build, Some(secs(started)));
     book.membership(secs(10.0), ListUpdate::Full, &[line(1, 1.0)]);
     book.membership(
         secs(20.0),
@@ -75,7 +75,11 @@
 fn a_node_that_restarts_within_one_step_has_both_lives() {
     let mut book = book(1 << 20, 0);
     for at in [10.0, 10.3, 10.6] {
-        book.membership(secs(at), ListUpdate::Delta, &[listed(1, 1, Some(secs(at)))]);
+        book.membership(
+            secs(at),
+            ListUpdate::Delta,
+            &[listed_endpoint(1, 1, Some(secs(at)))],
+        );
     }
     assert_eq!(told(&book, Duration::MAX).len(), 3);
 }
@@ -88,8 +92,8 @@
     for id in 0..5000u32 {
         let now = secs(f64::from(id) * 0.72);
         let (old, new) = (
-            listed(id.saturating_sub(3), 1, None),
-            listed(id, (id % 7) as u16, Some(now)),
+            listed_endpoint(id.saturating_sub(3), 1, None),
+            listed_endpoint(id, (id % 7) as u16, Some(now)),
         );
         book.membership(
             now,
@@ -128,7 +132,7 @@
 #[test]
 fn a_store_that_is_behind_costs_the_finest_detail_first() {
     let mut book = book(1 << 20, 50);
-    book.membership(DAWN, ListUpdate::Full, &[listed(1, 1, None)]);
+    book.membership(EPOCH, ListUpdate::Full, &[listed_endpoint(1, 1, None)]);
     for i in 0..200u32 {
         let now = secs(f64::from(i) * 0.5);
         book.attempt(now, RequestId(i), AttemptNumber(0), EndpointId(1));
@@ -162,8 +166,8 @@
     /// Folding loses no count as long as a level reaches back, and latencies read back within their error.
     #[test]
     fn folding_keeps_counts(gaps in prop::collection::vec((0u64..40, 1u32..30, 1u64..2000), 1..300)) {
-        let mut steps = Steps::new(DAWN);
-        let (mut now, mut all, mut worst) = (DAWN, 0, 0);
+        let mut steps = Steps::new(EPOCH);
+        let (mut now, mut all, mut worst) = (EPOCH, 0, 0);
         for (gap, many, ms) in gaps {
             now += Duration::from_secs(gap);
             let counts = steps.now(now, &mut |_| {});
@@ -177,7 +181,7 @@
         let served: u32 = found.iter().map(|(_, step)| step.counts.served).sum();
         // What is folding still is not in a coarse level yet; it stands in the fine one as far as that reaches.
         let long: Duration = LEVELS[0].long * LEVELS[0].kept as u32;
-        if now - DAWN < long {
+        if now - EPOCH < long {
             prop_assert_eq!(served, all);
             let merged = Latency::merged(found.iter().map(|(_, step)| &step.latency));
             let top = merged.quantile(1.0).expect("some").as_secs_f64() * 1e3;
