--- a/crates/test-bed/src/endpoint_server.rs
+++ b/crates/test-bed/src/endpoint_server.rs
@@ -131,6 +131,13 @@
     }
 }
 
+/// What is random of one request.
+struct Draw {
+    succeeds: bool,
+    /// The factor by which its service time differs from the mean.
+    variation: f64,
+}
+
 struct RequestHandler {
     number: usize,
     behavior: Arc<Mutex<EndpointBehavior>>,
@@ -170,12 +177,9 @@
             return Err(std::io::ErrorKind::ConnectionAborted.into());
         }
         let service = behavior.service(command);
-        let (succeeds, variation) = self.draw(service.failure_share);
-        thread::sleep(
-            behavior
-                .mean_service_time
-                .mul_f64(variation * service.slowdown),
-        );
+        let draw = self.draw(service.failure_share);
+        let service_factor = draw.variation * service.slowdown;
+        thread::sleep(behavior.mean_service_time.mul_f64(service_factor));
         // It may have become silent meanwhile.
         if behavior.silent || lock(&self.behavior).silent {
             return Ok(());
@@ -184,14 +188,15 @@
             id,
             endpoint: self.number,
         });
-        connection.write_all(if succeeds { SUCCESS } else { FAILURE })
+        connection.write_all(if draw.succeeds { SUCCESS } else { FAILURE })
     }
 
-    /// Whether a request succeeds, and the factor by which its service time differs from the mean.
-    fn draw(&self, failure_share: f64) -> (bool, f64) {
+    fn draw(&self, failure_share: f64) -> Draw {
         let mut rng = lock(&self.rng);
-        let succeeds = rng.random::<f64>() >= failure_share;
-        (succeeds, rng.random_range(0.5..1.5))
+        Draw {
+            succeeds: rng.random::<f64>() >= failure_share,
+            variation: rng.random_range(0.5..1.5),
+        }
     }
 }
 
--- a/crates/test-bed/src/listener.rs
+++ b/crates/test-bed/src/listener.rs
@@ -5,8 +5,8 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::thread::{self, JoinHandle};
 
-/// Locks a mutex, also after a thread panicked while it held it: a test's verdict rests on the log, not on the
-/// stand-ins' threads.
+/// Locks a mutex, also after a thread panicked while it held it: what a test asserts rests on the event log, not on
+/// the stand-ins' threads.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/test-bed/src/measure_releases/gate_cost.rs
+++ b/crates/test-bed/src/measure_releases/gate_cost.rs
@@ -37,10 +37,10 @@
     let mut gate = Gate::new(large_rules(), None, START)
         .unwrap_or_else(|_| unreachable!("the needs have no circle"));
     for service in 1..SERVICES {
-        let released = told(5, 0, ReleasePhase::Released, START);
+        let released = release_fact(5, 0, ReleasePhase::Released, START);
         gate.hear(START, ServiceId(service), released);
     }
-    let canary = told(BUILDS - 1, 2, ReleasePhase::Canary, START);
+    let canary = release_fact(BUILDS - 1, 2, ReleasePhase::Canary, START);
     gate.hear(START, ServiceId(0), canary);
     gate.list(START, (0..BUILDS).map(Build));
     GateCost {
@@ -49,7 +49,7 @@
     }
 }
 
-fn told(build: u16, stage: u8, phase: ReleasePhase, since: Duration) -> Told {
+fn release_fact(build: u16, stage: u8, phase: ReleasePhase, since: Duration) -> Told {
     Told {
         build: Build(build),
         stage: Stage(stage),
@@ -94,7 +94,7 @@
         } else {
             ReleasePhase::Released
         };
-        let update = told(5 + i.div_ceil(2), 0, phase, now);
+        let update = release_fact(5 + i.div_ceil(2), 0, phase, now);
         let began = Instant::now();
         gate.hear(now, ServiceId(SERVICES - 1), update);
         began.elapsed().as_secs_f64() * 1e6
--- a/crates/test-bed/src/virtual_time/node.rs
+++ b/crates/test-bed/src/virtual_time/node.rs
@@ -5,7 +5,7 @@
 
 const CORES: usize = 4;
 /// A node's speed just after its start, as a share of its full speed.
-const COLD_SPEED: f64 = 0.35;
+const INITIAL_SPEED: f64 = 0.35;
 
 #[derive(Debug)]
 pub(super) struct Node {
@@ -44,7 +44,7 @@
     pub(super) fn speed_at(&self, now: Duration) -> f64 {
         let warm_up = self.started.map_or(1.0, |started| {
             let elapsed = now.saturating_sub(started).as_secs_f64();
-            (COLD_SPEED + (1.0 - COLD_SPEED) * elapsed / WARM_UP_TIME.as_secs_f64()).min(1.0)
+            (INITIAL_SPEED + (1.0 - INITIAL_SPEED) * elapsed / WARM_UP_TIME.as_secs_f64()).min(1.0)
         });
         self.speed * warm_up
     }
