--- a/crates/agent/tests/ends.rs
+++ b/crates/agent/tests/ends.rs
@@ -11,7 +11,7 @@
 use lilacgate_test_bed::test_bed::{AgentTermination, TestBed};
 use rstest::rstest;
 
-/// The longest deadline of a bed's settings, and what the platform allows beside it.
+/// The longest deadline of a test bed's settings, and what the platform allows beside it.
 const MAY_BE_KILLED: Duration = Duration::from_millis(1000 + 700);
 /// What a loaded machine may need beside it.
 const SLACK: Duration = Duration::from_millis(500);
