--- a/crates/agent/tests/large_fleets.rs
+++ b/crates/agent/tests/large_fleets.rs
@@ -8,8 +8,8 @@
 use lilacgate_decision::{
     Build, DecisionEngine, ReleasePhase, Request, RequestClass, RequestId, Stage, Tenant,
 };
-use lilacgate_test_bed::decided::Decided;
-use lilacgate_test_bed::start::{Start, entry};
+use lilacgate_test_bed::recorded_actions::RecordedActions;
+use lilacgate_test_bed::start_file::{EndpointEntry, StartFileTemplate};
 use rstest::rstest;
 
 use lilacgate_agent::discovery::{Discovery, ListOrigin};
@@ -70,27 +70,28 @@
             .parse()
             .expect("an address")
     };
-    let one = |i| entry(&format!("{i:08x}"), address(i), "x", "ready", build, None);
+    let one =
+        |i| EndpointEntry::new(&format!("{i:08x}"), address(i), "x", "ready", build).to_json();
     (0..endpoints).map(one).collect::<Vec<_>>().join(",")
 }
 
 fn read_start_file(agents: usize, endpoints: usize) -> StartConfig {
-    let mut start = Start::default();
+    let mut start = StartFileTemplate::default();
     let peers: Vec<_> = (0..agents)
         .map(|i| format!("\"127.2.{}.{}:7946\"", i / 250, 1 + i % 250))
         .collect();
-    start.0 = start
-        .0
+    start.text = start
+        .text
         .replace("\"PEER_LISTEN\",\"PEER\"", &peers.join(",\n"));
-    start.0 = start
-        .0
+    start.text = start
+        .text
         .replace("\"instances\":2", &format!("\"instances\":{agents}"));
     start.set("memory_mb", MEMORY_MB);
     let own = "127.0.0.1:1".to_owned();
     let addresses =
         ["PEER_LISTEN", "LISTEN", "DISCOVERY", "PLATFORM", "PEER"].map(|name| (name, own.clone()));
     let known = [("KNOWN", entries(endpoints, "1"))];
-    let text = start.with(&[&addresses[..], &known].concat());
+    let text = start.render(&[&addresses[..], &known].concat());
     start_config::read(text.as_bytes()).expect("a start file")
 }
 
@@ -115,7 +116,7 @@
 
 /// How many attempts a decision engine makes of ten requests, once it has all events of the queue.
 fn attempts(engine: &mut DecisionEngine, event_loop: &Rc<EventLoop>) -> usize {
-    let mut decided = Decided::default();
+    let mut decided = RecordedActions::default();
     let now = event_loop.clock.now();
     let time_ahead = Duration::from_secs(9);
     let request = Request {
--- a/crates/agent/tests/lines.rs
+++ b/crates/agent/tests/lines.rs
@@ -2,11 +2,11 @@
 //! that it was stopped.
 use std::path::Path;
 
-use lilacgate_test_bed::lines::stopped;
+use lilacgate_test_bed::measure_timeline::suspend_agent;
 
 #[test]
 fn an_agent_that_stood_still_blames_nobody() {
     let program = Path::new(env!("CARGO_BIN_EXE_lilacgate-agent"));
-    let (departures, knows) = stopped(program).expect("a test bed");
-    assert_eq!((departures, knows), (Vec::new(), true));
+    let report = suspend_agent(program).expect("a test bed");
+    assert_eq!((report.departures, report.recorded), (Vec::new(), true));
 }
--- a/crates/agent/tests/parsers.rs
+++ b/crates/agent/tests/parsers.rs
@@ -6,7 +6,7 @@
 use lilacgate_agent::json::{Json, JsonParser};
 use lilacgate_agent::resp::{self, Resp};
 use lilacgate_agent::transport::Parse;
-use lilacgate_test_bed::notation::bytes;
+use lilacgate_test_bed::scenario_text::unescape;
 use rstest::rstest;
 
 /// What a parser finds in these pieces, as a text.
@@ -96,7 +96,7 @@
     {
         let (input, expected) = line.split_once(" =>").expect("what it finds");
         let (kind, input) = input.split_once(' ').expect("a kind");
-        let input = bytes(input);
+        let input = unescape(input);
         let found = match kind {
             "commands" => parse_in_all_ways(resp::CommandParser::default, &input, show_command),
             "answers" => parse_in_all_ways(resp::ValueParser::default, &input, show_value),
--- a/crates/agent/tests/scenario_player/agent_process.rs
+++ b/crates/agent/tests/scenario_player/agent_process.rs
@@ -1,13 +1,15 @@
 //! Steps that concern the agent's process: its files, its start and end, its signals, its log.
 use std::io::{BufReader, Write};
-use std::net::TcpStream;
+use std::net::{Ipv4Addr, TcpStream};
 use std::path::{Path, PathBuf};
 use std::thread;
 use std::time::Duration;
 
-use lilacgate_test_bed::agent::{Agent, free_for_datagrams, logged};
-use lilacgate_test_bed::notation::bytes;
-use lilacgate_test_bed::post::{PATIENCE, resp};
+use lilacgate_test_bed::agent_process::{AgentProcess, wait_for_log};
+use lilacgate_test_bed::framing::read_resp;
+use lilacgate_test_bed::loopback_address::unused_udp_address;
+use lilacgate_test_bed::scenario_text::unescape;
+use lilacgate_test_bed::scripted_server::MAX_WAIT;
 
 use super::{Scenario, Words};
 
@@ -20,7 +22,7 @@
 pub(super) fn ping(connection: &mut BufReader<TcpStream>) {
     connection.get_ref().write_all(PING).expect("it is written");
     assert_eq!(
-        resp(connection).as_deref(),
+        read_resp(connection).as_deref(),
         Some("+PONG"),
         "it stands still"
     );
@@ -40,10 +42,10 @@
             "signal" => self.agent().signal(words.rest),
             "counter" => self.counter(Words::of(words.rest)),
             "unread-log" => self.unread_log(words.number()),
-            "log" => assert!(logged(&self.log, words.rest), "{}", self.log_text()),
+            "log" => assert!(wait_for_log(&self.log, words.rest), "{}", self.log_text()),
             "ends" => {
-                let code = self.agent.take().expect("an agent").ended();
-                assert_eq!(code, words.rest);
+                let code = self.agent.take().expect("an agent").wait_for_exit();
+                assert_eq!(code.to_string(), words.rest);
             }
             other => panic!("no step {other}"),
         }
@@ -54,7 +56,8 @@
         match words.first {
             "" => self.write_files(),
             "raw" => {
-                std::fs::write(self.start_file_path(), bytes(words.rest)).expect("the start file");
+                std::fs::write(self.start_file_path(), unescape(words.rest))
+                    .expect("the start file");
             }
             "nothing" => std::fs::remove_file(self.start_file_path()).expect("the start file"),
             other => panic!("no step start-file {other}"),
@@ -62,12 +65,12 @@
     }
 
     fn spawn(&mut self) {
-        let peer_address = free_for_datagrams().to_string();
-        self.start_file.0 = self.start_file.0.replace("PEER_LISTEN", &peer_address);
+        let peer_address = unused_udp_address(Ipv4Addr::LOCALHOST).to_string();
+        self.start_file.text = self.start_file.text.replace("PEER_LISTEN", &peer_address);
         self.write_files();
         let operator_path = self.operator_file.as_ref().map(|_| self.operator_path());
         let program = Path::new(env!("CARGO_BIN_EXE_lilacgate-agent"));
-        let agent = Agent::spawn(
+        let agent = AgentProcess::spawn(
             program,
             &self.start_file_path(),
             operator_path.as_deref(),
@@ -80,20 +83,21 @@
     fn start(&mut self) {
         self.spawn();
         ping(&mut self.connect());
-        self.discovery.heard();
+        self.discovery.next_message();
         self.platform.await_watch();
     }
 
     fn refuses(&mut self, text: &str) {
         self.spawn();
-        assert_eq!(self.agent.take().expect("an agent").ended(), "1");
+        let exit = self.agent.take().expect("an agent").wait_for_exit();
+        assert_eq!(exit.to_string(), "1");
         let log = self.log_text();
         assert!(log.contains(text) && log.lines().count() == 1, "{log}");
     }
 
     fn counter(&self, words: Words) {
         let expected = format!(" {}={} ", words.first, words.rest);
-        let tries = PATIENCE.as_millis() / COUNTER_INTERVAL.as_millis();
+        let tries = MAX_WAIT.as_millis() / COUNTER_INTERVAL.as_millis();
         let is_shown = (0..tries).any(|_| {
             self.agent().signal("USR1");
             thread::sleep(COUNTER_INTERVAL);
@@ -109,7 +113,7 @@
     /// Asks for the counters so many times while nobody reads the log.
     fn unread_log(&self, times: u32) {
         let mut connection = self.connect();
-        let reading = self.agent().reading.clone();
+        let reading = self.agent().log_reader_gate.clone();
         let held = reading.lock().expect("a lock");
         for _ in 0..times {
             self.agent().signal("USR1");
@@ -131,18 +135,18 @@
         let peer = self.peers[0].local_addr().expect("its address");
         let values = [
             ("LISTEN", self.listen.to_string()),
-            ("DISCOVERY", self.discovery.at.to_string()),
-            ("PLATFORM", self.platform.server.at.to_string()),
+            ("DISCOVERY", self.discovery.address.to_string()),
+            ("PLATFORM", self.platform.server.address.to_string()),
             ("PEER", peer.to_string()),
             ("KNOWN", self.saved_list.join(",")),
         ];
-        let text = self.start_file.with(&values);
+        let text = self.start_file.render(&values);
         std::fs::write(self.start_file_path(), text).expect("the start file");
         let Some(mut text) = self.operator_file.clone() else {
             return;
         };
         for (name, service) in &self.services {
-            let address = service.server.at.to_string();
+            let address = service.server.address.to_string();
             text = text.replace(&format!("AT-{name}"), &address);
         }
         std::fs::write(self.operator_path(), text).expect("the operator's file");
--- a/crates/agent/tests/scenario_player/clients.rs
+++ b/crates/agent/tests/scenario_player/clients.rs
@@ -4,8 +4,9 @@
 use std::thread;
 use std::time::Duration;
 
-use lilacgate_test_bed::notation::{bytes, fits};
-use lilacgate_test_bed::post::{PATIENCE, command, resp};
+use lilacgate_test_bed::framing::{encode_command, read_resp};
+use lilacgate_test_bed::scenario_text::{matches_pattern, unescape};
+use lilacgate_test_bed::scripted_server::MAX_WAIT;
 
 use super::agent_process::ping;
 use super::{Scenario, Words};
@@ -55,7 +56,7 @@
         let connection = connection
             .unwrap_or_else(|error| panic!("client {client} finds no place in line: {error}"));
         connection
-            .set_read_timeout(Some(PATIENCE))
+            .set_read_timeout(Some(MAX_WAIT))
             .expect("a time-out");
         self.other_clients.push(BufReader::new(connection));
     }
@@ -72,12 +73,12 @@
             "leaves" => drop(self.clients.remove(name)),
             "raw" => connection
                 .get_ref()
-                .write_all(&bytes(words.rest))
+                .write_all(&unescape(words.rest))
                 .expect("it is written"),
             "reads" => {
-                let answer = resp(connection).unwrap_or_else(|| "the end".into());
+                let answer = read_resp(connection).unwrap_or_else(|| "the end".into());
                 assert!(
-                    fits(words.rest, &answer),
+                    matches_pattern(words.rest, &answer),
                     "client {name} reads {answer:.200}"
                 );
             }
@@ -91,7 +92,7 @@
                 assert_eq!(length, 0, "client {name} is still served");
             }
             "ended" => {
-                let timeout = words.rest.parse().map_or(PATIENCE, Duration::from_millis);
+                let timeout = words.rest.parse().map_or(MAX_WAIT, Duration::from_millis);
                 assert!(
                     ends_within(connection, timeout),
                     "client {name} is still served"
@@ -132,6 +133,6 @@
     let parts: Vec<&str> = text.split(' ').collect();
     connection
         .get_ref()
-        .write_all(command(&parts).as_bytes())
+        .write_all(encode_command(&parts).as_bytes())
         .expect("it is written");
 }
--- a/crates/agent/tests/scenario_player/control.rs
+++ b/crates/agent/tests/scenario_player/control.rs
@@ -1,7 +1,11 @@
 //! Steps of discovery, of the platform and other release control planes, of the operator's file and of peers.
-use lilacgate_test_bed::notation::{bytes, fits};
-use lilacgate_test_bed::post::{self, THE_END, chunk, rollout};
-use lilacgate_test_bed::start::entry;
+use lilacgate_test_bed::framing::encode_http_chunk;
+use lilacgate_test_bed::protocol_messages::{release_update, rollout_notification};
+use lilacgate_test_bed::scenario_text::{matches_pattern, unescape};
+use lilacgate_test_bed::scripted_server::{
+    CONNECTION_END, discovery_server, silent_discovery_server,
+};
+use lilacgate_test_bed::start_file::EndpointEntry;
 
 use super::{ControlPlane, Scenario, Words};
 
@@ -13,21 +17,21 @@
     pub(super) fn discovery_step(&mut self, words: Words) {
         if words.first == "discovery" {
             self.discovery = match words.rest {
-                "moves silent" => post::silent_discovery(),
-                "moves" => post::discovery(),
+                "moves silent" => silent_discovery_server(),
+                "moves" => discovery_server(),
                 other => panic!("no step discovery {other}"),
             };
             return self.write_files();
         }
         let list = Words::of(words.rest);
         match list.first {
-            "raw" => self.discovery.write(&bytes(list.rest)),
-            "requested" if list.rest == THE_END => self.discovery.heard_end(),
+            "raw" => self.discovery.write(&unescape(list.rest)),
+            "requested" if list.rest == CONNECTION_END => self.discovery.expect_connection_end(),
             "requested" => {
-                let request = self.discovery.heard();
+                let request = self.discovery.next_message();
                 assert!(request.contains(list.rest), "requested {request}");
             }
-            "drops" => self.discovery.end(),
+            "drops" => self.discovery.close_current(),
             _ => self.send_list_changes(words.rest),
         }
     }
@@ -44,7 +48,7 @@
             self.list_version,
             entries.join(",")
         );
-        self.discovery.write(chunk(&text).as_bytes());
+        self.discovery.write(encode_http_chunk(&text).as_bytes());
     }
 
     fn list_entry(&self, change: &str) -> String {
@@ -53,7 +57,7 @@
         let state = parts.next().expect("a state");
         let build = parts.next().unwrap_or("1");
         let (name, place) = name.split_once('@').unwrap_or((name, name));
-        entry(name, self.endpoints[place].at, "x", state, build, None)
+        EndpointEntry::new(name, self.endpoints[place].address, "x", state, build).to_json()
     }
 
     pub(super) fn platform_step(&mut self, words: Words) {
@@ -64,21 +68,24 @@
                 self.write_files();
             }
             ("release", "requested") => self.platform.await_watch(),
-            ("release", "raw") => self.platform.send(&bytes(what.rest)),
+            ("release", "raw") => self.platform.send(&unescape(what.rest)),
             ("release", _) => {
                 let [build, stage, state, cap] = words.rest.split(' ').collect::<Vec<_>>()[..]
                 else {
                     panic!("no step release {}", words.rest)
                 };
-                let update = rollout(&post::news(build, stage, state, cap));
+                let update = rollout_notification(&release_update(build, stage, state, cap));
                 self.platform.send(update.as_bytes());
             }
             ("vote", "gets") => {
-                let request = self.platform.server.heard();
-                assert!(fits(what.rest, &request), "the platform gets {request}");
+                let request = self.platform.server.next_message();
+                assert!(
+                    matches_pattern(what.rest, &request),
+                    "the platform gets {request}"
+                );
             }
-            ("vote", "answers") => self.platform.server.write(&bytes(what.rest)),
-            ("vote", "ends") => self.platform.server.end(),
+            ("vote", "answers") => self.platform.server.write(&unescape(what.rest)),
+            ("vote", "ends") => self.platform.server.close_current(),
             (first, _) => panic!("no step {first} {}", words.rest),
         }
     }
@@ -92,11 +99,11 @@
         let service = self.services.get_mut(what.first).expect("a control plane");
         match what.rest.split(' ').collect::<Vec<_>>()[..] {
             ["requested"] => service.await_watch(),
-            ["dies"] => service.server.end_of(service.last_watch),
-            ["vanishes"] => service.server.vanish(),
-            ["raw", ..] => service.send(&bytes(Words::of(what.rest).rest)),
+            ["dies"] => service.server.close(service.last_watch),
+            ["vanishes"] => service.server.shut_down(),
+            ["raw", ..] => service.send(&unescape(Words::of(what.rest).rest)),
             [build, stage, state] => {
-                let update = rollout(&post::news(build, stage, state, "1"));
+                let update = rollout_notification(&release_update(build, stage, state, "1"));
                 service.send(update.as_bytes());
             }
             _ => panic!("no step service {}", words.rest),
@@ -120,8 +127,8 @@
 
     pub(super) fn peer_step(&mut self, words: Words) {
         let sender = &self.peers[usize::from(words.first == "stranger")];
-        let payload = bytes(Words::of(words.rest).rest);
-        let text = &self.start_file.0;
+        let payload = unescape(Words::of(words.rest).rest);
+        let text = &self.start_file.text;
         let receiver = text
             .split("\"peer_listen\":\"")
             .nth(1)
--- a/crates/agent/tests/scenario_player/endpoints.rs
+++ b/crates/agent/tests/scenario_player/endpoints.rs
@@ -3,9 +3,10 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::Duration;
 
-use lilacgate_test_bed::notation::{bytes, fits};
-use lilacgate_test_bed::post::{Post, THE_END, resp};
-use lilacgate_test_bed::start::entry;
+use lilacgate_test_bed::framing::read_resp;
+use lilacgate_test_bed::scenario_text::{matches_pattern, unescape};
+use lilacgate_test_bed::scripted_server::{CONNECTION_END, ScriptedServer};
+use lilacgate_test_bed::start_file::EndpointEntry;
 use socket2::{Domain, Socket, Type};
 
 use super::{FullEndpoint, Scenario, Words};
@@ -36,8 +37,8 @@
         } else {
             words.rest
         };
-        let server = Post::new(resp, "", b"", b"");
-        let listed = entry(name, server.at, "x", "ready", build, None);
+        let server = ScriptedServer::silent(read_resp);
+        let listed = EndpointEntry::new(name, server.address, "x", "ready", build).to_json();
         self.saved_list.push(listed);
         self.endpoints.insert(name.into(), server);
     }
@@ -52,7 +53,7 @@
         let connect = || TcpStream::connect_timeout(&address, FILLING_TIMEOUT).ok();
         let connections: Vec<TcpStream> = std::iter::from_fn(connect).take(MAX_FILLING).collect();
         assert!(connections.len() < MAX_FILLING, "its backlog is never full");
-        let listed = entry(name, address, "x", "ready", FIRST_BUILD, None);
+        let listed = EndpointEntry::new(name, address, "x", "ready", FIRST_BUILD).to_json();
         self.saved_list.push(listed);
         let full_endpoint = FullEndpoint {
             listener,
@@ -88,18 +89,21 @@
             .get_mut(name)
             .unwrap_or_else(|| panic!("no step {name} {}", words.first));
         match words.first {
-            "gets" if words.rest == THE_END => server.heard_end(),
+            "gets" if words.rest == CONNECTION_END => server.expect_connection_end(),
             "gets" => {
-                let command = server.heard();
-                assert!(fits(words.rest, &command), "{name} gets {command:.200}");
+                let command = server.next_message();
+                assert!(
+                    matches_pattern(words.rest, &command),
+                    "{name} gets {command:.200}"
+                );
             }
-            "answers" => server.write(&bytes(words.rest)),
-            "ends" => server.end(),
-            "vanishes" => server.vanish(),
-            "waits" => assert!(server.is_quiet(), "{name} got something"),
-            "turns" => server.turn(words.rest),
+            "answers" => server.write(&unescape(words.rest)),
+            "ends" => server.close_current(),
+            "vanishes" => server.shut_down(),
+            "waits" => assert!(server.is_idle(), "{name} got something"),
+            "turns" => server.select_connection_of(words.rest),
             "links" => {
-                let connections = server.conns.lock().expect("a lock").len();
+                let connections = server.connections.lock().expect("a lock").len();
                 assert_eq!(connections.to_string(), words.rest);
             }
             other => panic!("no step {name} {other}"),
--- a/crates/agent/tests/scenario_player/mod.rs
+++ b/crates/agent/tests/scenario_player/mod.rs
@@ -12,9 +12,12 @@
 use std::thread;
 use std::time::Duration;
 
-use lilacgate_test_bed::agent::{Agent, free_at, own_host};
-use lilacgate_test_bed::post::{PATIENCE, Post, Said, discovery, platform};
-use lilacgate_test_bed::start::Start;
+use lilacgate_test_bed::agent_process::AgentProcess;
+use lilacgate_test_bed::loopback_address::{unique_loopback_host, unused_tcp_address};
+use lilacgate_test_bed::scripted_server::{
+    MAX_WAIT, Received, ScriptedServer, discovery_server, release_server,
+};
+use lilacgate_test_bed::start_file::StartFileTemplate;
 
 /// The version of the list that the agent starts with.
 const FIRST_LIST_VERSION: u64 = 5;
@@ -39,14 +42,14 @@
 
 /// A scripted release control plane, and the connection of its last watch.
 struct ControlPlane {
-    server: Post,
-    watches: Receiver<Said>,
+    server: ScriptedServer,
+    watches: Receiver<Received>,
     last_watch: usize,
 }
 
 impl ControlPlane {
     fn new() -> Self {
-        let (server, watches) = platform();
+        let (server, watches) = release_server();
         ControlPlane {
             server,
             watches,
@@ -56,7 +59,11 @@
 
     /// Waits for a new watch.
     fn await_watch(&mut self) {
-        self.last_watch = self.watches.recv_timeout(PATIENCE).expect("a watch").0;
+        self.last_watch = self
+            .watches
+            .recv_timeout(MAX_WAIT)
+            .expect("a watch")
+            .connection;
     }
 
     /// Sends bytes on the connection of the last watch.
@@ -73,12 +80,12 @@
 
 /// A scenario as far as it has been played.
 pub(crate) struct Scenario {
-    start_file: Start,
+    start_file: StartFileTemplate,
     /// The entries of the list in the start file.
     saved_list: Vec<String>,
-    endpoints: HashMap<String, Post>,
+    endpoints: HashMap<String, ScriptedServer>,
     full_endpoints: HashMap<String, FullEndpoint>,
-    discovery: Post,
+    discovery: ScriptedServer,
     list_version: u64,
     platform: ControlPlane,
     /// The release control planes of other services.
@@ -95,7 +102,7 @@
     /// Where the agent listens for clients.
     listen: SocketAddr,
     folder: tempfile::TempDir,
-    agent: Option<Agent>,
+    agent: Option<AgentProcess>,
     /// The agent's log, which outlasts the agent.
     log: Arc<Mutex<String>>,
 }
@@ -104,11 +111,11 @@
     pub(crate) fn new() -> Self {
         let socket = || UdpSocket::bind("127.0.0.1:0").expect("a free port");
         Scenario {
-            start_file: Start::default(),
+            start_file: StartFileTemplate::default(),
             saved_list: Vec::new(),
             endpoints: HashMap::new(),
             full_endpoints: HashMap::new(),
-            discovery: discovery(),
+            discovery: discovery_server(),
             list_version: FIRST_LIST_VERSION,
             platform: ControlPlane::new(),
             services: HashMap::new(),
@@ -117,7 +124,7 @@
             other_clients: Vec::new(),
             file_limit: None,
             operator_file: None,
-            listen: free_at(own_host()),
+            listen: unused_tcp_address(unique_loopback_host()),
             folder: tempfile::tempdir().expect("a folder"),
             agent: None,
             log: Arc::default(),
@@ -143,10 +150,10 @@
 
     /// Opens a connection to the agent, and tries again until it listens.
     fn connect(&self) -> BufReader<TcpStream> {
-        for _ in 0..PATIENCE.as_millis() / 10 {
+        for _ in 0..MAX_WAIT.as_millis() / 10 {
             if let Ok(connection) = TcpStream::connect(self.listen) {
                 connection
-                    .set_read_timeout(Some(PATIENCE))
+                    .set_read_timeout(Some(MAX_WAIT))
                     .expect("a time-out");
                 return BufReader::new(connection);
             }
@@ -155,7 +162,7 @@
         panic!("the agent does not listen");
     }
 
-    fn agent(&self) -> &Agent {
+    fn agent(&self) -> &AgentProcess {
         self.agent.as_ref().expect("an agent")
     }
 
--- a/crates/decision/tests/engine/discovery.rs
+++ b/crates/decision/tests/engine/discovery.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use lilacgate_decision::{DecisionEngine, EventHandler, ListUpdate};
-use lilacgate_test_bed::decided::Decided;
+use lilacgate_test_bed::recorded_actions::RecordedActions;
 use rstest::rstest;
 
 use crate::support::{EPOCH, agent_settings};
@@ -65,14 +65,14 @@
 
 /// Plays a round in which an update of the list may come; whether the agent requests the list in it.
 fn requests_list(engine: &mut DecisionEngine, now: Duration, update: Option<ListUpdate>) -> bool {
-    let mut decided = Decided::default();
+    let mut decided = RecordedActions::default();
     let events = |events: &mut dyn EventHandler| {
         if let Some(update) = update {
             events.on_endpoints(update, &mut std::iter::empty());
         }
     };
     engine.round(now, events, &mut decided);
-    decided.watches
+    decided.watching_endpoints
 }
 
 /// What came of agents that start together.
--- a/crates/decision/tests/engine/final_answers/mod.rs
+++ b/crates/decision/tests/engine/final_answers/mod.rs
@@ -12,7 +12,7 @@
     EventHandler, Idempotency, IdempotencyKey, ListUpdate, Outcome, Request, RequestClass,
     RequestId, Stage, Zone,
 };
-use lilacgate_test_bed::decided::Decided;
+use lilacgate_test_bed::recorded_actions::RecordedActions;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
@@ -323,7 +323,7 @@
     };
     for step in 0..STEPS {
         let now = EPOCH + STEP * step;
-        let mut decided = Decided::default();
+        let mut decided = RecordedActions::default();
         let events = |events: &mut dyn EventHandler| {
             if step == 0 {
                 Surroundings::start(events);
@@ -337,10 +337,10 @@
         for (id, to) in decided.sent {
             surroundings.take_sent(now, id, to);
         }
-        for (id, number) in decided.called_off {
+        for (id, number) in decided.cancelled {
             surroundings.take_cancelled(now, id, number);
         }
-        for (id, client_may_retry) in decided.given_up {
+        for (id, client_may_retry) in decided.unserved {
             surroundings.take_given_up(id, client_may_retry);
         }
         surroundings.assert_answered_in_time(now);
--- a/crates/decision/tests/engine/load.rs
+++ b/crates/decision/tests/engine/load.rs
@@ -6,7 +6,7 @@
     AttemptNumber, Build, DecisionEngine, Endpoint, EndpointId, EndpointStatus, EventHandler,
     ListUpdate, Outcome, ReleasePhase, RequestClass, RequestId, Stage,
 };
-use lilacgate_test_bed::decided::Decided;
+use lilacgate_test_bed::recorded_actions::RecordedActions;
 use rstest::rstest;
 
 use crate::support::{
@@ -54,7 +54,7 @@
         let (mut in_flight, mut request_count) = (VecDeque::new(), 0);
         for tick in 0..self.ticks {
             let now = EPOCH + TICK * tick;
-            let mut decided = Decided::default();
+            let mut decided = RecordedActions::default();
             let events = |events: &mut dyn EventHandler| {
                 if let Some(update) = (self.update_at)(tick) {
                     events.on_endpoints(ListUpdate::Full, &mut update.endpoints.into_iter());
--- a/crates/decision/tests/engine/reports/fleet.rs
+++ b/crates/decision/tests/engine/reports/fleet.rs
@@ -7,7 +7,7 @@
     AgentId, AttemptNumber, DecisionEngine, EndpointId, EventHandler, Outcome, Request,
     RequestClass, RequestId, Vote,
 };
-use lilacgate_test_bed::decided::Decided;
+use lilacgate_test_bed::recorded_actions::RecordedActions;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use rstest::rstest;
@@ -122,12 +122,12 @@
         scene: Scene,
         inbox: &[Datagram],
         random: &mut Pcg64Mcg,
-    ) -> Option<Decided> {
+    ) -> Option<RecordedActions> {
         let list_comes = now == EPOCH || now == RELEASE_AT;
         if !list_comes && inbox.is_empty() && !self.is_due(now) {
             return None;
         }
-        let mut decided = Decided::default();
+        let mut decided = RecordedActions::default();
         let Agent {
             engine,
             next_request,
@@ -156,7 +156,7 @@
             }
         };
         engine.round(now, events, &mut decided);
-        if let Some(&at) = decided.wakes.last() {
+        if let Some(&at) = decided.wake_ups.last() {
             self.wake_up = at;
         } else if self.wake_up <= now {
             self.wake_up = now + TICK;
@@ -229,7 +229,7 @@
                 let vote = RollBackVote { at: now, by: id };
                 result.roll_back.get_or_insert(vote);
             }
-            for (to, payload) in decided.told {
+            for (to, payload) in decided.peer_messages {
                 let Some(to) = to else { continue };
                 let datagram = Datagram {
                     sent_at: now,
--- a/crates/decision/tests/engine/reports/single.rs
+++ b/crates/decision/tests/engine/reports/single.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use lilacgate_decision::{AgentId, DecisionEngine, EventHandler, RequestClass};
-use lilacgate_test_bed::decided::Decided;
+use lilacgate_test_bed::recorded_actions::RecordedActions;
 use rstest::rstest;
 
 use super::{CANARY, Listed, Reporting, SECOND, canary, engine};
@@ -50,9 +50,9 @@
         events: impl FnOnce(&mut dyn EventHandler),
     ) -> Vec<Message> {
         self.now += pause;
-        let mut decided = Decided::default();
+        let mut decided = RecordedActions::default();
         self.engine.round(self.now, events, &mut decided);
-        decided.told
+        decided.peer_messages
     }
 
     /// What it sends in a round so much later in which a client found a wrong answer of the first canary.
--- a/crates/decision/tests/engine/subset/mod.rs
+++ b/crates/decision/tests/engine/subset/mod.rs
@@ -13,7 +13,7 @@
     EventHandler, Idempotency, IdempotencyKey, ListUpdate, Outcome, Request, RequestClass,
     RequestId, Zone,
 };
-use lilacgate_test_bed::decided::Decided;
+use lilacgate_test_bed::recorded_actions::RecordedActions;
 
 use crate::support::{EPOCH, READ, ReleaseUpdate, TICK, WORK, agent_settings, request};
 
@@ -163,7 +163,7 @@
         given: impl FnOnce(&mut dyn EventHandler),
         mut end: impl FnMut(AttemptNumber, EndpointId) -> AttemptEnd,
     ) -> Vec<(RequestId, EndpointId)> {
-        let (now, mut decided) = (self.now, Decided::default());
+        let (now, mut decided) = (self.now, RecordedActions::default());
         let due: Vec<_> = self
             .in_flight
             .extract_if(.., |attempt| attempt.due <= now)
@@ -196,8 +196,8 @@
             });
         }
         self.given_up
-            .extend(decided.given_up.into_iter().map(|(id, _)| id));
-        self.wake_ups.extend(decided.wakes);
+            .extend(decided.unserved.into_iter().map(|(id, _)| id));
+        self.wake_ups.extend(decided.wake_ups);
         decided.sent
     }
 
--- a/crates/timeline/tests/departures.rs
+++ b/crates/timeline/tests/departures.rs
@@ -2,7 +2,9 @@
 //! that nothing else is reported.
 use std::time::Duration;
 
-use lilacgate_test_bed::virtually::{DAWN, Day, Event, Fault, book, play};
+use lilacgate_test_bed::virtual_time::{
+    DepartureNotice, EPOCH, Fault, ScheduledFault, VirtualFleet, new_book, run,
+};
 use lilacgate_timeline::entry::{DepartureKind, DepartureScope, ReleaseStage};
 use rstest::rstest;
 
@@ -14,18 +16,18 @@
 }
 
 /// A day with one fault that lasts `fault_ms`.
-fn day(fault: Fault, fault_ms: u64) -> Day {
-    let events = vec![Event {
+fn day(fault: Fault, fault_ms: u64) -> VirtualFleet {
+    let events = vec![ScheduledFault {
         at: AT,
-        long: ms(fault_ms),
+        duration: ms(fault_ms),
         fault,
     }];
-    Day {
+    VirtualFleet {
         nodes: 10,
-        rate: 100.0,
-        long: ms(110_000),
-        events,
-        list_late: ms(300),
+        request_rate: 100.0,
+        duration: ms(110_000),
+        faults: events,
+        list_delay: ms(300),
         seed: 7,
     }
 }
@@ -41,12 +43,12 @@
 }
 
 /// The departures that a day shows.
-fn reported(day: &Day) -> Vec<Reported> {
-    let mut timeline = book(0.5);
-    let all = play(day, &mut timeline, &mut |_| {});
-    let begun = all.into_iter().filter(|(_, _, begins)| *begins);
+fn reported(day: &VirtualFleet) -> Vec<Reported> {
+    let mut timeline = new_book(0.5);
+    let all = run(day, &mut timeline, &mut |_| {});
+    let begun = all.into_iter().filter(|notice| notice.begins);
     begun
-        .map(|(at, departure, _)| Reported {
+        .map(|DepartureNotice { at, departure, .. }| Reported {
             scope: departure.scope,
             kind: departure.kind,
             class: departure.class,
@@ -60,18 +62,18 @@
 }
 
 fn seconds_after_fault(at: Duration) -> f64 {
-    at.as_secs_f64() - (DAWN + AT).as_secs_f64()
+    at.as_secs_f64() - (EPOCH + AT).as_secs_f64()
 }
 
 #[rstest]
-#[case::errors(Fault::Errors { node: 3, share: 0.4, product: None }, 20_000, DepartureScope::Node(3), DepartureKind::Errors, None)]
-#[case::slow(Fault::Slow { node: 3, times: 4.0, product: None }, 20_000, DepartureScope::Node(3), DepartureKind::Latency, None)]
-#[case::one_class_fails(Fault::Errors { node: 3, share: 0.6, product: Some(1) }, 20_000, DepartureScope::Node(3), DepartureKind::Errors, Some(1))]
-#[case::one_class_slow(Fault::Slow { node: 3, times: 5.0, product: Some(1) }, 20_000, DepartureScope::Node(3), DepartureKind::Latency, Some(1))]
+#[case::errors(Fault::Errors { node: 3, share: 0.4, class: None }, 20_000, DepartureScope::Node(3), DepartureKind::Errors, None)]
+#[case::slow(Fault::Slow { node: 3, factor: 4.0, class: None }, 20_000, DepartureScope::Node(3), DepartureKind::Latency, None)]
+#[case::one_class_fails(Fault::Errors { node: 3, share: 0.6, class: Some(1) }, 20_000, DepartureScope::Node(3), DepartureKind::Errors, Some(1))]
+#[case::one_class_slow(Fault::Slow { node: 3, factor: 5.0, class: Some(1) }, 20_000, DepartureScope::Node(3), DepartureKind::Latency, Some(1))]
 #[case::silent(Fault::Silent { node: 3 }, 20_000, DepartureScope::Node(3), DepartureKind::Silence, None)]
 #[case::silent_for_three_seconds(Fault::Silent { node: 3 }, 3_000, DepartureScope::Node(3), DepartureKind::Silence, None)]
-#[case::unlinked(Fault::Unlinked { node: 3 }, 20_000, DepartureScope::Node(3), DepartureKind::Links, None)]
-#[case::all_slow(Fault::AllSlow { times: 3.5 }, 15_000, DepartureScope::Fleet, DepartureKind::Latency, None)]
+#[case::unlinked(Fault::ConnectionsRefused { node: 3 }, 20_000, DepartureScope::Node(3), DepartureKind::Links, None)]
+#[case::all_slow(Fault::AllSlow { factor: 3.5 }, 15_000, DepartureScope::Fleet, DepartureKind::Latency, None)]
 #[case::restart(Fault::Replace { node: 3, build: 1 }, 1_000, DepartureScope::Node(3), DepartureKind::Restart, None)]
 fn one_event(
     #[case] fault: Fault,
@@ -90,10 +92,10 @@
 }
 
 #[rstest]
-#[case::burst(Fault::Burst { times: 2.5 }, 10_000)]
-#[case::mix(Fault::Mix { first: 0.2 }, 10_000)]
-#[case::still(Fault::Still, 2_000)]
-#[case::few(Fault::Burst { times: 0.1 }, 20_000)]
+#[case::burst(Fault::TrafficChange { factor: 2.5 }, 10_000)]
+#[case::mix(Fault::ClassMix { first_share: 0.2 }, 10_000)]
+#[case::still(Fault::AgentSuspended, 2_000)]
+#[case::few(Fault::TrafficChange { factor: 0.1 }, 20_000)]
 fn no_event(#[case] fault: Fault, #[case] fault_ms: u64) {
     assert_eq!(reported(&day(fault, fault_ms)), []);
 }
@@ -104,13 +106,13 @@
         Fault::Errors {
             node: 3,
             share: 0.5,
-            product: None,
+            class: None,
         },
         20_000,
     );
-    day.events.push(Event {
+    day.faults.push(ScheduledFault {
         fault: Fault::Silent { node: 5 },
-        ..day.events[0]
+        ..day.faults[0]
     });
     let mut reported = reported(&day);
     reported.sort_by_key(|one| one.scope);
@@ -133,12 +135,12 @@
         },
         50_000,
     );
-    let start = |node| Event {
+    let start = |node| ScheduledFault {
         at: AT,
-        long: ms(1000),
+        duration: ms(1000),
         fault: Fault::Replace { node, build: 2 },
     };
-    day.events.extend([1, 4, 8].map(start));
+    day.faults.extend([1, 4, 8].map(start));
     let reported = reported(&day);
     assert_eq!(
         scopes_and_kinds(&reported),
@@ -152,7 +154,7 @@
     let day = day(
         Fault::Drift {
             node: 3,
-            times: 4.0,
+            factor: 4.0,
         },
         45_000,
     );
@@ -175,7 +177,7 @@
 #[test]
 fn a_list_that_is_five_seconds_late() {
     let mut day = day(Fault::Replace { node: 3, build: 1 }, 1000);
-    day.list_late = ms(5000);
+    day.list_delay = ms(5000);
     let reported = reported(&day);
     let [only] = &reported[..] else {
         panic!("{reported:?}")
@@ -186,20 +188,32 @@
 
 #[test]
 fn a_departure_has_an_onset_and_an_end() {
-    let mut timeline = book(0.5);
-    let reports = play(
+    let mut timeline = new_book(0.5);
+    let reports = run(
         &day(
             Fault::Errors {
                 node: 3,
                 share: 0.4,
-                product: None,
+                class: None,
             },
             20_000,
         ),
         &mut timeline,
         &mut |_| {},
     );
-    let [(_, begun, true), (ended, over, false)] = &reports[..] else {
+    let [
+        DepartureNotice {
+            departure: begun,
+            begins: true,
+            ..
+        },
+        DepartureNotice {
+            at: ended,
+            departure: over,
+            begins: false,
+        },
+    ] = &reports[..]
+    else {
         panic!("{reports:?}")
     };
     let onset = seconds_after_fault(begun.onset);
@@ -207,7 +221,7 @@
         (-1.0..3.0).contains(&onset) && begun.observed > 0.2 && begun.baseline < 0.02,
         "{begun:?}"
     );
-    let after = ended.as_secs_f64() - (DAWN + AT + ms(20_000)).as_secs_f64();
+    let after = ended.as_secs_f64() - (EPOCH + AT + ms(20_000)).as_secs_f64();
     assert!(
         (0.0..12.0).contains(&after) && over.number == begun.number,
         "{after} {over:?}"
@@ -217,18 +231,18 @@
 /// A build that slows old and new nodes alike: one departure of the fleet, with its stage as a hint.
 #[test]
 fn a_build_that_slows_all_is_a_departure_of_the_fleet() {
-    let mut day = day(Fault::AllSlow { times: 3.5 }, 15_000);
-    let start = |node| Event {
+    let mut day = day(Fault::AllSlow { factor: 3.5 }, 15_000);
+    let start = |node| ScheduledFault {
         at: AT - ms(2000),
-        long: ms(1000),
+        duration: ms(1000),
         fault: Fault::Replace { node, build: 2 },
     };
-    day.events.extend([1, 4].map(start));
-    let reports = play(&day, &mut book(0.5), &mut |_| {});
+    day.faults.extend([1, 4].map(start));
+    let reports = run(&day, &mut new_book(0.5), &mut |_| {});
     let begun: Vec<_> = reports
         .iter()
-        .filter(|(_, _, begins)| *begins)
-        .map(|(_, departure, _)| departure)
+        .filter(|notice| notice.begins)
+        .map(|notice| &notice.departure)
         .collect();
     let [only] = begun[..] else {
         panic!("{begun:?}")
--- a/crates/timeline/tests/fleet_timeline.rs
+++ b/crates/timeline/tests/fleet_timeline.rs
@@ -6,7 +6,7 @@
     AttemptNumber, Build, Endpoint, EndpointId, EndpointStatus, ListUpdate, Outcome, RequestClass,
     RequestId, Stage, Vote,
 };
-use lilacgate_test_bed::virtually::{DAWN, aims, listed};
+use lilacgate_test_bed::virtual_time::{EPOCH, aims, listed_endpoint};
 use lilacgate_timeline::entry::{Event, Record};
 use lilacgate_timeline::fleet_timeline::{AttemptEnd, FleetTimeline, MemoryLimits};
 use lilacgate_timeline::latency_sketch::LatencySketch;
@@ -15,7 +15,7 @@
 
 /// An instant, in seconds after the beginning.
 fn secs(seconds: f64) -> Duration {
-    DAWN + Duration::from_secs_f64(seconds)
+    EPOCH + Duration::from_secs_f64(seconds)
 }
 
 fn timeline(timeline_bytes: usize, queued_records: usize) -> FleetTimeline {
@@ -23,7 +23,7 @@
         timeline_bytes,
         queued_records,
     };
-    FleetTimeline::new(DAWN, aims(0.5), limits)
+    FleetTimeline::new(EPOCH, aims(0.5), limits)
 }
 
 fn succeeded(request: RequestId, endpoint: EndpointId, duration: Duration) -> AttemptEnd {
@@ -51,7 +51,7 @@
     let node = timeline.node(1).expect("a timeline");
     let listed = node.as_of(known).filter_map(|entry| match &entry.event {
         Event::Listed { state, build, .. } => Some(ListedState {
-            second: (entry.happened - DAWN).as_secs(),
+            second: (entry.happened - EPOCH).as_secs(),
             build: *build,
             state: state.clone(),
         }),
@@ -64,7 +64,7 @@
 #[test]
 fn late_updates_are_inserted_where_they_happened() {
     let mut timeline = timeline(1 << 20, 0);
-    let entry = |build, started: f64| listed(1, build, Some(secs(started)));
+    let entry = |build, started: f64| listed_endpoint(1, build, Some(secs(started)));
     timeline.apply_list_update(secs(10.0), ListUpdate::Full, &[entry(1, 1.0)]);
     timeline.apply_list_update(
         secs(20.0),
@@ -113,7 +113,11 @@
 fn a_node_that_restarts_within_one_step_has_both_incarnations() {
     let mut timeline = timeline(1 << 20, 0);
     for at in [10.0, 10.3, 10.6] {
-        timeline.apply_list_update(secs(at), ListUpdate::Delta, &[listed(1, 1, Some(secs(at)))]);
+        timeline.apply_list_update(
+            secs(at),
+            ListUpdate::Delta,
+            &[listed_endpoint(1, 1, Some(secs(at)))],
+        );
     }
     assert_eq!(listed_states(&timeline, Duration::MAX).len(), 3);
 }
@@ -126,8 +130,8 @@
     for id in 0..5000u32 {
         let now = secs(f64::from(id) * 0.72);
         let (old, new) = (
-            listed(id.saturating_sub(3), 1, None),
-            listed(id, (id % 7) as u16, Some(now)),
+            listed_endpoint(id.saturating_sub(3), 1, None),
+            listed_endpoint(id, (id % 7) as u16, Some(now)),
         );
         timeline.apply_list_update(
             now,
@@ -162,7 +166,7 @@
 #[test]
 fn a_full_queue_drops_the_finest_detail_first() {
     let mut timeline = timeline(1 << 20, 50);
-    timeline.apply_list_update(DAWN, ListUpdate::Full, &[listed(1, 1, None)]);
+    timeline.apply_list_update(EPOCH, ListUpdate::Full, &[listed_endpoint(1, 1, None)]);
     for i in 0..200u32 {
         let now = secs(f64::from(i) * 0.5);
         timeline.attempt_started(now, RequestId(i), AttemptNumber(0), EndpointId(1));
@@ -192,8 +196,8 @@
     /// Folding loses no count as long as a level reaches back, and latencies read back within their error.
     #[test]
     fn folding_keeps_counts(gaps in prop::collection::vec((0u64..40, 1u32..30, 1u64..2000), 1..300)) {
-        let mut steps = StepHistory::new(DAWN);
-        let mut now = DAWN;
+        let mut steps = StepHistory::new(EPOCH);
+        let mut now = EPOCH;
         let mut all = 0;
         let mut slowest_ms = 0;
         for (gap, count, ms) in gaps {
@@ -209,7 +213,7 @@
         let succeeded: u32 = found.iter().map(|timed| timed.step.counts.succeeded).sum();
         // What is folding still is not in a coarse level yet; it stands in the fine one as far as that reaches.
         let reach: Duration = LEVELS[0].step_duration * LEVELS[0].capacity as u32;
-        if now - DAWN < reach {
+        if now - EPOCH < reach {
             prop_assert_eq!(succeeded, all);
             let merged = LatencySketch::merged(found.iter().map(|timed| &timed.step.latency));
             let top = merged.quantile(1.0).expect("some").as_secs_f64() * 1e3;
