--- a/crates/capacity/src/budget.rs
+++ b/crates/capacity/src/budget.rs
@@ -80,9 +80,9 @@
     (Role::Agent, BudgetKind::Memory),
     (Role::Agent, BudgetKind::Bytes),
     (Role::Agent, BudgetKind::InForce),
-    (Role::Judge, BudgetKind::Core),
-    (Role::Judge, BudgetKind::Memory),
-    (Role::Judge, BudgetKind::Bytes),
+    (Role::Aggregator, BudgetKind::Core),
+    (Role::Aggregator, BudgetKind::Memory),
+    (Role::Aggregator, BudgetKind::Bytes),
     (Role::Control, BudgetKind::ControlMachines),
 ];
 
--- a/crates/capacity/src/verdict.rs
+++ b/crates/capacity/src/detection.rs
@@ -34,7 +34,7 @@
 /// and expressions of `src/brain.rs` (`THETA0`, `TAU`, `ALPHA`, `ENOUGH`,
 /// `few` and the argument of `report`); they have to be changed with those.
 #[derive(Clone, Debug, PartialEq)]
-pub struct VerdictSettings {
+pub struct DetectionSettings {
     /// The worsening that is tolerated.
     pub tolerance: f64,
     /// The mixing deviation of the test.
@@ -47,11 +47,11 @@
     /// earlier one are not counted: five requests of a quiet agent.
     pub most_recent: Duration,
     /// Time between an agent's reports, before `report_spread`.
-    pub dwell: Duration,
-    /// The least and most time between reports as a share of `dwell`.
+    pub minimum_stage_time: Duration,
+    /// The least and most time between reports as a share of `minimum_stage_time`.
     pub report_spread: (f64, f64),
     /// Share of requests that any build fails.
-    pub usual_failure_share: f64,
+    pub baseline_failure_share: f64,
     /// How many more requests a bad build fails, one case each.
     pub failure_shares: Vec<f64>,
     /// Share of appliances on trial, one case each.
@@ -62,17 +62,17 @@
     pub longest: Duration,
 }
 
-impl Default for VerdictSettings {
+impl Default for DetectionSettings {
     fn default() -> Self {
-        VerdictSettings {
+        DetectionSettings {
             tolerance: 0.005,
             deviation: 0.05,
             level: 0.05,
             least_outcomes: 20.0,
             most_recent: Duration::from_secs(5),
-            dwell: Duration::from_secs(2),
+            minimum_stage_time: Duration::from_secs(2),
             report_spread: (0.5, 0.8),
-            usual_failure_share: 0.002,
+            baseline_failure_share: 0.002,
             failure_shares: vec![0.0, 0.05, 0.2, 0.5],
             trial_shares: vec![0.02, 0.1, 0.5],
             pooled_parts: vec![0.0, 0.02, 0.1, 0.25, 0.5, 1.0],
@@ -101,7 +101,7 @@
 
 /// One service with a build on trial.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct VerdictCase {
+pub struct DetectionCase {
     /// Whose outcomes count.
     pub evidence: Evidence,
     /// Agents in the fleet.
@@ -120,7 +120,7 @@
 
 /// How one run went.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct VerdictRun {
+pub struct DetectionRun {
     /// When the build was turned back; nothing if it was not.
     pub after: Option<Duration>,
     /// Reports that the judge received.
@@ -134,24 +134,24 @@
 /// Runs all cases of a target, each with every seed. One sample per case, with
 /// the median and the ninth decile over its runs; figures of time are left out
 /// where a run they stand for came to no verdict.
-pub fn verdicts(
+pub fn detections(
     target: &Target,
-    settings: &VerdictSettings,
+    settings: &DetectionSettings,
     seeds: &[u64],
     command: &str,
 ) -> Vec<Sample> {
     let mut samples = Vec::new();
     for case in cases(target, settings) {
         let run = |seed: &u64| run(&case, settings, *seed);
-        let runs: Vec<VerdictRun> = seeds.iter().map(run).collect();
+        let runs: Vec<DetectionRun> = seeds.iter().map(run).collect();
         samples.push(Sample {
-            experiment: Experiment::Verdict,
+            experiment: Experiment::Detection,
             command: command.to_owned(),
             seed: seeds.first().copied().unwrap_or_default(),
             source: Source::Model,
             role: match case.evidence {
                 Evidence::Own => Role::Agent,
-                Evidence::Pooled(_) => Role::Judge,
+                Evidence::Pooled(_) => Role::Aggregator,
             },
             factor: None,
             size: case_size(target, &case),
@@ -164,12 +164,12 @@
     samples
 }
 
-fn cases(target: &Target, settings: &VerdictSettings) -> Vec<VerdictCase> {
+fn cases(target: &Target, settings: &DetectionSettings) -> Vec<DetectionCase> {
     let mut cases = Vec::new();
     for &failure_share in &settings.failure_shares {
         for &trial_share in &settings.trial_shares {
             for evidence in evidences(target.agents, &settings.pooled_parts) {
-                cases.push(VerdictCase {
+                cases.push(DetectionCase {
                     evidence,
                     agents: target.agents,
                     routes: target.routes.div_ceil(target.services.count) as u16,
@@ -192,7 +192,7 @@
     std::iter::once(Evidence::Own).chain(pooled).collect()
 }
 
-fn case_size(target: &Target, case: &VerdictCase) -> Size {
+fn case_size(target: &Target, case: &DetectionCase) -> Size {
     Size {
         listed_appliances: case.appliances,
         used_appliances: case.appliances,
@@ -204,7 +204,7 @@
     }
 }
 
-fn figures(case: &VerdictCase, runs: &[VerdictRun]) -> BTreeMap<Quantity, f64> {
+fn figures(case: &DetectionCase, runs: &[DetectionRun]) -> BTreeMap<Quantity, f64> {
     let decided = runs.iter().filter(|run| run.after.is_some()).count() as f64;
     let lasted: f64 = runs.iter().map(|run| run.lasted.as_secs_f64()).sum();
     let messages: u64 = runs.iter().map(|run| run.messages).sum();
@@ -215,13 +215,13 @@
         (Quantity::TrialShare, case.trial_share),
         (Quantity::PooledAgents, pooled),
         (Quantity::Runs, runs.len() as f64),
-        (Quantity::VerdictShare, decided / runs.len() as f64),
+        (Quantity::DetectedShare, decided / runs.len() as f64),
         (Quantity::MessagesInPerSecond, messages as f64 / lasted),
         (Quantity::BytesInPerSecond, bytes as f64 / lasted),
     ]);
     let times = [
-        (Quantity::VerdictSeconds, 0.5),
-        (Quantity::VerdictSecondsP90, 0.9),
+        (Quantity::DetectionSeconds, 0.5),
+        (Quantity::DetectionSecondsP90, 0.9),
     ];
     for (quantity, part) in times {
         let time = quantile(runs, part).map(|time| time.as_secs_f64());
@@ -231,7 +231,7 @@
 }
 
 /// The time that this part of the runs came to a verdict in, if it did.
-fn quantile(runs: &[VerdictRun], part: f64) -> Option<Duration> {
+fn quantile(runs: &[DetectionRun], part: f64) -> Option<Duration> {
     let mut times: Vec<Duration> = runs.iter().filter_map(|run| run.after).collect();
     times.sort();
     let rank = (part * runs.len() as f64).ceil() as usize;
@@ -239,7 +239,7 @@
 }
 
 /// Plays one case until the build is turned back or the longest time is over.
-pub fn run(case: &VerdictCase, settings: &VerdictSettings, seed: u64) -> VerdictRun {
+pub fn run(case: &DetectionCase, settings: &DetectionSettings, seed: u64) -> DetectionRun {
     let mut model = Model::new(case, settings, seed);
     let arrivals = f64::from(case.evidence.agents()) * case.request_rate;
     let gap = Exp::new(arrivals).expect("a rate above 0");
@@ -280,33 +280,33 @@
 }
 
 struct Model<'a> {
-    case: &'a VerdictCase,
-    settings: &'a VerdictSettings,
+    case: &'a DetectionCase,
+    settings: &'a DetectionSettings,
     random: Pcg64Mcg,
     reporters: Vec<Reporter>,
     /// Reports that are planned, by their time.
     planned: BTreeSet<(Duration, usize)>,
-    judge: Judge<'a>,
+    aggregator: Aggregator<'a>,
     messages: u64,
     bytes: u64,
 }
 
 impl<'a> Model<'a> {
-    fn new(case: &'a VerdictCase, settings: &'a VerdictSettings, seed: u64) -> Self {
+    fn new(case: &'a DetectionCase, settings: &'a DetectionSettings, seed: u64) -> Self {
         Model {
             case,
             settings,
             random: Pcg64Mcg::seed_from_u64(seed),
             reporters: vec![Reporter::default(); case.evidence.agents() as usize],
             planned: BTreeSet::new(),
-            judge: Judge::new(case, settings),
+            aggregator: Aggregator::new(case, settings),
             messages: 0,
             bytes: 0,
         }
     }
 
-    fn ended(&self, after: Option<Duration>, lasted: Duration) -> VerdictRun {
-        VerdictRun {
+    fn ended(&self, after: Option<Duration>, lasted: Duration) -> DetectionRun {
+        DetectionRun {
             after,
             messages: self.messages,
             bytes: self.bytes,
@@ -323,7 +323,7 @@
             }
             self.planned.pop_first();
             self.report(at, from);
-            if self.judge.convicts() {
+            if self.aggregator.detects_bad_build() {
                 return Some(at);
             }
         }
@@ -337,7 +337,7 @@
         reporter.may_report_at = at
             + self
                 .settings
-                .dwell
+                .minimum_stage_time
                 .mul_f64(self.random.random_range(least..most));
         let mut size = REPORT_HEAD_BYTES;
         for _ in 0..REPORT_MOST_RECORDS {
@@ -346,7 +346,7 @@
                 break;
             };
             size += REPORT_RECORD_BYTES;
-            self.judge.learn(trial, route, counts);
+            self.aggregator.learn(trial, route, counts);
         }
         self.messages += 1;
         self.bytes += size as u64;
@@ -376,8 +376,8 @@
                 outcomes: 1,
                 failures: u8::from(failed),
             };
-            self.judge.learn(trial, route, counts);
-            return self.judge.convicts();
+            self.aggregator.learn(trial, route, counts);
+            return self.aggregator.detects_bad_build();
         }
         let counts = reporter.counts.entry((trial, route)).or_default();
         counts.outcomes = counts.outcomes.saturating_add(1);
@@ -405,19 +405,19 @@
         } else {
             0.0
         };
-        self.settings.usual_failure_share + more
+        self.settings.baseline_failure_share + more
     }
 }
 
 /// Who holds the tests of a build: one for each route, and one of all.
-struct Judge<'a> {
-    settings: &'a VerdictSettings,
+struct Aggregator<'a> {
+    settings: &'a DetectionSettings,
     level: f64,
     tests: Vec<RouteTest>,
 }
 
-impl<'a> Judge<'a> {
-    fn new(case: &VerdictCase, settings: &'a VerdictSettings) -> Self {
+impl<'a> Aggregator<'a> {
+    fn new(case: &DetectionCase, settings: &'a DetectionSettings) -> Self {
         let tests = usize::from(case.routes) + 1;
         // The module has one more test, that of pace.
         let level = settings.level / (tests + 1) as f64;
@@ -426,7 +426,7 @@
             Evidence::Pooled(_) => level,
         };
         let test = |_| RouteTest::new(settings, level);
-        Judge {
+        Aggregator {
             settings,
             level,
             tests: (0..tests).map(test).collect(),
@@ -440,9 +440,10 @@
         }
     }
 
-    fn convicts(&self) -> bool {
-        let convicts = |one: &RouteTest| one.test.p <= self.level && one.is_doubtful(self.settings);
-        self.tests.iter().any(convicts)
+    fn detects_bad_build(&self) -> bool {
+        let detects_bad_build =
+            |one: &RouteTest| one.test.p <= self.level && one.is_doubtful(self.settings);
+        self.tests.iter().any(detects_bad_build)
     }
 }
 
@@ -455,7 +456,7 @@
 }
 
 impl RouteTest {
-    fn new(settings: &VerdictSettings, level: f64) -> Self {
+    fn new(settings: &DetectionSettings, level: f64) -> Self {
         RouteTest {
             test: Test::new(settings.tolerance, settings.deviation, level),
             earlier: (0.0, 0.0),
@@ -476,7 +477,7 @@
 
     /// Whether the trial looks worse on enough outcomes, also without the
     /// quarter of its appliances that look worst (`Test::doubtful`).
-    fn is_doubtful(&self, settings: &VerdictSettings) -> bool {
+    fn is_doubtful(&self, settings: &DetectionSettings) -> bool {
         let mut by: Vec<(f64, f64)> = self.by_appliance.values().copied().collect();
         by.sort_by(|one, other| (other.1 / other.0).total_cmp(&(one.1 / one.0)));
         let all = sums(&by);
--- a/crates/capacity/src/verdict_table.rs
+++ b/crates/capacity/src/detection_table.rs
@@ -7,26 +7,26 @@
 
 /// Whose outcomes a verdict's test saw.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
-enum Heard {
+enum EvidenceSource {
     Own,
-    Judge { agents: f64 },
+    Aggregator { agents: f64 },
 }
 
-impl Heard {
-    fn of(sample: &Sample) -> Option<Heard> {
+impl EvidenceSource {
+    fn of(sample: &Sample) -> Option<EvidenceSource> {
         match sample.role {
-            Role::Judge => {
+            Role::Aggregator => {
                 let agents = sample.figure(Quantity::PooledAgents)?;
-                Some(Heard::Judge { agents })
+                Some(EvidenceSource::Aggregator { agents })
             }
-            _ => Some(Heard::Own),
+            _ => Some(EvidenceSource::Own),
         }
     }
 
     fn name(self) -> String {
         match self {
-            Heard::Own => "own outcomes".into(),
-            Heard::Judge { agents } => format!("judge of {}", words::number(agents)),
+            EvidenceSource::Own => "own outcomes".into(),
+            EvidenceSource::Aggregator { agents } => format!("judge of {}", words::number(agents)),
         }
     }
 }
@@ -39,33 +39,39 @@
 
 /// A row for each build, a column for each number of agents heard; below, what
 /// a judge receives.
-pub fn verdicts(analysis: &Analysis) -> String {
-    let is_verdict = |sample: &&Sample| sample.complete && sample.experiment == Experiment::Verdict;
-    let samples: Vec<&Sample> = analysis.samples.iter().filter(is_verdict).collect();
-    let heard = in_order(samples.iter().filter_map(|sample| Heard::of(sample)));
+pub fn detections(analysis: &Analysis) -> String {
+    let is_detection =
+        |sample: &&Sample| sample.complete && sample.experiment == Experiment::Detection;
+    let samples: Vec<&Sample> = analysis.samples.iter().filter(is_detection).collect();
+    let source = in_order(
+        samples
+            .iter()
+            .filter_map(|sample| EvidenceSource::of(sample)),
+    );
     let trials = in_order(samples.iter().filter_map(|sample| trial(sample)));
-    let names: Vec<String> = heard.iter().map(|heard| heard.name()).collect();
+    let names: Vec<String> = source.iter().map(|source| source.name()).collect();
     let mut head = vec!["more failures", "on trial"];
     head.extend(names.iter().map(String::as_str));
     let mut table = Table::new(&head);
     for &(failures, share) in &trials {
-        let of_case = |heard: &Heard| {
+        let of_case = |source: &EvidenceSource| {
             let is_case = |sample: &&&Sample| {
-                Heard::of(sample) == Some(*heard) && trial(sample) == Some((failures, share))
+                EvidenceSource::of(sample) == Some(*source)
+                    && trial(sample) == Some((failures, share))
             };
             samples
                 .iter()
                 .find(is_case)
-                .map_or_else(|| "-".into(), |one| verdict_text(one))
+                .map_or_else(|| "-".into(), |one| detection_text(one))
         };
         let mut cells = vec![words::percent(failures), words::percent(share)];
-        cells.extend(heard.iter().map(of_case));
+        cells.extend(source.iter().map(of_case));
         table.row(&cells);
     }
     if samples.is_empty() {
         return table.finish();
     }
-    let inbound = verdict_bytes(&samples, &heard, analysis.target);
+    let inbound = detection_bytes(&samples, &source, analysis.target);
     format!("{}\n{inbound}", table.finish())
 }
 
@@ -77,10 +83,10 @@
 }
 
 /// The median and the ninth decile, or how many runs came to a verdict.
-fn verdict_text(sample: &Sample) -> String {
-    let median = sample.figure(Quantity::VerdictSeconds);
-    let ninth = sample.figure(Quantity::VerdictSecondsP90);
-    let share = sample.figure(Quantity::VerdictShare).unwrap_or_default();
+fn detection_text(sample: &Sample) -> String {
+    let median = sample.figure(Quantity::DetectionSeconds);
+    let ninth = sample.figure(Quantity::DetectionSecondsP90);
+    let share = sample.figure(Quantity::DetectedShare).unwrap_or_default();
     match (median, ninth) {
         (Some(median), Some(ninth)) => {
             format!("{} s ({} s)", words::number(median), words::number(ninth))
@@ -98,7 +104,7 @@
 }
 
 /// What a judge receives while a build is on trial: the most over the cases.
-fn verdict_bytes(samples: &[&Sample], heard: &[Heard], target: &Target) -> String {
+fn detection_bytes(samples: &[&Sample], source: &[EvidenceSource], target: &Target) -> String {
     let head = [
         "heard",
         "reports in/s",
@@ -107,10 +113,13 @@
         "releases that fit",
     ];
     let mut table = Table::new(&head);
-    for heard in heard.iter().filter(|heard| **heard != Heard::Own) {
+    for source in source
+        .iter()
+        .filter(|source| **source != EvidenceSource::Own)
+    {
         let own = samples
             .iter()
-            .filter(|sample| Heard::of(sample) == Some(*heard));
+            .filter(|sample| EvidenceSource::of(sample) == Some(*source));
         let most = |quantity| {
             let figures = own.clone().filter_map(|sample| sample.figure(quantity));
             figures.max_by(f64::total_cmp).unwrap_or_default()
@@ -123,7 +132,7 @@
             "any".into()
         };
         table.row(&[
-            heard.name(),
+            source.name(),
             words::number(most(Quantity::MessagesInPerSecond)),
             words::number(bytes),
             words::number(share),
--- a/crates/capacity/src/estimate.rs
+++ b/crates/capacity/src/estimate.rs
@@ -174,7 +174,7 @@
     /// most appliances.
     pub(crate) fn nearest(&self, role: Role, parts: &[Quantity]) -> Option<Estimate> {
         let is_wanted = |sample: &&Sample| {
-            let is_run = sample.experiment != Experiment::Verdict;
+            let is_run = sample.experiment != Experiment::Detection;
             is_run && sample.role == role && sample.sum(parts).is_some()
         };
         let largest = self.complete().filter(is_wanted).max_by(|one, other| {
@@ -236,7 +236,7 @@
     let is_whole = match sample.experiment {
         Experiment::Budget | Experiment::Predict | Experiment::Process => true,
         Experiment::Slope => sample.factor.is_none() || sample.held_back,
-        Experiment::Event | Experiment::Verdict => false,
+        Experiment::Event | Experiment::Detection => false,
     };
     is_whole && sample.event.is_none()
 }
--- a/crates/capacity/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -3,13 +3,15 @@
 //! [`target`] reads the file that describes a fleet, [`fleet`] draws one from
 //! it, and [`result`] defines the records that measurements are kept in.
 //! [`fit`] works out slopes, [`analysis`] holds them against the budgets of the
-//! target, and [`page`] and [`plot`] show the outcome. [`verdict`] models how
+//! target, and [`page`] and [`plot`] show the outcome. [`detection`] models how
 //! long a release's test takes.
 #![allow(clippy::missing_panics_doc)] // Not met yet.
 #![allow(unreachable_pub)] // Not met yet.
 
 pub mod analysis;
 pub mod budget;
+pub mod detection;
+mod detection_table;
 pub mod estimate;
 pub mod fit;
 pub mod fleet;
@@ -19,8 +21,6 @@
 pub mod result;
 pub mod tables;
 pub mod target;
-pub mod verdict;
-mod verdict_table;
 pub mod words;
 
 pub use fleet::Fleet;
--- a/crates/capacity/src/plot.rs
+++ b/crates/capacity/src/plot.rs
@@ -113,7 +113,7 @@
     Ok(text)
 }
 
-fn say_not_measured(area: &Area, title: &str) -> Result<(), PlotError> {
+fn draw_not_measured(area: &Area, title: &str) -> Result<(), PlotError> {
     let style = (FONT, TITLE_SIZE).into_font();
     let text = format!("{title}: {}", words::NOT_MEASURED);
     let label = Text::new(text, (MARGIN as i32, MARGIN as i32), style);
@@ -131,7 +131,7 @@
     let bars: Vec<(String, f64)> = rows.iter().filter_map(bar).collect();
     draw(|area| {
         if bars.is_empty() {
-            return say_not_measured(area, TITLE);
+            return draw_not_measured(area, TITLE);
         }
         draw_bars(area, TITLE, &bars)
     })
@@ -204,7 +204,7 @@
     let curves = curves(analysis);
     draw(|area| {
         if curves.is_empty() {
-            return say_not_measured(area, TITLE);
+            return draw_not_measured(area, TITLE);
         }
         draw_curves(area, TITLE, &curves)
     })
--- a/crates/capacity/src/result.rs
+++ b/crates/capacity/src/result.rs
@@ -26,7 +26,8 @@
     /// What the real agent process uses, measured from outside.
     Process,
     /// How long a release's test takes to turn back a bad build.
-    Verdict,
+    #[serde(rename = "verdict")]
+    Detection,
     /// A size held back from the fits, to be predicted.
     Predict,
 }
@@ -50,7 +51,8 @@
     /// Sends requests of its clients to appliances.
     Agent,
     /// An agent that others report outcomes of a build on trial to.
-    Judge,
+    #[serde(rename = "judge")]
+    Aggregator,
     /// Tells agents the list of appliances and its changes.
     Discovery,
     /// Runs the machines and collects votes.
@@ -179,13 +181,16 @@
     StateEntries,
     /// From a bad build's first share of the requests to the vote against it,
     /// in seconds; the median of several runs.
-    VerdictSeconds,
+    #[serde(rename = "verdict_seconds")]
+    DetectionSeconds,
     /// The same, which nine in ten runs stay below.
-    VerdictSecondsP90,
+    #[serde(rename = "verdict_seconds_p90")]
+    DetectionSecondsP90,
     /// Runs that a figure is drawn from.
     Runs,
     /// Share of runs that came to a vote against the build.
-    VerdictShare,
+    #[serde(rename = "verdict_share")]
+    DetectedShare,
     /// Share of requests that the bad build fails beyond what any build does.
     BadBuildFailureShare,
     /// Share of appliances that carry the build on trial.
--- a/crates/capacity/src/tables.rs
+++ b/crates/capacity/src/tables.rs
@@ -8,7 +8,7 @@
 use crate::markdown::Table;
 use crate::result::{EventKind, Quantity, Role, Sample, Size};
 use crate::target::Target;
-use crate::{verdict_table, words};
+use crate::{detection_table, words};
 
 /// A generated part of the page.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -82,7 +82,7 @@
             Part::Predictions => predictions(analysis),
             Part::Processes => processes(analysis),
             Part::Events => events(analysis),
-            Part::Verdicts => verdict_table::verdicts(analysis),
+            Part::Verdicts => detection_table::detections(analysis),
             Part::Runs => runs(analysis),
         }
     }
@@ -163,7 +163,7 @@
 
 const ROLES: [Role; 6] = [
     Role::Agent,
-    Role::Judge,
+    Role::Aggregator,
     Role::Discovery,
     Role::Platform,
     Role::Appliance,
--- a/crates/capacity/src/words.rs
+++ b/crates/capacity/src/words.rs
@@ -60,7 +60,7 @@
 pub fn role(role: Role) -> &'static str {
     match role {
         Role::Agent => "agent",
-        Role::Judge => "judge",
+        Role::Aggregator => "judge",
         Role::Discovery => "discovery",
         Role::Platform => "platform",
         Role::Appliance => "appliance",
@@ -140,10 +140,10 @@
         Quantity::ClosedRequests => "requests with a closed connection",
         Quantity::AddedLatencyMillis => "added p99, ms",
         Quantity::StateEntries => "entries of state",
-        Quantity::VerdictSeconds => "verdict, s",
-        Quantity::VerdictSecondsP90 => "verdict p90, s",
+        Quantity::DetectionSeconds => "verdict, s",
+        Quantity::DetectionSecondsP90 => "verdict p90, s",
         Quantity::Runs => "runs",
-        Quantity::VerdictShare => "share of runs with a verdict",
+        Quantity::DetectedShare => "share of runs with a verdict",
         Quantity::BadBuildFailureShare => "failures of the bad build, share",
         Quantity::TrialShare => "on trial, share",
         Quantity::PooledAgents => "agents pooled",
--- a/crates/capacity/tests/verdict.rs
+++ b/crates/capacity/tests/detection.rs
@@ -3,16 +3,16 @@
 use std::path::Path;
 use std::time::Duration;
 
-use lilacgate_capacity::verdict::{
-    Evidence, VerdictCase, VerdictRun, VerdictSettings, run, verdicts,
+use lilacgate_capacity::detection::{
+    DetectionCase, DetectionRun, DetectionSettings, Evidence, detections, run,
 };
 use lilacgate_capacity::{Experiment, Quantity, Target};
 use rstest::rstest;
 
 const SEEDS: std::ops::Range<u64> = 1..12;
 
-fn case(evidence: Evidence, failure_share: f64) -> VerdictCase {
-    VerdictCase {
+fn case(evidence: Evidence, failure_share: f64) -> DetectionCase {
+    DetectionCase {
         evidence,
         agents: 60,
         routes: 3,
@@ -23,12 +23,12 @@
     }
 }
 
-fn runs(case: &VerdictCase) -> Vec<VerdictRun> {
-    let settings = VerdictSettings::default();
+fn runs(case: &DetectionCase) -> Vec<DetectionRun> {
+    let settings = DetectionSettings::default();
     SEEDS.map(|seed| run(case, &settings, seed)).collect()
 }
 
-fn median(case: &VerdictCase) -> Duration {
+fn median(case: &DetectionCase) -> Duration {
     let longest = Duration::MAX;
     let mut times: Vec<Duration> = runs(case)
         .iter()
@@ -43,18 +43,18 @@
 #[case::more_agents(case(Evidence::Pooled(60), 0.2), case(Evidence::Pooled(6), 0.2))]
 #[case::pooled(case(Evidence::Pooled(6), 0.2), case(Evidence::Own, 0.2))]
 #[case::level(case(Evidence::Pooled(1), 0.5), case(Evidence::Own, 0.5))]
-fn more_evidence_is_sooner(#[case] sooner: VerdictCase, #[case] later: VerdictCase) {
+fn more_evidence_is_sooner(#[case] sooner: DetectionCase, #[case] later: DetectionCase) {
     let (sooner, later) = (median(&sooner), median(&later));
     assert!(sooner < later, "{sooner:?} is not before {later:?}");
 }
 
 #[test]
-fn a_good_build_is_seldom_turned_back() {
-    let turned_back = runs(&case(Evidence::Pooled(6), 0.0))
+fn a_good_build_is_seldom_rolled_back() {
+    let rolled_back = runs(&case(Evidence::Pooled(6), 0.0))
         .iter()
         .filter(|run| run.after.is_some())
         .count();
-    assert!(turned_back <= 1, "{turned_back}");
+    assert!(rolled_back <= 1, "{rolled_back}");
 }
 
 #[test]
@@ -65,10 +65,10 @@
 
 #[test]
 fn earlier_outcomes_count_only_beside_the_trials() {
-    let settings = VerdictSettings {
+    let settings = DetectionSettings {
         most_recent: Duration::ZERO,
         longest: Duration::from_secs(600),
-        ..VerdictSettings::default()
+        ..DetectionSettings::default()
     };
     let run = run(&case(Evidence::Pooled(60), 0.5), &settings, 1);
     assert_eq!(run.after, None, "there is nothing to compare with");
@@ -96,40 +96,41 @@
 #[test]
 fn each_case_gives_one_sample() {
     let target = Target::load(Path::new("tests/good/drawn.xml")).expect("it is fine");
-    let settings = VerdictSettings {
+    let settings = DetectionSettings {
         failure_shares: vec![0.5],
         trial_shares: vec![0.5],
         pooled_parts: vec![0.5, 1.0],
-        ..VerdictSettings::default()
+        ..DetectionSettings::default()
     };
-    let samples = verdicts(&target, &settings, &[1, 2, 3], "lilacgate-scale verdicts");
+    let samples = detections(&target, &settings, &[1, 2, 3], "lilacgate-scale verdicts");
     let pooled: Vec<_> = samples
         .iter()
         .map(|sample| sample.figure(Quantity::PooledAgents).expect("it is there"))
         .collect();
     assert_eq!(pooled, [1.0, 20.0, 40.0]);
     for sample in &samples {
-        assert_eq!(sample.experiment, Experiment::Verdict);
-        assert_eq!(sample.figure(Quantity::VerdictShare), Some(1.0));
-        assert!(sample.figure(Quantity::VerdictSeconds) > Some(0.0));
+        assert_eq!(sample.experiment, Experiment::Detection);
+        assert_eq!(sample.figure(Quantity::DetectedShare), Some(1.0));
+        assert!(sample.figure(Quantity::DetectionSeconds) > Some(0.0));
         assert!(
-            sample.figure(Quantity::VerdictSecondsP90) >= sample.figure(Quantity::VerdictSeconds)
+            sample.figure(Quantity::DetectionSecondsP90)
+                >= sample.figure(Quantity::DetectionSeconds)
         );
     }
 }
 
 #[test]
-fn what_comes_to_no_verdict_has_no_time() {
+fn what_is_not_detected_has_no_time() {
     let target = Target::load(Path::new("tests/good/drawn.xml")).expect("it is fine");
-    let settings = VerdictSettings {
+    let settings = DetectionSettings {
         failure_shares: vec![0.05],
         trial_shares: vec![0.1],
         pooled_parts: vec![0.0],
         longest: Duration::from_secs(1),
-        ..VerdictSettings::default()
+        ..DetectionSettings::default()
     };
-    for sample in verdicts(&target, &settings, &[1], "lilacgate-scale verdicts") {
-        assert_eq!(sample.figure(Quantity::VerdictShare), Some(0.0));
-        assert_eq!(sample.figure(Quantity::VerdictSeconds), None);
+    for sample in detections(&target, &settings, &[1], "lilacgate-scale verdicts") {
+        assert_eq!(sample.figure(Quantity::DetectedShare), Some(0.0));
+        assert_eq!(sample.figure(Quantity::DetectionSeconds), None);
     }
 }
--- a/crates/capacity/tests/estimate.rs
+++ b/crates/capacity/tests/estimate.rs
@@ -172,11 +172,11 @@
 }
 
 #[test]
-fn without_a_better_figure_a_judge_has_that_of_the_most_agents() {
+fn without_a_better_figure_an_aggregator_has_that_of_the_most_agents() {
     let bytes = |agents: u32, listed: u32, figure: f64| {
         let mut one = sample(
             Experiment::Slope,
-            Role::Judge,
+            Role::Aggregator,
             Quantity::BytesInPerSecond,
             figure,
         );
@@ -192,10 +192,11 @@
     ];
     let target = target();
     let budgets = Analysis::new(&samples, &target).budgets();
-    let is_judge = |row: &&BudgetRow| (row.role, row.kind) == (Role::Judge, BudgetKind::Bytes);
+    let is_aggregator =
+        |row: &&BudgetRow| (row.role, row.kind) == (Role::Aggregator, BudgetKind::Bytes);
     let used = budgets
         .iter()
-        .find(is_judge)
+        .find(is_aggregator)
         .expect("a row")
         .used
         .expect("a figure");
--- a/crates/capacity/tests/target.rs
+++ b/crates/capacity/tests/target.rs
@@ -161,8 +161,8 @@
     fn any_text_is_read_or_refused(at in 0usize..2000, put in "[<>\"&;/a-z0-9 =.-]{0,12}") {
         let text = include_str!("../../../deploy/capacity.xml");
         let at = at % text.len();
-        let spoilt = format!("{}{put}{}", &text[..at], &text[at..]);
-        match Target::parse(&spoilt) {
+        let malformed = format!("{}{put}{}", &text[..at], &text[at..]);
+        match Target::parse(&malformed) {
             Ok(target) => drop(target.draw(1)),
             Err(error) => prop_assert_eq!(error.to_string().lines().count(), 1),
         }
--- a/crates/loopback/src/fleet.rs
+++ b/crates/loopback/src/fleet.rs
@@ -104,7 +104,7 @@
             plan.seed,
         );
         let discovery = Discovery::start(host, membership, plan.delivery).await?;
-        let platform = Platform::start(host, news(&plan)).await?;
+        let platform = Platform::start(host, release_update(&plan)).await?;
         let places: Vec<Place> = (0..plan.agents).map(|_| place()).collect();
         let datagrams = places.iter().map(|place| place.datagrams).collect();
         let relay = Relay::start(host, datagrams).await?;
@@ -195,7 +195,7 @@
                 all_peers: self.relay.all(),
                 discovery: self.discovery.address(),
                 platform: self.platform.address(),
-                news: news(&self.plan),
+                release_update: release_update(&self.plan),
                 known: known.clone(),
                 memory_mb: self.plan.memory_mb,
                 sockets: self.plan.sockets,
@@ -383,7 +383,7 @@
 }
 
 /// The newest build: released, or on trial where some appliances run a second one.
-fn news(plan: &Plan) -> Value {
+fn release_update(plan: &Plan) -> Value {
     if plan.trial_share > 0.0 {
         json!({"Revision": 2, "Wave": 1, "State": "Progressing", "MaxShare": 0.28, "AgeMs": 1000})
     } else {
--- a/crates/loopback/src/platform.rs
+++ b/crates/loopback/src/platform.rs
@@ -25,8 +25,8 @@
 }
 
 impl Platform {
-    /// Listens at this host; `news` is the state of the newest build, as a JSON object.
-    pub async fn start(host: Ipv4Addr, news: Value) -> Result<Self, LoopbackError> {
+    /// Listens at this host; `release_update` is the state of the newest build, as a JSON object.
+    pub async fn start(host: Ipv4Addr, release_update: Value) -> Result<Self, LoopbackError> {
         let listener = TcpListener::bind((host, 0))
             .await
             .map_err(LoopbackError::setup("platform"))?;
@@ -34,7 +34,7 @@
             .local_addr()
             .map_err(LoopbackError::setup("platform"))?;
         let traffic = Arc::new(Traffic::default());
-        tokio::spawn(accept(listener, news, traffic.clone()));
+        tokio::spawn(accept(listener, release_update, traffic.clone()));
         Ok(Platform { address, traffic })
     }
 
@@ -49,13 +49,13 @@
     }
 }
 
-async fn accept(listener: TcpListener, news: Value, traffic: Arc<Traffic>) {
+async fn accept(listener: TcpListener, release_update: Value, traffic: Arc<Traffic>) {
     while let Ok((stream, _)) = listener.accept().await {
-        tokio::spawn(serve(stream, news.clone(), traffic.clone()));
+        tokio::spawn(serve(stream, release_update.clone(), traffic.clone()));
     }
 }
 
-async fn serve(stream: TcpStream, news: Value, traffic: Arc<Traffic>) {
+async fn serve(stream: TcpStream, release_update: Value, traffic: Arc<Traffic>) {
     stream.set_nodelay(true).ok();
     let (reader, mut writer) = stream.into_split();
     let mut lines = BufReader::new(reader).lines();
@@ -66,12 +66,13 @@
         };
         if call["method"] == "listen" {
             tokio::select! {
-                _ = tell(&mut writer, &news, &traffic) => {}
+                _ = notify(&mut writer, &release_update, &traffic) => {}
                 _ = lines.next_line() => {}
             }
             return;
         }
-        let answer = serde_json::json!({"jsonrpc": "2.0", "id": call["id"], "result": news});
+        let answer =
+            serde_json::json!({"jsonrpc": "2.0", "id": call["id"], "result": release_update});
         if send(&mut writer, format!("{answer}\n").as_bytes(), &traffic)
             .await
             .is_err()
@@ -82,9 +83,18 @@
 }
 
 /// Tells a listener the news, and pings it for as long as it stays.
-async fn tell(writer: &mut OwnedWriteHalf, news: &Value, traffic: &Traffic) -> std::io::Result<()> {
+async fn notify(
+    writer: &mut OwnedWriteHalf,
+    release_update: &Value,
+    traffic: &Traffic,
+) -> std::io::Result<()> {
     send(writer, LISTENS, traffic).await?;
-    send(writer, rollout(&news.to_string()).as_bytes(), traffic).await?;
+    send(
+        writer,
+        rollout(&release_update.to_string()).as_bytes(),
+        traffic,
+    )
+    .await?;
     loop {
         sleep(PING_PERIOD).await;
         send(writer, PING, traffic).await?;
--- a/crates/loopback/src/samples.rs
+++ b/crates/loopback/src/samples.rs
@@ -59,7 +59,13 @@
         sample(plan, Role::Platform, rate, None, platform),
     ];
     if plan.trial_share > 0.0 {
-        samples.push(sample(plan, Role::Judge, rate, None, judge_figures(window)));
+        samples.push(sample(
+            plan,
+            Role::Aggregator,
+            rate,
+            None,
+            judge_figures(window),
+        ));
     }
     for sample in &mut samples {
         sample.complete = window.complete;
--- a/crates/loopback/src/start_file.rs
+++ b/crates/loopback/src/start_file.rs
@@ -33,7 +33,7 @@
     /// Where the platform listens.
     pub platform: SocketAddr,
     /// The state of the newest build.
-    pub news: Value,
+    pub release_update: Value,
     /// The list that the agent begins with, as discovery writes it.
     pub known: Option<String>,
     /// The bound of its memory.
@@ -66,7 +66,7 @@
         file["peer_listen"] = json!(self.peer_listen);
         file["peers"] = json!(self.peers);
         file["peers_all"] = json!(self.all_peers);
-        file["pipeline"] = json!({"address": self.platform, "news": self.news});
+        file["pipeline"] = json!({"address": self.platform, "news": self.release_update});
         file["known"] = self.known();
         file["settings"]["me"] = json!(self.agent);
         file["settings"]["instances"] = json!(self.agents);
--- a/crates/scale/src/agent.rs
+++ b/crates/scale/src/agent.rs
@@ -19,7 +19,7 @@
 use crate::error::ScaleError;
 use crate::fleet::FleetSize;
 use crate::meter::Meter;
-use crate::module::{Attempt, Heard, Module, Owed, Pending};
+use crate::module::{Attempt, Module, ModuleEvent, Pending, UnansweredRequest};
 use crate::network::{AttemptId, Incoming, ONE_WAY, Outgoing, Sent, ServiceIndex};
 use crate::settings::{self, ANSWER_SLACK_MICROS, GIVE_UP_MICROS, MAX_ATTEMPTS, Start};
 use crate::wire;
@@ -195,13 +195,13 @@
     /// Starts it: its clients begin to ask, and each module has its first round.
     pub fn start(&mut self, now: Duration, common: &Common) {
         let tenants = common.size.tenants;
-        let openings = (tenants > 0).then(|| Arc::new(all_open(&common.size)));
+        let permissions = (tenants > 0).then(|| Arc::new(all_open(&common.size)));
         for index in 0..self.modules.len() as u32 {
-            let heard = openings
+            let received = permissions
                 .iter()
-                .map(|open| Heard::Openings(open.clone()))
+                .map(|open| ModuleEvent::ReleasePermissions(open.clone()))
                 .collect();
-            self.round(index, now, heard);
+            self.round(index, now, received);
         }
         let phase = wire::PING_PERIOD.mul_f64(self.chance.random());
         self.push(now + phase, 0, Incoming::SignsOfLife);
@@ -226,8 +226,8 @@
         for (index, connection) in connections.into_iter().enumerate() {
             let module = &mut self.modules[index];
             module.connection = connection + 1;
-            let heard = module.take_saved(&saved[index], &mut self.meter);
-            self.round(index as u32, now, heard.into_iter().collect());
+            let received = module.take_saved(&saved[index], &mut self.meter);
+            self.round(index as u32, now, received.into_iter().collect());
         }
         self.start(now, common);
         Ok(())
@@ -263,16 +263,16 @@
                 break;
             }
             let (at, module) = (first.at, first.module);
-            let heard = self.hear(at, module, common);
-            if !heard.is_empty() {
-                self.round(module, at, heard);
+            let received = self.hear(at, module, common);
+            if !received.is_empty() {
+                self.round(module, at, received);
             }
         }
     }
 
     /// Takes all events of a moment and module off the queue.
-    fn hear(&mut self, at: Duration, module: u32, common: &Common) -> Vec<Heard> {
-        let mut heard = Vec::new();
+    fn hear(&mut self, at: Duration, module: u32, common: &Common) -> Vec<ModuleEvent> {
+        let mut received = Vec::new();
         while let Some(Reverse(event)) = self.queue.peek() {
             if (event.at, event.module) != (at, module) {
                 break;
@@ -280,9 +280,9 @@
             let Some(Reverse(event)) = self.queue.pop() else {
                 break;
             };
-            self.hear_one(at, module, event.what, common, &mut heard);
+            self.hear_one(at, module, event.what, common, &mut received);
         }
-        heard
+        received
     }
 
     fn hear_one(
@@ -291,15 +291,15 @@
         index: u32,
         what: Incoming,
         common: &Common,
-        heard: &mut Vec<Heard>,
+        received: &mut Vec<ModuleEvent>,
     ) {
         match what {
             Incoming::Request => {
-                heard.push(self.take_request(at, index, common));
+                received.push(self.take_request(at, index, common));
                 self.push_request(at, common);
             }
-            Incoming::Ended { attempt, ending } => {
-                heard.extend(self.end_attempt(at, index, attempt, ending));
+            Incoming::Ended { attempt, outcome } => {
+                received.extend(self.end_attempt(at, index, attempt, outcome));
             }
             Incoming::List {
                 connection,
@@ -310,7 +310,7 @@
                 let module = &mut self.modules[index as usize];
                 if connection == module.connection {
                     let before = self.meter.parsing;
-                    heard.extend(module.take_list(&bytes, &mut self.meter));
+                    received.extend(module.take_list(&bytes, &mut self.meter));
                     let reading = self.meter.parsing - before;
                     module.pending = Some(Pending {
                         since,
@@ -323,19 +323,19 @@
                 let module = &mut self.modules[index as usize];
                 if connection == module.connection {
                     module.has_list = false;
-                    heard.push(Heard::Membership(ListUpdate::Failed, vec![]));
+                    received.push(ModuleEvent::EndpointList(ListUpdate::Failed, vec![]));
                 }
             }
-            Incoming::News(bytes) => {
+            Incoming::ReleaseUpdate(bytes) => {
                 let module = &mut self.modules[index as usize];
-                heard.extend(module.take_news(&bytes, &mut self.meter));
+                received.extend(module.take_release_updates(&bytes, &mut self.meter));
             }
-            Incoming::VoteAnswered(ending) => heard.push(Heard::VoteAnswered(ending)),
-            Incoming::Datagram { from, octets } => {
-                self.meter.counts.reports_in.add(octets.len());
-                heard.push(Heard::Datagram(from, octets));
+            Incoming::VoteAnswered(outcome) => received.push(ModuleEvent::VoteAnswered(outcome)),
+            Incoming::Datagram { from, payload } => {
+                self.meter.counts.reports_in.add(payload.len());
+                received.push(ModuleEvent::Datagram(from, payload));
             }
-            Incoming::Wake(ticket) => heard.push(Heard::Wake(ticket)),
+            Incoming::Wake(timer) => received.push(ModuleEvent::Wake(timer)),
             Incoming::SignsOfLife => self.take_signs_of_life(at),
         }
     }
@@ -353,7 +353,7 @@
         self.push(at + wire::PING_PERIOD, 0, Incoming::SignsOfLife);
     }
 
-    fn take_request(&mut self, now: Duration, index: u32, common: &Common) -> Heard {
+    fn take_request(&mut self, now: Duration, index: u32, common: &Common) -> ModuleEvent {
         let route = self.chance.random_range(0..common.routes(index as usize));
         let tenant = self.chance.random_range(0..common.size.tenants.max(1));
         let work = common.work.sample(&mut self.chance);
@@ -366,7 +366,7 @@
             estimated_work: Some(Duration::from_secs_f64(hint)),
             is_retry: false,
         };
-        let owed = Owed {
+        let unanswered = UnansweredRequest {
             arrived: now,
             work: Duration::from_secs_f64(work),
             until: request.deadline - Duration::from_micros(ANSWER_SLACK_MICROS),
@@ -377,9 +377,9 @@
         let module = &mut self.modules[index as usize];
         module.last_request = module.last_request.wrapping_add(1);
         let id = RequestId(module.last_request);
-        module.owed.insert(id, owed);
+        module.unanswered.insert(id, unanswered);
         self.meter.counts.requests += 1;
-        Heard::Request(id, request)
+        ModuleEvent::Request(id, request)
     }
 
     fn end_attempt(
@@ -387,41 +387,41 @@
         now: Duration,
         index: u32,
         attempt: AttemptId,
-        ending: Outcome,
-    ) -> Option<Heard> {
+        outcome: Outcome,
+    ) -> Option<ModuleEvent> {
         let module = &mut self.modules[index as usize];
         let AttemptId {
             request: id,
             number,
         } = attempt;
-        let owed = module.owed.get_mut(&id)?;
-        let attempt = owed.attempts.get_mut(usize::from(number.0))?;
-        if attempt.ending.is_some() {
+        let unanswered = module.unanswered.get_mut(&id)?;
+        let attempt = unanswered.attempts.get_mut(usize::from(number.0))?;
+        if attempt.outcome.is_some() {
             return None;
         }
-        attempt.ending = Some(ending);
+        attempt.outcome = Some(outcome);
         let (took, at) = (now.saturating_sub(attempt.sent), attempt.to);
-        if ending == Outcome::Succeeded && !owed.answered {
-            owed.answered = true;
+        if outcome == Outcome::Succeeded && !unanswered.answered {
+            unanswered.answered = true;
             self.meter.counts.served += 1;
         }
-        let closed = owed.answered;
-        if closed && owed.is_quiet() {
-            module.owed.remove(&id);
+        let closed = unanswered.answered;
+        if closed && unanswered.is_quiet() {
+            module.unanswered.remove(&id);
         }
-        Some(Heard::Ended {
+        Some(ModuleEvent::AttemptEnded {
             id,
             number,
             at,
-            ending,
+            outcome,
             took,
             closed,
         })
     }
 
-    fn round(&mut self, index: u32, now: Duration, heard: Vec<Heard>) {
+    fn round(&mut self, index: u32, now: Duration, received: Vec<ModuleEvent>) {
         let module = &mut self.modules[index as usize];
-        let (decided, took) = module.round(now, heard);
+        let (decided, took) = module.round(now, received);
         if let Some(pending) = module.pending.take() {
             let after = now.saturating_sub(pending.since) + pending.reading + took;
             self.meter.acted_on_list(pending.whole, after);
@@ -435,45 +435,37 @@
     fn carry_out(&mut self, index: u32, now: Duration, decision: Decision) {
         match decision {
             Decision::Attempt(id, to) => self.send_attempt(index, now, id, to),
-            Decision::Decline(id) => {
+            Decision::Reject(id) => {
                 self.meter.counts.refused += 1;
                 self.close(index, id);
             }
-            Decision::Void(id) => {
+            Decision::Fail(id) => {
                 self.meter.counts.failed += 1;
                 self.close(index, id);
             }
-            Decision::CallOff(request, number) => {
+            Decision::Cancel(request, number) => {
                 let attempt = AttemptId { request, number };
-                let ending = Outcome::Cancelled;
-                self.push(now, index, Incoming::Ended { attempt, ending });
+                let outcome = Outcome::Cancelled;
+                self.push(now, index, Incoming::Ended { attempt, outcome });
             }
-            Decision::Wake(at, ticket) => self.push(at, index, Incoming::Wake(ticket)),
-            Decision::Tell(to, octets) => {
-                self.meter.counts.reports_out.add(octets.len());
+            Decision::ScheduleWakeUp(at, timer) => self.push(at, index, Incoming::Wake(timer)),
+            Decision::SendToPeer(to, payload) => {
+                self.meter.counts.reports_out.add(payload.len());
                 self.send(
                     now,
                     index,
                     Outgoing::Datagram {
                         to,
-                        octets: octets.into(),
+                        payload: payload.into(),
                     },
                 );
             }
             Decision::Watch(on) => self.watch(index, now, on),
             Decision::Fetch => self.watch(index, now, true),
-            Decision::Vote(build, stage, verdict) => {
+            Decision::Vote(build, stage, vote) => {
                 let bytes = wire::vote_call_bytes(1, build.0, stage.0, "promote");
                 self.meter.counts.calls_out.add(bytes);
-                self.send(
-                    now,
-                    index,
-                    Outgoing::Vote {
-                        build,
-                        stage,
-                        verdict,
-                    },
-                );
+                self.send(now, index, Outgoing::Vote { build, stage, vote });
                 self.push(
                     now + VOTE_TRIP,
                     index,
@@ -505,20 +497,20 @@
 
     fn send_attempt(&mut self, index: u32, now: Duration, id: RequestId, to: EndpointId) {
         let module = &mut self.modules[index as usize];
-        let Some(owed) = module.owed.get_mut(&id) else {
+        let Some(unanswered) = module.unanswered.get_mut(&id) else {
             return;
         };
-        let broken = breaks_rule(now, owed) || module.not_ready.contains_key(&to);
+        let broken = breaks_rule(now, unanswered) || module.not_ready.contains_key(&to);
         self.meter.counts.broken_rules += u64::from(broken);
         self.meter.counts.attempts += 1;
         *self.used.entry((ServiceIndex(index), to)).or_default() += 1;
-        let number = AttemptNumber(owed.attempts.len() as u8);
-        owed.attempts.push(Attempt {
+        let number = AttemptNumber(unanswered.attempts.len() as u8);
+        unanswered.attempts.push(Attempt {
             to,
             sent: now,
-            ending: None,
+            outcome: None,
         });
-        let (work, until) = (owed.work, owed.until);
+        let (work, until) = (unanswered.work, unanswered.until);
         let attempt = AttemptId {
             request: id,
             number,
@@ -538,22 +530,22 @@
     /// The client has its answer, though none was served.
     fn close(&mut self, index: u32, id: RequestId) {
         let module = &mut self.modules[index as usize];
-        let Some(owed) = module.owed.get_mut(&id) else {
+        let Some(unanswered) = module.unanswered.get_mut(&id) else {
             return;
         };
-        owed.answered = true;
-        if owed.is_quiet() {
-            module.owed.remove(&id);
+        unanswered.answered = true;
+        if unanswered.is_quiet() {
+            module.unanswered.remove(&id);
         }
     }
 }
 
 /// Whether one more attempt of a request is against the rules: too many, too late, or a repeat of
 /// what must not run twice.
-fn breaks_rule(now: Duration, owed: &Owed) -> bool {
-    let too_many = owed.attempts.len() >= usize::from(MAX_ATTEMPTS);
-    let too_late = now + ONE_WAY > owed.until || owed.answered;
-    let again = !owed.repeatable && owed.attempts.iter().any(Attempt::may_have_run);
+fn breaks_rule(now: Duration, unanswered: &UnansweredRequest) -> bool {
+    let too_many = unanswered.attempts.len() >= usize::from(MAX_ATTEMPTS);
+    let too_late = now + ONE_WAY > unanswered.until || unanswered.answered;
+    let again = !unanswered.repeatable && unanswered.attempts.iter().any(Attempt::may_have_run);
     too_many || too_late || again
 }
 
--- a/crates/scale/src/appliance.rs
+++ b/crates/scale/src/appliance.rs
@@ -7,7 +7,7 @@
 use rand_pcg::Pcg64Mcg;
 
 use crate::network::{ONE_WAY, ServiceIndex};
-use crate::settings::{COLD_FROM, RAMP_MICROS};
+use crate::settings::{INITIAL_CAPACITY_SHARE, RAMP_MICROS};
 use crate::wire::{Entry, ListedState};
 
 /// Workers of an appliance.
@@ -36,7 +36,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Reply {
     /// How.
-    pub ending: Outcome,
+    pub outcome: Outcome,
     /// When.
     pub at: Duration,
 }
@@ -55,7 +55,7 @@
     /// What the list says of it.
     pub entry: Entry,
     /// Attempts that reached it while it ran.
-    pub asked: u64,
+    pub requests_received: u64,
     free_at: [Duration; WORKERS],
     chance: Pcg64Mcg,
     time: Option<LogNormal<f64>>,
@@ -70,14 +70,14 @@
         let chance = Pcg64Mcg::seed_from_u64(seed ^ mix);
         // The mean of the factor is 1.
         let time = LogNormal::new(-TIME_SPREAD * TIME_SPREAD / 2.0, TIME_SPREAD).ok();
-        let (free_at, asked) = Default::default();
+        let (free_at, requests_received) = Default::default();
         Appliance {
             service,
             zone,
             rack,
             power: Power::Up,
             entry,
-            asked,
+            requests_received,
             free_at,
             chance,
             time,
@@ -99,59 +99,59 @@
         match self.power {
             Power::Up => self.serve(arrives, work, until),
             Power::Refusing => Reply {
-                ending: Outcome::ConnectFailed,
+                outcome: Outcome::ConnectFailed,
                 at: arrives + ONE_WAY,
             },
             Power::Silent => Reply {
-                ending: Outcome::ConnectFailed,
+                outcome: Outcome::ConnectFailed,
                 at: sent + CONNECT_TIMEOUT,
             },
         }
     }
 
     fn serve(&mut self, arrives: Duration, work: Duration, until: Duration) -> Reply {
-        self.asked += 1;
+        self.requests_received += 1;
         let factor = self.time.map_or(1.0, |time| time.sample(&mut self.chance));
         let fails = self.chance.random::<f64>() < FAILURE_SHARE;
         let Some(worker) = self.free_at.iter_mut().min() else {
             return Reply {
-                ending: Outcome::Rejected,
+                outcome: Outcome::Rejected,
                 at: arrives + ONE_WAY,
             };
         };
         let begins = arrives.max(*worker);
         if begins - arrives > QUEUE_LIMIT {
             return Reply {
-                ending: Outcome::Rejected,
+                outcome: Outcome::Rejected,
                 at: arrives + ONE_WAY,
             };
         }
-        let ends = begins + work.mul_f64(factor / warmth(self.entry.started, begins));
+        let ends = begins + work.mul_f64(factor / capacity_share(self.entry.started, begins));
         *worker = ends;
         if ends + ONE_WAY > until {
             return Reply {
-                ending: Outcome::TimedOut,
+                outcome: Outcome::TimedOut,
                 at: until,
             };
         }
-        let ending = if fails {
+        let outcome = if fails {
             Outcome::Failed
         } else {
             Outcome::Succeeded
         };
         Reply {
-            ending,
+            outcome,
             at: ends + ONE_WAY,
         }
     }
 }
 
 /// The share of its full capacity that an appliance has, some time after its start.
-fn warmth(started: Duration, now: Duration) -> f64 {
+fn capacity_share(started: Duration, now: Duration) -> f64 {
     let age = now.saturating_sub(started);
     let ramp = Duration::from_micros(RAMP_MICROS);
     if started.is_zero() || age >= ramp {
         return 1.0;
     }
-    COLD_FROM + (1.0 - COLD_FROM) * age.as_secs_f64() / ramp.as_secs_f64()
+    INITIAL_CAPACITY_SHARE + (1.0 - INITIAL_CAPACITY_SHARE) * age.as_secs_f64() / ramp.as_secs_f64()
 }
--- a/crates/scale/src/cli/events.rs
+++ b/crates/scale/src/cli/events.rs
@@ -156,7 +156,11 @@
 fn samples(observed: &Observed, kind: EventKind, session: &Session, releases: u32) -> Vec<Sample> {
     let steady = &observed.steady;
     let mut roles = vec![(Role::Agent, observed.figures())];
-    roles.extend(steady.judge_figures().map(|figures| (Role::Judge, figures)));
+    roles.extend(
+        steady
+            .aggregator_figures()
+            .map(|figures| (Role::Aggregator, figures)),
+    );
     roles.push((Role::Discovery, steady.discovery_figures()));
     let mut size = steady.size.record(steady.used.round() as u32);
     if kind == EventKind::ManyReleases {
--- a/crates/scale/src/cli/measure.rs
+++ b/crates/scale/src/cli/measure.rs
@@ -44,7 +44,7 @@
 /// All that is measured.
 struct Figures {
     steady: Steady,
-    judged: Steady,
+    with_release: Steady,
     services: Repeated,
     one_service: Repeated,
     evenness: Evenness,
@@ -141,8 +141,8 @@
         error(&services_cost, services_predicted),
         error(&one_cost, one_predicted),
     );
-    let judged = plan(one_release(size), WINDOW);
-    let judged = session.steady(&judged, &label)?;
+    let with_release = plan(one_release(size), WINDOW);
+    let with_release = session.steady(&with_release, &label)?;
     clock.end_stage("judges");
     let spread = plan(measure::spread_size(size), WINDOW);
     let evenness = measure::evenness(&spread, &limits)?;
@@ -150,7 +150,7 @@
     clock.end_stage("evenness");
     Ok(Figures {
         steady,
-        judged,
+        with_release,
         services: services_cost,
         one_service: one_cost,
         evenness,
@@ -303,15 +303,19 @@
         figures[&Quantity::BytesInPerSecond] + figures[&Quantity::BytesOutPerSecond]
     }
 
-    fn judge_bytes_a_second(&self) -> f64 {
-        let judges = [&self.steady, &self.judged].map(Steady::judge_figures);
+    fn aggregator_bytes_per_second(&self) -> f64 {
+        let aggregators = [&self.steady, &self.with_release].map(Steady::aggregator_figures);
         let bytes = |figures: BTreeMap<Quantity, f64>| figures[&Quantity::BytesInPerSecond];
-        judges.into_iter().flatten().map(bytes).fold(0.0, f64::max)
+        aggregators
+            .into_iter()
+            .flatten()
+            .map(bytes)
+            .fold(0.0, f64::max)
     }
 
     fn broken_rules(&self) -> u64 {
         self.steady.total.counts.broken_rules
-            + self.judged.total.counts.broken_rules
+            + self.with_release.total.counts.broken_rules
             + self.services.broken_rules
             + self.one_service.broken_rules
             + self.evenness.broken_rules
@@ -336,7 +340,10 @@
             number(figures.steady.agent_bytes / MEGABYTE as f64),
         ),
         ("agent_bytes_s", number(figures.agent_bytes_a_second())),
-        ("judge_bytes_s", number(figures.judge_bytes_a_second())),
+        (
+            "judge_bytes_s",
+            number(figures.aggregator_bytes_per_second()),
+        ),
         ("in_force_worst_ms", number(figures.in_force_millis)),
         ("restart_bytes", format!("{:.0}", figures.restart_bytes)),
         ("spread_most", number(evenness.most)),
--- a/crates/scale/src/cli/point.rs
+++ b/crates/scale/src/cli/point.rs
@@ -183,11 +183,11 @@
     let reader = std::thread::spawn(move || {
         result::read(&mut std::io::BufReader::new(output), "point".as_ref())
     });
-    let mut told = false;
+    let mut reported = false;
     while !reader.is_finished() {
         std::thread::sleep(POLL);
-        if session.limits.is_interrupted() && !told {
-            told = true;
+        if session.limits.is_interrupted() && !reported {
+            reported = true;
             kill(Pid::from_raw(child.id().cast_signed()), Signal::SIGINT).ok();
         }
     }
--- a/crates/scale/src/cli/slopes.rs
+++ b/crates/scale/src/cli/slopes.rs
@@ -25,7 +25,7 @@
 const WORK_MILLIS: [u32; 5] = [5, 40, 80, 160, 320];
 /// Requests per second, in parts of the usual rate.
 const REQUEST_TIMES: [u32; 5] = [1, 3, 6, 12, 24];
-const USUAL_TIMES: u32 = 6;
+const TYPICAL_TIMES: u32 = 6;
 /// Changes per second.
 const CHANGES: [u32; 5] = [1, 5, 10, 20, 40];
 /// Agents of a slope that is not over agents.
@@ -126,7 +126,7 @@
             Slope::Routes => vary(parts(MOST_ROUTES, &PARTS), &|size, n| size.routes = n),
             Slope::Tenants => vary(parts(file.tenants, &PARTS), &|size, n| size.tenants = n),
             Slope::Requests => vary(REQUEST_TIMES.to_vec(), &|size, n| {
-                size.request_rate *= f64::from(n) / f64::from(USUAL_TIMES);
+                size.request_rate *= f64::from(n) / f64::from(TYPICAL_TIMES);
             }),
             Slope::Changes => vary(CHANGES.to_vec(), &|size, n| size.change_rate = n.into()),
             Slope::Releases => vary(parts(releases, &RELEASE_PARTS), &|size, n| {
--- a/crates/scale/src/cli/verdicts.rs
+++ b/crates/scale/src/cli/verdicts.rs
@@ -1,5 +1,5 @@
 //! `verdicts`: how long a release's test takes to turn back a bad build.
-use lilacgate_capacity::verdict::{VerdictSettings, verdicts};
+use lilacgate_capacity::detection::{DetectionSettings, detections};
 
 use crate::cli::session::Session;
 use crate::error::ScaleError;
@@ -22,7 +22,7 @@
     let seeds: Vec<u64> = (first..first + arguments.runs).collect();
     session.heading();
     let command = session.command().to_owned();
-    for sample in verdicts(&target, &VerdictSettings::default(), &seeds, &command) {
+    for sample in detections(&target, &DetectionSettings::default(), &seeds, &command) {
         session.keep(sample)?;
     }
     Ok(())
--- a/crates/scale/src/decisions.rs
+++ b/crates/scale/src/decisions.rs
@@ -11,15 +11,15 @@
     /// An attempt goes to an appliance.
     Attempt(RequestId, EndpointId),
     /// A request is refused; its client may come again.
-    Decline(RequestId),
+    Reject(RequestId),
     /// A request fails: it may have run.
-    Void(RequestId),
+    Fail(RequestId),
     /// An attempt's answer is not waited for any longer.
-    CallOff(RequestId, AttemptNumber),
+    Cancel(RequestId, AttemptNumber),
     /// The module wants a round then.
-    Wake(Duration, TimerId),
+    ScheduleWakeUp(Duration, TimerId),
     /// A report or warning to one peer, or to all.
-    Tell(Option<AgentId>, Vec<u8>),
+    SendToPeer(Option<AgentId>, Vec<u8>),
     /// The list is to be watched, or no longer.
     Watch(bool),
     /// The list is to be fetched once.
@@ -41,27 +41,27 @@
     }
 
     fn reject(&mut self, id: RequestId, _: Duration) {
-        self.list.push(Decision::Decline(id));
+        self.list.push(Decision::Reject(id));
     }
 
     fn fail(&mut self, id: RequestId) {
-        self.list.push(Decision::Void(id));
+        self.list.push(Decision::Fail(id));
     }
 
     fn cancel(&mut self, id: RequestId, number: AttemptNumber) {
-        self.list.push(Decision::CallOff(id, number));
+        self.list.push(Decision::Cancel(id, number));
     }
 
-    fn schedule_wake_up(&mut self, at: Duration, ticket: TimerId) {
-        self.list.push(Decision::Wake(at, ticket));
+    fn schedule_wake_up(&mut self, at: Duration, timer: TimerId) {
+        self.list.push(Decision::ScheduleWakeUp(at, timer));
     }
 
     fn check_health(&mut self, _: EndpointId) {}
 
     fn close_idle_connections(&mut self, _: EndpointId) {}
 
-    fn send_to_peer(&mut self, peer: Option<AgentId>, octets: &[u8]) {
-        self.list.push(Decision::Tell(peer, octets.to_vec()));
+    fn send_to_peer(&mut self, peer: Option<AgentId>, payload: &[u8]) {
+        self.list.push(Decision::SendToPeer(peer, payload.to_vec()));
     }
 
     fn log(&mut self, text: &str) {
@@ -76,7 +76,7 @@
         self.list.push(Decision::Fetch);
     }
 
-    fn vote(&mut self, build: Build, stage: Stage, verdict: Vote) {
-        self.list.push(Decision::Vote(build, stage, verdict));
+    fn vote(&mut self, build: Build, stage: Stage, vote: Vote) {
+        self.list.push(Decision::Vote(build, stage, vote));
     }
 }
--- a/crates/scale/src/meter.rs
+++ b/crates/scale/src/meter.rs
@@ -50,7 +50,7 @@
     /// Whole lists, changes and signs of life from discovery.
     pub lists_in: Traffic,
     /// News, signs of life and answers from the platform.
-    pub news_in: Traffic,
+    pub release_updates_in: Traffic,
     /// Reports and warnings from other agents.
     pub reports_in: Traffic,
     /// Reports and warnings to other agents.
@@ -73,7 +73,7 @@
         self.broken_rules += other.broken_rules;
         self.unreadable += other.unreadable;
         self.lists_in.merge(other.lists_in);
-        self.news_in.merge(other.news_in);
+        self.release_updates_in.merge(other.release_updates_in);
         self.reports_in.merge(other.reports_in);
         self.reports_out.merge(other.reports_out);
         self.calls_out.merge(other.calls_out);
@@ -82,7 +82,7 @@
     /// All control messages that came in.
     pub fn incoming(&self) -> Traffic {
         let mut sum = self.lists_in;
-        sum.merge(self.news_in);
+        sum.merge(self.release_updates_in);
         sum.merge(self.reports_in);
         sum
     }
--- a/crates/scale/src/module.rs
+++ b/crates/scale/src/module.rs
@@ -24,11 +24,11 @@
 const READ_SIZE: usize = 64 << 10;
 
 /// What a module hears in a round.
-pub enum Heard {
+pub enum ModuleEvent {
     /// A client's request.
     Request(RequestId, Request),
     /// An attempt has ended.
-    Ended {
+    AttemptEnded {
         /// The request.
         id: RequestId,
         /// Which of its attempts.
@@ -36,16 +36,16 @@
         /// Where.
         at: EndpointId,
         /// How.
-        ending: Outcome,
+        outcome: Outcome,
         /// After which time.
         took: Duration,
         /// Whether the request is answered.
         closed: bool,
     },
     /// A list or changes.
-    Membership(ListUpdate, Vec<Endpoint>),
+    EndpointList(ListUpdate, Vec<Endpoint>),
     /// Where a build stands.
-    News(release_watch::ReleaseUpdate),
+    ReleaseUpdate(release_watch::ReleaseUpdate),
     /// A vote's answer.
     VoteAnswered(Outcome),
     /// A datagram of a peer.
@@ -53,11 +53,11 @@
     /// A wake-up.
     Wake(TimerId),
     /// What the operator's rules leave open.
-    Openings(std::sync::Arc<lilacgate_decision::ReleasePermissions>),
+    ReleasePermissions(std::sync::Arc<lilacgate_decision::ReleasePermissions>),
 }
 
 /// A request that is owed its answer, or has attempts out.
-pub struct Owed {
+pub struct UnansweredRequest {
     /// When it was taken.
     pub arrived: Duration,
     /// Work that it asks.
@@ -79,20 +79,22 @@
     /// When it was sent.
     pub sent: Duration,
     /// How it ended.
-    pub ending: Option<Outcome>,
+    pub outcome: Option<Outcome>,
 }
 
 impl Attempt {
     /// Whether the request may have run there.
     pub fn may_have_run(&self) -> bool {
-        self.ending.is_none_or(Outcome::may_have_run)
+        self.outcome.is_none_or(Outcome::may_have_run)
     }
 }
 
-impl Owed {
+impl UnansweredRequest {
     /// Whether all its attempts have ended.
     pub fn is_quiet(&self) -> bool {
-        self.attempts.iter().all(|attempt| attempt.ending.is_some())
+        self.attempts
+            .iter()
+            .all(|attempt| attempt.outcome.is_some())
     }
 }
 
@@ -110,9 +112,9 @@
 /// A decision module and its parsers.
 pub struct Module {
     /// The module.
-    pub brain: DecisionEngine,
+    pub engine: DecisionEngine,
     /// Requests in hand.
-    pub owed: HashMap<RequestId, Owed>,
+    pub unanswered: HashMap<RequestId, UnansweredRequest>,
     /// The state of each appliance on the list that is not ready, as told.
     pub not_ready: HashMap<EndpointId, EndpointStatus>,
     /// The number of the watch's connection.
@@ -123,9 +125,9 @@
     pub has_list: bool,
     /// The last request's number.
     pub last_request: u32,
-    catalog: EndpointListReader,
+    endpoint_list: EndpointListReader,
     list_parser: Lines,
-    news_parser: Values,
+    release_update_parser: Values,
 }
 
 impl Module {
@@ -136,19 +138,19 @@
     pub fn new(seed: u64, settings: &Paths) -> Result<Self, ScaleError> {
         let instance =
             lilacgate_start_settings::instance(seed, settings).map_err(ScaleError::Settings)?;
-        let catalog = EndpointListReader::new(settings).map_err(ScaleError::Settings)?;
-        let (owed, not_ready, pending) = Default::default();
+        let endpoint_list = EndpointListReader::new(settings).map_err(ScaleError::Settings)?;
+        let (unanswered, not_ready, pending) = Default::default();
         Ok(Module {
-            brain: instance.brain,
-            owed,
+            engine: instance.brain,
+            unanswered,
             not_ready,
             connection: 0,
             pending,
             has_list: false,
             last_request: 0,
-            catalog,
+            endpoint_list,
             list_parser: list_parser(),
-            news_parser: news_parser(),
+            release_update_parser: release_update_parser(),
         })
     }
 
@@ -162,23 +164,25 @@
 
     /// The version of the list that it has.
     pub fn version(&self) -> u64 {
-        self.catalog.version()
+        self.endpoint_list.version()
     }
 
     /// Takes bytes of a watch; returns what the module is to hear of them.
-    pub fn take_list(&mut self, bytes: &[u8], meter: &mut Meter) -> Vec<Heard> {
+    pub fn take_list(&mut self, bytes: &[u8], meter: &mut Meter) -> Vec<ModuleEvent> {
         meter.counts.lists_in.add(bytes.len());
         let start = ThreadTime::now();
         let read = self.read_lists(bytes);
         meter.parse(start.elapsed());
-        let Ok(heard) = read else {
+        let Ok(received) = read else {
             meter.counts.unreadable += 1;
-            self.catalog.restart();
+            self.endpoint_list.restart();
             self.connect();
-            return vec![Heard::Membership(ListUpdate::Failed, vec![])];
+            return vec![ModuleEvent::EndpointList(ListUpdate::Failed, vec![])];
         };
-        heard.iter().for_each(|heard| self.note_modes(heard));
-        heard
+        received
+            .iter()
+            .for_each(|received| self.note_modes(received));
+        received
     }
 
     /// A sign of life, which nothing is heard of.
@@ -187,87 +191,90 @@
         if let Some(quiet) = quiet {
             self.read_lists(quiet).ok();
         }
-        self.news_parser.take(ping).ok();
+        self.release_update_parser.take(ping).ok();
         meter.parse(start.elapsed());
         if let Some(quiet) = quiet {
             meter.counts.lists_in.add(quiet.len());
         }
-        meter.counts.news_in.add(ping.len());
+        meter.counts.release_updates_in.add(ping.len());
     }
 
     /// Takes bytes of the platform; returns what the module is to hear of them.
-    pub fn take_news(&mut self, bytes: &[u8], meter: &mut Meter) -> Vec<Heard> {
-        meter.counts.news_in.add(bytes.len());
+    pub fn take_release_updates(&mut self, bytes: &[u8], meter: &mut Meter) -> Vec<ModuleEvent> {
+        meter.counts.release_updates_in.add(bytes.len());
         let start = ThreadTime::now();
-        let read = read_news(&mut self.news_parser, bytes);
+        let read = read_release_updates(&mut self.release_update_parser, bytes);
         meter.parse(start.elapsed());
         if read.is_none() {
             meter.counts.unreadable += 1;
-            self.news_parser = news_parser();
+            self.release_update_parser = release_update_parser();
         }
         read.unwrap_or_default()
     }
 
     /// Takes a saved list, as a start file holds it.
-    pub fn take_saved(&mut self, text: &[u8], meter: &mut Meter) -> Option<Heard> {
+    pub fn take_saved(&mut self, text: &[u8], meter: &mut Meter) -> Option<ModuleEvent> {
         let start = ThreadTime::now();
         let list = Values::whole(text).ok()?;
-        let update = self.catalog.read(&list, &mut |_, _| {})?;
+        let update = self.endpoint_list.read(&list, &mut |_, _| {})?;
         meter.parse(start.elapsed());
         let lines = update.entries.iter().map(|(line, _)| *line).collect();
-        Some(Heard::Membership(ListUpdate::Cached, lines))
+        Some(ModuleEvent::EndpointList(ListUpdate::Cached, lines))
     }
 
     /// One round with all that was heard; returns what it decided and its processor time.
-    pub fn round(&mut self, now: Duration, heard: Vec<Heard>) -> (Decided, Duration) {
+    pub fn round(&mut self, now: Duration, received: Vec<ModuleEvent>) -> (Decided, Duration) {
         let mut decided = Decided::default();
-        let brain = &mut self.brain;
+        let engine = &mut self.engine;
         let start = ThreadTime::now();
-        brain.round(
+        engine.round(
             now,
-            |ears| heard.into_iter().for_each(|one| tell(ears, one)),
+            |handler| received.into_iter().for_each(|one| deliver(handler, one)),
             &mut decided,
         );
         (decided, start.elapsed())
     }
 
-    fn read_lists(&mut self, bytes: &[u8]) -> Result<Vec<Heard>, Unreadable> {
-        let mut heard = Vec::new();
+    fn read_lists(&mut self, bytes: &[u8]) -> Result<Vec<ModuleEvent>, Unreadable> {
+        let mut received = Vec::new();
         for part in bytes.chunks(READ_SIZE) {
             let mut rest = part;
             while !rest.is_empty() {
                 let (taken, item) = self.list_parser.take(rest).map_err(|_| Unreadable)?;
                 rest = &rest[taken..];
                 let Some(Some(list)) = item else { continue };
-                heard.push(self.read_list(&list)?);
+                received.push(self.read_list(&list)?);
             }
         }
-        Ok(heard)
+        Ok(received)
     }
 
-    fn read_list(&mut self, list: &Json) -> Result<Heard, Unreadable> {
-        let update = self.catalog.read(list, &mut |_, _| {}).ok_or(Unreadable)?;
-        let listing = if update.whole {
+    fn read_list(&mut self, list: &Json) -> Result<ModuleEvent, Unreadable> {
+        let update = self
+            .endpoint_list
+            .read(list, &mut |_, _| {})
+            .ok_or(Unreadable)?;
+        let list_update = if update.whole {
             ListUpdate::Full
         } else {
             ListUpdate::Delta
         };
         let lines = update.entries.iter().map(|(line, _)| *line).collect();
-        Ok(Heard::Membership(listing, lines))
+        Ok(ModuleEvent::EndpointList(list_update, lines))
     }
 
-    fn note_modes(&mut self, heard: &Heard) {
-        let Heard::Membership(listing, lines) = heard else {
+    fn note_modes(&mut self, received: &ModuleEvent) {
+        let ModuleEvent::EndpointList(list_update, lines) = received else {
             return;
         };
-        if *listing == ListUpdate::Full {
+        if *list_update == ListUpdate::Full {
             self.not_ready.clear();
             self.has_list = true;
         }
         for line in lines {
             match line.status {
                 EndpointStatus::Ready => self.not_ready.remove(&line.id),
-                mode => self.not_ready.insert(line.id, mode),
+                status => self.not_ready.insert(line.id, status),
             };
         }
     }
@@ -280,43 +287,55 @@
     Lines(Answer::new(LARGEST_MESSAGE))
 }
 
-fn news_parser() -> Values {
+fn release_update_parser() -> Values {
     Values::lines(release_watch::LINE)
 }
 
-fn read_news(parser: &mut Values, bytes: &[u8]) -> Option<Vec<Heard>> {
-    let (mut rest, mut heard) = (bytes, Vec::new());
+fn read_release_updates(parser: &mut Values, bytes: &[u8]) -> Option<Vec<ModuleEvent>> {
+    let (mut rest, mut received) = (bytes, Vec::new());
     while !rest.is_empty() {
         let (taken, message) = parser.take(rest).ok()?;
         rest = &rest[taken..];
         let Some(message) = message else { continue };
         if message.get("method").and_then(Json::text) == Some("ROLLOUT") {
-            heard.push(Heard::News(release_watch::news(message.get("params")?)?));
+            received.push(ModuleEvent::ReleaseUpdate(release_watch::news(
+                message.get("params")?,
+            )?));
         }
     }
-    Some(heard)
+    Some(received)
 }
 
-fn tell(ears: &mut dyn EventHandler, heard: Heard) {
-    match heard {
-        Heard::Request(id, request) => ears.on_request(id, request),
-        Heard::Ended {
+fn deliver(handler: &mut dyn EventHandler, received: ModuleEvent) {
+    match received {
+        ModuleEvent::Request(id, request) => handler.on_request(id, request),
+        ModuleEvent::AttemptEnded {
             id,
             number,
             at,
-            ending,
+            outcome,
             took,
             closed,
         } => {
-            ears.on_attempt_ended(id, number, at, ending, took, closed);
+            handler.on_attempt_ended(id, number, at, outcome, took, closed);
         }
-        Heard::Membership(listing, lines) => ears.on_endpoints(listing, &mut lines.into_iter()),
-        Heard::News(news) => {
-            ears.on_release_status(news.build, news.stage, news.course, news.cap, news.age);
+        ModuleEvent::EndpointList(list_update, lines) => {
+            handler.on_endpoints(list_update, &mut lines.into_iter())
+        }
+        ModuleEvent::ReleaseUpdate(update) => {
+            handler.on_release_status(
+                update.build,
+                update.stage,
+                update.course,
+                update.cap,
+                update.age,
+            );
+        }
+        ModuleEvent::VoteAnswered(outcome) => handler.on_vote_answered(outcome),
+        ModuleEvent::Datagram(from, payload) => handler.on_peer_message(from, &payload),
+        ModuleEvent::Wake(timer) => handler.on_wake_up(timer),
+        ModuleEvent::ReleasePermissions(permissions) => {
+            handler.on_release_permissions(Some(permissions))
         }
-        Heard::VoteAnswered(ending) => ears.on_vote_answered(ending),
-        Heard::Datagram(from, octets) => ears.on_peer_message(from, &octets),
-        Heard::Wake(ticket) => ears.on_wake_up(ticket),
-        Heard::Openings(openings) => ears.on_release_permissions(Some(openings)),
     }
 }
--- a/crates/scale/src/network.rs
+++ b/crates/scale/src/network.rs
@@ -41,7 +41,7 @@
         /// To whom.
         to: Option<AgentId>,
         /// Its bytes.
-        octets: Arc<[u8]>,
+        payload: Arc<[u8]>,
     },
     /// A vote to the platform.
     Vote {
@@ -50,7 +50,7 @@
         /// In which stage.
         stage: Stage,
         /// What it says.
-        verdict: Vote,
+        vote: Vote,
     },
     /// A call that opens a watch.
     Watch {
@@ -82,7 +82,7 @@
         /// Which.
         attempt: AttemptId,
         /// How it ended.
-        ending: Outcome,
+        outcome: Outcome,
     },
     /// Bytes of a watch.
     List {
@@ -101,7 +101,7 @@
         connection: u32,
     },
     /// Bytes from the platform.
-    News(Arc<[u8]>),
+    ReleaseUpdate(Arc<[u8]>),
     /// A vote's answer.
     VoteAnswered(Outcome),
     /// A datagram of a peer.
@@ -109,7 +109,7 @@
         /// From whom.
         from: AgentId,
         /// Its bytes.
-        octets: Arc<[u8]>,
+        payload: Arc<[u8]>,
     },
     /// A wake-up that the module asked for.
     Wake(TimerId),
--- a/crates/scale/src/platform.rs
+++ b/crates/scale/src/platform.rs
@@ -58,23 +58,28 @@
         self.on_trial[service.0 as usize]
     }
 
-    fn news(&self, service: ServiceIndex) -> String {
+    fn release_update(&self, service: ServiceIndex) -> String {
         if self.is_on_trial(service) {
-            wire::news(TRIAL_BUILD, 0, "Progressing", FIRST_CAP)
+            wire::release_update(TRIAL_BUILD, 0, "Progressing", FIRST_CAP)
         } else {
-            wire::news(OLD_BUILD, 0, "Healthy", 1.0)
+            wire::release_update(OLD_BUILD, 0, "Healthy", 1.0)
         }
     }
 
     /// What a new listener is told.
     pub fn listen(&mut self, now: Duration, service: ServiceIndex, to: AgentId) -> Delivery {
-        let text = wire::LISTENS.to_owned() + &self.news(service);
+        let text = wire::LISTENS.to_owned() + &self.release_update(service);
         self.deliver(now, service, to, text.into_bytes().into())
     }
 
     /// Tells the news of a service to so many agents.
-    pub fn tell(&mut self, now: Duration, service: ServiceIndex, agents: u32) -> Vec<Delivery> {
-        let bytes: Arc<[u8]> = self.news(service).into_bytes().into();
+    pub fn broadcast(
+        &mut self,
+        now: Duration,
+        service: ServiceIndex,
+        agents: u32,
+    ) -> Vec<Delivery> {
+        let bytes: Arc<[u8]> = self.release_update(service).into_bytes().into();
         (0..agents)
             .map(|to| self.deliver(now, service, AgentId(to), bytes.clone()))
             .collect()
@@ -92,14 +97,14 @@
             to,
             service,
             at: now + ONE_WAY,
-            what: Incoming::News(bytes),
+            what: Incoming::ReleaseUpdate(bytes),
         }
     }
 
     /// Counts a vote.
-    pub fn vote(&mut self, now: Duration, service: ServiceIndex, verdict: Vote) {
+    pub fn vote(&mut self, now: Duration, service: ServiceIndex, vote: Vote) {
         let votes = &mut self.votes[service.0 as usize];
-        match verdict {
+        match vote {
             Vote::Advance => votes.on += 1,
             Vote::RollBack => {
                 votes.back += 1;
--- a/crates/scale/src/run.rs
+++ b/crates/scale/src/run.rs
@@ -12,7 +12,7 @@
 use crate::simulation::Simulation;
 
 /// Judges of a build.
-const JUDGES: usize = 3;
+const AGGREGATORS: usize = 3;
 
 /// What is to be measured, and how.
 #[derive(Clone, Debug)]
@@ -45,7 +45,7 @@
     /// Resident memory of an agent in bytes.
     pub agent_bytes: f64,
     /// Counts of the agents that heard the most reports.
-    pub judges: Vec<Counts>,
+    pub aggregators: Vec<Counts>,
     /// Mean number of appliances that an agent sent requests to.
     pub used: f64,
     /// Most and fewest attempts at one appliance, over the mean of its service.
@@ -96,17 +96,17 @@
         .map(|s| simulation.discovery.whole(s).len() as u64)
         .sum();
     let used: usize = simulation.agents.iter().map(|agent| agent.used.len()).sum();
-    let mut judges: Vec<Counts> = simulation.agents.iter().map(|a| a.meter.counts).collect();
-    judges.sort_by_key(|counts| std::cmp::Reverse(counts.reports_in.bytes));
-    judges.truncate(JUDGES);
-    judges.retain(|counts| counts.reports_in.messages > 0);
+    let mut aggregators: Vec<Counts> = simulation.agents.iter().map(|a| a.meter.counts).collect();
+    aggregators.sort_by_key(|counts| std::cmp::Reverse(counts.reports_in.bytes));
+    aggregators.truncate(AGGREGATORS);
+    aggregators.retain(|counts| counts.reports_in.messages > 0);
     Steady {
         span,
         total: simulation.total(),
         list_parse: Duration::ZERO,
         list_bytes,
         agent_bytes: simulation.agent_bytes,
-        judges,
+        aggregators,
         used: used as f64 / simulation.agents.len() as f64,
         spread: spread(simulation),
         discovery: simulation.discovery.sent,
@@ -121,11 +121,11 @@
     let mut sums: BTreeMap<ServiceIndex, (f64, f64)> = BTreeMap::new();
     for appliance in &simulation.appliances {
         let sum = sums.entry(appliance.service).or_default();
-        *sum = (sum.0 + appliance.asked as f64, sum.1 + 1.0);
+        *sum = (sum.0 + appliance.requests_received as f64, sum.1 + 1.0);
     }
     let share = |appliance: &crate::appliance::Appliance| {
-        let (asked, count) = sums[&appliance.service];
-        appliance.asked as f64 * count / asked.max(1.0)
+        let (requests_received, count) = sums[&appliance.service];
+        appliance.requests_received as f64 * count / requests_received.max(1.0)
     };
     let shares = simulation.appliances.iter().map(share);
     shares.fold((0.0, f64::MAX), |(most, least), one| {
@@ -177,13 +177,13 @@
     }
 
     /// The figures of a judge: the mean of those that heard the most reports.
-    pub fn judge_figures(&self) -> Option<BTreeMap<Quantity, f64>> {
-        if self.judges.is_empty() {
+    pub fn aggregator_figures(&self) -> Option<BTreeMap<Quantity, f64>> {
+        if self.aggregators.is_empty() {
             return None;
         }
-        let seconds = self.span.as_secs_f64() * self.judges.len() as f64;
+        let seconds = self.span.as_secs_f64() * self.aggregators.len() as f64;
         let sum = |value: fn(&Counts) -> u64| {
-            self.judges
+            self.aggregators
                 .iter()
                 .map(|counts| value(counts) as f64)
                 .sum::<f64>()
@@ -228,7 +228,10 @@
     /// The samples of all roles.
     pub fn samples(&self, label: &Label) -> Vec<Sample> {
         let mut roles = vec![(Role::Agent, self.agent_figures())];
-        roles.extend(self.judge_figures().map(|figures| (Role::Judge, figures)));
+        roles.extend(
+            self.aggregator_figures()
+                .map(|figures| (Role::Aggregator, figures)),
+        );
         roles.push((Role::Discovery, self.discovery_figures()));
         roles.push((Role::Platform, self.sender_figures(self.platform)));
         let size = self.size.record(self.used.round() as u32);
--- a/crates/scale/src/settings.rs
+++ b/crates/scale/src/settings.rs
@@ -18,7 +18,7 @@
 /// Time in which a cold appliance warms up, in microseconds.
 pub const RAMP_MICROS: u64 = 4_000_000;
 /// Capacity of a cold appliance, as a share of its full one.
-pub const COLD_FROM: f64 = 0.34;
+pub const INITIAL_CAPACITY_SHARE: f64 = 0.34;
 /// Types of machine.
 pub const MACHINE_TYPES: [&str; 1] = ["plain"];
 
@@ -90,7 +90,7 @@
     put("zones", zone_names(start.places).join(","));
     put("limits.max-attempts", MAX_ATTEMPTS.to_string());
     put("rules.answer-slack", ANSWER_SLACK_MICROS.to_string());
-    put("rules.cold-from", COLD_FROM.to_string());
+    put("rules.cold-from", INITIAL_CAPACITY_SHARE.to_string());
     put("rules.ramp-time", RAMP_MICROS.to_string());
     put("family-info.free", FREE_REQUESTS.to_string());
     put("family-info.most-shares", format!("{FIRST_CAP},0.5,1.0"));
--- a/crates/scale/src/simulation.rs
+++ b/crates/scale/src/simulation.rs
@@ -42,7 +42,7 @@
     agent: AgentId,
     service: ServiceIndex,
     attempt: AttemptId,
-    ending: Outcome,
+    outcome: Outcome,
     appliance: u32,
 }
 
@@ -242,7 +242,7 @@
             };
             let what = Incoming::Ended {
                 attempt: pending.attempt,
-                ending: pending.ending,
+                outcome: pending.outcome,
             };
             let agent = &mut self.agents[pending.agent.0 as usize];
             agent.deliver(pending.at, pending.service, what);
@@ -282,24 +282,24 @@
                 let index = self.directories[service.0 as usize].get(&to).copied();
                 let (reply, appliance) = self.attempt(agent, index, at, work, until);
                 let at = reply.at.max(self.now);
-                let ending = reply.ending;
+                let outcome = reply.outcome;
                 self.pending.push(Reverse(Pending {
                     at,
                     agent,
                     service,
                     attempt,
-                    ending,
+                    outcome,
                     appliance,
                 }));
             }
-            Outgoing::Datagram { to, octets } => {
+            Outgoing::Datagram { to, payload } => {
                 let all = self.agents.len() as u32;
                 let to = to.map_or(0..all, |to| to.0..to.0 + 1);
                 for to in to.map(AgentId).filter(|to| *to != agent) {
                     if self.reaches(agent, to) {
                         let what = Incoming::Datagram {
                             from: agent,
-                            octets: octets.clone(),
+                            payload: payload.clone(),
                         };
                         self.deliver(Delivery {
                             to,
@@ -310,7 +310,7 @@
                     }
                 }
             }
-            Outgoing::Vote { verdict, .. } => self.platform.vote(at, service, verdict),
+            Outgoing::Vote { vote, .. } => self.platform.vote(at, service, vote),
             Outgoing::Watch { connection } if !self.reaches_discovery(agent) => {
                 self.close_watch(agent, service, connection);
             }
@@ -333,7 +333,7 @@
         let Some(index) = index else {
             return (
                 Reply {
-                    ending: Outcome::ConnectFailed,
+                    outcome: Outcome::ConnectFailed,
                     at: at + ONE_WAY,
                 },
                 u32::MAX,
@@ -342,8 +342,8 @@
         let zone = ZoneId(self.appliances[index as usize].zone);
         let parted = self.is_parted && self.region(agent) != self.common.fleet.region(zone);
         if parted {
-            let ending = Outcome::TimedOut;
-            return (Reply { ending, at: until }, index);
+            let outcome = Outcome::TimedOut;
+            return (Reply { outcome, at: until }, index);
         }
         let appliance = &mut self.appliances[index as usize];
         (appliance.take(at, work, until), index)
@@ -470,9 +470,9 @@
         let mut pending = std::mem::take(&mut self.pending).into_vec();
         for Reverse(one) in &mut pending {
             if one.appliance == index && power == Power::Refusing && one.at > now + ONE_WAY {
-                (one.ending, one.at) = (Outcome::ConnectionLost, now + ONE_WAY);
+                (one.outcome, one.at) = (Outcome::ConnectionLost, now + ONE_WAY);
             } else if one.appliance == index && power == Power::Silent && one.at > now {
-                (one.ending, one.at) = (Outcome::TimedOut, one.at.max(now + settings::give_up()));
+                (one.outcome, one.at) = (Outcome::TimedOut, one.at.max(now + settings::give_up()));
             }
         }
         self.pending = pending.into();
@@ -538,7 +538,7 @@
         self.publish(&trial);
         let deliveries = self
             .platform
-            .tell(self.now, service, self.agents.len() as u32);
+            .broadcast(self.now, service, self.agents.len() as u32);
         deliveries
             .into_iter()
             .for_each(|delivery| self.deliver(delivery));
@@ -558,7 +558,7 @@
         }
         self.appliances
             .iter_mut()
-            .for_each(|appliance| appliance.asked = 0);
+            .for_each(|appliance| appliance.requests_received = 0);
         (self.discovery.sent, self.discovery.calls) = Default::default();
         self.platform.sent = Default::default();
     }
@@ -629,9 +629,11 @@
         let start = common.start(AgentId(0), service as usize);
         let settings = Paths::from_lines(&settings::text(&start));
         let text = discovery.saved(ServiceIndex(service));
-        let mut catalog = EndpointListReader::new(&settings).map_err(ScaleError::Settings)?;
+        let mut endpoint_list = EndpointListReader::new(&settings).map_err(ScaleError::Settings)?;
         let list = Values::whole(&text).map_err(|_| unreadable())?;
-        let update = catalog.read(&list, &mut |_, _| {}).ok_or_else(unreadable)?;
+        let update = endpoint_list
+            .read(&list, &mut |_, _| {})
+            .ok_or_else(unreadable)?;
         let number = |(line, at): &(lilacgate_decision::Endpoint, std::net::SocketAddr)| {
             wire::index(*at).map(|index| (line.id, index))
         };
--- a/crates/scale/src/wire.rs
+++ b/crates/scale/src/wire.rs
@@ -112,7 +112,7 @@
 }
 
 /// News of a build, as a platform notifies its listeners.
-pub fn news(build: u16, stage: u8, state: &str, cap: f64) -> String {
+pub fn release_update(build: u16, stage: u8, state: &str, cap: f64) -> String {
     let params = format!(
         "{{\"Revision\":{build},\"Wave\":{stage},\"State\":\"{state}\",\"MaxShare\":{cap},\
          \"AgeMs\":100}}"
--- a/crates/scale/tests/simulation.rs
+++ b/crates/scale/tests/simulation.rs
@@ -9,7 +9,7 @@
 use lilacgate_scale::error::ScaleError;
 use lilacgate_scale::fleet::FleetSize;
 use lilacgate_scale::meter::{Counts, Meter};
-use lilacgate_scale::module::{Heard, Module};
+use lilacgate_scale::module::{Module, ModuleEvent};
 use lilacgate_scale::resources::{Limits, MEGABYTE};
 use lilacgate_scale::run::{self, Plan};
 use lilacgate_scale::settings::{self, Start};
@@ -54,12 +54,12 @@
         .iter()
         .map(|agent| agent.meter.counts)
         .collect();
-    let asked = simulation
+    let requests_received = simulation
         .appliances
         .iter()
-        .map(|appliance| appliance.asked)
+        .map(|appliance| appliance.requests_received)
         .collect();
-    (simulation.total().counts, agents, asked)
+    (simulation.total().counts, agents, requests_received)
 }
 
 #[test]
@@ -173,19 +173,19 @@
 }
 
 /// What a module hears of these bytes, in pieces of a size.
-fn hear(module: &mut Module, bytes: &[u8], piece: usize, meter: &mut Meter) -> Vec<Heard> {
+fn hear(module: &mut Module, bytes: &[u8], piece: usize, meter: &mut Meter) -> Vec<ModuleEvent> {
     bytes
         .chunks(piece)
         .flat_map(|part| module.take_list(part, meter))
         .collect()
 }
 
-fn lines(heard: &[Heard]) -> Vec<(ListUpdate, usize)> {
-    let list = |heard: &Heard| match heard {
-        Heard::Membership(listing, lines) => Some((*listing, lines.len())),
+fn lines(received: &[ModuleEvent]) -> Vec<(ListUpdate, usize)> {
+    let list = |received: &ModuleEvent| match received {
+        ModuleEvent::EndpointList(list_update, lines) => Some((*list_update, lines.len())),
         _ => None,
     };
-    heard.iter().filter_map(list).collect()
+    received.iter().filter_map(list).collect()
 }
 
 #[rstest]
@@ -194,13 +194,13 @@
 fn a_long_list_is_read_whole_and_in_pieces(#[case] piece: usize) {
     let (mut module, mut meter) = (module(0), Meter::default());
     let bytes = wire::watch(1, &entries(LISTED));
-    let heard = hear(&mut module, &bytes, piece, &mut meter);
-    assert_eq!(lines(&heard), [(ListUpdate::Full, LISTED as usize)]);
+    let received = hear(&mut module, &bytes, piece, &mut meter);
+    assert_eq!(lines(&received), [(ListUpdate::Full, LISTED as usize)]);
     assert_eq!(meter.counts.unreadable, 0);
 }
 
 #[test]
-fn a_long_list_that_breaks_off_is_not_heard() {
+fn a_long_list_that_breaks_off_changes_nothing() {
     let (mut module, mut meter) = (module(0), Meter::default());
     let bytes = wire::watch(1, &entries(LISTED));
     let broken = &bytes[..bytes.len() - 100];
@@ -208,8 +208,8 @@
     assert_eq!(module.version(), 0);
     // The next connection begins anew.
     module.connect();
-    let heard = hear(&mut module, &bytes, usize::MAX, &mut meter);
-    assert_eq!(lines(&heard), [(ListUpdate::Full, LISTED as usize)]);
+    let received = hear(&mut module, &bytes, usize::MAX, &mut meter);
+    assert_eq!(lines(&received), [(ListUpdate::Full, LISTED as usize)]);
 }
 
 #[test]
@@ -217,27 +217,27 @@
     let (mut module, mut meter) = (module(0), Meter::default());
     let mut bytes = wire::watch(1, &entries(LISTED));
     bytes.extend(wire::chunk(&wire::list(1, true, &entries(LISTED))));
-    let heard = hear(&mut module, &bytes, usize::MAX, &mut meter);
-    assert_eq!(lines(&heard), [(ListUpdate::Full, LISTED as usize); 2]);
-    let numbers = |heard: &Heard| match heard {
-        Heard::Membership(_, lines) => lines.iter().map(|line| line.id).collect(),
+    let received = hear(&mut module, &bytes, usize::MAX, &mut meter);
+    assert_eq!(lines(&received), [(ListUpdate::Full, LISTED as usize); 2]);
+    let numbers = |received: &ModuleEvent| match received {
+        ModuleEvent::EndpointList(_, lines) => lines.iter().map(|line| line.id).collect(),
         _ => Vec::new(),
     };
-    assert_eq!(numbers(&heard[0]), numbers(&heard[1]));
+    assert_eq!(numbers(&received[0]), numbers(&received[1]));
 }
 
 #[test]
-fn ten_thousand_changes_in_one_message_are_heard_together() {
+fn ten_thousand_changes_in_one_message_arrive_together() {
     let (mut module, mut meter) = (module(0), Meter::default());
     let mut bytes = wire::watch(1, &entries(50));
     let changes: Vec<Entry> = entries(50).into_iter().cycle().take(10_000).collect();
     bytes.extend(wire::chunk(&wire::list(2, false, &changes)));
-    let heard = hear(&mut module, &bytes, usize::MAX, &mut meter);
+    let received = hear(&mut module, &bytes, usize::MAX, &mut meter);
     assert_eq!(
-        lines(&heard),
+        lines(&received),
         [(ListUpdate::Full, 50), (ListUpdate::Delta, 10_000)]
     );
-    let (decided, _) = module.round(START, heard);
+    let (decided, _) = module.round(START, received);
     assert!(!decided.list.is_empty());
     assert_eq!(module.version(), 2);
 }
@@ -254,25 +254,25 @@
         usize::MAX,
         &mut meter,
     );
-    let heard = hear(&mut module, &wire::chunk(text), usize::MAX, &mut meter);
-    assert_eq!(lines(&heard), [(ListUpdate::Failed, 0)]);
+    let received = hear(&mut module, &wire::chunk(text), usize::MAX, &mut meter);
+    assert_eq!(lines(&received), [(ListUpdate::Failed, 0)]);
     assert_eq!((meter.counts.unreadable, module.version()), (1, 0));
 }
 
 /// A report on a build: a life, a number, three sums, and outcomes at earlier and trial appliances.
 fn report(build: u16, number: u32, trial: &[EndpointId]) -> Arc<[u8]> {
-    let mut octets = build.to_be_bytes().to_vec();
-    octets.extend(1_u32.to_be_bytes());
-    octets.extend(number.to_be_bytes());
-    octets.extend([0; 6]);
+    let mut payload = build.to_be_bytes().to_vec();
+    payload.extend(1_u32.to_be_bytes());
+    payload.extend(number.to_be_bytes());
+    payload.extend([0; 6]);
     // 200 outcomes at earlier builds, none bad; 50 at each trial appliance, 40 of them bad.
-    octets.extend(u32::MAX.to_be_bytes());
-    octets.extend([0, 200, 0, 0, 0]);
+    payload.extend(u32::MAX.to_be_bytes());
+    payload.extend([0, 200, 0, 0, 0]);
     for appliance in trial {
-        octets.extend(appliance.0.to_be_bytes());
-        octets.extend([0, 50, 40, 0, 0]);
+        payload.extend(appliance.0.to_be_bytes());
+        payload.extend([0, 50, 40, 0, 0]);
     }
-    octets.into()
+    payload.into()
 }
 
 /// Votes of a judge that hears such reports of an agent.
@@ -280,20 +280,20 @@
     let (mut module, mut meter) = (module(2), Meter::default());
     let mut entries = entries(40);
     entries.iter_mut().take(8).for_each(|entry| entry.build = 2);
-    let mut heard = module.take_list(&wire::watch(1, &entries), &mut meter);
-    let trial: Vec<EndpointId> = match &heard[0] {
-        Heard::Membership(_, lines) => lines.iter().take(8).map(|line| line.id).collect(),
+    let mut received = module.take_list(&wire::watch(1, &entries), &mut meter);
+    let trial: Vec<EndpointId> = match &received[0] {
+        ModuleEvent::EndpointList(_, lines) => lines.iter().take(8).map(|line| line.id).collect(),
         _ => Vec::new(),
     };
-    let news = wire::news(2, 0, "Progressing", 0.1);
-    heard.extend(module.take_news(news.as_bytes(), &mut meter));
+    let update = wire::release_update(2, 0, "Progressing", 0.1);
+    received.extend(module.take_release_updates(update.as_bytes(), &mut meter));
     let mut votes = Vec::new();
     for number in 1..=10 {
-        heard.push(Heard::Datagram(from, report(2, number, &trial)));
+        received.push(ModuleEvent::Datagram(from, report(2, number, &trial)));
         let now = START + Duration::from_millis(100) * number;
-        let (decided, _) = module.round(now, std::mem::take(&mut heard));
+        let (decided, _) = module.round(now, std::mem::take(&mut received));
         votes.extend(decided.list.iter().filter_map(|decision| match decision {
-            Decision::Vote(build, _, verdict) => Some((*build, *verdict)),
+            Decision::Vote(build, _, vote) => Some((*build, *vote)),
             _ => None,
         }));
     }
@@ -322,8 +322,12 @@
         .expect("no limit is reached");
     let now = simulation.now;
     let open = |agent: &Agent| {
-        let owed = agent.modules.iter().flat_map(|module| module.owed.values());
-        owed.filter(|owed| owed.arrived + settings::give_up() < now)
+        let unanswered = agent
+            .modules
+            .iter()
+            .flat_map(|module| module.unanswered.values());
+        unanswered
+            .filter(|unanswered| unanswered.arrived + settings::give_up() < now)
             .count()
     };
     assert_eq!(simulation.agents.iter().map(open).sum::<usize>(), 0);
