--- a/crates/store/tests/stored_form.rs
+++ b/crates/store/tests/stored_form.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use lilacgate_decision::{
-    AttemptNumber, Build, Cell, Endpoint, EndpointId, EndpointStatus, ListUpdate, Model, Note,
-    Outcome, ReleasePhase, RequestClass, RequestId, Stage, Vote, Zone,
+    AttemptNumber, Build, Cell, EjectionReason, Endpoint, EndpointId, EndpointStatus, GiveUpReason,
+    ListUpdate, Model, Note, Outcome, ReleasePhase, RequestClass, RequestId, Stage, Vote, Zone,
 };
 use lilacgate_store::reader::{DamagedFile, read};
 use lilacgate_store::segment_format::{SegmentError, append_record, header};
@@ -70,13 +70,13 @@
             now,
             Note::Ejected {
                 endpoint,
-                reason: "fails",
+                reason: EjectionReason::FailureRate,
                 until: now + 40 * STEP,
             },
         ),
         240 => timeline.record_note(now, Note::Tried(endpoint)),
         250 => timeline.record_note(now, Note::Readmitted(endpoint)),
-        300 | 301 => timeline.record_note(now, Note::GivenUp("crowded")),
+        300 | 301 => timeline.record_note(now, Note::GivenUp(GiveUpReason::Overload)),
         400 => {
             let draining = endpoint_entry(2, EndpointStatus::Draining, None);
             timeline.apply_list_update(now, ListUpdate::Delta, &[draining]);
--- a/crates/test-bed/src/measure_releases/gate_cost.rs
+++ b/crates/test-bed/src/measure_releases/gate_cost.rs
@@ -54,7 +54,7 @@
     ReleaseStatus {
         build: Build(build),
         stage: Stage(stage),
-        phase: phase,
+        phase,
         since,
     }
 }
