--- a/crates/decision/src/engine/attempts.rs
+++ b/crates/decision/src/engine/attempts.rs
@@ -59,7 +59,7 @@
         match step {
             OutstandingStep::Await => None,
             OutstandingStep::CheckAt(check_at) => Some(check_at),
-            OutstandingStep::Cancel(number, check_at) => {
+            OutstandingStep::Cancel { number, check_at } => {
                 let request = self.requests.by_id.get_mut(&id)?;
                 request.attempts[usize::from(number.0)].is_cancelled = true;
                 actions.cancel(id, number);
--- a/crates/decision/src/policy/retry.rs
+++ b/crates/decision/src/policy/retry.rs
@@ -110,8 +110,11 @@
     Await,
     /// Look again at this instant.
     CheckAt(Duration),
-    /// Cancel it, and look again at this instant.
-    Cancel(AttemptNumber, Duration),
+    /// Cancel it, and look again at `check_at`.
+    Cancel {
+        number: AttemptNumber,
+        check_at: Duration,
+    },
 }
 
 /// Decides about an outstanding attempt. It is given up for lost if nothing comes from its endpoint, or if the
@@ -145,7 +148,7 @@
     });
     let check_at = now + tick * LOST_CHECK_TICKS;
     if is_lost && may_cancel && !attempt.is_cancelled {
-        OutstandingStep::Cancel(number, check_at)
+        OutstandingStep::Cancel { number, check_at }
     } else {
         OutstandingStep::CheckAt(check_at)
     }
--- a/crates/decision/src/policy/slow_start.rs
+++ b/crates/decision/src/policy/slow_start.rs
@@ -91,9 +91,10 @@
                 continue;
             };
             let warming_up = pool.started_after(now.saturating_sub(self.settings.ramp));
-            let missing = warming_up.map(|(start, weight)| {
+            let missing = warming_up.map(|start| {
                 endpoints.catalog.count_visits(1);
-                weight * (1.0 - self.capacity_share(Some(now.saturating_sub(start))))
+                let age = now.saturating_sub(start.at);
+                start.weight() * (1.0 - self.capacity_share(Some(age)))
             });
             weights[arm] += pool.weight() - missing.sum::<f64>();
         }
--- a/crates/decision/src/state/endpoint_pool.rs
+++ b/crates/decision/src/state/endpoint_pool.rs
@@ -6,13 +6,17 @@
 
 /// When an endpoint that is known to have started did so, and its weight.
 #[derive(Clone, Copy, Debug)]
-struct Start {
-    at: Duration,
+pub(crate) struct EndpointStart {
+    pub(crate) at: Duration,
     endpoint: EndpointId,
     weight: f32,
 }
 
-impl Start {
+impl EndpointStart {
+    pub(crate) fn weight(&self) -> f64 {
+        f64::from(self.weight)
+    }
+
     fn key(&self) -> (Duration, EndpointId) {
         (self.at, self.endpoint)
     }
@@ -24,7 +28,7 @@
     ring: Vec<(Position, EndpointId)>,
     weight: f64,
     /// Latest last.
-    starts: Vec<Start>,
+    starts: Vec<EndpointStart>,
 }
 
 impl EndpointPool {
@@ -43,12 +47,10 @@
         self.starts.last().map(|start| start.at)
     }
 
-    /// When each endpoint that started after this time did so, and its weight.
-    pub(crate) fn started_after(&self, after: Duration) -> impl Iterator<Item = (Duration, f64)> {
+    /// The endpoints that started after this time, the latest last.
+    pub(crate) fn started_after(&self, after: Duration) -> impl Iterator<Item = &EndpointStart> {
         let from = self.starts.partition_point(|start| start.at <= after);
-        self.starts[from..]
-            .iter()
-            .map(|start| (start.at, f64::from(start.weight)))
+        self.starts[from..].iter()
     }
 
     /// Adds an endpoint at the end of each index; [`EndpointPool::sort`] has to follow.
@@ -62,7 +64,7 @@
     /// Restores the order of the indexes.
     pub(super) fn sort(&mut self) {
         self.ring.sort_unstable();
-        self.starts.sort_unstable_by_key(Start::key);
+        self.starts.sort_unstable_by_key(EndpointStart::key);
     }
 
     /// Adds an endpoint in order.
@@ -84,7 +86,9 @@
         remove_sorted(&mut self.ring, &entry);
         self.weight -= f64::from(endpoint.weight);
         if let Some(start) = start_of(endpoint) {
-            let found = self.starts.binary_search_by_key(&start.key(), Start::key);
+            let found = self
+                .starts
+                .binary_search_by_key(&start.key(), EndpointStart::key);
             if let Ok(index) = found {
                 self.starts.remove(index);
             }
@@ -92,8 +96,8 @@
     }
 }
 
-fn start_of(endpoint: &Endpoint) -> Option<Start> {
-    endpoint.started.map(|at| Start {
+fn start_of(endpoint: &Endpoint) -> Option<EndpointStart> {
+    endpoint.started.map(|at| EndpointStart {
         at,
         endpoint: endpoint.id,
         weight: endpoint.weight,
