--- a/crates/decision/src/engine/outcomes.rs
+++ b/crates/decision/src/engine/outcomes.rs
@@ -6,7 +6,7 @@
 use crate::policy::outcome_scoring::{ObservedOutcome, QUEUE_SHARE};
 use crate::policy::outlier_ejection;
 use crate::state::demand::EndedAttempt;
-use crate::state::endpoint_record::{AttemptId, OutstandingAttempt};
+use crate::state::endpoint_record::{AttemptId, EndpointRecord, OutstandingAttempt};
 use crate::state::endpoint_table::PeerFailures;
 use crate::state::evidence::WorkSums;
 
@@ -36,8 +36,13 @@
         let is_endpoint_alive = record.health.last_response > ended.attempt.sent_at;
         // What was outstanding while the agent itself stood still is no evidence.
         let is_distorted = ended.attempt.sent_at < self.schedule.resumed_at;
-        let is_late = self.is_late(ended);
-        self.record_demand(ended, is_late);
+        let ended_attempt = EndedAttempt {
+            number: ended.id.number,
+            outcome: ended.outcome,
+            is_late: self.is_late(ended),
+            lacked_connection: lacked_connection(record, ended.outcome, now),
+        };
+        self.record_demand(ended_attempt, ended.attempt.work);
         if let Some(record) = self.endpoints.records.get_mut(&ended.endpoint) {
             let (outcome, sent_at) = (ended.outcome, ended.attempt.sent_at);
             record.health.on_attempt_ended(now, outcome, sent_at);
@@ -66,27 +71,13 @@
             .is_some_and(|policy| ended.took > policy.latency_objective)
     }
 
-    fn record_demand(&mut self, ended: &EndedAt<'_>, is_late: bool) {
-        let Some(record) = self.endpoints.records.get(&ended.endpoint) else {
-            return;
-        };
-        // Connections are short at what has answered between two attempts that found none; what is gone or silent
-        // is another fault.
-        let last_failure = record.health.last_connect_failure.unwrap_or(self.now);
-        let answers_others = record.health.last_response > last_failure;
-        let attempt = EndedAttempt {
-            number: ended.id.number,
-            outcome: ended.outcome,
-            is_late,
-            lacked_connection: ended.outcome == Outcome::ConnectFailed && answers_others,
-        };
+    fn record_demand(&mut self, attempt: EndedAttempt, work: f64) {
         self.demand
             .on_attempt_ended(self.now, self.load.few_requests, attempt);
-        if ended.outcome == Outcome::Succeeded {
-            let work = ended.attempt.work;
+        if attempt.outcome == Outcome::Succeeded {
             self.demand.on_served(self.now, work);
             self.analysis.evidence.served_work.add(WorkSums {
-                in_time: if is_late { 0.0 } else { work },
+                in_time: if attempt.is_late { 0.0 } else { work },
                 ..WorkSums::default()
             });
         }
@@ -134,3 +125,10 @@
         }
     }
 }
+
+/// Whether an attempt found no connection where connections are short: at what has answered between two attempts
+/// that found none. What is gone or silent is another fault.
+fn lacked_connection(record: &EndpointRecord, outcome: Outcome, now: Duration) -> bool {
+    let last_failure = record.health.last_connect_failure.unwrap_or(now);
+    outcome == Outcome::ConnectFailed && record.health.last_response > last_failure
+}
