--- a/crates/store/src/segment_format.rs
+++ b/crates/store/src/segment_format.rs
@@ -95,15 +95,21 @@
 pub fn decode_records(bytes: &[u8]) -> DecodedRecords {
     let mut records = Vec::new();
     let mut end = HEADER_BYTES;
-    while let Some((record, length)) = bytes.get(end..).and_then(decode_frame) {
-        records.push(record);
-        end += length;
+    while let Some(frame) = bytes.get(end..).and_then(decode_frame) {
+        records.push(frame.record);
+        end += frame.length;
     }
     DecodedRecords { records, end }
 }
 
-/// The record of the frame with which `bytes` begin, and the frame's length.
-fn decode_frame(bytes: &[u8]) -> Option<(Record, usize)> {
+struct Frame {
+    record: Record,
+    /// Its length with its header, in bytes.
+    length: usize,
+}
+
+/// The frame with which `bytes` begin; `None` if it is damaged or torn.
+fn decode_frame(bytes: &[u8]) -> Option<Frame> {
     let (length, rest) = bytes.split_first_chunk()?;
     let (checksum, rest) = rest.split_first_chunk()?;
     let length = u32::from_le_bytes(*length) as usize;
@@ -114,5 +120,8 @@
         return None;
     }
     let record = postcard::from_bytes(body).ok()?;
-    Some((record, FRAME_HEADER_BYTES + length))
+    Some(Frame {
+        record,
+        length: FRAME_HEADER_BYTES + length,
+    })
 }
--- a/crates/store/tests/stored_form.rs
+++ b/crates/store/tests/stored_form.rs
@@ -178,18 +178,18 @@
         (DepartureScope::Fleet, DepartureKind::Load, None, None),
         (DepartureScope::Node(0), DepartureKind::Links, None, None),
     ];
-    let record = |(number, (whom, kind, product, beside))| {
+    let record = |(number, (scope, kind, class, concurrent_stage))| {
         let departure = Departure {
             number: 100 + number,
-            scope: whom,
+            scope,
             kind,
-            class: product,
+            class,
             onset: at,
             confirmed: at + Duration::from_millis(1500),
             ended: None,
             baseline: 0.0625,
             observed: 0.7,
-            concurrent_stage: beside,
+            concurrent_stage,
         };
         Record::Entry(Entry {
             happened: at,
@@ -226,17 +226,17 @@
 /// A dump, as an agent puts it together.
 fn dump(timeline: &FleetTimeline) -> Vec<u8> {
     let mut records = first_records();
-    let entries = |line: &NodeTimeline| -> Vec<Record> {
-        line.as_of(Duration::MAX)
+    let entries = |node: &NodeTimeline| -> Vec<Record> {
+        node.as_of(Duration::MAX)
             .cloned()
             .map(Record::Entry)
             .collect()
     };
     records.extend(entries(timeline.agent()));
     for node in timeline.nodes() {
-        let line = timeline.node(node).expect("a line");
-        records.extend(entries(line));
-        for TimedStep { duration, step } in line.steps().since(Duration::ZERO) {
+        let node_timeline = timeline.node(node).expect("a timeline");
+        records.extend(entries(node_timeline));
+        for TimedStep { duration, step } in node_timeline.steps().since(Duration::ZERO) {
             records.push(Record::Step(StepRecord {
                 node,
                 from: step.from,
--- a/crates/timeline/src/baseline.rs
+++ b/crates/timeline/src/baseline.rs
@@ -51,13 +51,22 @@
     }
 }
 
+/// Observations that were gathered and wait to be learned.
+#[derive(Clone, Copy, Debug)]
+struct WaitingSum {
+    begun: Duration,
+    sum: WeightedSum,
+}
+
+/// The memory that a sum takes while it waits to be learned, in bytes.
+pub(crate) const WAITING_SUM_BYTES: usize = size_of::<WaitingSum>();
+
 /// A mean that fades: what was learned, what is recent, and what waits to be learned.
 #[derive(Clone, Debug, Default)]
 pub struct Baseline {
     learned: WeightedSum,
     learned_at: Duration,
-    /// Sums that wait to be learned, each with when it was begun.
-    waiting: VecDeque<(Duration, WeightedSum)>,
+    waiting: VecDeque<WaitingSum>,
 }
 
 impl Baseline {
@@ -69,14 +78,14 @@
     /// Takes a value or a sum of values.
     pub fn add(&mut self, now: Duration, sum: WeightedSum) {
         match self.waiting.back_mut() {
-            Some((begun, gathered)) if now < *begun + GATHERING_TIME => gathered.add(sum),
-            _ => self.waiting.push_back((now, sum)),
+            Some(last) if now < last.begun + GATHERING_TIME => last.sum.add(sum),
+            _ => self.waiting.push_back(WaitingSum { begun: now, sum }),
         }
     }
 
     /// Learns what has waited long enough. While `suspended`, that is dropped instead, since a departure lasts.
     pub fn learn(&mut self, now: Duration, suspended: bool) {
-        while let Some(&(begun, sum)) = self.waiting.front() {
+        while let Some(&WaitingSum { begun, sum }) = self.waiting.front() {
             if begun + LEARNING_DELAY > now {
                 return;
             }
@@ -102,9 +111,9 @@
     /// What was observed in the last seconds, learned or not.
     pub fn recent(&self, now: Duration) -> WeightedSum {
         let mut recent = WeightedSum::default();
-        let is_recent = |(begun, _): &&(Duration, WeightedSum)| *begun + RECENT > now;
-        for (_, sum) in self.waiting.iter().rev().take_while(is_recent) {
-            recent.add(*sum);
+        let is_recent = |waiting: &&WaitingSum| waiting.begun + RECENT > now;
+        for waiting in self.waiting.iter().rev().take_while(is_recent) {
+            recent.add(waiting.sum);
         }
         recent
     }
--- a/crates/timeline/src/monitor.rs
+++ b/crates/timeline/src/monitor.rs
@@ -9,12 +9,12 @@
 //!
 //! Jobs by module: `membership` keeps the list of nodes, `attempts` and `outstanding` turn attempts into
 //! observations, `signals` holds them by kind, `learning` takes them into the baselines, `limits` derives the tests'
-//! limits, `confirm` decides when an alarm is a departure, `attribution` whom it concerns, `recovery` when it is over,
+//! limits, `confirm` decides when an alarm is a departure, `attribution` what it concerns, `recovery` when it is over,
 //! and `departures` keeps the record of those that are open.
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use crate::baseline::{Baseline, WeightedSum};
+use crate::baseline::{Baseline, WAITING_SUM_BYTES, WeightedSum};
 use crate::entry::Departure;
 
 mod attempts;
@@ -150,7 +150,7 @@
 
     /// An estimate of the memory that the monitor takes for a node, in bytes.
     pub fn memory_bytes_per_node(&self) -> usize {
-        let waiting = WAITING_SUMS * size_of::<(Duration, WeightedSum)>();
+        let waiting = WAITING_SUMS * WAITING_SUM_BYTES;
         self.fleet.count() * (size_of::<Signal>() + waiting) + size_of::<WatchedNode>()
     }
 }
--- a/crates/timeline/src/monitor/confirm.rs
+++ b/crates/timeline/src/monitor/confirm.rs
@@ -9,11 +9,17 @@
 use super::signals::{ALL_CLASSES, KINDS};
 use crate::entry::{DepartureKind, DepartureScope};
 
+/// A node whose evidence for a kind of departure is certain.
+struct Alarm {
+    node: u32,
+    kind: DepartureKind,
+}
+
 impl FleetMonitor {
     /// Opens the departures that have become certain.
     pub(super) fn confirm(&mut self, now: Duration) {
         let threshold = self.threshold();
-        for (node, kind) in self.certain_nodes(now, threshold) {
+        for Alarm { node, kind } in self.certain_alarms(now, threshold) {
             // A departure opened a moment ago may include this node.
             if self
                 .nodes
@@ -30,15 +36,15 @@
         }
     }
 
-    /// The nodes and kinds whose evidence has been above the threshold for long enough.
-    fn certain_nodes(&mut self, now: Duration, threshold: f64) -> Vec<(u32, DepartureKind)> {
+    /// The alarms of nodes whose evidence has been above the threshold for long enough.
+    fn certain_alarms(&mut self, now: Duration, threshold: f64) -> Vec<Alarm> {
         let mut certain = Vec::new();
         for (&node, watched) in &mut self.nodes {
             for kind in KINDS {
                 let since = update_alarms(watched, now, kind, threshold);
                 let long_enough = since.is_some_and(|at| now >= at + CONFIRM_AFTER);
                 if long_enough && watched.is_reportable(kind) {
-                    certain.push((node, kind));
+                    certain.push(Alarm { node, kind });
                 }
             }
         }
--- a/crates/timeline/src/monitor/node.rs
+++ b/crates/timeline/src/monitor/node.rs
@@ -58,7 +58,8 @@
         self.relative_latency.mean(1.0, LATENCY_PRIOR_WEIGHT)
     }
 
-    /// Whether an attempt sent at `sent` falls into the time after its start in which it may be slow.
+    /// Whether an attempt sent at `sent` falls into the time after its start in which it may be slow, with a margin of an
+    /// eighth.
     pub(super) fn is_warming_up(&self, sent: Duration, slow_start: Duration) -> bool {
         self.started
             .is_some_and(|started| sent < started + slow_start * 9 / 8)
--- a/crates/timeline/src/monitor/outstanding.rs
+++ b/crates/timeline/src/monitor/outstanding.rs
@@ -13,6 +13,8 @@
 const MIN_HIGH_LOAD: usize = 4;
 /// More outstanding attempts than this multiple of the baseline are too many.
 const HIGH_LOAD_FACTOR: f64 = 3.0;
+/// Until more is known, a node counts as having one attempt outstanding; the weight of that.
+const OUTSTANDING_PRIOR_WEIGHT: f64 = 4.0;
 
 impl FleetMonitor {
     /// Observes load and silence at each node. After a pause only the mean numbers are noted, since nothing could be
@@ -29,26 +31,18 @@
         for (&node, watched) in &mut self.nodes {
             let others_mean = (total - watched.outstanding.len()) as f64 / other_nodes as f64;
             if let Some(high) = observe_load(watched, now, others_mean) {
-                observed.push((node, DepartureKind::Load, high));
+                observed.push((node, observation(DepartureKind::Load, high)));
             }
             // Answers are the good observations of silence; while nothing is overdue there is nothing to observe.
             if is_overdue(watched, now, self.resumed_at, baseline_seconds) {
-                observed.push((node, DepartureKind::Silence, true));
+                observed.push((node, observation(DepartureKind::Silence, true)));
             }
         }
         if after_pause {
             return;
         }
-        for (node, kind, bad) in observed {
-            self.observe(
-                now,
-                node,
-                &[Observation {
-                    kind,
-                    place: ALL_CLASSES,
-                    bad,
-                }],
-            );
+        for (node, observation) in observed {
+            self.observe(now, node, &[observation]);
         }
     }
 
@@ -61,10 +55,18 @@
     }
 }
 
-/// Notes how many attempts are outstanding. Returns whether they are too many, or nothing if there are none.
+fn observation(kind: DepartureKind, bad: bool) -> Observation {
+    Observation {
+        kind,
+        place: ALL_CLASSES,
+        bad,
+    }
+}
+
+/// Notes how many attempts are outstanding. Returns whether they are too many; `None` if there are none.
 fn observe_load(watched: &mut WatchedNode, now: Duration, others_mean: f64) -> Option<bool> {
     let outstanding = watched.outstanding.len();
-    let own_mean = watched.mean_outstanding.mean(1.0, 4.0);
+    let own_mean = watched.mean_outstanding.mean(1.0, OUTSTANDING_PRIOR_WEIGHT);
     let sample = WeightedSum::of(outstanding as f64);
     watched.mean_outstanding.add(now, sample);
     let baseline = own_mean.max(others_mean).max(1.0);
--- a/crates/timeline/src/monitor/signals.rs
+++ b/crates/timeline/src/monitor/signals.rs
@@ -19,19 +19,20 @@
 pub(super) const ALL_CLASSES: usize = 0;
 
 /// The most observations one attempt gives.
-const MOST_PER_ATTEMPT: usize = 6;
+const MAX_PER_ATTEMPT: usize = 6;
 
 /// One outcome, good or bad, for one signal.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Observation {
     pub(super) kind: DepartureKind,
+    /// The signal among those of its kind: [`ALL_CLASSES`], or that of one class.
     pub(super) place: usize,
     pub(super) bad: bool,
 }
 
 /// The observations that one attempt gives, kept without an allocation.
 pub(super) struct Observations {
-    list: [Observation; MOST_PER_ATTEMPT],
+    list: [Observation; MAX_PER_ATTEMPT],
     count: usize,
 }
 
@@ -43,11 +44,12 @@
             bad: false,
         };
         Observations {
-            list: [unused; MOST_PER_ATTEMPT],
+            list: [unused; MAX_PER_ATTEMPT],
             count: 0,
         }
     }
 
+    /// Adds an observation; there is room for as many as one attempt gives.
     pub(super) fn push(&mut self, kind: DepartureKind, place: usize, bad: bool) {
         self.list[self.count] = Observation { kind, place, bad };
         self.count += 1;
