--- a/crates/timeline/src/fleet_timeline.rs
+++ b/crates/timeline/src/fleet_timeline.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
-use crate::entry::{Departure, DepartureScope, Entry, Event, Record};
+use crate::entry::{DepartureScope, Entry, Event, Record};
 use crate::monitor::{AttemptId, DepartureReport, FleetMonitor, MonitorConfig, TICK};
 use crate::node_timeline::NodeTimeline;
 
@@ -201,9 +201,4 @@
     pub fn agent(&self) -> &NodeTimeline {
         &self.agent
     }
-
-    /// The departures that last.
-    pub fn open_departures(&self) -> impl Iterator<Item = &Departure> {
-        self.monitor.open_departures()
-    }
 }
--- a/crates/timeline/src/monitor.rs
+++ b/crates/timeline/src/monitor.rs
@@ -143,11 +143,6 @@
         std::mem::take(&mut self.reports)
     }
 
-    /// The departures that last.
-    pub fn open_departures(&self) -> impl Iterator<Item = &Departure> {
-        self.open.values()
-    }
-
     /// An estimate of the memory that the monitor takes for a node, in bytes.
     pub fn memory_bytes_per_node(&self) -> usize {
         let waiting = WAITING_SUMS * WAITING_SUM_BYTES;
