--- a/crates/decision/tests/engine/discovery.rs
+++ b/crates/decision/tests/engine/discovery.rs
@@ -14,7 +14,8 @@
 /// could be reached.
 const CHANGE_COUNTS_AFTER: Duration = Duration::from_secs(6);
 
-fn engine(agent: u32, agent_count: u32, seed: u64) -> DecisionEngine {
+/// An agent that gets the endpoint list only where it requests it.
+pub(crate) fn engine(agent: u32, agent_count: u32, seed: u64) -> DecisionEngine {
     let mut settings = agent_settings(agent, agent_count, seed);
     settings.discovery.request_within = Some(REQUEST_WITHIN);
     DecisionEngine::new(settings)
--- a/crates/decision/tests/engine/final_answers/mod.rs
+++ b/crates/decision/tests/engine/final_answers/mod.rs
@@ -17,7 +17,7 @@
 use proptest::test_runner::RngSeed;
 
 use self::events::{AttemptEnd, Event, attempt_end, event};
-use crate::support::{EPOCH, ReleaseUpdate, agent_settings, endpoint, request};
+use crate::support::{Attempt, EPOCH, READ, ReleaseUpdate, agent_settings, endpoint, request};
 
 const STEP: Duration = Duration::from_millis(5);
 /// Events happen in the first steps, and all deadlines have passed by the last.
@@ -31,8 +31,8 @@
         latency_objective: Duration::from_millis(300),
         deadline: Duration::from_millis(1500),
         deduplication_window,
-        priority_weight: 1.0,
         late_weight_share: 0.1,
+        ..READ
     }
 }
 
@@ -94,14 +94,6 @@
     may_have_run: Option<Sent>,
 }
 
-struct Attempt {
-    due: Duration,
-    request: RequestId,
-    number: AttemptNumber,
-    endpoint: EndpointId,
-    outcome: Outcome,
-}
-
 /// All that stands around the engine of one agent.
 struct Surroundings<'a> {
     attempt_ends: &'a [AttemptEnd],
@@ -226,7 +218,7 @@
                 let ran = sent.filter(|_| outcome.may_have_run());
                 pending.may_have_run = pending.may_have_run.or(ran);
             }
-            events.on_attempt_ended(id, attempt.number, attempt.endpoint, outcome, STEP, closed);
+            attempt.end_closed(closed, events);
         }
     }
 
@@ -256,6 +248,7 @@
             number: AttemptNumber(pending.attempts),
             endpoint: to,
             outcome,
+            took: STEP,
         });
         pending.attempts += 1;
         pending.in_flight = Some(sent);
--- a/crates/decision/tests/engine/load.rs
+++ b/crates/decision/tests/engine/load.rs
@@ -9,20 +9,13 @@
 use lilacgate_test_bed::decided::Decided;
 use rstest::rstest;
 
-use crate::support::{
-    EPOCH, READ, ReleaseUpdate, TICK, agent_settings, endpoint, overload_limit, request,
-};
+use crate::discovery::engine;
+use crate::support::{EPOCH, READ, ReleaseUpdate, TICK, endpoint, overload_limit, request};
 
 /// Attempts are answered after so many ticks.
 const ANSWER_TICKS: u32 = 10;
 const TICKS_PER_SECOND: u32 = 100;
 
-fn engine(agent: u32, agent_count: u32, seed: u64) -> DecisionEngine {
-    let mut settings = agent_settings(agent, agent_count, seed);
-    settings.discovery.request_within = Some(Duration::from_secs(10));
-    DecisionEngine::new(settings)
-}
-
 /// A whole endpoint list and the release update that comes with it.
 struct Update {
     endpoints: Vec<Endpoint>,
--- a/crates/decision/tests/engine/reports/fleet.rs
+++ b/crates/decision/tests/engine/reports/fleet.rs
@@ -1,11 +1,11 @@
 //! A whole fleet of agents with a lossy network between them: what an agent receives of others' reports, and when
 //! a failing build is voted back.
-use std::collections::{BTreeMap, VecDeque};
+use std::collections::VecDeque;
 use std::time::Duration;
 
 use lilacgate_decision::{
-    AgentId, AttemptNumber, DecisionEngine, EndpointId, EventHandler, Outcome, Request,
-    RequestClass, RequestId, Vote,
+    AgentId, DecisionEngine, EndpointId, EventHandler, Outcome, Request, RequestClass, RequestId,
+    Vote,
 };
 use lilacgate_test_bed::decided::Decided;
 use rand::{RngExt, SeedableRng};
@@ -14,7 +14,7 @@
 
 use super::network::{Datagram, Network, Quality, most_received};
 use super::{Listed, MAX_REPORT, Reporting, SECOND, canary, engine};
-use crate::support::{EPOCH, READ, TICK, request};
+use crate::support::{Attempt, AttemptCounter, EPOCH, READ, TICK, request};
 
 /// What an agent may receive in a minimum stage time, headers included: 24 full reports.
 const BUDGET: f64 = 24.0 * MAX_REPORT as f64;
@@ -77,20 +77,12 @@
     roll_back: Option<RollBackVote>,
 }
 
-struct Attempt {
-    due: Duration,
-    request: RequestId,
-    number: AttemptNumber,
-    endpoint: EndpointId,
-    outcome: Outcome,
-}
-
 struct Agent {
     engine: DecisionEngine,
     wake_up: Duration,
     next_request: Duration,
     request_count: u32,
-    attempts: BTreeMap<RequestId, u8>,
+    attempts: AttemptCounter,
     in_flight: VecDeque<Attempt>,
 }
 
@@ -102,7 +94,7 @@
             wake_up: EPOCH,
             next_request: EPOCH + first_request,
             request_count: 0,
-            attempts: BTreeMap::new(),
+            attempts: AttemptCounter::default(),
             in_flight: VecDeque::new(),
         }
     }
@@ -175,9 +167,7 @@
         to: EndpointId,
         random: &mut Pcg64Mcg,
     ) {
-        let attempts = self.attempts.entry(request).or_default();
-        let number = AttemptNumber(*attempts);
-        *attempts += 1;
+        let number = self.attempts.next(request);
         let runs_canary =
             now >= RELEASE_AT && (0..scene.listed.canaries).any(|number| canary(number) == to);
         let fails = runs_canary && random.random::<f64>() < scene.failure_rate;
@@ -191,6 +181,7 @@
             } else {
                 Outcome::Succeeded
             },
+            took: ANSWER_TIME,
         });
     }
 }
@@ -198,14 +189,7 @@
 fn answer_due(in_flight: &mut VecDeque<Attempt>, now: Duration, events: &mut dyn EventHandler) {
     let due = in_flight.partition_point(|attempt| attempt.due <= now);
     for attempt in in_flight.drain(..due) {
-        events.on_attempt_ended(
-            attempt.request,
-            attempt.number,
-            attempt.endpoint,
-            attempt.outcome,
-            ANSWER_TIME,
-            attempt.outcome == Outcome::Succeeded,
-        );
+        attempt.end(events);
     }
 }
 
--- a/crates/decision/tests/engine/same_decisions.rs
+++ b/crates/decision/tests/engine/same_decisions.rs
@@ -1,6 +1,5 @@
 //! On a fleet that is no larger than what one agent works with, the engine decides as it did before it had subsets:
 //! a scripted minute of each size ends in a digest of all decisions, recorded from the program before that change.
-use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -14,7 +13,9 @@
 use rand_pcg::Pcg64Mcg;
 use rstest::rstest;
 
-use crate::support::{EPOCH, ReleaseUpdate, TICK, agent_settings, endpoint, request};
+use crate::support::{
+    Attempt, AttemptCounter, EPOCH, READ, ReleaseUpdate, TICK, agent_settings, endpoint, request,
+};
 
 const TICKS: u32 = 6000;
 const DEADLINE: Duration = Duration::from_secs(2);
@@ -27,8 +28,8 @@
         latency_objective: Duration::from_millis(400),
         deadline: DEADLINE,
         deduplication_window,
-        priority_weight: 1.0,
         late_weight_share: 0.1,
+        ..READ
     }
 }
 
@@ -172,20 +173,11 @@
     }
 }
 
-struct Attempt {
-    due: Duration,
-    request: RequestId,
-    number: AttemptNumber,
-    endpoint: EndpointId,
-    outcome: Outcome,
-    took: Duration,
-}
-
 /// What an agent sees in the scripted minute.
 struct Minute {
     random: Pcg64Mcg,
     endpoints: Vec<Endpoint>,
-    attempts: BTreeMap<RequestId, u8>,
+    attempts: AttemptCounter,
     in_flight: Vec<Attempt>,
     request_count: u32,
 }
@@ -197,7 +189,7 @@
             endpoints: (0..listed)
                 .map(|index| endpoint_of(index, listed))
                 .collect(),
-            attempts: BTreeMap::new(),
+            attempts: AttemptCounter::default(),
             in_flight: Vec::new(),
             request_count: 0,
         }
@@ -208,14 +200,7 @@
         self.send_endpoints(now, tick, events);
         send_permissions(tick, events);
         for attempt in self.in_flight.extract_if(.., |attempt| attempt.due <= now) {
-            events.on_attempt_ended(
-                attempt.request,
-                attempt.number,
-                attempt.endpoint,
-                attempt.outcome,
-                attempt.took,
-                attempt.outcome == Outcome::Succeeded,
-            );
+            attempt.end(events);
         }
         if self.random.random::<f64>() < 0.4 {
             self.send_request(now, events);
@@ -273,9 +258,7 @@
 
     /// Decides how an attempt ends: a tenth of the endpoints is silent for ten seconds, others fail at times.
     fn send_attempt(&mut self, now: Duration, tick: u32, request: RequestId, to: EndpointId) {
-        let attempts = self.attempts.entry(request).or_default();
-        let number = AttemptNumber(*attempts);
-        *attempts += 1;
+        let number = self.attempts.next(request);
         let silent = SILENT_TICKS.contains(&tick) && to.0 % 10 == 3;
         let (outcome, milliseconds) = match self.random.random_range(0..100) {
             _ if silent => (Outcome::TimedOut, 1500),
--- a/crates/decision/tests/engine/scenarios/recorder.rs
+++ b/crates/decision/tests/engine/scenarios/recorder.rs
@@ -1,5 +1,5 @@
 //! Writes down what the engine decides, in the words of the scenarios.
-use std::collections::{BTreeMap, VecDeque};
+use std::collections::VecDeque;
 use std::time::Duration;
 
 use lilacgate_decision::{
@@ -8,6 +8,8 @@
 use lilacgate_timeline::book::{Book, Room};
 use lilacgate_timeline::watch::Aims;
 
+use crate::support::AttemptCounter;
+
 /// An agent's record, kept beside its decisions; it must not change any.
 fn record() -> Book {
     let aims = Aims {
@@ -38,7 +40,7 @@
     pub(super) all: Vec<String>,
     pub(super) notes: Vec<String>,
     pub(super) in_flight: VecDeque<Sent>,
-    attempts: BTreeMap<RequestId, u8>,
+    attempts: AttemptCounter,
 }
 
 impl Recorder {
@@ -66,9 +68,7 @@
 impl Actions for Recorder {
     fn send_attempt(&mut self, request: RequestId, endpoint: EndpointId, _: Duration) {
         self.add(format!("send {} {}", request.0, endpoint.0));
-        let attempts = self.attempts.entry(request).or_default();
-        let number = AttemptNumber(*attempts);
-        *attempts += 1;
+        let number = self.attempts.next(request);
         if let Some(record) = &mut self.record {
             record.attempt(self.now, request, number, endpoint);
         }
--- a/crates/decision/tests/engine/subset/mod.rs
+++ b/crates/decision/tests/engine/subset/mod.rs
@@ -5,7 +5,7 @@
 mod cost;
 mod failures;
 
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeSet;
 use std::time::Duration;
 
 use lilacgate_decision::{
@@ -15,7 +15,9 @@
 };
 use lilacgate_test_bed::decided::Decided;
 
-use crate::support::{EPOCH, READ, ReleaseUpdate, TICK, WORK, agent_settings, request};
+use crate::support::{
+    Attempt, AttemptCounter, EPOCH, READ, ReleaseUpdate, TICK, WORK, agent_settings, request,
+};
 
 const AGENTS: u32 = 530;
 /// How many endpoints a subset has where nothing is wrong with them.
@@ -89,20 +91,12 @@
     AttemptEnd::SUCCESS
 }
 
-struct Attempt {
-    due: Duration,
-    request: RequestId,
-    number: AttemptNumber,
-    endpoint: EndpointId,
-    end: AttemptEnd,
-}
-
 /// One agent and what stands around it; how an attempt ends is settled when it is sent.
 struct Simulation {
     engine: DecisionEngine,
     now: Duration,
     in_flight: Vec<Attempt>,
-    attempts: BTreeMap<RequestId, u8>,
+    attempts: AttemptCounter,
     request_count: u32,
     given_up: Vec<RequestId>,
     wake_ups: BTreeSet<Duration>,
@@ -115,7 +109,7 @@
             engine: engine(agent, AGENTS),
             now: EPOCH,
             in_flight: Vec::new(),
-            attempts: BTreeMap::new(),
+            attempts: AttemptCounter::default(),
             request_count: 0,
             given_up: Vec::new(),
             wake_ups: BTreeSet::new(),
@@ -170,29 +164,21 @@
             .collect();
         let events = |events: &mut dyn EventHandler| {
             for attempt in due {
-                events.on_attempt_ended(
-                    attempt.request,
-                    attempt.number,
-                    attempt.endpoint,
-                    attempt.end.outcome,
-                    attempt.end.took,
-                    attempt.end.outcome == Outcome::Succeeded,
-                );
+                attempt.end(events);
             }
             given(events);
         };
         self.engine.round(now, events, &mut decided);
         for (request, endpoint) in &decided.sent {
-            let attempts = self.attempts.entry(*request).or_default();
-            let number = AttemptNumber(*attempts);
-            *attempts += 1;
+            let number = self.attempts.next(*request);
             let end = end(number, *endpoint);
             self.in_flight.push(Attempt {
                 due: now + end.took,
                 request: *request,
                 number,
                 endpoint: *endpoint,
-                end,
+                outcome: end.outcome,
+                took: end.took,
             });
         }
         self.given_up
--- a/crates/decision/tests/engine/support/mod.rs
+++ b/crates/decision/tests/engine/support/mod.rs
@@ -1,8 +1,10 @@
 //! What the tests have in common.
+mod attempts;
 mod setup;
 
 use std::time::Duration;
 
+pub(crate) use self::attempts::{Attempt, AttemptCounter};
 pub(crate) use self::setup::{
     EPOCH, MINIMUM_STAGE_TIME, READ, ReleaseUpdate, WORK, agent_settings, endpoint, request,
 };
