--- a/crates/ctl/src/timeline/read.rs
+++ b/crates/ctl/src/timeline/read.rs
@@ -1,6 +1,6 @@
 //! Timelines as they are read back: from a store's folder or one file, for a span of time, with the nodes' names.
 use std::collections::{BTreeMap, BTreeSet};
-use std::path::{Path, PathBuf};
+use std::path::PathBuf;
 use std::time::Duration;
 
 use clap::Args;
