--- a/crates/agent/src/clients/connection.rs
+++ b/crates/agent/src/clients/connection.rs
@@ -83,10 +83,10 @@
             Some(
                 ConnectionEnd::Malformed
                 | ConnectionEnd::TooLong
-                | ConnectionEnd::Flood
-                | ConnectionEnd::Silent,
+                | ConnectionEnd::TooManyMessages
+                | ConnectionEnd::TimedOut,
             ) => true,
-            Some(ConnectionEnd::Crowded) if !self.has_received_command.get() => true,
+            Some(ConnectionEnd::Evicted) if !self.has_received_command.get() => true,
             _ => self.ignores_input.get(),
         }
     }
@@ -149,8 +149,8 @@
         drop(stream);
         self.connections.borrow_mut().remove(&serial);
         self.connection_ended.wake();
-        count(Count::ClientsEnded);
-        info!("client {peer} ended: {end}");
+        count(Count::ClientsDisconnected);
+        info!("connection_closed peer=client address={peer} reason={end}");
     }
 
     /// Writes replies in the order of their commands; returns why the connection ends.
@@ -209,13 +209,14 @@
                 }
                 Some(Err(end @ (ConnectionEnd::Malformed | ConnectionEnd::TooLong))) => {
                     count(Count::CommandsRefused);
-                    connection
-                        .replies
-                        .push_line(&format!("-ERR protocol error: {end}"));
+                    connection.replies.push_line(&format!(
+                        "-ERR protocol error: {}",
+                        protocol_error_text(end)
+                    ));
                     break end;
                 }
                 // The commands before one that was never completed get their replies still.
-                Some(Err(ConnectionEnd::Silent)) => break ConnectionEnd::Silent,
+                Some(Err(ConnectionEnd::TimedOut)) => break ConnectionEnd::TimedOut,
                 Some(Err(end)) => return end,
                 None => return ConnectionEnd::Closed,
             }
@@ -224,7 +225,7 @@
         // else it ends with its last reply.
         connection.end(reason);
         let end = self.wait_for_client_end(&stream, reason).await;
-        if end != ConnectionEnd::Flood && connection.replies.has_unanswered() {
+        if end != ConnectionEnd::TooManyMessages && connection.replies.has_unanswered() {
             end
         } else {
             future::pending().await
@@ -235,7 +236,7 @@
     ///
     /// # Errors
     ///
-    /// [`ConnectionEnd::Flood`] if too many replies are pending then; what follows is not read.
+    /// [`ConnectionEnd::TooManyMessages`] if too many replies are pending then; what follows is not read.
     fn execute_and_reply(
         &self,
         arrived: Duration,
@@ -251,8 +252,16 @@
             connection
                 .replies
                 .push_line("-ERR too many commands at once");
-            return Err(ConnectionEnd::Flood);
+            return Err(ConnectionEnd::TooManyMessages);
         }
         Ok(())
     }
 }
+
+/// The text of the error reply to a command that cannot be read. Part of the protocol, unlike the codes in log lines.
+const fn protocol_error_text(end: ConnectionEnd) -> &'static str {
+    match end {
+        ConnectionEnd::TooLong => "too-long",
+        other => other.code(),
+    }
+}
--- a/crates/agent/src/clients/eviction.rs
+++ b/crates/agent/src/clients/eviction.rs
@@ -63,7 +63,7 @@
             .min_by_key(order)
             .cloned();
         longest_idle
-            .inspect(|connection| connection.end(ConnectionEnd::Crowded))
+            .inspect(|connection| connection.end(ConnectionEnd::Evicted))
             .is_some()
     }
 
--- a/crates/agent/src/clients/lingering_close.rs
+++ b/crates/agent/src/clients/lingering_close.rs
@@ -26,7 +26,7 @@
                 .clock
                 .sleep_until(self.linger_deadline.get())
                 .await;
-            Err(ConnectionEnd::Stopping)
+            Err(ConnectionEnd::ShuttingDown)
         };
         let client_end = async { Err::<(), _>(self.wait_for_client_end(stream, reason).await) };
         with_timeout(self.connect_timeout, client_end.or(shutdown))
@@ -34,9 +34,10 @@
             .ok();
     }
 
-    /// Waits for the client's end on a connection that takes no more commands; returns [`ConnectionEnd::Flood`] if it sends on
-    /// instead. What is malformed, or comes behind that, is discarded, up to as many bytes as all clients together may
-    /// hold. A command is left unread: its client has all its replies, and sends it again elsewhere.
+    /// Waits for the client's end on a connection that takes no more commands; returns
+    /// [`ConnectionEnd::TooManyMessages`] if it sends on instead. What is malformed, or comes behind that, is discarded,
+    /// up to as many bytes as all clients together may hold. A command is left unread: its client has all its replies,
+    /// and sends it again elsewhere.
     pub(super) async fn wait_for_client_end(
         &self,
         stream: &Async<TcpStream>,
@@ -44,7 +45,7 @@
     ) -> ConnectionEnd {
         let discards = matches!(
             reason,
-            ConnectionEnd::Malformed | ConnectionEnd::TooLong | ConnectionEnd::Flood
+            ConnectionEnd::Malformed | ConnectionEnd::TooLong | ConnectionEnd::TooManyMessages
         );
         // On the heap: within the task it would enlarge every connection for as long as that lives.
         let mut bytes = vec![0; if discards { DISCARD_CHUNK } else { 1 }];
@@ -63,6 +64,6 @@
             }
             future::yield_now().await;
         }
-        ConnectionEnd::Flood
+        ConnectionEnd::TooManyMessages
     }
 }
--- a/crates/agent/src/clients/listener.rs
+++ b/crates/agent/src/clients/listener.rs
@@ -37,7 +37,7 @@
                     future::yield_now().await;
                 }
                 Err(error) => {
-                    info!("no client accepted: {}", ConnectionEnd::from(error));
+                    info!("accept_failed error={}", ConnectionEnd::from(error));
                     self.evict_idle(Eviction::ForConnection);
                     self.wait_for_connection_end().await;
                 }
--- a/crates/agent/src/clients/shutdown.rs
+++ b/crates/agent/src/clients/shutdown.rs
@@ -43,7 +43,7 @@
         }
         let left = self.event_loop.unanswered_requests();
         info!(
-            "stopped after {} ms with {left} requests in hand",
+            "shutdown_completed duration_ms={} unanswered_requests={left}",
             (clock.now() - started).as_millis()
         );
     }
@@ -68,7 +68,7 @@
                     connection
                         .end_reason
                         .get()
-                        .unwrap_or(ConnectionEnd::Stopping),
+                        .unwrap_or(ConnectionEnd::ShuttingDown),
                 );
             }
         }
--- a/crates/agent/src/discovery.rs
+++ b/crates/agent/src/discovery.rs
@@ -138,7 +138,10 @@
     }
 
     fn failed(&self, end: ConnectionEnd) {
-        info!("discovery {} ended: {end}", self.address.get());
+        info!(
+            "connection_closed peer=discovery address={} reason={end}",
+            self.address.get()
+        );
         if self.is_on_request {
             self.event_loop
                 .enqueue(|router| router.on_endpoints(ListUpdate::Failed, &mut std::iter::empty()));
@@ -153,7 +156,7 @@
                 is_wanted = self.watch_receiver.recv().await.unwrap_or(false);
             }
             let WatchEnd { end, pause } = self.watch_once().await;
-            let mut has_moved = end == ConnectionEnd::Moved;
+            let mut has_moved = end == ConnectionEnd::AddressChanged;
             if !has_moved {
                 is_wanted = !self.is_on_request;
                 has_moved = is_wanted && self.moves_within(pause).await;
@@ -168,7 +171,8 @@
 
     /// Waits so long, or until discovery has moved; returns whether it has.
     async fn moves_within(&self, pause: Duration) -> bool {
-        with_timeout(pause, self.address.changed::<()>()).await == Err(ConnectionEnd::Moved)
+        with_timeout(pause, self.address.changed::<()>()).await
+            == Err(ConnectionEnd::AddressChanged)
     }
 
     /// One watch, up to its end.
@@ -181,11 +185,11 @@
         let watch = self.watch_list(&path, &has_received);
         let unwanted = async {
             while self.watch_receiver.recv().await.unwrap_or(true) {}
-            Err(ConnectionEnd::GivenUp)
+            Err(ConnectionEnd::Cancelled)
         };
         let Err(end) = watch.or(unwanted).or(self.address.changed()).await;
-        if end == ConnectionEnd::Moved {
-            info!("discovery {address} ended: {end}");
+        if end == ConnectionEnd::AddressChanged {
+            info!("connection_closed peer=discovery address={address} reason={end}");
         } else {
             self.failed(end);
         }
@@ -276,7 +280,10 @@
             match discovery.fetch_list().await {
                 Ok(()) => {
                     let address = discovery.address.get();
-                    info!("discovery {address} ended: {}", ConnectionEnd::Closed);
+                    info!(
+                        "connection_closed peer=discovery address={address} reason={}",
+                        ConnectionEnd::Closed
+                    );
                 }
                 Err(end) => discovery.failed(end),
             }
--- a/crates/agent/src/dispatcher.rs
+++ b/crates/agent/src/dispatcher.rs
@@ -105,10 +105,7 @@
         count(Count::Attempts);
         let unanswered = self.dispatcher.event_loop.unanswered();
         let Some(attempt) = unanswered.start_attempt(id, self.now, give_up_after) else {
-            return info!(
-                "an attempt of request {}, which has had its answer, stays here",
-                id.0
-            );
+            return info!("attempt_dropped request={} reason=request_answered", id.0);
         };
         let event = RequestEvent::AttemptSent {
             id: attempt.id,
--- a/crates/agent/src/lifecycle.rs
+++ b/crates/agent/src/lifecycle.rs
@@ -11,7 +11,7 @@
 use crate::discovery::Discovery;
 use crate::error::StartFileError;
 use crate::json::Json;
-use crate::log::{self, info};
+use crate::log::{self, Quoted, info};
 use crate::operator_file::OperatorFile;
 use crate::platform::Platform;
 use crate::start_config::{self, StartConfig};
@@ -89,10 +89,10 @@
     /// accepted. A second one makes it accept nothing more, a third one ends it at once.
     pub(crate) async fn run(mut self, clients: Rc<Clients>) {
         self.until_stop().await;
-        info!("stopping");
+        info!("shutdown_started");
         let stopped_again = async {
             self.until_stop().await;
-            info!("stopping sooner");
+            info!("shutdown_expedited");
             clients.drain();
             self.until_stop().await;
         };
@@ -125,14 +125,17 @@
     fn reload(&self) {
         let config = match read_start_file(&self.path) {
             Ok(config) => config,
-            Err(error) => return info!("reload: {error}; nothing changes"),
+            Err(error) => return info!("reload_failed file=start error={}", Quoted(error)),
         };
         let ignored = start_config::differences(&self.first_file, &config.file);
         if !ignored.is_empty() {
-            info!("reload: only a restart takes over {}", ignored.join(", "));
+            info!(
+                "reload_requires_restart fields={}",
+                Quoted(ignored.join(", "))
+            );
         }
         info!(
-            "reload: discovery at {}, platform at {}",
+            "reload_completed file=start discovery={} platform={}",
             config.discovery, config.platform
         );
         self.discovery.address.set(config.discovery);
@@ -141,5 +144,5 @@
 }
 
 fn write_counters() {
-    log::write(format!("counters:{}", log::counters()));
+    log::write(format!("counters{}", log::counters()));
 }
--- a/crates/agent/src/log/connection_end.rs
+++ b/crates/agent/src/log/connection_end.rs
@@ -18,7 +18,7 @@
     /// The other side cannot be reached.
     Unreachable,
     /// Nothing arrived in time.
-    Silent,
+    TimedOut,
     /// A message began, and the rest of it did not arrive in time.
     Stalled,
     /// Something arrived that cannot be read.
@@ -26,23 +26,23 @@
     /// Something arrived that is longer than its bound.
     TooLong,
     /// More messages arrived than may.
-    Flood,
+    TooManyMessages,
     /// This agent has no more use for it.
-    GivenUp,
+    Cancelled,
     /// It carried nothing for too long.
     Idle,
     /// It made room for another one.
-    Crowded,
+    Evicted,
     /// The other side closed it, or sent something on it, while it was idle.
     Stale,
     /// The endpoint is not listed any more, or takes no requests.
-    Gone,
+    EndpointRemoved,
     /// The service listens elsewhere now.
-    Moved,
+    AddressChanged,
     /// A limit of this machine or process was reached.
-    OwnLimit,
+    ResourceLimit,
     /// The agent shuts down.
-    Stopping,
+    ShuttingDown,
     /// It ended in another way.
     Failed,
 }
@@ -55,19 +55,19 @@
             ConnectionEnd::Reset => "reset",
             ConnectionEnd::Refused => "refused",
             ConnectionEnd::Unreachable => "unreachable",
-            ConnectionEnd::Silent => "silent",
+            ConnectionEnd::TimedOut => "timeout",
             ConnectionEnd::Stalled => "stalled",
             ConnectionEnd::Malformed => "malformed",
-            ConnectionEnd::TooLong => "too-long",
-            ConnectionEnd::Flood => "flood",
-            ConnectionEnd::GivenUp => "given-up",
+            ConnectionEnd::TooLong => "too_long",
+            ConnectionEnd::TooManyMessages => "too_many_messages",
+            ConnectionEnd::Cancelled => "cancelled",
             ConnectionEnd::Idle => "idle",
-            ConnectionEnd::Crowded => "crowded",
+            ConnectionEnd::Evicted => "evicted",
             ConnectionEnd::Stale => "stale",
-            ConnectionEnd::Gone => "gone",
-            ConnectionEnd::Moved => "moved",
-            ConnectionEnd::OwnLimit => "own-limit",
-            ConnectionEnd::Stopping => "stopping",
+            ConnectionEnd::EndpointRemoved => "endpoint_removed",
+            ConnectionEnd::AddressChanged => "address_changed",
+            ConnectionEnd::ResourceLimit => "resource_limit",
+            ConnectionEnd::ShuttingDown => "shutdown",
             ConnectionEnd::Failed => "failed",
         }
     }
@@ -92,8 +92,10 @@
             | io::ErrorKind::HostUnreachable
             | io::ErrorKind::NetworkUnreachable => ConnectionEnd::Unreachable,
             // No port is free. The lack of file descriptors has no kind of its own.
-            io::ErrorKind::AddrNotAvailable => ConnectionEnd::OwnLimit,
-            _ if matches!(error.raw_os_error(), Some(ENFILE | EMFILE)) => ConnectionEnd::OwnLimit,
+            io::ErrorKind::AddrNotAvailable => ConnectionEnd::ResourceLimit,
+            _ if matches!(error.raw_os_error(), Some(ENFILE | EMFILE)) => {
+                ConnectionEnd::ResourceLimit
+            }
             _ => ConnectionEnd::Failed,
         }
     }
--- a/crates/agent/src/log/counters.rs
+++ b/crates/agent/src/log/counters.rs
@@ -17,71 +17,71 @@
     /// Connections of clients that were accepted.
     ClientsAccepted "clients_accepted"
     /// Connections of clients that have ended.
-    ClientsEnded "clients_ended"
+    ClientsDisconnected "clients_disconnected"
     /// Requests that were passed to the decision engine.
-    RequestsAccepted "requests_taken"
+    RequestsAccepted "requests_accepted"
     /// Commands that were refused for their form.
     CommandsRefused "commands_refused"
     /// Requests that succeeded.
-    RequestsSucceeded "settled"
+    RequestsSucceeded "requests_succeeded"
     /// Requests that the decision engine rejected.
-    RequestsRejected "declined"
+    RequestsRejected "requests_rejected"
     /// Requests that were refused for a bound, before the decision engine knew of them.
-    RequestsRefused "turned_away"
+    RequestsRefused "requests_refused"
     /// Requests that failed.
-    RequestsFailed "voided"
+    RequestsFailed "requests_failed"
     /// Requests whose client left before its answer.
-    RequestsAbandoned "left_by_client"
+    RequestsAbandoned "requests_abandoned"
     /// Attempts that were sent.
     Attempts "attempts"
     /// Attempts that succeeded.
-    AttemptsSucceeded "attempts_served"
+    AttemptsSucceeded "attempts_succeeded"
     /// Attempts that the endpoint answered as failed.
     AttemptsFailed "attempts_failed"
     /// Attempts that the endpoint rejected.
-    AttemptsRejected "attempts_turned_away"
+    AttemptsRejected "attempts_rejected"
     /// Attempts without an answer in time.
     AttemptsTimedOut "attempts_timed_out"
     /// Attempts whose connection did not come up, or broke before the request was written.
-    AttemptsConnectFailed "attempts_unconnected"
+    AttemptsConnectFailed "attempts_connect_failed"
     /// Attempts whose connection broke after the request was written.
-    AttemptsConnectionLost "attempts_broken"
+    AttemptsConnectionLost "attempts_connection_lost"
     /// Attempts whose answer could not be read.
-    AttemptsMalformed "attempts_spoilt"
+    AttemptsMalformed "attempts_malformed"
     /// Attempts that the decision engine cancelled.
-    AttemptsCancelled "attempts_called_off"
+    AttemptsCancelled "attempts_cancelled"
     /// Attempts that were never sent.
-    AttemptsNotSent "attempts_unsent"
+    AttemptsNotSent "attempts_not_sent"
     /// Connections to endpoints that came up.
-    ConnectionsOpened "links_opened"
+    ConnectionsOpened "connections_opened"
     /// Connections to endpoints that have ended.
-    ConnectionsClosed "links_closed"
+    ConnectionsClosed "connections_closed"
     /// Health checks that were begun.
-    HealthChecks "probes"
+    HealthChecks "health_checks"
     /// Updates of the endpoint list.
-    EndpointListUpdates "membership_updates"
+    EndpointListUpdates "endpoint_list_updates"
     /// Release updates of the agent's own platform.
-    ReleaseUpdates "news"
+    ReleaseUpdates "release_updates"
     /// Votes that were sent.
     Votes "votes"
     /// Release updates of other services.
-    DependencyUpdates "service_news"
+    DependencyUpdates "dependency_updates"
     /// Changes of what the operator's rules permit.
-    PermissionChanges "openings"
+    PermissionChanges "permission_changes"
     /// Departures from the baseline that were found in the time lines.
     Departures "departures"
     /// Datagrams to peers that were sent.
     DatagramsSent "datagrams_sent"
     /// Datagrams of peers that were received.
-    DatagramsReceived "datagrams_taken"
+    DatagramsReceived "datagrams_received"
     /// Datagrams that were dropped.
     DatagramsDropped "datagrams_dropped"
     /// Rounds of the decision engine.
     Rounds "rounds"
     /// Events that were queued for it.
-    EventsQueued "calls_queued"
+    EventsQueued "events_queued"
     /// Rounds that began later than they should.
-    LateRounds "rounds_late"
+    LateRounds "late_rounds"
     /// Log lines that were lost as nobody read them.
     LogLinesLost "log_lines_lost"
 }
--- a/crates/agent/src/log/writer.rs
+++ b/crates/agent/src/log/writer.rs
@@ -61,9 +61,7 @@
         match self.may_write(now.as_secs()) {
             Some(0) => write(format!("{time:.3} {line}")),
             Some(left_out) => {
-                write(format!(
-                    "{time:.3} {line} (and {left_out} like it left out)"
-                ));
+                write(format!("{time:.3} {line} suppressed_lines={left_out}"));
             }
             None => {}
         }
--- a/crates/agent/src/operator_file.rs
+++ b/crates/agent/src/operator_file.rs
@@ -15,7 +15,7 @@
 use crate::error::{OperatorFileError, StartError};
 use crate::event_loop::EventLoop;
 use crate::file_writer::replace_file;
-use crate::log::info;
+use crate::log::{Quoted, info};
 use crate::recorder::class_names;
 use crate::release_gate::ReleaseRules;
 use crate::watched_services::WatchedServices;
@@ -145,13 +145,13 @@
             Ok(settings) => settings,
             Err(error) => {
                 for message in error.messages() {
-                    info!("reload: {message}; nothing changes");
+                    info!("reload_failed file=operator error={}", Quoted(message));
                 }
                 return;
             }
         };
         if self.path.is_some() {
-            info!("reload: the operator's file is taken over");
+            info!("reload_completed file=operator");
         }
         let releases = settings.releases().cloned();
         self.event_loop.enqueue(move |router| {
@@ -178,7 +178,7 @@
         let agent = self.agent.clone();
         self.event_loop.enqueue(move |router| {
             if let Some(state) = router.gate_state(&agent) {
-                replace_file("releases: state", path, state.into_bytes());
+                replace_file("release_state", path, state.into_bytes());
             }
         });
     }
--- a/crates/agent/src/peers.rs
+++ b/crates/agent/src/peers.rs
@@ -70,7 +70,10 @@
         loop {
             match self.socket.recv_from(&mut buffer).await {
                 Ok((length, sender)) => self.receive(&buffer[..length], sender),
-                Err(error) => info!("a datagram was not read: {}", ConnectionEnd::from(error)),
+                Err(error) => info!(
+                    "datagram_receive_failed error={}",
+                    ConnectionEnd::from(error)
+                ),
             }
         }
     }
@@ -89,10 +92,7 @@
             }
             _ => {
                 count(Count::DatagramsDropped);
-                info!(
-                    "a datagram of {} octets from {sender} is dropped",
-                    payload.len()
-                );
+                info!("datagram_dropped address={sender} bytes={}", payload.len());
             }
         }
     }
@@ -105,15 +105,16 @@
             None => self.addresses.all,
         };
         let (Some(receiver), true) = (receiver, payload.len() <= MAX_DATAGRAM_BYTES) else {
-            return info!(
-                "a datagram of {} octets to {peer:?} stays here",
-                payload.len()
-            );
+            let bytes = payload.len();
+            return match peer {
+                Some(AgentId(peer)) => info!("datagram_not_sent peer={peer} bytes={bytes}"),
+                None => info!("datagram_not_sent peer=all bytes={bytes}"),
+            };
         };
         match self.socket.get_ref().send_to(payload, receiver) {
             Ok(_) => count(Count::DatagramsSent),
             Err(error) => info!(
-                "a datagram to {receiver} is lost: {}",
+                "datagram_send_failed address={receiver} error={}",
                 ConnectionEnd::from(error)
             ),
         }
--- a/crates/agent/src/platform.rs
+++ b/crates/agent/src/platform.rs
@@ -19,7 +19,8 @@
 use crate::outbound::VoteSender;
 use crate::release_gate::EventRouter;
 use crate::release_watch::{
-    MAX_LINE_BYTES, MessageLimit, ReleaseUpdate, ReleaseWatch, ReleaseWatchListener, encode_request,
+    MAX_LINE_BYTES, MessageLimit, ReleaseUpdate, ReleaseWatch, ReleaseWatchListener,
+    WatchedControlPlane, encode_request,
 };
 use crate::transport::{InputReader, connect, with_timeout};
 
@@ -94,7 +95,7 @@
         let answer_timeout = settings.period("family-info.call-timeout")?;
         let listener = Rc::new(PlatformListener(event_loop.clone()));
         let release_watch = ReleaseWatch::new(
-            "platform".into(),
+            WatchedControlPlane::Platform,
             address,
             connect_timeout,
             MessageLimit::Unlimited,
@@ -119,7 +120,7 @@
             Ok(outcome) => outcome,
             Err(end) => {
                 info!(
-                    "platform {}: a vote's connection ended: {end}",
+                    "connection_closed peer=platform address={} purpose=vote reason={end}",
                     self.release_watch.address.get()
                 );
                 // Once it was written, it may have been carried out.
@@ -167,7 +168,7 @@
             return Some(connection);
         }
         info!(
-            "platform {address}: a vote's connection ended: {}",
+            "connection_closed peer=platform address={address} purpose=vote reason={}",
             ConnectionEnd::Stale
         );
         None
--- a/crates/agent/src/recorder.rs
+++ b/crates/agent/src/recorder.rs
@@ -14,12 +14,12 @@
 use lilacgate_decision::{EndpointId, Outcome, RequestClass, RequestId};
 use lilacgate_operator_config::Timeline;
 use lilacgate_start_settings::{Settings, SettingsError};
-use lilacgate_timeline::entry::{Departure, DepartureScope, Record};
+use lilacgate_timeline::entry::{Departure, DepartureKind, DepartureScope, Record};
 use lilacgate_timeline::fleet_timeline::{AttemptEnd, FleetTimeline, MemoryLimits};
 use lilacgate_timeline::monitor::MonitorConfig;
 
 use crate::file_writer::replace_file;
-use crate::log::{Count, count, info};
+use crate::log::{Count, Quoted, count, info};
 use crate::outbound::AttemptId;
 use crate::recorder::store::StoreQueue;
 
@@ -282,27 +282,29 @@
                 count(Count::Departures);
                 self.log_departure(&report.departure);
             } else {
-                info!("timeline: departure {} has ended", report.departure.number);
+                info!("departure_ended number={}", report.departure.number);
             }
         }
         open.store.hand_over_if_due(now, &mut open.book);
     }
 
     fn log_departure(&self, departure: &Departure) {
-        let whom = match departure.scope {
-            DepartureScope::Node(node) => format!("node {}", self.name_of(EndpointId(node))),
-            DepartureScope::Build(build) => format!("build {build}"),
-            DepartureScope::Fleet => "the fleet".into(),
+        let scope = match departure.scope {
+            DepartureScope::Node(node) => {
+                format!("node node={}", Quoted(self.name_of(EndpointId(node))))
+            }
+            DepartureScope::Build(build) => format!("build build={build}"),
+            DepartureScope::Fleet => "fleet".into(),
         };
         let class = departure
             .class
             .and_then(|class| self.facts.class_names.get(usize::from(class)))
-            .map(|name| format!(" for {name}"))
+            .map(|name| format!(" class={}", Quoted(name)))
             .unwrap_or_default();
-        let (number, kind) = (departure.number, departure.kind);
+        let (number, kind) = (departure.number, kind_name(departure.kind));
         let (baseline, seen) = (departure.baseline, departure.observed);
         info!(
-            "timeline: departure {number}: {whom}: {kind:?}{class}, {seen:.2} where {baseline:.2} is usual"
+            "departure_began number={number} scope={scope} kind={kind}{class} observed={seen:.2} baseline={baseline:.2}"
         );
     }
 
@@ -323,7 +325,19 @@
         let open = self.open.borrow();
         let book = open.as_ref().map(|open| &open.book);
         let bytes = snapshot::segment(now, self.first_records(now), book);
-        replace_file("timeline:", path, bytes);
+        replace_file("timeline", path, bytes);
+    }
+}
+
+/// The name of a departure's kind in log lines.
+const fn kind_name(kind: DepartureKind) -> &'static str {
+    match kind {
+        DepartureKind::Errors => "errors",
+        DepartureKind::Latency => "latency",
+        DepartureKind::Silence => "silence",
+        DepartureKind::Links => "links",
+        DepartureKind::Load => "load",
+        DepartureKind::Restart => "restart",
     }
 }
 
--- a/crates/agent/src/recorder/store.rs
+++ b/crates/agent/src/recorder/store.rs
@@ -11,7 +11,7 @@
 use lilacgate_timeline::entry::Record;
 use lilacgate_timeline::fleet_timeline::FleetTimeline;
 
-use crate::log::info;
+use crate::log::{Quoted, info};
 use crate::recorder::MAX_WAITING_RECORDS;
 
 /// The time between two batches.
@@ -70,7 +70,7 @@
             Submitted::Closed(cause) => {
                 self.pump = None;
                 if let Some(cause) = cause {
-                    info!("timeline: nothing more is kept on disk: {cause}");
+                    info!("timeline_store_closed error={}", Quoted(cause));
                 }
             }
         }
@@ -86,8 +86,9 @@
         Ok(writer) => Some(BackgroundWriter::new(writer)),
         Err(error) => {
             info!(
-                "timeline: nothing is kept on disk: {}: {error}",
-                store.folder.display()
+                "timeline_store_failed folder={} error={}",
+                Quoted(store.folder.display()),
+                Quoted(error)
             );
             None
         }
--- a/crates/agent/src/release_gate.rs
+++ b/crates/agent/src/release_gate.rs
@@ -114,7 +114,7 @@
             dropped: left_out,
         } = gate.take_events();
         if left_out > 0 {
-            info!("releases: {left_out} changes left out");
+            info!("release_events_dropped count={left_out}");
         }
         events.iter().for_each(log_gate_event);
         let permissions = gate.permissions();
@@ -200,18 +200,18 @@
 fn log_gate_event(event: &Event) {
     let build = event.build.0;
     match event.change {
-        Change::Opened { pairs } => info!("releases: build {build} open to {pairs} more"),
+        Change::Opened { pairs } => info!("release_opened build={build} pairs={pairs}"),
         Change::Closed { pairs, reason } => {
             let reason = reason.code();
-            info!("releases: build {build} closed to {pairs}: {reason}")
+            info!("release_closed build={build} pairs={pairs} reason={reason}")
         }
         Change::AdvancePermitted { stage } => {
             let stage = stage.0;
-            info!("releases: build {build} may go on from stage {stage}")
+            info!("release_advance_permitted build={build} stage={stage}")
         }
         Change::Held { reason } => {
             let reason = reason.code();
-            info!("releases: build {build} stays: {reason}")
+            info!("release_held build={build} reason={reason}")
         }
     }
 }
--- a/crates/agent/src/release_watch.rs
+++ b/crates/agent/src/release_watch.rs
@@ -13,7 +13,7 @@
 use lilacgate_decision::{Build, ReleasePhase, Stage};
 
 use crate::json::{Json, JsonParser};
-use crate::log::{ConnectionEnd, info};
+use crate::log::{ConnectionEnd, Quoted, info};
 use crate::transport::{InputReader, RingBuffer, ServiceAddress, connect, items, with_timeout};
 
 /// The longest line, in bytes; a longer one ends the connection.
@@ -98,10 +98,29 @@
     PerSecond(u32),
 }
 
+/// Whose release control plane is watched.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum WatchedControlPlane {
+    /// The agent's own platform.
+    Platform,
+    /// That of another service, by its name.
+    Service(String),
+}
+
+impl fmt::Display for WatchedControlPlane {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            WatchedControlPlane::Platform => formatter.write_str("platform"),
+            WatchedControlPlane::Service(name) => {
+                write!(formatter, "release_control_plane service={}", Quoted(name))
+            }
+        }
+    }
+}
+
 /// A watch on a release control plane.
 pub struct ReleaseWatch {
-    /// What log lines call it.
-    name: String,
+    control_plane: WatchedControlPlane,
     /// Where it listens.
     pub address: ServiceAddress,
     connect_timeout: Duration,
@@ -113,7 +132,7 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter
             .debug_struct("ReleaseWatch")
-            .field("name", &self.name)
+            .field("control_plane", &self.control_plane)
             .field("address", &self.address.get())
             .finish_non_exhaustive()
     }
@@ -122,14 +141,14 @@
 impl ReleaseWatch {
     /// A watch on the release control plane that listens at `address`.
     pub fn new(
-        name: String,
+        control_plane: WatchedControlPlane,
         address: SocketAddr,
         connect_timeout: Duration,
         limit: MessageLimit,
         listener: Rc<dyn ReleaseWatchListener>,
     ) -> Rc<Self> {
         Rc::new(ReleaseWatch {
-            name,
+            control_plane,
             address: ServiceAddress::new(address),
             connect_timeout,
             limit,
@@ -145,9 +164,12 @@
             let address = self.address.get();
             let watch = self.watch_once(address, &has_received);
             let Err(end) = watch.or(self.address.changed()).await;
-            info!("{} {address} ended: {end}", self.name);
+            info!(
+                "connection_closed peer={} address={address} reason={end}",
+                self.control_plane
+            );
             pause = next_pause(pause, end, has_received.get());
-            if end != ConnectionEnd::Moved {
+            if end != ConnectionEnd::AddressChanged {
                 with_timeout(pause, self.address.changed::<()>()).await.ok();
             }
         }
@@ -179,7 +201,7 @@
             }
             messages_in_window += 1;
             if matches!(self.limit, MessageLimit::PerSecond(most) if messages_in_window > most) {
-                return Err(ConnectionEnd::Flood);
+                return Err(ConnectionEnd::TooManyMessages);
             }
             // What cannot be read is lost; a new connection begins with the present state.
             self.handle(&message).ok_or(ConnectionEnd::Malformed)?;
@@ -211,9 +233,9 @@
 fn next_pause(pause: Duration, end: ConnectionEnd, has_received: bool) -> Duration {
     let is_misbehaving = matches!(
         end,
-        ConnectionEnd::Malformed | ConnectionEnd::TooLong | ConnectionEnd::Flood
+        ConnectionEnd::Malformed | ConnectionEnd::TooLong | ConnectionEnd::TooManyMessages
     );
-    if end == ConnectionEnd::Moved || has_received && !is_misbehaving {
+    if end == ConnectionEnd::AddressChanged || has_received && !is_misbehaving {
         MIN_PAUSE
     } else {
         (pause * 2).min(MAX_PAUSE)
--- a/crates/agent/src/startup.rs
+++ b/crates/agent/src/startup.rs
@@ -19,7 +19,7 @@
 use crate::event_loop::EventLoop;
 use crate::json::Json;
 use crate::lifecycle::{Lifecycle, SignalStream, read_start_file};
-use crate::log::info;
+use crate::log::{Quoted, info};
 use crate::operator_file::{OperatorFile, OperatorStart};
 use crate::outbound::PeerSender;
 use crate::peers::Peers;
@@ -211,7 +211,11 @@
         address: config.listen,
         error,
     })?;
-    info!("{} listens at {}", config.name, config.listen);
+    info!(
+        "listening agent={} address={}",
+        Quoted(&config.name),
+        config.listen
+    );
     Ok(listener)
 }
 
--- a/crates/agent/src/transport/connect.rs
+++ b/crates/agent/src/transport/connect.rs
@@ -12,7 +12,8 @@
 ///
 /// # Errors
 ///
-/// [`ConnectionEnd::Silent`] if the connection is not established within `timeout`, else the code of the socket's error.
+/// [`ConnectionEnd::TimedOut`] if the connection is not established within `timeout`, else the code of the socket's
+/// error.
 pub async fn connect(
     address: SocketAddr,
     timeout: Duration,
@@ -34,14 +35,14 @@
 ///
 /// # Errors
 ///
-/// [`ConnectionEnd::Silent`] after the timeout, else the error of the operation itself.
+/// [`ConnectionEnd::TimedOut`] after the timeout, else the error of the operation itself.
 pub async fn with_timeout<T>(
     timeout: Duration,
     operation: impl Future<Output = Result<T, ConnectionEnd>>,
 ) -> Result<T, ConnectionEnd> {
     let timed_out = async {
         Timer::after(timeout).await;
-        Err(ConnectionEnd::Silent)
+        Err(ConnectionEnd::TimedOut)
     };
     pin!(operation);
     operation.or(timed_out).await
--- a/crates/agent/src/transport/input_reader.rs
+++ b/crates/agent/src/transport/input_reader.rs
@@ -79,8 +79,8 @@
     ///
     /// # Errors
     ///
-    /// [`ConnectionEnd::Silent`] or [`ConnectionEnd::Stalled`] for an item that is not completed in time, the parser's error, or the code
-    /// of the socket's error.
+    /// [`ConnectionEnd::TimedOut`] or [`ConnectionEnd::Stalled`] for an item that is not completed in time, the parser's
+    /// error, or the code of the socket's error.
     pub async fn next(
         &mut self,
         stream: &Async<TcpStream>,
--- a/crates/agent/src/transport/service_address.rs
+++ b/crates/agent/src/transport/service_address.rs
@@ -37,9 +37,9 @@
     ///
     /// # Errors
     ///
-    /// Always [`ConnectionEnd::Moved`], so that it can end the operation it is raced against.
+    /// Always [`ConnectionEnd::AddressChanged`], so that it can end the operation it is raced against.
     pub async fn changed<T>(&self) -> Result<T, ConnectionEnd> {
         self.changed.wait().await;
-        Err(ConnectionEnd::Moved)
+        Err(ConnectionEnd::AddressChanged)
     }
 }
--- a/crates/agent/src/upstream/connection.rs
+++ b/crates/agent/src/upstream/connection.rs
@@ -55,7 +55,7 @@
     fn drop(&mut self) {
         count(Count::ConnectionsClosed);
         info!(
-            "link to {} ended: {}",
+            "connection_closed peer=endpoint address={} reason={}",
             self.process.address, self.close_reason
         );
     }
@@ -78,7 +78,7 @@
             output: RingBuffer::new(resp::MAX_MESSAGE),
             process,
             last_used: opened,
-            close_reason: ConnectionEnd::GivenUp,
+            close_reason: ConnectionEnd::Cancelled,
             _open: open,
         }
     }
--- a/crates/agent/src/upstream/pool.rs
+++ b/crates/agent/src/upstream/pool.rs
@@ -121,7 +121,7 @@
                 idle: Vec::new(),
             });
         if endpoint.process != process || entry.status != EndpointStatus::Ready {
-            endpoint.close_idle(ConnectionEnd::Gone);
+            endpoint.close_idle(ConnectionEnd::EndpointRemoved);
         }
         endpoint.process = process;
         endpoint.status = entry.status;
@@ -134,7 +134,7 @@
     pub fn retain(&self, is_listed: impl Fn(&EndpointId) -> bool) {
         let mut endpoints = self.endpoints.borrow_mut();
         for (_, mut endpoint) in endpoints.extract_if(|id, _| !is_listed(id)) {
-            endpoint.close_idle(ConnectionEnd::Gone);
+            endpoint.close_idle(ConnectionEnd::EndpointRemoved);
         }
     }
 
@@ -187,7 +187,7 @@
         let address = process.address;
         if self.open_connections.get() >= self.max_connections && !self.close_longest_idle() {
             info!(
-                "no link to {address}: all {} are in use",
+                "connect_failed peer=endpoint address={address} error=pool_exhausted limit={}",
                 self.max_connections
             );
             return Err(Outcome::NotSent);
@@ -196,8 +196,8 @@
         let stream = connect(address, self.connect_timeout)
             .await
             .map_err(|end| {
-                info!("no link to {address}: {end}");
-                if end == ConnectionEnd::OwnLimit {
+                info!("connect_failed peer=endpoint address={address} error={end}");
+                if end == ConnectionEnd::ResourceLimit {
                     Outcome::NotSent
                 } else {
                     Outcome::ConnectFailed
@@ -221,7 +221,7 @@
             .filter(|endpoint| !endpoint.idle.is_empty())
             .min_by_key(|endpoint| endpoint.idle[0].last_used);
         longest
-            .map(|endpoint| endpoint.idle.remove(0).close_reason = ConnectionEnd::Crowded)
+            .map(|endpoint| endpoint.idle.remove(0).close_reason = ConnectionEnd::Evicted)
             .is_some()
     }
 
@@ -232,7 +232,7 @@
             Some(endpoint) if endpoint.takes_requests_at(connection.process) => {
                 endpoint.idle.push(connection);
             }
-            _ => connection.close_reason = ConnectionEnd::Gone,
+            _ => connection.close_reason = ConnectionEnd::EndpointRemoved,
         }
     }
 }
@@ -261,7 +261,7 @@
 
     fn close_idle_connections(&self, endpoint: EndpointId) {
         if let Some(endpoint) = self.endpoints.borrow_mut().get_mut(&endpoint) {
-            endpoint.close_idle(ConnectionEnd::GivenUp);
+            endpoint.close_idle(ConnectionEnd::Cancelled);
         }
     }
 }
--- a/crates/agent/src/watched_services.rs
+++ b/crates/agent/src/watched_services.rs
@@ -16,7 +16,9 @@
 use lilacgate_releases::service_status::ReleaseStatus;
 
 use crate::event_loop::EventLoop;
-use crate::release_watch::{MessageLimit, ReleaseUpdate, ReleaseWatch, ReleaseWatchListener};
+use crate::release_watch::{
+    MessageLimit, ReleaseUpdate, ReleaseWatch, ReleaseWatchListener, WatchedControlPlane,
+};
 
 /// How many messages a service's release control plane may send in a second. One heartbeat a second is due, and a
 /// message for each change.
@@ -84,7 +86,7 @@
             service: service.clone(),
         });
         let watch = ReleaseWatch::new(
-            format!("release desk of {name}"),
+            WatchedControlPlane::Service(name.to_owned()),
             endpoint,
             self.connect_timeout,
             MessageLimit::PerSecond(MAX_MESSAGES_PER_SECOND),
--- a/crates/agent/tests/graceful_shutdown.rs
+++ b/crates/agent/tests/graceful_shutdown.rs
@@ -47,7 +47,7 @@
     for _ in 0..2 {
         bed.wait(Duration::from_millis(600));
         let AgentTermination { exited, log } = bed.terminate_agent(KILL_TIMEOUT + SLACK);
-        assert!(exited && log.contains("with 0 requests in hand"), "{log}");
+        assert!(exited && log.contains(" unanswered_requests=0\n"), "{log}");
         bed.start_agent(false).expect("the agent serves");
     }
     bed.wait(Duration::from_millis(300));
--- a/crates/agent/tests/log.rs
+++ b/crates/agent/tests/log.rs
@@ -1,5 +1,5 @@
-//! The bound on log lines.
-use lilacgate_agent::log::CallSite;
+//! The bound on log lines, and the form of their values.
+use lilacgate_agent::log::{CallSite, Quoted};
 use rstest::rstest;
 
 /// One place in the code writes so many lines a second, and says later how many it left out.
@@ -15,3 +15,13 @@
     assert!(first.len() < 100 && first.iter().all(|left_out| *left_out == 0));
     assert_eq!(written(8)[0], 100 - first.len() as u64);
 }
+
+/// A value with spaces, quotes or line ends stays one value on one line.
+#[rstest]
+#[case::spaces("no such file", r#""no such file""#)]
+#[case::quotes(r#"service "a" and \b"#, r#""service \"a\" and \\b""#)]
+#[case::line_end("one\ntwo", r#""one\ntwo""#)]
+#[case::other_letters("größer", r#""größer""#)]
+fn values_are_quoted(#[case] value: &str, #[case] expected: &str) {
+    assert_eq!(Quoted(value).to_string(), expected);
+}
--- a/crates/agent/tests/scenario_player/agent_process.rs
+++ b/crates/agent/tests/scenario_player/agent_process.rs
@@ -102,7 +102,9 @@
             self.agent().signal("USR1");
             thread::sleep(COUNTER_INTERVAL);
             let log = self.log_text();
-            let last = log.lines().rfind(|line| line.contains("counters:"));
+            let last = log
+                .lines()
+                .rfind(|line| line.contains("counters clients_accepted="));
             last.is_some_and(|line| line.contains(&expected))
         });
         let log = self.log_text();
--- a/crates/decision/src/policy/voting.rs
+++ b/crates/decision/src/policy/voting.rs
@@ -220,15 +220,28 @@
 /// the difference and the p-value.
 fn vote_line(stage_vote: StageVote, lost_share: f64, tests: &[SequentialTest]) -> String {
     let StageVote { build, stage, vote } = stage_vote;
-    let tests: String = tests
+    let tests: Vec<String> = tests
         .iter()
         .map(|test| {
             let (outcomes, difference) = (test.canary_outcomes(), test.difference());
-            format!(" {outcomes:.0}:{difference:+.2} p{:.3}", test.p_value())
+            format!("{outcomes:.0}:{difference:+.2} p{:.3}", test.p_value())
         })
         .collect();
     format!(
-        "vote {vote:?} on build {} stage {} lost {lost_share:.2}{tests}",
-        build.0, stage.0
+        "vote_cast vote={} build={} stage={} lost_share={lost_share:.2} tests=\"{}\"",
+        vote_name(vote),
+        build.0,
+        stage.0,
+        tests.join(" ")
     )
 }
+
+/// The name of a vote in log lines.
+const fn vote_name(vote: Vote) -> &'static str {
+    match vote {
+        Vote::Retract => "retract",
+        Vote::Advance => "advance",
+        Vote::Hold => "hold",
+        Vote::RollBack => "roll_back",
+    }
+}
--- a/crates/decision/tests/engine/same_decisions.rs
+++ b/crates/decision/tests/engine/same_decisions.rs
@@ -82,14 +82,29 @@
     }
 }
 
+/// The recorded form of the line of a vote; any other line as it is.
 fn recorded_log(text: &str) -> String {
-    [Vote::Retract, Vote::Advance, Vote::Hold, Vote::RollBack]
-        .into_iter()
-        .find_map(|vote| {
-            let rest = text.strip_prefix(&format!("vote {vote:?} "))?;
-            Some(format!("vote {} {rest}", recorded_vote(vote)))
-        })
-        .unwrap_or_else(|| text.to_owned())
+    recorded_vote_line(text).unwrap_or_else(|| text.to_owned())
+}
+
+fn recorded_vote_line(text: &str) -> Option<String> {
+    let rest = text.strip_prefix("vote_cast vote=")?;
+    let (vote, rest) = rest.split_once(" build=")?;
+    let (build, rest) = rest.split_once(" stage=")?;
+    let (stage, rest) = rest.split_once(" lost_share=")?;
+    let (lost_share, tests) = rest.split_once(" tests=\"")?;
+    let vote = recorded_vote(match vote {
+        "retract" => Vote::Retract,
+        "advance" => Vote::Advance,
+        "hold" => Vote::Hold,
+        "roll_back" => Vote::RollBack,
+        _ => return None,
+    });
+    let tests = tests.strip_suffix('"')?;
+    let separator = if tests.is_empty() { "" } else { " " };
+    Some(format!(
+        "vote {vote} on build {build} stage {stage} lost {lost_share}{separator}{tests}"
+    ))
 }
 
 /// A digest (FNV-1a, 64 bits) of all decisions but wake-ups, and the attempts of the round.
--- a/crates/test-bed/src/demo/report.rs
+++ b/crates/test-bed/src/demo/report.rs
@@ -55,10 +55,14 @@
 
 fn print_agent_log(log: &str) {
     println!("\nWhat the agent logged of releases and votes:");
-    let about_releases = |line: &&str| line.contains("releases: ") || line.contains(" vote ");
-    for line in log.lines().filter(about_releases) {
-        let without_time = line.split_once(' ').map_or(line, |(_, rest)| rest);
-        println!("  {without_time}");
+    let without_time = |line| str::split_once(line, ' ').map_or(line, |(_, rest)| rest);
+    let about_releases = |line: &&str| {
+        line.starts_with("release_")
+            || line.starts_with("vote_cast ")
+            || line.contains(" file=release_state ")
+    };
+    for line in log.lines().map(without_time).filter(about_releases) {
+        println!("  {line}");
     }
 }
 
--- a/crates/test-bed/src/measure_timeline/loopback_faults.rs
+++ b/crates/test-bed/src/measure_timeline/loopback_faults.rs
@@ -57,19 +57,19 @@
     /// The kinds of departure that name it.
     fn kinds(self) -> &'static [&'static str] {
         match self {
-            Cause::Errors | Cause::OneClassFails => &["Errors"],
-            Cause::Slow | Cause::OneClassSlow | Cause::AllSlow => &["Latency"],
-            Cause::Silent => &["Silence"],
-            Cause::Refuses => &["Links"],
-            Cause::Restart => &["Restart", "Links"],
+            Cause::Errors | Cause::OneClassFails => &["errors"],
+            Cause::Slow | Cause::OneClassSlow | Cause::AllSlow => &["latency"],
+            Cause::Silent => &["silence"],
+            Cause::Refuses => &["links"],
+            Cause::Restart => &["restart", "links"],
         }
     }
 
     /// Whose departure names it, as the agent logs it.
     fn subject(self, endpoint: usize) -> String {
         match self {
-            Cause::AllSlow => "the fleet: ".into(),
-            _ => format!("node s-d{endpoint}: "),
+            Cause::AllSlow => "scope=fleet kind=".into(),
+            _ => format!("scope=node node=\"s-d{endpoint}\" kind="),
         }
     }
 
@@ -242,8 +242,8 @@
     let departure = |line: &str| {
         let (at, text) = line.split_once(' ')?;
         let (_, text) = text
-            .strip_prefix("timeline: departure ")?
-            .split_once(": ")?;
+            .strip_prefix("departure_began number=")?
+            .split_once(' ')?;
         Some(LoggedDeparture {
             at: at.parse().ok()?,
             text: text.to_owned(),
@@ -312,7 +312,7 @@
     };
     let departures = log
         .lines()
-        .filter(|line| line.contains("timeline: departure"))
+        .filter(|line| line.contains("departure_"))
         .map(str::to_owned)
         .collect();
     Ok(SuspensionReport {
--- a/crates/test-bed/src/test_bed/agent.rs
+++ b/crates/test-bed/src/test_bed/agent.rs
@@ -47,7 +47,7 @@
             return false;
         };
         agent.signal("USR1");
-        wait_for_log(&agent.log, "timeline: written")
+        wait_for_log(&agent.log, "file_written file=timeline")
     }
 
     /// Writes the operator's file. A running agent reads it at once.
@@ -168,7 +168,7 @@
         agent.signal("TERM");
         let exited = agent.wait_for_exit_within(timeout).is_some();
         // Its last lines may still be on their way.
-        wait_for_log(&agent.log, "requests in hand");
+        wait_for_log(&agent.log, "shutdown_completed ");
         let log = lock(&agent.log).clone();
         AgentTermination { exited, log }
     }
