--- a/crates/loopback/src/command.rs
+++ b/crates/loopback/src/command.rs
@@ -9,9 +9,9 @@
 use clap::Parser;
 
 use crate::error::LoopbackError;
-use crate::fleet::Startup;
 use crate::plan::{DEFAULT_SOCKETS, MOST_LISTED, Plan, SavedList};
 use crate::run::{Summary, run};
+use crate::startup::Startup;
 use crate::window::Window;
 
 /// Starts real agents on loopback against stand-ins, and measures their processes from outside.
@@ -65,7 +65,7 @@
 }
 
 impl Arguments {
-    /// Runs the plan, writes its samples, and says its figures on standard error.
+    /// Runs the plan, writes its samples, and prints its figures to standard error.
     pub fn execute(self) -> ExitCode {
         match self.try_execute() {
             Ok(summary) => {
--- a/crates/loopback/src/lib.rs
+++ b/crates/loopback/src/lib.rs
@@ -18,15 +18,18 @@
 pub mod membership;
 pub mod plan;
 pub mod platform;
+mod reading;
 pub mod relay;
 pub mod request;
 pub mod run;
 pub mod samples;
 pub mod served;
 pub mod start_file;
+pub mod startup;
 pub mod traffic;
 pub mod window;
 
 pub use error::LoopbackError;
 pub use plan::Plan;
 pub use run::{Summary, run};
+pub use startup::Startup;
--- a/crates/loopback/src/run.rs
+++ b/crates/loopback/src/run.rs
@@ -6,10 +6,11 @@
 use tokio::runtime::{Builder, Runtime};
 
 use crate::error::LoopbackError;
-use crate::fleet::{Fleet, Startup};
+use crate::fleet::Fleet;
 use crate::interrupt::Interrupt;
 use crate::plan::Plan;
 use crate::samples;
+use crate::startup::Startup;
 use crate::window::Window;
 
 /// Threads of the stand-ins and clients.
@@ -18,11 +19,11 @@
 /// What a run has measured.
 #[derive(Clone, Debug)]
 pub struct Summary {
-    /// How the agents came up first.
+    /// The first start of the agents.
     pub startup: Startup,
     /// A window for each request rate.
     pub windows: Vec<Window>,
-    /// How the agents came up again, where the plan asks for it.
+    /// The restart of all agents, if the plan has one.
     pub restart: Option<Startup>,
     /// How many samples were written.
     pub samples: usize,
@@ -30,13 +31,19 @@
     pub interrupted: bool,
 }
 
-/// Runs a plan, and writes each sample as a line of JSON as soon as it is there. All processes have ended when this
+/// Runs a plan, and writes each sample as a line of JSON as soon as it is measured. All processes have ended when this
 /// returns, also with an error.
+///
+/// # Errors
+/// As [`measure`], and [`LoopbackError::Setup`] if threads or signal handlers cannot be set up.
 pub fn run(plan: &Plan, output: &mut dyn Write) -> Result<Summary, LoopbackError> {
     runtime()?.block_on(async { measure(plan, output, Interrupt::on_signals()?).await })
 }
 
 /// The threads that stand-ins and clients run on.
+///
+/// # Errors
+/// [`LoopbackError::Setup`] if the threads cannot be started.
 pub fn runtime() -> Result<Runtime, LoopbackError> {
     let mut builder = Builder::new_multi_thread();
     let runtime = builder.worker_threads(THREADS).enable_all().build();
@@ -44,6 +51,10 @@
 }
 
 /// The same as [`run`], within such a runtime; an interrupt ends it early and marks the window that it ends.
+///
+/// # Errors
+/// As [`Fleet::new`], [`Fleet::start`] and [`Fleet::measure`], and [`LoopbackError::Output`] if a sample cannot be
+/// written.
 pub async fn measure(
     plan: &Plan,
     output: &mut dyn Write,
--- a/crates/loopback/src/samples.rs
+++ b/crates/loopback/src/samples.rs
@@ -5,8 +5,8 @@
 
 use lilacgate_capacity::{EventKind, Experiment, Quantity, Role, Sample, Size, Source};
 
-use crate::fleet::Startup;
 use crate::plan::Plan;
+use crate::startup::Startup;
 use crate::traffic::Counts;
 use crate::window::Window;
 
@@ -16,13 +16,13 @@
 /// The routes that the start file's profiles name.
 const ROUTES: u32 = 4;
 
-/// Up to so many requests a second what a process uses is taken for control alone. It is above 0, as a hollow fleet
+/// Requests per second up to which a process's usage counts as control alone. It is above 0, as a hollow fleet
 /// has no size without requests.
 const IDLE_RATE: f64 = 0.1;
 
 type Figures = BTreeMap<Quantity, f64>;
 
-/// How the agents came up: what one process needed, and what discovery served.
+/// The samples of a start: what one process needed, and what discovery served.
 pub fn of_startup(plan: &Plan, startup: &Startup, event: Option<EventKind>) -> Vec<Sample> {
     let agent = Figures::from([
         (Quantity::ReadyMillis, millis(startup.slowest())),
@@ -48,7 +48,7 @@
     ]
 }
 
-/// One window: an agent's mean, the sums at discovery and the platform, and the judge that hears most.
+/// One window: an agent's mean, the sums at discovery and the platform, and the report aggregator that receives most.
 pub fn of_window(plan: &Plan, window: &Window) -> Vec<Sample> {
     let rate = window.request_rate;
     let discovery = server_figures(window.control.discovery(), window.lasted);
@@ -64,7 +64,7 @@
             Role::Aggregator,
             rate,
             None,
-            judge_figures(window),
+            aggregator_figures(window),
         ));
     }
     for sample in &mut samples {
@@ -131,8 +131,8 @@
     figures
 }
 
-/// What the agent that hears most is sent by its peers.
-fn judge_figures(window: &Window) -> Figures {
+/// What the agent that receives most reports gets from its peers.
+fn aggregator_figures(window: &Window) -> Figures {
     let seconds = window.lasted.as_secs_f64();
     let most = window
         .datagrams_to_each
