--- a/crates/loopback/src/agent.rs
+++ b/crates/loopback/src/agent.rs
@@ -1,4 +1,4 @@
-//! One agent process: its start, its end by its own id, and its figures as the system tells them.
+//! One agent process: its start, its end by its own id, and its figures as procfs reports them.
 
 use std::fs::{self, File};
 use std::io;
@@ -12,10 +12,11 @@
 
 use crate::error::LoopbackError;
 
-/// How much of a log's end an error shows.
+/// How many of the last lines of a log an error shows.
 const LOG_END_LINES: usize = 5;
 
 /// A running agent; it is killed when this is dropped.
+#[derive(Debug)]
 pub struct Agent {
     number: usize,
     child: Child,
@@ -39,6 +40,9 @@
 
 impl Agent {
     /// Starts the program with this start file. Its log goes to a file beside it.
+    ///
+    /// # Errors
+    /// [`LoopbackError::Setup`] if its log file cannot be created, [`LoopbackError::Spawn`] if the program does not start.
     pub fn spawn(
         program: &Path,
         start_file: &Path,
@@ -75,7 +79,7 @@
         self.number
     }
 
-    /// Where clients find it.
+    /// The address that it accepts clients on.
     pub fn listen(&self) -> SocketAddr {
         self.listen
     }
@@ -90,7 +94,10 @@
         self.child.id()
     }
 
-    /// An error if it has ended.
+    /// Checks that it has not ended.
+    ///
+    /// # Errors
+    /// [`LoopbackError::Ended`] if it has ended.
     pub fn check_running(&mut self) -> Result<(), LoopbackError> {
         let status = match self.child.try_wait() {
             Ok(None) => return Ok(()),
@@ -111,7 +118,10 @@
         lines[lines.len().saturating_sub(LOG_END_LINES)..].join(" | ")
     }
 
-    /// What it has used so far.
+    /// Its resource usage so far.
+    ///
+    /// # Errors
+    /// [`LoopbackError::Usage`] if procfs has no figures for the process.
     pub fn usage(&self) -> Result<Usage, LoopbackError> {
         let process = self.process_id();
         usage_of(process).map_err(|cause| LoopbackError::Usage { process, cause })
--- a/crates/loopback/src/appliance.rs
+++ b/crates/loopback/src/appliance.rs
@@ -24,24 +24,28 @@
 const WORD_LENGTH_LIMIT: usize = 64 << 10;
 
 /// A listener that stands for one listed appliance or more.
+#[derive(Debug)]
 pub struct Appliance {
     address: SocketAddr,
     requests: Arc<AtomicU64>,
 }
 
 impl Appliance {
-    /// Where it listens.
+    /// The address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// How many requests it has taken; probes are none.
+    /// How many requests it has received, without probes.
     pub fn requests(&self) -> u64 {
         self.requests.load(Ordering::Relaxed)
     }
 }
 
-/// Starts so many listeners at this host; each answers after `service_time`, and notes it.
+/// Starts `count` listeners at this host; each answers after `service_time` and records the request in `log`.
+///
+/// # Errors
+/// [`LoopbackError::Setup`] if a listener cannot be bound.
 pub async fn start(
     host: Ipv4Addr,
     count: usize,
@@ -79,7 +83,7 @@
 }
 
 impl Service {
-    /// Takes the time that a request takes.
+    /// Waits for the service time and records the request.
     async fn serve(&self, command: &[Vec<u8>]) {
         let began = Instant::now();
         self.requests.fetch_add(1, Ordering::Relaxed);
@@ -97,7 +101,7 @@
 
 async fn accept(listener: TcpListener, service: Service) {
     loop {
-        // Too few descriptors is no reason to stop for good.
+        // A lack of descriptors is temporary: retry instead of ending the listener.
         match listener.accept().await {
             Ok((stream, _)) => drop(tokio::spawn(serve(stream, service.clone()))),
             Err(_) => sleep(Duration::from_millis(10)).await,
@@ -120,7 +124,7 @@
     }
 }
 
-/// Reads one command: an array of bulk strings. None at the end of the stream, or where it is no command.
+/// Reads one command: an array of bulk strings. `None` at the end of the stream, or if it is not a command.
 async fn read_command(stream: &mut BufReader<TcpStream>) -> Option<Vec<Vec<u8>>> {
     let count = read_length(stream, '*', WORD_COUNT_LIMIT).await?;
     let mut words = Vec::with_capacity(count);
--- a/crates/loopback/src/client.rs
+++ b/crates/loopback/src/client.rs
@@ -22,9 +22,9 @@
 const CONNECTIONS: usize = 4;
 /// How long a client waits for an answer, as its requests say.
 const DEADLINE: Duration = Duration::from_secs(1);
-/// How long a client waits beyond that before it takes the answer for lost.
+/// How long a client waits beyond that before it counts the answer as lost.
 const GRACE: Duration = Duration::from_millis(300);
-/// How soon a client that waits for readiness tries again.
+/// The retry period of a client that waits for readiness.
 const RETRY_PERIOD: Duration = Duration::from_millis(10);
 
 /// How a request ended.
@@ -32,15 +32,15 @@
 pub enum Outcome {
     /// It has an appliance's answer.
     Served,
-    /// The agent refused it, or said that it failed.
+    /// The agent refused it or reported a failure.
     Refused,
-    /// No whole answer came in time.
+    /// No complete answer arrived in time.
     Lost,
-    /// The connection ended before a whole answer: one that crosses the agent's end of an idle connection, or was broken.
+    /// The connection ended before a complete answer: it was broken, or the agent closed it as idle at the same time.
     Closed,
 }
 
-/// One request's end.
+/// A completed request.
 #[derive(Clone, Copy, Debug)]
 pub struct Answered {
     /// How it ended.
@@ -61,7 +61,7 @@
 }
 
 impl Kind {
-    /// Twelve in twenty are safe, over two routes, five are keyed, three are unsafe.
+    /// Of twenty requests, twelve are safe (over two routes), five carry an idempotency key, and three are unsafe.
     fn draw(random: &mut Pcg64Mcg) -> Self {
         match random.random_range(0..20) {
             0..6 => Kind::Read,
@@ -89,7 +89,7 @@
     loop {
         if let Ok(mut connection) = connect(agent).await {
             let id = ids.next(number);
-            let answered = ask(&mut connection, &Kind::Read.request(id)).await;
+            let answered = send_request(&mut connection, &Kind::Read.request(id)).await;
             if answered.outcome == Outcome::Served {
                 return Instant::now();
             }
@@ -98,19 +98,19 @@
     }
 }
 
-/// Clients of a fleet: what they need to send requests and to tell how these end.
-#[derive(Clone)]
+/// Clients of a fleet: what they need to send requests and to report their outcomes.
+#[derive(Clone, Debug)]
 pub struct Clients {
-    /// Where the requests' ids come from.
+    /// The source of request ids.
     pub ids: RequestIds,
-    /// Where the appliances note how long they had a request.
+    /// The appliances' record of how long they had each request.
     pub served: Arc<ServedLog>,
-    /// Who is told how requests end.
+    /// Receives the outcome of each request.
     pub report: UnboundedSender<Answered>,
 }
 
 impl Clients {
-    /// Sends so many requests a second to an agent, until the set is dropped.
+    /// Sends `rate` requests per second to an agent, until the set is dropped.
     pub fn drive(&self, tasks: &mut JoinSet<()>, agent: &Agent, rate: f64, seed: u64) {
         if rate <= 0.0 {
             return;
@@ -155,7 +155,7 @@
             };
             let id = self.clients.ids.next(self.agent);
             let request = Kind::draw(&mut self.random).request(id);
-            let mut answered = ask(&mut open, &request).await;
+            let mut answered = send_request(&mut open, &request).await;
             answered.at_appliance = self.clients.served.take_time(id).unwrap_or_default();
             if matches!(answered.outcome, Outcome::Served | Outcome::Refused) {
                 connection = Some(open);
@@ -173,7 +173,7 @@
     Ok(BufReader::new(stream))
 }
 
-async fn ask(connection: &mut BufReader<TcpStream>, request: &str) -> Answered {
+async fn send_request(connection: &mut BufReader<TcpStream>, request: &str) -> Answered {
     let began = Instant::now();
     let exchange = async {
         connection.write_all(request.as_bytes()).await?;
--- a/crates/loopback/src/discovery.rs
+++ b/crates/loopback/src/discovery.rs
@@ -1,5 +1,5 @@
 //! A stand-in for discovery: one HTTP server that answers each watcher with a chunked body, one JSON object a line, and
-//! an empty line every two seconds while there is nothing to say.
+//! an empty line every two seconds while nothing changes.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -17,7 +17,7 @@
 use crate::plan::Delivery;
 use crate::traffic::Traffic;
 
-/// How often a watcher hears something, if only an empty line.
+/// The longest time between two lines to a watcher; an empty line is sent if there is no change.
 const QUIET_PERIOD: Duration = Duration::from_secs(2);
 /// The head of each answer.
 const HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -25,22 +25,24 @@
 const HEAD_LIMIT: u64 = 8 << 10;
 
 /// A running discovery server.
+#[derive(Debug)]
 pub struct Discovery {
     address: SocketAddr,
     shared: Arc<Shared>,
 }
 
+#[derive(Debug)]
 struct Shared {
     membership: Mutex<Membership>,
     versions: watch::Sender<Version>,
-    /// What whole lists took.
+    /// Traffic of whole lists.
     lists: Traffic,
-    /// What changes took.
+    /// Traffic of changes.
     changes: Traffic,
-    /// What heads and empty lines took; requests count here as what came in.
+    /// Traffic of heads and empty lines, and of the requests received.
     framing: Traffic,
     delivery: Delivery,
-    /// Whether a first whole list is still to break off.
+    /// Whether the first whole list is still to be cut short.
     is_cut_due: AtomicBool,
 }
 
@@ -53,7 +55,10 @@
 }
 
 impl Discovery {
-    /// Listens at this host and serves the list in this way.
+    /// Listens at this host and serves the list with this delivery.
+    ///
+    /// # Errors
+    /// [`LoopbackError::Setup`] if the listener cannot be bound.
     pub async fn start(
         host: Ipv4Addr,
         membership: Membership,
@@ -79,12 +84,12 @@
         Ok(Discovery { address, shared })
     }
 
-    /// Where it listens.
+    /// The address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Changes the list, and tells all watchers.
+    /// Changes the list, and notifies all watchers.
     pub fn change(&self, change: impl FnOnce(&mut Membership)) {
         let mut membership = self.shared.membership();
         change(&mut membership);
@@ -118,7 +123,7 @@
     }
 }
 
-/// Serves one watcher until it leaves.
+/// Serves one watcher until it closes its connection.
 async fn serve(stream: TcpStream, shared: Arc<Shared>) {
     stream.set_nodelay(true).ok();
     let (reader, mut writer) = stream.into_split();
@@ -129,11 +134,11 @@
     let versions = shared.versions.subscribe();
     tokio::select! {
         _ = watch_changes(&mut writer, request, versions, &shared) => {}
-        _ = left(&mut reader) => {}
+        _ = until_closed(&mut reader) => {}
     }
 }
 
-/// What a request asks for.
+/// The parameters of a watcher's request.
 #[derive(Clone, Copy)]
 struct Request {
     follows: bool,
@@ -165,8 +170,8 @@
     })
 }
 
-/// Waits until the watcher has closed its side.
-async fn left(reader: &mut BufReader<OwnedReadHalf>) {
+/// Waits until the watcher has closed its side of the connection.
+async fn until_closed(reader: &mut BufReader<OwnedReadHalf>) {
     let mut ignored = [0; 64];
     while reader.read(&mut ignored).await.is_ok_and(|count| count > 0) {}
 }
@@ -204,7 +209,7 @@
     }
 }
 
-/// Sends a whole list. The first one breaks off where the plan says so, with an error that ends the connection.
+/// Sends a whole list. If the plan cuts the first one short, an error ends its connection.
 async fn send_list(
     writer: &mut OwnedWriteHalf,
     text: &str,
--- a/crates/loopback/src/error.rs
+++ b/crates/loopback/src/error.rs
@@ -1,4 +1,4 @@
-//! What can keep a run from giving its figures.
+//! The errors that end a run before it has all of its figures.
 
 use std::io;
 use std::path::PathBuf;
@@ -10,7 +10,7 @@
 /// Why a run ended without all of its figures.
 #[derive(Debug, Error)]
 pub enum LoopbackError {
-    /// The plan asks for a size that cannot be run.
+    /// A field of the plan is out of its range.
     #[error("the plan's {field} is {value}, which is out of range ({range})")]
     Plan {
         /// The field's name.
@@ -41,7 +41,7 @@
     Setup {
         /// What was being set up.
         what: &'static str,
-        /// What the system said.
+        /// The system's error.
         cause: io::Error,
     },
     /// The agent's program could not be started.
@@ -49,7 +49,7 @@
     Spawn {
         /// The program.
         program: PathBuf,
-        /// What the system said.
+        /// The system's error.
         cause: io::Error,
     },
     /// An agent ended before the run was over.
@@ -80,7 +80,7 @@
     Usage {
         /// The process.
         process: u32,
-        /// What the system said.
+        /// The system's error.
         cause: procfs::ProcError,
     },
     /// The results could not be written.
@@ -89,7 +89,7 @@
 }
 
 impl LoopbackError {
-    /// Names what was being set up when the system refused.
+    /// Returns a function that wraps a system error with the name of what was being set up.
     pub fn setup(what: &'static str) -> impl FnOnce(io::Error) -> Self {
         move |cause| LoopbackError::Setup { what, cause }
     }
--- a/crates/loopback/src/fleet.rs
+++ b/crates/loopback/src/fleet.rs
@@ -52,6 +52,7 @@
 }
 
 /// A running fleet. Its processes are killed when it is dropped.
+#[derive(Debug)]
 pub struct Fleet {
     plan: Plan,
     discovery: Discovery,
--- a/crates/loopback/src/interrupt.rs
+++ b/crates/loopback/src/interrupt.rs
@@ -7,12 +7,15 @@
 
 use crate::error::LoopbackError;
 
-/// Tells whether the run is to end early.
+/// Whether the run is to end early.
 #[derive(Clone, Debug)]
 pub struct Interrupt(watch::Receiver<bool>);
 
 impl Interrupt {
-    /// One that the signals set from now on.
+    /// An interrupt that SIGINT and SIGTERM set from now on.
+    ///
+    /// # Errors
+    /// [`LoopbackError::Setup`] if the signal handlers cannot be installed.
     pub fn on_signals() -> Result<Self, LoopbackError> {
         let interrupt = signal(SignalKind::interrupt()).map_err(LoopbackError::setup("signals"))?;
         let terminate = signal(SignalKind::terminate()).map_err(LoopbackError::setup("signals"))?;
@@ -21,12 +24,12 @@
         Ok(Interrupt(receiver))
     }
 
-    /// One that nothing sets.
+    /// An interrupt that is never set.
     pub fn never() -> Self {
         Interrupt(watch::channel(false).1)
     }
 
-    /// One that its trigger sets.
+    /// An interrupt that the returned trigger sets.
     pub fn by_trigger() -> (Trigger, Self) {
         let (sender, receiver) = watch::channel(false);
         (Trigger(sender), Interrupt(receiver))
@@ -51,7 +54,7 @@
 pub struct Trigger(watch::Sender<bool>);
 
 impl Trigger {
-    /// The run ends as soon as it can.
+    /// Sets the interrupt; the run ends as soon as it can.
     pub fn set(&self) {
         self.0.send_replace(true);
     }
@@ -67,6 +70,6 @@
         _ = terminate.recv() => {}
     }
     sender.send_replace(true);
-    // The signals stay caught: a second one does not leave the agents behind.
+    // Keep the handlers installed: a second signal must not end this process and leave the agents running.
     sender.closed().await;
 }
--- a/crates/loopback/src/lib.rs
+++ b/crates/loopback/src/lib.rs
@@ -3,8 +3,6 @@
 //! each control connection as the stand-ins count them.
 //!
 //! [`run`] does all of it for one [`Plan`] and writes one JSON object a line.
-#![allow(clippy::missing_errors_doc)] // Not met yet.
-#![allow(missing_debug_implementations)] // Not met yet.
 
 pub mod agent;
 pub mod appliance;
--- a/crates/loopback/src/plan.rs
+++ b/crates/loopback/src/plan.rs
@@ -1,4 +1,4 @@
-//! What a run is asked to do, and the bounds that it keeps.
+//! What a run does, and the bounds that it keeps.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -10,10 +10,10 @@
 /// The most listed appliances.
 pub const MOST_LISTED: usize = 20_000;
 
-/// As many descriptors as an agent may use, by default: 48 agents' connections fit into this process's own 20,000.
+/// The default limit on an agent's descriptors: 48 agents' connections fit into this process's own 20,000.
 pub const DEFAULT_SOCKETS: u64 = 768;
 
-/// So many listeners there are at least, if as many appliances are listed.
+/// The least number of listeners, if as many appliances are listed.
 pub const LEAST_LISTENERS: usize = 128;
 
 /// Which list of appliances an agent's start file holds.
@@ -25,12 +25,12 @@
     Whole,
 }
 
-/// How discovery sends its lists: whole, at once and once, unless this says otherwise.
+/// How discovery sends its lists; by default in one write, complete, and once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Delivery {
     /// The largest number of bytes that it writes at once.
     pub piece: Option<usize>,
-    /// The first whole list breaks off after so many bytes, with the end of its connection.
+    /// The first whole list is cut after this many bytes, and its connection is closed.
     pub first_list_cut_at: Option<usize>,
     /// Each whole list is sent twice.
     pub is_doubled: bool,
@@ -52,7 +52,7 @@
     pub request_rates: Vec<f64>,
     /// Changes of the list a second, in each window.
     pub change_rate: f64,
-    /// The share of appliances that run a second build, which is then on trial; 0 for none.
+    /// The share of appliances that run a second build, the canary; 0 for none.
     pub trial_share: f64,
     /// Which list the start files hold.
     pub saved_list: SavedList,
@@ -62,17 +62,17 @@
     pub window: Duration,
     /// How long each rate is in force before its window begins.
     pub warm_up: Duration,
-    /// In which time all agents must be ready.
+    /// The time within which all agents must be ready.
     pub ready_within: Duration,
-    /// The bound of an agent's memory, as its start file names it.
+    /// The limit on an agent's memory in its start file, in MB.
     pub memory_mb: u64,
-    /// The bound of an agent's descriptors; half of them are for connections to appliances.
+    /// The limit on an agent's descriptors; half of them are for connections to appliances.
     pub sockets: u64,
     /// How long an appliance takes to answer.
     pub service_time: Duration,
     /// How discovery sends its lists.
     pub delivery: Delivery,
-    /// The seed of all chance.
+    /// The seed of all random draws.
     pub seed: u64,
     /// The command line that stands for this plan in the results.
     pub command: String,
@@ -103,7 +103,10 @@
         }
     }
 
-    /// Refuses what cannot be run.
+    /// Checks that each field is in its range.
+    ///
+    /// # Errors
+    /// [`LoopbackError::Plan`] with the first field that is not.
     pub fn check(&self) -> Result<(), LoopbackError> {
         in_range("agents", self.agents, 1, MOST_AGENTS, "1 to 100")?;
         in_range(
--- a/crates/loopback/src/platform.rs
+++ b/crates/loopback/src/platform.rs
@@ -1,5 +1,5 @@
-//! A stand-in for the release platform: JSON-RPC lines. Listeners get the news of the newest build and a ping every
-//! second; a vote changes nothing and is answered with the state as it is.
+//! A stand-in for the release platform: JSON-RPC lines. Listeners receive the release update of the newest build and a
+//! ping every second; a vote changes nothing and is answered with the unchanged state.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -17,10 +17,11 @@
 use crate::error::LoopbackError;
 use crate::traffic::Traffic;
 
-/// How often a listener hears a ping.
+/// The period of the pings to a listener.
 const PING_PERIOD: Duration = Duration::from_secs(1);
 
 /// A running platform.
+#[derive(Debug)]
 pub struct Platform {
     address: SocketAddr,
     traffic: Arc<Traffic>,
@@ -28,6 +29,9 @@
 
 impl Platform {
     /// Listens at this host; `release_update` is the state of the newest build, as a JSON object.
+    ///
+    /// # Errors
+    /// [`LoopbackError::Setup`] if the listener cannot be bound.
     pub async fn start(host: Ipv4Addr, release_update: Value) -> Result<Self, LoopbackError> {
         let listener = TcpListener::bind((host, 0))
             .await
@@ -40,12 +44,12 @@
         Ok(Platform { address, traffic })
     }
 
-    /// Where it listens.
+    /// The address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// News, pings and answers sent; calls received.
+    /// Release updates, pings and answers sent; calls received.
     pub fn traffic(&self) -> &Traffic {
         &self.traffic
     }
@@ -84,7 +88,7 @@
     }
 }
 
-/// Tells a listener the news, and pings it for as long as it stays.
+/// Sends a listener the release update, then pings until the connection ends.
 async fn notify(
     writer: &mut OwnedWriteHalf,
     release_update: &Value,
--- a/crates/loopback/src/relay.rs
+++ b/crates/loopback/src/relay.rs
@@ -14,19 +14,21 @@
 const DATAGRAM_LIMIT: usize = 2048;
 
 /// A running relay.
+#[derive(Debug)]
 pub struct Relay {
-    /// What each agent takes for the others' addresses, by their numbers.
+    /// The addresses that stand for the agents towards their peers, by agent number.
     stand_ins: Vec<SocketAddr>,
-    /// What agents take for the address of all.
+    /// The address that stands for all agents.
     all: SocketAddr,
     shared: Arc<Shared>,
 }
 
+#[derive(Debug)]
 struct Shared {
     agents: Vec<SocketAddr>,
     sockets: Vec<UdpSocket>,
     traffic: Traffic,
-    /// What each agent was sent.
+    /// What was sent to each agent.
     to_each: Vec<Traffic>,
 }
 
@@ -46,6 +48,9 @@
 
 impl Relay {
     /// Starts a relay between agents that listen at these addresses.
+    ///
+    /// # Errors
+    /// [`LoopbackError::Setup`] if a socket cannot be bound.
     pub async fn start(host: Ipv4Addr, agents: Vec<SocketAddr>) -> Result<Self, LoopbackError> {
         let mut sockets = Vec::with_capacity(agents.len());
         for _ in &agents {
@@ -72,7 +77,10 @@
         })
     }
 
-    /// The peers' addresses as the agent with this number is told them; its own is its own.
+    /// The peers' addresses in the start file of the agent with this number; its own entry is `own`.
+    ///
+    /// # Panics
+    /// If there is no agent with this number.
     pub fn peers_of(&self, agent: usize, own: SocketAddr) -> Vec<SocketAddr> {
         let mut peers = self.stand_ins.clone();
         peers[agent] = own;
@@ -84,12 +92,12 @@
         self.all
     }
 
-    /// Datagrams taken from agents, and passed on to them.
+    /// Datagrams received from agents, and sent on to them.
     pub fn traffic(&self) -> &Traffic {
         &self.shared.traffic
     }
 
-    /// What each agent was sent so far, by its number.
+    /// What was sent to each agent so far, by its number.
     pub fn counts_to_each(&self) -> Vec<Counts> {
         self.shared.to_each.iter().map(Traffic::counts).collect()
     }
--- a/crates/loopback/src/request.rs
+++ b/crates/loopback/src/request.rs
@@ -1,14 +1,14 @@
-//! The ids of requests: they name the agent that was asked, so that an appliance can tell by whom it is used.
+//! The ids of requests: they contain the agent's number, by which an appliance records which agents use it.
 
 use std::fmt;
 use std::str::FromStr;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// A request's own id within a run.
+/// The id of a request, unique within a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct RequestId {
-    /// The number of the agent that was asked.
+    /// The number of the agent that the request is sent to.
     pub agent: usize,
     /// Its number among all requests of the run.
     pub sequence: u64,
@@ -20,7 +20,7 @@
     }
 }
 
-/// A text that is no request's id.
+/// A text is not a request id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("this is no request's id")]
 pub struct NoRequestId;
--- a/crates/loopback/src/start_file.rs
+++ b/crates/loopback/src/start_file.rs
@@ -12,33 +12,34 @@
 /// The name of the route that the template lacks: the hollow agents of the scale test have four.
 pub const SECOND_SAFE_ROUTE: &str = "scan";
 
-/// What differs between the start files of a fleet's agents, and what its plan says.
+/// The fields of a start file that differ between agents or come from the plan.
+#[derive(Clone, Debug)]
 pub struct StartFile {
     /// The agent's number.
     pub agent: usize,
     /// How many agents there are.
     pub agents: usize,
-    /// The seed of the agent's own chance.
+    /// The seed of the agent's random draws.
     pub seed: u64,
-    /// Where clients find it.
+    /// The address that it accepts clients on.
     pub listen: SocketAddr,
-    /// Where its datagrams arrive.
+    /// The address that it receives datagrams on.
     pub peer_listen: SocketAddr,
     /// Every agent's address for datagrams.
     pub peers: Vec<SocketAddr>,
     /// The address that stands for all of them.
     pub all_peers: SocketAddr,
-    /// Where discovery listens.
+    /// The address of discovery.
     pub discovery: SocketAddr,
-    /// Where the platform listens.
+    /// The address of the platform.
     pub platform: SocketAddr,
     /// The state of the newest build.
     pub release_update: Value,
     /// The list that the agent begins with, as discovery writes it.
     pub known: Option<String>,
-    /// The bound of its memory.
+    /// The limit on its memory, in MB.
     pub memory_mb: u64,
-    /// The bound of its descriptors.
+    /// The limit on its descriptors.
     pub sockets: u64,
 }
 
@@ -53,7 +54,7 @@
     /// The file's text.
     ///
     /// # Panics
-    /// Where the template is no JSON.
+    /// If the template or the known list is not JSON, or the template has no profiles.
     pub fn text(&self) -> String {
         let template = StartFileTemplate::default().text.replace("[KNOWN]", "[]");
         let mut file: Value = serde_json::from_str(&template).expect("the template is JSON");
--- a/crates/loopback/src/traffic.rs
+++ b/crates/loopback/src/traffic.rs
@@ -3,7 +3,7 @@
 use std::ops::Sub;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// What one stand-in has received and sent since it began.
+/// What one stand-in has received and sent since its start.
 #[derive(Debug, Default)]
 pub struct Traffic {
     bytes_in: AtomicU64,
--- a/crates/loopback/src/window.rs
+++ b/crates/loopback/src/window.rs
@@ -21,7 +21,7 @@
 }
 
 impl Control {
-    /// What came between an earlier moment and this one.
+    /// The difference between an earlier moment and this one.
     pub fn since(&self, earlier: &Control) -> Control {
         Control {
             lists: self.lists - earlier.lists,
@@ -75,7 +75,7 @@
     }
 }
 
-/// What clients saw within a window.
+/// Outcomes of the requests within a window.
 #[derive(Clone, Debug, Default)]
 pub struct Requests {
     /// Requests that an appliance answered.
@@ -105,9 +105,9 @@
 /// One window's figures.
 #[derive(Clone, Debug)]
 pub struct Window {
-    /// Requests a second that were asked of each agent.
+    /// Requests per second that were sent to each agent.
     pub request_rate: f64,
-    /// How long it lasted.
+    /// Its duration.
     pub lasted: Duration,
     /// Each agent's processor time within it.
     pub processor: Vec<Duration>,
@@ -115,11 +115,11 @@
     pub run_queue_wait: Vec<Duration>,
     /// Each agent's usage at its end.
     pub at_end: Vec<Usage>,
-    /// What the control connections carried.
+    /// Traffic of the control connections.
     pub control: Control,
     /// The datagrams that each agent received.
     pub datagrams_to_each: Vec<Counts>,
-    /// What clients saw.
+    /// Outcomes of the requests.
     pub requests: Requests,
     /// False if it was interrupted.
     pub complete: bool,
--- a/crates/loopback/tests/cleanup.rs
+++ b/crates/loopback/tests/cleanup.rs
@@ -87,8 +87,8 @@
         .status();
     assert!(kill.expect("kill runs").success());
     let ended = measuring.wait_with_output().expect("it ends");
-    let said = String::from_utf8_lossy(&ended.stderr);
-    assert_eq!(ended.status.code(), Some(1), "{said}");
-    assert!(said.contains("interrupted"), "{said}");
+    let error_text = String::from_utf8_lossy(&ended.stderr);
+    assert_eq!(ended.status.code(), Some(1), "{error_text}");
+    assert!(error_text.contains("interrupted"), "{error_text}");
     assert!(!noted(&folder).into_iter().any(is_running));
 }
--- a/crates/loopback/tests/stand_ins.rs
+++ b/crates/loopback/tests/stand_ins.rs
@@ -94,7 +94,7 @@
         .send_to(b"to all", relay.all())
         .expect("it is sent");
     assert_eq!([receive(0).0, receive(1).0], [b"to all", b"to all"]);
-    // Nothing that a stranger sends is carried: the next one that arrives is a peer's.
+    // A datagram from an unknown sender is not relayed: the next one that arrives is from a peer.
     bind().send_to(b"strange", peers[1]).expect("it is sent");
     agents[0].send_to(b"again", peers[1]).expect("it is sent");
     assert_eq!(receive(1).0, b"again");
@@ -120,7 +120,7 @@
 #[case::no_window(|plan: &mut Plan| plan.window = Duration::ZERO, "window is 0ns")]
 #[case::empty_pieces(|plan: &mut Plan| plan.delivery.piece = Some(0), "delivery.piece is 0")]
 #[case::too_many_descriptors(|plan: &mut Plan| plan.sockets = 1 << 40, "file descriptors")]
-fn what_cannot_be_run_is_refused(#[case] change: fn(&mut Plan), #[case] says: &str) {
+fn what_cannot_be_run_is_refused(#[case] change: fn(&mut Plan), #[case] expected: &str) {
     let fleet = runtime()
         .expect("threads")
         .block_on(Fleet::new(plan(change), Interrupt::never()));
@@ -128,7 +128,7 @@
         .map(drop)
         .map_err(|error: LoopbackError| error.to_string())
         .expect_err("no fleet");
-    assert!(refused.contains(says), "{refused}");
+    assert!(refused.contains(expected), "{refused}");
 }
 
 #[rstest]
