--- a/crates/capacity/tests/result.rs
+++ b/crates/capacity/tests/result.rs
@@ -1,10 +1,11 @@
 //! Result files keep what is written and name the line that is wrong.
 use std::collections::BTreeMap;
-use std::path::Path;
+use std::path::{Path, PathBuf};
 
 use lilacgate_capacity::result::{self, ResultError};
 use lilacgate_capacity::{Experiment, Factor, Quantity, Role, Sample, Size, Source};
 use proptest::prelude::*;
+use rstest::rstest;
 
 fn sample(figure: f64) -> Sample {
     Sample {
@@ -45,6 +46,23 @@
     assert_eq!(result::load_directory(directory.path()).unwrap(), samples);
 }
 
+fn json_lines(text: &str) -> Vec<serde_json::Value> {
+    text.lines()
+        .map(|line| serde_json::from_str(line).unwrap())
+        .collect()
+}
+
+#[rstest]
+fn a_stored_file_keeps_its_names_and_values(#[files("tests/data/*.jsonl")] path: PathBuf) {
+    let samples = result::load(&path).unwrap();
+    let mut text = Vec::new();
+    result::write(&mut text, &samples).unwrap();
+    let written = json_lines(&String::from_utf8(text).unwrap());
+    let stored = json_lines(&std::fs::read_to_string(&path).unwrap());
+    assert!(!stored.is_empty());
+    assert_eq!(written, stored);
+}
+
 #[test]
 fn a_wrong_line_is_named() {
     let mut text = Vec::new();
