--- a/crates/capacity/tests/detection.rs
+++ b/crates/capacity/tests/detection.rs
@@ -1,5 +1,5 @@
-//! The model of verdicts: bad builds are turned back, worse ones and pooled
-//! outcomes sooner, good ones hardly ever.
+//! The detection model: bad builds are rejected, worse ones and pooled outcomes
+//! sooner, good ones hardly ever.
 use std::path::Path;
 use std::time::Duration;
 
@@ -84,7 +84,7 @@
 fn reports_keep_to_their_pace_and_length() {
     for run in runs(&case(Evidence::Pooled(60), 0.05)) {
         let seconds = run.lasted.as_secs_f64();
-        // One a second each (half of the dwell), and each one's first.
+        // Each agent's first, then one a second (half of the minimum stage time).
         assert!(run.messages as f64 <= 59.0 * (seconds + 1.0), "{run:?}");
         assert!(
             run.bytes >= run.messages * 25 && run.bytes <= run.messages * 256,
