--- a/crates/capacity/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -11,7 +11,6 @@
 pub mod analysis;
 pub mod budget;
 pub mod detection;
-mod detection_table;
 pub mod estimate;
 pub mod fit;
 pub mod fleet;
--- a/crates/capacity/src/detection_table.rs
+++ b/crates/capacity/src/tables/detections.rs
@@ -1,11 +1,11 @@
-//! The table of verdicts, and what judges receive.
+//! The tables of detection times and of the reports that aggregators receive.
 use crate::analysis::Analysis;
 use crate::markdown::Table;
 use crate::result::{Experiment, Quantity, Role, Sample};
 use crate::target::Target;
 use crate::words;
 
-/// Whose outcomes a verdict's test saw.
+/// The agents whose outcomes a test was based on.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 enum EvidenceSource {
     Own,
@@ -31,47 +31,61 @@
     }
 }
 
-/// The bad build's failures and the share of appliances that carry it.
-fn trial(sample: &Sample) -> Option<(f64, f64)> {
-    let failures = sample.figure(Quantity::BadBuildFailureShare)?;
-    Some((failures, sample.figure(Quantity::TrialShare)?))
+/// A canary build. The order is that of the table's rows.
+#[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
+struct Canary {
+    /// Share of requests that it fails beyond what any build does.
+    failure_share: f64,
+    /// Share of appliances that run it.
+    appliance_share: f64,
+}
+
+impl Canary {
+    fn of(sample: &Sample) -> Option<Canary> {
+        Some(Canary {
+            failure_share: sample.figure(Quantity::BadBuildFailureShare)?,
+            appliance_share: sample.figure(Quantity::TrialShare)?,
+        })
+    }
 }
 
-/// A row for each build, a column for each number of agents heard; below, what
-/// a judge receives.
-pub fn detections(analysis: &Analysis) -> String {
+/// A row for each canary, a column for each number of pooled agents; below, the
+/// reports that an aggregator receives.
+pub(super) fn detections(analysis: &Analysis) -> String {
     let is_detection =
         |sample: &&Sample| sample.complete && sample.experiment == Experiment::Detection;
     let samples: Vec<&Sample> = analysis.samples.iter().filter(is_detection).collect();
-    let source = in_order(
+    let sources = in_order(
         samples
             .iter()
             .filter_map(|sample| EvidenceSource::of(sample)),
     );
-    let trials = in_order(samples.iter().filter_map(|sample| trial(sample)));
-    let names: Vec<String> = source.iter().map(|source| source.name()).collect();
+    let canaries = in_order(samples.iter().filter_map(|sample| Canary::of(sample)));
+    let names: Vec<String> = sources.iter().map(|source| source.name()).collect();
     let mut head = vec!["more failures", "on trial"];
     head.extend(names.iter().map(String::as_str));
     let mut table = Table::new(&head);
-    for &(failures, share) in &trials {
+    for &canary in &canaries {
         let of_case = |source: &EvidenceSource| {
             let is_case = |sample: &&&Sample| {
-                EvidenceSource::of(sample) == Some(*source)
-                    && trial(sample) == Some((failures, share))
+                EvidenceSource::of(sample) == Some(*source) && Canary::of(sample) == Some(canary)
             };
             samples
                 .iter()
                 .find(is_case)
                 .map_or_else(|| "-".into(), |one| detection_text(one))
         };
-        let mut cells = vec![words::percent(failures), words::percent(share)];
-        cells.extend(source.iter().map(of_case));
+        let mut cells = vec![
+            words::percent(canary.failure_share),
+            words::percent(canary.appliance_share),
+        ];
+        cells.extend(sources.iter().map(of_case));
         table.row(&cells);
     }
     if samples.is_empty() {
         return table.finish();
     }
-    let inbound = detection_bytes(&samples, &source, analysis.target);
+    let inbound = detection_bytes(&samples, &sources, analysis.target);
     format!("{}\n{inbound}", table.finish())
 }
 
@@ -82,7 +96,7 @@
     keys
 }
 
-/// The median and the ninth decile, or how many runs came to a verdict.
+/// The median and the 90th percentile, or the share of runs with a rejection.
 fn detection_text(sample: &Sample) -> String {
     let median = sample.figure(Quantity::DetectionSeconds);
     let ninth = sample.figure(Quantity::DetectionSecondsP90);
@@ -103,8 +117,9 @@
     }
 }
 
-/// What a judge receives while a build is on trial: the most over the cases.
-fn detection_bytes(samples: &[&Sample], source: &[EvidenceSource], target: &Target) -> String {
+/// The reports that an aggregator receives during a canary release: the most
+/// over the cases.
+fn detection_bytes(samples: &[&Sample], sources: &[EvidenceSource], target: &Target) -> String {
     let head = [
         "heard",
         "reports in/s",
@@ -113,7 +128,7 @@
         "releases that fit",
     ];
     let mut table = Table::new(&head);
-    for source in source
+    for source in sources
         .iter()
         .filter(|source| **source != EvidenceSource::Own)
     {
--- a/crates/capacity/tests/page.rs
+++ b/crates/capacity/tests/page.rs
@@ -186,8 +186,8 @@
     "| one change of configuration | agent | hollow | 20 agents, 300 appliances, 12 services | 2 | 3,500 | - | - | - | - | - | - | 0.4 |"
 )]
 #[case::no_event(Part::Events, "| a rack fails at once | not measured |")]
-#[case::detection(Part::Verdicts, "| 5 % | 10 % | none | 41.5 s (60 s) |")]
-#[case::aggregator_bytes(Part::Verdicts, "| judge of 40 | 30 | 10,000 | 2 | 0 |")]
+#[case::detection(Part::Detections, "| 5 % | 10 % | none | 41.5 s (60 s) |")]
+#[case::aggregator_bytes(Part::Detections, "| judge of 40 | 30 | 10,000 | 2 | 0 |")]
 #[case::today(
     Part::Roles,
     "| agent | today | not measured | not measured | not measured | 120 p | 50 p | 0.5 | 3 |"
