--- a/crates/capacity/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -20,6 +20,7 @@
 pub mod result;
 pub mod tables;
 pub mod target;
+mod target_file;
 pub mod words;
 
 pub use fleet::Fleet;
--- a/crates/capacity/tests/result.rs
+++ b/crates/capacity/tests/result.rs
@@ -48,7 +48,7 @@
 
 fn json_lines(text: &str) -> Vec<serde_json::Value> {
     text.lines()
-        .map(|line| serde_json::from_str(line).unwrap())
+        .map(|line| serde_json::from_str(line).expect("JSON"))
         .collect()
 }
 
