--- a/crates/capacity/src/analysis.rs
+++ b/crates/capacity/src/analysis.rs
@@ -1,6 +1,6 @@
-//! What the samples say of a target: their slopes, and the factors between
-//! hollow and real agents. [`crate::estimate`] works out figures at a size,
-//! [`crate::budget`] holds them against the budgets.
+//! The analysis of samples for a target: their slopes, and the factors between
+//! hollow and real agents. [`crate::estimate`] computes figures at a size, and
+//! [`crate::budget`] compares them with the budgets.
 use std::cmp::Ordering;
 
 use crate::fit::{self, Slope};
@@ -23,11 +23,11 @@
 /// One figure of a hollow agent and of a real one, at one size.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ProcessPair {
-    /// Whose figure.
+    /// The role that the figure is of.
     pub role: Role,
-    /// Which figure.
+    /// The quantity of the figure.
     pub quantity: Quantity,
-    /// The size.
+    /// The size of the fleet.
     pub size: Size,
     /// The mean over the hollow runs.
     pub hollow: f64,
@@ -36,7 +36,7 @@
 }
 
 impl ProcessPair {
-    /// The real figure over the hollow one.
+    /// The ratio of the real figure to the hollow one; `None` if the latter is 0.
     pub fn factor(&self) -> Option<f64> {
         (self.hollow > 0.0).then(|| self.process / self.hollow)
     }
@@ -56,7 +56,7 @@
 }
 
 impl<'a> Analysis<'a> {
-    /// Works out slopes and pairs.
+    /// Computes slopes and pairs.
     pub fn new(samples: &'a [Sample], target: &'a Target) -> Self {
         Analysis {
             target,
@@ -71,9 +71,10 @@
         self.samples.iter().filter(|sample| sample.complete)
     }
 
-    /// What real agents use over what hollow ones do, at the largest size where
-    /// both were measured. Processor time of a round or of the worst second
-    /// goes by the average if it has no pair of its own.
+    /// The ratio of the cost of real agents to that of hollow ones, at the
+    /// largest size where both were measured. Processor time of a round or of
+    /// the worst second takes the ratio of the average if it has no pair of its
+    /// own.
     pub fn process_factor(&self, role: Role, quantity: Quantity) -> Option<f64> {
         let of = |quantity: Quantity| {
             let wanted = |pair: &&ProcessPair| pair.role == role && pair.quantity == quantity;
@@ -87,13 +88,13 @@
     }
 }
 
-/// Whether agents, appliances and services are as many.
+/// Whether both have the same numbers of agents, appliances and services.
 pub fn is_same_fleet(one: &Size, other: &Size) -> bool {
     let counts = |size: &Size| (size.agents, size.listed_appliances, size.services);
     counts(one) == counts(other)
 }
 
-/// Smaller fleets first.
+/// The order of fleets by size, the smallest first.
 pub fn by_size(one: &Size, other: &Size) -> Ordering {
     let counts = |size: &Size| {
         (
--- a/crates/capacity/src/budget.rs
+++ b/crates/capacity/src/budget.rs
@@ -1,4 +1,4 @@
-//! The budgets of a target beside what it is expected to use of them.
+//! The budgets of a target, compared with its expected cost.
 use crate::analysis::{Analysis, FACTORS, largest};
 use crate::estimate::{Basis, Estimate};
 use crate::fit::Slope;
@@ -12,7 +12,7 @@
     Core,
     /// Processor time in the worst second.
     CoreInWorstSecond,
-    /// The longest round, for which a request may have to wait.
+    /// Processor time of the longest round, which may delay a request.
     Round,
     /// Time added to a request.
     AddedLatency,
@@ -27,7 +27,7 @@
 }
 
 impl BudgetKind {
-    /// The quantities that add up to what is budgeted.
+    /// The quantities whose sum is budgeted.
     pub fn quantities(self) -> &'static [Quantity] {
         match self {
             BudgetKind::Core => &[Quantity::ControlCorePercent],
@@ -41,8 +41,8 @@
         }
     }
 
-    /// Whether the budget has to be kept in an event. Averages do where the
-    /// event is a part of ordinary operation, all others always.
+    /// Whether the budget applies during an event. Budgets of averages apply if
+    /// the event is a part of ordinary operation, those of maxima always.
     pub fn holds_in(self, event: EventKind) -> bool {
         match self {
             BudgetKind::CoreInWorstSecond
@@ -56,7 +56,7 @@
         }
     }
 
-    /// The budget, in the unit of its quantities.
+    /// The limit, in the unit of its quantities.
     pub fn limit(self, target: &Target) -> f64 {
         let budgets = &target.budgets;
         match self {
@@ -71,44 +71,59 @@
     }
 }
 
-/// Which role each budget is held against.
-pub const BUDGETS: [(Role, BudgetKind); 11] = [
-    (Role::Agent, BudgetKind::Core),
-    (Role::Agent, BudgetKind::CoreInWorstSecond),
-    (Role::Agent, BudgetKind::Round),
-    (Role::Agent, BudgetKind::AddedLatency),
-    (Role::Agent, BudgetKind::Memory),
-    (Role::Agent, BudgetKind::Bytes),
-    (Role::Agent, BudgetKind::InForce),
-    (Role::Aggregator, BudgetKind::Core),
-    (Role::Aggregator, BudgetKind::Memory),
-    (Role::Aggregator, BudgetKind::Bytes),
-    (Role::Control, BudgetKind::ControlMachines),
+/// A budget of a role.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct RoleBudget {
+    /// The role whose cost counts.
+    pub role: Role,
+    /// The budget.
+    pub kind: BudgetKind,
+}
+
+impl RoleBudget {
+    const fn new(role: Role, kind: BudgetKind) -> Self {
+        RoleBudget { role, kind }
+    }
+}
+
+/// All budgets that are compared with a cost.
+pub const BUDGETS: [RoleBudget; 11] = [
+    RoleBudget::new(Role::Agent, BudgetKind::Core),
+    RoleBudget::new(Role::Agent, BudgetKind::CoreInWorstSecond),
+    RoleBudget::new(Role::Agent, BudgetKind::Round),
+    RoleBudget::new(Role::Agent, BudgetKind::AddedLatency),
+    RoleBudget::new(Role::Agent, BudgetKind::Memory),
+    RoleBudget::new(Role::Agent, BudgetKind::Bytes),
+    RoleBudget::new(Role::Agent, BudgetKind::InForce),
+    RoleBudget::new(Role::Aggregator, BudgetKind::Core),
+    RoleBudget::new(Role::Aggregator, BudgetKind::Memory),
+    RoleBudget::new(Role::Aggregator, BudgetKind::Bytes),
+    RoleBudget::new(Role::Control, BudgetKind::ControlMachines),
 ];
 
-/// A budget beside what the target is expected to use of it.
+/// A budget and the expected cost of the target.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BudgetRow {
-    /// Whose budget.
+    /// The role whose cost counts.
     pub role: Role,
-    /// Which budget.
-    pub kind: BudgetKind,
     /// The budget.
+    pub kind: BudgetKind,
+    /// The limit, in the unit of the budget's quantities.
     pub limit: f64,
-    /// What is used at the target, by hollow agents if these were measured.
+    /// The cost at the target, of hollow agents if these were measured.
     pub used: Option<Estimate>,
-    /// What real agents use over what hollow ones do, and no less than 1;
-    /// nothing where that is not measured.
+    /// The ratio of the cost of real agents to that of hollow ones, at least 1;
+    /// `None` if it was not measured.
     pub process_factor: Option<f64>,
 }
 
 impl BudgetRow {
-    /// How many times the budget is used.
+    /// The ratio of the cost to the limit.
     pub fn times(&self) -> Option<f64> {
         Some(self.used?.figure / self.limit)
     }
 
-    /// The same with the factor of real agents, where it is measured.
+    /// The same with the factor of real agents, if it was measured.
     pub fn times_of_process(&self) -> Option<f64> {
         Some(self.times()? * self.process_factor.unwrap_or(1.0))
     }
@@ -117,13 +132,13 @@
 /// The size at which a budget is used up, along one factor.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LimitRow {
-    /// Whose budget.
+    /// The role whose cost counts.
     pub role: Role,
-    /// Which budget.
+    /// The budget.
     pub kind: BudgetKind,
-    /// Which size grows; all others stay as in the slope's samples.
+    /// The size that grows; all others stay as in the slope's samples.
     pub factor: Factor,
-    /// The services of these, if they are not what grows.
+    /// The services of these samples, unless the services grow.
     pub services: Option<u32>,
     /// The size.
     pub size: f64,
@@ -132,7 +147,7 @@
 }
 
 impl Analysis<'_> {
-    fn budget(&self, role: Role, kind: BudgetKind) -> BudgetRow {
+    fn budget(&self, RoleBudget { role, kind }: RoleBudget) -> BudgetRow {
         let parts = kind.quantities();
         let used = match kind {
             BudgetKind::InForce => {
@@ -155,8 +170,8 @@
     }
 
     /// The steady figure at the target, or that of an event if it is larger and
-    /// the budget has to be kept there; without either, what was measured in
-    /// the largest fleet, except for an agent, which has slopes.
+    /// the budget applies to it; without either, the figure of the largest
+    /// fleet that was measured, except for an agent, which has slopes.
     fn used(&self, role: Role, kind: BudgetKind) -> Option<Estimate> {
         let parts = kind.quantities();
         let steady = self.estimate_sum(role, parts);
@@ -183,9 +198,9 @@
         })
     }
 
-    /// All budgets, those furthest over first, those not measured last.
+    /// All budgets, those exceeded most first, those not measured last.
     pub fn budgets(&self) -> Vec<BudgetRow> {
-        let rows = BUDGETS.iter().map(|&(role, kind)| self.budget(role, kind));
+        let rows = BUDGETS.iter().map(|budget| self.budget(*budget));
         let mut rows: Vec<BudgetRow> = rows.collect();
         rows.sort_by(|one, other| {
             let times = |row: &BudgetRow| row.times_of_process().unwrap_or(f64::NEG_INFINITY);
@@ -221,7 +236,7 @@
             return None;
         }
         let scale = row.process_factor.unwrap_or(1.0);
-        // In parts of the target's size along the factor.
+        // The cost at a part of the target's size along the factor.
         let cost = |part: f64| {
             let fits = parts
                 .iter()
@@ -241,7 +256,7 @@
     }
 }
 
-/// How far beyond the target a limit is looked for.
+/// The largest size that a limit is searched at, in multiples of the target.
 const FARTHEST: f64 = 1e3;
 const BISECTIONS: u32 = 60;
 
--- a/crates/capacity/src/estimate.rs
+++ b/crates/capacity/src/estimate.rs
@@ -1,5 +1,4 @@
-//! Figures at a size: measured there, measured near it, or worked out from
-//! slopes.
+//! Figures at a size: measured at it, measured near it, or computed from slopes.
 use crate::analysis::{Analysis, FACTORS, by_size, is_same_fleet, largest};
 use crate::fit::Slope;
 use crate::result::{EventKind, Experiment, Factor, Quantity, Role, Sample, Size, Source};
@@ -9,26 +8,27 @@
 pub enum Basis {
     /// It was measured at the size in question.
     Measured,
-    /// It was measured in an event, before as many appliances and services.
+    /// It was measured in an event, with the same numbers of appliances and
+    /// services.
     MeasuredIn {
         /// The event.
         event: EventKind,
         /// The size.
         size: Size,
     },
-    /// It was measured at another size, the largest there is.
+    /// It was measured at another size, the largest of all samples.
     MeasuredAt(Size),
-    /// It was measured at a size with as many appliances and services; what
-    /// other sizes add to it was worked out from slopes.
+    /// It was measured at a size with the same numbers of appliances and
+    /// services; the difference of other sizes was computed from slopes.
     Extended {
-        /// Where it was measured.
+        /// The size that it was measured at.
         from: Size,
-        /// Whether all slopes fit; those that do not are left out.
+        /// Whether all slopes fit; those that do not are excluded.
         fits: bool,
     },
-    /// It was worked out from slopes.
+    /// It was computed from slopes.
     Predicted {
-        /// Whether all slopes fit; those that do not are left out.
+        /// Whether all slopes fit; those that do not are excluded.
         fits: bool,
     },
 }
@@ -46,7 +46,7 @@
 
 impl Analysis<'_> {
     /// A figure at a size, without an event: the largest that was measured
-    /// there, hollow ones before real ones, or else what slopes say.
+    /// there, of hollow agents before real ones, or else computed from slopes.
     pub fn estimate(&self, role: Role, quantity: Quantity, size: &Size) -> Option<Estimate> {
         self.measured(role, quantity, size, Source::Hollow)
             .or_else(|| self.measured(role, quantity, size, Source::Process))
@@ -74,9 +74,9 @@
         })
     }
 
-    /// An agent's figure that was measured before as many appliances and
-    /// services, with other sizes added by their slopes. Of several the one
-    /// with the most agents counts.
+    /// An agent's figure that was measured with the same numbers of appliances
+    /// and services, plus the difference of other sizes by their slopes. Of
+    /// several the largest fleet counts.
     fn extended(&self, role: Role, quantity: Quantity, size: &Size) -> Option<Estimate> {
         if role != Role::Agent {
             return None;
@@ -98,9 +98,9 @@
         not_negative(nearest.figure(quantity)? + added, basis)
     }
 
-    /// An agent's figure worked out from slopes alone: the steepest one at the
-    /// size, and what others add from there on. What serves many agents pays
-    /// for each of them, so that its costs cannot be added.
+    /// An agent's figure computed from slopes alone: the steepest one at the
+    /// size, plus the rise of the others. A role that serves many agents has a
+    /// cost for each of them, so that the rises of its slopes cannot be added.
     fn predicted(&self, role: Role, quantity: Quantity, size: &Size) -> Option<Estimate> {
         if role != Role::Agent {
             return None;
@@ -125,8 +125,8 @@
         FACTORS.into_iter().filter_map(of_factor).collect()
     }
 
-    /// The fitted slope along a factor whose services are closest to a size's,
-    /// if the size says anything of that factor.
+    /// The fitted slope along a factor whose number of services is closest to
+    /// the size's; `None` if the size is 0 along that factor.
     pub(crate) fn slope_for(
         &self,
         role: Role,
@@ -145,8 +145,8 @@
             .min_by_key(distance)
     }
 
-    /// The sum of quantities in the worst of these events, played before as
-    /// many appliances and services as the target has.
+    /// The sum of quantities in the worst of these events, measured with
+    /// as many appliances and services as the target has.
     pub(crate) fn worst_event(
         &self,
         role: Role,
@@ -188,7 +188,7 @@
         })
     }
 
-    /// The figure of an event: the worst at the largest size it was played at.
+    /// The figure of an event: the worst at the largest size it was measured at.
     pub(crate) fn largest_event(&self, quantity: Quantity, event: EventKind) -> Option<Estimate> {
         let is_wanted =
             |sample: &&Sample| sample.event == Some(event) && sample.figure(quantity).is_some();
@@ -215,7 +215,7 @@
     }
 }
 
-/// A figure below 0 comes from slopes that do not reach so far.
+/// `None` for a figure below 0: its slopes do not extend that far.
 fn not_negative(figure: f64, basis: Basis) -> Option<Estimate> {
     (figure >= 0.0).then_some(Estimate {
         figure,
@@ -224,14 +224,15 @@
     })
 }
 
-/// Whether an agent's lists are as long, and as many.
+/// Whether both have the same numbers of appliances and services, which an
+/// agent's lists consist of.
 fn lists_as_much(one: &Size, other: &Size) -> bool {
     let counts = |size: &Size| (size.listed_appliances, size.services);
     counts(one) == counts(other)
 }
 
-/// Whether a sample says what a whole fleet uses without an event: no point of
-/// a slope, unless it is the largest one.
+/// Whether a sample is of a whole fleet without an event: not a point of a
+/// slope, unless it is the largest one.
 fn is_steady(sample: &Sample) -> bool {
     let is_whole = match sample.experiment {
         Experiment::Budget | Experiment::Predict | Experiment::Process => true,
@@ -245,15 +246,15 @@
     slope.fit.is_ok_and(|fit| fit.is_good())
 }
 
-/// What all slopes that fit add from one size to another.
+/// The sum of the rises of all slopes that fit, from one size to another.
 fn rises(slopes: &[&Slope], from: &Size, to: &Size) -> f64 {
     let good = slopes.iter().filter(|slope| is_good(slope));
     good.map(|slope| rise(slope, from, to)).sum()
 }
 
 /// How much the cost grows from one size to another along the slope's factor. A
-/// cost that falls as the size grows is taken not to change: what makes it fall
-/// may not go on.
+/// cost that falls as the size grows is assumed to stay constant, as the fall
+/// may not continue.
 fn rise(slope: &Slope, from: &Size, to: &Size) -> f64 {
     let Ok(fit) = slope.fit else { return 0.0 };
     let (from, to) = (slope.position(from), slope.position(to));
--- a/crates/capacity/src/fit.rs
+++ b/crates/capacity/src/fit.rs
@@ -1,8 +1,8 @@
 //! Least squares fits of a cost against one size.
 //!
 //! A line is tried first. Where it does not fit, a logarithmic and a quadratic
-//! term are tried, and the better one is kept. Samples that are held back take
-//! no part in a fit; they are predicted from it.
+//! term are tried, and the better one is kept. Samples that are held back are
+//! excluded from a fit; they are predicted from it.
 use std::collections::{BTreeMap, BTreeSet};
 
 use nalgebra::{DMatrix, DVector};
@@ -163,12 +163,12 @@
     sizes.len()
 }
 
-/// A held back figure beside what the fit says of its size.
+/// A held back figure and its prediction from the fit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Prediction {
-    /// What was measured.
+    /// The measured figure.
     pub measured: Point,
-    /// What the fit says.
+    /// The figure by the fit.
     pub predicted: f64,
 }
 
@@ -185,30 +185,31 @@
     }
 }
 
-/// What a slope is a slope of.
+/// Identifies a slope.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct SlopeKey {
-    /// Whose cost.
+    /// The role whose cost it is.
     pub role: Role,
-    /// Against which size.
+    /// The size that varies.
     pub factor: Factor,
-    /// Which cost.
+    /// The cost.
     pub quantity: Quantity,
     /// What was run.
     pub source: Source,
-    /// The services of its samples, where these are not what varies: a list
-    /// costs less in one service than over many.
+    /// The services of its samples, unless these vary: a list costs less in one
+    /// service than over many.
     pub services: Option<u32>,
 }
 
 /// The fit of one cost against one size.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Slope {
-    /// What it is a slope of.
+    /// Its identity.
     pub key: SlopeKey,
-    /// The commands that gave its samples, each once.
+    /// The commands that produced its samples, without duplicates.
     pub commands: BTreeSet<String>,
-    /// The sizes of the smallest sample; along other factors, of all.
+    /// The sizes of the smallest sample; all samples have the same sizes along
+    /// the factors that do not vary.
     pub base: Size,
     /// The points that were fitted.
     pub points: Vec<Point>,
@@ -219,8 +220,8 @@
 }
 
 impl Slope {
-    /// Where a size lies along this slope's factor. Requests are those of the
-    /// slope's number of agents, each asked as much as in that size.
+    /// The position of a size along this slope's factor. The request rate is
+    /// that of the slope's number of agents, at the rate per agent of the size.
     pub fn position(&self, size: &Size) -> f64 {
         let along = size.along(self.key.factor);
         match self.key.factor {
@@ -241,7 +242,7 @@
         most - least <= FLAT * most.abs()
     }
 
-    /// The held back figures beside the fit.
+    /// The held back figures with their predictions; empty without a fit.
     pub fn predictions(&self) -> Vec<Prediction> {
         let Ok(fit) = self.fit else { return Vec::new() };
         let predict = |&measured: &Point| Prediction {
--- a/crates/capacity/src/fleet.rs
+++ b/crates/capacity/src/fleet.rs
@@ -1,5 +1,5 @@
-//! A fleet drawn from a target file: services with their sizes, where
-//! appliances stand, and how requests are spread. The same seed gives the
+//! A fleet drawn from a target file: services with their sizes, the placement
+//! of appliances, and the distribution of requests. The same seed gives the
 //! same fleet.
 use rand::SeedableRng;
 use rand::seq::SliceRandom;
@@ -48,7 +48,7 @@
 pub struct Agent {
     /// Its number.
     pub id: AgentId,
-    /// Where it stands.
+    /// Its zone.
     pub zone: ZoneId,
     /// Its share of the requests of every service.
     pub request_share: f64,
@@ -57,9 +57,9 @@
 /// An appliance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Appliance {
-    /// What it serves.
+    /// Its service.
     pub service: ServiceId,
-    /// Where it stands.
+    /// Its zone.
     pub zone: ZoneId,
     /// The rack that it fails with.
     pub rack: RackId,
@@ -101,7 +101,11 @@
 }
 
 impl Target {
-    /// Draws a fleet.
+    /// Draws a fleet; the same seed gives the same fleet.
+    ///
+    /// # Panics
+    /// If the target was not read from a file and its values do not agree, for
+    /// example more services than appliances.
     pub fn draw(&self, seed: u64) -> Fleet {
         let mut random = Pcg64Mcg::seed_from_u64(seed);
         let services = draw_services(self, &mut random);
@@ -188,7 +192,7 @@
 }
 
 /// Spreads each service over the zones in turn and fills the racks of each
-/// zone by chance.
+/// zone in random order.
 fn place_appliances(
     places: &Places,
     services: &[Service],
--- a/crates/capacity/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -1,12 +1,10 @@
 //! What a fleet of a given size costs.
 //!
 //! [`target`] reads the file that describes a fleet, [`fleet`] draws one from
-//! it, and [`result`] defines the records that measurements are kept in.
-//! [`fit`] works out slopes, [`analysis`] holds them against the budgets of the
+//! it, and [`result`] defines the records that measurements are stored in.
+//! [`fit`] computes slopes, [`analysis`] compares them with the budgets of the
 //! target, and [`page`] and [`plot`] show the outcome. [`detection`] models how
-//! long a release's test takes.
-#![allow(clippy::missing_panics_doc)] // Not met yet.
-#![allow(unreachable_pub)] // Not met yet.
+//! long canary analysis takes to reject a bad build.
 
 pub mod analysis;
 pub mod budget;
--- a/crates/capacity/src/markdown.rs
+++ b/crates/capacity/src/markdown.rs
@@ -2,14 +2,14 @@
 use crate::words;
 
 /// A Markdown table.
-pub struct Table {
+pub(crate) struct Table {
     text: String,
     is_empty: bool,
 }
 
 impl Table {
     /// A table with these columns.
-    pub fn new(head: &[&str]) -> Self {
+    pub(crate) fn new(head: &[&str]) -> Self {
         let mut table = Table {
             text: String::new(),
             is_empty: true,
@@ -29,13 +29,13 @@
     }
 
     /// Adds a row.
-    pub fn row<Cell: AsRef<str>>(&mut self, cells: &[Cell]) {
+    pub(crate) fn row<Cell: AsRef<str>>(&mut self, cells: &[Cell]) {
         self.is_empty = false;
         self.line(cells);
     }
 
-    /// The table, or that nothing was measured.
-    pub fn finish(self) -> String {
+    /// The table, or a sentence that nothing was measured if it has no rows.
+    pub(crate) fn finish(self) -> String {
         if self.is_empty {
             return format!("{}.\n", capitalised(words::NOT_MEASURED));
         }
--- a/crates/capacity/src/page.rs
+++ b/crates/capacity/src/page.rs
@@ -1,8 +1,8 @@
-//! Renews the generated parts of the capacity page.
+//! Regenerates the generated parts of the capacity page.
 //!
-//! A part stands between `<!-- generated: NAME -->` and
-//! `<!-- end generated -->`, each on a line of its own. All parts have to be on
-//! the page, each once; the text around them is kept as it is.
+//! A part is the text between `<!-- generated: NAME -->` and
+//! `<!-- end generated -->`, each on a line of its own. Each part has to be on
+//! the page exactly once; the text around them is kept unchanged.
 use std::collections::BTreeSet;
 
 use crate::analysis::Analysis;
@@ -14,7 +14,7 @@
 const BEGIN_END: &str = " -->";
 const END: &str = "<!-- end generated -->";
 
-/// Why a page cannot be renewed. Lines are counted from 1.
+/// Why a page cannot be regenerated. Lines are counted from 1.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PageError {
     /// There is no part of that name.
@@ -25,7 +25,7 @@
         /// The name.
         name: String,
     },
-    /// A part stands again.
+    /// A part is there twice.
     #[error("line {line}: the part {name} is there twice")]
     Twice {
         /// The line of the second one.
@@ -55,10 +55,10 @@
     },
 }
 
-/// The page with its generated parts made anew from the samples.
+/// The page with its generated parts regenerated from the samples.
 ///
 /// # Errors
-/// The marks of the page are wrong, or a part is missing.
+/// A marker is wrong, or a part is missing.
 pub fn regenerate(page: &str, samples: &[Sample], target: &Target) -> Result<String, PageError> {
     let sections = sections(page)?;
     let analysis = Analysis::new(samples, target);
@@ -66,7 +66,7 @@
     for section in sections {
         match section {
             Section::Text(line) => output.push_str(line),
-            // Blank lines keep a table apart from the marks.
+            // Markdown needs blank lines between a table and the markers.
             Section::Generated(part) => output.push_str(&format!(
                 "{BEGIN}{}{BEGIN_END}\n\n{}\n{END}",
                 part.name(),
@@ -78,34 +78,43 @@
     Ok(output)
 }
 
+/// A piece of a page.
 enum Section<'a> {
     /// A line that is kept.
     Text(&'a str),
-    /// A part that is made anew.
+    /// A part that is regenerated.
     Generated(Part),
 }
 
+/// A generated part whose end has not been read yet.
+#[derive(Clone, Copy)]
+struct OpenPart {
+    /// The line of its beginning.
+    line: usize,
+    part: Part,
+}
+
 fn sections(page: &str) -> Result<Vec<Section<'_>>, PageError> {
     let mut sections = Vec::new();
     let mut seen = BTreeSet::new();
-    let mut open: Option<(usize, Part)> = None;
+    let mut open: Option<OpenPart> = None;
     for (index, text) in page.lines().enumerate() {
         let line = index + 1;
-        match (open, mark(text, line)?) {
+        match (open, marker(text, line)?) {
             (None, None) => sections.push(Section::Text(text)),
-            (None, Some(Mark::Begin(part))) if seen.insert(part) => {
+            (None, Some(Marker::Begin(part))) if seen.insert(part) => {
                 sections.push(Section::Generated(part));
-                open = Some((line, part));
+                open = Some(OpenPart { line, part });
             }
-            (None, Some(Mark::Begin(part))) => return Err(twice(line, part)),
-            (None, Some(Mark::End)) => return Err(PageError::NoBeginning { line }),
+            (None, Some(Marker::Begin(part))) => return Err(twice(line, part)),
+            (None, Some(Marker::End)) => return Err(PageError::NoBeginning { line }),
             (Some(_), None) => {}
-            (Some(_), Some(Mark::End)) => open = None,
-            (Some((line, part)), Some(Mark::Begin(_))) => return Err(no_end(line, part)),
+            (Some(_), Some(Marker::End)) => open = None,
+            (Some(open), Some(Marker::Begin(_))) => return Err(no_end(open)),
         }
     }
-    if let Some((line, part)) = open {
-        return Err(no_end(line, part));
+    if let Some(open) = open {
+        return Err(no_end(open));
     }
     let missing = Part::ALL.into_iter().find(|part| !seen.contains(part));
     match missing {
@@ -119,27 +128,30 @@
     PageError::Twice { line, name }
 }
 
-fn no_end(line: usize, part: Part) -> PageError {
-    let name = part.name();
-    PageError::NoEnd { line, name }
+fn no_end(open: OpenPart) -> PageError {
+    PageError::NoEnd {
+        line: open.line,
+        name: open.part.name(),
+    }
 }
 
-enum Mark {
+/// The line that begins or ends a generated part.
+enum Marker {
     Begin(Part),
     End,
 }
 
-fn mark(text: &str, line: usize) -> Result<Option<Mark>, PageError> {
+fn marker(text: &str, line: usize) -> Result<Option<Marker>, PageError> {
     let text = text.trim_end();
     if text == END {
-        return Ok(Some(Mark::End));
+        return Ok(Some(Marker::End));
     }
     let name = text
         .strip_prefix(BEGIN)
         .and_then(|rest| rest.strip_suffix(BEGIN_END));
     let Some(name) = name else { return Ok(None) };
     match Part::named(name) {
-        Some(part) => Ok(Some(Mark::Begin(part))),
+        Some(part) => Ok(Some(Marker::Begin(part))),
         None => Err(PageError::UnknownPart {
             line,
             name: name.to_owned(),
--- a/crates/capacity/src/plot.rs
+++ b/crates/capacity/src/plot.rs
@@ -26,18 +26,19 @@
 const TEXT_SIZE: u32 = 14;
 const TEXT_GAP: i32 = 6;
 const LEGEND_WIDTH: i32 = 16;
-const MARK_SIZE: i32 = 3;
-/// Space on both sides of a bar, of a height of 1.
+/// The radius of a measured point, in pixels.
+const POINT_RADIUS: i32 = 3;
+/// The space above and below a bar, as a share of its row.
 const BAR_SIDES: f64 = 0.2;
 const MARGIN: u32 = 12;
-/// Room for the names of budgets.
+/// The width of the column of budget names, in pixels.
 const NAMES_WIDTH: u32 = 400;
 const AXIS_SIZE: u32 = 44;
 /// Points of a fitted curve.
 const CURVE_POINTS: u32 = 60;
-/// Where both axes of the plot of cost begin: a thousandth of the target.
+/// The least value of both axes of the cost plot, as a share of the target.
 const LEAST_SHARE: f64 = 1e-3;
-/// Where the plot of cost ends, in targets.
+/// The largest size of the cost plot, in multiples of the target.
 const MOST_SHARE: f64 = 10.0;
 const COLORS: [RGBColor; 8] = [
     RGBColor(31, 119, 180),
@@ -61,13 +62,13 @@
     File {
         /// The file.
         path: PathBuf,
-        /// What the system says.
+        /// The system's error.
         source: io::Error,
     },
 }
 
-/// Draws both plots into a directory, which is made if it is missing; returns
-/// their files.
+/// Draws both plots into a directory, which is created if it is missing;
+/// returns the paths of their files.
 ///
 /// # Errors
 /// A plot cannot be drawn or saved.
@@ -120,15 +121,15 @@
     area.draw(&label).map_err(draw_error)
 }
 
-/// A bar for each budget: how many times over the target is, with the factor
-/// of real agents.
+/// A bar for each budget: the ratio of the target's cost to the limit, with the
+/// factor of real agents.
 ///
 /// # Errors
 /// The plot cannot be drawn.
 pub fn budgets(analysis: &Analysis) -> Result<String, PlotError> {
     const TITLE: &str = "Budgets: figure at the target over the limit";
     let rows: Vec<BudgetRow> = analysis.budgets();
-    let bars: Vec<(String, f64)> = rows.iter().filter_map(bar).collect();
+    let bars: Vec<Bar> = rows.iter().filter_map(bar).collect();
     draw(|area| {
         if bars.is_empty() {
             return draw_not_measured(area, TITLE);
@@ -137,14 +138,23 @@
     })
 }
 
-fn bar(row: &BudgetRow) -> Option<(String, f64)> {
-    let name = format!("{}: {}", words::role(row.role), words::budget(row.kind));
-    Some((name, row.times_of_process()?))
+/// A budget of the bar plot.
+struct Bar {
+    name: String,
+    /// The ratio of the cost to the limit.
+    times: f64,
+}
+
+fn bar(row: &BudgetRow) -> Option<Bar> {
+    Some(Bar {
+        name: format!("{}: {}", words::role(row.role), words::budget(row.kind)),
+        times: row.times_of_process()?,
+    })
 }
 
-fn draw_bars(area: &Area, title: &str, bars: &[(String, f64)]) -> Result<(), PlotError> {
-    let smallest = bars.iter().map(|bar| bar.1).fold(1.0, f64::min);
-    let largest = bars.iter().map(|bar| bar.1).fold(1.0, f64::max);
+fn draw_bars(area: &Area, title: &str, bars: &[Bar]) -> Result<(), PlotError> {
+    let smallest = bars.iter().map(|bar| bar.times).fold(1.0, f64::min);
+    let largest = bars.iter().map(|bar| bar.times).fold(1.0, f64::max);
     let least = (smallest / 2.0).max(LEAST_SHARE);
     let count = bars.len();
     let mut chart = ChartBuilder::on(area)
@@ -164,7 +174,7 @@
         .label_style((FONT, TEXT_SIZE))
         .draw()
         .map_err(draw_error)?;
-    for (index, (name, times)) in bars.iter().enumerate() {
+    for (index, Bar { name, times }) in bars.iter().enumerate() {
         let top = (count - index) as f64;
         let color = if *times > 1.0 { COLORS[1] } else { COLORS[0] };
         let end = times.max(least);
@@ -182,7 +192,7 @@
     Ok(())
 }
 
-/// Text beside a place, with a small gap.
+/// Draws text beside a position, with a small gap.
 fn draw_text(area: &Area, text: &str, (x, y): (i32, i32), side: HPos) -> Result<(), PlotError> {
     let x = match side {
         HPos::Right => x - TEXT_GAP,
@@ -193,9 +203,9 @@
     area.draw(&label).map_err(draw_error)
 }
 
-/// Fitted costs of budgets against sizes, both over the target's: a curve that
-/// passes above 1 left of 1 gives way before the target is reached. Marks are
-/// measured; hollow ones were held back.
+/// Fitted costs of budgets against sizes, both as shares of the target's: a
+/// curve that exceeds 1 at a size below 1 uses its budget up before the target
+/// is reached. Filled points are measured; hollow ones were held back.
 ///
 /// # Errors
 /// The plot cannot be drawn.
@@ -302,10 +312,10 @@
         let series = chart.draw_series(line).map_err(draw_error)?;
         series.label(&curve.name).legend(legend);
         let measured = curve.measured.iter();
-        let filled = measured.map(|place| Circle::new(*place, MARK_SIZE, color.filled()));
+        let filled = measured.map(|place| Circle::new(*place, POINT_RADIUS, color.filled()));
         chart.draw_series(filled).map_err(draw_error)?;
         let held_back = curve.held_back.iter();
-        let hollow = held_back.map(|place| Circle::new(*place, MARK_SIZE + 1, color));
+        let hollow = held_back.map(|place| Circle::new(*place, POINT_RADIUS + 1, color));
         chart.draw_series(hollow).map_err(draw_error)?;
     }
     for limit in [
--- a/crates/capacity/src/words.rs
+++ b/crates/capacity/src/words.rs
@@ -1,9 +1,9 @@
-//! How sizes, quantities and numbers are written on the page.
+//! The texts of sizes, quantities and numbers on the page.
 use crate::budget::BudgetKind;
 use crate::fit::Shape;
 use crate::result::{EventKind, Factor, Quantity, Role, Size, Source};
 
-/// What stands where no sample gives a figure.
+/// The text for a figure without a sample.
 pub const NOT_MEASURED: &str = "not measured";
 
 const SIGNIFICANT_DIGITS: i32 = 3;
@@ -11,13 +11,13 @@
 /// written without an exponent.
 const PLAIN_DIGITS: std::ops::RangeInclusive<i32> = -5..=12;
 
-/// What is smaller is left over from rounding.
-const NOTHING: f64 = 1e-9;
+/// Smaller values are rounding errors and written as 0.
+const ROUNDING_BOUND: f64 = 1e-9;
 
 /// A number with three significant digits; whole ones of four digits or more
 /// keep all of them.
 pub fn number(value: f64) -> String {
-    if value.abs() < NOTHING {
+    if value.abs() < ROUNDING_BOUND {
         return "0".into();
     }
     let digits = value.abs().log10().floor() as i32 + 1;
@@ -51,7 +51,7 @@
     format!("{} %", number(share * 100.0))
 }
 
-/// A number, or that there is none.
+/// A number, or [`NOT_MEASURED`].
 pub fn number_or_not(value: Option<f64>) -> String {
     value.map_or_else(|| NOT_MEASURED.into(), number)
 }
@@ -68,7 +68,7 @@
     }
 }
 
-/// What was run.
+/// The name of a source.
 pub fn source(source: Source) -> &'static str {
     match source {
         Source::Hollow => "hollow",
--- a/crates/capacity/tests/estimate.rs
+++ b/crates/capacity/tests/estimate.rs
@@ -1,5 +1,5 @@
-//! Figures at the target: measured where they can be, else worked out from
-//! slopes that suit it.
+//! Figures at the target: measured where possible, else computed from slopes
+//! that fit.
 use std::collections::BTreeMap;
 use std::path::Path;
 
@@ -79,7 +79,7 @@
             size.request_rate = 50.0 * f64::from(step);
         },
     );
-    // The target's 40 agents are asked 800 times a second, 20 of them 400.
+    // The target's 40 agents receive 800 requests a second, 20 of them 400.
     assert_eq!(figure(&samples, Role::Agent), 40.0);
 }
 
--- a/crates/capacity/tests/fit.rs
+++ b/crates/capacity/tests/fit.rs
@@ -1,5 +1,5 @@
-//! Fits find the coefficients that made the figures, say when a line does not
-//! fit, and never see what is held back.
+//! Fits find the coefficients that produced the figures, report when a line does
+//! not fit, and exclude what is held back.
 use std::collections::BTreeMap;
 
 use lilacgate_capacity::fit::{Fit, FitError, Point, RESIDUAL_BOUND, Shape, slopes};
--- a/crates/capacity/tests/page.rs
+++ b/crates/capacity/tests/page.rs
@@ -1,5 +1,5 @@
-//! The committed page and plots are what the committed results give; what is
-//! edited by hand is found.
+//! The committed page and plots match the committed results; edits by hand are
+//! detected.
 use std::fs;
 use std::path::{Path, PathBuf};
 
@@ -40,7 +40,7 @@
 #[test]
 fn the_committed_page_is_what_the_results_give() {
     let (samples, target) = committed();
-    let made = regenerate(&page(), &samples, &target).expect("its marks are right");
+    let made = regenerate(&page(), &samples, &target).expect("its markers are right");
     assert!(
         made == page(),
         "run `lilacgate-scale page`; it should be:\n{made}"
@@ -68,7 +68,7 @@
     let (samples, target) = committed();
     let directory = tempfile::tempdir().expect("a directory");
     let copy = directory.path().join("CAPACITY.md");
-    let made = regenerate(&page(), &samples, &target).expect("its marks are right");
+    let made = regenerate(&page(), &samples, &target).expect("its markers are right");
     fs::write(&copy, &made).expect("it is written");
     assert!(is_current(&copy, &samples, &target));
     for part in Part::ALL {
@@ -84,16 +84,16 @@
 }
 
 #[test]
-fn renewing_twice_changes_nothing() {
+fn regenerating_twice_changes_nothing() {
     let (samples, target) = fixtures();
-    let once = regenerate(&page(), &samples, &target).expect("its marks are right");
+    let once = regenerate(&page(), &samples, &target).expect("its markers are right");
     assert_eq!(regenerate(&once, &samples, &target), Ok(once));
 }
 
 #[test]
 fn without_results_nothing_is_invented() {
     let (_, target) = fixtures();
-    let made = regenerate(&page(), &[], &target).expect("its marks are right");
+    let made = regenerate(&page(), &[], &target).expect("its markers are right");
     let slopes = made
         .split("<!-- generated: slopes -->")
         .nth(1)
@@ -124,10 +124,10 @@
 #[case::open("<!-- generated: roles -->\ntext", "line 2: the part roles has no end")]
 #[case::end("<!-- end generated -->", "line 2: an end without a beginning")]
 #[case::missing("text", "the part sizes is missing")]
-fn wrong_marks_are_named(#[case] page: &str, #[case] expected: &str) {
+fn wrong_markers_are_named(#[case] page: &str, #[case] expected: &str) {
     let (samples, target) = fixtures();
     let error: PageError = regenerate(&format!("# Title\n{page}\n"), &samples, &target)
-        .expect_err("its marks are wrong");
+        .expect_err("its markers are wrong");
     assert_eq!(error.to_string(), expected);
 }
 
