--- a/crates/scale/src/decisions.rs
+++ b/crates/scale/src/decisions.rs
@@ -8,19 +8,19 @@
 /// One decision.
 #[derive(Clone, Debug)]
 pub enum Decision {
-    /// An attempt goes to an appliance.
+    /// An attempt is sent to an endpoint.
     Attempt(RequestId, EndpointId),
-    /// A request is refused; its client may come again.
+    /// A request is rejected; its client may retry.
     Reject(RequestId),
     /// A request fails: it may have run.
     Fail(RequestId),
-    /// An attempt's answer is not waited for any longer.
+    /// An attempt is cancelled; its answer does not matter any more.
     Cancel(RequestId, AttemptNumber),
-    /// The module wants a round then.
+    /// The module needs a round at the given virtual time.
     ScheduleWakeUp(Duration, TimerId),
     /// A report or warning to one peer, or to all.
     SendToPeer(Option<AgentId>, Vec<u8>),
-    /// The list is to be watched, or no longer.
+    /// The watch of the list is to begin or to end.
     Watch(bool),
     /// The list is to be fetched once.
     Fetch,
@@ -28,8 +28,8 @@
     Vote(Build, Stage, Vote),
 }
 
-/// Takes the decisions of a round.
-#[derive(Default)]
+/// Collects the decisions of a round.
+#[derive(Debug, Default)]
 pub struct Decided {
     /// The decisions in their order.
     pub list: Vec<Decision>,
--- a/crates/scale/src/discovery.rs
+++ b/crates/scale/src/discovery.rs
@@ -9,7 +9,7 @@
 use rand_pcg::Pcg64Mcg;
 
 use crate::meter::Traffic;
-use crate::network::{Incoming, ONE_WAY, ServiceIndex};
+use crate::network::{Incoming, ListMessage, ONE_WAY, ServiceIndex};
 use crate::wire::{self, Entry, ListedState};
 
 /// Bytes per second that discovery sends at most: one interface of 1 Gbit/s.
@@ -115,12 +115,12 @@
             to: agent,
             service,
             at,
-            what: Incoming::List {
+            what: Incoming::List(ListMessage {
                 connection,
                 bytes,
                 since: now,
                 whole: true,
-            },
+            }),
         }
     }
 
@@ -158,12 +158,12 @@
         for (to, connection) in watchers {
             if reaches(to) {
                 let at = self.send(now, bytes.len());
-                let what = Incoming::List {
+                let what = Incoming::List(ListMessage {
                     connection,
                     bytes: bytes.clone(),
                     since: now,
                     whole: false,
-                };
+                });
                 deliveries.push(Delivery {
                     to,
                     service,
--- a/crates/scale/src/measure.rs
+++ b/crates/scale/src/measure.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use lilacgate_capacity::fit::{Fit, Point};
-use lilacgate_decision::EndpointId;
+use lilacgate_decision::{AgentId, EndpointId};
 
 use crate::error::ScaleError;
 use crate::fleet::FleetSize;
@@ -225,14 +225,24 @@
     Ok(())
 }
 
-/// Pairs of agent and appliance of the largest service with this many attempts at least.
-fn pairs(simulation: &Simulation, least: u32) -> BTreeSet<(u32, EndpointId)> {
+/// An agent and an endpoint that it uses.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct UsedPair {
+    agent: AgentId,
+    endpoint: EndpointId,
+}
+
+/// Pairs in the largest service with at least this many attempts.
+fn pairs(simulation: &Simulation, least: u32) -> BTreeSet<UsedPair> {
     let largest = ServiceIndex(0);
     let mut pairs = BTreeSet::new();
     for agent in &simulation.agents {
         let used = agent.used.iter();
-        let enough = used.filter(|((service, _), many)| *service == largest && **many >= least);
-        pairs.extend(enough.map(|((_, appliance), _)| (agent.id.0, *appliance)));
+        let enough = used.filter(|(used, attempts)| used.service == largest && **attempts >= least);
+        pairs.extend(enough.map(|(used, _)| UsedPair {
+            agent: agent.id,
+            endpoint: used.endpoint,
+        }));
     }
     pairs
 }
--- a/crates/scale/src/module.rs
+++ b/crates/scale/src/module.rs
@@ -1,5 +1,6 @@
-//! One decision module of an agent, with the parsers that feed it.
+//! One decision module of an agent, with the parsers of what it receives.
 use std::collections::HashMap;
+use std::sync::Arc;
 use std::time::Duration;
 
 use cpu_time::ThreadTime;
@@ -9,60 +10,65 @@
 use lilacgate_agent::release_watch;
 use lilacgate_agent::transport::Parse;
 use lilacgate_decision::{
-    AgentId, AttemptNumber, DecisionEngine, Endpoint, EndpointId, EndpointStatus, EventHandler,
-    ListUpdate, Outcome, Request, RequestId, TimerId,
+    AgentId, DecisionEngine, Endpoint, EndpointId, EndpointStatus, EventHandler, ListUpdate,
+    Outcome, ReleasePermissions, Request, RequestId, TimerId,
 };
 use lilacgate_start_settings::Settings;
 
 use crate::decisions::Decided;
 use crate::error::ScaleError;
 use crate::meter::Meter;
+use crate::network::AttemptId;
 
 /// The largest message of discovery that is read, in bytes.
 const LARGEST_MESSAGE: usize = 16 << 20;
 /// Bytes that one read of a socket gives at most.
 const READ_SIZE: usize = 64 << 10;
 
-/// What a module hears in a round.
+/// The end of an attempt, as a module receives it.
+#[derive(Clone, Copy, Debug)]
+pub struct AttemptEnd {
+    /// The attempt.
+    pub attempt: AttemptId,
+    /// The endpoint that it was sent to.
+    pub endpoint: EndpointId,
+    /// How it ended.
+    pub outcome: Outcome,
+    /// Time from its sending to its end.
+    pub took: Duration,
+    /// Whether the request is answered.
+    pub closed: bool,
+}
+
+/// What a module receives in a round.
+#[derive(Debug)]
 pub enum ModuleEvent {
     /// A client's request.
     Request(RequestId, Request),
     /// An attempt has ended.
-    AttemptEnded {
-        /// The request.
-        id: RequestId,
-        /// Which of its attempts.
-        number: AttemptNumber,
-        /// Where.
-        at: EndpointId,
-        /// How.
-        outcome: Outcome,
-        /// After which time.
-        took: Duration,
-        /// Whether the request is answered.
-        closed: bool,
-    },
+    AttemptEnded(AttemptEnd),
     /// A list or changes.
     EndpointList(ListUpdate, Vec<Endpoint>),
-    /// Where a build stands.
+    /// The status of a release.
     ReleaseUpdate(release_watch::ReleaseUpdate),
-    /// A vote's answer.
+    /// The answer to a vote.
     VoteAnswered(Outcome),
     /// A datagram of a peer.
-    Datagram(AgentId, std::sync::Arc<[u8]>),
+    Datagram(AgentId, Arc<[u8]>),
     /// A wake-up.
     Wake(TimerId),
-    /// What the operator's rules leave open.
-    ReleasePermissions(std::sync::Arc<lilacgate_decision::ReleasePermissions>),
+    /// What the operator's rules permit.
+    ReleasePermissions(Arc<ReleasePermissions>),
 }
 
-/// A request that is owed its answer, or has attempts out.
+/// A request that is not answered yet, or has attempts that have not ended.
+#[derive(Debug)]
 pub struct UnansweredRequest {
-    /// When it was taken.
+    /// When it arrived.
     pub arrived: Duration,
-    /// Work that it asks.
+    /// Its work, on a warm core.
     pub work: Duration,
-    /// Until when its attempts wait.
+    /// Virtual time until which its attempts wait for an answer.
     pub until: Duration,
     /// Whether its client has the answer.
     pub answered: bool,
@@ -73,12 +79,13 @@
 }
 
 /// An attempt of a request.
+#[derive(Debug)]
 pub struct Attempt {
-    /// Where it went.
+    /// The endpoint that it was sent to.
     pub to: EndpointId,
     /// When it was sent.
     pub sent: Duration,
-    /// How it ended.
+    /// How it ended; `None` while it waits for an answer.
     pub outcome: Option<Outcome>,
 }
 
@@ -101,7 +108,7 @@
 /// A list or change that the next round acts on.
 #[derive(Clone, Copy, Debug)]
 pub struct Pending {
-    /// When the change was made, or the whole list was asked for.
+    /// When the change was made, or the whole list was requested.
     pub since: Duration,
     /// Whether it is a whole list.
     pub whole: bool,
@@ -109,13 +116,23 @@
     pub reading: Duration,
 }
 
+/// The work of one round.
+#[derive(Debug)]
+pub struct Round {
+    /// What the module decided.
+    pub decided: Decided,
+    /// Processor time of the round.
+    pub processor_time: Duration,
+}
+
 /// A decision module and its parsers.
+#[derive(Debug)]
 pub struct Module {
     /// The module.
     pub engine: DecisionEngine,
-    /// Requests in hand.
+    /// Requests that are not answered, or have attempts that have not ended.
     pub unanswered: HashMap<RequestId, UnansweredRequest>,
-    /// The state of each appliance on the list that is not ready, as told.
+    /// The listed status of each endpoint that is not ready.
     pub not_ready: HashMap<EndpointId, EndpointStatus>,
     /// The number of the watch's connection.
     pub connection: u32,
@@ -140,13 +157,12 @@
             .map_err(|error| ScaleError::Settings(error.to_string()))?;
         let endpoint_list = EndpointListReader::new(settings)
             .map_err(|error| ScaleError::Settings(error.to_string()))?;
-        let (unanswered, not_ready, pending) = Default::default();
         Ok(Module {
             engine: instance.engine,
-            unanswered,
-            not_ready,
+            unanswered: HashMap::new(),
+            not_ready: HashMap::new(),
             connection: 0,
-            pending,
+            pending: None,
             has_list: false,
             last_request: 0,
             endpoint_list,
@@ -168,7 +184,7 @@
         self.endpoint_list.version()
     }
 
-    /// Takes bytes of a watch; returns what the module is to hear of them.
+    /// Reads bytes of a watch; returns the events for the module.
     pub fn take_list(&mut self, bytes: &[u8], meter: &mut Meter) -> Vec<ModuleEvent> {
         meter.counts.lists_in.add(bytes.len());
         let start = ThreadTime::now();
@@ -182,12 +198,12 @@
         };
         received
             .iter()
-            .for_each(|received| self.note_modes(received));
+            .for_each(|received| self.note_statuses(received));
         received
     }
 
-    /// A sign of life, which nothing is heard of.
-    pub fn take_signs_of_life(&mut self, quiet: Option<&[u8]>, ping: &[u8], meter: &mut Meter) {
+    /// Reads the heartbeats of discovery and the platform, which give no events.
+    pub fn take_heartbeats(&mut self, quiet: Option<&[u8]>, ping: &[u8], meter: &mut Meter) {
         let start = ThreadTime::now();
         if let Some(quiet) = quiet {
             self.read_lists(quiet).ok();
@@ -200,7 +216,7 @@
         meter.counts.release_updates_in.add(ping.len());
     }
 
-    /// Takes bytes of the platform; returns what the module is to hear of them.
+    /// Reads bytes from the platform; returns the events for the module.
     pub fn take_release_updates(&mut self, bytes: &[u8], meter: &mut Meter) -> Vec<ModuleEvent> {
         meter.counts.release_updates_in.add(bytes.len());
         let start = ThreadTime::now();
@@ -213,7 +229,7 @@
         read.unwrap_or_default()
     }
 
-    /// Takes a saved list, as a start file holds it.
+    /// Reads a saved list, as a start file holds it.
     pub fn take_saved(&mut self, text: &[u8], meter: &mut Meter) -> Option<ModuleEvent> {
         let start = ThreadTime::now();
         let list = JsonParser::parse(text).ok()?;
@@ -227,17 +243,24 @@
         Some(ModuleEvent::EndpointList(ListUpdate::Cached, lines))
     }
 
-    /// One round with all that was heard; returns what it decided and its processor time.
-    pub fn round(&mut self, now: Duration, received: Vec<ModuleEvent>) -> (Decided, Duration) {
+    /// Runs one round with the received events.
+    pub fn round(&mut self, now: Duration, received: Vec<ModuleEvent>) -> Round {
         let mut decided = Decided::default();
         let engine = &mut self.engine;
         let start = ThreadTime::now();
         engine.round(
             now,
-            |handler| received.into_iter().for_each(|one| deliver(handler, one)),
+            |handler| {
+                received
+                    .into_iter()
+                    .for_each(|event| deliver(handler, event))
+            },
             &mut decided,
         );
-        (decided, start.elapsed())
+        Round {
+            processor_time: start.elapsed(),
+            decided,
+        }
     }
 
     fn read_lists(&mut self, bytes: &[u8]) -> Result<Vec<ModuleEvent>, Unreadable> {
@@ -272,7 +295,7 @@
         Ok(ModuleEvent::EndpointList(list_update, lines))
     }
 
-    fn note_modes(&mut self, received: &ModuleEvent) {
+    fn note_statuses(&mut self, received: &ModuleEvent) {
         let ModuleEvent::EndpointList(list_update, lines) = received else {
             return;
         };
@@ -289,7 +312,7 @@
     }
 }
 
-/// A message that cannot be read.
+/// A message is malformed or does not fit the list.
 struct Unreadable;
 
 fn list_parser() -> ValuesAndHeartbeats {
@@ -315,19 +338,17 @@
     Some(received)
 }
 
-fn deliver(handler: &mut dyn EventHandler, received: ModuleEvent) {
-    match received {
+fn deliver(handler: &mut dyn EventHandler, event: ModuleEvent) {
+    match event {
         ModuleEvent::Request(id, request) => handler.on_request(id, request),
-        ModuleEvent::AttemptEnded {
-            id,
-            number,
-            at,
-            outcome,
-            took,
-            closed,
-        } => {
-            handler.on_attempt_ended(id, number, at, outcome, took, closed);
-        }
+        ModuleEvent::AttemptEnded(end) => handler.on_attempt_ended(
+            end.attempt.request,
+            end.attempt.number,
+            end.endpoint,
+            end.outcome,
+            end.took,
+            end.closed,
+        ),
         ModuleEvent::EndpointList(list_update, lines) => {
             handler.on_endpoints(list_update, &mut lines.into_iter())
         }
--- a/crates/scale/src/network.rs
+++ b/crates/scale/src/network.rs
@@ -1,15 +1,17 @@
-//! The messages between agents and everything hollow. They are exchanged at the ends of slices.
+//! The messages between agents and the simulated services, exchanged at the ends of slices.
 use std::sync::Arc;
 use std::time::Duration;
 
 use lilacgate_decision::{
-    AgentId, AttemptNumber, Build, EndpointId, Outcome, RequestId, Stage, TimerId, Vote,
+    AgentId, AttemptNumber, Build, EndpointId, Outcome, RequestId, Stage, Vote,
 };
 
+use crate::module::ModuleEvent;
+
 /// The time that a message takes one way on the network.
 pub const ONE_WAY: Duration = Duration::from_micros(250);
 
-/// The place of a service in the fleet, and of its module in each agent.
+/// The index of a service in the fleet, and of its module in each agent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ServiceIndex(pub u32);
 
@@ -22,34 +24,38 @@
     pub number: AttemptNumber,
 }
 
-/// What an agent sends.
+/// An attempt at an endpoint, as the agent sends it.
+#[derive(Clone, Copy, Debug)]
+pub struct AttemptCall {
+    /// The attempt.
+    pub attempt: AttemptId,
+    /// The endpoint that it is sent to.
+    pub to: EndpointId,
+    /// Work of the request, on a warm core.
+    pub work: Duration,
+    /// Virtual time until which the agent waits for the answer.
+    pub until: Duration,
+}
+
+/// A message of an agent.
 #[derive(Clone, Debug)]
 pub enum Outgoing {
-    /// An attempt to an appliance.
-    Attempt {
-        /// Which.
-        attempt: AttemptId,
-        /// Where.
-        to: EndpointId,
-        /// Work that it asks, on a warm core.
-        work: Duration,
-        /// Until when the agent waits for the answer.
-        until: Duration,
-    },
+    /// An attempt at an endpoint.
+    Attempt(AttemptCall),
     /// A datagram to one peer, or to all.
     Datagram {
-        /// To whom.
+        /// The receiver, or `None` for all peers.
         to: Option<AgentId>,
         /// Its bytes.
         payload: Arc<[u8]>,
     },
     /// A vote to the platform.
     Vote {
-        /// On what.
+        /// The build that is voted on.
         build: Build,
-        /// In which stage.
+        /// The stage of its release.
         stage: Stage,
-        /// What it says.
+        /// The vote.
         vote: Vote,
     },
     /// A call that opens a watch.
@@ -57,7 +63,7 @@
         /// The number of the connection, which grows.
         connection: u32,
     },
-    /// The watch is given up.
+    /// The end of the watch.
     Unwatch,
 }
 
@@ -72,47 +78,42 @@
     pub what: Outgoing,
 }
 
-/// What reaches an agent's module.
+/// Bytes of a watch.
 #[derive(Clone, Debug)]
+pub struct ListMessage {
+    /// The connection that they come on.
+    pub connection: u32,
+    /// The bytes.
+    pub bytes: Arc<[u8]>,
+    /// When the change was made, or the whole list was requested.
+    pub since: Duration,
+    /// Whether they hold a whole list.
+    pub whole: bool,
+}
+
+/// What reaches one module of an agent.
+#[derive(Debug)]
 pub enum Incoming {
-    /// A client's request.
+    /// A client's request, which the agent draws.
     Request,
     /// The end of an attempt.
     Ended {
-        /// Which.
+        /// The attempt.
         attempt: AttemptId,
         /// How it ended.
         outcome: Outcome,
     },
     /// Bytes of a watch.
-    List {
-        /// The connection that they come on.
-        connection: u32,
-        /// The bytes.
-        bytes: Arc<[u8]>,
-        /// When the change was made, or the whole list was asked for.
-        since: Duration,
-        /// Whether they hold a whole list.
-        whole: bool,
-    },
+    List(ListMessage),
     /// The watch's connection has ended.
     ListClosed {
-        /// Which.
+        /// The connection's number.
         connection: u32,
     },
     /// Bytes from the platform.
     ReleaseUpdate(Arc<[u8]>),
-    /// A vote's answer.
-    VoteAnswered(Outcome),
-    /// A datagram of a peer.
-    Datagram {
-        /// From whom.
-        from: AgentId,
-        /// Its bytes.
-        payload: Arc<[u8]>,
-    },
-    /// A wake-up that the module asked for.
-    Wake(TimerId),
-    /// Discovery's and the platform's signs of life.
-    SignsOfLife,
+    /// An event that the module receives as it is: a datagram, a wake-up, or the answer to a vote.
+    Event(ModuleEvent),
+    /// The heartbeats of discovery and the platform.
+    Heartbeats,
 }
--- a/crates/scale/src/simulation.rs
+++ b/crates/scale/src/simulation.rs
@@ -21,7 +21,8 @@
 use crate::error::ScaleError;
 use crate::fleet::FleetSize;
 use crate::meter::Meter;
-use crate::network::{AttemptId, Incoming, ONE_WAY, Outgoing, Sent, ServiceIndex};
+use crate::module::ModuleEvent;
+use crate::network::{AttemptCall, AttemptId, Incoming, ONE_WAY, Outgoing, Sent, ServiceIndex};
 use crate::platform::{Platform, TRIAL_BUILD};
 use crate::resources::{Limits, resident_bytes};
 use crate::settings;
@@ -273,12 +274,12 @@
     fn carry(&mut self, agent: AgentId, sent: Sent) {
         let Sent { at, service, what } = sent;
         match what {
-            Outgoing::Attempt {
+            Outgoing::Attempt(AttemptCall {
                 attempt,
                 to,
                 work,
                 until,
-            } => {
+            }) => {
                 let index = self.directories[service.0 as usize].get(&to).copied();
                 let (reply, appliance) = self.attempt(agent, index, at, work, until);
                 let at = reply.at.max(self.now);
@@ -297,10 +298,7 @@
                 let to = to.map_or(0..all, |to| to.0..to.0 + 1);
                 for to in to.map(AgentId).filter(|to| *to != agent) {
                     if self.reaches(agent, to) {
-                        let what = Incoming::Datagram {
-                            from: agent,
-                            payload: payload.clone(),
-                        };
+                        let what = Incoming::Event(ModuleEvent::Datagram(agent, payload.clone()));
                         self.deliver(Delivery {
                             to,
                             service,
--- a/crates/scale/tests/simulation.rs
+++ b/crates/scale/tests/simulation.rs
@@ -237,8 +237,8 @@
         lines(&received),
         [(ListUpdate::Full, 50), (ListUpdate::Delta, 10_000)]
     );
-    let (decided, _) = module.round(START, received);
-    assert!(!decided.list.is_empty());
+    let round = module.round(START, received);
+    assert!(!round.decided.list.is_empty());
     assert_eq!(module.version(), 2);
 }
 
@@ -291,11 +291,17 @@
     for number in 1..=10 {
         received.push(ModuleEvent::Datagram(from, report(2, number, &trial)));
         let now = START + Duration::from_millis(100) * number;
-        let (decided, _) = module.round(now, std::mem::take(&mut received));
-        votes.extend(decided.list.iter().filter_map(|decision| match decision {
-            Decision::Vote(build, _, vote) => Some((*build, *vote)),
-            _ => None,
-        }));
+        let round = module.round(now, std::mem::take(&mut received));
+        votes.extend(
+            round
+                .decided
+                .list
+                .iter()
+                .filter_map(|decision| match decision {
+                    Decision::Vote(build, _, vote) => Some((*build, *vote)),
+                    _ => None,
+                }),
+        );
     }
     votes
 }
