--- a/crates/scale/src/discovery.rs
+++ b/crates/scale/src/discovery.rs
@@ -18,6 +18,7 @@
 const LONGEST_DELAY: Duration = Duration::from_millis(4);
 
 /// A message to an agent's module.
+#[derive(Debug)]
 pub struct Delivery {
     /// To which agent.
     pub to: AgentId,
@@ -30,7 +31,7 @@
 }
 
 /// The list of a service.
-#[derive(Default)]
+#[derive(Debug, Default)]
 struct ServiceList {
     version: u64,
     entries: BTreeMap<u32, Entry>,
@@ -39,6 +40,7 @@
 }
 
 /// Hollow discovery.
+#[derive(Debug)]
 pub struct Discovery {
     lists: Vec<ServiceList>,
     /// Whole lists and changes that it has sent.
--- a/crates/scale/src/platform.rs
+++ b/crates/scale/src/platform.rs
@@ -28,6 +28,7 @@
 }
 
 /// A hollow platform.
+#[derive(Debug)]
 pub struct Platform {
     on_trial: Vec<bool>,
     /// The votes, by service.
--- a/crates/scale/src/resources.rs
+++ b/crates/scale/src/resources.rs
@@ -35,7 +35,7 @@
 }
 
 /// When a run has to stop: at its memory limit, or when the user interrupts it.
-#[derive(Clone)]
+#[derive(Clone, Debug)]
 pub struct Limits {
     memory: u64,
     interrupted: Arc<AtomicBool>,
--- a/crates/scale/tests/simulation.rs
+++ b/crates/scale/tests/simulation.rs
@@ -136,7 +136,7 @@
         ..small()
     };
     let refused = Simulation::new(size, 1, 1, Limits::new(None));
-    let fault = refused.err().expect("too many routes");
+    let fault = refused.expect_err("too many routes");
     assert!(matches!(fault, ScaleError::Size(_)));
     assert!(
         fault
