--- a/crates/scale/src/cli/check.rs
+++ b/crates/scale/src/cli/check.rs
@@ -7,7 +7,7 @@
 use crate::fleet::FleetSize;
 
 /// Arguments of `check`.
-#[derive(clap::Args)]
+#[derive(Debug, clap::Args)]
 pub struct Arguments {
     /// The target file.
     file: PathBuf,
--- a/crates/scale/src/cli/events.rs
+++ b/crates/scale/src/cli/events.rs
@@ -13,7 +13,7 @@
 const WARM_UP: Duration = Duration::from_secs(2);
 
 /// Arguments of `events`.
-#[derive(clap::Args)]
+#[derive(Debug, clap::Args)]
 pub struct Arguments {
     /// The events, all if none is given.
     #[arg(long = "event", value_enum)]
--- a/crates/scale/src/cli/measure.rs
+++ b/crates/scale/src/cli/measure.rs
@@ -28,7 +28,7 @@
 const REPEATED_AGENTS: u32 = 12;
 
 /// Arguments of `measure`.
-#[derive(clap::Args)]
+#[derive(Debug, clap::Args)]
 pub struct Arguments {
     /// Fewer agents than the target's, each asked as much.
     #[arg(long)]
--- a/crates/scale/src/cli/mod.rs
+++ b/crates/scale/src/cli/mod.rs
@@ -21,7 +21,7 @@
 const UNUSABLE: u8 = 2;
 
 /// Measures what control costs in a large fleet, in virtual time.
-#[derive(Parser)]
+#[derive(Debug, Parser)]
 #[command(name = "lilacgate-scale")]
 struct Arguments {
     #[command(flatten)]
@@ -30,7 +30,7 @@
     command: Command,
 }
 
-#[derive(Subcommand)]
+#[derive(Debug, Subcommand)]
 enum Command {
     /// Whether a target file can be used.
     Check(check::Arguments),
--- a/crates/scale/src/cli/page.rs
+++ b/crates/scale/src/cli/page.rs
@@ -8,7 +8,7 @@
 use crate::error::ScaleError;
 
 /// Arguments of `page`.
-#[derive(clap::Args)]
+#[derive(Debug, clap::Args)]
 pub struct PageArguments {
     /// The page.
     #[arg(long, default_value = "docs/CAPACITY.md")]
@@ -19,7 +19,7 @@
 }
 
 /// Arguments of `plots`.
-#[derive(clap::Args)]
+#[derive(Debug, clap::Args)]
 pub struct PlotArguments {
     /// The directory of the plots.
     #[arg(long, default_value = "docs/capacity")]
--- a/crates/scale/src/cli/session.rs
+++ b/crates/scale/src/cli/session.rs
@@ -30,6 +30,7 @@
 }
 
 /// A run of a sub-command.
+#[derive(Debug)]
 pub struct Session {
     /// Its options.
     pub options: Options,
--- a/crates/scale/src/cli/slopes.rs
+++ b/crates/scale/src/cli/slopes.rs
@@ -32,7 +32,7 @@
 const AGENTS: u32 = 20;
 
 /// Arguments of `slopes`.
-#[derive(clap::Args)]
+#[derive(Debug, clap::Args)]
 pub struct Arguments {
     /// The factors to measure, all if none is given.
     #[arg(long = "factor", value_enum)]
--- a/crates/scale/src/cli/verdicts.rs
+++ b/crates/scale/src/cli/verdicts.rs
@@ -5,7 +5,7 @@
 use crate::error::ScaleError;
 
 /// Arguments of `verdicts`.
-#[derive(clap::Args)]
+#[derive(Debug, clap::Args)]
 pub struct Arguments {
     /// Runs of each case, each with a seed of its own.
     #[arg(long, default_value_t = 20)]
--- a/crates/scale/src/event.rs
+++ b/crates/scale/src/event.rs
@@ -36,6 +36,7 @@
 const HOURS_A_DAY: f64 = 24.0;
 
 /// Watches what an event costs, second by second.
+#[derive(Debug)]
 pub struct Observer {
     begun: Duration,
     second: Duration,
@@ -100,6 +101,7 @@
 }
 
 /// What was seen of an event.
+#[derive(Debug)]
 pub struct Observed {
     /// The work of all agents while it lasted.
     pub steady: Steady,
@@ -141,7 +143,7 @@
 }
 
 /// What is done when, from the beginning of an event.
-#[derive(Default)]
+#[derive(Debug, Default)]
 struct Script(BTreeMap<Duration, Vec<Action>>);
 
 impl Script {
--- a/crates/scale/src/lib.rs
+++ b/crates/scale/src/lib.rs
@@ -11,7 +11,6 @@
 //! rounds and the parsers only.
 #![allow(clippy::min_ident_chars)] // Not met yet.
 #![allow(clippy::wildcard_imports)] // Not met yet.
-#![allow(missing_debug_implementations)] // Not met yet.
 
 pub mod agent;
 pub mod appliance;
