--- a/crates/scale/src/cli/session.rs
+++ b/crates/scale/src/cli/session.rs
@@ -7,7 +7,7 @@
 use crate::error::ScaleError;
 use crate::report;
 use crate::resources::{Limits, MEGABYTE, timer_cost};
-use crate::run::{self, Label, Plan, Steady};
+use crate::run::{self, Label, Plan, Steady, SteadyRun};
 
 /// Options of all sub-commands.
 #[derive(Clone, Debug, clap::Args)]
@@ -112,7 +112,7 @@
     /// # Errors
     /// The size cannot be simulated, the run was stopped, or results cannot be written.
     pub fn steady(&mut self, plan: &Plan, label: &Label) -> Result<Steady, ScaleError> {
-        let (steady, stopped) = match run::steady(plan, &self.limits) {
+        let SteadyRun { steady, stopped } = match run::steady(plan, &self.limits) {
             Ok(measured) => measured,
             Err(fault) => {
                 self.keep_nothing(plan, label, None, &fault)?;
--- a/crates/scale/src/measure.rs
+++ b/crates/scale/src/measure.rs
@@ -100,12 +100,29 @@
     }
 }
 
-/// Measures a fleet several times with the same seed, and beside it the same fleet with shorter
-/// lists; returns its cost, and the cost that the shorter lists predict.
+/// The measured cost of a fleet, and the cost predicted from shorter lists.
+#[derive(Clone, Copy, Debug)]
+pub struct CostAndPrediction {
+    /// The measured cost.
+    pub cost: Repeated,
+    /// The predicted processor time for control, in percent of a core.
+    pub predicted_core_percent: f64,
+}
+
+impl CostAndPrediction {
+    /// The relative error of the prediction.
+    pub fn error(&self) -> f64 {
+        let measured = self.cost.core_percent;
+        (self.predicted_core_percent - measured).abs() / measured
+    }
+}
+
+/// Measures a fleet several times with the same seed, and the same fleet with shorter lists, which
+/// predict its cost.
 ///
 /// # Errors
 /// The size cannot be simulated, the run was stopped, or nothing can be fitted.
-pub fn cost_and_prediction(plan: &Plan, limits: &Limits) -> Result<(Repeated, f64), ScaleError> {
+pub fn cost_and_prediction(plan: &Plan, limits: &Limits) -> Result<CostAndPrediction, ScaleError> {
     let shorter = PREDICTED_FROM.map(|part| Repeats::new(shorten(plan, part)));
     let mut all: Vec<Repeats> = shorter
         .into_iter()
@@ -119,7 +136,10 @@
     let (whole, shorter) = points.split_last().ok_or_else(|| nothing("no sizes"))?;
     let fit = Fit::new(shorter).map_err(|fault| nothing(&fault.to_string()))?;
     let cost = all[shorter.len()].result();
-    Ok((cost, fit.at(whole.size)))
+    Ok(CostAndPrediction {
+        cost,
+        predicted_core_percent: fit.at(whole.size),
+    })
 }
 
 fn nothing(fault: &str) -> ScaleError {
@@ -196,7 +216,7 @@
     simulation.run_for(SETTLE)?;
     simulation.reset_meters();
     simulation.run_for(SPREAD_WINDOW)?;
-    let (most, least) = run::spread(&simulation);
+    let spread = run::spread(&simulation);
     let mut broken_rules = simulation.total().counts.broken_rules;
     let before = pairs(&simulation, 1);
     simulation.list_as(0, ListedState::Draining);
@@ -208,8 +228,8 @@
     broken_rules += simulation.total().counts.broken_rules;
     let moved = new as f64 / after.len().max(1) as f64;
     Ok(Evenness {
-        most,
-        least,
+        most: spread.most,
+        least: spread.least,
         moved,
         broken_rules,
     })
--- a/crates/scale/src/run.rs
+++ b/crates/scale/src/run.rs
@@ -1,4 +1,4 @@
-//! One measurement: a fleet of a size warms up, then is measured for a while.
+//! One measurement: a fleet of a size warms up, then is measured for a window of virtual time.
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -6,12 +6,12 @@
 
 use crate::error::ScaleError;
 use crate::fleet::FleetSize;
-use crate::meter::{Counts, Meter};
+use crate::meter::{Counts, Meter, Traffic};
 use crate::network::ServiceIndex;
 use crate::resources::{Limits, MEGABYTE};
 use crate::simulation::Simulation;
 
-/// Judges of a build.
+/// Report aggregators of a build.
 const AGGREGATORS: usize = 3;
 
 /// What is to be measured, and how.
@@ -44,26 +44,34 @@
     pub list_bytes: u64,
     /// Resident memory of an agent in bytes.
     pub agent_bytes: f64,
-    /// Counts of the agents that heard the most reports.
+    /// Counts of the agents that received the most reports.
     pub aggregators: Vec<Counts>,
     /// Mean number of appliances that an agent sent requests to.
     pub used: f64,
-    /// Most and fewest attempts at one appliance, over the mean of its service.
-    pub spread: (f64, f64),
+    /// How attempts were spread over endpoints.
+    pub spread: Spread,
     /// Whole lists and changes that discovery sent.
-    pub discovery: crate::meter::Traffic,
-    /// News that the platform sent.
-    pub platform: crate::meter::Traffic,
+    pub discovery: Traffic,
+    /// Release updates that the platform sent.
+    pub platform: Traffic,
     /// Whether the measurement ran to its end.
     pub is_complete: bool,
 }
 
-/// Measures a steady fleet. If the run is stopped amid the measurement, what was measured by then is
-/// returned beside the reason.
+/// A measurement of a steady fleet, which may have been stopped before its end.
+#[derive(Debug)]
+pub struct SteadyRun {
+    /// What was measured.
+    pub steady: Steady,
+    /// Why the measurement stopped early, if it did.
+    pub stopped: Option<ScaleError>,
+}
+
+/// Measures a steady fleet. A measurement that is stopped keeps what was measured until then.
 ///
 /// # Errors
 /// The size cannot be simulated, or the run was stopped before the measurement began.
-pub fn steady(plan: &Plan, limits: &Limits) -> Result<(Steady, Option<ScaleError>), ScaleError> {
+pub fn steady(plan: &Plan, limits: &Limits) -> Result<SteadyRun, ScaleError> {
     let mut simulation = warm(plan, limits)?;
     let list_parse = simulation.total().worst_parse;
     simulation.measure_memory();
@@ -74,7 +82,7 @@
     let mut steady = read(&mut simulation, span);
     steady.list_parse = list_parse;
     steady.is_complete = stopped.is_none();
-    Ok((steady, stopped))
+    Ok(SteadyRun { steady, stopped })
 }
 
 /// Creates a fleet and lets it warm up.
@@ -93,10 +101,11 @@
     let size = simulation.common.size.clone();
     let services = (0..size.services).map(ServiceIndex);
     let list_bytes = services
-        .map(|s| simulation.discovery.whole(s).len() as u64)
+        .map(|service| simulation.discovery.whole(service).len() as u64)
         .sum();
     let used: usize = simulation.agents.iter().map(|agent| agent.used.len()).sum();
-    let mut aggregators: Vec<Counts> = simulation.agents.iter().map(|a| a.meter.counts).collect();
+    let agents = simulation.agents.iter();
+    let mut aggregators: Vec<Counts> = agents.map(|agent| agent.meter.counts).collect();
     aggregators.sort_by_key(|counts| std::cmp::Reverse(counts.reports_in.bytes));
     aggregators.truncate(AGGREGATORS);
     aggregators.retain(|counts| counts.reports_in.messages > 0);
@@ -116,21 +125,42 @@
     }
 }
 
-/// Most and fewest attempts at one appliance, over the mean of its service.
-pub fn spread(simulation: &Simulation) -> (f64, f64) {
-    let mut sums: BTreeMap<ServiceIndex, (f64, f64)> = BTreeMap::new();
-    for appliance in &simulation.appliances {
-        let sum = sums.entry(appliance.service).or_default();
-        *sum = (sum.0 + appliance.requests_received as f64, sum.1 + 1.0);
+/// How attempts are spread over the endpoints of their services.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Spread {
+    /// Most attempts at one endpoint, over the mean of its service.
+    pub most: f64,
+    /// Fewest attempts at one endpoint, over the mean of its service.
+    pub least: f64,
+}
+
+/// The attempts of a service.
+#[derive(Clone, Copy, Debug, Default)]
+struct ServiceLoad {
+    attempts: f64,
+    endpoints: f64,
+}
+
+/// Reads how attempts were spread since the meters were reset.
+pub fn spread(simulation: &Simulation) -> Spread {
+    let mut loads: BTreeMap<ServiceIndex, ServiceLoad> = BTreeMap::new();
+    for endpoint in &simulation.appliances {
+        let load = loads.entry(endpoint.service).or_default();
+        load.attempts += endpoint.requests_received as f64;
+        load.endpoints += 1.0;
     }
-    let share = |appliance: &crate::appliance::Appliance| {
-        let (requests_received, count) = sums[&appliance.service];
-        appliance.requests_received as f64 * count / requests_received.max(1.0)
+    let mut spread = Spread {
+        most: 0.0,
+        least: f64::MAX,
     };
-    let shares = simulation.appliances.iter().map(share);
-    shares.fold((0.0, f64::MAX), |(most, least), one| {
-        (most.max(one), least.min(one))
-    })
+    for endpoint in &simulation.appliances {
+        let load = &loads[&endpoint.service];
+        let attempts = endpoint.requests_received as f64;
+        let share = attempts * load.endpoints / load.attempts.max(1.0);
+        spread.most = spread.most.max(share);
+        spread.least = spread.least.min(share);
+    }
+    spread
 }
 
 impl Steady {
@@ -165,8 +195,8 @@
             (Quantity::MessagesOutPerSecond, per(outgoing.messages)),
             (Quantity::ListBytes, self.list_bytes as f64),
             (Quantity::ListMicros, micros(self.list_parse)),
-            (Quantity::SpreadMost, self.spread.0),
-            (Quantity::SpreadLeast, self.spread.1),
+            (Quantity::SpreadMost, self.spread.most),
+            (Quantity::SpreadLeast, self.spread.least),
             (Quantity::BrokenRules, counts.broken_rules as f64),
             (Quantity::Requests, counts.requests as f64),
             (
@@ -176,7 +206,7 @@
         ])
     }
 
-    /// The figures of a judge: the mean of those that heard the most reports.
+    /// The figures of a report aggregator: the mean of those that received the most reports.
     pub fn aggregator_figures(&self) -> Option<BTreeMap<Quantity, f64>> {
         if self.aggregators.is_empty() {
             return None;
@@ -209,7 +239,7 @@
         ]))
     }
 
-    fn sender_figures(&self, sent: crate::meter::Traffic) -> BTreeMap<Quantity, f64> {
+    fn sender_figures(&self, sent: Traffic) -> BTreeMap<Quantity, f64> {
         let seconds = self.span.as_secs_f64().max(1e-9);
         BTreeMap::from([
             (Quantity::BytesOutPerSecond, sent.bytes as f64 / seconds),
