--- a/crates/scale/src/cli/events.rs
+++ b/crates/scale/src/cli/events.rs
@@ -1,7 +1,7 @@
 //! `events`: what befalls a fleet, and what it costs while it lasts.
 use std::time::Duration;
 
-use lilacgate_capacity::result::{EventKind, Experiment, Role, Sample, Source};
+use lilacgate_capacity::result::{EventKind, Experiment, Quantity, Role, Sample, Source};
 
 use crate::cli::session::Session;
 use crate::error::ScaleError;
@@ -199,14 +199,12 @@
     );
 }
 
-const DETAILS: [lilacgate_capacity::Quantity; 6] = {
-    use lilacgate_capacity::Quantity::*;
-    [
-        WorstSecondCorePercent,
-        InForceMillis,
-        ReadyMillis,
-        RestartBytes,
-        Requests,
-        RefusedRequests,
-    ]
-};
+/// The figures that are printed below an event's samples.
+const DETAILS: [Quantity; 6] = [
+    Quantity::WorstSecondCorePercent,
+    Quantity::InForceMillis,
+    Quantity::ReadyMillis,
+    Quantity::RestartBytes,
+    Quantity::Requests,
+    Quantity::RefusedRequests,
+];
--- a/crates/scale/src/discovery.rs
+++ b/crates/scale/src/discovery.rs
@@ -154,7 +154,7 @@
         let watchers: Vec<_> = list
             .watchers
             .iter()
-            .map(|(&agent, &c)| (agent, c))
+            .map(|(&agent, &connection)| (agent, connection))
             .collect();
         let mut deliveries = Vec::new();
         for (to, connection) in watchers {
--- a/crates/scale/src/lib.rs
+++ b/crates/scale/src/lib.rs
@@ -9,8 +9,6 @@
 //!
 //! Processor time is read from the clock of the thread that does the work, around the module's
 //! rounds and the parsers only.
-#![allow(clippy::min_ident_chars)] // Not met yet.
-#![allow(clippy::wildcard_imports)] // Not met yet.
 
 pub mod agent;
 pub mod appliance;
