--- a/crates/scale/src/appliance.rs
+++ b/crates/scale/src/appliance.rs
@@ -1,4 +1,5 @@
-//! Hollow appliances: a queue before a few workers, cold after a start, and refusing when it is full.
+//! Simulated endpoints: a queue before a few workers, a slow start after a restart, and rejections when
+//! the queue is full.
 use std::time::Duration;
 
 use lilacgate_decision::Outcome;
@@ -10,9 +11,9 @@
 use crate::settings::{INITIAL_CAPACITY_SHARE, RAMP_MICROS};
 use crate::wire::{Entry, ListedState};
 
-/// Workers of an appliance.
+/// Workers of an endpoint.
 const WORKERS: usize = 2;
-/// The longest wait that its queue holds; what would wait longer is refused.
+/// The longest wait in its queue; requests that would wait longer are rejected.
 const QUEUE_LIMIT: Duration = Duration::from_secs(1);
 /// Spread of the time that the same work takes (sigma of a log-normal distribution).
 const TIME_SPREAD: f64 = 0.2;
@@ -21,7 +22,7 @@
 /// How long an agent tries to connect before it gives up.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Whether an appliance's process runs.
+/// Whether an endpoint's process runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Power {
     /// It runs.
@@ -32,16 +33,16 @@
     Silent,
 }
 
-/// How an attempt ends, and when its agent hears of it.
+/// The end of an attempt, as its agent receives it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Reply {
-    /// How.
+    /// How it ended.
     pub outcome: Outcome,
-    /// When.
+    /// When the agent receives it.
     pub at: Duration,
 }
 
-/// A hollow appliance.
+/// A simulated endpoint.
 #[derive(Clone, Debug)]
 pub struct Appliance {
     /// Its service.
@@ -52,7 +53,7 @@
     pub rack: u32,
     /// Whether it runs.
     pub power: Power,
-    /// What the list says of it.
+    /// Its entry on the list.
     pub entry: Entry,
     /// Attempts that reached it while it ran.
     pub requests_received: u64,
@@ -62,7 +63,7 @@
 }
 
 impl Appliance {
-    /// A warm appliance; its draws depend on the seed and its place alone.
+    /// Creates an endpoint at full capacity; its draws depend on the seed and its index alone.
     pub fn new(entry: Entry, service: ServiceIndex, zone: u32, rack: u32, seed: u64) -> Self {
         let mix = u64::from(entry.index)
             .wrapping_add(1)
@@ -84,7 +85,7 @@
         }
     }
 
-    /// Starts its process again, cold, with a build.
+    /// Starts its process again with a build, at its initial capacity.
     pub fn restart(&mut self, now: Duration, build: u16) {
         self.power = Power::Up;
         self.free_at = Default::default();
@@ -93,7 +94,7 @@
         self.entry.state = ListedState::Ready;
     }
 
-    /// Takes an attempt that was sent then; `until` is when its agent gives up waiting.
+    /// Receives an attempt that was sent at the given time; `until` is when its agent stops waiting.
     pub fn take(&mut self, sent: Duration, work: Duration, until: Duration) -> Reply {
         let arrives = sent + ONE_WAY;
         match self.power {
@@ -146,7 +147,7 @@
     }
 }
 
-/// The share of its full capacity that an appliance has, some time after its start.
+/// The share of its full capacity that an endpoint has, which grows after its start.
 fn capacity_share(started: Duration, now: Duration) -> f64 {
     let age = now.saturating_sub(started);
     let ramp = Duration::from_micros(RAMP_MICROS);
--- a/crates/scale/src/cli/events.rs
+++ b/crates/scale/src/cli/events.rs
@@ -1,4 +1,4 @@
-//! `events`: what befalls a fleet, and what it costs while it lasts.
+//! `events`: failures, restarts, releases and partitions, and what they cost while they last.
 use std::time::Duration;
 
 use lilacgate_capacity::result::{EventKind, Experiment, Quantity, Role, Sample, Source};
--- a/crates/scale/src/discovery.rs
+++ b/crates/scale/src/discovery.rs
@@ -1,5 +1,5 @@
-//! Hollow discovery: a list for each service, its versions, and who watches it. It counts what it is
-//! asked and what it sends, and sends whole lists at the rate of one machine's network interface.
+//! Simulated discovery: a list for each service, its versions, and its watchers. It counts the calls
+//! and the bytes that it sends, and sends whole lists at the rate of one machine's network interface.
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,11 +20,11 @@
 /// A message to an agent's module.
 #[derive(Debug)]
 pub struct Delivery {
-    /// To which agent.
+    /// The agent that receives it.
     pub to: AgentId,
-    /// About which service.
+    /// The service that it is about.
     pub service: ServiceIndex,
-    /// When it is there.
+    /// When it arrives.
     pub at: Duration,
     /// The message.
     pub what: Incoming,
@@ -39,7 +39,7 @@
     whole: Option<Arc<[u8]>>,
 }
 
-/// Hollow discovery.
+/// Simulated discovery.
 #[derive(Debug)]
 pub struct Discovery {
     lists: Vec<ServiceList>,
@@ -54,21 +54,20 @@
 }
 
 impl Discovery {
-    /// With empty lists for so many services.
+    /// Creates discovery with empty lists for a number of services.
     pub fn new(services: u32, chance: Pcg64Mcg) -> Self {
         let lists = (0..services).map(|_| ServiceList::default()).collect();
-        let (sent, calls, free_at) = Default::default();
         Discovery {
             lists,
-            sent,
-            calls,
+            sent: Traffic::default(),
+            calls: 0,
             is_paced: false,
-            free_at,
+            free_at: Duration::ZERO,
             chance,
         }
     }
 
-    /// Puts an appliance on its list before anybody watches.
+    /// Adds an endpoint to its list before the first watch.
     pub fn enlist(&mut self, service: ServiceIndex, entry: Entry) {
         let list = &mut self.lists[service.0 as usize];
         list.version = 1;
@@ -131,7 +130,7 @@
         self.lists[service.0 as usize].watchers.remove(&agent);
     }
 
-    /// Changes entries of a list and tells all watchers that `reaches` accepts.
+    /// Changes entries of a list and notifies all watchers that `reaches` accepts.
     pub fn change(
         &mut self,
         now: Duration,
@@ -177,7 +176,7 @@
         deliveries
     }
 
-    /// Sends so many bytes; returns when the last of them is there.
+    /// Sends a message of this many bytes; returns when the last of them arrives.
     fn send(&mut self, now: Duration, bytes: usize) -> Duration {
         self.sent.add(bytes);
         let delay = LONGEST_DELAY.mul_f64(self.chance.random::<f64>());
--- a/crates/scale/src/error.rs
+++ b/crates/scale/src/error.rs
@@ -45,7 +45,7 @@
     Page {
         /// The page.
         path: PathBuf,
-        /// What the system says.
+        /// The cause.
         source: std::io::Error,
     },
     /// The marks of the capacity page are wrong.
--- a/crates/scale/src/event.rs
+++ b/crates/scale/src/event.rs
@@ -1,4 +1,4 @@
-//! Events that befall a fleet, and what they cost while they last.
+//! Events in a fleet, such as failures and releases, and what they cost while they last.
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -17,25 +17,26 @@
 use crate::simulation::Simulation;
 use crate::wire::ListedState;
 
-/// The span over which the worst second is looked for.
+/// The span over which the control cost of the worst second is summed.
 const SECOND: Duration = Duration::from_secs(1);
-/// How often a script looks whether something is due.
+/// Resolution of the times of actions, and of waiting for recovery.
 const STEP: Duration = Duration::from_millis(100);
-/// From a machine's failure until discovery lists it as gone.
+/// Time from a machine's failure until discovery lists it as gone.
 const DETECTION: Duration = Duration::from_secs(3);
-/// From a machine's failure until it is back.
+/// Time from a machine's failure until it runs again.
 const REPAIR: Duration = Duration::from_secs(10);
-/// From an appliance's drain until its process ends, and until it has started again.
+/// Time from an endpoint's drain until its process ends.
 const DRAIN: Duration = Duration::from_secs(2);
+/// Time from an endpoint's drain until its process has started again.
 const RESTART: Duration = Duration::from_secs(4);
 /// How long an event is observed after its last action.
 const AFTER: Duration = Duration::from_secs(5);
-/// The longest time that is waited for all agents to have a whole list again.
+/// The longest wait until all agents have a whole list again.
 const LONGEST_RECOVERY: Duration = Duration::from_secs(60);
 const SECONDS_AN_HOUR: f64 = 3600.0;
 const HOURS_A_DAY: f64 = 24.0;
 
-/// Watches what an event costs, second by second.
+/// Measures what an event costs, second by second.
 #[derive(Debug)]
 pub struct Observer {
     begun: Duration,
@@ -46,7 +47,7 @@
 }
 
 impl Observer {
-    /// Begins to watch: what was counted before is forgotten.
+    /// Begins to measure, and resets all counts.
     pub fn begin(simulation: &mut Simulation) -> Self {
         simulation.reset_meters();
         let (begun, second) = (simulation.now, simulation.now);
@@ -61,7 +62,7 @@
         }
     }
 
-    /// Lets this much virtual time pass.
+    /// Runs for a span of virtual time.
     ///
     /// # Errors
     /// A limit is reached.
@@ -86,7 +87,7 @@
         }
     }
 
-    /// What was seen.
+    /// Ends the measurement.
     pub fn end(self, simulation: &mut Simulation) -> Observed {
         let steady = run::read(simulation, simulation.now - self.begun);
         let worst_second_percent = 100.0 * self.worst_second;
@@ -100,7 +101,7 @@
     }
 }
 
-/// What was seen of an event.
+/// The measured course of an event.
 #[derive(Debug)]
 pub struct Observed {
     /// The work of all agents while it lasted.
@@ -133,7 +134,7 @@
     }
 }
 
-/// Something that is done to the fleet.
+/// An action on the fleet.
 #[derive(Clone, Copy, Debug)]
 enum Action {
     Change(u32),
@@ -142,7 +143,7 @@
     List(u32, ListedState),
 }
 
-/// What is done when, from the beginning of an event.
+/// Actions by their time since the beginning of an event.
 #[derive(Debug, Default)]
 struct Script(BTreeMap<Duration, Vec<Action>>);
 
@@ -151,7 +152,7 @@
         self.0.entry(when).or_default().push(action);
     }
 
-    /// A machine fails, is missed, and comes back.
+    /// A machine fails, is listed as gone, and comes back.
     fn fail(&mut self, when: Duration, index: u32) {
         self.at(when, Action::Stop(index, Power::Silent));
         self.at(when + DETECTION, Action::List(index, ListedState::Gone));
@@ -159,7 +160,7 @@
         self.at(when + REPAIR, Action::List(index, ListedState::Ready));
     }
 
-    /// An appliance is drained and restarted.
+    /// An endpoint is drained and restarted.
     fn restart(&mut self, when: Duration, index: u32) {
         self.at(when, Action::List(index, ListedState::Draining));
         self.at(when + DRAIN, Action::Stop(index, Power::Refusing));
@@ -167,7 +168,7 @@
         self.at(when + RESTART, Action::List(index, ListedState::Ready));
     }
 
-    /// Does all of it, then waits a while.
+    /// Carries out all actions, then observes the fleet for [`AFTER`].
     fn play(self, simulation: &mut Simulation, observer: &mut Observer) -> Result<(), ScaleError> {
         let begun = simulation.now;
         for (when, actions) in self.0 {
@@ -179,7 +180,7 @@
     }
 }
 
-/// Does all that is due at a moment; what the list says is told once.
+/// Carries out all actions of a moment; changed entries are published together.
 fn carry_out(simulation: &mut Simulation, actions: &[Action]) {
     let mut listed = Vec::new();
     for action in actions {
@@ -196,18 +197,18 @@
     simulation.publish(&listed);
 }
 
-/// How events are played.
+/// How fast events are played.
 #[derive(Clone, Copy, Debug)]
 pub struct Pace {
-    /// Virtual seconds that stand for an ordinary hour.
+    /// Virtual seconds into which an ordinary hour is compressed.
     pub hour: f64,
-    /// Virtual seconds that the regions are apart.
+    /// Virtual seconds of a network partition.
     pub partition: f64,
-    /// Seed of the choices.
+    /// Seed of the random choices.
     pub seed: u64,
 }
 
-/// Lets an event befall a warm fleet.
+/// Plays an event in a warm fleet.
 ///
 /// # Errors
 /// A limit is reached.
@@ -304,7 +305,7 @@
     script
 }
 
-/// Half of the first region's agents restart together, and ask for their whole lists.
+/// Half of the first region's agents restart together, and request their whole lists.
 fn region_restart(
     simulation: &mut Simulation,
     observer: &mut Observer,
@@ -321,7 +322,7 @@
     recover(simulation, observer)
 }
 
-/// The regions lose each other, and find each other again.
+/// The network between the regions is cut, and joined again.
 fn partition(
     simulation: &mut Simulation,
     observer: &mut Observer,
@@ -334,7 +335,7 @@
     recover(simulation, observer)
 }
 
-/// Waits until all modules have a whole list of the watch that they hold now.
+/// Waits until all modules have a whole list from their current watch.
 fn recover(simulation: &mut Simulation, observer: &mut Observer) -> Result<(), ScaleError> {
     let begun = simulation.now;
     while simulation.modules_unwatched() > 0 && simulation.now < begun + LONGEST_RECOVERY {
--- a/crates/scale/src/fleet.rs
+++ b/crates/scale/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The size of a simulated fleet. How services, agents and appliances are drawn from it is the
+//! The size of a simulated fleet. How services, agents and endpoints are drawn from it is the
 //! capacity crate's work.
 use std::time::Duration;
 
@@ -15,18 +15,18 @@
 /// Mean work of a request.
 pub const MEAN_WORK: Duration = Duration::from_millis(5);
 
-/// How large a simulated fleet is, and what it is asked.
+/// How large a simulated fleet is, and its load.
 #[derive(Clone, Debug)]
 pub struct FleetSize {
     /// Agents.
     pub agents: u32,
     /// How unevenly requests are spread over agents.
     pub agent_skew: f64,
-    /// Appliances in all services.
+    /// Endpoints in all services.
     pub appliances: u32,
     /// Services; an agent runs a module for each.
     pub services: u32,
-    /// How unevenly appliances are spread over services.
+    /// How unevenly endpoints are spread over services.
     pub service_skew: f64,
     /// The least size of the largest service.
     pub largest: u32,
@@ -46,7 +46,7 @@
     pub releases: u32,
     /// Mean work of a request.
     pub work: Duration,
-    /// Regions, zones over all regions, and appliances of a rack.
+    /// Regions, zones over all regions, and endpoints of a rack.
     pub places: Places,
 }
 
@@ -118,7 +118,7 @@
         }
     }
 
-    /// The same with fewer agents, each of which is asked as much as before.
+    /// The same with fewer agents, each of which gets as many requests as before.
     pub fn with_agents(&self, agents: u32) -> Self {
         let request_rate = self.request_rate * f64::from(agents) / f64::from(self.agents);
         FleetSize {
@@ -167,7 +167,7 @@
         }
     }
 
-    /// Draws services, agents and appliances.
+    /// Draws services, agents and endpoints.
     ///
     /// # Errors
     /// The size cannot be simulated.
--- a/crates/scale/src/measure.rs
+++ b/crates/scale/src/measure.rs
@@ -13,29 +13,30 @@
 use crate::simulation::Simulation;
 use crate::wire::ListedState;
 
-/// Runs of the same seed; of each round, and of each sum, the least time counts. What else the
-/// machine does makes times longer, never shorter.
+/// Runs of the same seed. The least time of each round and of the parsers counts, because other
+/// load on the machine makes times longer, never shorter.
 const REPEATS: usize = 3;
 /// Parts of the whole list that costs are predicted from.
 const PREDICTED_FROM: [f64; 5] = [0.1, 0.2, 0.35, 0.5, 0.7];
-/// Sizes of the services whose load is looked at.
+/// Sizes of the services whose load is measured.
 const SPREAD_SIZES: [u32; 4] = [600, 35, 5, 1];
-/// One in so many appliances is replaced before the load is looked at.
+/// One in so many endpoints is replaced before the load is measured.
 const REPLACED: usize = 10;
-/// Time between two replacements, and until the last one is warm.
+/// Time between two replacements.
 const REPLACEMENT_GAP: Duration = Duration::from_millis(50);
+/// Time until the last replaced endpoint has reached its full capacity.
 const SETTLE: Duration = Duration::from_secs(5);
-/// How long the load is looked at.
+/// How long the load is measured.
 const SPREAD_WINDOW: Duration = Duration::from_secs(20);
-/// Attempts in a window from which an appliance counts as one that an agent uses.
+/// Attempts in a window from which an endpoint counts as used by an agent.
 const IN_USE: u32 = 3;
 
-/// Control cost of a fleet, freed of disturbances by repeating it.
+/// Control cost of a fleet; repeated runs reduce the effect of other load on the machine.
 #[derive(Clone, Copy, Debug)]
 pub struct Repeated {
-    /// Processor time for control in percent of a core, of each round the least time of all runs.
+    /// Processor time for control in percent of a core, from the least time of each round over all runs.
     pub core_percent: f64,
-    /// The longest round, of each round the least time of all runs.
+    /// The longest round, from the least time of each round over all runs.
     pub worst_round: Duration,
     /// Attempts against a rule in one run.
     pub broken_rules: u64,
@@ -128,7 +129,7 @@
         .into_iter()
         .chain([Repeats::new(plan.clone())])
         .collect();
-    // All sizes in turn, so that what disturbs one run disturbs others too.
+    // All sizes in turn, so that other load on the machine affects all of them alike.
     for _ in 0..REPEATS {
         all.iter_mut().try_for_each(|repeats| repeats.run(limits))?;
     }
@@ -173,22 +174,22 @@
     }
 }
 
-/// How evenly load is spread over appliances, and how much of it one change moves.
+/// How evenly load is spread over endpoints, and how much of it one change moves.
 #[derive(Clone, Copy, Debug)]
 pub struct Evenness {
-    /// Most attempts at an appliance over the mean of its service.
+    /// Most attempts at an endpoint over the mean of its service.
     pub most: f64,
-    /// Fewest.
+    /// Fewest attempts at an endpoint over the mean of its service.
     pub least: f64,
-    /// Share of the pairs of agent and appliance in use after one appliance left that were not in
-    /// use before.
+    /// Share of the pairs of agent and endpoint in use after one endpoint left that were not in use
+    /// before.
     pub moved: f64,
     /// Attempts against a rule.
     pub broken_rules: u64,
 }
 
-/// The fleet that evenness is measured on: services of a few sizes, each appliance asked as much
-/// as the target's.
+/// The fleet that evenness is measured on: services of a few sizes, each endpoint with as many
+/// requests as the target's.
 pub fn spread_size(target: &FleetSize) -> FleetSize {
     let appliances: u32 = SPREAD_SIZES.iter().sum();
     let part = f64::from(appliances) / f64::from(target.appliances);
@@ -205,8 +206,8 @@
     }
 }
 
-/// Measures how evenly load is spread after a tenth of the appliances were replaced one after
-/// another, and how much of it moves when one appliance leaves.
+/// Measures how evenly load is spread after a tenth of the endpoints were replaced one after
+/// another, and how much of it moves when one endpoint leaves.
 ///
 /// # Errors
 /// The size cannot be simulated, or the run was stopped.
@@ -235,7 +236,7 @@
     })
 }
 
-/// Replaces a tenth of the appliances one after another: each starts anew, cold.
+/// Replaces a tenth of the endpoints one after another: each restarts at its initial capacity.
 fn replace_some(simulation: &mut Simulation) -> Result<(), ScaleError> {
     for index in (0..simulation.appliances.len() as u32).step_by(REPLACED) {
         simulation.restart_appliance(index);
--- a/crates/scale/src/meter.rs
+++ b/crates/scale/src/meter.rs
@@ -3,7 +3,7 @@
 
 use hdrhistogram::Histogram;
 
-/// The longest round that the histogram tells apart, in nanoseconds.
+/// The longest round that the histogram distinguishes, in nanoseconds.
 const LONGEST_ROUND: u64 = 60_000_000_000;
 /// Significant digits of the histogram.
 const DIGITS: u8 = 2;
@@ -37,19 +37,19 @@
     pub rounds: u64,
     /// Requests taken from clients.
     pub requests: u64,
-    /// Attempts sent to appliances.
+    /// Attempts sent to endpoints.
     pub attempts: u64,
     /// Requests that were answered.
     pub served: u64,
-    /// Requests that were refused.
+    /// Requests that were rejected.
     pub refused: u64,
     /// Requests that failed.
     pub failed: u64,
     /// Attempts against a rule.
     pub broken_rules: u64,
-    /// Whole lists, changes and signs of life from discovery.
+    /// Whole lists, changes and heartbeats from discovery.
     pub lists_in: Traffic,
-    /// News, signs of life and answers from the platform.
+    /// Release updates, heartbeats and answers from the platform.
     pub release_updates_in: Traffic,
     /// Reports and warnings from other agents.
     pub reports_in: Traffic,
@@ -119,15 +119,13 @@
 impl Default for Meter {
     fn default() -> Self {
         let round_times = Histogram::new_with_bounds(1, LONGEST_ROUND, DIGITS).ok();
-        let (rounds, parsing, worst_parse) = Default::default();
-        let (change_in_force, whole_in_force) = Default::default();
         Meter {
             counts: Counts::default(),
-            rounds,
-            parsing,
-            worst_parse,
-            change_in_force,
-            whole_in_force,
+            rounds: Duration::ZERO,
+            parsing: Duration::ZERO,
+            worst_parse: Duration::ZERO,
+            change_in_force: Duration::ZERO,
+            whole_in_force: Duration::ZERO,
             round_log: None,
             round_times,
         }
@@ -135,7 +133,7 @@
 }
 
 impl Meter {
-    /// Notes a round.
+    /// Records a round.
     pub fn round(&mut self, took: Duration) {
         self.counts.rounds += 1;
         self.rounds += took;
@@ -147,13 +145,13 @@
         }
     }
 
-    /// Notes that a message was parsed.
+    /// Records that a message was parsed.
     pub fn parse(&mut self, took: Duration) {
         self.parsing += took;
         self.worst_parse = self.worst_parse.max(took);
     }
 
-    /// Notes that a list or a change is in force, after this time.
+    /// Records that a module acts on a list or a change, after this time.
     pub fn acted_on_list(&mut self, whole: bool, after: Duration) {
         let worst = if whole {
             &mut self.whole_in_force
--- a/crates/scale/src/platform.rs
+++ b/crates/scale/src/platform.rs
@@ -1,4 +1,4 @@
-//! A hollow platform: where each service's newest build stands, and the votes on it.
+//! The simulated platform: the release status of each service's newest build, and the votes on it.
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -14,31 +14,31 @@
 /// The build on trial.
 pub const TRIAL_BUILD: u16 = OLD_BUILD + 1;
 
-/// Votes that came in.
+/// Votes that the platform has received.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Votes {
-    /// For the next stage.
+    /// Votes to advance to the next stage.
     pub on: u64,
-    /// For going back.
+    /// Votes to roll back.
     pub back: u64,
-    /// All others.
+    /// All other votes.
     pub other: u64,
-    /// When the first for going back came.
+    /// When the first vote to roll back arrived.
     pub first_back: Option<Duration>,
 }
 
-/// A hollow platform.
+/// The simulated platform.
 #[derive(Debug)]
 pub struct Platform {
     on_trial: Vec<bool>,
     /// The votes, by service.
     pub votes: Vec<Votes>,
-    /// News that it has sent.
+    /// Release updates that it has sent.
     pub sent: Traffic,
 }
 
 impl Platform {
-    /// For so many services, none with a release on trial.
+    /// Creates a platform for a number of services, none with a release on trial.
     pub fn new(services: u32) -> Self {
         let services = services as usize;
         let votes = vec![Votes::default(); services];
@@ -67,13 +67,13 @@
         }
     }
 
-    /// What a new listener is told.
+    /// Answers a new listener with the status of a service.
     pub fn listen(&mut self, now: Duration, service: ServiceIndex, to: AgentId) -> Delivery {
         let text = wire::LISTENS.to_owned() + &self.release_update(service);
         self.deliver(now, service, to, text.into_bytes().into())
     }
 
-    /// Tells the news of a service to so many agents.
+    /// Sends the release status of a service to the first `agents` agents.
     pub fn broadcast(
         &mut self,
         now: Duration,
--- a/crates/scale/src/resources.rs
+++ b/crates/scale/src/resources.rs
@@ -12,7 +12,7 @@
 /// Readings of the clock from which its own cost is averaged.
 const CALIBRATIONS: u32 = 20_000;
 
-/// Resident memory of this process in bytes, 0 if the system does not say.
+/// Resident memory of this process in bytes, 0 if it is not known.
 pub fn resident_bytes() -> u64 {
     memory_stats::memory_stats().map_or(0, |stats| stats.physical_mem as u64)
 }
@@ -42,7 +42,7 @@
 }
 
 impl Limits {
-    /// At most so many bytes, and never more than half of the machine's.
+    /// Limits memory to a number of bytes, and never to more than half of the machine's.
     pub fn new(memory: Option<u64>) -> Self {
         let half = half_of_machine();
         Limits {
--- a/crates/scale/src/run.rs
+++ b/crates/scale/src/run.rs
@@ -46,7 +46,7 @@
     pub agent_bytes: f64,
     /// Counts of the agents that received the most reports.
     pub aggregators: Vec<Counts>,
-    /// Mean number of appliances that an agent sent requests to.
+    /// Mean number of endpoints that an agent sent requests to.
     pub used: f64,
     /// How attempts were spread over endpoints.
     pub spread: Spread,
@@ -282,7 +282,7 @@
     }
 }
 
-/// What a sample says of where it comes from.
+/// The origin of a sample.
 #[derive(Clone, Debug)]
 pub struct Label {
     /// The question it answers.
--- a/crates/scale/src/settings.rs
+++ b/crates/scale/src/settings.rs
@@ -15,9 +15,9 @@
 pub const FREE_REQUESTS: u32 = 3;
 /// The span over which the cap is counted, in microseconds.
 pub const CAP_SPAN_MICROS: u64 = 4_000_000;
-/// Time in which a cold appliance warms up, in microseconds.
+/// Time of the slow start of an endpoint, in microseconds.
 pub const RAMP_MICROS: u64 = 4_000_000;
-/// Capacity of a cold appliance, as a share of its full one.
+/// Capacity of an endpoint at its start, as a share of its full one.
 pub const INITIAL_CAPACITY_SHARE: f64 = 0.34;
 /// Types of machine.
 pub const MACHINE_TYPES: [&str; 1] = ["plain"];
@@ -64,7 +64,7 @@
         .collect()
 }
 
-/// What one module is told at its start.
+/// The start settings of one module, before they are written as text.
 #[derive(Clone, Copy, Debug)]
 pub struct Start<'a> {
     /// The agent's number.
@@ -79,7 +79,7 @@
     pub routes: u32,
 }
 
-/// The start settings of one module.
+/// The text of the start settings of one module.
 pub fn text(start: &Start) -> String {
     let mut text = String::from(COMMON);
     let mut put = |key: &str, value: String| text.push_str(&format!("{key}={value}\n"));
--- a/crates/scale/src/wire.rs
+++ b/crates/scale/src/wire.rs
@@ -1,30 +1,31 @@
-//! The bytes that hollow discovery and a hollow platform send, in the forms that the agent reads.
+//! The bytes that simulated discovery and the simulated platform send, in the forms that the agent
+//! reads.
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
 
 /// The head of a watch's answer.
 pub const WATCH_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-/// A quiet watch's sign of life, and how often it comes.
+/// The heartbeat of a watch without changes.
 pub const QUIET: &[u8] = b"1\r\n\n\r\n";
-/// How often a quiet watch gives a sign of life.
+/// Time between two heartbeats of a watch.
 pub const QUIET_PERIOD: Duration = Duration::from_secs(2);
-/// A platform's sign of life.
+/// The heartbeat of the platform.
 pub const PING: &[u8] = b"{\"jsonrpc\":\"2.0\",\"method\":\"ping\"}\n";
-/// How often a platform gives a sign of life.
+/// Time between two heartbeats of the platform.
 pub const PING_PERIOD: Duration = Duration::from_secs(1);
 /// A platform's answer to a listener.
 pub const LISTENS: &str = "{\"jsonrpc\":\"2.0\",\"id\":1,\"result\":true}\n";
-/// Appliances that share the last two octets of an address.
+/// Number of addresses that differ in their last two bytes only.
 const ADDRESSES: u32 = 1 << 16;
-/// The port that appliances listen at.
+/// The port that endpoints listen at.
 const PORT: u16 = 6390;
 
-/// The state of an appliance on a list.
+/// The state of an endpoint on a list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListedState {
     /// Takes requests.
     Ready,
-    /// Finishes what it has and takes nothing more.
+    /// Finishes its requests and takes no new ones.
     Draining,
     /// Has left.
     Gone,
@@ -43,30 +44,30 @@
 /// An entry of a list.
 #[derive(Clone, Debug)]
 pub struct Entry {
-    /// The appliance's name.
+    /// The endpoint's name.
     pub name: String,
-    /// Its place among all appliances of the fleet.
+    /// Its index among all endpoints of the fleet.
     pub index: u32,
     /// The name of its zone.
     pub zone: String,
     /// Its state.
     pub state: ListedState,
-    /// Its size.
+    /// Its weight in load balancing.
     pub weight: f32,
-    /// When it last started, 0 for long ago.
+    /// When it last started, 0 if before the simulation.
     pub started: Duration,
     /// The build that it runs.
     pub build: u16,
 }
 
-/// The address of an appliance.
+/// The address of an endpoint.
 pub fn address(index: u32) -> SocketAddr {
     let (high, low) = (index / ADDRESSES, index % ADDRESSES);
     let ip = Ipv4Addr::new(10, high as u8, (low >> 8) as u8, low as u8);
     SocketAddr::from((ip, PORT))
 }
 
-/// The appliance that listens at an address.
+/// The index of the endpoint that listens at an address.
 pub fn index(address: SocketAddr) -> Option<u32> {
     let SocketAddr::V4(address) = address else {
         return None;
@@ -111,7 +112,7 @@
     bytes
 }
 
-/// News of a build, as a platform notifies its listeners.
+/// A release update, as the platform sends it to its listeners.
 pub fn release_update(build: u16, stage: u8, state: &str, cap: f64) -> String {
     let params = format!(
         "{{\"Revision\":{build},\"Wave\":{stage},\"State\":\"{state}\",\"MaxShare\":{cap},\
--- a/crates/scale/tests/events.rs
+++ b/crates/scale/tests/events.rs
@@ -1,4 +1,4 @@
-//! Events on a small fleet: all agents act on what they are told, and their cost is on record.
+//! Events on a small fleet: all agents act on list changes, and their cost is recorded.
 use std::time::Duration;
 
 use lilacgate_capacity::{EventKind, Quantity, Target};
@@ -57,7 +57,7 @@
     assert!(figures[&Quantity::Requests] > 500.0);
 }
 
-/// Agents that restart ask within half of the 10 s that they may take.
+/// Agents that restart request their lists within half of the 10 s that they may take.
 #[test]
 fn agents_that_restart_together_get_their_lists() {
     let observed = play(EventKind::RegionRestart);
@@ -75,7 +75,7 @@
     );
 }
 
-/// While the regions are apart, those that cannot reach discovery ask again and again; their pauses
+/// While the regions are apart, those that cannot reach discovery retry; their pauses
 /// end within half as much again as the 10 s that they may take.
 #[test]
 fn regions_that_join_again_get_their_lists() {
--- a/crates/scale/tests/simulation.rs
+++ b/crates/scale/tests/simulation.rs
@@ -172,8 +172,8 @@
     (0..count).map(entry).collect()
 }
 
-/// What a module hears of these bytes, in pieces of a size.
-fn hear(module: &mut Module, bytes: &[u8], piece: usize, meter: &mut Meter) -> Vec<ModuleEvent> {
+/// The events that a module receives from these bytes, read in pieces of a size.
+fn receive(module: &mut Module, bytes: &[u8], piece: usize, meter: &mut Meter) -> Vec<ModuleEvent> {
     bytes
         .chunks(piece)
         .flat_map(|part| module.take_list(part, meter))
@@ -194,7 +194,7 @@
 fn a_long_list_is_read_whole_and_in_pieces(#[case] piece: usize) {
     let (mut module, mut meter) = (module(0), Meter::default());
     let bytes = wire::watch(1, &entries(LISTED));
-    let received = hear(&mut module, &bytes, piece, &mut meter);
+    let received = receive(&mut module, &bytes, piece, &mut meter);
     assert_eq!(lines(&received), [(ListUpdate::Full, LISTED as usize)]);
     assert_eq!(meter.counts.unreadable, 0);
 }
@@ -204,11 +204,11 @@
     let (mut module, mut meter) = (module(0), Meter::default());
     let bytes = wire::watch(1, &entries(LISTED));
     let broken = &bytes[..bytes.len() - 100];
-    assert!(hear(&mut module, broken, usize::MAX, &mut meter).is_empty());
+    assert!(receive(&mut module, broken, usize::MAX, &mut meter).is_empty());
     assert_eq!(module.version(), 0);
-    // The next connection begins anew.
+    // The next connection starts from an empty parser.
     module.connect();
-    let received = hear(&mut module, &bytes, usize::MAX, &mut meter);
+    let received = receive(&mut module, &bytes, usize::MAX, &mut meter);
     assert_eq!(lines(&received), [(ListUpdate::Full, LISTED as usize)]);
 }
 
@@ -217,7 +217,7 @@
     let (mut module, mut meter) = (module(0), Meter::default());
     let mut bytes = wire::watch(1, &entries(LISTED));
     bytes.extend(wire::chunk(&wire::list(1, true, &entries(LISTED))));
-    let received = hear(&mut module, &bytes, usize::MAX, &mut meter);
+    let received = receive(&mut module, &bytes, usize::MAX, &mut meter);
     assert_eq!(lines(&received), [(ListUpdate::Full, LISTED as usize); 2]);
     let numbers = |received: &ModuleEvent| match received {
         ModuleEvent::EndpointList(_, lines) => lines.iter().map(|line| line.id).collect(),
@@ -232,7 +232,7 @@
     let mut bytes = wire::watch(1, &entries(50));
     let changes: Vec<Entry> = entries(50).into_iter().cycle().take(10_000).collect();
     bytes.extend(wire::chunk(&wire::list(2, false, &changes)));
-    let received = hear(&mut module, &bytes, usize::MAX, &mut meter);
+    let received = receive(&mut module, &bytes, usize::MAX, &mut meter);
     assert_eq!(
         lines(&received),
         [(ListUpdate::Full, 50), (ListUpdate::Delta, 10_000)]
@@ -248,24 +248,25 @@
 #[case::no_list("{\"version\":3}\n")]
 fn a_message_that_cannot_be_used_ends_the_watch(#[case] text: &str) {
     let (mut module, mut meter) = (module(0), Meter::default());
-    hear(
+    receive(
         &mut module,
         &wire::watch(2, &entries(5)),
         usize::MAX,
         &mut meter,
     );
-    let received = hear(&mut module, &wire::chunk(text), usize::MAX, &mut meter);
+    let received = receive(&mut module, &wire::chunk(text), usize::MAX, &mut meter);
     assert_eq!(lines(&received), [(ListUpdate::Failed, 0)]);
     assert_eq!((meter.counts.unreadable, module.version()), (1, 0));
 }
 
-/// A report on a build: a life, a number, three sums, and outcomes at earlier and trial appliances.
+/// A report on a build: a process start, a sequence number, three sums, and outcomes at endpoints with
+/// earlier builds and with the build on trial.
 fn report(build: u16, number: u32, trial: &[EndpointId]) -> Arc<[u8]> {
     let mut payload = build.to_be_bytes().to_vec();
     payload.extend(1_u32.to_be_bytes());
     payload.extend(number.to_be_bytes());
     payload.extend([0; 6]);
-    // 200 outcomes at earlier builds, none bad; 50 at each trial appliance, 40 of them bad.
+    // 200 outcomes at earlier builds, none bad; 50 at each trial endpoint, 40 of them bad.
     payload.extend(u32::MAX.to_be_bytes());
     payload.extend([0, 200, 0, 0, 0]);
     for appliance in trial {
@@ -275,7 +276,7 @@
     payload.into()
 }
 
-/// Votes of a judge that hears such reports of an agent.
+/// Votes of a report aggregator that receives such reports from an agent.
 fn votes_after_reports(from: AgentId) -> Vec<(Build, Vote)> {
     let (mut module, mut meter) = (module(2), Meter::default());
     let mut entries = entries(40);
