--- a/crates/scale/src/appliance.rs
+++ b/crates/scale/src/endpoint.rs
@@ -1,5 +1,5 @@
-//! Simulated endpoints: a queue before a few workers, a slow start after a restart, and rejections when
-//! the queue is full.
+//! Simulated endpoints: a queue before a few workers, a slow start after a restart, and rejections
+//! when the queue is full.
 use std::time::Duration;
 
 use lilacgate_decision::Outcome;
@@ -44,7 +44,7 @@
 
 /// A simulated endpoint.
 #[derive(Clone, Debug)]
-pub struct Appliance {
+pub struct SimulatedEndpoint {
     /// Its service.
     pub service: ServiceIndex,
     /// Its zone, counted over all regions.
@@ -62,7 +62,7 @@
     time: Option<LogNormal<f64>>,
 }
 
-impl Appliance {
+impl SimulatedEndpoint {
     /// Creates an endpoint at full capacity; its draws depend on the seed and its index alone.
     pub fn new(entry: Entry, service: ServiceIndex, zone: u32, rack: u32, seed: u64) -> Self {
         let mix = u64::from(entry.index)
@@ -72,7 +72,7 @@
         // The mean of the factor is 1.
         let time = LogNormal::new(-TIME_SPREAD * TIME_SPREAD / 2.0, TIME_SPREAD).ok();
         let (free_at, requests_received) = Default::default();
-        Appliance {
+        SimulatedEndpoint {
             service,
             zone,
             rack,
--- a/crates/scale/src/event.rs
+++ b/crates/scale/src/event.rs
@@ -10,7 +10,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use crate::appliance::Power;
+use crate::endpoint::{Power, SimulatedEndpoint};
 use crate::error::ScaleError;
 use crate::network::ServiceIndex;
 use crate::run::{self, Steady, micros};
@@ -186,8 +186,8 @@
     for action in actions {
         match *action {
             Action::Change(index) => simulation.change_weight(index),
-            Action::Stop(index, power) => simulation.stop_appliance(index, power),
-            Action::Start(index) => simulation.restart_appliance(index),
+            Action::Stop(index, power) => simulation.stop_endpoint(index, power),
+            Action::Start(index) => simulation.restart_endpoint(index),
             Action::List(index, state) => {
                 simulation.list_as(index, state);
                 listed.push(index);
@@ -231,12 +231,12 @@
             script.play(simulation, &mut observer)?;
         }
         EventKind::RackLoss => {
-            let rack = simulation.appliances[0].rack;
-            let lost = members(simulation, |appliance| appliance.rack == rack);
+            let rack = simulation.endpoints[0].rack;
+            let lost = members(simulation, |endpoint| endpoint.rack == rack);
             lose(&lost).play(simulation, &mut observer)?;
         }
         EventKind::ZoneLoss => {
-            let lost = members(simulation, |appliance| appliance.zone == 0);
+            let lost = members(simulation, |endpoint| endpoint.zone == 0);
             lose(&lost).play(simulation, &mut observer)?;
         }
         EventKind::RegionRestart => region_restart(simulation, &mut observer, chance)?,
@@ -250,12 +250,9 @@
     Ok(observer.end(simulation))
 }
 
-fn members(
-    simulation: &Simulation,
-    is_member: impl Fn(&crate::appliance::Appliance) -> bool,
-) -> Vec<u32> {
-    let members = simulation.appliances.iter().filter(|one| is_member(one));
-    members.map(|appliance| appliance.entry.index).collect()
+fn members(simulation: &Simulation, is_member: impl Fn(&SimulatedEndpoint) -> bool) -> Vec<u32> {
+    let members = simulation.endpoints.iter().filter(|one| is_member(one));
+    members.map(|endpoint| endpoint.entry.index).collect()
 }
 
 fn lose(lost: &[u32]) -> Script {
@@ -277,7 +274,7 @@
         restarts_per_day,
         ..
     } = target.failures;
-    let mut order: Vec<u32> = (0..simulation.appliances.len() as u32).collect();
+    let mut order: Vec<u32> = (0..simulation.endpoints.len() as u32).collect();
     order.shuffle(chance);
     let mut chosen = order.into_iter().cycle();
     let mut script = Script::default();
--- a/crates/scale/src/measure.rs
+++ b/crates/scale/src/measure.rs
@@ -238,8 +238,8 @@
 
 /// Replaces a tenth of the endpoints one after another: each restarts at its initial capacity.
 fn replace_some(simulation: &mut Simulation) -> Result<(), ScaleError> {
-    for index in (0..simulation.appliances.len() as u32).step_by(REPLACED) {
-        simulation.restart_appliance(index);
+    for index in (0..simulation.endpoints.len() as u32).step_by(REPLACED) {
+        simulation.restart_endpoint(index);
         simulation.publish(&[index]);
         simulation.run_for(REPLACEMENT_GAP)?;
     }
--- a/crates/scale/src/run.rs
+++ b/crates/scale/src/run.rs
@@ -144,7 +144,7 @@
 /// Reads how attempts were spread since the meters were reset.
 pub fn spread(simulation: &Simulation) -> Spread {
     let mut loads: BTreeMap<ServiceIndex, ServiceLoad> = BTreeMap::new();
-    for endpoint in &simulation.appliances {
+    for endpoint in &simulation.endpoints {
         let load = loads.entry(endpoint.service).or_default();
         load.attempts += endpoint.requests_received as f64;
         load.endpoints += 1.0;
@@ -153,7 +153,7 @@
         most: 0.0,
         least: f64::MAX,
     };
-    for endpoint in &simulation.appliances {
+    for endpoint in &simulation.endpoints {
         let load = &loads[&endpoint.service];
         let attempts = endpoint.requests_received as f64;
         let share = attempts * load.endpoints / load.attempts.max(1.0);
--- a/crates/scale/src/simulation/attempts.rs
+++ b/crates/scale/src/simulation/attempts.rs
@@ -5,7 +5,7 @@
 
 use lilacgate_decision::{AgentId, Outcome};
 
-use crate::appliance::Power;
+use crate::endpoint::Power;
 use crate::network::{AttemptId, ONE_WAY, ServiceIndex};
 use crate::settings;
 
--- a/crates/scale/src/simulation/exchange.rs
+++ b/crates/scale/src/simulation/exchange.rs
@@ -7,8 +7,8 @@
 
 use super::Simulation;
 use super::attempts::OpenAttempt;
-use crate::appliance::{CONNECT_TIMEOUT, Reply};
 use crate::discovery::Delivery;
+use crate::endpoint::{CONNECT_TIMEOUT, Reply};
 use crate::module::ModuleEvent;
 use crate::network::{AttemptCall, Incoming, ONE_WAY, Outgoing, Sent, ServiceIndex};
 
@@ -115,7 +115,7 @@
     }
 
     fn attempt(&mut self, agent: AgentId, index: u32, sent: Duration, call: &AttemptCall) -> Reply {
-        let zone = ZoneId(self.appliances[index as usize].zone);
+        let zone = ZoneId(self.endpoints[index as usize].zone);
         let is_cut_off = self.is_parted && self.region(agent) != self.common.fleet.region(zone);
         if is_cut_off {
             return Reply {
@@ -123,7 +123,7 @@
                 at: call.until,
             };
         }
-        self.appliances[index as usize].take(sent, call.work, call.until)
+        self.endpoints[index as usize].take(sent, call.work, call.until)
     }
 
     /// Delivers a datagram to one peer, or to all for `None`.
--- a/crates/scale/src/simulation/mod.rs
+++ b/crates/scale/src/simulation/mod.rs
@@ -15,10 +15,10 @@
 };
 
 use self::attempts::OpenAttempts;
-use self::setup::{Directory, create_appliances, directories, random_stream};
+use self::setup::{Directory, create_endpoints, directories, random_stream};
 use crate::agent::{Agent, Common};
-use crate::appliance::Appliance;
 use crate::discovery::Discovery;
+use crate::endpoint::SimulatedEndpoint;
 use crate::error::ScaleError;
 use crate::fleet::FleetSize;
 use crate::meter::{Meter, Traffic};
@@ -50,7 +50,7 @@
     /// The agents.
     pub agents: Vec<Agent>,
     /// The endpoints of all services, those of a service together.
-    pub appliances: Vec<Appliance>,
+    pub endpoints: Vec<SimulatedEndpoint>,
     /// Simulated discovery.
     pub discovery: Discovery,
     /// The simulated platform.
@@ -91,10 +91,10 @@
             .build()?;
         let common = Common::new(size, seed)?;
         let size = &common.size;
-        let appliances = create_appliances(&common, seed);
+        let endpoints = create_endpoints(&common, seed);
         let mut discovery = Discovery::new(size.services, random_stream(seed, DISCOVERY_STREAM));
-        for appliance in &appliances {
-            discovery.enlist(appliance.service, appliance.entry.clone());
+        for endpoint in &endpoints {
+            discovery.enlist(endpoint.service, endpoint.entry.clone());
         }
         let mut platform = Platform::new(size.services);
         for service in 0..size.releases.min(size.services) {
@@ -105,7 +105,7 @@
             now: START,
             common,
             agents: Vec::new(),
-            appliances,
+            endpoints,
             discovery,
             platform,
             agent_bytes: 0.0,
@@ -227,8 +227,8 @@
             agent.meter = Meter::default();
             agent.used.clear();
         }
-        for appliance in &mut self.appliances {
-            appliance.requests_received = 0;
+        for endpoint in &mut self.endpoints {
+            endpoint.requests_received = 0;
         }
         self.discovery.sent = Traffic::default();
         self.discovery.calls = 0;
--- a/crates/scale/src/simulation/operations.rs
+++ b/crates/scale/src/simulation/operations.rs
@@ -9,8 +9,8 @@
 
 use super::{Simulation, TRIAL_PART};
 use crate::agent::Agent;
-use crate::appliance::Power;
 use crate::discovery::Delivery;
+use crate::endpoint::Power;
 use crate::error::ScaleError;
 use crate::network::ServiceIndex;
 use crate::platform::TRIAL_BUILD;
@@ -29,7 +29,7 @@
     /// Changes lists at the fleet's rate.
     pub(super) fn change_lists(&mut self, end: Duration) {
         while let Some(at) = self.next_change.filter(|at| *at < end) {
-            let index = self.random.random_range(0..self.appliances.len()) as u32;
+            let index = self.random.random_range(0..self.endpoints.len()) as u32;
             self.change_weight(index);
             let gap = Duration::from_secs_f64(1.0 / self.common.size.change_rate);
             self.next_change = Some(at + gap);
@@ -38,7 +38,7 @@
 
     /// Changes the weight of one endpoint, as a change of configuration does.
     pub fn change_weight(&mut self, index: u32) {
-        let entry = &mut self.appliances[index as usize].entry;
+        let entry = &mut self.endpoints[index as usize].entry;
         entry.weight = if entry.weight < 1.0 {
             1.0
         } else {
@@ -51,7 +51,7 @@
     pub fn publish(&mut self, indices: &[u32]) {
         let mut changes: BTreeMap<ServiceIndex, Vec<Entry>> = BTreeMap::new();
         for &index in indices {
-            let endpoint = &self.appliances[index as usize];
+            let endpoint = &self.endpoints[index as usize];
             let entries = changes.entry(endpoint.service).or_default();
             entries.push(endpoint.entry.clone());
         }
@@ -71,21 +71,21 @@
     }
 
     /// Ends an endpoint's process or machine. Its requests are lost.
-    pub fn stop_appliance(&mut self, index: u32, power: Power) {
-        self.appliances[index as usize].power = power;
+    pub fn stop_endpoint(&mut self, index: u32, power: Power) {
+        self.endpoints[index as usize].power = power;
         self.open_attempts.lose_endpoint(index, power, self.now);
     }
 
     /// Starts an endpoint again, listed as ready; [`Simulation::publish`] sends the change.
-    pub fn restart_appliance(&mut self, index: u32) {
+    pub fn restart_endpoint(&mut self, index: u32) {
         let now = self.now;
-        let build = self.appliances[index as usize].entry.build;
-        self.appliances[index as usize].restart(now, build);
+        let build = self.endpoints[index as usize].entry.build;
+        self.endpoints[index as usize].restart(now, build);
     }
 
     /// Sets the listed state of an endpoint; [`Simulation::publish`] sends the change.
     pub fn list_as(&mut self, index: u32, state: ListedState) {
-        self.appliances[index as usize].entry.state = state;
+        self.endpoints[index as usize].entry.state = state;
     }
 
     /// Restarts these agents at once, with the lists that their start files hold.
@@ -129,7 +129,7 @@
             .filter(|index| index.is_multiple_of(TRIAL_PART))
             .collect();
         for &index in &trial {
-            self.appliances[index as usize].restart(self.now, TRIAL_BUILD);
+            self.endpoints[index as usize].restart(self.now, TRIAL_BUILD);
         }
         self.platform.begin_trial(service);
         self.publish(&trial);
@@ -140,7 +140,7 @@
 
     /// Indices of the endpoints of a service.
     pub fn members(&self, service: ServiceIndex) -> Vec<u32> {
-        self.appliances
+        self.endpoints
             .iter()
             .filter(|endpoint| endpoint.service == service)
             .map(|endpoint| endpoint.entry.index)
--- a/crates/scale/src/simulation/setup.rs
+++ b/crates/scale/src/simulation/setup.rs
@@ -12,8 +12,8 @@
 
 use super::TRIAL_PART;
 use crate::agent::{Common, OLD_BUILD};
-use crate::appliance::Appliance;
 use crate::discovery::Discovery;
+use crate::endpoint::SimulatedEndpoint;
 use crate::error::ScaleError;
 use crate::network::ServiceIndex;
 use crate::platform::TRIAL_BUILD;
@@ -32,7 +32,7 @@
 }
 
 /// Creates all endpoints of a drawn fleet; a tenth of each service on trial runs the new build.
-pub(super) fn create_appliances(common: &Common, seed: u64) -> Vec<Appliance> {
+pub(super) fn create_endpoints(common: &Common, seed: u64) -> Vec<SimulatedEndpoint> {
     let zones = settings::zone_names(&common.size.places);
     let mut places = vec![0; common.fleet.services.len()];
     let create = |(index, drawn): (usize, &fleet::Appliance)| {
@@ -49,7 +49,7 @@
             build: if on_trial { TRIAL_BUILD } else { OLD_BUILD },
         };
         *place += 1;
-        Appliance::new(
+        SimulatedEndpoint::new(
             entry,
             ServiceIndex(service),
             drawn.zone.0,
--- a/crates/scale/tests/simulation.rs
+++ b/crates/scale/tests/simulation.rs
@@ -4,8 +4,8 @@
 
 use lilacgate_decision::{AgentId, Build, EndpointId, ListUpdate, Vote};
 use lilacgate_scale::agent::Agent;
-use lilacgate_scale::appliance::Power;
 use lilacgate_scale::decisions::Decision;
+use lilacgate_scale::endpoint::Power;
 use lilacgate_scale::error::ScaleError;
 use lilacgate_scale::fleet::FleetSize;
 use lilacgate_scale::meter::{Counts, Meter};
@@ -55,9 +55,9 @@
         .map(|agent| agent.meter.counts)
         .collect();
     let requests_received = simulation
-        .appliances
+        .endpoints
         .iter()
-        .map(|appliance| appliance.requests_received)
+        .map(|endpoint| endpoint.requests_received)
         .collect();
     (simulation.total().counts, agents, requests_received)
 }
@@ -259,8 +259,8 @@
     assert_eq!((meter.counts.unreadable, module.version()), (1, 0));
 }
 
-/// A report on a build: a process start, a sequence number, three sums, and outcomes at endpoints with
-/// earlier builds and with the build on trial.
+/// A report on a build: an incarnation, a sequence number, three sums, and outcomes at endpoints
+/// with earlier builds and with the build on trial.
 fn report(build: u16, number: u32, trial: &[EndpointId]) -> Arc<[u8]> {
     let mut payload = build.to_be_bytes().to_vec();
     payload.extend(1_u32.to_be_bytes());
@@ -269,8 +269,8 @@
     // 200 outcomes at earlier builds, none bad; 50 at each trial endpoint, 40 of them bad.
     payload.extend(u32::MAX.to_be_bytes());
     payload.extend([0, 200, 0, 0, 0]);
-    for appliance in trial {
-        payload.extend(appliance.0.to_be_bytes());
+    for endpoint in trial {
+        payload.extend(endpoint.0.to_be_bytes());
         payload.extend([0, 50, 40, 0, 0]);
     }
     payload.into()
@@ -322,7 +322,7 @@
 fn every_request_ends_also_when_no_appliance_answers() {
     let mut simulation = run::warm(&plan(small(), 1), &Limits::new(None)).expect("a fleet");
     for index in 0..60 {
-        simulation.stop_appliance(index, Power::Silent);
+        simulation.stop_endpoint(index, Power::Silent);
     }
     simulation
         .run_for(Duration::from_secs(5))
