--- a/crates/scale/src/cli/events.rs
+++ b/crates/scale/src/cli/events.rs
@@ -1,13 +1,13 @@
 //! `events`: failures, restarts, releases and partitions, and what they cost while they last.
 use std::time::Duration;
 
-use lilacgate_capacity::result::{EventKind, Experiment, Quantity, Role, Sample, Source};
+use lilacgate_capacity::result::{EventKind, Experiment, Quantity, Role, Sample};
 
 use crate::cli::session::Session;
 use crate::error::ScaleError;
 use crate::event::{self, Observed, Pace};
 use crate::fleet::FleetSize;
-use crate::run::{self, Plan};
+use crate::run::{self, Label, Plan};
 
 /// Virtual time before an event.
 const WARM_UP: Duration = Duration::from_secs(2);
@@ -146,14 +146,14 @@
             return Err(fault);
         }
     };
-    for sample in samples(&observed, kind, session, target.releases) {
+    for sample in samples(&observed, kind, &label, target.releases) {
         session.keep(sample)?;
     }
     print_details(&observed);
     Ok(())
 }
 
-fn samples(observed: &Observed, kind: EventKind, session: &Session, releases: u32) -> Vec<Sample> {
+fn samples(observed: &Observed, kind: EventKind, label: &Label, releases: u32) -> Vec<Sample> {
     let steady = &observed.steady;
     let mut roles = vec![(Role::Agent, observed.figures())];
     roles.extend(
@@ -167,17 +167,9 @@
         size.releases = releases.min(size.services);
     }
     let sample = |(role, figures)| Sample {
-        experiment: Experiment::Event,
-        command: session.command().to_owned(),
-        seed: session.options.seed,
-        source: Source::Hollow,
-        role,
-        factor: None,
-        size,
         event: Some(kind),
-        held_back: false,
-        complete: true,
         figures,
+        ..label.sample(role, size)
     };
     roles.into_iter().map(sample).collect()
 }
--- a/crates/scale/src/cli/measure/mod.rs
+++ b/crates/scale/src/cli/measure/mod.rs
@@ -8,8 +8,8 @@
 use std::time::Duration;
 
 use cpu_time::ProcessTime;
+use lilacgate_capacity::Target;
 use lilacgate_capacity::result::{EventKind, Experiment, Quantity, Role, Sample};
-use lilacgate_capacity::{Source, Target};
 
 use self::figures::{Figures, last_line};
 use self::samples::{evenness_sample, repeated_sample};
@@ -162,7 +162,7 @@
         };
         let plan = self.plan(size, WINDOW);
         let mut simulation = run::warm(&plan, &self.session.limits)?;
-        let steady = steady(&mut simulation, plan.window)?;
+        let steady = run::measure(&mut simulation, plan.window).completed()?;
         for sample in steady.samples(self.label) {
             self.session.keep(sample)?;
         }
@@ -214,18 +214,12 @@
 }
 
 fn event_sample(kind: EventKind, observed: &Observed, plan: &Plan, label: &Label) -> Sample {
+    let size = plan.size.record(observed.steady.used.round() as u32);
     Sample {
         experiment: Experiment::Event,
-        command: label.command.clone(),
-        seed: label.seed,
-        source: Source::Hollow,
-        role: Role::Agent,
-        factor: None,
-        size: plan.size.record(observed.steady.used.round() as u32),
         event: Some(kind),
-        held_back: false,
-        complete: true,
         figures: observed.figures(),
+        ..label.sample(Role::Agent, size)
     }
 }
 
@@ -255,13 +249,3 @@
         ..size.in_one_service()
     }
 }
-
-fn steady(simulation: &mut Simulation, window: Duration) -> Result<Steady, ScaleError> {
-    let list_parse = simulation.total().worst_parse;
-    simulation.measure_memory();
-    simulation.reset_meters();
-    simulation.run_for(window)?;
-    let mut steady = run::read(simulation, window);
-    steady.list_parse = list_parse;
-    Ok(steady)
-}
--- a/crates/scale/src/cli/measure/samples.rs
+++ b/crates/scale/src/cli/measure/samples.rs
@@ -1,7 +1,4 @@
 //! Samples of the figures that `measure` takes from repeated runs.
-use std::collections::BTreeMap;
-
-use lilacgate_capacity::Source;
 use lilacgate_capacity::result::{Quantity, Role, Sample};
 
 use crate::measure::{Evenness, Repeated};
@@ -9,19 +6,7 @@
 
 /// A sample without figures. Its size has no used endpoints, by which [`super::comparison`] finds it.
 fn plain_sample(plan: &Plan, label: &Label) -> Sample {
-    Sample {
-        experiment: label.experiment,
-        command: label.command.clone(),
-        seed: label.seed,
-        source: Source::Hollow,
-        role: Role::Agent,
-        factor: None,
-        size: plan.size.record(0),
-        event: None,
-        held_back: false,
-        complete: true,
-        figures: BTreeMap::new(),
-    }
+    label.sample(Role::Agent, plan.size.record(0))
 }
 
 /// The sample of a repeated measurement.
--- a/crates/scale/src/cli/session.rs
+++ b/crates/scale/src/cli/session.rs
@@ -1,13 +1,13 @@
 //! What all sub-commands share: options, limits, and the results on their way to a table and a file.
 use std::path::PathBuf;
 
-use lilacgate_capacity::result::{self, EventKind, Experiment, Factor, Sample};
+use lilacgate_capacity::result::{self, EventKind, Experiment, Factor, Role, Sample};
 use lilacgate_capacity::target::Target;
 
 use crate::error::ScaleError;
 use crate::report;
 use crate::resources::{Limits, MEGABYTE, timer_cost};
-use crate::run::{self, Label, Plan, Steady, SteadyRun};
+use crate::run::{self, Label, Plan, Steady};
 
 /// Options of all sub-commands.
 #[derive(Clone, Debug, clap::Args)]
@@ -112,17 +112,17 @@
     /// # Errors
     /// The size cannot be simulated, the run was stopped, or results cannot be written.
     pub fn steady(&mut self, plan: &Plan, label: &Label) -> Result<Steady, ScaleError> {
-        let SteadyRun { steady, stopped } = match run::steady(plan, &self.limits) {
+        let measured = match run::steady(plan, &self.limits) {
             Ok(measured) => measured,
             Err(fault) => {
                 self.keep_nothing(plan, label, None, &fault)?;
                 return Err(fault);
             }
         };
-        for sample in steady.samples(label) {
+        for sample in measured.steady.samples(label) {
             self.keep(sample)?;
         }
-        stopped.map_or(Ok(steady), Err)
+        measured.completed()
     }
 
     /// Keeps a sample.
@@ -154,17 +154,9 @@
             return Ok(());
         }
         let sample = Sample {
-            experiment: label.experiment,
-            command: label.command.clone(),
-            seed: label.seed,
-            source: result::Source::Hollow,
-            role: result::Role::Agent,
-            factor: label.factor,
-            size: plan.size.record(0),
             event,
-            held_back: label.held_back,
             complete: false,
-            figures: Default::default(),
+            ..label.sample(Role::Agent, plan.size.record(0))
         };
         self.keep(sample)
     }
--- a/crates/scale/src/run.rs
+++ b/crates/scale/src/run.rs
@@ -2,7 +2,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use lilacgate_capacity::result::{Experiment, Factor, Quantity, Role, Sample, Source};
+use lilacgate_capacity::result::{Experiment, Factor, Quantity, Role, Sample, Size, Source};
 
 use crate::error::ScaleError;
 use crate::fleet::FleetSize;
@@ -67,22 +67,37 @@
     pub stopped: Option<ScaleError>,
 }
 
+impl SteadyRun {
+    /// The measurement, if it ran to its end.
+    ///
+    /// # Errors
+    /// The reason why it stopped early.
+    pub fn completed(self) -> Result<Steady, ScaleError> {
+        self.stopped.map_or(Ok(self.steady), Err)
+    }
+}
+
 /// Measures a steady fleet. A measurement that is stopped keeps what was measured until then.
 ///
 /// # Errors
 /// The size cannot be simulated, or the run was stopped before the measurement began.
 pub fn steady(plan: &Plan, limits: &Limits) -> Result<SteadyRun, ScaleError> {
     let mut simulation = warm(plan, limits)?;
+    Ok(measure(&mut simulation, plan.window))
+}
+
+/// Measures a warm fleet for a window of virtual time, or until a limit is reached.
+pub fn measure(simulation: &mut Simulation, window: Duration) -> SteadyRun {
     let list_parse = simulation.total().worst_parse;
     simulation.measure_memory();
     simulation.reset_meters();
     let begun = simulation.now;
-    let stopped = simulation.run_for(plan.window).err();
+    let stopped = simulation.run_for(window).err();
     let span = simulation.now - begun;
-    let mut steady = read(&mut simulation, span);
+    let mut steady = read(simulation, span);
     steady.list_parse = list_parse;
     steady.is_complete = stopped.is_none();
-    Ok(SteadyRun { steady, stopped })
+    SteadyRun { steady, stopped }
 }
 
 /// Creates a fleet and lets it warm up.
@@ -266,17 +281,9 @@
         roles.push((Role::Platform, self.sender_figures(self.platform)));
         let size = self.size.record(self.used.round() as u32);
         let sample = |(role, figures)| Sample {
-            experiment: label.experiment,
-            command: label.command.clone(),
-            seed: label.seed,
-            source: Source::Hollow,
-            role,
-            factor: label.factor,
-            size,
-            event: None,
-            held_back: label.held_back,
             complete: self.is_complete,
             figures,
+            ..label.sample(role, size)
         };
         roles.into_iter().map(sample).collect()
     }
@@ -297,6 +304,25 @@
     pub held_back: bool,
 }
 
+impl Label {
+    /// A complete sample of simulated agents without figures, at a size.
+    pub fn sample(&self, role: Role, size: Size) -> Sample {
+        Sample {
+            experiment: self.experiment,
+            command: self.command.clone(),
+            seed: self.seed,
+            source: Source::Hollow,
+            role,
+            factor: self.factor,
+            size,
+            event: None,
+            held_back: self.held_back,
+            complete: true,
+            figures: BTreeMap::new(),
+        }
+    }
+}
+
 /// A time in microseconds.
 pub fn micros(time: Duration) -> f64 {
     time.as_nanos() as f64 / 1e3
