--- a/crates/scale/src/agent/outgoing.rs
+++ b/crates/scale/src/agent/outgoing.rs
@@ -18,7 +18,7 @@
     /// Carries out one decision of a module.
     pub(super) fn carry_out(&mut self, moment: Moment, decision: Decision) {
         match decision {
-            Decision::Attempt(request, to) => self.send_attempt(moment, request, to),
+            Decision::Attempt { request, to } => self.send_attempt(moment, request, to),
             Decision::Reject(request) => {
                 self.meter.counts.refused += 1;
                 self.close(moment, request);
@@ -27,27 +27,26 @@
                 self.meter.counts.failed += 1;
                 self.close(moment, request);
             }
-            Decision::Cancel(request, number) => {
-                let attempt = AttemptId { request, number };
+            Decision::Cancel(attempt) => {
                 let outcome = Outcome::Cancelled;
                 self.queue
                     .push(moment, Incoming::Ended { attempt, outcome });
             }
-            Decision::ScheduleWakeUp(at, timer) => {
+            Decision::ScheduleWakeUp { at, timer } => {
                 let wake_up = Incoming::Event(ModuleEvent::Wake(timer));
                 self.deliver(at, moment.service, wake_up);
             }
-            Decision::SendToPeer(to, payload) => {
+            Decision::SendToPeer { to, payload } => {
                 self.meter.counts.reports_out.add(payload.len());
                 let payload = payload.into();
                 self.send(moment, Outgoing::Datagram { to, payload });
             }
-            Decision::Watch(true) | Decision::Fetch => self.watch(moment),
-            Decision::Watch(false) => {
+            Decision::Watch => self.watch(moment),
+            Decision::Unwatch => {
                 self.module(moment.service).connect();
                 self.send(moment, Outgoing::Unwatch);
             }
-            Decision::Vote(build, stage, vote) => {
+            Decision::Vote { build, stage, vote } => {
                 let bytes = wire::vote_call_bytes(1, build.0, stage.0, "promote");
                 self.meter.counts.calls_out.add(bytes);
                 self.send(moment, Outgoing::Vote { build, stage, vote });
@@ -69,7 +68,7 @@
         self.outbox.push(Sent {
             at: moment.at,
             service: moment.service,
-            what: outgoing,
+            message: outgoing,
         });
     }
 
--- a/crates/scale/src/decisions.rs
+++ b/crates/scale/src/decisions.rs
@@ -5,27 +5,51 @@
     Actions, AgentId, AttemptNumber, Build, EndpointId, RequestId, Stage, TimerId, Vote,
 };
 
+use crate::network::AttemptId;
+
 /// One decision.
 #[derive(Clone, Debug)]
 pub enum Decision {
     /// An attempt is sent to an endpoint.
-    Attempt(RequestId, EndpointId),
+    Attempt {
+        /// The request.
+        request: RequestId,
+        /// The endpoint.
+        to: EndpointId,
+    },
     /// A request is rejected; its client may retry.
     Reject(RequestId),
     /// A request fails: it may have run.
     Fail(RequestId),
     /// An attempt is cancelled; its answer does not matter any more.
-    Cancel(RequestId, AttemptNumber),
+    Cancel(AttemptId),
     /// The module needs a round at the given virtual time.
-    ScheduleWakeUp(Duration, TimerId),
-    /// A report or warning to one peer, or to all.
-    SendToPeer(Option<AgentId>, Vec<u8>),
-    /// The watch of the list is to begin or to end.
-    Watch(bool),
-    /// The list is to be fetched once.
-    Fetch,
+    ScheduleWakeUp {
+        /// Virtual time of the round.
+        at: Duration,
+        /// The timer that then expires.
+        timer: TimerId,
+    },
+    /// A report or warning is sent.
+    SendToPeer {
+        /// The receiver, or `None` for all peers.
+        to: Option<AgentId>,
+        /// Its bytes.
+        payload: Vec<u8>,
+    },
+    /// The watch of the list begins anew, or the list is fetched, which opens the watch as well.
+    Watch,
+    /// The watch of the list ends.
+    Unwatch,
     /// A vote on a build.
-    Vote(Build, Stage, Vote),
+    Vote {
+        /// The build that is voted on.
+        build: Build,
+        /// The stage of its release.
+        stage: Stage,
+        /// The vote.
+        vote: Vote,
+    },
 }
 
 /// Collects the decisions of a round.
@@ -37,7 +61,7 @@
 
 impl Actions for Decided {
     fn send_attempt(&mut self, id: RequestId, to: EndpointId, _: Duration) {
-        self.list.push(Decision::Attempt(id, to));
+        self.list.push(Decision::Attempt { request: id, to });
     }
 
     fn reject(&mut self, id: RequestId, _: Duration) {
@@ -49,11 +73,14 @@
     }
 
     fn cancel(&mut self, id: RequestId, number: AttemptNumber) {
-        self.list.push(Decision::Cancel(id, number));
+        self.list.push(Decision::Cancel(AttemptId {
+            request: id,
+            number,
+        }));
     }
 
     fn schedule_wake_up(&mut self, at: Duration, timer: TimerId) {
-        self.list.push(Decision::ScheduleWakeUp(at, timer));
+        self.list.push(Decision::ScheduleWakeUp { at, timer });
     }
 
     fn check_health(&mut self, _: EndpointId) {}
@@ -61,7 +88,10 @@
     fn close_idle_connections(&mut self, _: EndpointId) {}
 
     fn send_to_peer(&mut self, peer: Option<AgentId>, payload: &[u8]) {
-        self.list.push(Decision::SendToPeer(peer, payload.to_vec()));
+        self.list.push(Decision::SendToPeer {
+            to: peer,
+            payload: payload.to_vec(),
+        });
     }
 
     fn log(&mut self, text: &str) {
@@ -69,14 +99,18 @@
     }
 
     fn watch_endpoints(&mut self, on: bool) {
-        self.list.push(Decision::Watch(on));
+        self.list.push(if on {
+            Decision::Watch
+        } else {
+            Decision::Unwatch
+        });
     }
 
     fn fetch_endpoints(&mut self) {
-        self.list.push(Decision::Fetch);
+        self.list.push(Decision::Watch);
     }
 
     fn vote(&mut self, build: Build, stage: Stage, vote: Vote) {
-        self.list.push(Decision::Vote(build, stage, vote));
+        self.list.push(Decision::Vote { build, stage, vote });
     }
 }
--- a/crates/scale/src/discovery.rs
+++ b/crates/scale/src/discovery.rs
@@ -27,7 +27,7 @@
     /// When it arrives.
     pub at: Duration,
     /// The message.
-    pub what: Incoming,
+    pub message: Incoming,
 }
 
 /// The list of a service.
@@ -50,12 +50,12 @@
     /// Whether it sends no faster than its interface allows.
     pub is_paced: bool,
     free_at: Duration,
-    chance: Pcg64Mcg,
+    random: Pcg64Mcg,
 }
 
 impl Discovery {
     /// Creates discovery with empty lists for a number of services.
-    pub fn new(services: u32, chance: Pcg64Mcg) -> Self {
+    pub fn new(services: u32, random: Pcg64Mcg) -> Self {
         let lists = (0..services).map(|_| ServiceList::default()).collect();
         Discovery {
             lists,
@@ -63,12 +63,12 @@
             calls: 0,
             is_paced: false,
             free_at: Duration::ZERO,
-            chance,
+            random,
         }
     }
 
     /// Adds an endpoint to its list before the first watch.
-    pub fn enlist(&mut self, service: ServiceIndex, entry: Entry) {
+    pub fn add(&mut self, service: ServiceIndex, entry: Entry) {
         let list = &mut self.lists[service.0 as usize];
         list.version = 1;
         list.entries.insert(entry.index, entry);
@@ -116,7 +116,7 @@
             to: agent,
             service,
             at,
-            what: Incoming::List(ListMessage {
+            message: Incoming::List(ListMessage {
                 connection,
                 bytes,
                 since: now,
@@ -159,7 +159,7 @@
         for (to, connection) in watchers {
             if reaches(to) {
                 let at = self.send(now, bytes.len());
-                let what = Incoming::List(ListMessage {
+                let message = Incoming::List(ListMessage {
                     connection,
                     bytes: bytes.clone(),
                     since: now,
@@ -169,7 +169,7 @@
                     to,
                     service,
                     at,
-                    what,
+                    message,
                 });
             }
         }
@@ -179,7 +179,7 @@
     /// Sends a message of this many bytes; returns when the last of them arrives.
     fn send(&mut self, now: Duration, bytes: usize) -> Duration {
         self.sent.add(bytes);
-        let delay = LONGEST_DELAY.mul_f64(self.chance.random::<f64>());
+        let delay = LONGEST_DELAY.mul_f64(self.random.random::<f64>());
         if !self.is_paced {
             return now + ONE_WAY + delay;
         }
--- a/crates/scale/src/endpoint.rs
+++ b/crates/scale/src/endpoint.rs
@@ -58,7 +58,7 @@
     /// Attempts that reached it while it ran.
     pub requests_received: u64,
     free_at: [Duration; WORKERS],
-    chance: Pcg64Mcg,
+    random: Pcg64Mcg,
     time: Option<LogNormal<f64>>,
 }
 
@@ -68,7 +68,7 @@
         let mix = u64::from(entry.index)
             .wrapping_add(1)
             .wrapping_mul(0x9e37_79b9_7f4a_7c15);
-        let chance = Pcg64Mcg::seed_from_u64(seed ^ mix);
+        let random = Pcg64Mcg::seed_from_u64(seed ^ mix);
         // The mean of the factor is 1.
         let time = LogNormal::new(-TIME_SPREAD * TIME_SPREAD / 2.0, TIME_SPREAD).ok();
         let (free_at, requests_received) = Default::default();
@@ -80,7 +80,7 @@
             entry,
             requests_received,
             free_at,
-            chance,
+            random,
             time,
         }
     }
@@ -112,8 +112,8 @@
 
     fn serve(&mut self, arrives: Duration, work: Duration, until: Duration) -> Reply {
         self.requests_received += 1;
-        let factor = self.time.map_or(1.0, |time| time.sample(&mut self.chance));
-        let fails = self.chance.random::<f64>() < FAILURE_SHARE;
+        let factor = self.time.map_or(1.0, |time| time.sample(&mut self.random));
+        let fails = self.random.random::<f64>() < FAILURE_SHARE;
         let Some(worker) = self.free_at.iter_mut().min() else {
             return Reply {
                 outcome: Outcome::Rejected,
--- a/crates/scale/src/event.rs
+++ b/crates/scale/src/event.rs
@@ -219,7 +219,7 @@
     pace: &Pace,
 ) -> Result<Observed, ScaleError> {
     let mut observer = Observer::begin(simulation);
-    let chance = &mut Pcg64Mcg::seed_from_u64(pace.seed ^ kind as u64);
+    let random = &mut Pcg64Mcg::seed_from_u64(pace.seed ^ kind as u64);
     match kind {
         EventKind::ConfigurationChange => {
             let mut script = Script::default();
@@ -227,7 +227,7 @@
             script.play(simulation, &mut observer)?;
         }
         EventKind::OrdinaryDay => {
-            let script = ordinary_hour(simulation, target, pace.hour, chance);
+            let script = ordinary_hour(simulation, target, pace.hour, random);
             script.play(simulation, &mut observer)?;
         }
         EventKind::RackLoss => {
@@ -239,7 +239,7 @@
             let lost = members(simulation, |endpoint| endpoint.zone == 0);
             lose(&lost).play(simulation, &mut observer)?;
         }
-        EventKind::RegionRestart => region_restart(simulation, &mut observer, chance)?,
+        EventKind::RegionRestart => region_restart(simulation, &mut observer, random)?,
         EventKind::RegionPartition => partition(simulation, &mut observer, pace.partition)?,
         EventKind::ManyReleases => {
             let services = target.releases.min(simulation.common.size.services);
@@ -267,7 +267,7 @@
     simulation: &Simulation,
     target: &Target,
     seconds: f64,
-    chance: &mut Pcg64Mcg,
+    random: &mut Pcg64Mcg,
 ) -> Script {
     let Failures {
         machines_per_day,
@@ -275,12 +275,12 @@
         ..
     } = target.failures;
     let mut order: Vec<u32> = (0..simulation.endpoints.len() as u32).collect();
-    order.shuffle(chance);
+    order.shuffle(random);
     let mut chosen = order.into_iter().cycle();
     let mut script = Script::default();
     let mut plan = |per_day: f64, act: &dyn Fn(&mut Script, Duration, u32)| {
         for _ in 0..(per_day / HOURS_A_DAY).ceil() as u32 {
-            let when = STEP * (chance.random_range(0.0..seconds) / STEP.as_secs_f64()) as u32;
+            let when = STEP * (random.random_range(0.0..seconds) / STEP.as_secs_f64()) as u32;
             if let Some(index) = chosen.next() {
                 act(&mut script, when, index);
             }
@@ -306,13 +306,13 @@
 fn region_restart(
     simulation: &mut Simulation,
     observer: &mut Observer,
-    chance: &mut Pcg64Mcg,
+    random: &mut Pcg64Mcg,
 ) -> Result<(), ScaleError> {
     let all = (0..simulation.agents.len() as u32).map(AgentId);
     let mut here: Vec<AgentId> = all
         .filter(|id| simulation.region(*id) == RegionId(0))
         .collect();
-    here.shuffle(chance);
+    here.shuffle(random);
     here.truncate(here.len().div_ceil(2));
     simulation.discovery.is_paced = true;
     simulation.restart_agents(&here)?;
@@ -326,7 +326,7 @@
     seconds: f64,
 ) -> Result<(), ScaleError> {
     simulation.discovery.is_paced = true;
-    simulation.part_regions();
+    simulation.partition_regions();
     observer.run(simulation, Duration::from_secs_f64(seconds))?;
     simulation.join_regions();
     recover(simulation, observer)
--- a/crates/scale/src/network.rs
+++ b/crates/scale/src/network.rs
@@ -75,7 +75,7 @@
     /// The service it is about.
     pub service: ServiceIndex,
     /// The message.
-    pub what: Outgoing,
+    pub message: Outgoing,
 }
 
 /// Bytes of a watch.
--- a/crates/scale/src/platform.rs
+++ b/crates/scale/src/platform.rs
@@ -98,7 +98,7 @@
             to,
             service,
             at: now + ONE_WAY,
-            what: Incoming::ReleaseUpdate(bytes),
+            message: Incoming::ReleaseUpdate(bytes),
         }
     }
 
--- a/crates/scale/src/simulation/exchange.rs
+++ b/crates/scale/src/simulation/exchange.rs
@@ -44,7 +44,7 @@
     pub(super) fn deliver(&mut self, delivery: Delivery) {
         if let Some(agent) = self.agents.get_mut(delivery.to.0 as usize) {
             let at = delivery.at.max(self.now);
-            agent.deliver(at, delivery.service, delivery.what);
+            agent.deliver(at, delivery.service, delivery.message);
         }
     }
 
@@ -64,8 +64,12 @@
     }
 
     fn transmit(&mut self, agent: AgentId, sent: Sent) {
-        let Sent { at, service, what } = sent;
-        match what {
+        let Sent {
+            at,
+            service,
+            message,
+        } = sent;
+        match message {
             Outgoing::Attempt(call) => self.transmit_attempt(agent, at, service, call),
             Outgoing::Datagram { to, payload } => {
                 let datagram = Datagram {
@@ -116,7 +120,8 @@
 
     fn attempt(&mut self, agent: AgentId, index: u32, sent: Duration, call: &AttemptCall) -> Reply {
         let zone = ZoneId(self.endpoints[index as usize].zone);
-        let is_cut_off = self.is_parted && self.region(agent) != self.common.fleet.region(zone);
+        let is_cut_off =
+            self.is_partitioned && self.region(agent) != self.common.fleet.region(zone);
         if is_cut_off {
             return Reply {
                 outcome: Outcome::TimedOut,
@@ -139,7 +144,7 @@
                 to,
                 service: datagram.service,
                 at: datagram.sent + ONE_WAY,
-                what: Incoming::Event(event),
+                message: Incoming::Event(event),
             });
         }
     }
@@ -151,12 +156,12 @@
     }
 
     fn reaches(&self, from: AgentId, to: AgentId) -> bool {
-        !self.is_parted || self.region(from) == self.region(to)
+        !self.is_partitioned || self.region(from) == self.region(to)
     }
 
     /// Whether an agent reaches discovery, which is in the first region.
     pub(super) fn reaches_discovery(&self, agent: AgentId) -> bool {
-        !self.is_parted || self.region(agent) == RegionId(0)
+        !self.is_partitioned || self.region(agent) == RegionId(0)
     }
 
     /// A watch's connection ends, or cannot be opened.
@@ -165,14 +170,14 @@
             to,
             service,
             at: self.now + CONNECT_TIMEOUT,
-            what: Incoming::ListClosed { connection },
+            message: Incoming::ListClosed { connection },
         });
     }
 
     /// Cuts the network between the regions: watches across it end, attempts and datagrams get
     /// lost. Messages on their way still arrive.
-    pub fn part_regions(&mut self) {
-        self.is_parted = true;
+    pub fn partition_regions(&mut self) {
+        self.is_partitioned = true;
         for agent in (0..self.agents.len() as u32).map(AgentId) {
             if self.reaches_discovery(agent) {
                 continue;
@@ -188,6 +193,6 @@
 
     /// Joins the regions again.
     pub fn join_regions(&mut self) {
-        self.is_parted = false;
+        self.is_partitioned = false;
     }
 }
--- a/crates/scale/src/simulation/mod.rs
+++ b/crates/scale/src/simulation/mod.rs
@@ -58,7 +58,7 @@
     /// Resident memory of each agent after its first list, in bytes.
     pub agent_bytes: f64,
     /// Whether the regions cannot reach each other.
-    is_parted: bool,
+    is_partitioned: bool,
     pool: ThreadPool,
     limits: Limits,
     /// The endpoints' directories, by service.
@@ -94,7 +94,7 @@
         let endpoints = create_endpoints(&common, seed);
         let mut discovery = Discovery::new(size.services, random_stream(seed, DISCOVERY_STREAM));
         for endpoint in &endpoints {
-            discovery.enlist(endpoint.service, endpoint.entry.clone());
+            discovery.add(endpoint.service, endpoint.entry.clone());
         }
         let mut platform = Platform::new(size.services);
         for service in 0..size.releases.min(size.services) {
@@ -109,7 +109,7 @@
             discovery,
             platform,
             agent_bytes: 0.0,
-            is_parted: false,
+            is_partitioned: false,
             pool,
             limits,
             directories,
--- a/crates/scale/tests/simulation.rs
+++ b/crates/scale/tests/simulation.rs
@@ -299,7 +299,7 @@
                 .list
                 .iter()
                 .filter_map(|decision| match decision {
-                    Decision::Vote(build, _, vote) => Some((*build, *vote)),
+                    Decision::Vote { build, vote, .. } => Some((*build, *vote)),
                     _ => None,
                 }),
         );
