--- a/crates/scale/src/agent/shared.rs
+++ b/crates/scale/src/agent/shared.rs
@@ -77,7 +77,7 @@
     pub fn start(&self, agent: AgentId, service: usize) -> Start<'_> {
         let zone = self.fleet.agents[agent.0 as usize].zone.0;
         Start {
-            me: agent.0,
+            agent: agent.0,
             agents: self.size.agents,
             zone,
             places: &self.size.places,
--- a/crates/scale/src/settings.rs
+++ b/crates/scale/src/settings.rs
@@ -68,7 +68,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Start<'a> {
     /// The agent's number.
-    pub me: u32,
+    pub agent: u32,
     /// All agents.
     pub agents: u32,
     /// The agent's zone.
@@ -83,7 +83,7 @@
 pub fn text(start: &Start) -> String {
     let mut text = String::from(COMMON);
     let mut put = |key: &str, value: String| text.push_str(&format!("{key}={value}\n"));
-    put("me", start.me.to_string());
+    put("me", start.agent.to_string());
     put("instances", start.agents.to_string());
     put("tick", TICK_MICROS.to_string());
     put("zone", start.zone.to_string());
--- a/crates/scale/tests/simulation.rs
+++ b/crates/scale/tests/simulation.rs
@@ -43,7 +43,16 @@
     }
 }
 
-fn counts(size: FleetSize, threads: usize) -> (Counts, Vec<Counts>, Vec<u64>) {
+/// All counts that depend on the seed alone.
+#[derive(Debug, PartialEq)]
+struct FleetCounts {
+    total: Counts,
+    agents: Vec<Counts>,
+    /// Requests received, by endpoint.
+    requests_received: Vec<u64>,
+}
+
+fn counts(size: FleetSize, threads: usize) -> FleetCounts {
     let limits = Limits::new(None);
     let mut simulation = run::warm(&plan(size, threads), &limits).expect("a fleet");
     simulation
@@ -59,17 +68,21 @@
         .iter()
         .map(|endpoint| endpoint.requests_received)
         .collect();
-    (simulation.total().counts, agents, requests_received)
+    FleetCounts {
+        total: simulation.total().counts,
+        agents,
+        requests_received,
+    }
 }
 
 #[test]
 fn the_same_seed_gives_the_same_counts_on_one_thread_and_on_four() {
     let one = counts(small(), 1);
     assert_eq!(one, counts(small(), 4));
-    assert!(one.0.served > 1500, "{:?}", one.0);
-    assert!(one.0.reports_in.messages > 10, "{:?}", one.0);
-    assert_eq!(one.0.broken_rules, 0);
-    assert_eq!(one.0.unreadable, 0);
+    assert!(one.total.served > 1500, "{:?}", one.total);
+    assert!(one.total.reports_in.messages > 10, "{:?}", one.total);
+    assert_eq!(one.total.broken_rules, 0);
+    assert_eq!(one.total.unreadable, 0);
 }
 
 #[test]
@@ -146,10 +159,10 @@
     );
 }
 
-fn module(me: u32) -> Module {
+fn module(agent: u32) -> Module {
     let places = small().places;
     let start = Start {
-        me,
+        agent,
         agents: 8,
         zone: 0,
         places: &places,
