--- a/crates/scale/src/cli/events.rs
+++ b/crates/scale/src/cli/events.rs
@@ -1,19 +1,19 @@
-//! `events`: what befalls a fleet, and what it costs while it lasts.
+//! `events`: failures, restarts, releases and partitions, and what they cost while they last.
 use std::time::Duration;
 
-use lilacgate_capacity::result::{EventKind, Experiment, Role, Sample, Source};
+use lilacgate_capacity::result::{EventKind, Experiment, Quantity, Role, Sample};
 
 use crate::cli::session::Session;
 use crate::error::ScaleError;
 use crate::event::{self, Observed, Pace};
 use crate::fleet::FleetSize;
-use crate::run::{self, Plan};
+use crate::run::{self, Label, Plan};
 
 /// Virtual time before an event.
 const WARM_UP: Duration = Duration::from_secs(2);
 
 /// Arguments of `events`.
-#[derive(clap::Args)]
+#[derive(Debug, clap::Args)]
 pub struct Arguments {
     /// The events, all if none is given.
     #[arg(long = "event", value_enum)]
@@ -146,14 +146,14 @@
             return Err(fault);
         }
     };
-    for sample in samples(&observed, kind, session, target.releases) {
+    for sample in samples(&observed, kind, &label, target.releases) {
         session.keep(sample)?;
     }
     print_details(&observed);
     Ok(())
 }
 
-fn samples(observed: &Observed, kind: EventKind, session: &Session, releases: u32) -> Vec<Sample> {
+fn samples(observed: &Observed, kind: EventKind, label: &Label, releases: u32) -> Vec<Sample> {
     let steady = &observed.steady;
     let mut roles = vec![(Role::Agent, observed.figures())];
     roles.extend(
@@ -167,17 +167,9 @@
         size.releases = releases.min(size.services);
     }
     let sample = |(role, figures)| Sample {
-        experiment: Experiment::Event,
-        command: session.command().to_owned(),
-        seed: session.options.seed,
-        source: Source::Hollow,
-        role,
-        factor: None,
-        size,
         event: Some(kind),
-        held_back: false,
-        complete: true,
         figures,
+        ..label.sample(role, size)
     };
     roles.into_iter().map(sample).collect()
 }
@@ -199,14 +191,12 @@
     );
 }
 
-const DETAILS: [lilacgate_capacity::Quantity; 6] = {
-    use lilacgate_capacity::Quantity::*;
-    [
-        WorstSecondCorePercent,
-        InForceMillis,
-        ReadyMillis,
-        RestartBytes,
-        Requests,
-        RefusedRequests,
-    ]
-};
+/// The figures that are printed below an event's samples.
+const DETAILS: [Quantity; 6] = [
+    Quantity::WorstSecondCorePercent,
+    Quantity::InForceMillis,
+    Quantity::ReadyMillis,
+    Quantity::RestartBytes,
+    Quantity::Requests,
+    Quantity::RefusedRequests,
+];
--- a/crates/scale/src/discovery.rs
+++ b/crates/scale/src/discovery.rs
@@ -1,5 +1,5 @@
-//! Hollow discovery: a list for each service, its versions, and who watches it. It counts what it is
-//! asked and what it sends, and sends whole lists at the rate of one machine's network interface.
+//! Simulated discovery: a list for each service, its versions, and its watchers. It counts the calls
+//! and the bytes that it sends, and sends whole lists at the rate of one machine's network interface.
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,7 +9,7 @@
 use rand_pcg::Pcg64Mcg;
 
 use crate::meter::Traffic;
-use crate::network::{Incoming, ONE_WAY, ServiceIndex};
+use crate::network::{Incoming, ListMessage, ONE_WAY, ServiceIndex};
 use crate::wire::{self, Entry, ListedState};
 
 /// Bytes per second that discovery sends at most: one interface of 1 Gbit/s.
@@ -18,19 +18,20 @@
 const LONGEST_DELAY: Duration = Duration::from_millis(4);
 
 /// A message to an agent's module.
+#[derive(Debug)]
 pub struct Delivery {
-    /// To which agent.
+    /// The agent that receives it.
     pub to: AgentId,
-    /// About which service.
+    /// The service that it is about.
     pub service: ServiceIndex,
-    /// When it is there.
+    /// When it arrives.
     pub at: Duration,
     /// The message.
-    pub what: Incoming,
+    pub message: Incoming,
 }
 
 /// The list of a service.
-#[derive(Default)]
+#[derive(Debug, Default)]
 struct ServiceList {
     version: u64,
     entries: BTreeMap<u32, Entry>,
@@ -38,7 +39,8 @@
     whole: Option<Arc<[u8]>>,
 }
 
-/// Hollow discovery.
+/// Simulated discovery.
+#[derive(Debug)]
 pub struct Discovery {
     lists: Vec<ServiceList>,
     /// Whole lists and changes that it has sent.
@@ -48,26 +50,25 @@
     /// Whether it sends no faster than its interface allows.
     pub is_paced: bool,
     free_at: Duration,
-    chance: Pcg64Mcg,
+    random: Pcg64Mcg,
 }
 
 impl Discovery {
-    /// With empty lists for so many services.
-    pub fn new(services: u32, chance: Pcg64Mcg) -> Self {
+    /// Creates discovery with empty lists for a number of services.
+    pub fn new(services: u32, random: Pcg64Mcg) -> Self {
         let lists = (0..services).map(|_| ServiceList::default()).collect();
-        let (sent, calls, free_at) = Default::default();
         Discovery {
             lists,
-            sent,
-            calls,
+            sent: Traffic::default(),
+            calls: 0,
             is_paced: false,
-            free_at,
-            chance,
+            free_at: Duration::ZERO,
+            random,
         }
     }
 
-    /// Puts an appliance on its list before anybody watches.
-    pub fn enlist(&mut self, service: ServiceIndex, entry: Entry) {
+    /// Adds an endpoint to its list before the first watch.
+    pub fn add(&mut self, service: ServiceIndex, entry: Entry) {
         let list = &mut self.lists[service.0 as usize];
         list.version = 1;
         list.entries.insert(entry.index, entry);
@@ -115,12 +116,12 @@
             to: agent,
             service,
             at,
-            what: Incoming::List {
+            message: Incoming::List(ListMessage {
                 connection,
                 bytes,
                 since: now,
                 whole: true,
-            },
+            }),
         }
     }
 
@@ -129,7 +130,7 @@
         self.lists[service.0 as usize].watchers.remove(&agent);
     }
 
-    /// Changes entries of a list and tells all watchers that `reaches` accepts.
+    /// Changes entries of a list and notifies all watchers that `reaches` accepts.
     pub fn change(
         &mut self,
         now: Duration,
@@ -152,33 +153,33 @@
         let watchers: Vec<_> = list
             .watchers
             .iter()
-            .map(|(&agent, &c)| (agent, c))
+            .map(|(&agent, &connection)| (agent, connection))
             .collect();
         let mut deliveries = Vec::new();
         for (to, connection) in watchers {
             if reaches(to) {
                 let at = self.send(now, bytes.len());
-                let what = Incoming::List {
+                let message = Incoming::List(ListMessage {
                     connection,
                     bytes: bytes.clone(),
                     since: now,
                     whole: false,
-                };
+                });
                 deliveries.push(Delivery {
                     to,
                     service,
                     at,
-                    what,
+                    message,
                 });
             }
         }
         deliveries
     }
 
-    /// Sends so many bytes; returns when the last of them is there.
+    /// Sends a message of this many bytes; returns when the last of them arrives.
     fn send(&mut self, now: Duration, bytes: usize) -> Duration {
         self.sent.add(bytes);
-        let delay = LONGEST_DELAY.mul_f64(self.chance.random::<f64>());
+        let delay = LONGEST_DELAY.mul_f64(self.random.random::<f64>());
         if !self.is_paced {
             return now + ONE_WAY + delay;
         }
--- a/crates/scale/src/measure.rs
+++ b/crates/scale/src/measure.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use lilacgate_capacity::fit::{Fit, Point};
-use lilacgate_decision::EndpointId;
+use lilacgate_decision::{AgentId, EndpointId};
 
 use crate::error::ScaleError;
 use crate::fleet::FleetSize;
@@ -13,29 +13,30 @@
 use crate::simulation::Simulation;
 use crate::wire::ListedState;
 
-/// Runs of the same seed; of each round, and of each sum, the least time counts. What else the
-/// machine does makes times longer, never shorter.
+/// Runs of the same seed. The least time of each round and of the parsers counts, because other
+/// load on the machine makes times longer, never shorter.
 const REPEATS: usize = 3;
 /// Parts of the whole list that costs are predicted from.
 const PREDICTED_FROM: [f64; 5] = [0.1, 0.2, 0.35, 0.5, 0.7];
-/// Sizes of the services whose load is looked at.
+/// Sizes of the services whose load is measured.
 const SPREAD_SIZES: [u32; 4] = [600, 35, 5, 1];
-/// One in so many appliances is replaced before the load is looked at.
+/// One in so many endpoints is replaced before the load is measured.
 const REPLACED: usize = 10;
-/// Time between two replacements, and until the last one is warm.
+/// Time between two replacements.
 const REPLACEMENT_GAP: Duration = Duration::from_millis(50);
+/// Time until the last replaced endpoint has reached its full capacity.
 const SETTLE: Duration = Duration::from_secs(5);
-/// How long the load is looked at.
+/// How long the load is measured.
 const SPREAD_WINDOW: Duration = Duration::from_secs(20);
-/// Attempts in a window from which an appliance counts as one that an agent uses.
+/// Attempts in a window from which an endpoint counts as used by an agent.
 const IN_USE: u32 = 3;
 
-/// Control cost of a fleet, freed of disturbances by repeating it.
+/// Control cost of a fleet; repeated runs reduce the effect of other load on the machine.
 #[derive(Clone, Copy, Debug)]
 pub struct Repeated {
-    /// Processor time for control in percent of a core, of each round the least time of all runs.
+    /// Processor time for control in percent of a core, from the least time of each round over all runs.
     pub core_percent: f64,
-    /// The longest round, of each round the least time of all runs.
+    /// The longest round, from the least time of each round over all runs.
     pub worst_round: Duration,
     /// Attempts against a rule in one run.
     pub broken_rules: u64,
@@ -100,18 +101,35 @@
     }
 }
 
-/// Measures a fleet several times with the same seed, and beside it the same fleet with shorter
-/// lists; returns its cost, and the cost that the shorter lists predict.
+/// The measured cost of a fleet, and the cost predicted from shorter lists.
+#[derive(Clone, Copy, Debug)]
+pub struct CostAndPrediction {
+    /// The measured cost.
+    pub cost: Repeated,
+    /// The predicted processor time for control, in percent of a core.
+    pub predicted_core_percent: f64,
+}
+
+impl CostAndPrediction {
+    /// The relative error of the prediction.
+    pub fn error(&self) -> f64 {
+        let measured = self.cost.core_percent;
+        (self.predicted_core_percent - measured).abs() / measured
+    }
+}
+
+/// Measures a fleet several times with the same seed, and the same fleet with shorter lists, which
+/// predict its cost.
 ///
 /// # Errors
 /// The size cannot be simulated, the run was stopped, or nothing can be fitted.
-pub fn cost_and_prediction(plan: &Plan, limits: &Limits) -> Result<(Repeated, f64), ScaleError> {
+pub fn cost_and_prediction(plan: &Plan, limits: &Limits) -> Result<CostAndPrediction, ScaleError> {
     let shorter = PREDICTED_FROM.map(|part| Repeats::new(shorten(plan, part)));
     let mut all: Vec<Repeats> = shorter
         .into_iter()
         .chain([Repeats::new(plan.clone())])
         .collect();
-    // All sizes in turn, so that what disturbs one run disturbs others too.
+    // All sizes in turn, so that other load on the machine affects all of them alike.
     for _ in 0..REPEATS {
         all.iter_mut().try_for_each(|repeats| repeats.run(limits))?;
     }
@@ -119,7 +137,10 @@
     let (whole, shorter) = points.split_last().ok_or_else(|| nothing("no sizes"))?;
     let fit = Fit::new(shorter).map_err(|fault| nothing(&fault.to_string()))?;
     let cost = all[shorter.len()].result();
-    Ok((cost, fit.at(whole.size)))
+    Ok(CostAndPrediction {
+        cost,
+        predicted_core_percent: fit.at(whole.size),
+    })
 }
 
 fn nothing(fault: &str) -> ScaleError {
@@ -153,22 +174,22 @@
     }
 }
 
-/// How evenly load is spread over appliances, and how much of it one change moves.
+/// How evenly load is spread over endpoints, and how much of it one change moves.
 #[derive(Clone, Copy, Debug)]
 pub struct Evenness {
-    /// Most attempts at an appliance over the mean of its service.
+    /// Most attempts at an endpoint over the mean of its service.
     pub most: f64,
-    /// Fewest.
+    /// Fewest attempts at an endpoint over the mean of its service.
     pub least: f64,
-    /// Share of the pairs of agent and appliance in use after one appliance left that were not in
-    /// use before.
+    /// Share of the pairs of agent and endpoint in use after one endpoint left that were not in use
+    /// before.
     pub moved: f64,
     /// Attempts against a rule.
     pub broken_rules: u64,
 }
 
-/// The fleet that evenness is measured on: services of a few sizes, each appliance asked as much
-/// as the target's.
+/// The fleet that evenness is measured on: services of a few sizes, each endpoint with as many
+/// requests as the target's.
 pub fn spread_size(target: &FleetSize) -> FleetSize {
     let appliances: u32 = SPREAD_SIZES.iter().sum();
     let part = f64::from(appliances) / f64::from(target.appliances);
@@ -185,8 +206,8 @@
     }
 }
 
-/// Measures how evenly load is spread after a tenth of the appliances were replaced one after
-/// another, and how much of it moves when one appliance leaves.
+/// Measures how evenly load is spread after a tenth of the endpoints were replaced one after
+/// another, and how much of it moves when one endpoint leaves.
 ///
 /// # Errors
 /// The size cannot be simulated, or the run was stopped.
@@ -196,7 +217,7 @@
     simulation.run_for(SETTLE)?;
     simulation.reset_meters();
     simulation.run_for(SPREAD_WINDOW)?;
-    let (most, least) = run::spread(&simulation);
+    let spread = run::spread(&simulation);
     let mut broken_rules = simulation.total().counts.broken_rules;
     let before = pairs(&simulation, 1);
     simulation.list_as(0, ListedState::Draining);
@@ -208,31 +229,41 @@
     broken_rules += simulation.total().counts.broken_rules;
     let moved = new as f64 / after.len().max(1) as f64;
     Ok(Evenness {
-        most,
-        least,
+        most: spread.most,
+        least: spread.least,
         moved,
         broken_rules,
     })
 }
 
-/// Replaces a tenth of the appliances one after another: each starts anew, cold.
+/// Replaces a tenth of the endpoints one after another: each restarts at its initial capacity.
 fn replace_some(simulation: &mut Simulation) -> Result<(), ScaleError> {
-    for index in (0..simulation.appliances.len() as u32).step_by(REPLACED) {
-        simulation.restart_appliance(index);
+    for index in (0..simulation.endpoints.len() as u32).step_by(REPLACED) {
+        simulation.restart_endpoint(index);
         simulation.publish(&[index]);
         simulation.run_for(REPLACEMENT_GAP)?;
     }
     Ok(())
 }
 
-/// Pairs of agent and appliance of the largest service with this many attempts at least.
-fn pairs(simulation: &Simulation, least: u32) -> BTreeSet<(u32, EndpointId)> {
+/// An agent and an endpoint that it uses.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct UsedPair {
+    agent: AgentId,
+    endpoint: EndpointId,
+}
+
+/// Pairs in the largest service with at least this many attempts.
+fn pairs(simulation: &Simulation, least: u32) -> BTreeSet<UsedPair> {
     let largest = ServiceIndex(0);
     let mut pairs = BTreeSet::new();
     for agent in &simulation.agents {
         let used = agent.used.iter();
-        let enough = used.filter(|((service, _), many)| *service == largest && **many >= least);
-        pairs.extend(enough.map(|((_, appliance), _)| (agent.id.0, *appliance)));
+        let enough = used.filter(|(used, attempts)| used.service == largest && **attempts >= least);
+        pairs.extend(enough.map(|(used, _)| UsedPair {
+            agent: agent.id,
+            endpoint: used.endpoint,
+        }));
     }
     pairs
 }
--- a/crates/scale/tests/simulation.rs
+++ b/crates/scale/tests/simulation.rs
@@ -4,8 +4,8 @@
 
 use lilacgate_decision::{AgentId, Build, EndpointId, ListUpdate, Vote};
 use lilacgate_scale::agent::Agent;
-use lilacgate_scale::appliance::Power;
 use lilacgate_scale::decisions::Decision;
+use lilacgate_scale::endpoint::Power;
 use lilacgate_scale::error::ScaleError;
 use lilacgate_scale::fleet::FleetSize;
 use lilacgate_scale::meter::{Counts, Meter};
@@ -43,7 +43,16 @@
     }
 }
 
-fn counts(size: FleetSize, threads: usize) -> (Counts, Vec<Counts>, Vec<u64>) {
+/// All counts that depend on the seed alone.
+#[derive(Debug, PartialEq)]
+struct FleetCounts {
+    total: Counts,
+    agents: Vec<Counts>,
+    /// Requests received, by endpoint.
+    requests_received: Vec<u64>,
+}
+
+fn counts(size: FleetSize, threads: usize) -> FleetCounts {
     let limits = Limits::new(None);
     let mut simulation = run::warm(&plan(size, threads), &limits).expect("a fleet");
     simulation
@@ -55,21 +64,25 @@
         .map(|agent| agent.meter.counts)
         .collect();
     let requests_received = simulation
-        .appliances
+        .endpoints
         .iter()
-        .map(|appliance| appliance.requests_received)
+        .map(|endpoint| endpoint.requests_received)
         .collect();
-    (simulation.total().counts, agents, requests_received)
+    FleetCounts {
+        total: simulation.total().counts,
+        agents,
+        requests_received,
+    }
 }
 
 #[test]
 fn the_same_seed_gives_the_same_counts_on_one_thread_and_on_four() {
     let one = counts(small(), 1);
     assert_eq!(one, counts(small(), 4));
-    assert!(one.0.served > 1500, "{:?}", one.0);
-    assert!(one.0.reports_in.messages > 10, "{:?}", one.0);
-    assert_eq!(one.0.broken_rules, 0);
-    assert_eq!(one.0.unreadable, 0);
+    assert!(one.total.served > 1500, "{:?}", one.total);
+    assert!(one.total.reports_in.messages > 10, "{:?}", one.total);
+    assert_eq!(one.total.broken_rules, 0);
+    assert_eq!(one.total.unreadable, 0);
 }
 
 #[test]
@@ -136,7 +149,7 @@
         ..small()
     };
     let refused = Simulation::new(size, 1, 1, Limits::new(None));
-    let fault = refused.err().expect("too many routes");
+    let fault = refused.expect_err("too many routes");
     assert!(matches!(fault, ScaleError::Size(_)));
     assert!(
         fault
@@ -146,10 +159,10 @@
     );
 }
 
-fn module(me: u32) -> Module {
+fn module(agent: u32) -> Module {
     let places = small().places;
     let start = Start {
-        me,
+        agent,
         agents: 8,
         zone: 0,
         places: &places,
@@ -172,8 +185,8 @@
     (0..count).map(entry).collect()
 }
 
-/// What a module hears of these bytes, in pieces of a size.
-fn hear(module: &mut Module, bytes: &[u8], piece: usize, meter: &mut Meter) -> Vec<ModuleEvent> {
+/// The events that a module receives from these bytes, read in pieces of a size.
+fn receive(module: &mut Module, bytes: &[u8], piece: usize, meter: &mut Meter) -> Vec<ModuleEvent> {
     bytes
         .chunks(piece)
         .flat_map(|part| module.take_list(part, meter))
@@ -194,7 +207,7 @@
 fn a_long_list_is_read_whole_and_in_pieces(#[case] piece: usize) {
     let (mut module, mut meter) = (module(0), Meter::default());
     let bytes = wire::watch(1, &entries(LISTED));
-    let received = hear(&mut module, &bytes, piece, &mut meter);
+    let received = receive(&mut module, &bytes, piece, &mut meter);
     assert_eq!(lines(&received), [(ListUpdate::Full, LISTED as usize)]);
     assert_eq!(meter.counts.unreadable, 0);
 }
@@ -204,11 +217,11 @@
     let (mut module, mut meter) = (module(0), Meter::default());
     let bytes = wire::watch(1, &entries(LISTED));
     let broken = &bytes[..bytes.len() - 100];
-    assert!(hear(&mut module, broken, usize::MAX, &mut meter).is_empty());
+    assert!(receive(&mut module, broken, usize::MAX, &mut meter).is_empty());
     assert_eq!(module.version(), 0);
-    // The next connection begins anew.
+    // The next connection starts from an empty parser.
     module.connect();
-    let received = hear(&mut module, &bytes, usize::MAX, &mut meter);
+    let received = receive(&mut module, &bytes, usize::MAX, &mut meter);
     assert_eq!(lines(&received), [(ListUpdate::Full, LISTED as usize)]);
 }
 
@@ -217,7 +230,7 @@
     let (mut module, mut meter) = (module(0), Meter::default());
     let mut bytes = wire::watch(1, &entries(LISTED));
     bytes.extend(wire::chunk(&wire::list(1, true, &entries(LISTED))));
-    let received = hear(&mut module, &bytes, usize::MAX, &mut meter);
+    let received = receive(&mut module, &bytes, usize::MAX, &mut meter);
     assert_eq!(lines(&received), [(ListUpdate::Full, LISTED as usize); 2]);
     let numbers = |received: &ModuleEvent| match received {
         ModuleEvent::EndpointList(_, lines) => lines.iter().map(|line| line.id).collect(),
@@ -232,13 +245,13 @@
     let mut bytes = wire::watch(1, &entries(50));
     let changes: Vec<Entry> = entries(50).into_iter().cycle().take(10_000).collect();
     bytes.extend(wire::chunk(&wire::list(2, false, &changes)));
-    let received = hear(&mut module, &bytes, usize::MAX, &mut meter);
+    let received = receive(&mut module, &bytes, usize::MAX, &mut meter);
     assert_eq!(
         lines(&received),
         [(ListUpdate::Full, 50), (ListUpdate::Delta, 10_000)]
     );
-    let (decided, _) = module.round(START, received);
-    assert!(!decided.list.is_empty());
+    let round = module.round(START, received);
+    assert!(!round.decided.list.is_empty());
     assert_eq!(module.version(), 2);
 }
 
@@ -248,34 +261,35 @@
 #[case::no_list("{\"version\":3}\n")]
 fn a_message_that_cannot_be_used_ends_the_watch(#[case] text: &str) {
     let (mut module, mut meter) = (module(0), Meter::default());
-    hear(
+    receive(
         &mut module,
         &wire::watch(2, &entries(5)),
         usize::MAX,
         &mut meter,
     );
-    let received = hear(&mut module, &wire::chunk(text), usize::MAX, &mut meter);
+    let received = receive(&mut module, &wire::chunk(text), usize::MAX, &mut meter);
     assert_eq!(lines(&received), [(ListUpdate::Failed, 0)]);
     assert_eq!((meter.counts.unreadable, module.version()), (1, 0));
 }
 
-/// A report on a build: a life, a number, three sums, and outcomes at earlier and trial appliances.
+/// A report on a build: an incarnation, a sequence number, three sums, and outcomes at endpoints
+/// with earlier builds and with the build on trial.
 fn report(build: u16, number: u32, trial: &[EndpointId]) -> Arc<[u8]> {
     let mut payload = build.to_be_bytes().to_vec();
     payload.extend(1_u32.to_be_bytes());
     payload.extend(number.to_be_bytes());
     payload.extend([0; 6]);
-    // 200 outcomes at earlier builds, none bad; 50 at each trial appliance, 40 of them bad.
+    // 200 outcomes at earlier builds, none bad; 50 at each trial endpoint, 40 of them bad.
     payload.extend(u32::MAX.to_be_bytes());
     payload.extend([0, 200, 0, 0, 0]);
-    for appliance in trial {
-        payload.extend(appliance.0.to_be_bytes());
+    for endpoint in trial {
+        payload.extend(endpoint.0.to_be_bytes());
         payload.extend([0, 50, 40, 0, 0]);
     }
     payload.into()
 }
 
-/// Votes of a judge that hears such reports of an agent.
+/// Votes of a report aggregator that receives such reports from an agent.
 fn votes_after_reports(from: AgentId) -> Vec<(Build, Vote)> {
     let (mut module, mut meter) = (module(2), Meter::default());
     let mut entries = entries(40);
@@ -291,11 +305,17 @@
     for number in 1..=10 {
         received.push(ModuleEvent::Datagram(from, report(2, number, &trial)));
         let now = START + Duration::from_millis(100) * number;
-        let (decided, _) = module.round(now, std::mem::take(&mut received));
-        votes.extend(decided.list.iter().filter_map(|decision| match decision {
-            Decision::Vote(build, _, vote) => Some((*build, *vote)),
-            _ => None,
-        }));
+        let round = module.round(now, std::mem::take(&mut received));
+        votes.extend(
+            round
+                .decided
+                .list
+                .iter()
+                .filter_map(|decision| match decision {
+                    Decision::Vote { build, vote, .. } => Some((*build, *vote)),
+                    _ => None,
+                }),
+        );
     }
     votes
 }
@@ -315,7 +335,7 @@
 fn every_request_ends_also_when_no_appliance_answers() {
     let mut simulation = run::warm(&plan(small(), 1), &Limits::new(None)).expect("a fleet");
     for index in 0..60 {
-        simulation.stop_appliance(index, Power::Silent);
+        simulation.stop_endpoint(index, Power::Silent);
     }
     simulation
         .run_for(Duration::from_secs(5))
