--- a/crates/agent/src/unanswered.rs
+++ b/crates/agent/src/unanswered.rs
@@ -1,6 +1,6 @@
 //! Owns the requests that have no final answer yet, and gives each its one final answer.
 //!
-//! A request stays in the table until the decision engine has been told of its end, so that an answer is given at
+//! A request stays in the table until the decision engine has been notified of its end, so that an answer is given at
 //! most once. The number of requests is bounded by whoever accepts them.
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -26,7 +26,7 @@
 /// Passes the final answer on to the client.
 pub(crate) type AnswerCallback = Box<dyn FnOnce(FinalAnswer)>;
 
-/// A request without a final answer, or one whose end the decision engine has not been told yet.
+/// A request without a final answer, or one whose end the decision engine has not been notified of yet.
 struct UnansweredRequest {
     encoded_request: EncodedRequest,
     /// When the wait for the last of its attempts ends.
