--- a/crates/decision/src/engine/attempts.rs
+++ b/crates/decision/src/engine/attempts.rs
@@ -103,7 +103,7 @@
             self.send_attempt(id, endpoint, actions);
             return None;
         }
-        if self.is_forbidden_everywhere(id) {
+        if self.is_permitted_nowhere(id) {
             self.give_up(id, GiveUpReason::NotPermitted, actions);
             return None;
         }
@@ -137,14 +137,14 @@
 
     /// Whether the operator's rules close all endpoints that could take a request. Guards against holding it in
     /// vain.
-    fn is_forbidden_everywhere(&self, id: RequestId) -> bool {
+    fn is_permitted_nowhere(&self, id: RequestId) -> bool {
         let Some(request) = self.requests.by_id.get(&id) else {
             return false;
         };
         let catalog = &self.endpoints.catalog;
         let mut places = catalog.builds_and_zones(request.confinement()).peekable();
         places.peek().is_some()
-            && !places.any(|(build, zone)| self.exposure.is_permitted(build, zone, request))
+            && !places.any(|(build, zone)| self.exposure.operator_permits(build, zone, request))
     }
 
     fn give_up(&mut self, id: RequestId, reason: GiveUpReason, actions: &mut dyn Actions) {
@@ -172,8 +172,8 @@
         };
         let class = request.request.class;
         let listed = record.endpoint;
-        if self.exposure.limit(listed.build).is_some() {
-            let exposure_class = self.exposure.class(class);
+        if self.exposure.canary_limit(listed.build).is_some() {
+            let exposure_class = self.exposure.exposure_class(class);
             self.exposure
                 .windows
                 .on_sent(exposure_class, listed.build, now);
@@ -232,6 +232,6 @@
             && listed.is_some_and(|endpoint| {
                 endpoint.status == EndpointStatus::Ready && endpoint.build == attempt.build
             })
-            && self.exposure.admits(attempt.build, attempt.zone, request)
+            && self.exposure.permits(attempt.build, attempt.zone, request)
     }
 }
--- a/crates/decision/src/engine/event_handling.rs
+++ b/crates/decision/src/engine/event_handling.rs
@@ -27,7 +27,7 @@
         let Some(&policy) = self.requests.policy(request.class) else {
             return;
         };
-        let exposure_class = self.exposure.class(request.class);
+        let exposure_class = self.exposure.exposure_class(request.class);
         self.exposure.windows.on_request(exposure_class, now);
         self.schedule.events += 1;
         let work = self
--- a/crates/decision/src/engine/mod.rs
+++ b/crates/decision/src/engine/mod.rs
@@ -167,7 +167,7 @@
             now: self.now,
             status,
             lost_share: self.load.lost_share,
-            is_held: self.exposure.is_held(status),
+            is_held_by_operator: self.exposure.operator_holds(status),
         };
         self.analysis
             .warn_and_vote(inputs, &self.endpoints, actions)
--- a/crates/decision/src/policy/endpoint_odds.rs
+++ b/crates/decision/src/policy/endpoint_odds.rs
@@ -80,7 +80,9 @@
             let endpoint = record.endpoint;
             !is_excluded(record, self.now, self.is_panic)
                 && record.rank.is_some()
-                && self.exposure.is_open(endpoint.build, endpoint.zone)
+                && self
+                    .exposure
+                    .operator_permits_any(endpoint.build, endpoint.zone)
         };
         for record in endpoints.ready().filter(is_candidate) {
             let capacity_share = self.slow_start.capacity_share(record.age(self.now));
@@ -103,7 +105,7 @@
     fn listed_weight(&self, endpoints: &EndpointTable) -> PerArm<f64> {
         let arm_of = |build, zone| {
             self.exposure
-                .is_open(build, zone)
+                .operator_permits_any(build, zone)
                 .then(|| self.exposure.arm(build))
         };
         let excluded = |record: &EndpointRecord| is_excluded(record, self.now, self.is_panic);
--- a/crates/decision/src/policy/exposure.rs
+++ b/crates/decision/src/policy/exposure.rs
@@ -49,7 +49,7 @@
     }
 
     /// Requests are counted by class, or all together.
-    pub(crate) fn class(&self, class: RequestClass) -> ExposureClass {
+    pub(crate) fn exposure_class(&self, class: RequestClass) -> ExposureClass {
         ExposureClass(if self.settings.per_class {
             class
         } else {
@@ -58,7 +58,7 @@
     }
 
     /// The limits of a build; `None` if it is not a canary.
-    pub(crate) fn limit(&self, build: Build) -> Option<CanaryLimit> {
+    pub(crate) fn canary_limit(&self, build: Build) -> Option<CanaryLimit> {
         let is_done = |status: ReleaseStatus| {
             let is_released = status.phase == ReleasePhase::Released;
             build < status.build || (build == status.build && is_released)
@@ -78,7 +78,7 @@
 
     /// The arm that a build belongs to.
     pub(crate) fn arm(&self, build: Build) -> Arm {
-        if self.limit(build).is_some() {
+        if self.canary_limit(build).is_some() {
             Arm::Canary
         } else {
             Arm::Baseline
@@ -86,7 +86,12 @@
     }
 
     /// Whether the operator's rules permit a build there for a request.
-    pub(crate) fn is_permitted(&self, build: Build, zone: Zone, request: &PendingRequest) -> bool {
+    pub(crate) fn operator_permits(
+        &self,
+        build: Build,
+        zone: Zone,
+        request: &PendingRequest,
+    ) -> bool {
         let (tenant, class) = (request.request.tenant, request.request.class);
         self.permissions
             .as_ref()
@@ -95,26 +100,27 @@
 
     /// Whether the operator's rules permit a build there for anyone. What is closed to all takes no part, or
     /// the share of the rest would be too large.
-    pub(crate) fn is_open(&self, build: Build, zone: Zone) -> bool {
+    pub(crate) fn operator_permits_any(&self, build: Build, zone: Zone) -> bool {
         self.permissions
             .as_ref()
             .is_none_or(|permissions| permissions.any(build, zone))
     }
 
     /// Whether a request may go to a build at all.
-    pub(crate) fn admits(&self, build: Build, zone: Zone, request: &PendingRequest) -> bool {
-        if !self.is_permitted(build, zone, request) {
+    pub(crate) fn permits(&self, build: Build, zone: Zone, request: &PendingRequest) -> bool {
+        if !self.operator_permits(build, zone, request) {
             return false;
         }
-        let Some(limit) = self.limit(build) else {
-            return !(self.settings.forward_only && self.would_go_back(build, request));
+        let Some(limit) = self.canary_limit(build) else {
+            return !(self.settings.forward_only
+                && self.would_return_to_earlier_build(build, request));
         };
         let is_guarded = limit.stage.0 < self.settings.guarded_stages;
         limit.cap > 0.0 && (!is_guarded || request.policy.idempotency == Idempotency::Idempotent)
     }
 
     /// Whether the canary has answered this request before, and the build is an earlier one.
-    fn would_go_back(&self, build: Build, request: &PendingRequest) -> bool {
+    fn would_return_to_earlier_build(&self, build: Build, request: &PendingRequest) -> bool {
         let was_answered = request
             .request
             .idempotency_key
@@ -127,19 +133,19 @@
     }
 
     /// Whether a request may go to an endpoint now, within the canary's window.
-    pub(crate) fn admits_now(
+    pub(crate) fn permits_now(
         &self,
         now: Duration,
         Endpoint { build, zone, .. }: Endpoint,
         request: &PendingRequest,
     ) -> bool {
-        let is_admitted = self.admits(build, zone, request);
-        let Some(limit) = self.limit(build).filter(|_| is_admitted) else {
-            return is_admitted;
+        let is_permitted = self.permits(build, zone, request);
+        let Some(limit) = self.canary_limit(build).filter(|_| is_permitted) else {
+            return is_permitted;
         };
         let window = self.settings.window;
         let inner_edge = (now + self.tick + WINDOW_MARGIN).saturating_sub(window);
-        let class = self.class(request.request.class);
+        let class = self.exposure_class(request.request.class);
         let sent = self
             .windows
             .sent_since(class, build, now.saturating_sub(window));
@@ -155,7 +161,7 @@
     }
 
     /// Whether the operator's rules hold a build at its stage.
-    pub(crate) fn is_held(&self, status: ReleaseStatus) -> bool {
+    pub(crate) fn operator_holds(&self, status: ReleaseStatus) -> bool {
         self.permissions
             .as_ref()
             .is_some_and(|permissions| !permissions.may_step(status.build, status.stage))
--- a/crates/decision/src/policy/load_balancing.rs
+++ b/crates/decision/src/policy/load_balancing.rs
@@ -76,7 +76,7 @@
         let was_sent_to_canary = request
             .attempts
             .iter()
-            .any(|attempt| self.exposure.limit(attempt.build).is_some());
+            .any(|attempt| self.exposure.canary_limit(attempt.build).is_some());
         let draws_canary = random.random::<f64>() < self.candidates.canary_share;
         let arm = if draws_canary && !was_sent_to_canary {
             Arm::Canary
@@ -114,7 +114,7 @@
         for _ in 0..DRAWS {
             let drawn = candidates.choose_weighted(random, |candidate| candidate.odds)?;
             let endpoint = drawn.endpoint;
-            if self.accepts(request, endpoint) && !request.was_sent_to(endpoint) {
+            if self.permits(request, endpoint) && !request.was_sent_to(endpoint) {
                 return Ok(Some(endpoint));
             }
         }
@@ -132,9 +132,9 @@
         if drawn.is_some() {
             return drawn;
         }
-        let accepting: Vec<&Candidate> = candidates
+        let permitted: Vec<&Candidate> = candidates
             .iter()
-            .filter(|candidate| self.accepts(request, candidate.endpoint))
+            .filter(|candidate| self.permits(request, candidate.endpoint))
             .collect();
         let odds = |candidate: &&Candidate| {
             if request.was_sent_to(candidate.endpoint) {
@@ -143,14 +143,14 @@
                 candidate.odds
             }
         };
-        accepting
+        permitted
             .choose_weighted(random, odds)
             .ok()
             .map(|candidate| candidate.endpoint)
     }
 
     /// Whether a request may go to an endpoint now.
-    pub(crate) fn accepts(&self, request: &PendingRequest, endpoint: EndpointId) -> bool {
+    pub(crate) fn permits(&self, request: &PendingRequest, endpoint: EndpointId) -> bool {
         let record = self.endpoints.records.get(&endpoint);
         let Some(record) = record.filter(|record| record.endpoint.status == EndpointStatus::Ready)
         else {
@@ -171,8 +171,10 @@
         request.may_go_to(&record.endpoint)
             && !outlier_ejection::is_excluded(record, self.now, is_panic)
             && (!record.is_ejected() || is_panic || may_try_ejected)
-            && self.slow_start.admits(self.now, record, request, load)
-            && self.exposure.admits_now(self.now, record.endpoint, request)
+            && self.slow_start.permits(self.now, record, request, load)
+            && self
+                .exposure
+                .permits_now(self.now, record.endpoint, request)
     }
 
     /// What a request may expect to wait at an endpoint, against what is usual there. Speed and weight are in the
--- a/crates/decision/src/policy/slow_start.rs
+++ b/crates/decision/src/policy/slow_start.rs
@@ -52,7 +52,7 @@
     /// weight that has warmed up, so that all agents' parts add up to what such a one carries. A part below one
     /// request is a chance of one: the request's random draw, renewed each window, against twice (for the two choices)
     /// what would go there of all work due. Guards against the first requests of hundreds of agents.
-    pub(crate) fn admits(
+    pub(crate) fn permits(
         &self,
         now: Duration,
         record: &EndpointRecord,
--- a/crates/decision/src/policy/subsetting.rs
+++ b/crates/decision/src/policy/subsetting.rs
@@ -179,7 +179,8 @@
             self.fleet_position,
             SegmentRequest {
                 includes: |build, zone| {
-                    self.exposure.arm(build) == arm && self.exposure.is_open(build, zone)
+                    self.exposure.arm(build) == arm
+                        && self.exposure.operator_permits_any(build, zone)
                 },
                 can_serve: |id| {
                     !endpoints.is_ejected(id) && catalog.get(id).is_some_and(has_warmed_up)
@@ -229,10 +230,10 @@
         slow_start,
         exposure,
     } = rules;
-    let admits = |build, zone| exposure.admits(build, zone, request);
+    let permits = |build, zone| exposure.permits(build, zone, request);
     let from = Position(random.random());
     let found =
-        endpoints.outside_subset(request.confinement(), from, MIN_ASSIGNED as usize, admits);
+        endpoints.outside_subset(request.confinement(), from, MIN_ASSIGNED as usize, permits);
     for endpoint in &found {
         let arm = exposure.arm(endpoint.build);
         let arm_share = match arm {
@@ -258,11 +259,11 @@
     request: &PendingRequest,
     random: &mut Pcg64Mcg,
 ) -> Option<EndpointId> {
-    let accepting: Vec<EndpointId> = found
+    let permitted: Vec<EndpointId> = found
         .iter()
         .map(|endpoint| endpoint.id)
         .filter(|id| !request.was_sent_to(*id))
-        .filter(|id| selection.accepts(request, *id))
+        .filter(|id| selection.permits(request, *id))
         .collect();
-    accepting.choose(random).copied()
+    permitted.choose(random).copied()
 }
--- a/crates/decision/src/policy/voting.rs
+++ b/crates/decision/src/policy/voting.rs
@@ -44,7 +44,7 @@
     /// Share of capacity that is lost.
     pub(crate) lost_share: f64,
     /// The operator's rules hold the build at its stage; a rollback is never held up.
-    pub(crate) is_held: bool,
+    pub(crate) is_held_by_operator: bool,
 }
 
 impl ReleaseAnalysis {
@@ -143,8 +143,8 @@
         if self.settings.advance_rule == AdvanceRule::Timed {
             let max_hold = self.settings.minimum_stage_time * MAX_HOLD_THIRDS / 3;
             let doubt_ends = status.since + max_hold;
-            let is_held = inputs.is_held || is_in_doubt && inputs.now < doubt_ends;
-            return is_held.then_some(Vote::Hold);
+            let holds_stage = inputs.is_held_by_operator || is_in_doubt && inputs.now < doubt_ends;
+            return holds_stage.then_some(Vote::Hold);
         }
         self.may_advance(inputs, is_in_doubt, endpoints)
             .then_some(Vote::Advance)
@@ -194,7 +194,7 @@
         };
         let due = newest + ADVANCE_WAIT * waits + ADVANCE_WAIT.mul_f64(stand_in_waits);
         self.is_stage_shown(now, status, endpoints)
-            && !inputs.is_held
+            && !inputs.is_held_by_operator
             && now >= due
             && now >= status.since + self.settings.minimum_stage_time
     }
