--- a/crates/decision/src/engine/event_handling.rs
+++ b/crates/decision/src/engine/event_handling.rs
@@ -122,9 +122,9 @@
         }
         if phase == ReleasePhase::Canary && self.analysis.build != Some(build) {
             let started_at = self.exposure.windows.started_at.unwrap_or_default();
-            let stand_in_draw = self.random.random();
+            let backup_vote_draw = self.random.random();
             self.analysis
-                .begin(self.now, build, started_at, &self.demand, stand_in_draw);
+                .begin(self.now, build, started_at, &self.demand, backup_vote_draw);
         }
         let same_stage = known.filter(|known| known.build == build && known.stage == stage);
         let since = same_stage.map_or(self.now.saturating_sub(age), |known| known.since);
--- a/crates/decision/src/policy/release_analysis.rs
+++ b/crates/decision/src/policy/release_analysis.rs
@@ -20,24 +20,24 @@
 use crate::state::votes::VotingState;
 
 /// Tolerated difference of the failure rates. With 0.02, builds that fail 4 to 7 % passed all stages.
-const TOLERATED_FAILURES: f64 = 0.005;
+const TOLERATED_FAILURE_RATE_DIFFERENCE: f64 = 0.005;
 /// Mixing deviation of the tests of failures. With 0.1 some 420 outcomes were needed, now about 250 for 5 %
 /// failures.
-const FAILURE_DEVIATION: f64 = 0.05;
+const FAILURE_MIXING_DEVIATION: f64 = 0.05;
 /// Tolerated difference of the shares of slow answers: machines of one model differ by a fifth.
-const TOLERATED_SLOWNESS: f64 = 40.0 * TOLERATED_FAILURES;
+const TOLERATED_SLOW_SHARE_DIFFERENCE: f64 = 40.0 * TOLERATED_FAILURE_RATE_DIFFERENCE;
 /// Mixing deviation of the test of pace.
-const SLOWNESS_DEVIATION: f64 = 6.0 * FAILURE_DEVIATION;
+const SLOWNESS_MIXING_DEVIATION: f64 = 6.0 * FAILURE_MIXING_DEVIATION;
 /// Level of all tests together.
-const LEVEL: f64 = 0.05;
+const FALSE_ALARM_LEVEL: f64 = 0.05;
 /// Outcomes of the canary without which a test says nothing.
 pub(crate) const MIN_CANARY_OUTCOMES: f64 = 20.0;
 /// Failures of the canary's oldest endpoints that hold the advance.
 const MIN_OLDEST_FAILURES: f64 = MIN_CANARY_OUTCOMES / 6.0;
 /// Excess of an oldest endpoint's failure rate over the baseline's from which its failures count.
-const OLDEST_EXCESS: f64 = 2.0 * TOLERATED_FAILURES;
+const OLDEST_EXCESS_FAILURE_RATE: f64 = 2.0 * TOLERATED_FAILURE_RATE_DIFFERENCE;
 /// Work requested without which no lost capacity is measured, in requests.
-const MIN_REQUESTED: f64 = 1.25 * MIN_CANARY_OUTCOMES;
+const MIN_DEMAND_REQUESTS: f64 = 1.25 * MIN_CANARY_OUTCOMES;
 
 /// The analysis of the newest build.
 #[derive(Debug)]
@@ -77,14 +77,14 @@
         }
     }
 
-    /// Begins the analysis of a new build. `stand_in_draw` is a random draw from 0 to 1.
+    /// Begins the analysis of a new build. `backup_vote_draw` is a random draw from 0 to 1.
     pub(crate) fn begin(
         &mut self,
         now: Duration,
         build: Build,
         agent_started_at: Duration,
         demand: &Demand,
-        stand_in_draw: f64,
+        backup_vote_draw: f64,
     ) {
         // An agent that restarted amid a canary has no time before it to compare with.
         let has_past = agent_started_at + REPORTED < now;
@@ -95,23 +95,23 @@
         };
         self.evidence.served_work = ServedWork::new(baseline_capacity);
         self.build = Some(build);
-        self.voting.stand_in_draw = stand_in_draw;
+        self.voting.backup_vote_draw = backup_vote_draw;
         self.reporter.begin(agent_started_at);
-        let level = self.level();
+        let level = self.level_per_test();
         let failures = SequentialTestSettings {
-            tolerated_difference: TOLERATED_FAILURES,
-            mixing_deviation: FAILURE_DEVIATION,
+            tolerated_difference: TOLERATED_FAILURE_RATE_DIFFERENCE,
+            mixing_deviation: FAILURE_MIXING_DEVIATION,
             level,
         };
-        let pace = SequentialTestSettings {
-            tolerated_difference: TOLERATED_SLOWNESS,
-            mixing_deviation: SLOWNESS_DEVIATION,
+        let slowness = SequentialTestSettings {
+            tolerated_difference: TOLERATED_SLOW_SHARE_DIFFERENCE,
+            mixing_deviation: SLOWNESS_MIXING_DEVIATION,
             level,
         };
         self.tests = (0..=self.class_count)
             .map(|_| SequentialTest::new(failures))
             .collect();
-        self.tests.push(SequentialTest::new(pace));
+        self.tests.push(SequentialTest::new(slowness));
     }
 
     /// Whether this agent aggregates the reports on a build.
@@ -121,14 +121,14 @@
 
     /// The level of each test (Bonferroni). An agent that does not receive the others' outcomes shares the chance
     /// of a false alarm with all agents: of hundreds one always errs.
-    pub(crate) fn level(&self) -> f64 {
-        let is_alone = !self.build.is_some_and(|build| self.is_aggregator(build));
-        let agents = if is_alone {
+    pub(crate) fn level_per_test(&self) -> f64 {
+        let sees_only_own_outcomes = !self.build.is_some_and(|build| self.is_aggregator(build));
+        let agents = if sees_only_own_outcomes {
             f64::from(self.fleet_position.agent_count)
         } else {
             1.0
         };
-        LEVEL / (self.class_count + 2) as f64 / agents
+        FALSE_ALARM_LEVEL / (self.class_count + 2) as f64 / agents
     }
 
     /// Whether a build belongs to the canary of the tests.
@@ -156,7 +156,7 @@
 
     /// How many tests may convict a build. Slowness may lie on an agent's own way to a few endpoints: the test of
     /// pace convicts only for an aggregator, which has the outcomes of many.
-    pub(crate) fn convicting_tests(&self, build: Build) -> usize {
+    pub(crate) fn rollback_test_count(&self, build: Build) -> usize {
         self.class_count + 1 + usize::from(self.is_aggregator(build))
     }
 
@@ -167,8 +167,8 @@
             self.tests[test].observe(key.canary_endpoint, counts.outcomes, counts.failures);
         }
         if counts.timed > 0.0 {
-            let pace = self.class_count + 1;
-            self.tests[pace].observe(key.canary_endpoint, counts.timed, counts.slow);
+            let slowness = self.class_count + 1;
+            self.tests[slowness].observe(key.canary_endpoint, counts.timed, counts.slow);
         }
     }
 
@@ -274,7 +274,7 @@
         let retained = self.evidence.served_work.retained_share(
             now,
             status.stage,
-            MIN_REQUESTED * load.mean_work,
+            MIN_DEMAND_REQUESTS * load.mean_work,
         );
         retained
             .filter(|_| self.is_aggregator(status.build))
@@ -284,10 +284,10 @@
     /// Whether endpoints of an earlier stage fail, as younger ones may yet do, and not just a third of them.
     /// Ejected ones are left out, since a bad machine fails far more. Guards against builds that turn bad some
     /// time after their start. It harms, by a delay, where more of just these have a fault of their own.
-    pub(crate) fn oldest_fail(&self, endpoints: &EndpointTable, build: Build) -> bool {
+    pub(crate) fn oldest_endpoints_fail(&self, endpoints: &EndpointTable, build: Build) -> bool {
         let failures = self
             .failure_test()
-            .filter(|test| test.difference() > TOLERATED_FAILURES);
+            .filter(|test| test.difference() > TOLERATED_FAILURE_RATE_DIFFERENCE);
         let Some(test) = failures else {
             return false;
         };
@@ -304,7 +304,7 @@
         };
         let oldest = test.worst_first(|id| is_of_earlier_stage(id) && !endpoints.is_ejected(id));
         let others = oldest.iter().skip((oldest.len() + 1) / 3);
-        let limit = test.baseline_rate() + OLDEST_EXCESS;
+        let limit = test.baseline_rate() + OLDEST_EXCESS_FAILURE_RATE;
         let failures = others
             .filter(|trials| trials.failures / trials.outcomes > limit)
             .map(|trials| trials.failures);
@@ -315,7 +315,7 @@
 /// Whether the canary looks worse, on enough outcomes, and also without the quarter of its endpoints that look
 /// worst. Guards against bad machines and noisy neighbours that happen to carry the build: a build is bad
 /// wherever it runs. It harms where only one machine will ever carry it.
-pub(crate) fn is_doubtful(test: &SequentialTest) -> bool {
+pub(crate) fn suggests_regression(test: &SequentialTest) -> bool {
     if test.canary_outcomes() < MIN_CANARY_OUTCOMES || !test.is_worse() {
         return false;
     }
--- a/crates/decision/src/policy/voting.rs
+++ b/crates/decision/src/policy/voting.rs
@@ -1,7 +1,7 @@
 //! Votes: whether the newest build advances, is held or is rolled back, and when a vote is repeated.
 use std::time::Duration;
 
-use super::release_analysis::{ReleaseAnalysis, is_doubtful};
+use super::release_analysis::{ReleaseAnalysis, suggests_regression};
 use super::sequential_test::SequentialTest;
 use crate::actions::Actions;
 use crate::model::{AdvanceRule, Outcome, ReleasePhase, ReleaseStatus, Vote};
@@ -16,20 +16,20 @@
 /// clock.
 const ADVANCE_WAIT: Duration = Duration::from_millis(3500);
 /// So many waits in doubt over pace or capacity.
-const WAITS_IN_DOUBT: u32 = 3;
+const WAITS_ON_SUSPECTED_SLOWNESS: u32 = 3;
 /// So many in doubt over failures, which a good build does not have.
-const WAITS_IN_DOUBT_OVER_FAILURES: u32 = 6;
-/// Stand-ins for the aggregators vote so many waits later at least, spread over [`STAND_IN_SPREAD`] more.
-const STAND_IN_DELAY: f64 = 1.0;
-const STAND_IN_SPREAD: f64 = 2.0;
+const WAITS_ON_SUSPECTED_FAILURES: u32 = 6;
+/// Stand-ins for the aggregators vote so many waits later at least, spread over [`BACKUP_VOTE_SPREAD_WAITS`] more.
+const BACKUP_VOTE_DELAY_WAITS: f64 = 1.0;
+const BACKUP_VOTE_SPREAD_WAITS: f64 = 2.0;
 /// Share both of the baseline's and of the requested work that must be lost to convict a build that slows old
 /// and new alike; half of it holds the advance. Short slowdowns pass.
 const MAX_LOST_SHARE: f64 = 0.35;
 /// After the release, capacity must have been lost for this long to convict.
-const LOSS_TIME_RELEASED: Duration = Duration::from_secs(15);
+const MIN_LOSS_TIME_RELEASED: Duration = Duration::from_secs(15);
 /// The list shows endpoints late: a stage whose endpoints it does not show has begun after so many minimum stage
 /// times at the latest.
-const MAX_LIST_DELAY_STAGES: u32 = 6;
+const MAX_LIST_DELAY_STAGE_TIMES: u32 = 6;
 
 /// Under a clock, doubt holds a stage for so many thirds of the minimum stage time at most.
 const MAX_HOLD_THIRDS: u32 = 4;
@@ -59,8 +59,8 @@
         if inputs.lost_share <= MAX_LOST_SHARE {
             self.voting.last_tolerable_loss = inputs.now;
         }
-        self.warn(inputs, endpoints, actions);
-        let Some(vote) = self.vote(inputs, endpoints) else {
+        self.warn_peers(inputs, endpoints, actions);
+        let Some(vote) = self.choose_vote(inputs, endpoints) else {
             return status.phase == ReleasePhase::Canary || self.has_more_to_report(status);
         };
         let stage_vote = StageVote {
@@ -68,24 +68,30 @@
             stage: status.stage,
             vote,
         };
-        self.cast(inputs, stage_vote, actions);
+        self.cast_vote(inputs, stage_vote, actions);
         true
     }
 
     /// An aggregator that is in doubt warns all peers, so that none votes to advance what it is about to convict.
-    fn warn(&mut self, inputs: VoteInputs, endpoints: &EndpointTable, actions: &mut dyn Actions) {
+    fn warn_peers(
+        &mut self,
+        inputs: VoteInputs,
+        endpoints: &EndpointTable,
+        actions: &mut dyn Actions,
+    ) {
         let VoteInputs { now, status, .. } = inputs;
         let minimum_stage_time = self.settings.minimum_stage_time;
         if status.phase != ReleasePhase::Canary || self.build != Some(status.build) {
             return;
         }
-        let oldest_fail = self.oldest_fail(endpoints, status.build);
-        if oldest_fail {
+        let oldest_endpoints_fail = self.oldest_endpoints_fail(endpoints, status.build);
+        if oldest_endpoints_fail {
             self.voting.warned_until = now + minimum_stage_time;
         }
-        let is_in_doubt = oldest_fail || self.tests.iter().any(is_doubtful);
+        let is_regression_suspected =
+            oldest_endpoints_fail || self.tests.iter().any(suggests_regression);
         if self.fleet_position.can_message_peers
-            && is_in_doubt
+            && is_regression_suspected
             && self.is_aggregator(status.build)
             && now >= self.voting.next_warning_at
         {
@@ -95,7 +101,7 @@
     }
 
     /// Casts a vote, unless the same one was cast and is not to be repeated yet.
-    fn cast(&mut self, inputs: VoteInputs, stage_vote: StageVote, actions: &mut dyn Actions) {
+    fn cast_vote(&mut self, inputs: VoteInputs, stage_vote: StageVote, actions: &mut dyn Actions) {
         let timing = self.settings.vote_timing;
         let same = self
             .voting
@@ -122,7 +128,7 @@
         actions.vote(stage_vote.build, stage_vote.stage, stage_vote.vote);
     }
 
-    fn vote(&self, inputs: VoteInputs, endpoints: &EndpointTable) -> Option<Vote> {
+    fn choose_vote(&self, inputs: VoteInputs, endpoints: &EndpointTable) -> Option<Vote> {
         let status = inputs.status;
         let is_released = match status.phase {
             ReleasePhase::Canary => false,
@@ -132,37 +138,43 @@
         if self.build != Some(status.build) {
             return None;
         }
-        if self.is_convicted(inputs, is_released) {
+        if self.should_roll_back(inputs, is_released) {
             return Some(Vote::RollBack);
         }
         if is_released {
             return None;
         }
-        let is_in_doubt =
-            self.tests.iter().any(is_doubtful) || inputs.lost_share > MAX_LOST_SHARE / 2.0;
+        let is_regression_suspected =
+            self.tests.iter().any(suggests_regression) || inputs.lost_share > MAX_LOST_SHARE / 2.0;
         if self.settings.advance_rule == AdvanceRule::Timed {
             let max_hold = self.settings.minimum_stage_time * MAX_HOLD_THIRDS / 3;
-            let doubt_ends = status.since + max_hold;
-            let holds_stage = inputs.is_held_by_operator || is_in_doubt && inputs.now < doubt_ends;
+            let hold_ends = status.since + max_hold;
+            let holds_stage =
+                inputs.is_held_by_operator || is_regression_suspected && inputs.now < hold_ends;
             return holds_stage.then_some(Vote::Hold);
         }
-        self.may_advance(inputs, is_in_doubt, endpoints)
+        self.may_advance(inputs, is_regression_suspected, endpoints)
             .then_some(Vote::Advance)
     }
 
-    fn is_convicted(&self, inputs: VoteInputs, is_released: bool) -> bool {
-        let (min_difference, loss_time) = if is_released {
-            (MIN_DIFFERENCE_RELEASED, LOSS_TIME_RELEASED)
+    fn should_roll_back(&self, inputs: VoteInputs, is_released: bool) -> bool {
+        let (min_difference, min_loss_time) = if is_released {
+            (MIN_DIFFERENCE_RELEASED, MIN_LOSS_TIME_RELEASED)
         } else {
             (0.0, Duration::ZERO)
         };
-        let level = self.level();
-        let convicts = |test: &SequentialTest| {
-            test.p_value() <= level && is_doubtful(test) && test.difference() > min_difference
+        let level = self.level_per_test();
+        let proves_regression = |test: &SequentialTest| {
+            test.p_value() <= level
+                && suggests_regression(test)
+                && test.difference() > min_difference
         };
-        let convicting_tests = self.convicting_tests(inputs.status.build);
-        self.tests.iter().take(convicting_tests).any(convicts)
-            || inputs.now > self.voting.last_tolerable_loss + loss_time
+        let rollback_test_count = self.rollback_test_count(inputs.status.build);
+        self.tests
+            .iter()
+            .take(rollback_test_count)
+            .any(proves_regression)
+            || inputs.now > self.voting.last_tolerable_loss + min_loss_time
     }
 
     /// Whether it is time to vote to advance. The aggregators vote first; others stand in, spread at random, if
@@ -171,7 +183,7 @@
     fn may_advance(
         &self,
         inputs: VoteInputs,
-        is_in_doubt: bool,
+        is_regression_suspected: bool,
         endpoints: &EndpointTable,
     ) -> bool {
         let VoteInputs { now, status, .. } = inputs;
@@ -179,28 +191,29 @@
             return false;
         };
         let mut failure_tests = self.tests.iter().rev().skip(1);
-        let is_failing = failure_tests.any(is_doubtful) || now < self.voting.warned_until;
-        let waits = if is_failing {
-            WAITS_IN_DOUBT_OVER_FAILURES
-        } else if is_in_doubt {
-            WAITS_IN_DOUBT
+        let are_failures_suspected =
+            failure_tests.any(suggests_regression) || now < self.voting.warned_until;
+        let waits = if are_failures_suspected {
+            WAITS_ON_SUSPECTED_FAILURES
+        } else if is_regression_suspected {
+            WAITS_ON_SUSPECTED_SLOWNESS
         } else {
             1
         };
-        let stand_in_waits = if self.is_aggregator(status.build) {
+        let backup_vote_waits = if self.is_aggregator(status.build) {
             0.0
         } else {
-            STAND_IN_DELAY + STAND_IN_SPREAD * self.voting.stand_in_draw
+            BACKUP_VOTE_DELAY_WAITS + BACKUP_VOTE_SPREAD_WAITS * self.voting.backup_vote_draw
         };
-        let due = newest + ADVANCE_WAIT * waits + ADVANCE_WAIT.mul_f64(stand_in_waits);
-        self.is_stage_shown(now, status, endpoints)
+        let due = newest + ADVANCE_WAIT * waits + ADVANCE_WAIT.mul_f64(backup_vote_waits);
+        self.is_stage_listed(now, status, endpoints)
             && !inputs.is_held_by_operator
             && now >= due
             && now >= status.since + self.settings.minimum_stage_time
     }
 
     /// Whether the list shows the endpoints of a stage. It runs late: until then the stage has not begun to wait.
-    fn is_stage_shown(
+    fn is_stage_listed(
         &self,
         now: Duration,
         status: ReleaseStatus,
@@ -208,11 +221,15 @@
     ) -> bool {
         let stage = usize::from(status.stage.0);
         let stage_share = self.settings.stage_shares.get(stage).copied();
-        let canaries = endpoints.catalog.count_running(status.build);
-        let added = if self.settings.in_place { 0 } else { canaries };
-        let places = endpoints.catalog.ready_count() - added;
-        canaries as f64 + 0.5 >= stage_share.unwrap_or(1.0) * places as f64
-            || now >= status.since + self.settings.minimum_stage_time * MAX_LIST_DELAY_STAGES
+        let canary_count = endpoints.catalog.count_running(status.build);
+        let added_count = if self.settings.in_place {
+            0
+        } else {
+            canary_count
+        };
+        let full_fleet_size = endpoints.catalog.ready_count() - added_count;
+        canary_count as f64 + 0.5 >= stage_share.unwrap_or(1.0) * full_fleet_size as f64
+            || now >= status.since + self.settings.minimum_stage_time * MAX_LIST_DELAY_STAGE_TIMES
     }
 }
 
--- a/crates/decision/src/state/votes.rs
+++ b/crates/decision/src/state/votes.rs
@@ -29,7 +29,7 @@
     /// Until when a peer's warning, or one's own, counts.
     pub(crate) warned_until: Duration,
     /// Random draw from 0 to 1: when this agent votes among those that stand in for the aggregators.
-    pub(crate) stand_in_draw: f64,
+    pub(crate) backup_vote_draw: f64,
     /// When the share of lost capacity was last tolerable.
     pub(crate) last_tolerable_loss: Duration,
 }
