--- a/crates/decision/examples/round_cost.rs
+++ b/crates/decision/examples/round_cost.rs
@@ -230,7 +230,7 @@
             first_list,
             same_list,
             endpoints_used: self.used.len(),
-            rows_visited: self.engine.visited(),
+            rows_visited: self.engine.rows_visited(),
         }
     }
 
--- a/crates/decision/src/engine/attempts.rs
+++ b/crates/decision/src/engine/attempts.rs
@@ -10,7 +10,7 @@
 use crate::policy::admission;
 use crate::policy::load_balancing::Choice;
 use crate::policy::retry::{
-    self, AttemptLimits, OutstandingCheck, OutstandingStep, Prospects, may_resend,
+    self, AttemptLimits, OutstandingCheck, OutstandingStep, RemainingBudget, may_resend,
 };
 use crate::policy::subsetting::{self, OutsideRules};
 use crate::state::endpoint_record::{AttemptId, OutstandingAttempt};
@@ -21,7 +21,7 @@
 
 impl DecisionEngine {
     /// Does what is due for a request; returns when to look at it again without an event.
-    pub(super) fn attend_request(
+    pub(super) fn process_request(
         &mut self,
         id: RequestId,
         actions: &mut dyn Actions,
@@ -31,7 +31,7 @@
             settings: &self.requests.settings,
             shutdown_deadline: self.requests.shutdown_deadline,
         };
-        let prospects = Prospects::new(self.now, self.tick, request, limits, &self.load);
+        let budget = RemainingBudget::new(self.now, self.tick, request, limits, &self.load);
         if let Some((number, attempt)) = request.first_outstanding() {
             let outstanding = OutstandingCheck {
                 number,
@@ -39,18 +39,17 @@
                 record: self.endpoints.records.get(&attempt.endpoint),
                 may_cancel: self.requests.settings.may_cancel,
             };
-            let step =
-                retry::check_outstanding(self.now, self.tick, request, prospects, outstanding);
-            return self.follow(step, id, actions);
+            let step = retry::check_outstanding(self.now, self.tick, request, budget, outstanding);
+            return self.apply_step(step, id, actions);
         }
-        if let Some(reason) = self.reason_to_give_up(id, prospects) {
+        if let Some(reason) = self.reason_to_give_up(id, budget) {
             self.give_up(id, reason, actions);
             return None;
         }
         self.try_attempt(id, actions)
     }
 
-    fn follow(
+    fn apply_step(
         &mut self,
         step: OutstandingStep,
         id: RequestId,
@@ -69,30 +68,34 @@
     }
 
     /// Why a request without an outstanding attempt is to be given up, if it is.
-    fn reason_to_give_up(&mut self, id: RequestId, prospects: Prospects) -> Option<GiveUpReason> {
+    fn reason_to_give_up(
+        &mut self,
+        id: RequestId,
+        budget: RemainingBudget,
+    ) -> Option<GiveUpReason> {
         let request = self.requests.by_id.get(&id)?;
-        let is_worthless = prospects.is_worthless(request);
-        let is_fresh = retry::is_fresh(request);
+        let is_answer_worthless = budget.is_answer_worthless(request);
+        let is_first_or_was_rejected = retry::is_first_or_was_rejected(request);
         let has_failed = request.last_outcome() == Some(Outcome::Failed);
         let policy = request.policy;
-        let is_futile = has_failed && {
+        let gives_up_retrying = has_failed && {
             let success = self.demand.retry_success(self.now, self.load.few_requests);
             self.random.random::<f64>() > retry::retry_probability(success)
         };
-        if is_worthless {
+        if is_answer_worthless {
             return Some(GiveUpReason::TooLate);
         }
-        if !prospects.may_attempt {
+        if !budget.may_attempt {
             return Some(GiveUpReason::NoAttemptLeft);
         }
-        if !is_fresh {
-            return is_futile.then_some(GiveUpReason::RetriesFail);
+        if !is_first_or_was_rejected {
+            return gives_up_retrying.then_some(GiveUpReason::RetriesFail);
         }
         let probability = self.overload().rejection_probability(
             &self.demand,
             &self.requests.settings.classes,
             &policy,
-            prospects.objective_left,
+            budget.objective_left,
         );
         let is_rejected = self.random.random::<f64>() < probability;
         is_rejected.then_some(GiveUpReason::Overload)
--- a/crates/decision/src/engine/event_handling.rs
+++ b/crates/decision/src/engine/event_handling.rs
@@ -5,7 +5,7 @@
 use rand::RngExt;
 
 use super::DecisionEngine;
-use super::outcomes::EndedAt;
+use super::outcomes::AttemptResult;
 use crate::events::EventHandler;
 use crate::model::{
     AgentId, AttemptNumber, Build, Endpoint, EndpointId, ListUpdate, Outcome, ReleasePhase,
@@ -71,7 +71,7 @@
             .get_mut(&endpoint)
             .and_then(|record| record.outstanding.remove(&attempt_id));
         if let Some(outstanding) = outstanding {
-            self.on_outcome(&EndedAt {
+            self.on_outcome(&AttemptResult {
                 id: attempt_id,
                 endpoint,
                 attempt: &outstanding,
--- a/crates/decision/src/engine/mod.rs
+++ b/crates/decision/src/engine/mod.rs
@@ -35,9 +35,9 @@
 /// A wake-up later than this many ticks: the agent itself stood still, and takes none of it for others' faults.
 const STALL_TICKS: u32 = 20;
 /// The engine wakes up again after so many ticks at the earliest.
-const MIN_PAUSE_TICKS: u32 = 2;
+const MIN_WAKE_UP_DELAY_TICKS: u32 = 2;
 /// Bounds of the random pause between own reports, as shares of the minimum stage time.
-const REPORT_PAUSE: std::ops::Range<f64> = 0.5..0.8;
+const REPORT_PAUSE_SHARE: std::ops::Range<f64> = 0.5..0.8;
 
 /// Makes all decisions of one agent. Everything that happened since the last round goes into
 /// [`DecisionEngine::round`]; what is decided comes out of it.
@@ -99,7 +99,7 @@
         events: impl FnOnce(&mut dyn EventHandler),
         actions: &mut dyn Actions,
     ) {
-        self.begin(now);
+        self.begin_round(now);
         events(self);
         if self.list_polling.take_due(now) {
             actions.watch_endpoints(true);
@@ -108,14 +108,14 @@
             self.refresh();
             self.close_idle_connections(actions);
         }
-        let check_at = self.attend_requests(actions);
-        let mut is_awake = !self.requests.by_id.is_empty() || self.schedule.events > 0;
-        is_awake |= self.attend_release(actions);
+        let check_at = self.process_requests(actions);
+        let mut has_more_work = !self.requests.by_id.is_empty() || self.schedule.events > 0;
+        has_more_work |= self.process_release(actions);
         self.notes.drain(..).for_each(|note| actions.note(note));
-        self.schedule_wake_up(check_at, is_awake, actions);
+        self.schedule_wake_up(check_at, has_more_work, actions);
     }
 
-    fn begin(&mut self, now: Duration) {
+    fn begin_round(&mut self, now: Duration) {
         let previous = std::mem::replace(&mut self.now, now);
         let started_at = *self.exposure.windows.started_at.get_or_insert(now);
         let latest_wake_up = self
@@ -138,7 +138,7 @@
     }
 
     /// Attends to all requests, the oldest first; returns when to look at one again without an event.
-    fn attend_requests(&mut self, actions: &mut dyn Actions) -> Duration {
+    fn process_requests(&mut self, actions: &mut dyn Actions) -> Duration {
         let order: BTreeSet<(Duration, RequestId)> = self
             .requests
             .by_id
@@ -147,7 +147,7 @@
             .collect();
         let mut check_at = self.now + self.tick * REFRESH_TICKS;
         for (_, id) in order {
-            if let Some(next) = self.attend_request(id, actions) {
+            if let Some(next) = self.process_request(id, actions) {
                 check_at = check_at.min(next);
             }
         }
@@ -155,11 +155,11 @@
     }
 
     /// Reports on the newest build and votes on it; returns whether there may be more to do before another event.
-    fn attend_release(&mut self, actions: &mut dyn Actions) -> bool {
+    fn process_release(&mut self, actions: &mut dyn Actions) -> bool {
         let Some(status) = self.exposure.release_status else {
             return false;
         };
-        let pause = self.random.random_range(REPORT_PAUSE);
+        let pause = self.random.random_range(REPORT_PAUSE_SHARE);
         let resumed_at = self.schedule.resumed_at;
         self.analysis
             .report(self.now, resumed_at, status, pause, actions);
@@ -175,8 +175,13 @@
 
     /// Schedules the next round. With nothing pending, outstanding or to be analysed, the next event brings its
     /// own refresh: until then, none is due.
-    fn schedule_wake_up(&mut self, check_at: Duration, is_awake: bool, actions: &mut dyn Actions) {
-        let is_idle = !is_awake
+    fn schedule_wake_up(
+        &mut self,
+        check_at: Duration,
+        has_more_work: bool,
+        actions: &mut dyn Actions,
+    ) {
+        let is_idle = !has_more_work
             && self
                 .endpoints
                 .walk()
@@ -184,7 +189,7 @@
         let next = if is_idle {
             self.list_polling.next_request_at
         } else {
-            Some(check_at.max(self.now + self.tick * MIN_PAUSE_TICKS))
+            Some(check_at.max(self.now + self.tick * MIN_WAKE_UP_DELAY_TICKS))
         };
         let scheduled = self.schedule.wake_up_at;
         if scheduled <= self.now || next.is_some_and(|next| next < scheduled) {
@@ -228,7 +233,7 @@
     }
 
     /// Rows of the list and records looked at since the start, for tests and measurements. Nothing depends on it.
-    pub fn visited(&self) -> u64 {
+    pub fn rows_visited(&self) -> u64 {
         self.endpoints.catalog.visited()
     }
 }
--- a/crates/decision/src/engine/outcomes.rs
+++ b/crates/decision/src/engine/outcomes.rs
@@ -3,7 +3,7 @@
 
 use super::DecisionEngine;
 use crate::model::{Arm, EndpointId, Outcome};
-use crate::policy::outcome_scoring::{ObservedOutcome, QUEUE_SHARE};
+use crate::policy::outcome_scoring::{ObservedOutcome, QUEUE_WAIT_SHARE};
 use crate::policy::outlier_ejection;
 use crate::state::demand::EndedAttempt;
 use crate::state::endpoint_record::{AttemptId, EndpointRecord, OutstandingAttempt};
@@ -11,7 +11,7 @@
 use crate::state::evidence::WorkSums;
 
 /// An attempt that has ended.
-pub(super) struct EndedAt<'a> {
+pub(super) struct AttemptResult<'a> {
     pub(super) id: AttemptId,
     pub(super) endpoint: EndpointId,
     pub(super) attempt: &'a OutstandingAttempt,
@@ -21,7 +21,7 @@
 
 impl DecisionEngine {
     /// Takes in how an attempt ended.
-    pub(super) fn on_outcome(&mut self, ended: &EndedAt<'_>) {
+    pub(super) fn on_outcome(&mut self, ended: &AttemptResult<'_>) {
         let now = self.now;
         let is_served = ended.outcome == Outcome::Succeeded;
         let Some(record) = self.endpoints.records.get(&ended.endpoint) else {
@@ -35,7 +35,7 @@
         };
         let is_endpoint_alive = record.health.last_response > ended.attempt.sent_at;
         // What was outstanding while the agent itself stood still is no evidence.
-        let is_distorted = ended.attempt.sent_at < self.schedule.resumed_at;
+        let spans_stall = ended.attempt.sent_at < self.schedule.resumed_at;
         let ended_attempt = EndedAttempt {
             number: ended.id.number,
             outcome: ended.outcome,
@@ -46,7 +46,7 @@
         if let Some(record) = self.endpoints.records.get_mut(&ended.endpoint) {
             let (outcome, sent_at) = (ended.outcome, ended.attempt.sent_at);
             record.health.on_attempt_ended(now, outcome, sent_at);
-            if is_served && !is_distorted {
+            if is_served && !spans_stall {
                 record.health.on_served(now, ended.took, ended.attempt.work);
             }
             if is_served {
@@ -56,8 +56,8 @@
                 .extend(outlier_ejection::eject_outlier(record, now, outcome, peers));
         }
         self.schedule.events += 1;
-        if !is_distorted {
-            self.analyse(ended, is_endpoint_alive);
+        if !spans_stall {
+            self.record_evidence(ended, is_endpoint_alive);
         }
         if is_served {
             let request = self.requests.by_id.get(&ended.id.request);
@@ -65,7 +65,7 @@
         }
     }
 
-    fn is_late(&self, ended: &EndedAt<'_>) -> bool {
+    fn is_late(&self, ended: &AttemptResult<'_>) -> bool {
         self.requests
             .policy(ended.attempt.class)
             .is_some_and(|policy| ended.took > policy.latency_objective)
@@ -86,7 +86,7 @@
     /// Passes an outcome to the tests. Slowness counts only without a queue, while both builds answer, and not of
     /// an endpoint that was warming up, which is slow but fails no more than others. Guards against bursts, slow
     /// starts, dead machines and shared slowdowns.
-    fn analyse(&mut self, ended: &EndedAt<'_>, is_endpoint_alive: bool) {
+    fn record_evidence(&mut self, ended: &AttemptResult<'_>, is_endpoint_alive: bool) {
         let attempt = ended.attempt;
         let Some(&policy) = self.requests.policy(attempt.class) else {
             return;
@@ -104,9 +104,9 @@
         if arm == Arm::Baseline && !is_comparable {
             return;
         }
-        let is_timing_fair = is_comparable
+        let is_timing_comparable = is_comparable
             && !attempt.was_warming_up
-            && self.overload().wait_share(policy.latency_objective) < QUEUE_SHARE;
+            && self.overload().wait_share(policy.latency_objective) < QUEUE_WAIT_SHARE;
         let record = self.endpoints.records.get(&ended.endpoint);
         let model_paces = &self.analysis.evidence.model_paces;
         let observed = ObservedOutcome {
@@ -115,7 +115,7 @@
             outcome: ended.outcome,
             took: ended.took,
             is_endpoint_alive,
-            is_timing_fair,
+            is_timing_comparable,
             model_pace: record.and_then(|record| model_paces.get(&record.endpoint.model).copied()),
             mean_work: self.load.mean_work,
         };
--- a/crates/decision/src/policy/outcome_scoring.rs
+++ b/crates/decision/src/policy/outcome_scoring.rs
@@ -8,7 +8,7 @@
 /// An answer that takes so many times its latency objective counts as a failure, where slowness is evidence.
 const FAILED_OBJECTIVE_MULTIPLE: u32 = 2;
 /// Wait beyond the work, as a share of the latency objective, that counts as a queue: then slowness is no evidence.
-pub(crate) const QUEUE_SHARE: f64 = 0.15;
+pub(crate) const QUEUE_WAIT_SHARE: f64 = 0.15;
 /// An answer is slow that takes so many times its model's usual time at earlier builds: a build that needs more
 /// work seldom takes twice the latency objective.
 const SLOW_MULTIPLE: f64 = 1.5;
@@ -22,7 +22,7 @@
     /// The endpoint has answered something since the attempt was sent.
     pub(crate) is_endpoint_alive: bool,
     /// Slowness is evidence: both arms answer, the endpoint had warmed up, and there is no queue.
-    pub(crate) is_timing_fair: bool,
+    pub(crate) is_timing_comparable: bool,
     /// The usual pace of the endpoint's model at earlier builds.
     pub(crate) model_pace: Option<f64>,
     /// Mean work of a request, in seconds.
@@ -36,7 +36,7 @@
         let is_failure = self.is_failure()?;
         let model_pace = self
             .model_pace
-            .filter(|_| self.is_timing_fair && self.outcome == Outcome::Succeeded);
+            .filter(|_| self.is_timing_comparable && self.outcome == Outcome::Succeeded);
         Some(OutcomeCounts {
             outcomes: 1,
             failures: u8::from(is_failure),
@@ -47,7 +47,7 @@
 
     fn is_failure(&self) -> Option<bool> {
         let max_time = self.policy.latency_objective * FAILED_OBJECTIVE_MULTIPLE;
-        let is_too_late = self.is_timing_fair && self.took > max_time;
+        let is_too_late = self.is_timing_comparable && self.took > max_time;
         match self.outcome {
             Outcome::Failed => Some(true),
             Outcome::Succeeded => Some(is_too_late),
--- a/crates/decision/src/policy/retry.rs
+++ b/crates/decision/src/policy/retry.rs
@@ -12,26 +12,26 @@
 /// No attempt begins within so many ticks of the deadline.
 const MIN_TIME_LEFT_TICKS: u32 = 4;
 /// An attempt may be lost when it has taken so many times the expected time...
-const PATIENCE_MULTIPLE: u32 = 4;
+const MIN_WAIT_EXPECTED_MULTIPLE: u32 = 4;
 /// ... and a fraction of the latency objective: one divided by this.
-const PATIENCE_OBJECTIVE_DIVISOR: u32 = 4;
+const MIN_WAIT_OBJECTIVE_DIVISOR: u32 = 4;
 /// An attempt that may be lost is looked at again after so many ticks.
 const LOST_CHECK_TICKS: u32 = 8;
 /// Retries go on with a probability of the share that was served of late, and so much more.
-const RETRY_BONUS: f64 = 0.1;
+const RETRY_PROBABILITY_BONUS: f64 = 0.1;
 
 /// Times that decide what may still be done for a request.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Prospects {
+pub(crate) struct RemainingBudget {
     /// How long an attempt is expected to take.
-    pub(crate) expected: Duration,
+    pub(crate) expected_time: Duration,
     /// What is left of the latency objective.
     pub(crate) objective_left: Duration,
     /// Whether another attempt may be made.
     pub(crate) may_attempt: bool,
 }
 
-impl Prospects {
+impl RemainingBudget {
     pub(crate) fn new(
         now: Duration,
         tick: Duration,
@@ -39,27 +39,27 @@
         limits: AttemptLimits<'_>,
         load: &LoadEstimate,
     ) -> Self {
-        let expected = load.median_pace * request.work.max(load.mean_work);
-        let expected = Duration::from_secs_f64(expected.min(MAX_EXPECTED_SECONDS));
+        let expected_time = load.median_pace * request.work.max(load.mean_work);
+        let expected_time = Duration::from_secs_f64(expected_time.min(MAX_EXPECTED_SECONDS));
         // When the agent shuts down, nothing begins of which it would not see the end.
         let deadline = request.request.deadline;
         let needed = if deadline == limits.shutdown_deadline {
-            expected
+            expected_time
         } else {
             Duration::ZERO
         };
         let has_time = deadline.saturating_sub(now) > needed.max(tick * MIN_TIME_LEFT_TICKS);
         let has_attempts = request.attempts.len() < limits.settings.max_attempts;
         let objective = request.arrived_at + request.policy.latency_objective;
-        Prospects {
-            expected,
+        RemainingBudget {
+            expected_time,
             objective_left: objective.saturating_sub(now),
             may_attempt: has_time && has_attempts && may_resend(request, now),
         }
     }
 
     /// Whether an answer could no longer earn anything.
-    pub(crate) fn is_worthless(&self, request: &PendingRequest) -> bool {
+    pub(crate) fn is_answer_worthless(&self, request: &PendingRequest) -> bool {
         self.objective_left.is_zero() && request.policy.late_weight_share <= 0.0
     }
 }
@@ -92,7 +92,7 @@
 }
 
 /// Whether the next attempt is no retry of something that failed.
-pub(crate) fn is_fresh(request: &PendingRequest) -> bool {
+pub(crate) fn is_first_or_was_rejected(request: &PendingRequest) -> bool {
     request.attempts.is_empty() || request.last_outcome() == Some(Outcome::Rejected)
 }
 
@@ -100,7 +100,7 @@
 /// late. Guards against storms over requests that fail wherever they go; harms for some time where a fault
 /// has just passed.
 pub(crate) fn retry_probability(retry_success: f64) -> f64 {
-    retry_success + RETRY_BONUS
+    retry_success + RETRY_PROBABILITY_BONUS
 }
 
 /// What is to be done about an outstanding attempt.
@@ -124,7 +124,7 @@
     now: Duration,
     tick: Duration,
     request: &PendingRequest,
-    prospects: Prospects,
+    budget: RemainingBudget,
     outstanding: OutstandingCheck<'_>,
 ) -> OutstandingStep {
     let OutstandingCheck {
@@ -133,13 +133,13 @@
         record,
         may_cancel,
     } = outstanding;
-    if !prospects.may_attempt || prospects.objective_left.is_zero() {
+    if !budget.may_attempt || budget.objective_left.is_zero() {
         return OutstandingStep::Await;
     }
-    let min_patience = request.policy.latency_objective / PATIENCE_OBJECTIVE_DIVISOR;
-    let patience = (prospects.expected * PATIENCE_MULTIPLE).max(min_patience);
-    if now < attempt.sent_at + patience {
-        return OutstandingStep::CheckAt(attempt.sent_at + patience);
+    let objective_part = request.policy.latency_objective / MIN_WAIT_OBJECTIVE_DIVISOR;
+    let min_wait = (budget.expected_time * MIN_WAIT_EXPECTED_MULTIPLE).max(objective_part);
+    if now < attempt.sent_at + min_wait {
+        return OutstandingStep::CheckAt(attempt.sent_at + min_wait);
     }
     let is_lost = record.is_none_or(|record| {
         let is_overtaken = record.health.latest_answered_sent_at > attempt.sent_at;
--- a/crates/decision/tests/engine/subset/cost.rs
+++ b/crates/decision/tests/engine/subset/cost.rs
@@ -20,24 +20,24 @@
 /// The rows that an agent looks at in ten seconds with a change of the list a second, once it has the list.
 fn rows_visited(listed: u32) -> RowsVisited {
     let mut simulation = Simulation::new(17, &endpoints(listed));
-    let (at_start, mut worst_round) = (simulation.engine.visited(), 0);
+    let (at_start, mut worst_round) = (simulation.engine.rows_visited(), 0);
     for tick in 0..1000 {
-        let before = simulation.engine.visited();
+        let before = simulation.engine.rows_visited();
         let requests = requests_in_tick(tick, REQUESTS_PER_SECOND);
         simulation.tick(requests, IDEMPOTENT, all_succeed);
-        worst_round = worst_round.max(simulation.engine.visited() - before);
+        worst_round = worst_round.max(simulation.engine.rows_visited() - before);
         if tick % 100 == 50 {
-            let before = simulation.engine.visited();
+            let before = simulation.engine.rows_visited();
             simulation.change(vec![Endpoint {
                 started: Some(simulation.now),
                 ..endpoint(tick * 7919 % listed)
             }]);
-            worst_round = worst_round.max(simulation.engine.visited() - before);
+            worst_round = worst_round.max(simulation.engine.rows_visited() - before);
         }
     }
     RowsVisited {
         worst_round,
-        all: simulation.engine.visited() - at_start,
+        all: simulation.engine.rows_visited() - at_start,
     }
 }
 
