--- a/crates/decision/src/engine/attempts.rs
+++ b/crates/decision/src/engine/attempts.rs
@@ -12,7 +12,7 @@
 use crate::policy::retry::{
     self, AttemptLimits, OutstandingCheck, OutstandingStep, RemainingBudget, may_resend,
 };
-use crate::policy::subsetting::{self, OutsideRules};
+use crate::policy::subsetting::{self, OutsideSearch};
 use crate::state::endpoint_record::{AttemptId, OutstandingAttempt};
 use crate::state::pending_requests::{Attempt, PossibleExecution, RandomDraw};
 
@@ -126,16 +126,16 @@
         let request = self.requests.by_id.get(&id)?;
         let fallback = match self.selection().choose(request, &mut random) {
             Choice::Endpoint(endpoint) => return Some(endpoint),
-            Choice::SearchOutside { fallback } => fallback,
+            Choice::SearchOutsideSubset { fallback } => fallback,
         };
-        let rules = OutsideRules {
+        let search = OutsideSearch {
             now: self.now,
             candidates: &self.candidates,
             slow_start: &self.slow_start,
             exposure: &self.exposure,
         };
-        let found = subsetting::add_outside(&mut self.endpoints, request, rules, &mut random);
-        subsetting::draw_outside(&self.selection(), &found, request, &mut random).or(fallback)
+        let found = subsetting::add_from_outside(&mut self.endpoints, request, search, &mut random);
+        subsetting::draw_from_outside(&self.selection(), &found, request, &mut random).or(fallback)
     }
 
     /// Whether the operator's rules close all endpoints that could take a request. Guards against holding it in
--- a/crates/decision/src/policy/admission.rs
+++ b/crates/decision/src/policy/admission.rs
@@ -10,17 +10,17 @@
 /// Expected wait, as a share of the time left, at which rejections begin for requests without priority.
 const TOLERATED_WAIT_SHARE: f64 = 0.15;
 /// So much more is tolerated for requests of the highest priority.
-const PRIORITY_BONUS: f64 = 0.1;
+const PRIORITY_WAIT_SHARE_BONUS: f64 = 0.1;
 /// Beyond the tolerated share, rejections grow to all requests over this much more.
-const WAIT_RANGE: f64 = 0.25;
+const WAIT_SHARE_RANGE: f64 = 0.25;
 /// Share of late answers at which rejections begin. It is all that an agent sees of a queue with hardly a request
 /// of its own in it: one with two requests a second sees none by what is outstanding.
 const TOLERATED_LATE_SHARE: f64 = 0.15;
 /// Beyond that share, rejections grow by this factor.
-const LATE_FACTOR: f64 = 2.0;
+const LATE_SHARE_FACTOR: f64 = 2.0;
 /// So many idle requests are assumed beside those outstanding, which keeps little traffic from looking like a
 /// queue.
-const ASSUMED_IDLE_REQUESTS: f64 = 4.0;
+const PRIOR_REQUESTS: f64 = 4.0;
 
 /// What overload is measured by.
 #[derive(Clone, Copy)]
@@ -43,8 +43,8 @@
             return 0.0;
         }
         let idle_wait = self.load.mean_work;
-        let outstanding = self.endpoints.outstanding_count() as f64 + ASSUMED_IDLE_REQUESTS;
-        let wait = outstanding / (self.load.served_rate + ASSUMED_IDLE_REQUESTS / idle_wait);
+        let outstanding = self.endpoints.outstanding_count() as f64 + PRIOR_REQUESTS;
+        let wait = outstanding / (self.load.served_rate + PRIOR_REQUESTS / idle_wait);
         (wait - idle_wait) / time.as_secs_f64().max(1e-6)
     }
 
@@ -64,10 +64,10 @@
             .fold(f64::MIN_POSITIVE, f64::max);
         let wait_share = self.wait_share(objective_left);
         let late_share = demand.late_share(self.now, self.load.few_requests);
-        let bonus = PRIORITY_BONUS * policy.priority_weight / highest_priority;
+        let bonus = PRIORITY_WAIT_SHARE_BONUS * policy.priority_weight / highest_priority;
         let overload = f64::max(
-            (wait_share - TOLERATED_WAIT_SHARE - bonus) / WAIT_RANGE,
-            LATE_FACTOR * (late_share - TOLERATED_LATE_SHARE),
+            (wait_share - TOLERATED_WAIT_SHARE - bonus) / WAIT_SHARE_RANGE,
+            LATE_SHARE_FACTOR * (late_share - TOLERATED_LATE_SHARE),
         );
         overload.max(demand.rejected_share(self.now))
     }
--- a/crates/decision/src/policy/endpoint_odds.rs
+++ b/crates/decision/src/policy/endpoint_odds.rs
@@ -13,7 +13,7 @@
 
 /// Odds of an endpoint that is not assigned to the agent, over those of an assigned one: it is used only when no
 /// assigned one accepts.
-const UNASSIGNED_ODDS: f64 = 1e-3;
+const UNASSIGNED_ODDS_FACTOR: f64 = 1e-3;
 /// The canary gets no share while so many times as much waits there, for its weight, as at earlier builds.
 const QUEUE_IMBALANCE: f64 = 1.5;
 
@@ -54,14 +54,14 @@
         let listed_share = listed_weight.canary / total_weight.max(1e-9);
         // No share while more waits at the canary, for its weight, than elsewhere. Guards against few, slow
         // machines that queue and look like a slow build: unequal loads do not compare.
-        let is_queued = arms.canary.outstanding * listed_weight.baseline
+        let is_canary_congested = arms.canary.outstanding * listed_weight.baseline
             > QUEUE_IMBALANCE * (arms.baseline.outstanding + 1.0) * listed_weight.canary
             && listed_weight.baseline > 0.0;
         // A cap, or a full window, keeps from the canary what is its share: at times all goes to the earlier
         // builds, of which few, warming up, are left where a build is rolled back. So these count with all.
         for (arm, share) in [(Arm::Baseline, 1.0), (Arm::Canary, listed_share)] {
             let listed = listed_weight[arm];
-            self.assign(arm, share, listed, &mut arms[arm], endpoints);
+            self.assign_odds(arm, share, listed, &mut arms[arm], endpoints);
         }
         Candidates {
             by_arm: PerArm {
@@ -69,7 +69,11 @@
                 canary: arms.canary.candidates,
             },
             listed_weight,
-            canary_share: if is_queued { 0.0 } else { listed_share },
+            canary_share: if is_canary_congested {
+                0.0
+            } else {
+                listed_share
+            },
             is_panic: self.is_panic,
         }
     }
@@ -115,7 +119,7 @@
 
     /// Lowers the odds of endpoints that are not assigned to the agent, and records each one's part of an arm
     /// that gets this share of the requests.
-    fn assign(
+    fn assign_odds(
         &self,
         arm: Arm,
         share: f64,
@@ -143,7 +147,11 @@
             }
             let distance = (index as f64 / count - first).rem_euclid(1.0) * count;
             let is_assigned = distance < self.assigned_count;
-            candidate.odds *= if is_assigned { 1.0 } else { UNASSIGNED_ODDS };
+            candidate.odds *= if is_assigned {
+                1.0
+            } else {
+                UNASSIGNED_ODDS_FACTOR
+            };
         }
     }
 }
--- a/crates/decision/src/policy/idle_connections.rs
+++ b/crates/decision/src/policy/idle_connections.rs
@@ -6,7 +6,7 @@
 use crate::state::endpoint_table::EndpointTable;
 
 /// Share of attempts without a connection at which connections are short.
-const CONNECTION_SHORTAGE: f64 = 0.05;
+const MAX_CONNECTION_SHORTAGE: f64 = 0.05;
 
 /// The endpoints whose idle connections are closed: all, where connections are short. Guards against endpoints
 /// that accept far fewer than usual; costs handshakes.
@@ -15,7 +15,7 @@
     demand: &Demand,
     endpoints: &mut EndpointTable,
 ) -> Vec<EndpointId> {
-    if demand.connection_shortage(now) > CONNECTION_SHORTAGE {
+    if demand.connection_shortage(now) > MAX_CONNECTION_SHORTAGE {
         endpoints.disconnect_idle()
     } else {
         Vec::new()
--- a/crates/decision/src/policy/list_polling.rs
+++ b/crates/decision/src/policy/list_polling.rs
@@ -17,11 +17,11 @@
 
 /// The longest pause after a failed request. A change counts as announced 6 s after the service can be reached, and the
 /// request itself may last 2 s.
-const LONGEST_PAUSE: Duration = Duration::from_millis(3900);
+const MAX_RETRY_PAUSE: Duration = Duration::from_millis(3900);
 
 /// A pause after a failed request lasts this share of its length at least. Failures of a service that is too slow are
 /// spread already, by when the requests were made; a wide draw would make them meet again.
-const LEAST_PAUSE_SHARE: f64 = 0.85;
+const MIN_RETRY_PAUSE_SHARE: f64 = 0.85;
 
 /// Requests of the endpoint list.
 #[derive(Debug)]
@@ -68,10 +68,12 @@
         let backoff = self.backoff;
         let jitter = random.random::<f64>();
         // Each agent has a part of the spread of its own, so that no two of them draw the same time.
-        let turn = (f64::from(position.own_id.0) + jitter) / f64::from(agent_count);
+        let position_in_spread = (f64::from(position.own_id.0) + jitter) / f64::from(agent_count);
         let (wait, next_backoff) = match update {
             ListUpdate::Cached => (
-                spread.min(LONGEST_PAUSE).mul_f64(turn.min(1.0)),
+                spread
+                    .min(MAX_RETRY_PAUSE)
+                    .mul_f64(position_in_spread.min(1.0)),
                 min_backoff,
             ),
             ListUpdate::Failed if backoff.is_zero() => (
@@ -82,8 +84,8 @@
             ),
             ListUpdate::Failed => (
                 backoff
-                    .min(LONGEST_PAUSE)
-                    .mul_f64(LEAST_PAUSE_SHARE + (1.0 - LEAST_PAUSE_SHARE) * jitter),
+                    .min(MAX_RETRY_PAUSE)
+                    .mul_f64(MIN_RETRY_PAUSE_SHARE + (1.0 - MIN_RETRY_PAUSE_SHARE) * jitter),
                 (backoff * 2).min(within),
             ),
             ListUpdate::Delta | ListUpdate::Full => {
--- a/crates/decision/src/policy/load_balancing.rs
+++ b/crates/decision/src/policy/load_balancing.rs
@@ -18,13 +18,13 @@
 use crate::state::pending_requests::PendingRequest;
 
 /// A few draws mostly find an endpoint that accepts; where little is open, the whole arm is searched.
-const DRAWS: usize = 4;
+const MAX_DRAWS: usize = 4;
 /// An endpoint that a request has been to already is chosen with odds lower by this factor.
-const RETRIED_ODDS_DIVISOR: f64 = 100.0;
+const REPEATED_ENDPOINT_ODDS_DIVISOR: f64 = 100.0;
 /// Cost of an endpoint in another zone, over that of one in the agent's own.
-const REMOTE_ZONE_COST: f64 = 2.0;
+const REMOTE_ZONE_COST_MULTIPLE: f64 = 2.0;
 /// Weight of the failure share in the cost: an endpoint that fails everything costs ten times as much.
-const FAILURE_COST: f64 = 0.9;
+const FAILURE_COST_WEIGHT: f64 = 0.9;
 /// An endpoint's recent pace counts fully against its baseline when it rests on the work of so many requests.
 const PACE_PRIOR_REQUESTS: f64 = 2.0;
 /// Lower bound of an endpoint's long-run pace.
@@ -49,7 +49,7 @@
     /// An endpoint.
     Endpoint(EndpointId),
     /// None, or with a subset only one that the request has been to: outside the subset there may be another.
-    SearchOutside {
+    SearchOutsideSubset {
         /// The endpoint that it has been to.
         fallback: Option<EndpointId>,
     },
@@ -98,7 +98,7 @@
             let is_cheaper = self.cost(second) < self.cost(first);
             return Choice::Endpoint(if is_cheaper { second } else { first });
         }
-        Choice::SearchOutside { fallback }
+        Choice::SearchOutsideSubset { fallback }
     }
 
     /// Draws an endpoint that accepts the request and that it has not been to.
@@ -111,7 +111,7 @@
         candidates: &[Candidate],
         random: &mut Pcg64Mcg,
     ) -> Result<Option<EndpointId>, WeightError> {
-        for _ in 0..DRAWS {
+        for _ in 0..MAX_DRAWS {
             let drawn = candidates.choose_weighted(random, |candidate| candidate.odds)?;
             let endpoint = drawn.endpoint;
             if self.permits(request, endpoint) && !request.was_sent_to(endpoint) {
@@ -138,7 +138,7 @@
             .collect();
         let odds = |candidate: &&Candidate| {
             if request.was_sent_to(candidate.endpoint) {
-                candidate.odds / RETRIED_ODDS_DIVISOR
+                candidate.odds / REPEATED_ENDPOINT_ODDS_DIVISOR
             } else {
                 candidate.odds
             }
@@ -186,13 +186,13 @@
         let zone_cost = if record.endpoint.zone == self.local_zone {
             1.0
         } else {
-            REMOTE_ZONE_COST
+            REMOTE_ZONE_COST_MULTIPLE
         };
         let slowdown =
             recent_pace(record, self.now, self.load) / baseline_pace(record, self.now, self.load);
         let outstanding =
             record.outstanding.len() as f64 * self.load.mean_weight / record.weight().max(1e-3);
         zone_cost * (1.0 + outstanding) * slowdown
-            / (1.0 - FAILURE_COST * record.health.failure_share(self.now))
+            / (1.0 - FAILURE_COST_WEIGHT * record.health.failure_share(self.now))
     }
 }
--- a/crates/decision/src/policy/slow_start.rs
+++ b/crates/decision/src/policy/slow_start.rs
@@ -8,11 +8,11 @@
 
 /// Each agent sends at most this share of what would overload an endpoint. With 0.9, and by listed weight alone,
 /// an endpoint of a slow model was overloaded.
-const BUDGET_SHARE: f64 = 0.75;
+const OVERLOAD_BUDGET_SHARE: f64 = 0.75;
 /// For so many eighths of the ramp slowness is no evidence.
-const EVIDENCE_RAMP_EIGHTHS: u32 = 9;
+const NO_EVIDENCE_RAMP_EIGHTHS: u32 = 9;
 /// A request chooses between two endpoints, so that one may get twice its share.
-const CHOICES: f64 = 2.0;
+const CHOICES_PER_REQUEST: f64 = 2.0;
 
 /// What the budget of an endpoint is worked out from.
 #[derive(Clone, Copy, Debug)]
@@ -44,7 +44,7 @@
     /// the ramp, since the list shows starts late.
     pub(crate) fn was_warming_up(&self, endpoint: &Endpoint, sent_at: Duration) -> bool {
         endpoint.started.is_some_and(|started| {
-            sent_at < started + self.settings.ramp * EVIDENCE_RAMP_EIGHTHS / 8
+            sent_at < started + self.settings.ramp * NO_EVIDENCE_RAMP_EIGHTHS / 8
         })
     }
 
@@ -62,7 +62,7 @@
         let capacity_share = self.capacity_share(record.age(now));
         let window = self.settings.overload_window;
         let sent_work = || record.sent_work(now, window);
-        let budget = BUDGET_SHARE
+        let budget = OVERLOAD_BUDGET_SHARE
             * self.settings.overload_multiple
             * capacity_share
             * load.full_rate
@@ -70,7 +70,7 @@
         let draw = request.slow_start_draw.value;
         let may_be_first = || {
             record.outstanding.is_empty()
-                && draw * CHOICES * record.traffic_share * load.work_due < budget
+                && draw * CHOICES_PER_REQUEST * record.traffic_share * load.work_due < budget
                 && sent_work() == 0.0
         };
         capacity_share >= 1.0 || sent_work() + request.work <= budget || may_be_first()
--- a/crates/decision/src/policy/subsetting.rs
+++ b/crates/decision/src/policy/subsetting.rs
@@ -23,35 +23,35 @@
 
 /// So many endpoints of an arm serve an agent with hardly a request outstanding: enough to choose and to lose
 /// some.
-const MIN_ASSIGNED: f64 = 8.0;
+const MIN_ASSIGNED_ENDPOINTS: f64 = 8.0;
 /// Of an arm with more endpoints an agent works with a subset of so many, or a power of two times as many: twice
 /// its assigned ones at least, to lose some, and fewer again beyond five times, so that the size does not swing.
 /// The cost of a walk follows it. Large enough for the assigned endpoints of a usual agent, whose place by rank
 /// may lie some way off its place on the ring.
-pub(crate) const MIN_SUBSET_SIZE: f64 = 20.0 * MIN_ASSIGNED;
+pub(crate) const MIN_SUBSET_SIZE: f64 = 20.0 * MIN_ASSIGNED_ENDPOINTS;
 /// The subset grows below, and shrinks above, so many times the assigned endpoints.
 const MIN_SIZE_PER_ASSIGNED: f64 = 2.0;
 const MAX_SIZE_PER_ASSIGNED: f64 = 5.0;
 /// Where hardly any endpoint can serve, the subset takes at most so many times as many as it wants.
-const MAX_WALK_FACTOR: usize = 4;
+const MAX_WALK_MULTIPLE: usize = 4;
 /// With each refresh a side keeps so many sixteenths of its members at least, less one.
-const NARROWED_SIXTEENTHS: usize = 15;
+const MIN_KEPT_SIXTEENTHS: usize = 15;
 
 /// How many endpoints of an arm an agent mostly uses, even over all agents: more, the more it has outstanding.
 /// Guards against connections that carry a request or two; harms evenness where few agents request much.
 pub(crate) fn assigned_count(load: &LoadEstimate) -> f64 {
-    MIN_ASSIGNED * (1.0 + load.mean_outstanding())
+    MIN_ASSIGNED_ENDPOINTS * (1.0 + load.mean_outstanding())
 }
 
 /// How a segment is taken from the ring.
-struct SegmentRequest<Includes, CanServe, Enough> {
+struct SegmentCriteria<Includes, CanServe, IsEnough> {
     /// Whether endpoints of a build and zone belong to the arm.
     includes: Includes,
     can_serve: CanServe,
     /// Whether so many endpoints, of which so many can serve, are enough on one side.
-    enough: Enough,
+    is_enough: IsEnough,
     /// An arm of up to so many endpoints is taken whole.
-    max_whole: usize,
+    max_size_taken_whole: usize,
     minimum: Reach,
 }
 
@@ -73,7 +73,7 @@
     fn new(
         catalog: &EndpointCatalog,
         fleet_position: FleetPosition,
-        request: SegmentRequest<
+        criteria: SegmentCriteria<
             impl Fn(Build, Zone) -> bool,
             impl Fn(EndpointId) -> bool,
             impl Fn(usize, usize) -> bool,
@@ -81,21 +81,21 @@
     ) -> Self {
         let pools: Vec<&EndpointPool> = catalog
             .pools()
-            .filter(|(build, zone, _)| (request.includes)(*build, *zone))
+            .filter(|(build, zone, _)| (criteria.includes)(*build, *zone))
             .map(|(.., pool)| pool)
             .collect();
         let place = Position::of_agent(fleet_position);
         let arm_size = pools.iter().map(|pool| pool.ring().len()).sum::<usize>();
         let take = |side, limit, minimum| {
             let ring = nearest(pools.iter().map(|pool| pool.ring()), place, side).take(limit);
-            catalog.take_until(ring, minimum, &request.can_serve, &request.enough)
+            catalog.take_until(ring, minimum, &criteria.can_serve, &criteria.is_enough)
         };
-        let (before, after) = if arm_size <= request.max_whole {
+        let (before, after) = if arm_size <= criteria.max_size_taken_whole {
             let whole = take(Side::After, arm_size, arm_size);
             (WalkedEndpoints::default(), whole)
         } else {
-            let before = take(Side::Before, arm_size / 2, request.minimum.before);
-            let after = take(Side::After, arm_size.div_ceil(2), request.minimum.after);
+            let before = take(Side::Before, arm_size / 2, criteria.minimum.before);
+            let after = take(Side::After, arm_size.div_ceil(2), criteria.minimum.after);
             (before, after)
         };
         let agent_count = f64::from(fleet_position.agent_count.max(1));
@@ -150,7 +150,7 @@
         let serving: usize = segments.iter().map(|segment| segment.serving).sum();
         subset.is_full = serving >= half;
         let members = PerArm::from_fn(|arm| segments[arm].members.as_slice());
-        subset.removed = endpoints.set_members(members, |record| self.is_kept(record));
+        subset.removed = endpoints.set_members(members, |record| self.keeps_record(record));
         PerArm::from_fn(|arm| segments[arm].first_assigned(self.assigned_count))
     }
 
@@ -173,11 +173,11 @@
         let catalog = &endpoints.catalog;
         let has_warmed_up =
             |endpoint: &Endpoint| self.slow_start.capacity_share(endpoint.age(self.now)) >= 1.0;
-        let narrowed = |reach: usize| (reach * NARROWED_SIXTEENTHS / 16).max(1) - 1;
+        let narrowed = |reach: usize| (reach * MIN_KEPT_SIXTEENTHS / 16).max(1) - 1;
         Segment::new(
             catalog,
             self.fleet_position,
-            SegmentRequest {
+            SegmentCriteria {
                 includes: |build, zone| {
                     self.exposure.arm(build) == arm
                         && self.exposure.operator_permits_any(build, zone)
@@ -185,10 +185,10 @@
                 can_serve: |id| {
                     !endpoints.is_ejected(id) && catalog.get(id).is_some_and(has_warmed_up)
                 },
-                // Where hardly any can serve, others are not searched for all over the list: `add_outside`
+                // Where hardly any can serve, others are not searched for all over the list: `add_from_outside`
                 // does so for a request that needs it.
-                enough: |taken, serving| serving >= half || taken >= MAX_WALK_FACTOR * half,
-                max_whole: 2 * half,
+                is_enough: |taken, serving| serving >= half || taken >= MAX_WALK_MULTIPLE * half,
+                max_size_taken_whole: 2 * half,
                 minimum: Reach {
                     before: narrowed(reach.before),
                     after: narrowed(reach.after),
@@ -198,7 +198,7 @@
     }
 
     /// What was used of late keeps its record for as long as the longest ejection.
-    fn is_kept(&self, record: &EndpointRecord) -> bool {
+    fn keeps_record(&self, record: &EndpointRecord) -> bool {
         let health = &record.health;
         let last_used = health.ejected_until.max(health.last_response);
         let window = self.slow_start.settings.overload_window;
@@ -209,7 +209,7 @@
 }
 
 /// What the search outside the subset depends on.
-pub(crate) struct OutsideRules<'a> {
+pub(crate) struct OutsideSearch<'a> {
     pub(crate) now: Duration,
     pub(crate) candidates: &'a Candidates,
     pub(crate) slow_start: &'a SlowStart,
@@ -218,22 +218,26 @@
 
 /// Finds a few endpoints outside the subset for a request that none of it can take: from a random place on the
 /// ring, or of the group to which it is confined. They keep a record for as long as they are used.
-pub(crate) fn add_outside(
+pub(crate) fn add_from_outside(
     endpoints: &mut EndpointTable,
     request: &PendingRequest,
-    rules: OutsideRules<'_>,
+    search: OutsideSearch<'_>,
     random: &mut Pcg64Mcg,
 ) -> Vec<Endpoint> {
-    let OutsideRules {
+    let OutsideSearch {
         now,
         candidates,
         slow_start,
         exposure,
-    } = rules;
+    } = search;
     let permits = |build, zone| exposure.permits(build, zone, request);
     let from = Position(random.random());
-    let found =
-        endpoints.outside_subset(request.confinement(), from, MIN_ASSIGNED as usize, permits);
+    let found = endpoints.outside_subset(
+        request.confinement(),
+        from,
+        MIN_ASSIGNED_ENDPOINTS as usize,
+        permits,
+    );
     for endpoint in &found {
         let arm = exposure.arm(endpoint.build);
         let arm_share = match arm {
@@ -253,7 +257,7 @@
 }
 
 /// Draws one of the endpoints found outside the subset that accepts the request.
-pub(crate) fn draw_outside(
+pub(crate) fn draw_from_outside(
     selection: &EndpointSelection<'_>,
     found: &[Endpoint],
     request: &PendingRequest,
