--- a/crates/decision/examples/round_cost.rs
+++ b/crates/decision/examples/round_cost.rs
@@ -1,5 +1,5 @@
 //! What the decision engine costs by the length of its list: processor time a second, the worst round, and a whole
-//! list. One engine runs in virtual time; attempts succeed but for those of [`Scene::Faults`].
+//! list. One engine runs in virtual time; attempts succeed but for those of [`Scenario::Faults`].
 //!
 //! `cargo run --release --example round_cost [SECONDS]`
 use std::collections::{BTreeMap, BTreeSet};
@@ -18,33 +18,33 @@
 use setup::{EPOCH, READ, ReleaseUpdate, WORK, agent_settings, request};
 
 const SECOND: Duration = Duration::from_secs(1);
-const LISTED: [u32; 5] = [35, 150, 600, 2_400, 7_400];
+const LIST_LENGTHS: [u32; 5] = [35, 150, 600, 2_400, 7_400];
 
 /// What else goes on.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Scene {
-    Calm,
+enum Scenario {
+    Steady,
     /// Half of the list runs a canary.
-    Trial,
+    Canary,
     /// A tenth of the attempts fail, and one endpoint in twenty refuses connections.
     Faults,
     /// An eighth of the list has just started.
-    ZoneBack,
+    ZoneRestart,
 }
 
 /// The load on one engine.
 #[derive(Clone, Copy)]
 struct Load {
-    scene: Scene,
+    scenario: Scenario,
     requests_per_second: u32,
     /// Changes of the list.
     changes_per_second: u32,
 }
 
 impl Load {
-    const fn new(scene: Scene, requests_per_second: u32, changes_per_second: u32) -> Self {
+    const fn new(scenario: Scenario, requests_per_second: u32, changes_per_second: u32) -> Self {
         Load {
-            scene,
+            scenario,
             requests_per_second,
             changes_per_second,
         }
@@ -52,18 +52,18 @@
 }
 
 const LOADS: [Load; 7] = [
-    Load::new(Scene::Calm, 62, 0),
-    Load::new(Scene::Calm, 62, 1),
-    Load::new(Scene::Calm, 300, 0),
-    Load::new(Scene::Calm, 0, 0),
-    Load::new(Scene::Trial, 62, 1),
-    Load::new(Scene::Faults, 62, 1),
-    Load::new(Scene::ZoneBack, 62, 0),
+    Load::new(Scenario::Steady, 62, 0),
+    Load::new(Scenario::Steady, 62, 1),
+    Load::new(Scenario::Steady, 300, 0),
+    Load::new(Scenario::Steady, 0, 0),
+    Load::new(Scenario::Canary, 62, 1),
+    Load::new(Scenario::Faults, 62, 1),
+    Load::new(Scenario::ZoneRestart, 62, 0),
 ];
 
 /// The endpoint of an index: three models, cells of five, eight zones.
-fn endpoint(index: u32, scene: Scene) -> Endpoint {
-    let runs_canary = scene == Scene::Trial && index.is_multiple_of(2);
+fn endpoint(index: u32, scenario: Scenario) -> Endpoint {
+    let runs_canary = scenario == Scenario::Canary && index.is_multiple_of(2);
     Endpoint {
         model: Model((index % 3) as u8),
         build: Build(if runs_canary { 2 } else { 1 }),
@@ -73,10 +73,10 @@
     }
 }
 
-fn outcome(scene: Scene, request: RequestId, endpoint: EndpointId) -> Outcome {
-    match scene {
-        Scene::Faults if endpoint.0.is_multiple_of(20) => Outcome::ConnectFailed,
-        Scene::Faults if request.0.is_multiple_of(10) => Outcome::Failed,
+fn outcome(scenario: Scenario, request: RequestId, endpoint: EndpointId) -> Outcome {
+    match scenario {
+        Scenario::Faults if endpoint.0.is_multiple_of(20) => Outcome::ConnectFailed,
+        Scenario::Faults if request.0.is_multiple_of(10) => Outcome::Failed,
         _ => Outcome::Succeeded,
     }
 }
@@ -123,7 +123,7 @@
         endpoint: EndpointId,
     },
     ListChange(u32),
-    ZoneBack,
+    ZoneRestart,
 }
 
 /// Events by time; a serial number keeps the order of those at the same time.
@@ -145,8 +145,8 @@
             let at = EPOCH + SECOND * number / load.changes_per_second;
             schedule.add(at, Event::ListChange(number));
         }
-        if load.scene == Scene::ZoneBack {
-            schedule.add(EPOCH + SECOND * seconds / 2, Event::ZoneBack);
+        if load.scenario == Scenario::ZoneRestart {
+            schedule.add(EPOCH + SECOND * seconds / 2, Event::ZoneRestart);
         }
         schedule
     }
@@ -188,7 +188,7 @@
 /// One engine in virtual time.
 struct Simulation {
     engine: DecisionEngine,
-    scene: Scene,
+    scenario: Scenario,
     endpoints: Vec<Endpoint>,
     schedule: Schedule,
     wake_ups: BTreeSet<Duration>,
@@ -201,10 +201,10 @@
     fn new(listed: u32, load: Load, seconds: u32) -> Self {
         let mut settings = agent_settings(17, 530, 0);
         settings.seed = 1;
-        let endpoints = (0..listed).map(|index| endpoint(index, load.scene));
+        let endpoints = (0..listed).map(|index| endpoint(index, load.scenario));
         Simulation {
             engine: DecisionEngine::new(settings),
-            scene: load.scene,
+            scenario: load.scenario,
             endpoints: endpoints.collect(),
             schedule: Schedule::new(load, seconds),
             wake_ups: BTreeSet::new(),
@@ -242,11 +242,11 @@
     /// A round in which the whole list comes; its processor time.
     fn list_endpoints(&mut self, now: Duration) -> Duration {
         let endpoints = self.endpoints.clone();
-        let scene = self.scene;
-        let began = processor_time();
+        let scenario = self.scenario;
+        let began_at = processor_time();
         let events = |events: &mut dyn EventHandler| {
             ReleaseUpdate::FIRST_BUILD_RELEASED.send_to(events);
-            if scene == Scene::Trial {
+            if scenario == Scenario::Canary {
                 let canary = ReleaseUpdate {
                     build: Build(2),
                     stage: Stage(1),
@@ -258,22 +258,22 @@
             events.on_endpoints(ListUpdate::Full, &mut endpoints.into_iter());
         };
         self.engine.round(now, events, &mut self.decided);
-        processor_time() - began
+        processor_time() - began_at
     }
 
     /// A round with all that is due; its processor time.
     fn round(&mut self, now: Duration) -> Duration {
         self.wake_ups.retain(|at| *at > now);
         let due = self.schedule.take_due(now);
-        let (scene, endpoints) = (self.scene, &self.endpoints);
-        let began = processor_time();
+        let (scenario, endpoints) = (self.scenario, &self.endpoints);
+        let began_at = processor_time();
         let events = |events: &mut dyn EventHandler| {
             for event in due {
-                play(event, now, scene, endpoints, events);
+                play(event, now, scenario, endpoints, events);
             }
         };
         self.engine.round(now, events, &mut self.decided);
-        let cost = processor_time() - began;
+        let cost = processor_time() - began_at;
         self.wake_ups.extend(self.decided.wake_ups.drain(..));
         for (request, endpoint) in self.decided.sent.drain(..) {
             self.used.insert(endpoint);
@@ -293,7 +293,7 @@
 fn play(
     event: Event,
     now: Duration,
-    scene: Scene,
+    scenario: Scenario,
     endpoints: &[Endpoint],
     events: &mut dyn EventHandler,
 ) {
@@ -311,14 +311,14 @@
             attempt,
             endpoint,
         } => {
-            let outcome = outcome(scene, request, endpoint);
+            let outcome = outcome(scenario, request, endpoint);
             let closed = outcome == Outcome::Succeeded;
             events.on_attempt_ended(request, attempt, endpoint, outcome, WORK, closed);
         }
-        Event::ZoneBack => {
+        Event::ZoneRestart => {
             let in_zone = endpoints.iter().filter(|endpoint| endpoint.zone == Zone(0));
-            let back: Vec<Endpoint> = in_zone.map(just_started).collect();
-            events.on_endpoints(ListUpdate::Delta, &mut back.into_iter());
+            let restarted: Vec<Endpoint> = in_zone.map(just_started).collect();
+            events.on_endpoints(ListUpdate::Delta, &mut restarted.into_iter());
         }
         Event::ListChange(number) => {
             let index = number.wrapping_mul(7919) as usize % endpoints.len();
@@ -330,14 +330,14 @@
 
 fn print_cost(listed: u32, load: Load, seconds: u32) {
     let Load {
-        scene,
+        scenario,
         requests_per_second: requests,
         changes_per_second: changes,
     } = load;
     let cost = Simulation::new(listed, load, seconds).run(seconds);
     let micros = |time: Duration| time.as_secs_f64() * 1e6;
     println!(
-        "{scene:?} {listed:6} {requests:5} {changes:5} {:8} {:.3} {:8.1} {:8.1} {:4} {:8.1} {:8.1} {}",
+        "{scenario:?} {listed:6} {requests:5} {changes:5} {:8} {:.3} {:8.1} {:8.1} {:4} {:8.1} {:8.1} {}",
         cost.rounds.len() / seconds as usize,
         micros(cost.rounds.iter().sum()) / 1e3 / f64::from(seconds),
         micros(cost.high_round()),
@@ -354,10 +354,10 @@
         .nth(1)
         .map_or(20, |text| text.parse().expect("seconds"));
     println!(
-        "scene listed requests/s changes/s rounds/s ms/s p99.9_us worst_us used first_list_us same_list_us rows/s"
+        "scenario listed requests/s changes/s rounds/s ms/s p99.9_us worst_us used first_list_us same_list_us rows/s"
     );
     for load in LOADS {
-        for listed in LISTED {
+        for listed in LIST_LENGTHS {
             print_cost(listed, load, seconds);
         }
     }
--- a/crates/decision/src/engine/attempts.rs
+++ b/crates/decision/src/engine/attempts.rs
@@ -145,9 +145,10 @@
             return false;
         };
         let catalog = &self.endpoints.catalog;
-        let mut places = catalog.builds_and_zones(request.confinement()).peekable();
-        places.peek().is_some()
-            && !places.any(|(build, zone)| self.exposure.operator_permits(build, zone, request))
+        let mut builds_and_zones = catalog.builds_and_zones(request.confinement()).peekable();
+        builds_and_zones.peek().is_some()
+            && !builds_and_zones
+                .any(|(build, zone)| self.exposure.operator_permits(build, zone, request))
     }
 
     fn give_up(&mut self, id: RequestId, reason: GiveUpReason, actions: &mut dyn Actions) {
--- a/crates/decision/src/policy/endpoint_odds.rs
+++ b/crates/decision/src/policy/endpoint_odds.rs
@@ -130,7 +130,7 @@
         let count = members.candidates.len() as f64;
         members.candidates.sort_by_key(|candidate| candidate.rank);
         // The assigned endpoints of a subset begin at a rank, and its part is that of what is listed.
-        let (first, part_of_listed) = if endpoints.has_subset {
+        let (assigned_start, part_of_listed) = if endpoints.has_subset {
             let first_rank = Some(self.first_assigned[arm]);
             let first = members
                 .candidates
@@ -145,7 +145,7 @@
             if let Some(record) = endpoints.records.get_mut(&candidate.endpoint) {
                 record.traffic_share = share * candidate.odds / members.odds * part_of_listed;
             }
-            let distance = (index as f64 / count - first).rem_euclid(1.0) * count;
+            let distance = (index as f64 / count - assigned_start).rem_euclid(1.0) * count;
             let is_assigned = distance < self.assigned_count;
             candidate.odds *= if is_assigned {
                 1.0
--- a/crates/decision/src/policy/exposure.rs
+++ b/crates/decision/src/policy/exposure.rs
@@ -144,12 +144,12 @@
             return is_permitted;
         };
         let window = self.settings.window;
-        let inner_edge = (now + self.tick + WINDOW_MARGIN).saturating_sub(window);
+        let counted_since = (now + self.tick + WINDOW_MARGIN).saturating_sub(window);
         let class = self.exposure_class(request.request.class);
         let sent = self
             .windows
             .sent_since(class, build, now.saturating_sub(window));
-        let received = self.windows.received_since(class, inner_edge);
+        let received = self.windows.received_since(class, counted_since);
         // What an earlier incarnation of this agent sent is not known: its free requests may be used up.
         let is_first_window = |started: Duration| started + window >= now;
         let free_requests = if self.windows.started_at.is_some_and(is_first_window) {
--- a/crates/decision/src/policy/release_analysis.rs
+++ b/crates/decision/src/policy/release_analysis.rs
@@ -291,7 +291,7 @@
         let Some(test) = failures else {
             return false;
         };
-        let newest = endpoints.catalog.latest_start(build).unwrap_or_default();
+        let newest_start = endpoints.catalog.latest_start(build).unwrap_or_default();
         let minimum_stage_time = self.settings.minimum_stage_time;
         let is_of_earlier_stage = |id| {
             let endpoint = endpoints
@@ -300,12 +300,12 @@
                 .filter(|found| found.status == EndpointStatus::Ready && found.build == build);
             endpoint
                 .and_then(|endpoint| endpoint.started)
-                .is_some_and(|started| started + minimum_stage_time < newest)
+                .is_some_and(|started| started + minimum_stage_time < newest_start)
         };
         let oldest = test.worst_first(|id| is_of_earlier_stage(id) && !endpoints.is_ejected(id));
-        let others = oldest.iter().skip((oldest.len() + 1) / 3);
+        let all_but_worst = oldest.iter().skip((oldest.len() + 1) / 3);
         let limit = test.baseline_rate() + OLDEST_EXCESS_FAILURE_RATE;
-        let failures = others
+        let failures = all_but_worst
             .filter(|trials| trials.failures / trials.outcomes > limit)
             .map(|trials| trials.failures);
         failures.sum::<f64>() >= MIN_OLDEST_FAILURES
@@ -320,12 +320,12 @@
         return false;
     }
     let trials = test.worst_first(|_| true);
-    let mut others = Trials::default();
+    let mut all_but_worst = Trials::default();
     for one in trials.iter().skip(trials.len().div_ceil(4)) {
-        others.outcomes += one.outcomes;
-        others.failures += one.failures;
+        all_but_worst.outcomes += one.outcomes;
+        all_but_worst.failures += one.failures;
     }
-    let rate = others.failures / others.outcomes;
-    others.outcomes * 2.0 >= MIN_CANARY_OUTCOMES
+    let rate = all_but_worst.failures / all_but_worst.outcomes;
+    all_but_worst.outcomes * 2.0 >= MIN_CANARY_OUTCOMES
         && rate - test.baseline_rate() > test.tolerated_difference()
 }
--- a/crates/decision/src/policy/subsetting.rs
+++ b/crates/decision/src/policy/subsetting.rs
@@ -84,10 +84,11 @@
             .filter(|(build, zone, _)| (criteria.includes)(*build, *zone))
             .map(|(.., pool)| pool)
             .collect();
-        let place = Position::of_agent(fleet_position);
+        let own_position = Position::of_agent(fleet_position);
         let arm_size = pools.iter().map(|pool| pool.ring().len()).sum::<usize>();
         let take = |side, limit, minimum| {
-            let ring = nearest(pools.iter().map(|pool| pool.ring()), place, side).take(limit);
+            let ring =
+                nearest(pools.iter().map(|pool| pool.ring()), own_position, side).take(limit);
             catalog.take_until(ring, minimum, &criteria.can_serve, &criteria.is_enough)
         };
         let (before, after) = if arm_size <= criteria.max_size_taken_whole {
@@ -100,7 +101,8 @@
         };
         let agent_count = f64::from(fleet_position.agent_count.max(1));
         let fraction = f64::from(fleet_position.own_id.0) / agent_count;
-        let offset = fraction * arm_size as f64 - rank_in(pools.iter().copied(), place) as f64;
+        let offset =
+            fraction * arm_size as f64 - rank_in(pools.iter().copied(), own_position) as f64;
         Segment {
             reach: Reach {
                 before: before.ids.len(),
--- a/crates/decision/src/policy/voting.rs
+++ b/crates/decision/src/policy/voting.rs
@@ -187,7 +187,7 @@
         endpoints: &EndpointTable,
     ) -> bool {
         let VoteInputs { now, status, .. } = inputs;
-        let Some(newest) = endpoints.catalog.latest_start(status.build) else {
+        let Some(newest_start) = endpoints.catalog.latest_start(status.build) else {
             return false;
         };
         let mut failure_tests = self.tests.iter().rev().skip(1);
@@ -205,7 +205,7 @@
         } else {
             BACKUP_VOTE_DELAY_WAITS + BACKUP_VOTE_SPREAD_WAITS * self.voting.backup_vote_draw
         };
-        let due = newest + ADVANCE_WAIT * waits + ADVANCE_WAIT.mul_f64(backup_vote_waits);
+        let due = newest_start + ADVANCE_WAIT * waits + ADVANCE_WAIT.mul_f64(backup_vote_waits);
         self.is_stage_listed(now, status, endpoints)
             && !inputs.is_held_by_operator
             && now >= due
--- a/crates/decision/tests/engine/final_answers/mod.rs
+++ b/crates/decision/tests/engine/final_answers/mod.rs
@@ -95,7 +95,7 @@
 }
 
 /// All that stands around the engine of one agent.
-struct Surroundings<'a> {
+struct Environment<'a> {
     attempt_ends: &'a [AttemptEnd],
     attempts_sent: usize,
     request_count: u32,
@@ -105,7 +105,7 @@
     shutdown_at: Duration,
 }
 
-impl Surroundings<'_> {
+impl Environment<'_> {
     fn start(events: &mut dyn EventHandler) {
         ReleaseUpdate {
             stage: Stage(1),
@@ -305,7 +305,7 @@
 
 fn play(scheduled: &[(u32, Event)], attempt_ends: &[AttemptEnd], seed: u64, may_cancel: bool) {
     let mut engine = engine(seed, may_cancel);
-    let mut surroundings = Surroundings {
+    let mut environment = Environment {
         attempt_ends,
         attempts_sent: 0,
         request_count: 0,
@@ -319,29 +319,29 @@
         let mut decided = RecordedActions::default();
         let events = |events: &mut dyn EventHandler| {
             if step == 0 {
-                Surroundings::start(events);
+                Environment::start(events);
             }
             for (_, event) in scheduled.iter().filter(|(at, _)| *at == step) {
-                surroundings.play(event, now, events);
+                environment.play(event, now, events);
             }
-            surroundings.end_attempts(now, events);
+            environment.end_attempts(now, events);
         };
         engine.round(now, events, &mut decided);
         for (id, to) in decided.sent {
-            surroundings.take_sent(now, id, to);
+            environment.take_sent(now, id, to);
         }
         for (id, number) in decided.cancelled {
-            surroundings.take_cancelled(now, id, number);
+            environment.take_cancelled(now, id, number);
         }
         for (id, client_may_retry) in decided.unserved {
-            surroundings.take_given_up(id, client_may_retry);
+            environment.take_given_up(id, client_may_retry);
         }
-        surroundings.assert_answered_in_time(now);
+        environment.assert_answered_in_time(now);
     }
-    assert_eq!(surroundings.pending.len(), 0);
+    assert_eq!(environment.pending.len(), 0);
     assert_eq!(
-        surroundings.answered.len(),
-        surroundings.request_count as usize
+        environment.answered.len(),
+        environment.request_count as usize
     );
 }
 
