--- a/crates/decision/src/policy/admission.rs
+++ b/crates/decision/src/policy/admission.rs
@@ -1,4 +1,4 @@
-//! Admission control: which requests are rejected under overload, and when the client may retry.
+//! Admission control: with which probability a request is rejected under overload, and when its client may retry.
 use std::time::Duration;
 
 use crate::model::ClassPolicy;
@@ -7,35 +7,37 @@
 use crate::state::half_lives::RECENT;
 use crate::state::load_estimate::LoadEstimate;
 
-/// Expected wait, as a share of the time left, at which rejections begin for requests without priority.
+/// Expected wait, as a share of what is left of the latency objective, above which some requests of priority weight
+/// zero are rejected.
 const TOLERATED_WAIT_SHARE: f64 = 0.15;
-/// So much more is tolerated for requests of the highest priority.
+/// Added to the tolerated share for requests of the highest priority weight, and in proportion for the others.
 const PRIORITY_WAIT_SHARE_BONUS: f64 = 0.1;
-/// Beyond the tolerated share, rejections grow to all requests over this much more.
+/// Above the tolerated share, the probability of rejection grows linearly, and reaches 1 at this much more.
 const WAIT_SHARE_RANGE: f64 = 0.25;
-/// Share of late answers at which rejections begin. It is all that an agent sees of a queue with hardly a request
-/// of its own in it: one with two requests a second sees none by what is outstanding.
+/// Share of late answers above which some requests are rejected. An agent with little traffic sees a queue only by late
+/// answers: with two requests a second, it has too few outstanding to estimate the wait from them.
 const TOLERATED_LATE_SHARE: f64 = 0.15;
-/// Beyond that share, rejections grow by this factor.
+/// Growth of the probability of rejection with the share of late answers above the tolerated one.
 const LATE_SHARE_FACTOR: f64 = 2.0;
-/// So many idle requests are assumed beside those outstanding, which keeps little traffic from looking like a
-/// queue.
+/// The estimate of the wait assumes this many requests beside the outstanding ones, served without any wait: otherwise
+/// the few requests of an agent with little traffic would look like a queue.
 const PRIOR_REQUESTS: f64 = 4.0;
 
-/// What overload is measured by.
+/// What the agent knows about overload.
 #[derive(Clone, Copy)]
 pub(crate) struct Overload<'a> {
     pub(crate) now: Duration,
-    /// When the agent started.
+    /// When the agent's first round began; `None` before it.
     pub(crate) started_at: Option<Duration>,
     pub(crate) endpoints: &'a EndpointTable,
     pub(crate) load: &'a LoadEstimate,
 }
 
 impl Overload<'_> {
-    /// What a request has to wait beyond its work, as a share of a time, by what is outstanding and served.
+    /// The time that a request is expected to wait beyond its own work, as a share of `time`: the outstanding attempts
+    /// divided by the rate at which attempts are served. Zero in the first second after the agent's start.
     pub(crate) fn wait_share(&self, time: Duration) -> f64 {
-        // Nothing can have been served yet by an agent that has just come up.
+        // An agent that has just started has served hardly anything yet, so its served rate would look like overload.
         if self
             .started_at
             .is_none_or(|started| self.now < started + RECENT)
@@ -48,9 +50,11 @@
         (wait - idle_wait) / time.as_secs_f64().max(1e-6)
     }
 
-    /// The probability with which a request is rejected because it would wait too long: the lower its priority,
-    /// the sooner. Guards against queues (bursts, lost machines, shared slowdowns, retry storms). Harms where an
-    /// idle endpoint is late anyway.
+    /// The probability with which a request is rejected because of overload; 0 or less for none, and 1 or more for
+    /// always. It is the highest of three values: by the expected wait, which is tolerated longer the higher the
+    /// request's priority weight is; by the share of late answers; and the share of attempts that endpoints reject.
+    /// Guards against queues from bursts, lost machines, shared slowdowns and retry storms. Rejects requests without
+    /// need where answers are late without any queue.
     pub(crate) fn rejection_probability(
         &self,
         demand: &Demand,
@@ -73,7 +77,7 @@
     }
 }
 
-/// When a client that was rejected may retry: a quarter of its latency objective, as far as the platform allows.
+/// The Retry-After of a rejection: a quarter of the class's latency objective, at most what the platform allows.
 pub(crate) fn retry_after(policy: &ClassPolicy, max_retry_after: Duration) -> Duration {
     (policy.latency_objective / 4).min(max_retry_after)
 }
--- a/crates/decision/src/policy/endpoint_odds.rs
+++ b/crates/decision/src/policy/endpoint_odds.rs
@@ -1,4 +1,5 @@
-//! With which odds endpoints are drawn, and which share of requests the canary gets.
+//! The odds with which endpoints are drawn for requests, and the share of requests that the canary gets. They are
+//! computed at each refresh.
 use std::time::Duration;
 
 use super::exposure::Exposure;
@@ -11,13 +12,14 @@
 use crate::state::endpoint_table::EndpointTable;
 use crate::state::load_estimate::LoadEstimate;
 
-/// Odds of an endpoint that is not assigned to the agent, over those of an assigned one: it is used only when no
-/// assigned one accepts.
+/// The odds of an endpoint that is not assigned to the agent are multiplied by this, so that it is used only when no
+/// assigned one can be.
 const UNASSIGNED_ODDS_FACTOR: f64 = 1e-3;
-/// The canary gets no share while so many times as much waits there, for its weight, as at earlier builds.
+/// The canary gets no share of requests while, in relation to its weight, more than this many times as many attempts
+/// are outstanding at it as at the earlier builds.
 const QUEUE_IMBALANCE: f64 = 1.5;
 
-/// What the odds depend on.
+/// What the odds of endpoints are computed from.
 #[derive(Clone, Copy)]
 pub(crate) struct OddsInputs<'a> {
     pub(crate) now: Duration,
@@ -26,12 +28,13 @@
     pub(crate) slow_start: &'a SlowStart,
     pub(crate) exposure: &'a Exposure,
     pub(crate) is_panic: bool,
-    /// How many endpoints of an arm the agent mostly uses, and at which rank of each arm they begin.
+    /// How many endpoints of an arm the agent mostly uses: its assigned endpoints.
     pub(crate) assigned_count: f64,
+    /// The rank at which they begin, where there is a subset.
     pub(crate) first_assigned: PerArm<usize>,
 }
 
-/// The candidates of one arm, and sums over them.
+/// The candidates of one arm, and the sums of their weights, outstanding attempts and odds.
 #[derive(Debug, Default)]
 struct ArmCandidates {
     candidates: Vec<Candidate>,
@@ -41,8 +44,8 @@
 }
 
 impl OddsInputs<'_> {
-    /// Lists the endpoints that requests choose from, with their odds, and records in the table what part of the
-    /// agent's requests each would get.
+    /// Lists the endpoints that requests choose from, with their odds and the canary's share of requests. Also records
+    /// in the table which share of the agent's requests each endpoint would get by its odds, for slow start.
     pub(crate) fn candidates(&self, endpoints: &mut EndpointTable) -> Candidates {
         let mut arms = self.collect(endpoints);
         let listed_weight = if endpoints.has_subset {
@@ -52,13 +55,15 @@
         };
         let total_weight = listed_weight.baseline + listed_weight.canary;
         let listed_share = listed_weight.canary / total_weight.max(1e-9);
-        // No share while more waits at the canary, for its weight, than elsewhere. Guards against few, slow
-        // machines that queue and look like a slow build: unequal loads do not compare.
+        // While the canary has more attempts outstanding for its weight than the baseline, it gets no share. Guards
+        // against a canary on a few slow machines whose queue makes the build look slow: with unequal load the two
+        // arms are not comparable.
         let is_canary_congested = arms.canary.outstanding * listed_weight.baseline
             > QUEUE_IMBALANCE * (arms.baseline.outstanding + 1.0) * listed_weight.canary
             && listed_weight.baseline > 0.0;
-        // A cap, or a full window, keeps from the canary what is its share: at times all goes to the earlier
-        // builds, of which few, warming up, are left where a build is rolled back. So these count with all.
+        // A cap or a full window can keep the canary from its share, so that all requests go to the earlier builds;
+        // and where a build is rolled back, few of these are left, and they are warming up. So the traffic share of
+        // baseline endpoints is computed as if all requests went to the baseline.
         for (arm, share) in [(Arm::Baseline, 1.0), (Arm::Canary, listed_share)] {
             let listed = listed_weight[arm];
             self.assign_odds(arm, share, listed, &mut arms[arm], endpoints);
@@ -78,6 +83,7 @@
         }
     }
 
+    /// Collects the endpoints of each arm that may get requests, with odds by weight, slow start and long-run pace.
     fn collect(&self, endpoints: &EndpointTable) -> PerArm<ArmCandidates> {
         let mut arms = PerArm::<ArmCandidates>::default();
         let is_candidate = |record: &&EndpointRecord| {
@@ -105,7 +111,8 @@
         arms
     }
 
-    /// By what the list says of all, less what is excluded.
+    /// The listed weight of each arm over the whole list, not only the subset: without endpoints that are excluded by
+    /// their ejection or that the operator's rules close to all requests, and reduced for those that are warming up.
     fn listed_weight(&self, endpoints: &EndpointTable) -> PerArm<f64> {
         let arm_of = |build, zone| {
             self.exposure
@@ -117,8 +124,8 @@
             .listed_weights(self.now, endpoints, arm_of, excluded)
     }
 
-    /// Lowers the odds of endpoints that are not assigned to the agent, and records each one's part of an arm
-    /// that gets this share of the requests.
+    /// Records which share of the agent's requests each endpoint of an arm would get if the arm got `share` of them,
+    /// then lowers the odds of the endpoints that are not assigned to the agent.
     fn assign_odds(
         &self,
         arm: Arm,
@@ -129,7 +136,9 @@
     ) {
         let count = members.candidates.len() as f64;
         members.candidates.sort_by_key(|candidate| candidate.rank);
-        // The assigned endpoints of a subset begin at a rank, and its part is that of what is listed.
+        // Where the assigned endpoints begin, as a fraction of the candidates, and the part of the listed weight that
+        // the candidates stand for. With a subset, they begin at a rank of it; without one, agents divide the list
+        // evenly.
         let (assigned_start, part_of_listed) = if endpoints.has_subset {
             let first_rank = Some(self.first_assigned[arm]);
             let first = members
--- a/crates/decision/src/policy/list_polling.rs
+++ b/crates/decision/src/policy/list_polling.rs
@@ -1,4 +1,4 @@
-//! When the endpoint list is requested, where it comes only on request.
+//! When the endpoint list is requested, on platforms that send it only on request.
 use std::time::Duration;
 
 use rand::RngExt;
@@ -6,30 +6,32 @@
 
 use crate::model::{EndpointDiscoverySettings, FleetPosition, ListUpdate};
 
-/// Requests of a fleet of so many agents or more spread over half of the time allowed, those of a smaller one
-/// over a fortieth of it for each agent.
+/// Agents request the list within a spread: half of the time allowed in fleets of at least this many agents, in
+/// smaller ones a fortieth of that time for each agent.
 const MAX_SPREAD_AGENTS: u32 = 20;
 
-/// The first backoff is this part of the time allowed, beyond the spread of the fleet's requests.
+/// The first pause after a failed request is the spread plus the time allowed divided by this.
 const MIN_BACKOFF_DIVISOR: u32 = 20;
-/// A watch that was up and broke is requested within this part of the time allowed.
+/// A watch that broke is requested again within the time allowed divided by this.
 const BROKEN_WATCH_DIVISOR: u32 = 5;
 
-/// The longest pause after a failed request. A change counts as announced 6 s after the service can be reached, and the
-/// request itself may last 2 s.
+/// Longest pause after a failed request. A change of the list counts as announced 6 s after the service can be reached
+/// again, and the request itself may take 2 s of these.
 const MAX_RETRY_PAUSE: Duration = Duration::from_millis(3900);
 
-/// A pause after a failed request lasts this share of its length at least. Failures of a service that is too slow are
-/// spread already, by when the requests were made; a wide draw would make them meet again.
+/// Least share of its full length that a pause after a failed request lasts; the rest is random. The requests to a
+/// service that is too slow fail one after another, spread as they were made: with a wide random range, the next
+/// ones could coincide.
 const MIN_RETRY_PAUSE_SHARE: f64 = 0.85;
 
-/// Requests of the endpoint list.
+/// Schedules this agent's requests of the endpoint list.
 #[derive(Debug)]
 pub(crate) struct ListPolling {
+    /// The time within which all agents request the list; `None` where it comes without a request.
     request_within: Option<Duration>,
-    /// When the list is to be requested next.
+    /// When the list is to be requested next; `None` while a request or a watch is open, or none is needed.
     pub(crate) next_request_at: Option<Duration>,
-    /// The pause after the next failure; zero while the watch is up.
+    /// Length of the pause after the next failure; zero while the watch works.
     backoff: Duration,
 }
 
@@ -42,16 +44,17 @@
         }
     }
 
-    /// Whether the list is to be requested now. Each due time counts one time only.
+    /// Whether the list is to be requested now. Answers `true` only once for each due time.
     pub(crate) fn take_due(&mut self, now: Duration) -> bool {
         self.next_request_at.take_if(|at| *at <= now).is_some()
     }
 
-    /// Agents that came up or failed together request one after another: each in its own part of the spread at first,
-    /// and after a failed request so long after it that the spread stays as it was. Guards against waves that a service of fixed capacity fails as a whole, again and again.
-    /// Harms, by as much, an agent that comes up alone amid a change. A watch that was up and broke is requested
-    /// within a fifth of that time at most: a change that it misses counts as announced some seconds after the
-    /// service fell silent.
+    /// Schedules the next request after an update of the list, or after its failure. Agents that start or fail together
+    /// request the list one after another: at the start each in its own part of the spread, after a failed request so
+    /// long after it that the spread is kept. Guards against waves of requests that a service of fixed capacity fails
+    /// as a whole, again and again. An agent that starts alone while the list changes waits as long without need. A
+    /// watch that worked and broke is requested again within a fifth of the time allowed, since a change that the agent
+    /// misses counts as announced some seconds after the service stopped answering.
     pub(crate) fn on_update(
         &mut self,
         now: Duration,
@@ -67,7 +70,7 @@
         let min_backoff = within / MIN_BACKOFF_DIVISOR + spread;
         let backoff = self.backoff;
         let jitter = random.random::<f64>();
-        // Each agent has a part of the spread of its own, so that no two of them draw the same time.
+        // Each agent draws within its own part of the spread, so that no two agents draw the same time.
         let position_in_spread = (f64::from(position.own_id.0) + jitter) / f64::from(agent_count);
         let (wait, next_backoff) = match update {
             ListUpdate::Cached => (
--- a/crates/decision/src/policy/load_balancing.rs
+++ b/crates/decision/src/policy/load_balancing.rs
@@ -1,4 +1,5 @@
-//! Load balancing: which endpoint a request goes to, by two random choices.
+//! Load balancing: which endpoint a request goes to. The arm is drawn first, then two endpoints of it by their odds
+//! (power of two choices); the request goes to the one where it is expected to wait less.
 use std::time::Duration;
 
 use rand::RngExt;
@@ -17,40 +18,45 @@
 use crate::state::load_estimate::LoadEstimate;
 use crate::state::pending_requests::PendingRequest;
 
-/// A few draws mostly find an endpoint that accepts; where little is open, the whole arm is searched.
+/// Weighted draws before the whole arm is searched: a few mostly find an endpoint that the request may go to, unless
+/// hardly any is.
 const MAX_DRAWS: usize = 4;
-/// An endpoint that a request has been to already is chosen with odds lower by this factor.
+/// In the search of the whole arm, the odds of an endpoint that the request has already been sent to are divided by
+/// this: it is used only where there is hardly another.
 const REPEATED_ENDPOINT_ODDS_DIVISOR: f64 = 100.0;
-/// Cost of an endpoint in another zone, over that of one in the agent's own.
+/// Cost of an endpoint in another zone, as a multiple of that of one in the agent's own zone.
 const REMOTE_ZONE_COST_MULTIPLE: f64 = 2.0;
-/// Weight of the failure share in the cost: an endpoint that fails everything costs ten times as much.
+/// Weight of an endpoint's failure share in its cost: one that fails everything costs 1 / (1 - 0.9), ten times as much.
 const FAILURE_COST_WEIGHT: f64 = 0.9;
-/// An endpoint's recent pace counts fully against its baseline when it rests on the work of so many requests.
+/// Weight of the long-run pace in an endpoint's recent pace, in mean requests: with as much recent work the two count
+/// alike, with less the long-run pace prevails.
 const PACE_PRIOR_REQUESTS: f64 = 2.0;
-/// Lower bound of an endpoint's long-run pace.
+/// Lower bound of an endpoint's long-run pace, which other values are divided by.
 const MIN_PACE: f64 = 1e-3;
 
-/// An endpoint's own pace in the long run, drawn to that of all while it is little known.
+/// An endpoint's long-run pace: time taken for each second of estimated work. While little work of it is known, the
+/// value is close to the mean of all endpoints.
 pub(crate) fn baseline_pace(record: &EndpointRecord, now: Duration, load: &LoadEstimate) -> f64 {
     let own = record.health.baseline_pace.read(now, BASELINE);
     ((own.numerator + load.baseline_pace) / (own.denominator + 1.0)).max(MIN_PACE)
 }
 
-/// An endpoint's pace of late, drawn to its long-run one.
+/// An endpoint's recent pace. While little recent work of it is known, the value is close to its long-run pace.
 pub(crate) fn recent_pace(record: &EndpointRecord, now: Duration, load: &LoadEstimate) -> f64 {
     let own = record.health.recent_pace.read(now, RECENT);
     let prior = PACE_PRIOR_REQUESTS * load.mean_work;
     (own.numerator + prior * baseline_pace(record, now, load)) / (own.denominator + prior)
 }
 
-/// What was found for a request.
+/// The result of choosing an endpoint for a request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Choice {
-    /// An endpoint.
+    /// The request goes to this endpoint.
     Endpoint(EndpointId),
-    /// None, or with a subset only one that the request has been to: outside the subset there may be another.
+    /// There is no endpoint to choose, or, where the agent works with a subset, only one that the request has already
+    /// been sent to. Outside the subset there may be another.
     SearchOutsideSubset {
-        /// The endpoint that it has been to.
+        /// The endpoint that the request has already been sent to, if any: it is used if none is found outside.
         fallback: Option<EndpointId>,
     },
 }
@@ -70,9 +76,12 @@
 }
 
 impl EndpointSelection<'_> {
-    /// Two random choices by weight within an arm; the arm by the canary's share of the listed weight.
+    /// Chooses an endpoint: the canary's arm with a probability of the canary's share of the listed weight, then the
+    /// cheaper one of two endpoints of that arm, drawn by their odds. If the arm has none that the request may go to,
+    /// the other arm is tried.
     pub(crate) fn choose(&self, request: &PendingRequest, random: &mut Pcg64Mcg) -> Choice {
-        // A request that the canary has failed is better served by an earlier build.
+        // A request that was sent to a canary and needs another attempt goes to an earlier build: the canary may fail
+        // it again.
         let was_sent_to_canary = request
             .attempts
             .iter()
@@ -101,10 +110,10 @@
         Choice::SearchOutsideSubset { fallback }
     }
 
-    /// Draws an endpoint that accepts the request and that it has not been to.
+    /// Draws an endpoint that the request may go to and has not been sent to; `None` if a few draws find none.
     ///
     /// # Errors
-    /// There is none with any odds to draw from.
+    /// No candidate has odds above zero.
     fn draw(
         &self,
         request: &PendingRequest,
@@ -121,7 +130,8 @@
         Ok(None)
     }
 
-    /// Draws an endpoint; if that fails, one of all that accept the request.
+    /// Draws an endpoint; if a few draws find none, draws one of all the candidates that the request may go to, also of
+    /// those that it has already been sent to.
     fn draw_or_search(
         &self,
         request: &PendingRequest,
@@ -149,14 +159,16 @@
             .map(|candidate| candidate.endpoint)
     }
 
-    /// Whether a request may go to an endpoint now.
+    /// Whether a request may go to an endpoint now. The endpoint must be ready and not excluded by its ejection, and
+    /// the rules of deduplication, slow start and exposure must all permit it.
     pub(crate) fn permits(&self, request: &PendingRequest, endpoint: EndpointId) -> bool {
         let record = self.endpoints.records.get(&endpoint);
         let Some(record) = record.filter(|record| record.endpoint.status == EndpointStatus::Ready)
         else {
             return false;
         };
-        // Listed weights leave out how fast a model is; what the mean one carries can overload a slow one.
+        // A listed weight does not include the speed of the endpoint's model: the load that a mean model carries can
+        // overload a slow one.
         let full_rate = self.load.capacity_per_weight
             * record.weight()
             * self.evidence.relative_speed(record.endpoint.model);
@@ -164,7 +176,8 @@
             full_rate,
             work_due: self.load.work_due,
         };
-        // An ejected endpoint is not tried with a retry while the subset has others.
+        // An ejected endpoint is not tried with a request that must not run twice, nor with a retry while the subset
+        // has others.
         let may_try_ejected = request.policy.idempotency != Idempotency::NonIdempotent
             && (request.attempts.is_empty() || !self.subset_is_full);
         let is_panic = self.candidates.is_panic;
@@ -177,8 +190,9 @@
                 .permits_now(self.now, record.endpoint, request)
     }
 
-    /// What a request may expect to wait at an endpoint, against what is usual there. Speed and weight are in the
-    /// odds already: counted twice, they crowded the fastest.
+    /// The wait that a request may expect at an endpoint, in relation to the wait that is usual there; without unit.
+    /// The endpoint's speed and weight are left out, since the odds contain them: when they counted twice, the fastest
+    /// endpoints were overcrowded.
     fn cost(&self, endpoint: EndpointId) -> f64 {
         let Some(record) = self.endpoints.records.get(&endpoint) else {
             return f64::MAX;
--- a/crates/decision/src/policy/mod.rs
+++ b/crates/decision/src/policy/mod.rs
@@ -1,4 +1,4 @@
-//! All decisions, one concern a module. Each tuned constant stands beside the policy that uses it.
+//! All decisions, one concern in each module. A constant is in the module of the policy that uses it.
 pub(crate) mod admission;
 pub(crate) mod endpoint_odds;
 pub(crate) mod exposure;
--- a/crates/decision/src/policy/outlier_ejection.rs
+++ b/crates/decision/src/policy/outlier_ejection.rs
@@ -1,4 +1,5 @@
-//! Outlier ejection: endpoints that fail, break connections or fall silent get no requests for some time.
+//! Outlier ejection: endpoints that fail far more than others, break connections or stop answering get no requests
+//! for some time.
 use std::time::Duration;
 
 use crate::actions::{EjectionReason, Note};
@@ -6,26 +7,27 @@
 use crate::state::endpoint_record::{EndpointHealth, EndpointRecord};
 use crate::state::endpoint_table::{EndpointTable, PeerFailures};
 
-/// The first ejection lasts this long, each further one in a row twice as long.
+/// The first ejection of an endpoint lasts this long, each further one in a row twice as long as the one before.
 const MIN_EJECTION_TIME: Duration = Duration::from_secs(1);
-/// No ejection lasts longer.
+/// No ejection lasts longer than this.
 pub(crate) const MAX_EJECTION_TIME: Duration = Duration::from_secs(8);
-/// An endpoint is ejected whose failure share exceeds the mean of its build's others by so much.
+/// An endpoint is ejected if its failure share exceeds the mean of the other endpoints of its build by more than this.
 const EXCESS_FAILURE_SHARE: f64 = 0.3;
-/// The same after a malformed answer, which says less about the endpoint.
+/// The same limit after a malformed answer, which is weaker evidence against the endpoint.
 const EXCESS_FAILURE_SHARE_MALFORMED: f64 = 0.6;
-/// An endpoint is silent if its attempts have waited for so many times the median time of a request.
+/// An endpoint is silent if its attempts have waited for this many times the median time of a request.
 const SILENCE_MULTIPLE: f64 = 6.0;
 
-/// Whether an ejected endpoint gets no request; at times it is tried with a single one.
+/// Whether an endpoint must get no request now because of its ejection. Once its ejection time is over, it is tried
+/// with a single request at a time until one is served. In panic mode ejections are ignored.
 pub(crate) fn is_excluded(record: &EndpointRecord, now: Duration, is_panic: bool) -> bool {
     record.is_ejected()
         && !is_panic
         && (now < record.health.ejected_until || !record.outstanding.is_empty())
 }
 
-/// Whether most endpoints are ejected: then the fault is not theirs, and ejections mean nothing, unless a
-/// subset found others.
+/// Whether the agent is in panic mode: more than half of the endpoints that it works with are ejected, so that the
+/// fault is hardly theirs and ejections are ignored. Never with a full subset, which has found other endpoints instead.
 pub(crate) fn is_panic(endpoints: &EndpointTable, subset_is_full: bool) -> bool {
     let ejected = endpoints
         .ready()
@@ -34,7 +36,8 @@
     2 * ejected > endpoints.ready().count() && !subset_is_full
 }
 
-/// Ejects an endpoint, unless it is not even to be tried yet.
+/// Ejects an endpoint, for twice as long as the last time if it is still ejected. Does nothing, and returns `None`,
+/// while an earlier ejection lasts.
 fn eject(
     health: &mut EndpointHealth,
     now: Duration,
@@ -54,10 +57,10 @@
     })
 }
 
-/// Ejects endpoints that are silent: several attempts wait far longer than usual, and there was no response
-/// since the oldest. Guards against machines that vanished, froze or were cut off, long before the list shows
-/// it. `max_silence` is in seconds. What waited while the agent itself stood
-/// still, until `resumed_at`, does not count.
+/// Ejects endpoints that are silent: several attempts are outstanding, the oldest for longer than `max_silence`
+/// seconds, and there was no response since it was sent. Guards against machines that vanished, froze or were cut off,
+/// long before the endpoint list shows it. Time in which the agent itself was stalled, until `resumed_at`, does not
+/// count.
 pub(crate) fn eject_silent(
     endpoints: &mut EndpointTable,
     now: Duration,
@@ -75,12 +78,12 @@
     }
 }
 
-/// How long an endpoint may be silent, in seconds.
+/// How long an endpoint may be silent before it is ejected, in seconds.
 pub(crate) fn max_silence(median_pace: f64, mean_work: f64) -> f64 {
     SILENCE_MULTIPLE * median_pace * mean_work
 }
 
-/// Readmits an endpoint that has served a request after its ejection.
+/// Readmits an endpoint that has served a request, if its ejection time is over.
 pub(crate) fn readmit(record: &mut EndpointRecord, now: Duration) -> Option<Note> {
     if !record.is_ejected() || now < record.health.ejected_until {
         return None;
@@ -89,8 +92,9 @@
     Some(Note::Readmitted(record.id()))
 }
 
-/// Ejects an endpoint that breaks connections, or fails far more than others of its build. A build as a whole is
-/// never ejected: its failures are the evidence of the release analysis.
+/// Ejects an endpoint after an attempt has ended if it fails far more than the others of its build, or if the
+/// connection could not be opened or broke. Failure shares are compared within a build, so that a build is not ejected
+/// as a whole: its failures are the evidence of the release analysis. `peers` are the other endpoints of the build.
 pub(crate) fn eject_outlier(
     record: &mut EndpointRecord,
     now: Duration,
--- a/crates/decision/src/policy/release_analysis.rs
+++ b/crates/decision/src/policy/release_analysis.rs
@@ -1,4 +1,5 @@
-//! Release analysis: sequential tests on the outcomes of a canary, own and reported ones, and what they show.
+//! Release analysis: compares the canary with the earlier builds by sequential tests on the outcomes of attempts,
+//! both the agent's own and those that peers report. [`super::voting`] decides on the results.
 use std::time::Duration;
 
 use super::sequential_test::{SequentialTest, SequentialTestSettings, Trials};
@@ -19,35 +20,39 @@
 use crate::state::load_estimate::LoadEstimate;
 use crate::state::votes::VotingState;
 
-/// Tolerated difference of the failure rates. With 0.02, builds that fail 4 to 7 % passed all stages.
+/// Excess of the canary's failure rate over the baseline's that is tolerated. With 0.02, builds that fail 4 to 7 %
+/// of requests passed all stages.
 const TOLERATED_FAILURE_RATE_DIFFERENCE: f64 = 0.005;
-/// Mixing deviation of the tests of failures. With 0.1 some 420 outcomes were needed, now about 250 for 5 %
-/// failures.
+/// Mixing deviation of the tests of failure rates. With 0.1 it took about 420 outcomes to detect a build that fails
+/// 5 % of requests, with 0.05 about 250.
 const FAILURE_MIXING_DEVIATION: f64 = 0.05;
-/// Tolerated difference of the shares of slow answers: machines of one model differ by a fifth.
+/// Excess of the canary's share of slow answers over the baseline's that is tolerated, 0.2: machines of one model
+/// differ by a fifth.
 const TOLERATED_SLOW_SHARE_DIFFERENCE: f64 = 40.0 * TOLERATED_FAILURE_RATE_DIFFERENCE;
-/// Mixing deviation of the test of pace.
+/// Mixing deviation of the test of slow answers.
 const SLOWNESS_MIXING_DEVIATION: f64 = 6.0 * FAILURE_MIXING_DEVIATION;
-/// Level of all tests together.
+/// Probability of a false alarm, 0 to 1, over all tests of a build together.
 const FALSE_ALARM_LEVEL: f64 = 0.05;
-/// Outcomes of the canary without which a test says nothing.
+/// With fewer outcomes of the canary than this, a test is not evaluated.
 pub(crate) const MIN_CANARY_OUTCOMES: f64 = 20.0;
-/// Failures of the canary's oldest endpoints that hold the advance.
+/// Number of failures at the canary's oldest endpoints from which the vote to advance is delayed.
 const MIN_OLDEST_FAILURES: f64 = MIN_CANARY_OUTCOMES / 6.0;
-/// Excess of an oldest endpoint's failure rate over the baseline's from which its failures count.
+/// The failures of one of the canary's oldest endpoints count if its failure rate exceeds the baseline's by more
+/// than this.
 const OLDEST_EXCESS_FAILURE_RATE: f64 = 2.0 * TOLERATED_FAILURE_RATE_DIFFERENCE;
-/// Work requested without which no lost capacity is measured, in requests.
+/// With less requested work than that of this many mean requests, lost capacity is not measured.
 const MIN_DEMAND_REQUESTS: f64 = 1.25 * MIN_CANARY_OUTCOMES;
 
-/// The analysis of the newest build.
+/// The analysis of the newest build: its tests, the evidence beside them, the reports to peers, and the votes.
 #[derive(Debug)]
 pub(crate) struct ReleaseAnalysis {
     pub(crate) settings: ReleaseAnalysisSettings,
     pub(crate) fleet_position: FleetPosition,
     class_count: usize,
-    /// The build that is analysed.
+    /// The build that is analysed; `None` until the first canary.
     pub(crate) build: Option<Build>,
-    /// One test for each class, one of failures over all classes, one of pace over all classes.
+    /// A test of failures for each class by its number, then one of failures over all classes, then one of slow
+    /// answers over all classes. Empty until the first canary.
     pub(crate) tests: Vec<SequentialTest>,
     pub(crate) evidence: Evidence,
     pub(crate) reporter: Reporter,
@@ -77,7 +82,8 @@
         }
     }
 
-    /// Begins the analysis of a new build. `backup_vote_draw` is a random draw from 0 to 1.
+    /// Begins the analysis of a new build, with no outcomes yet. `backup_vote_draw` is a random draw from 0 to 1 that
+    /// decides when this agent votes if no aggregator does.
     pub(crate) fn begin(
         &mut self,
         now: Duration,
@@ -86,7 +92,8 @@
         demand: &Demand,
         backup_vote_draw: f64,
     ) {
-        // An agent that restarted amid a canary has no time before it to compare with.
+        // An agent that restarted during a canary did not observe the capacity before it, so there is nothing to
+        // compare the capacity with.
         let has_past = agent_started_at + REPORTED < now;
         let baseline_capacity = if has_past {
             demand.capacity_per_weight(now)
@@ -114,13 +121,14 @@
         self.tests.push(SequentialTest::new(slowness));
     }
 
-    /// Whether this agent aggregates the reports on a build.
+    /// Whether this agent is one of the few that receive the reports on a build from all agents.
     pub(crate) fn is_aggregator(&self, build: Build) -> bool {
         is_aggregator(self.fleet_position, build)
     }
 
-    /// The level of each test (Bonferroni). An agent that does not receive the others' outcomes shares the chance
-    /// of a false alarm with all agents: of hundreds one always errs.
+    /// The level of each test: [`FALSE_ALARM_LEVEL`] divided by the number of tests (Bonferroni correction). An agent
+    /// that does not receive the other agents' outcomes divides it by the number of agents as well, since among
+    /// hundreds of agents that test independently one would nearly always raise a false alarm.
     pub(crate) fn level_per_test(&self) -> f64 {
         let sees_only_own_outcomes = !self.build.is_some_and(|build| self.is_aggregator(build));
         let agents = if sees_only_own_outcomes {
@@ -131,13 +139,13 @@
         FALSE_ALARM_LEVEL / (self.class_count + 2) as f64 / agents
     }
 
-    /// Whether a build belongs to the canary of the tests.
+    /// Whether the tests count outcomes of this build as the canary's: those of the analysed build and of later ones.
     pub(crate) fn is_canary(&self, build: Build) -> bool {
         self.build.is_some_and(|analysed| build >= analysed)
     }
 
-    /// Records that an arm has answered; returns whether both have within the time of the agent's last few
-    /// requests: only then do they compare.
+    /// Records that an arm has answered. Returns whether both arms have answered within `few_requests`: outcomes of
+    /// different times are not comparable.
     pub(crate) fn on_arm_answered(
         &mut self,
         now: Duration,
@@ -149,17 +157,19 @@
         self.evidence.last_outcome.iter().all(is_recent)
     }
 
-    /// The test of failures over all classes.
+    /// The test of failures over all classes; `None` until the first canary.
     pub(crate) fn failure_test(&self) -> Option<&SequentialTest> {
         self.tests.get(self.class_count)
     }
 
-    /// How many tests may convict a build. Slowness may lie on an agent's own way to a few endpoints: the test of
-    /// pace convicts only for an aggregator, which has the outcomes of many.
+    /// How many of the tests, from the first, may cause a vote to roll back. The last one, of slow answers, may do so
+    /// only at an aggregator, which has the outcomes of many agents: a single agent may see slow answers because of its
+    /// own network path to a few endpoints.
     pub(crate) fn rollback_test_count(&self, build: Build) -> usize {
         self.class_count + 1 + usize::from(self.is_aggregator(build))
     }
 
+    /// Adds outcomes to the tests of their class, of failures over all classes, and, if timed, of slow answers.
     fn observe(&mut self, entry: OutcomeEntry) {
         let OutcomeEntry { key, counts } = entry;
         let counts = counts.map(f64::from);
@@ -172,7 +182,7 @@
         }
     }
 
-    /// Adds own outcomes at an endpoint that runs this build.
+    /// Adds this agent's own outcomes at an endpoint that runs this build, to the tests and to the next report.
     pub(crate) fn on_outcome(
         &mut self,
         endpoint: EndpointId,
@@ -180,7 +190,7 @@
         class: RequestClass,
         counts: OutcomeCounts,
     ) {
-        // Behind the classes stand the tests over all of them.
+        // The tests after those of the classes are over all classes: an unknown class must not be counted there.
         if self.tests.is_empty() || usize::from(class.0) >= self.class_count {
             return;
         }
@@ -192,15 +202,16 @@
         self.reporter.add(OutcomeEntry { key, counts });
     }
 
-    /// Whether there is anything to report or forward without another event.
+    /// Whether outcomes of the analysed build wait to be reported, or the group's reports to be forwarded.
     pub(crate) fn has_more_to_report(&self, status: ReleaseStatus) -> bool {
         let is_analysed = self.build == Some(status.build);
         is_analysed && (self.reporter.has_canary_outcomes() || self.reporter.has_group_reports())
     }
 
-    /// Sends counts of outcomes to the aggregators, with the work that was served in time since, would have been
-    /// at the baseline and was requested: at most a short message each `direct_pause` (a share of the minimum
-    /// stage time), and none without an outcome of the canary's.
+    /// Forwards the group's reports that are due, then sends this agent's own report to the aggregators if the pause
+    /// after the last one is over and the canary has new outcomes. A report holds counts of outcomes and, for the time
+    /// since the last report, the work that was served in time, that would have been served at the baseline capacity,
+    /// and that was requested. Without relays the pause is `direct_pause`, a share of the minimum stage time.
     pub(crate) fn report(
         &mut self,
         now: Duration,
@@ -216,7 +227,7 @@
         if now < self.reporter.next_report_at || !self.reporter.has_canary_outcomes() {
             return;
         }
-        // What an agent that stood still did not serve in time is its own doing.
+        // Work that was not served in time because this agent itself stalled is not evidence against the build.
         let mut work = self.evidence.served_work.take_whole();
         if now < resumed_at + REPORTED {
             work = WorkSums::default();
@@ -226,8 +237,9 @@
             .send(now, status.build, work, direct_pause, actions);
     }
 
-    /// Takes a report: only on the build that is analysed, newer than the last of its sender, about known classes
-    /// and endpoints. What is lost, late, duplicated or malformed is left out and changes nothing.
+    /// Takes a peer's report. It is ignored unless it is well-formed, on the analysed build, and newer than the last
+    /// one of its sender; entries on unknown classes, or on endpoints that do not run the build, are left out. An
+    /// aggregator adds the entries to its tests, a relay keeps them for forwarding.
     pub(crate) fn on_report(
         &mut self,
         now: Duration,
@@ -261,10 +273,11 @@
         entries.for_each(|entry| self.observe(entry));
     }
 
-    /// The share of capacity that is lost, against what it was at the end of the stage before: a build that slows
-    /// all endpoints does so in step with its stages; what came earlier is not its doing. Only with enough traffic
-    /// to tell, a past, and for an aggregator: of hundreds of agents one is always in trouble of its own. It harms where
-    /// another fault comes with a stage.
+    /// The share of capacity, 1 at most, that has been lost since the end of the stage before. Guards against a build
+    /// that slows the endpoints of all builds, which no comparison of the two arms shows: such a loss grows with the
+    /// stages, while an earlier loss is not the build's fault. 0 with too little traffic, until a stage has ended,
+    /// where the capacity before the canary is unknown, and at all agents but the aggregators, since among hundreds of
+    /// agents one always has trouble of its own. False alarm: another fault that begins with a stage.
     pub(crate) fn lost_share(
         &mut self,
         now: Duration,
@@ -281,9 +294,10 @@
             .map_or(0.0, |retained| 1.0 - retained)
     }
 
-    /// Whether endpoints of an earlier stage fail, as younger ones may yet do, and not just a third of them.
-    /// Ejected ones are left out, since a bad machine fails far more. Guards against builds that turn bad some
-    /// time after their start. It harms, by a delay, where more of just these have a fault of their own.
+    /// Whether the canary's endpoints of earlier stages fail more than the baseline, also without the third of them
+    /// that fails most. Ejected endpoints are left out, since a bad machine fails far more than a bad build. Guards
+    /// against builds that turn bad some time after their start, while the newer endpoints still look good. False
+    /// alarm, at the cost of a delay: more than a third of these endpoints have a fault of their own.
     pub(crate) fn oldest_endpoints_fail(&self, endpoints: &EndpointTable, build: Build) -> bool {
         let failures = self
             .failure_test()
@@ -312,9 +326,10 @@
     }
 }
 
-/// Whether the canary looks worse, on enough outcomes, and also without the quarter of its endpoints that look
-/// worst. Guards against bad machines and noisy neighbours that happen to carry the build: a build is bad
-/// wherever it runs. It harms where only one machine will ever carry it.
+/// Whether a test suggests that the canary is worse than the baseline: by more than the tolerated difference, on enough
+/// outcomes, and also without the quarter of its endpoints with the highest rates. Leaving out that quarter guards
+/// against blaming the build for bad machines and noisy neighbours that happen to run it: a bad build is bad on every
+/// endpoint. A regression is missed where only one endpoint ever runs the build.
 pub(crate) fn suggests_regression(test: &SequentialTest) -> bool {
     if test.canary_outcomes() < MIN_CANARY_OUTCOMES || !test.is_worse() {
         return false;
--- a/crates/decision/src/policy/retry.rs
+++ b/crates/decision/src/policy/retry.rs
@@ -1,5 +1,5 @@
-//! Attempts of a request: when another one may follow, when the outstanding one is given up for lost, and when
-//! the request is given up.
+//! Retries: when a request may have another attempt, when the outstanding attempt is taken for lost, and when the
+//! request is given up.
 use std::time::Duration;
 
 use crate::model::{AttemptNumber, DeduplicationScope, Idempotency, Outcome, RequestSettings};
@@ -7,27 +7,29 @@
 use crate::state::load_estimate::LoadEstimate;
 use crate::state::pending_requests::{Attempt, PendingRequest};
 
-/// No request is expected to take longer than this, in seconds.
+/// Upper bound of the time that an attempt is expected to take, in seconds.
 const MAX_EXPECTED_SECONDS: f64 = 15.0;
-/// No attempt begins within so many ticks of the deadline.
+/// No attempt begins within this many ticks before the deadline.
 const MIN_TIME_LEFT_TICKS: u32 = 4;
-/// An attempt may be lost when it has taken so many times the expected time...
+/// An attempt may be taken for lost only after this many times the time that it is expected to take.
 const MIN_WAIT_EXPECTED_MULTIPLE: u32 = 4;
-/// ... and a fraction of the latency objective: one divided by this.
+/// An attempt may be taken for lost only after the latency objective divided by this.
 const MIN_WAIT_OBJECTIVE_DIVISOR: u32 = 4;
-/// An attempt that may be lost is looked at again after so many ticks.
+/// An attempt that has waited long enough to be lost is checked again after this many ticks.
 const LOST_CHECK_TICKS: u32 = 8;
-/// Retries go on with a probability of the share that was served of late, and so much more.
+/// Added to the share of recent retries that were served, to give the probability of a retry: some retries go on even
+/// when none has helped.
 const RETRY_PROBABILITY_BONUS: f64 = 0.1;
 
-/// Times that decide what may still be done for a request.
+/// The time and the attempts that a request has left.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RemainingBudget {
-    /// How long an attempt is expected to take.
+    /// How long an attempt is expected to take, by the median pace of all endpoints.
     pub(crate) expected_time: Duration,
-    /// What is left of the latency objective.
+    /// What is left of the latency objective; zero once it has passed.
     pub(crate) objective_left: Duration,
-    /// Whether another attempt may be made.
+    /// Whether another attempt may be made: there is time before the deadline, the limit of attempts is not reached,
+    /// and the rules of idempotency permit it.
     pub(crate) may_attempt: bool,
 }
 
@@ -41,7 +43,7 @@
     ) -> Self {
         let expected_time = load.median_pace * request.work.max(load.mean_work);
         let expected_time = Duration::from_secs_f64(expected_time.min(MAX_EXPECTED_SECONDS));
-        // When the agent shuts down, nothing begins of which it would not see the end.
+        // While the agent shuts down, no attempt begins that is not expected to end before the shutdown does.
         let deadline = request.request.deadline;
         let needed = if deadline == limits.shutdown_deadline {
             expected_time
@@ -58,20 +60,23 @@
         }
     }
 
-    /// Whether an answer could no longer earn anything.
+    /// Whether an answer would earn nothing any more: the latency objective has passed, and the class gives late
+    /// answers no weight.
     pub(crate) fn is_answer_worthless(&self, request: &PendingRequest) -> bool {
         self.objective_left.is_zero() && request.policy.late_weight_share <= 0.0
     }
 }
 
-/// What limits the attempts of a request.
+/// The limits that apply to the attempts of all requests.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AttemptLimits<'a> {
     pub(crate) settings: &'a RequestSettings,
+    /// No answer may be later than this; `Duration::MAX` until a shutdown begins.
     pub(crate) shutdown_deadline: Duration,
 }
 
-/// Whether the rules of idempotency let one more attempt go out, to an endpoint that drops repeats.
+/// Whether the rules of idempotency permit one more attempt: the request has not run, or may run twice, or its key is
+/// still within the deduplication window of the endpoints that know it.
 pub(crate) fn may_resend(request: &PendingRequest, now: Duration) -> bool {
     match (request.policy.idempotency, request.possible_execution) {
         (_, None) | (Idempotency::Idempotent, _) => true,
@@ -82,7 +87,8 @@
     }
 }
 
-/// Whether a request that is given up may be answered as rejected: it did not run, or it may run again.
+/// Whether a request that is given up may be answered as rejected, so that the client may send it again: it cannot have
+/// run, or it may run again on any endpoint. Otherwise it is answered as failed.
 pub(crate) fn may_reject(request: &PendingRequest) -> bool {
     let is_repeatable = matches!(
         request.policy.idempotency,
@@ -91,14 +97,15 @@
     is_repeatable || request.possible_execution.is_none()
 }
 
-/// Whether the next attempt is no retry of something that failed.
+/// Whether the next attempt is the first, or follows a rejection. Such an attempt does not retry a failure: admission
+/// control decides on it.
 pub(crate) fn is_first_or_was_rejected(request: &PendingRequest) -> bool {
     request.attempts.is_empty() || request.last_outcome() == Some(Outcome::Rejected)
 }
 
-/// The probability with which a request whose last attempt failed is retried: as far as retries have helped of
-/// late. Guards against storms over requests that fail wherever they go; harms for some time where a fault
-/// has just passed.
+/// The probability with which a request whose last attempt failed is retried: the share of recent retries that were
+/// served, and [`RETRY_PROBABILITY_BONUS`]. Guards against retry storms over requests that fail wherever they go. Costs
+/// some requests their retry for a while after a fault has passed.
 pub(crate) fn retry_probability(retry_success: f64) -> f64 {
     retry_success + RETRY_PROBABILITY_BONUS
 }
@@ -106,20 +113,21 @@
 /// What is to be done about an outstanding attempt.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum OutstandingStep {
-    /// Nothing, until it ends.
+    /// Nothing until it ends: no other attempt may follow, or it would begin after the latency objective.
     Await,
-    /// Look again at this instant.
+    /// Check it again at this instant, unless it ends before.
     CheckAt(Duration),
-    /// Cancel it, and look again at `check_at`.
+    /// Cancel it, and check the request again at `check_at`.
     Cancel {
         number: AttemptNumber,
         check_at: Duration,
     },
 }
 
-/// Decides about an outstanding attempt. It is given up for lost if nothing comes from its endpoint, or if the
-/// endpoint has answered what was sent later. Guards against lost messages and stuck work as well as dead
-/// machines.
+/// Decides what is to be done about an outstanding attempt, if another one could still follow within the latency
+/// objective. Once it has waited for long enough, it is taken for lost if its endpoint has no record any more, has
+/// answered an attempt that was sent later, or is ejected and has sent nothing since. Guards against lost messages and
+/// stuck work as well as dead machines.
 pub(crate) fn check_outstanding(
     now: Duration,
     tick: Duration,
@@ -154,7 +162,7 @@
     }
 }
 
-/// An outstanding attempt, and what is known of its endpoint.
+/// What the check of an outstanding attempt depends on.
 pub(crate) struct OutstandingCheck<'a> {
     pub(crate) number: AttemptNumber,
     pub(crate) attempt: &'a Attempt,
--- a/crates/decision/src/policy/sequential_test.rs
+++ b/crates/decision/src/policy/sequential_test.rs
@@ -1,11 +1,11 @@
 //! The mixture sequential probability ratio test (mSPRT) of Johari, Koomen, Pekelis and Walsh, "Peeking at A/B
-//! Tests" (KDD 2017), for two failure rates. Formula and section numbers are the paper's. Pure statistics:
-//! nothing here knows what the outcomes are of.
+//! Tests" (KDD 2017), for two failure rates. Its p-value stays valid however often it is read while outcomes come in.
+//! Formula and section numbers are the paper's. Nothing here depends on what the outcomes are of.
 use std::collections::BTreeMap;
 
 use crate::model::EndpointId;
 
-/// What a sequential test is made with.
+/// Parameters of a sequential test.
 #[derive(Clone, Copy, Debug)]
 pub struct SequentialTestSettings {
     /// Tolerated difference of the two failure rates (the paper's theta0).
@@ -16,7 +16,7 @@
     pub level: f64,
 }
 
-/// How many outcomes, and how many of them are failures.
+/// Number of outcomes, and how many of them are failures.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Trials {
     pub(crate) outcomes: f64,
@@ -24,8 +24,8 @@
 }
 
 impl Trials {
-    /// Adds outcomes. There are never more failures than outcomes: a failure may be reported after its outcome
-    /// was counted as good.
+    /// Adds outcomes. A failure may come alone, for an outcome that was counted as good before; failures are limited to
+    /// the number of outcomes.
     fn add(&mut self, outcomes: f64, failures: f64) {
         let total = self.outcomes + outcomes;
         self.failures = (self.failures + failures).min(total);
@@ -76,13 +76,14 @@
         }
     }
 
-    /// The always valid p-value, 0 to 1: the canary is worse at the test's level once this is no higher.
+    /// The always valid p-value, 0 to 1. The canary is worse than the baseline, at the test's level, once this is not
+    /// above that level.
     pub fn p_value(&self) -> f64 {
         self.p_value
     }
 
-    /// Adds outcomes, how many of them are failures, and the canary's endpoint that they come from; `None` for
-    /// the earlier builds.
+    /// Adds outcomes, `failures` of which are failures, of one of the canary's endpoints, or of the earlier builds if
+    /// `canary_endpoint` is `None`.
     pub fn observe(&mut self, canary_endpoint: Option<EndpointId>, outcomes: f64, failures: f64) {
         self.count(canary_endpoint, outcomes, failures);
         let n = self.baseline.outcomes.min(self.canary.outcomes);
@@ -102,7 +103,8 @@
         // Formula 12.
         let likelihood_ratio =
             (variance / mixed).sqrt() * ((y - x - tolerated_difference).powi(2) / spread).exp();
-        // Formula 9, but one-sided: a canary that was better for a while must not look worse for it later.
+        // Formula 9, but one-sided: a canary that has been better for a while must not count as different, and so as
+        // worse, later on.
         if y - x > tolerated_difference {
             self.p_value = self.p_value.min(1.0 / likelihood_ratio);
         }
@@ -119,6 +121,7 @@
         }
     }
 
+    /// Adds outcomes to the sums of their arm, and of their endpoint if it is one of the canary's.
     fn count(&mut self, canary_endpoint: Option<EndpointId>, outcomes: f64, failures: f64) {
         let Some(endpoint) = canary_endpoint else {
             self.baseline.add(outcomes, failures);
@@ -131,22 +134,23 @@
             .add(outcomes, failures);
     }
 
-    /// By how much the canary's failure rate is higher.
+    /// The canary's failure rate minus the baseline's, -1 to 1.
     pub(crate) fn difference(&self) -> f64 {
         self.canary.rate() - self.baseline.rate()
     }
 
-    /// The failure rate of the earlier builds.
+    /// The failure rate of the earlier builds, 0 to 1.
     pub(crate) fn baseline_rate(&self) -> f64 {
         self.baseline.rate()
     }
 
-    /// How many outcomes of the canary were observed.
+    /// Number of the canary's outcomes.
     pub(crate) fn canary_outcomes(&self) -> f64 {
         self.canary.outcomes
     }
 
-    /// Whether the canary is worse by more than the tolerated difference.
+    /// Whether the canary's failure rate exceeds the baseline's by more than the tolerated difference, whatever the
+    /// p-value.
     pub(crate) fn is_worse(&self) -> bool {
         self.difference() > self.settings.tolerated_difference
     }
@@ -155,7 +159,7 @@
         self.settings.tolerated_difference
     }
 
-    /// The outcomes of those of the canary's endpoints that the filter accepts, the highest failure rate first.
+    /// The outcomes of each of the canary's endpoints that the filter accepts, the highest failure rate first.
     pub(crate) fn worst_first(&self, accepts: impl Fn(EndpointId) -> bool) -> Vec<Trials> {
         let mut trials: Vec<Trials> = self
             .by_canary_endpoint
--- a/crates/decision/src/policy/slow_start.rs
+++ b/crates/decision/src/policy/slow_start.rs
@@ -1,4 +1,4 @@
-//! Slow start: what an endpoint gets whose process has just started.
+//! Slow start: limits the work that is sent to an endpoint whose process has just started, until it has warmed up.
 use std::time::Duration;
 
 use crate::model::{Arm, Build, Endpoint, PerArm, SlowStartSettings, Zone};
@@ -6,20 +6,21 @@
 use crate::state::endpoint_table::EndpointTable;
 use crate::state::pending_requests::PendingRequest;
 
-/// Each agent sends at most this share of what would overload an endpoint. With 0.9, and by listed weight alone,
-/// an endpoint of a slow model was overloaded.
+/// All agents together may send a warming endpoint at most this share of the work that would overload it. With 0.9, and
+/// with budgets by listed weight alone, an endpoint of a slow model was overloaded.
 const OVERLOAD_BUDGET_SHARE: f64 = 0.75;
-/// For so many eighths of the ramp slowness is no evidence.
+/// For this many eighths of the ramp after an endpoint's start, its slow answers are no evidence against its build: an
+/// eighth more than the ramp, since the endpoint list shows starts late.
 const NO_EVIDENCE_RAMP_EIGHTHS: u32 = 9;
-/// A request chooses between two endpoints, so that one may get twice its share.
+/// Number of endpoints that a request chooses between, so that one endpoint may get twice its share of the traffic.
 const CHOICES_PER_REQUEST: f64 = 2.0;
 
-/// What the budget of an endpoint is worked out from.
+/// What the budget of a warming endpoint is computed from.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SlowStartLoad {
-    /// Work in seconds that the endpoint would carry in a second after warming up.
+    /// Work in seconds that the endpoint would carry in a second for this agent once it has warmed up.
     pub(crate) full_rate: f64,
-    /// All work due in the window, in seconds.
+    /// Work of all requests of this agent that is due in the window over which overload is measured, in seconds.
     pub(crate) work_due: f64,
 }
 
@@ -30,7 +31,8 @@
 }
 
 impl SlowStart {
-    /// The least share of its full capacity that an endpoint of this age has; `None` is old.
+    /// The share of its full capacity that an endpoint of this age is sure to have, 0 to 1: it grows linearly over
+    /// the ramp. An age of `None` means that the endpoint started long ago.
     pub(crate) fn capacity_share(&self, age: Option<Duration>) -> f64 {
         let ramp = self.settings.ramp;
         let Some(age) = age.filter(|&age| age < ramp) else {
@@ -40,18 +42,19 @@
         initial + (1.0 - initial) * age.as_secs_f64() / ramp.as_secs_f64()
     }
 
-    /// Whether an endpoint was still slow from its start when something was sent to it. An eighth is left beyond
-    /// the ramp, since the list shows starts late.
+    /// Whether an endpoint may still have been slow because of its start when an attempt was sent to it.
     pub(crate) fn was_warming_up(&self, endpoint: &Endpoint, sent_at: Duration) -> bool {
         endpoint.started.is_some_and(|started| {
             sent_at < started + self.settings.ramp * NO_EVIDENCE_RAMP_EIGHTHS / 8
         })
     }
 
-    /// Whether a request keeps this agent's part of the endpoint's budget: what it would send to one of the same
-    /// weight that has warmed up, so that all agents' parts add up to what such a one carries. A part below one
-    /// request is a chance of one: the request's random draw, renewed each window, against twice (for the two choices)
-    /// what would go there of all work due. Guards against the first requests of hundreds of agents.
+    /// Whether a request may go to an endpoint without exceeding this agent's part of the endpoint's budget. That part
+    /// follows from what the agent would send to an endpoint of the same weight that has warmed up, so that the parts
+    /// of all agents add up to what such an endpoint carries. Where the part is less than one request, it becomes the
+    /// probability of one: the request's random draw, renewed each window, must be below the budget divided by the work
+    /// that would go there: the endpoint's share of all work due, times the two choices of each request.
+    /// Without that draw, the first requests of hundreds of agents would overload the endpoint together.
     pub(crate) fn permits(
         &self,
         now: Duration,
@@ -76,8 +79,8 @@
         capacity_share >= 1.0 || sent_work() + request.work <= budget || may_be_first()
     }
 
-    /// The listed weight of each arm, as far as it belongs to one and has warmed up, less that of endpoints
-    /// which are excluded.
+    /// The listed weight of each arm over all ready endpoints, reduced for those that are warming up, and without those
+    /// that `is_excluded` names. Endpoints for which `arm_of` returns `None` count in neither arm.
     pub(crate) fn listed_weights(
         &self,
         now: Duration,
--- a/crates/decision/src/policy/subsetting.rs
+++ b/crates/decision/src/policy/subsetting.rs
@@ -1,5 +1,5 @@
-//! Subsetting: with which endpoints of a long list an agent works. It takes a part of each arm's ring around its
-//! own place, and mostly uses a few of these, its assigned endpoints.
+//! Subsetting: which endpoints of a long list an agent works with. Of each arm it takes a segment of the
+//! consistent-hashing ring around its own position, and mostly uses a few of these endpoints, its assigned ones.
 use std::time::Duration;
 
 use rand::RngExt;
@@ -21,55 +21,59 @@
 use crate::state::load_estimate::LoadEstimate;
 use crate::state::pending_requests::PendingRequest;
 
-/// So many endpoints of an arm serve an agent with hardly a request outstanding: enough to choose and to lose
-/// some.
+/// Assigned endpoints of an arm for an agent with hardly a request outstanding: enough to choose between them and to
+/// lose some.
 const MIN_ASSIGNED_ENDPOINTS: f64 = 8.0;
-/// Of an arm with more endpoints an agent works with a subset of so many, or a power of two times as many: twice
-/// its assigned ones at least, to lose some, and fewer again beyond five times, so that the size does not swing.
-/// The cost of a walk follows it. Large enough for the assigned endpoints of a usual agent, whose place by rank
-/// may lie some way off its place on the ring.
+/// Smallest size of the subset of an arm that has more endpoints than this; larger sizes are this times a power of two.
+/// The cost of each walk over the subset grows with its size. This one is large enough for the assigned endpoints of a
+/// usual agent: they lie around its rank among all endpoints, which may be some way off its position on the ring.
 pub(crate) const MIN_SUBSET_SIZE: f64 = 20.0 * MIN_ASSIGNED_ENDPOINTS;
-/// The subset grows below, and shrinks above, so many times the assigned endpoints.
+/// The subset grows while it is smaller than this many times the assigned endpoints, so that it can lose some.
 const MIN_SIZE_PER_ASSIGNED: f64 = 2.0;
+/// The subset shrinks while it is larger than this many times the assigned endpoints. The gap to
+/// [`MIN_SIZE_PER_ASSIGNED`] keeps its size from swinging.
 const MAX_SIZE_PER_ASSIGNED: f64 = 5.0;
-/// Where hardly any endpoint can serve, the subset takes at most so many times as many as it wants.
+/// Where hardly any endpoint can serve, the subset takes at most this many times its target size.
 const MAX_WALK_MULTIPLE: usize = 4;
-/// With each refresh a side keeps so many sixteenths of its members at least, less one.
+/// At each refresh a side of the segment keeps at least this many sixteenths of its members, less one.
 const MIN_KEPT_SIXTEENTHS: usize = 15;
 
-/// How many endpoints of an arm an agent mostly uses, even over all agents: more, the more it has outstanding.
-/// Guards against connections that carry a request or two; harms evenness where few agents request much.
+/// How many endpoints of an arm an agent mostly uses: the more it has outstanding, the more. Guards against many
+/// connections that carry only a request or two each. The load is less even where a few agents send most requests.
 pub(crate) fn assigned_count(load: &LoadEstimate) -> f64 {
     MIN_ASSIGNED_ENDPOINTS * (1.0 + load.mean_outstanding())
 }
 
-/// How a segment is taken from the ring.
+/// Which endpoints belong to a segment of the ring, and how far it extends.
 struct SegmentCriteria<Includes, CanServe, IsEnough> {
     /// Whether endpoints of a build and zone belong to the arm.
     includes: Includes,
+    /// Whether an endpoint can take a request now.
     can_serve: CanServe,
-    /// Whether so many endpoints, of which so many can serve, are enough on one side.
+    /// Whether a side is complete, by the number of endpoints taken and by how many of them can serve.
     is_enough: IsEnough,
-    /// An arm of up to so many endpoints is taken whole.
+    /// An arm of up to this many endpoints is taken whole.
     max_size_taken_whole: usize,
+    /// The least number of members to take on each side.
     minimum: Reach,
 }
 
-/// The part of one arm's ring around an agent's own place.
+/// The part of one arm's ring around the agent's own position.
 struct Segment {
-    /// In the order of the ring.
+    /// The endpoints of the segment, in the order of the ring.
     members: Vec<EndpointId>,
     reach: Reach,
     /// How many of the members can serve now.
     serving: usize,
     /// How many endpoints the arm has in all.
     arm_size: usize,
-    /// The rank among the members at which the agent's place among all endpoints lies, counted by ranks.
+    /// The agent's own rank, relative to the first member: agents divide the ranks of the arm evenly, whereas the
+    /// positions of endpoints on the ring are spread at random. May lie outside of the segment.
     own_rank: f64,
 }
 
 impl Segment {
-    /// Takes the nearest endpoints on each side of the agent's place.
+    /// Takes the nearest endpoints on each side of the agent's position.
     fn new(
         catalog: &EndpointCatalog,
         fleet_position: FleetPosition,
@@ -115,7 +119,8 @@
         }
     }
 
-    /// The rank at which so many assigned endpoints begin: at the agent's own, as far as the segment holds them.
+    /// The rank among the members at which the assigned endpoints begin: the agent's own, moved as far as needed for
+    /// the segment to hold them all.
     fn first_assigned(&self, assigned_count: f64) -> usize {
         let count = self.members.len() as f64;
         if self.members.len() == self.arm_size {
@@ -136,10 +141,11 @@
 }
 
 impl SubsetSelection<'_> {
-    /// Chooses the subset, where the list is long; returns at which rank of each arm the assigned endpoints
-    /// begin: at the agent's place among all by rank, which is even. On each side of its place on the ring it
-    /// takes as many as hold half of the members that can serve now, so that what turns bad widens it with the
-    /// next refresh. It narrows by a sixteenth a refresh: what comes back all at once moves little.
+    /// Chooses the subset of a long list. Returns the rank of each arm at which the assigned endpoints begin: the
+    /// agent's own rank among all endpoints, by which agents divide them evenly. On each side of the agent's position
+    /// on the ring the subset extends until endpoints that can serve make up half of the target size, so that it widens
+    /// at the next refresh when members fail. It narrows by at most a sixteenth at each refresh, so that little moves
+    /// when many endpoints recover at once.
     pub(crate) fn choose(
         &self,
         subset: &mut Subset,
@@ -156,8 +162,9 @@
         PerArm::from_fn(|arm| segments[arm].first_assigned(self.assigned_count))
     }
 
+    /// Doubles or halves the target size of the subset where it does not fit the number of assigned endpoints.
     fn resize(&self, subset: &mut Subset) {
-        // An agent that has just come up does not know its request rate yet.
+        // An agent that has just started does not know its request rate yet, so its subset does not grow.
         let is_known = self
             .exposure
             .windows
@@ -171,6 +178,8 @@
         }
     }
 
+    /// Takes the segment of an arm, which is to have `half` endpoints that can serve on each side. `reach` is its
+    /// extent at the last refresh.
     fn segment(&self, arm: Arm, half: usize, reach: Reach, endpoints: &EndpointTable) -> Segment {
         let catalog = &endpoints.catalog;
         let has_warmed_up =
@@ -187,8 +196,8 @@
                 can_serve: |id| {
                     !endpoints.is_ejected(id) && catalog.get(id).is_some_and(has_warmed_up)
                 },
-                // Where hardly any can serve, others are not searched for all over the list: `add_from_outside`
-                // does so for a request that needs it.
+                // Where hardly any endpoint can serve, the whole list is not searched here: `add_from_outside` looks
+                // for others for a request that needs one.
                 is_enough: |taken, serving| serving >= half || taken >= MAX_WALK_MULTIPLE * half,
                 max_size_taken_whole: 2 * half,
                 minimum: Reach {
@@ -199,7 +208,8 @@
         )
     }
 
-    /// What was used of late keeps its record for as long as the longest ejection.
+    /// Whether an endpoint outside the subset keeps its record, with its health and its ejection: it has outstanding
+    /// attempts, or work in the slow-start window, or was in use or ejected within the longest ejection time.
     fn keeps_record(&self, record: &EndpointRecord) -> bool {
         let health = &record.health;
         let last_used = health.ejected_until.max(health.last_response);
@@ -210,7 +220,7 @@
     }
 }
 
-/// What the search outside the subset depends on.
+/// What the search for endpoints outside the subset depends on.
 pub(crate) struct OutsideSearch<'a> {
     pub(crate) now: Duration,
     pub(crate) candidates: &'a Candidates,
@@ -218,8 +228,9 @@
     pub(crate) exposure: &'a Exposure,
 }
 
-/// Finds a few endpoints outside the subset for a request that none of it can take: from a random place on the
-/// ring, or of the group to which it is confined. They keep a record for as long as they are used.
+/// Finds a few endpoints outside the subset for a request that no endpoint of the subset can take, and adds records for
+/// them, which they keep while they are used. The search begins at a random position on the ring, or in the cell to
+/// which the request is confined.
 pub(crate) fn add_from_outside(
     endpoints: &mut EndpointTable,
     request: &PendingRequest,
@@ -258,7 +269,7 @@
     found
 }
 
-/// Draws one of the endpoints found outside the subset that accepts the request.
+/// Draws one of the endpoints found outside the subset that the request may go to and has not been sent to.
 pub(crate) fn draw_from_outside(
     selection: &EndpointSelection<'_>,
     found: &[Endpoint],
--- a/crates/decision/src/policy/voting.rs
+++ b/crates/decision/src/policy/voting.rs
@@ -1,4 +1,5 @@
-//! Votes: whether the newest build advances, is held or is rolled back, and when a vote is repeated.
+//! Votes: whether this agent asks that the newest build advances, is held at its stage or is rolled back, and when it
+//! repeats its vote. The evidence comes from [`super::release_analysis`].
 use std::time::Duration;
 
 use super::release_analysis::{ReleaseAnalysis, suggests_regression};
@@ -9,31 +10,35 @@
 use crate::state::endpoint_table::EndpointTable;
 use crate::state::votes::{CastVote, StageVote};
 
-/// After the release, rolling back costs some time without service: it is not worth it for a lower difference of
-/// failure rates.
+/// After the release, a test causes a rollback only if the canary's rate exceeds the baseline's by more than this:
+/// rolling back a released build costs some time without service.
 const MIN_DIFFERENCE_RELEASED: f64 = 0.05;
-/// From the start of the canary's newest endpoint to the vote to advance: the design's 3 s, and some for a late
-/// clock.
+/// Time from the start of the canary's newest endpoint to the vote to advance: the 3 s that the design asks for, and
+/// a margin for a late clock. The waits below are multiples of it.
 const ADVANCE_WAIT: Duration = Duration::from_millis(3500);
-/// So many waits in doubt over pace or capacity.
+/// Number of waits before the vote to advance while slow answers or lost capacity suggest a regression.
 const WAITS_ON_SUSPECTED_SLOWNESS: u32 = 3;
-/// So many in doubt over failures, which a good build does not have.
+/// Number of waits while failures suggest a regression: longer, since a good build has no such failures.
 const WAITS_ON_SUSPECTED_FAILURES: u32 = 6;
-/// Stand-ins for the aggregators vote so many waits later at least, spread over [`BACKUP_VOTE_SPREAD_WAITS`] more.
+/// An agent that is no aggregator votes to advance this many waits after the aggregators at least, so that it votes
+/// only if none of them has.
 const BACKUP_VOTE_DELAY_WAITS: f64 = 1.0;
+/// The backup votes of all agents are spread at random over this many waits more.
 const BACKUP_VOTE_SPREAD_WAITS: f64 = 2.0;
-/// Share both of the baseline's and of the requested work that must be lost to convict a build that slows old
-/// and new alike; half of it holds the advance. Short slowdowns pass.
+/// Lost share of capacity above which the vote is to roll back, and above half of which a regression is
+/// suspected. It must be lost both of the baseline capacity and of the requested work. Guards against builds that slow
+/// the endpoints of all builds; short slowdowns stay below it.
 const MAX_LOST_SHARE: f64 = 0.35;
-/// After the release, capacity must have been lost for this long to convict.
+/// After the release, capacity must have been lost for longer than this before the vote is to roll back.
 const MIN_LOSS_TIME_RELEASED: Duration = Duration::from_secs(15);
-/// The list shows endpoints late: a stage whose endpoints it does not show has begun after so many minimum stage
-/// times at the latest.
+/// The endpoint list lags: after this many minimum stage times a stage counts as listed even if its endpoints are not,
+/// so that a list that never shows them cannot block the release.
 const MAX_LIST_DELAY_STAGE_TIMES: u32 = 6;
 
-/// Under a clock, doubt holds a stage for so many thirds of the minimum stage time at most.
+/// Where releases advance by the clock, a suspected regression holds a stage for at most this many thirds of the
+/// minimum stage time.
 const MAX_HOLD_THIRDS: u32 = 4;
-/// An accepted vote is repeated after so many fifths of its validity, so that it does not lapse.
+/// An accepted vote is repeated after this many fifths of its validity, so that it does not lapse.
 const REPEAT_FIFTHS: u32 = 4;
 
 /// What a vote is decided on besides the tests.
@@ -41,14 +46,15 @@
 pub(crate) struct VoteInputs {
     pub(crate) now: Duration,
     pub(crate) status: ReleaseStatus,
-    /// Share of capacity that is lost.
+    /// Share of capacity that is lost, 1 at most, as [`ReleaseAnalysis::lost_share`] computes it.
     pub(crate) lost_share: f64,
-    /// The operator's rules hold the build at its stage; a rollback is never held up.
+    /// The operator's rules hold the build at its stage. They never prevent a vote to roll back.
     pub(crate) is_held_by_operator: bool,
 }
 
 impl ReleaseAnalysis {
-    /// Warns peers and votes; returns whether there may be more to do before another event.
+    /// Warns peers of a suspected regression and casts the vote that is due. Returns whether there may be more to do
+    /// before another event, so that the engine has to wake up again.
     pub(crate) fn warn_and_vote(
         &mut self,
         inputs: VoteInputs,
@@ -72,7 +78,8 @@
         true
     }
 
-    /// An aggregator that is in doubt warns all peers, so that none votes to advance what it is about to convict.
+    /// Warns all peers if this agent is an aggregator and suspects a regression, at most twice in a minimum stage time,
+    /// so that none of them votes to advance a build that the aggregators are about to vote to roll back.
     fn warn_peers(
         &mut self,
         inputs: VoteInputs,
@@ -100,7 +107,8 @@
         }
     }
 
-    /// Casts a vote, unless the same one was cast and is not to be repeated yet.
+    /// Casts a vote, unless the same one was cast and need not be repeated yet. An accepted vote is repeated before it
+    /// lapses, a refused one after a quarter of the call's timeout, an unanswered one after twice that timeout.
     fn cast_vote(&mut self, inputs: VoteInputs, stage_vote: StageVote, actions: &mut dyn Actions) {
         let timing = self.settings.vote_timing;
         let same = self
@@ -128,6 +136,9 @@
         actions.vote(stage_vote.build, stage_vote.stage, stage_vote.vote);
     }
 
+    /// Decides which vote this agent would cast now, if any. On a canary: roll back if a regression is proven; where
+    /// releases advance by the clock, hold while one is suspected or the operator holds the build; else advance when
+    /// [`ReleaseAnalysis::may_advance`] says so. On a released build: roll back or nothing.
     fn choose_vote(&self, inputs: VoteInputs, endpoints: &EndpointTable) -> Option<Vote> {
         let status = inputs.status;
         let is_released = match status.phase {
@@ -157,6 +168,8 @@
             .then_some(Vote::Advance)
     }
 
+    /// Whether a test proves a regression at its level, or too much capacity has been lost for too long. After the
+    /// release, both take more than before it.
     fn should_roll_back(&self, inputs: VoteInputs, is_released: bool) -> bool {
         let (min_difference, min_loss_time) = if is_released {
             (MIN_DIFFERENCE_RELEASED, MIN_LOSS_TIME_RELEASED)
@@ -177,9 +190,11 @@
             || inputs.now > self.voting.last_tolerable_loss + min_loss_time
     }
 
-    /// Whether it is time to vote to advance. The aggregators vote first; others stand in, spread at random, if
-    /// none of them does. In doubt, an agent and those that it warned wait for more outcomes, longer over
-    /// failures. Guards against agents that vote to advance what another is about to convict.
+    /// Whether it is time to vote to advance: the stage is listed and has lasted for its minimum time, the operator
+    /// does not hold the build, and the wait since the canary's newest endpoint started is over. The aggregators wait
+    /// least; the other agents cast backup votes later, spread at random. While a regression is suspected, here or by a
+    /// peer that has warned this agent, the wait is longer, most of all for failures, so that more outcomes come in.
+    /// Guards against votes to advance a build that another agent is about to vote to roll back.
     fn may_advance(
         &self,
         inputs: VoteInputs,
@@ -212,7 +227,8 @@
             && now >= status.since + self.settings.minimum_stage_time
     }
 
-    /// Whether the list shows the endpoints of a stage. It runs late: until then the stage has not begun to wait.
+    /// Whether as many endpoints as the stage asks for are listed with the build, or the stage has lasted so long that
+    /// they no longer matter. The list lags, and a stage must not be judged before its endpoints can take requests.
     fn is_stage_listed(
         &self,
         now: Duration,
@@ -233,8 +249,8 @@
     }
 }
 
-/// The log line of a new vote: what it asks, the share of capacity lost, and of each test the canary's outcomes,
-/// the difference and the p-value.
+/// The log line of a new vote: the vote, the share of capacity that is lost, and for each test the number of the
+/// canary's outcomes, the difference of the rates and the p-value.
 fn vote_line(stage_vote: StageVote, lost_share: f64, tests: &[SequentialTest]) -> String {
     let StageVote { build, stage, vote } = stage_vote;
     let tests: Vec<String> = tests
@@ -253,7 +269,7 @@
     )
 }
 
-/// The name of a vote in log lines.
+/// The name of a vote in log lines, which is part of their fixed format.
 const fn vote_name(vote: Vote) -> &'static str {
     match vote {
         Vote::Retract => "retract",
