--- a/crates/decision/src/engine/attempts.rs
+++ b/crates/decision/src/engine/attempts.rs
@@ -1,4 +1,4 @@
-//! What is due for a request: an attempt, a cancellation, or the final answer.
+//! Pending requests: sends or cancels an attempt, or gives the request up, whatever is due for it.
 use std::time::Duration;
 
 use rand::{RngExt, SeedableRng};
@@ -16,11 +16,12 @@
 use crate::state::endpoint_record::{AttemptId, OutstandingAttempt};
 use crate::state::pending_requests::{Attempt, PossibleExecution, RandomDraw};
 
-/// A request that no endpoint accepts is looked at again after so many ticks.
+/// A request that may go to no endpoint now is looked at again after this many ticks.
 const NO_ENDPOINT_PAUSE_TICKS: u32 = 2;
 
 impl DecisionEngine {
-    /// Does what is due for a request; returns when to look at it again without an event.
+    /// Does what is due for a request. Returns when to look at it again without an event; `None` if only an event can
+    /// change anything.
     pub(super) fn process_request(
         &mut self,
         id: RequestId,
@@ -49,6 +50,7 @@
         self.try_attempt(id, actions)
     }
 
+    /// Carries out what was decided about an outstanding attempt. Returns when to look at its request again.
     fn apply_step(
         &mut self,
         step: OutstandingStep,
@@ -67,7 +69,9 @@
         }
     }
 
-    /// Why a request without an outstanding attempt is to be given up, if it is.
+    /// The reason to give up a request that has no outstanding attempt; `None` if another attempt may be tried. Retries
+    /// of a failure are subject to the retry probability; the first attempt, and one after a rejection, to admission
+    /// control.
     fn reason_to_give_up(
         &mut self,
         id: RequestId,
@@ -101,6 +105,8 @@
         is_rejected.then_some(GiveUpReason::Overload)
     }
 
+    /// Sends an attempt if there is an endpoint for it, and gives the request up if the operator's rules permit none.
+    /// Otherwise returns when to try again, with the subset and the odds refreshed.
     fn try_attempt(&mut self, id: RequestId, actions: &mut dyn Actions) -> Option<Duration> {
         if let Some(endpoint) = self.choose_endpoint(id) {
             self.send_attempt(id, endpoint, actions);
@@ -114,6 +120,7 @@
         Some(self.now + self.tick * NO_ENDPOINT_PAUSE_TICKS)
     }
 
+    /// Chooses an endpoint among the candidates, or outside the subset if none of them can take the request.
     fn choose_endpoint(&mut self, id: RequestId) -> Option<EndpointId> {
         let mut random = Pcg64Mcg::seed_from_u64(self.random.random());
         let request = self.requests.by_id.get_mut(&id)?;
@@ -138,8 +145,8 @@
         subsetting::draw_from_outside(&self.selection(), &found, request, &mut random).or(fallback)
     }
 
-    /// Whether the operator's rules close all endpoints that could take a request. Guards against holding it in
-    /// vain.
+    /// Whether endpoints that could take the request are listed, but the operator's rules permit none of them. Guards
+    /// against keeping a request that cannot be served until its deadline.
     fn is_permitted_nowhere(&self, id: RequestId) -> bool {
         let Some(request) = self.requests.by_id.get(&id) else {
             return false;
@@ -151,6 +158,7 @@
                 .any(|(build, zone)| self.exposure.operator_permits(build, zone, request))
     }
 
+    /// Answers a request finally without a result: as rejected if its client may safely send it again, else as failed.
     fn give_up(&mut self, id: RequestId, reason: GiveUpReason, actions: &mut dyn Actions) {
         actions.note(Note::GivenUp(reason));
         let Some(request) = self.requests.by_id.remove(&id) else {
@@ -165,7 +173,7 @@
         }
     }
 
-    /// Records an attempt wherever something depends on it, and sends it.
+    /// Sends an attempt, and records it in the exposure window, in the endpoint's record and in the request.
     fn send_attempt(&mut self, id: RequestId, endpoint: EndpointId, actions: &mut dyn Actions) {
         let now = self.now;
         let (Some(request), Some(record)) = (
@@ -209,7 +217,8 @@
             outcome: None,
             is_cancelled: false,
         };
-        // Until it is proved not to have run, it may have: it fixes the group and the window of its repeats.
+        // Until its outcome proves otherwise, this attempt may have run. The first such attempt determines the cell or
+        // zone that later attempts are confined to, and the start of the deduplication window.
         request
             .possible_execution
             .get_or_insert(PossibleExecution::from(&attempt));
@@ -217,8 +226,8 @@
         actions.send_attempt(id, endpoint, Duration::ZERO);
     }
 
-    /// Whether an attempt that waited for a connection may still be sent: its endpoint may be draining since, the
-    /// canary's cap or build may have changed, and the key may have been forgotten.
+    /// Whether an attempt that has waited for a connection may still be sent. Meanwhile its endpoint may be draining or
+    /// run another build, the canary's limits may have changed, and the deduplication window of its key may have ended.
     pub(super) fn may_still_send(&self, id: RequestId, number: AttemptNumber) -> bool {
         let Some(request) = self.requests.by_id.get(&id) else {
             return false;
--- a/crates/decision/src/engine/event_handling.rs
+++ b/crates/decision/src/engine/event_handling.rs
@@ -1,4 +1,4 @@
-//! Takes the events of a round into the state.
+//! Applies the events of a round to the engine's state.
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -17,7 +17,7 @@
 use crate::state::evidence::{OutcomeCounts, WorkSums};
 use crate::state::pending_requests::{PendingRequest, RandomDraw};
 
-/// Least estimated work of a request, in seconds.
+/// Lower bound of the estimated work of a request, in seconds.
 const MIN_WORK: f64 = 1e-4;
 
 impl EventHandler for DecisionEngine {
@@ -43,7 +43,7 @@
             request,
             policy,
             work,
-            // The latency objective runs from when the client sent it, not from when the host read it.
+            // The latency objective runs from the time when the client sent the request, not when the host read it.
             arrived_at: now.saturating_sub(request.age),
             attempts: Vec::new(),
             possible_execution: None,
@@ -87,7 +87,7 @@
     }
 
     fn on_response_started(&mut self, id: RequestId, _: AttemptNumber, _: EndpointId, _: Duration) {
-        // The client has its answer: nothing more may be sent for this request.
+        // The client has begun to receive its answer: no other attempt may be sent for this request.
         self.requests.by_id.remove(&id);
     }
 
@@ -169,7 +169,7 @@
             return;
         };
         if !self.slow_start.was_warming_up(&listed, sent_at) {
-            // The outcome was counted as good.
+            // The attempt was already counted as an outcome without a failure, so only the failure is added.
             let counts = OutcomeCounts {
                 failures: 1,
                 ..OutcomeCounts::default()
--- a/crates/decision/src/engine/mod.rs
+++ b/crates/decision/src/engine/mod.rs
@@ -1,4 +1,4 @@
-//! The engine: one round takes events in and passes actions out. It owns the state and calls the policies; the
+//! The engine: each round takes in events and passes out actions. It owns the state and calls the policies; the
 //! submodules are the parts of a round.
 mod attempts;
 mod event_handling;
@@ -30,17 +30,19 @@
 use crate::state::pending_requests::PendingRequests;
 use crate::state::schedule::Schedule;
 
-/// The load estimate is refreshed after so many ticks, or after as many events as there are records.
+/// The load estimate, the subset and the odds are refreshed after this many ticks at the latest. They are refreshed
+/// earlier after more events than there are endpoint records.
 const REFRESH_TICKS: u32 = 20;
-/// A wake-up later than this many ticks: the agent itself stood still, and takes none of it for others' faults.
+/// A round that begins more than this many ticks after its wake-up was due shows that the agent itself stalled. What
+/// was outstanding during the stall is not counted against endpoints or builds.
 const STALL_TICKS: u32 = 20;
-/// The engine wakes up again after so many ticks at the earliest.
+/// Ticks from a round until the next wake-up at the earliest.
 const MIN_WAKE_UP_DELAY_TICKS: u32 = 2;
-/// Bounds of the random pause between own reports, as shares of the minimum stage time.
+/// Bounds of the random pause between this agent's own reports, as shares of the minimum stage time.
 const REPORT_PAUSE_SHARE: std::ops::Range<f64> = 0.5..0.8;
 
-/// Makes all decisions of one agent. Everything that happened since the last round goes into
-/// [`DecisionEngine::round`]; what is decided comes out of it.
+/// Makes all decisions of one agent. [`DecisionEngine::round`] takes in everything that has happened since the last
+/// round and passes out what is decided.
 #[derive(Debug)]
 pub struct DecisionEngine {
     now: Duration,
@@ -59,12 +61,12 @@
     demand: Demand,
     load: LoadEstimate,
     schedule: Schedule,
-    /// Notes of this round.
+    /// Notes of this round, passed out at its end.
     notes: Vec<Note>,
 }
 
 impl DecisionEngine {
-    /// An engine that has seen nothing yet.
+    /// Creates an engine that has received no events yet.
     pub fn new(settings: EngineSettings) -> Self {
         let fleet_position = settings.fleet_position;
         let class_count = settings.requests.classes.len();
@@ -91,8 +93,8 @@
         }
     }
 
-    /// Makes one round at an instant: `events` delivers all that happened since the last round, `actions` takes
-    /// what is decided. Instants must not decrease from round to round.
+    /// Runs one round at the instant `now`: `events` passes in all that has happened since the last round, and
+    /// `actions` takes what is decided. Instants must not decrease from round to round.
     pub fn round(
         &mut self,
         now: Duration,
@@ -115,6 +117,7 @@
         self.schedule_wake_up(check_at, has_more_work, actions);
     }
 
+    /// Sets the time of the round, and records whether the agent has stalled and how much time has passed.
     fn begin_round(&mut self, now: Duration) {
         let previous = std::mem::replace(&mut self.now, now);
         let started_at = *self.exposure.windows.started_at.get_or_insert(now);
@@ -129,7 +132,7 @@
         self.exposure.trim(now);
     }
 
-    /// Closes idle connections where connections are short, and those to endpoints that have left the subset.
+    /// Closes idle connections while connections are short, and those to endpoints that have left the subset.
     fn close_idle_connections(&mut self, actions: &mut dyn Actions) {
         idle_connections::endpoints_to_close(self.now, &self.demand, &mut self.endpoints)
             .into_iter()
@@ -137,7 +140,8 @@
             .for_each(|endpoint| actions.close_idle_connections(endpoint));
     }
 
-    /// Attends to all requests, the oldest first; returns when to look at one again without an event.
+    /// Does what is due for each pending request, the oldest first. Returns when a request or the load estimate has to
+    /// be looked at again without an event.
     fn process_requests(&mut self, actions: &mut dyn Actions) -> Duration {
         let order: BTreeSet<(Duration, RequestId)> = self
             .requests
@@ -154,7 +158,7 @@
         check_at
     }
 
-    /// Reports on the newest build and votes on it; returns whether there may be more to do before another event.
+    /// Reports on the newest build and votes on it. Returns whether there may be more to do before another event.
     fn process_release(&mut self, actions: &mut dyn Actions) -> bool {
         let Some(status) = self.exposure.release_status else {
             return false;
@@ -173,8 +177,8 @@
             .warn_and_vote(inputs, &self.endpoints, actions)
     }
 
-    /// Schedules the next round. With nothing pending, outstanding or to be analysed, the next event brings its
-    /// own refresh: until then, none is due.
+    /// Schedules the next round. With no request pending, no attempt outstanding and no build to analyse, no refresh is
+    /// due until the next event, which causes its own: then the engine wakes up only to request the endpoint list.
     fn schedule_wake_up(
         &mut self,
         check_at: Duration,
@@ -200,6 +204,7 @@
         }
     }
 
+    /// What admission control decides on, as of this round.
     fn overload(&self) -> Overload<'_> {
         Overload {
             now: self.now,
@@ -209,6 +214,7 @@
         }
     }
 
+    /// What the choice of an endpoint depends on, as of this round.
     fn selection(&self) -> EndpointSelection<'_> {
         EndpointSelection {
             now: self.now,
@@ -224,7 +230,7 @@
     }
 
     /// The endpoints that this agent works with: all that are listed, or the subset of a long list. For tests and
-    /// measurements.
+    /// measurements only.
     pub fn members(&self) -> impl Iterator<Item = EndpointId> {
         let records = self.endpoints.records.iter();
         records
@@ -232,7 +238,8 @@
             .map(|(&id, _)| id)
     }
 
-    /// Rows of the list and records looked at since the start, for tests and measurements. Nothing depends on it.
+    /// Number of list rows and endpoint records that were read since the start. For tests and measurements only: no
+    /// decision depends on it.
     pub fn rows_visited(&self) -> u64 {
         self.endpoints.catalog.visited()
     }
--- a/crates/decision/src/engine/outcomes.rs
+++ b/crates/decision/src/engine/outcomes.rs
@@ -1,4 +1,4 @@
-//! What the outcome of an attempt says of its endpoint, of queues, and of a build.
+//! Records the outcome of an attempt: in the health of its endpoint, in the demand, and as evidence about its build.
 use std::time::Duration;
 
 use super::DecisionEngine;
@@ -10,7 +10,7 @@
 use crate::state::endpoint_table::PeerFailures;
 use crate::state::evidence::WorkSums;
 
-/// An attempt that has ended.
+/// An attempt that has ended, and how.
 pub(super) struct AttemptResult<'a> {
     pub(super) id: AttemptId,
     pub(super) endpoint: EndpointId,
@@ -20,7 +20,7 @@
 }
 
 impl DecisionEngine {
-    /// Takes in how an attempt ended.
+    /// Records the outcome of an attempt wherever something depends on it, and ejects or readmits its endpoint.
     pub(super) fn on_outcome(&mut self, ended: &AttemptResult<'_>) {
         let now = self.now;
         let is_served = ended.outcome == Outcome::Succeeded;
@@ -34,7 +34,7 @@
             self.endpoints.peer_failures(now, ended.endpoint, build)
         };
         let is_endpoint_alive = record.health.last_response > ended.attempt.sent_at;
-        // What was outstanding while the agent itself stood still is no evidence.
+        // The time that an attempt took is no evidence if the agent itself stalled meanwhile.
         let spans_stall = ended.attempt.sent_at < self.schedule.resumed_at;
         let ended_attempt = EndedAttempt {
             number: ended.id.number,
@@ -65,12 +65,14 @@
         }
     }
 
+    /// Whether an attempt took longer than the latency objective of its class.
     fn is_late(&self, ended: &AttemptResult<'_>) -> bool {
         self.requests
             .policy(ended.attempt.class)
             .is_some_and(|policy| ended.took > policy.latency_objective)
     }
 
+    /// Records an outcome, and the work if it was served, in the demand and in the work that is reported to peers.
     fn record_demand(&mut self, attempt: EndedAttempt, work: f64) {
         self.demand
             .on_attempt_ended(self.now, self.load.few_requests, attempt);
@@ -83,9 +85,10 @@
         }
     }
 
-    /// Passes an outcome to the tests. Slowness counts only without a queue, while both builds answer, and not of
-    /// an endpoint that was warming up, which is slow but fails no more than others. Guards against bursts, slow
-    /// starts, dead machines and shared slowdowns.
+    /// Passes an outcome to the sequential tests, unless its endpoint was ejected. The time taken counts only without a
+    /// queue, while both arms answer, and at endpoints that had warmed up: one that is warming up is slow, but fails no
+    /// more than others. Guards against taking bursts, slow starts, dead machines and shared slowdowns for faults of
+    /// the build.
     fn record_evidence(&mut self, ended: &AttemptResult<'_>, is_endpoint_alive: bool) {
         let attempt = ended.attempt;
         let Some(&policy) = self.requests.policy(attempt.class) else {
@@ -126,8 +129,8 @@
     }
 }
 
-/// Whether an attempt found no connection where connections are short: at what has answered between two attempts
-/// that found none. What is gone or silent is another fault.
+/// Whether an attempt found no connection because connections are short: its endpoint has answered others since the
+/// last attempt that found none. An endpoint that is gone or silent has another fault.
 fn lacked_connection(record: &EndpointRecord, outcome: Outcome, now: Duration) -> bool {
     let last_failure = record.health.last_connect_failure.unwrap_or(now);
     outcome == Outcome::ConnectFailed && record.health.last_response > last_failure
--- a/crates/decision/src/engine/refresh.rs
+++ b/crates/decision/src/engine/refresh.rs
@@ -1,4 +1,5 @@
-//! What is worked out periodically, for many events: the load estimate, silent endpoints, the subset and the odds.
+//! The periodic refresh, which serves many events: the load estimate, the ejection of silent endpoints, the subset, and
+//! the odds.
 use std::time::Duration;
 
 use super::{DecisionEngine, REFRESH_TICKS};
@@ -10,11 +11,12 @@
 use crate::state::evidence::WorkSums;
 use crate::state::half_lives::{BASELINE, RECENT};
 
-/// So many requests served are "a few".
+/// The load estimate's `few_requests` is the time that the agent takes to be served this many requests.
 const FEW_REQUESTS: f64 = 5.0;
 
 impl DecisionEngine {
-    /// Walks over the endpoints, and brings everything up to date that requests are decided on.
+    /// Walks over the endpoints that the agent works with, and updates everything that decisions about requests depend
+    /// on.
     pub(super) fn refresh(&mut self) {
         self.schedule.refresh_at = self.now + self.tick * REFRESH_TICKS;
         self.schedule.events = 0;
@@ -30,6 +32,7 @@
         }
     }
 
+    /// Accounts for the time that has passed, then updates the load estimate and the median pace.
     fn refresh_load(&mut self) {
         let now = self.now;
         let elapsed = std::mem::take(&mut self.schedule.elapsed);
@@ -59,6 +62,7 @@
         );
     }
 
+    /// Chooses the subset if the list is long, then computes the odds of all candidates and the work that is due.
     fn refresh_candidates(&mut self) {
         let assigned_count = assigned_count(&self.load);
         let mut first_assigned = PerArm::default();
@@ -88,7 +92,8 @@
         self.load.work_due = self.work_due();
     }
 
-    /// Work in hand and to come in the window over which overload is measured, in seconds.
+    /// Work of the pending requests and of those received or expected in the window over which overload is measured, in
+    /// seconds.
     fn work_due(&self) -> f64 {
         let window = self.slow_start.settings.overload_window;
         let window_start = self.now.saturating_sub(window);
