--- a/crates/decision/examples/round_cost.rs
+++ b/crates/decision/examples/round_cost.rs
@@ -1,5 +1,6 @@
-//! What the decision engine costs by the length of its list: processor time a second, the worst round, and a whole
-//! list. One engine runs in virtual time; attempts succeed but for those of [`Scenario::Faults`].
+//! Measures the processor time of the decision engine for several lengths of the endpoint list: in each second, in the
+//! worst round, and for a full list. One engine runs in virtual time; all attempts succeed, except in
+//! [`Scenario::Faults`].
 //!
 //! `cargo run --release --example round_cost [SECONDS]`
 use std::collections::{BTreeMap, BTreeSet};
@@ -20,15 +21,15 @@
 const SECOND: Duration = Duration::from_secs(1);
 const LIST_LENGTHS: [u32; 5] = [35, 150, 600, 2_400, 7_400];
 
-/// What else goes on.
+/// What happens besides requests and changes of the list.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Scenario {
     Steady,
-    /// Half of the list runs a canary.
+    /// Half of the listed endpoints run a canary.
     Canary,
     /// A tenth of the attempts fail, and one endpoint in twenty refuses connections.
     Faults,
-    /// An eighth of the list has just started.
+    /// The endpoints of one zone of eight restart, halfway through.
     ZoneRestart,
 }
 
@@ -37,7 +38,7 @@
 struct Load {
     scenario: Scenario,
     requests_per_second: u32,
-    /// Changes of the list.
+    /// Changes of single entries of the list.
     changes_per_second: u32,
 }
 
@@ -61,7 +62,7 @@
     Load::new(Scenario::ZoneRestart, 62, 0),
 ];
 
-/// The endpoint of an index: three models, cells of five, eight zones.
+/// The endpoint of an index: there are three models, cells of five endpoints, and eight zones.
 fn endpoint(index: u32, scenario: Scenario) -> Endpoint {
     let runs_canary = scenario == Scenario::Canary && index.is_multiple_of(2);
     Endpoint {
@@ -81,8 +82,8 @@
     }
 }
 
-/// The attempts decided in a round, and when the engine wants to be woken. It takes nothing else, so that its own
-/// cost stays out of the figures.
+/// Takes the attempts decided in a round and the wake-ups that the engine asks for. It records nothing else, which
+/// keeps its own cost out of the figures.
 #[derive(Default)]
 struct Decided {
     sent: Vec<(RequestId, EndpointId)>,
@@ -108,13 +109,13 @@
     fn vote(&mut self, _: Build, _: Stage, _: Vote) {}
 }
 
-/// Processor time of this thread.
+/// Processor time that this thread has used.
 fn processor_time() -> Duration {
     let now = clock_gettime(ClockId::ThreadCPUTime);
     Duration::new(now.tv_sec as u64, now.tv_nsec as u32)
 }
 
-/// What happens at a time, besides wake-ups.
+/// An event that happens at a set time, besides wake-ups.
 enum Event {
     Request(u32),
     Answer {
@@ -126,7 +127,7 @@
     ZoneRestart,
 }
 
-/// Events by time; a serial number keeps the order of those at the same time.
+/// Events by time; a serial number keeps events of the same time in the order in which they were added.
 #[derive(Default)]
 struct Schedule {
     events: BTreeMap<(Duration, u32), Event>,
@@ -134,7 +135,7 @@
 }
 
 impl Schedule {
-    /// All that a load brings in so many seconds.
+    /// All events that a load brings in a number of seconds.
     fn new(load: Load, seconds: u32) -> Self {
         let mut schedule = Schedule::default();
         for number in 0..load.requests_per_second * seconds {
@@ -166,18 +167,20 @@
     }
 }
 
+/// What an engine has cost.
 struct Cost {
-    /// Of each round, in order of cost.
+    /// Processor time of each round, in ascending order.
     rounds: Vec<Duration>,
+    /// Processor time of the round with the first full list.
     first_list: Duration,
-    /// The same list once more.
+    /// The same for a second list that is equal to the first.
     same_list: Duration,
     endpoints_used: usize,
     rows_visited: u64,
 }
 
 impl Cost {
-    /// The processor time that one round in a thousand exceeds.
+    /// The 99.9th percentile of the processor time of a round.
     fn high_round(&self) -> Duration {
         let count = self.rounds.len();
         let rank = (count - count / 1000).saturating_sub(1);
@@ -214,7 +217,7 @@
         }
     }
 
-    /// Runs it for so long.
+    /// Runs the engine for a number of seconds.
     fn run(mut self, seconds: u32) -> Cost {
         let first_list = self.list_endpoints(EPOCH);
         let same_list = self.list_endpoints(EPOCH + Duration::from_millis(5));
@@ -239,7 +242,7 @@
         self.schedule.next().into_iter().chain(wake_up).min()
     }
 
-    /// A round in which the whole list comes; its processor time.
+    /// Plays a round in which the full list comes. Returns its processor time.
     fn list_endpoints(&mut self, now: Duration) -> Duration {
         let endpoints = self.endpoints.clone();
         let scenario = self.scenario;
@@ -261,7 +264,7 @@
         processor_time() - began_at
     }
 
-    /// A round with all that is due; its processor time.
+    /// Plays a round with all events that are due. Returns its processor time.
     fn round(&mut self, now: Duration) -> Duration {
         self.wake_ups.retain(|at| *at > now);
         let due = self.schedule.take_due(now);
@@ -350,9 +353,10 @@
 }
 
 fn main() {
-    let seconds: u32 = std::env::args()
-        .nth(1)
-        .map_or(20, |text| text.parse().expect("seconds"));
+    let seconds: u32 = std::env::args().nth(1).map_or(20, |text| {
+        text.parse()
+            .expect("the argument is a whole number of seconds")
+    });
     println!(
         "scenario listed requests/s changes/s rounds/s ms/s p99.9_us worst_us used first_list_us same_list_us rows/s"
     );
--- a/crates/decision/tests/engine/discovery.rs
+++ b/crates/decision/tests/engine/discovery.rs
@@ -1,5 +1,5 @@
-//! How a fleet requests the endpoint list from a service of limited capacity: soon enough for each agent, and not
-//! all agents at once.
+//! How a fleet of agents requests the endpoint list from a service of limited capacity: each agent must get it soon
+//! enough, and not all agents may request it at once.
 use std::time::Duration;
 
 use lilacgate_decision::{DecisionEngine, EventHandler, ListUpdate};
@@ -10,11 +10,11 @@
 
 const REQUEST_WITHIN: Duration = Duration::from_secs(10);
 const STEP: Duration = Duration::from_millis(20);
-/// A change that an agent could have requested counts as received by it so long after the service had it and
-/// could be reached.
+/// A change of the list counts as received by an agent this long after the service has it and can be reached. From then
+/// on, the agent has to know it.
 const CHANGE_COUNTS_AFTER: Duration = Duration::from_secs(6);
 
-/// An agent that gets the endpoint list only where it requests it.
+/// An agent that gets the endpoint list only on request.
 pub(crate) fn engine(agent: u32, agent_count: u32, seed: u64) -> DecisionEngine {
     let mut settings = agent_settings(agent, agent_count, seed);
     settings.discovery.request_within = Some(REQUEST_WITHIN);
@@ -27,11 +27,13 @@
     done_at: Duration,
 }
 
-/// A list service of fixed capacity: it takes calls in turn, works also for callers that have gone, and a call
+/// A list service of fixed capacity. It serves calls in turn, including those whose callers have given up, and a call
 /// fails once it has waited for [`ListService::CALL_TIMEOUT`].
 struct ListService {
     time_per_call: Duration,
+    /// When all calls so far are served.
     free_at: Duration,
+    /// Calls that have not been answered.
     calls: Vec<Call>,
 }
 
@@ -64,7 +66,7 @@
     }
 }
 
-/// Plays a round in which an update of the list may come; whether the agent requests the list in it.
+/// Plays a round in which an update of the list may come. Returns whether the agent requests the list in it.
 fn requests_list(engine: &mut DecisionEngine, now: Duration, update: Option<ListUpdate>) -> bool {
     let mut decided = RecordedActions::default();
     let events = |events: &mut dyn EventHandler| {
@@ -76,13 +78,14 @@
     decided.watching_endpoints
 }
 
-/// What came of agents that start together.
+/// The result of agents that start together.
 struct Start {
-    /// When the last one had the list.
+    /// Time until the last agent had the list.
     took: Duration,
     failed_calls: usize,
 }
 
+/// Starts a fleet of agents at once, and lets them request the list until each has it.
 fn start_together(agent_count: u32, time_per_call: Duration, seed: u64) -> Start {
     let mut now = EPOCH;
     let mut fleet: Vec<_> = (0..agent_count)
@@ -119,8 +122,9 @@
     }
 }
 
-/// The service can take one call of each of twenty or more agents in eight seconds: none goes without the
-/// list for twice the time allowed for requesting it, and no more calls fail than there are agents.
+/// The service takes eight seconds to serve one call of each agent, in fleets of twenty or more. Every agent must have
+/// the list within twice the time allowed for requesting it, and no more calls may fail than there are agents. Guards
+/// against waves of calls that fail together again and again.
 #[rstest]
 fn agents_that_start_together_all_get_the_list(
     #[values(1, 3, 10, 30, 100, 200)] agents: u32,
@@ -130,7 +134,7 @@
     let start = start_together(agents, time_per_call, seed);
     assert!(
         start.took <= REQUEST_WITHIN * 2,
-        "{agents} agents: the last had it after {:?}",
+        "{agents} agents: the last one had the list after {:?}",
         start.took
     );
     assert!(
@@ -140,7 +144,7 @@
     );
 }
 
-/// How long after its watch broke an agent requests the list again.
+/// The time from the break of an agent's watch until it requests the list again.
 fn pause_after_broken_watch(agent: u32, agent_count: u32, seed: u64) -> Duration {
     let mut engine = engine(agent, agent_count, seed);
     requests_list(&mut engine, EPOCH, Some(ListUpdate::Cached));
@@ -157,8 +161,8 @@
     now - broke_at
 }
 
-/// A watch falls silent at all agents at once. What is missed counts as received 6 s later, and it takes 2.5 s to
-/// notice: each agent requests the list again within 2 s, and they do not all do so at once.
+/// The watches of all agents stop at once. A change that they miss counts as received 6 s later, and it takes 2.5 s to
+/// notice the stop. So each agent must request the list again within 2 s, and not all of them at once.
 #[rstest]
 fn a_broken_watch_is_requested_again_in_time(
     #[values(1, 3, 10, 100, 350)] agents: u32,
@@ -173,7 +177,7 @@
         .unwrap_or(0);
     assert!(
         most_at_once <= 3 + pauses.len() / 20,
-        "{most_at_once} of {agents} requested it at once"
+        "{most_at_once} of {agents} agents requested the list at once"
     );
 }
 
@@ -185,14 +189,14 @@
     let start = start_together(agents, Duration::from_millis(20), seed);
     assert!(
         start.took <= REQUEST_WITHIN / 7 && start.failed_calls == 0,
-        "the last had it after {:?}, and {} calls failed",
+        "the last agent had the list after {:?}, and {} calls failed",
         start.took,
         start.failed_calls
     );
 }
 
-/// However many calls have failed, an agent requests the list again so soon that the answer, which may take the
-/// whole timeout of the call, comes before a change counts as received: the service may have come back directly
+/// However many calls have failed, the pause before an agent's next call must be so short that the answer, which may
+/// take the whole timeout of the call, comes before a change counts as received: the service may have come back right
 /// after the last failure.
 #[rstest]
 fn an_agent_requests_the_list_again_before_a_change_counts_as_received() {
@@ -213,6 +217,6 @@
     }
     assert!(
         longest_pause + ListService::CALL_TIMEOUT <= CHANGE_COUNTS_AFTER,
-        "{longest_pause:?} without a call"
+        "an agent made no call for {longest_pause:?}"
     );
 }
--- a/crates/decision/tests/engine/final_answers/events.rs
+++ b/crates/decision/tests/engine/final_answers/events.rs
@@ -1,10 +1,10 @@
-//! The events and the ends of attempts that are drawn.
+//! The random events and ends of attempts.
 use lilacgate_decision::{EndpointStatus, Outcome, ReleasePhase};
 use proptest::prelude::*;
 
 use super::STEPS_WITH_EVENTS;
 
-/// Something that happens at a step.
+/// An event of a step.
 #[derive(Clone, Debug)]
 pub(super) enum Event {
     Request {
@@ -24,7 +24,7 @@
         phase: ReleasePhase,
         cap: f64,
     },
-    /// The agent is to shut down.
+    /// The agent begins to shut down.
     Shutdown {
         milliseconds_left: u64,
     },
@@ -58,7 +58,7 @@
     (0..STEPS_WITH_EVENTS, event)
 }
 
-/// How an attempt ends, and after how many steps unless the request's time is over before.
+/// How an attempt ends, and after how many steps, unless its request has to be answered earlier.
 pub(super) type AttemptEnd = (Outcome, u32);
 
 pub(super) fn attempt_end() -> impl Strategy<Value = AttemptEnd> {
--- a/crates/decision/tests/engine/final_answers/mod.rs
+++ b/crates/decision/tests/engine/final_answers/mod.rs
@@ -1,7 +1,7 @@
-//! Over drawn orders of events: every request gets one final answer in time, unless its client has left. Nothing is
-//! sent for it after that, nothing is sent again that may have run where that is not allowed, and no two attempts of
-//! it are in flight at once. The agent's part (it passes on the first good answer, and gives up at the deadline) is
-//! played here.
+//! Random orders of events must not break these rules: every request gets one final answer in time, unless its client
+//! has left; no attempt is sent after that; a request that may have run is sent again only where its class permits it;
+//! and a request has at most one attempt in flight. The test simulates the agent around the engine, which passes on
+//! the first good answer and gives up at the deadline.
 mod events;
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -36,7 +36,7 @@
     }
 }
 
-/// One class for each idempotency; keys are remembered for less than a client waits.
+/// One class for each kind of idempotency. The deduplication window is shorter than the time that a client waits.
 fn classes() -> Vec<ClassPolicy> {
     let keyed = |scope| class(Idempotency::Keyed(scope), DEDUPLICATION_WINDOW);
     vec![
@@ -78,7 +78,7 @@
     Zone(id.0 as u8 % 2)
 }
 
-/// When an attempt was decided, and the zone it was sent to.
+/// When an attempt was sent, and to which zone.
 #[derive(Clone, Copy)]
 struct Sent {
     at: Duration,
@@ -90,11 +90,11 @@
     answer_by: Duration,
     attempts: u8,
     in_flight: Option<Sent>,
-    /// The first ended attempt that may have run.
+    /// The first attempt that has ended and may have run.
     may_have_run: Option<Sent>,
 }
 
-/// All that stands around the engine of one agent.
+/// Simulates everything around the engine of one agent, and checks the rules.
 struct Environment<'a> {
     attempt_ends: &'a [AttemptEnd],
     attempts_sent: usize,
@@ -226,8 +226,11 @@
         let pending = self
             .pending
             .get_mut(&id)
-            .expect("nothing is sent for a request that has its answer");
-        assert!(pending.in_flight.is_none(), "two attempts at once");
+            .expect("an attempt was sent for a request that has its final answer");
+        assert!(
+            pending.in_flight.is_none(),
+            "a request has two attempts in flight"
+        );
         let sent = Sent {
             at: now,
             zone: zone_of(to),
@@ -236,7 +239,7 @@
         let (outcome, steps) = self.attempt_ends[self.attempts_sent % self.attempt_ends.len()];
         self.attempts_sent += 1;
         let due = now + STEP * steps;
-        // An endpoint that stays silent is given up in time for the answer.
+        // The agent stops waiting for an endpoint that does not answer in time.
         let (due, outcome) = if due < pending.answer_by {
             (due, outcome)
         } else {
@@ -263,13 +266,19 @@
     }
 
     fn take_given_up(&mut self, id: RequestId, client_may_retry: bool) {
-        let pending = self.pending.remove(&id).expect("one answer, and no second");
+        let pending = self
+            .pending
+            .remove(&id)
+            .expect("a request got a second final answer");
         self.answered.insert(id);
-        assert!(pending.in_flight.is_none(), "an attempt is in flight");
+        assert!(
+            pending.in_flight.is_none(),
+            "a request was given up with an attempt in flight"
+        );
         let non_idempotent = idempotency(pending.class) == Idempotency::NonIdempotent;
         assert!(
             !(client_may_retry && non_idempotent && pending.may_have_run.is_some()),
-            "it may have run, and the client may not retry"
+            "a non-idempotent request that may have run was rejected, so its client may retry"
         );
     }
 
@@ -280,25 +289,28 @@
             .find(|pending| pending.answer_by + STEP < now);
         assert!(
             late.is_none(),
-            "no answer {:?} after its time",
+            "a request has no final answer {:?} after it was due",
             late.map(|pending| now - pending.answer_by)
         );
     }
 }
 
-/// What may have run may be sent again only where endpoints drop the repeat, or it does no harm.
+/// A request that may have run may be sent again only if it is idempotent, or to endpoints that drop the repeat.
 fn assert_may_be_sent(pending: &Pending, sent: Sent) {
     match idempotency(pending.class) {
         Idempotency::Idempotent => {}
         Idempotency::NonIdempotent => {
-            assert!(pending.may_have_run.is_none(), "it may have run");
+            assert!(
+                pending.may_have_run.is_none(),
+                "a non-idempotent request that may have run was sent again"
+            );
         }
         Idempotency::Keyed(scope) => assert!(
             pending.may_have_run.is_none_or(|first| {
                 sent.at < first.at + DEDUPLICATION_WINDOW
                     && (scope == DeduplicationScope::All || sent.zone == first.zone)
             }),
-            "it may have run, and no repeat is recognised there now"
+            "a keyed request that may have run was sent again outside its deduplication scope or window"
         ),
     }
 }
--- a/crates/decision/tests/engine/load.rs
+++ b/crates/decision/tests/engine/load.rs
@@ -1,4 +1,4 @@
-//! The load that many agents put on endpoints together: what each agent does may be harmless, and the sum not.
+//! The load that many agents put on endpoints together: each agent may send little, and all of them too much.
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
@@ -12,22 +12,22 @@
 use crate::discovery::engine;
 use crate::support::{EPOCH, READ, ReleaseUpdate, TICK, endpoint, overload_limit, request};
 
-/// Attempts are answered after so many ticks.
+/// Ticks from an attempt to its answer.
 const ANSWER_TICKS: u32 = 10;
 const TICKS_PER_SECOND: u32 = 100;
 
-/// A whole endpoint list and the release update that comes with it.
+/// A full endpoint list and the release update that comes with it.
 struct Update {
     endpoints: Vec<Endpoint>,
     release: ReleaseUpdate,
 }
 
-/// What an agent sees, by tick.
+/// The events that an agent receives, by tick.
 struct Script<Updates, Requests> {
     ticks: u32,
-    /// The update that comes at a tick, if any.
+    /// Returns the update that comes at a tick, if any.
     update_at: Updates,
-    /// How many requests have come up to a tick.
+    /// Returns how many requests have come up to a tick.
     requests_until: Requests,
 }
 
@@ -42,7 +42,7 @@
     Updates: Fn(u32) -> Option<Update>,
     Requests: Fn(u32) -> u32,
 {
-    /// Plays the script for one agent; `on_sent` takes the tick and the endpoint of each attempt.
+    /// Plays the script for one agent, and calls `on_sent` with the tick and the endpoint of each attempt.
     fn play(&self, mut engine: DecisionEngine, mut on_sent: impl FnMut(u32, EndpointId)) {
         let (mut in_flight, mut request_count) = (VecDeque::new(), 0);
         for tick in 0..self.ticks {
@@ -87,25 +87,26 @@
     }
 }
 
+/// How the requests of all agents were spread over the endpoints.
 struct Spread {
-    /// How many endpoints each agent has sent to.
+    /// By agent: how many endpoints it has sent to.
     endpoints_used: Vec<usize>,
-    /// How many requests each endpoint got.
+    /// By endpoint: how many requests it got.
     requests_received: Vec<u32>,
 }
 
 impl Spread {
-    /// The requests of the endpoint that got most, and of the one that got least, in parts of the mean.
+    /// The most and the fewest requests of an endpoint, as multiples of the mean.
     fn extremes(&self) -> (f64, f64) {
         let received = &self.requests_received;
         let mean = f64::from(received.iter().sum::<u32>()) / received.len() as f64;
-        let most = f64::from(*received.iter().max().expect("some")) / mean;
-        let least = f64::from(*received.iter().min().expect("some")) / mean;
+        let most = f64::from(*received.iter().max().expect("there are endpoints")) / mean;
+        let least = f64::from(*received.iter().min().expect("there are endpoints")) / mean;
         (most, least)
     }
 }
 
-/// Ten seconds in which each agent gets `rate` requests a second.
+/// Runs all agents for ten seconds, with `rate` requests a second at each.
 fn spread(agents: u32, endpoint_count: u32, rate: u32, seed: u64) -> Spread {
     let endpoints: Vec<Endpoint> = (0..endpoint_count).map(endpoint).collect();
     let mut received: BTreeMap<EndpointId, u32> =
@@ -125,7 +126,7 @@
         let mut used = BTreeSet::new();
         script.play(engine(agent, agents, seed), |_, to| {
             used.insert(to);
-            *received.get_mut(&to).expect("a listed endpoint") += 1;
+            *received.get_mut(&to).expect("the endpoint is listed") += 1;
         });
         endpoints_used.push(used.len());
     }
@@ -135,24 +136,24 @@
     }
 }
 
-/// Why all requests may go only to endpoints that have just started.
+/// Why the endpoints that have not just started take no requests.
 #[derive(Clone, Copy)]
 enum Others {
-    /// The others drain.
+    /// They are draining.
     Drained,
-    /// The others run a build that is rolled back and may have nothing more.
+    /// They run a build that is rolled back with a cap of zero.
     Closed,
-    /// The others run a build that may have three quarters, all of which the time before has used up.
+    /// They run a build that is rolled back with a cap of three quarters, which the requests before have used up.
     Full,
 }
 
-/// A tenth of the endpoints starts anew under the first build, and the others take nothing more. From then on
-/// clients send their requests again, which multiplies them.
+/// A tenth of the endpoints restarts with the first build, and the others take no more requests. From then on, clients
+/// repeat their requests, which multiplies the load.
 #[derive(Clone, Copy)]
 struct Restart {
     agents: u32,
     endpoints: u32,
-    /// For how long the agents have been up before.
+    /// How long the agents have been running before the restart.
     uptime: Duration,
     load_multiple: u32,
     others: Others,
@@ -160,7 +161,7 @@
 }
 
 impl Restart {
-    /// Requests a second of an agent before the restart.
+    /// Requests a second at each agent before the restart.
     const RATE: u32 = 8;
 
     fn restarts(index: u32) -> bool {
@@ -226,7 +227,7 @@
         }
     }
 
-    /// The most requests that a restarted endpoint gets in the second that follows, from all agents.
+    /// The most requests that a restarted endpoint gets from all agents in the second after the restart.
     fn most_received(self) -> u32 {
         let last_before = self.last_tick_before();
         let script = Script {
@@ -268,8 +269,8 @@
     }
 }
 
-/// Warming endpoints are not overloaded by the sum of all agents, also where the agents have just started
-/// themselves and know little of their own traffic.
+/// All agents together must not overload an endpoint that is warming up, even where the agents have just started
+/// themselves and know little about their own traffic.
 #[rstest]
 fn no_warming_endpoint_is_overloaded(
     #[values(100, 350)] agents: u32,
@@ -290,7 +291,7 @@
     let limit = overload_limit(fair);
     assert!(
         f64::from(most) <= limit,
-        "one got {most} requests in a second and is overloaded at {limit:.0}"
+        "an endpoint got {most} requests in a second and is overloaded above {limit:.0}"
     );
 }
 
@@ -302,15 +303,18 @@
 ) {
     let spread = spread(agents, endpoints, 8, seed);
     let used = spread.endpoints_used.iter().sum::<usize>() as f64 / f64::from(agents);
-    assert!(used < 20.0, "{used} endpoints an agent");
+    assert!(
+        used < 20.0,
+        "each agent used {used} endpoints on average, 20 are too many"
+    );
     let (most, least) = spread.extremes();
     assert!(
         most < 1.6 && least > 0.5,
-        "the most loaded has {most:.2} of the mean, the least {least:.2}"
+        "the most loaded endpoint got {most:.2} times the mean, the least loaded {least:.2} times"
     );
 }
 
-/// An agent with many requests uses all endpoints, and so do a few agents that share a small fleet.
+/// An agent with many requests uses nearly all endpoints, and so does each of a few agents that share a small fleet.
 #[rstest]
 #[case::few_agents(3, 12, 80)]
 #[case::many_requests(6, 60, 90)]
@@ -322,6 +326,6 @@
     let used = spread(agents, endpoints, rate, 1).endpoints_used;
     assert!(
         used.iter().all(|used| *used as u32 > endpoints * 9 / 10),
-        "{used:?} of {endpoints}"
+        "the agents used {used:?} of {endpoints} endpoints"
     );
 }
--- a/crates/decision/tests/engine/subset/balance.rs
+++ b/crates/decision/tests/engine/subset/balance.rs
@@ -1,4 +1,4 @@
-//! How evenly the subsets of all agents load the endpoints together, also while the list changes.
+//! How evenly all agents together load the endpoints through their subsets, also when the list changes.
 use std::collections::BTreeMap;
 
 use lilacgate_decision::{Endpoint, EndpointId, EndpointStatus};
@@ -14,7 +14,7 @@
     }
 }
 
-/// Requests a second of an agent: a few agents get most.
+/// Requests a second at an agent: a few agents get most of them.
 fn skewed_rate(agent: u32) -> u32 {
     match agent % 10 {
         0 => 60,
@@ -23,7 +23,8 @@
     }
 }
 
-/// What each endpoint gets from all agents in ten seconds, after a tenth of them, if any, were replaced one by one.
+/// The number of requests that each endpoint gets from all agents in ten seconds, after `replaced` of them were
+/// replaced one by one.
 fn requests_received(listed: u32, replaced: u32) -> Vec<u32> {
     let mut received = BTreeMap::<EndpointId, u32>::new();
     received.extend((replaced..listed + replaced).map(|index| (endpoint(index).id, 0)));
@@ -35,7 +36,7 @@
             simulation.serve(1, 0);
         }
         for to in simulation.serve(1000, skewed_rate(agent)) {
-            *received.get_mut(&to).expect("a listed endpoint") += 1;
+            *received.get_mut(&to).expect("the endpoint is listed") += 1;
         }
     }
     received.into_values().collect()
@@ -51,19 +52,19 @@
 fn load_is_even(#[case] listed: u32, #[case] replaced: u32) {
     let received = requests_received(listed, replaced);
     let mean = f64::from(received.iter().sum::<u32>()) / f64::from(listed);
-    let most = f64::from(*received.iter().max().expect("some")) / mean;
-    let least = f64::from(*received.iter().min().expect("some")) / mean;
+    let most = f64::from(*received.iter().max().expect("there are endpoints")) / mean;
+    let least = f64::from(*received.iter().min().expect("there are endpoints")) / mean;
     println!(
-        "{listed} listed, {replaced} replaced: most {most:.2}, least {least:.2} of the mean {mean:.0}"
+        "{listed} listed, {replaced} replaced: most {most:.2}, least {least:.2} times the mean {mean:.0}"
     );
     assert!(
         most < 1.6 && least > 0.5,
-        "the most loaded has {most:.2} of the mean, the least {least:.2}"
+        "the most loaded endpoint got {most:.2} times the mean, the least loaded {least:.2} times"
     );
 }
 
-/// One endpoint less moves just its own memberships: each subset that had it takes one other. One more takes the
-/// place of one in each subset that it comes into, and it comes into hardly more of them than its share.
+/// When an endpoint is removed, only the subsets that had it change, each by one other endpoint. When one is added, it
+/// replaces one endpoint in each subset that it joins, and joins hardly more subsets than its share.
 #[rstest]
 fn a_change_of_one_endpoint_moves_only_its_own_share(
     #[values(600, 2400)] listed: u32,
@@ -89,21 +90,21 @@
     }
     assert!(
         subsets_with_removed > 0 && moved_by_removal <= subsets_with_removed,
-        "{moved_by_removal} memberships moved for the {subsets_with_removed} of one that went"
+        "{moved_by_removal} members were added when an endpoint of {subsets_with_removed} subsets was removed"
     );
     assert!(
         moved_by_addition <= subsets_with_added,
-        "{moved_by_addition} memberships moved for the {subsets_with_added} of one that came"
+        "{moved_by_addition} members were added when an endpoint joined {subsets_with_added} subsets"
     );
     let share = AGENTS as usize * SUBSET_SIZE / listed as usize;
     assert!(
         subsets_with_added < share * 8 / 5,
-        "{subsets_with_added} agents took in one of {listed}, where {share} are its share"
+        "an added endpoint of {listed} joined {subsets_with_added} subsets, where {share} are its share"
     );
 }
 
-/// The most that a warming endpoint gets in a second from all agents, when a tenth has just started and all others
-/// drain.
+/// When a tenth of the endpoints has just started and all others drain, no endpoint may get so much from all agents in
+/// a second that it is overloaded while it warms up.
 #[rstest]
 fn slow_start_holds_over_all_agents(
     #[values(600, 2400)] listed: u32,
@@ -139,7 +140,10 @@
     );
     assert!(
         f64::from(most) <= limit,
-        "one got {most} requests in a second and is overloaded at {limit:.0}"
+        "an endpoint got {most} requests in a second and is overloaded above {limit:.0}"
+    );
+    assert!(
+        sum > 0,
+        "nothing was sent, although all endpoints that are left are warming up and may get some requests"
     );
-    assert!(sum > 0, "all that is left is warming up: some is sent");
 }
--- a/crates/decision/tests/engine/subset/consistency.rs
+++ b/crates/decision/tests/engine/subset/consistency.rs
@@ -1,4 +1,4 @@
-//! What holds for the whole list holds for a subset of it: permissions, deduplication scopes, list updates and the
+//! The rules for the whole list must hold with a subset of it: permissions, deduplication scopes, list updates and the
 //! cap on a canary.
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -15,7 +15,7 @@
 };
 use crate::support::ReleaseUpdate;
 
-/// The second build is a canary.
+/// The status in which the second build is a canary.
 fn canary(stage: u8, cap: f64) -> ReleaseUpdate {
     ReleaseUpdate {
         build: Build(2),
@@ -25,7 +25,7 @@
     }
 }
 
-/// A list in which every n-th endpoint runs the second build, and the ids of these.
+/// A list in which one endpoint of `every` runs the second build, and the ids of these endpoints.
 fn list_with_canary(listed: u32, every: u32) -> (Vec<Endpoint>, BTreeSet<EndpointId>) {
     let runs_canary = |index: u32| index.is_multiple_of(every);
     let list = (0..listed).map(|index| Endpoint {
@@ -38,7 +38,8 @@
     (list.collect(), canaries.collect())
 }
 
-/// Only a few endpoints of a long list are permitted to a class, and not to all classes: it finds them.
+/// Where the operator permits a class only two endpoints of a long list, its requests must reach them although they may
+/// be outside the subset, and must reach no others.
 #[rstest]
 fn permissions_hold_outside_the_subset(#[values(600, 7400)] listed: u32) {
     let mut all = endpoints(listed);
@@ -48,7 +49,7 @@
     let permitted: BTreeSet<_> = [77, 78].map(|index: usize| all[index].id).into();
     for agent in [0, 100, 400] {
         let mut simulation = Simulation::new(agent, &all);
-        // Zone 0 is permitted to another class alone, zone 1 to all.
+        // Zone 0 is permitted to another class only, zone 1 to all classes.
         let permissions = ReleasePermissions::new(2, 1, &[(Build(1), &[4, 7])], None);
         simulation.receive(|events| events.on_release_permissions(Some(Arc::new(permissions))));
         for tick in 0..300 {
@@ -57,12 +58,13 @@
                 assert!(permitted.contains(&to), "{to:?} is not permitted");
             }
         }
-        assert_eq!(simulation.given_up.len(), 0, "rejected");
-        assert_eq!(simulation.attempts.requests(), 30, "sent");
+        assert_eq!(simulation.given_up.len(), 0, "requests rejected");
+        assert_eq!(simulation.attempts.requests(), 30, "requests sent");
     }
 }
 
-/// A keyed request that may have run is sent again within its scope alone, also where no other member is in it.
+/// A keyed request that may have run must be sent again only within its deduplication scope, also where no other member
+/// of the subset is in that scope.
 #[rstest]
 #[case::cell(KEYED_BY_CELL)]
 #[case::zone(KEYED_BY_ZONE)]
@@ -81,7 +83,7 @@
     let mut simulation = Simulation::new(9, &all);
     let mut last_endpoint = BTreeMap::new();
     let mut sent_again = BTreeSet::new();
-    // The first attempt of each request fails; so few failures are not held against any endpoint.
+    // The first attempt of each request fails; that is too few failures to eject any endpoint.
     let end = |number: AttemptNumber, _: EndpointId| match number {
         AttemptNumber(0) => AttemptEnd::after_milliseconds(Outcome::Failed, 20),
         _ => AttemptEnd::SUCCESS,
@@ -97,24 +99,32 @@
             } else {
                 again.zone == first.zone
             };
-            assert!(same_scope, "a repeat left its scope");
+            assert!(
+                same_scope,
+                "a request was sent again outside its deduplication scope"
+            );
             assert!(
                 to != before,
-                "a repeat went where it failed, with others in its scope"
+                "a request was sent again to the endpoint that failed it, with others in its scope"
             );
             sent_again.insert(id);
         }
     }
-    // A request may be given up because retries hardly help, but never for want of an endpoint.
+    // Requests may be given up because retries hardly help, but not because no endpoint was found.
     assert!(
         sent_again.len() + simulation.given_up.len() >= 29,
-        "{} sent again",
+        "only {} requests were sent again, and fewer than 29 were sent again or given up",
+        sent_again.len()
+    );
+    assert!(
+        sent_again.len() >= 10,
+        "only {} requests were sent again",
         sent_again.len()
     );
-    assert!(sent_again.len() >= 10, "{} sent again", sent_again.len());
 }
 
-/// Amid changes of used and unused endpoints alike, nothing is sent to one that the list does not have as ready.
+/// While endpoints inside and outside the subset change, no attempt may be sent to one that the list does not show as
+/// ready.
 #[rstest]
 fn nothing_is_sent_to_an_endpoint_that_is_not_ready(#[values(600, 7400)] listed: u32) {
     let mut all = endpoints(listed);
@@ -133,7 +143,7 @@
         }
         let is_ready = |endpoint: &&Endpoint| endpoint.status == EndpointStatus::Ready;
         match turn % 100 {
-            // Now and then all endpoints come as changes, or as a whole list without those that drain.
+            // Sometimes all endpoints come as changes, or as a full list without those that drain.
             33 => simulation.change(all.clone()),
             66 => simulation.receive(|events| {
                 let mut ready = all.iter().filter(is_ready).copied();
@@ -147,13 +157,17 @@
             .map(|endpoint| endpoint.id)
             .collect();
         for (_, to) in simulation.tick(1, IDEMPOTENT, all_succeed) {
-            assert!(ready.contains(&to), "{to:?} drains");
+            assert!(
+                ready.contains(&to),
+                "an attempt was sent to {to:?}, which drains"
+            );
         }
     }
     assert_eq!(simulation.given_up.len(), 0);
 }
 
-/// An agent gives a canary the share that it has of the list, whatever it has of the subset.
+/// An agent gives a canary the share of requests that the canary has of the whole list, whatever its share of the
+/// subset.
 #[rstest]
 fn a_canary_gets_its_share_of_the_list(#[values(600, 7400)] listed: u32) {
     let (list, canaries) = list_with_canary(listed, 20);
@@ -168,11 +182,11 @@
     let share = to_canary / all;
     assert!(
         (0.03..0.08).contains(&share),
-        "{share:.3} went to a canary on a twentieth of the list"
+        "a share of {share:.3} went to a canary on a twentieth of the list"
     );
 }
 
-/// The cap on a canary holds at each agent, whatever part of it the subset has.
+/// The cap on a canary holds at each agent, whatever the canary's share of the subset.
 #[rstest]
 fn the_cap_on_a_canary_holds(#[values(600, 7400)] listed: u32) {
     let (list, canaries) = list_with_canary(listed, 2);
@@ -180,7 +194,7 @@
     simulation.receive(|events| canary(0, 0.1).send_to(events));
     let sent = simulation.serve(1000, 50);
     let to_canary = sent.iter().filter(|to| canaries.contains(to)).count() as f64;
-    // Three free ones in each window of four seconds, and a tenth of what came.
+    // Three free requests in each window of four seconds, and a tenth of all requests.
     assert!(
         to_canary <= 50.0 + 3.0 * 4.0,
         "{to_canary} of {} went to the canary",
--- a/crates/decision/tests/engine/subset/cost.rs
+++ b/crates/decision/tests/engine/subset/cost.rs
@@ -1,5 +1,5 @@
-//! What an agent does while little happens: its work follows what it uses, not the length of its list, and it
-//! sleeps when nothing is pending.
+//! The cost of rounds: it must follow the number of endpoints that an agent uses, not the length of the list, and an
+//! agent with nothing pending must have no rounds at all.
 use std::time::Duration;
 
 use lilacgate_decision::{Build, Endpoint, Outcome, ReleasePhase, Stage};
@@ -17,7 +17,7 @@
     all: u64,
 }
 
-/// The rows that an agent looks at in ten seconds with a change of the list a second, once it has the list.
+/// The rows that an agent that has the list reads in ten seconds, with one change of the list a second.
 fn rows_visited(listed: u32) -> RowsVisited {
     let mut simulation = Simulation::new(17, &endpoints(listed));
     let (at_start, mut worst_round) = (simulation.engine.rows_visited(), 0);
@@ -41,26 +41,26 @@
     }
 }
 
-/// A list that is twelve times as long costs the same; a round looks at no more rows than a subset has, a few
-/// times over.
+/// A list that is twelve times as long must cost hardly more, and a round must not read more than a few times the rows
+/// of a subset.
 #[rstest]
 fn work_does_not_grow_with_the_list() {
     let (short, long) = (rows_visited(600), rows_visited(7400));
     assert!(
         long.all * 10 < short.all * 13,
-        "{} rows at 600 listed, {} at 7,400",
+        "{} rows were read at 600 listed, {} at 7,400",
         short.all,
         long.all
     );
     assert!(
         long.worst_round < 3000,
-        "{} rows in a round at 600 listed, {} at 7,400",
+        "{} rows were read in the worst round at 600 listed, {} at 7,400",
         short.worst_round,
         long.worst_round
     );
 }
 
-/// An engine with nothing pending asks for no wake-up: it has a few rounds after its last answer, then none.
+/// An engine with nothing pending must ask for no wake-up: it has a few rounds after its last answer, then none.
 #[rstest]
 fn an_idle_engine_sleeps(#[values(1, 35, 600, 7400)] listed: u32, #[values(0, 1, 20)] rate: u32) {
     let end = EPOCH + Duration::from_secs(600);
@@ -79,11 +79,11 @@
     assert_eq!(
         simulation.tick(1, IDEMPOTENT, all_succeed).len(),
         1,
-        "what comes then is sent at once"
+        "a request that comes after the idle time must be sent at once"
     );
 }
 
-/// An agent with a request now and then, woken only when it asked for it or an answer comes, rejects none.
+/// An agent with rare requests, which has a round only at its own wake-ups and at answers, must not reject any of them.
 #[rstest]
 fn a_nearly_idle_agent_rejects_nothing(#[values(35, 600, 7400)] listed: u32) {
     for agent in 0..30 {
@@ -99,10 +99,10 @@
             assert_eq!(
                 simulation.tick(1, IDEMPOTENT, all_succeed).len(),
                 1,
-                "agent {agent}, request {number}"
+                "agent {agent}, request {number}: not sent at once"
             );
         }
-        assert_eq!(simulation.given_up, [], "agent {agent}");
+        assert_eq!(simulation.given_up, [], "agent {agent} rejected requests");
     }
 }
 
@@ -116,7 +116,10 @@
     simulation.tick(1, IDEMPOTENT, |_, _| {
         AttemptEnd::after_milliseconds(Outcome::Succeeded, 1500)
     });
-    assert!(wakes_up(&simulation), "an attempt is in flight");
+    assert!(
+        wakes_up(&simulation),
+        "no wake-up with an attempt in flight"
+    );
     let mut simulation = Simulation::new(3, &endpoints(600));
     simulation.receive(|events| {
         ReleaseUpdate {
@@ -127,5 +130,8 @@
         }
         .send_to(events);
     });
-    assert!(wakes_up(&simulation), "a build is a canary");
+    assert!(
+        wakes_up(&simulation),
+        "no wake-up while a build is a canary"
+    );
 }
--- a/crates/decision/tests/engine/subset/failures.rs
+++ b/crates/decision/tests/engine/subset/failures.rs
@@ -1,4 +1,4 @@
-//! What an agent does when endpoints of its subset fail, start anew, drain or go.
+//! What an agent does when endpoints of its subset fail, restart, drain or are removed.
 use std::collections::BTreeSet;
 
 use lilacgate_decision::{AttemptNumber, Endpoint, EndpointId, EndpointStatus, Outcome, Zone};
@@ -6,11 +6,11 @@
 
 use super::{AttemptEnd, IDEMPOTENT, SUBSET_SIZE, Simulation, endpoints};
 
-/// What befalls the members of a subset, all at once.
+/// A fault that all members of a subset have at once.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
     RefusesConnections,
-    /// Only the members in two of eight zones are silent.
+    /// The members in two of eight zones answer nothing.
     Silent,
     JustStarted,
     Drained,
@@ -18,7 +18,7 @@
 }
 
 impl Fault {
-    /// Whether the list tells of it; else the agent finds out by its attempts.
+    /// Whether the list shows the fault; otherwise the agent learns of it by its attempts.
     fn is_listed(self) -> bool {
         matches!(self, Fault::JustStarted | Fault::Drained | Fault::Removed)
     }
@@ -43,7 +43,7 @@
     }
 }
 
-/// The members of the subset that a fault befalls.
+/// The members of the subset that have the fault.
 fn faulty_members(fault: Fault, simulation: &Simulation, all: &[Endpoint]) -> BTreeSet<EndpointId> {
     let mut members = simulation.members();
     assert_eq!(members.len(), SUBSET_SIZE);
@@ -58,7 +58,7 @@
     members
 }
 
-/// Changes the faulty members in the list: others take their places at once.
+/// Changes the faulty members in the list, and checks that others replace them at once.
 fn list_fault(
     fault: Fault,
     simulation: &mut Simulation,
@@ -74,12 +74,12 @@
     assert_eq!(
         simulation.members().difference(faulty).count(),
         SUBSET_SIZE,
-        "others at once"
+        "the faulty members were not replaced at once"
     );
 }
 
-/// All that an agent works with fails at once, or two zones of it fall silent: no request is rejected for it once it
-/// is noticed, and those that the list tells of are replaced at once.
+/// All endpoints that an agent works with fail at once, or those in two zones stop answering. Once the agent has
+/// noticed, it must not reject any request for that; members whose fault the list shows must be replaced at once.
 #[rstest]
 fn a_subset_that_fails_is_replaced_or_widened(
     #[values(
@@ -106,7 +106,7 @@
     if fault.is_listed() {
         list_fault(fault, &mut simulation, &all, &faulty);
     } else {
-        // What the list does not say, it finds out, at three attempts a request.
+        // The agent learns of a fault that the list does not show by its attempts, up to three for each request.
         for tick in 0..2000 {
             simulation.tick(u32::from(tick % 2 == 0), IDEMPOTENT, end);
         }
@@ -119,22 +119,28 @@
         sent_to_faulty += sent.iter().filter(|(_, to)| faulty.contains(to)).count();
     }
     println!(
-        "{fault:?} of {listed}: {} of {requests} rejected, {sent_to_faulty} sent to them",
+        "{fault:?} of {listed}: {} of {requests} requests rejected, {sent_to_faulty} attempts sent to faulty endpoints",
         simulation.given_up.len()
     );
-    assert_eq!(simulation.given_up.len(), 0, "rejected");
+    assert_eq!(simulation.given_up.len(), 0, "requests rejected");
     let members = simulation.members().len();
     match fault {
-        // They may have what they can do while they warm up.
+        // Endpoints that are warming up may get what they can carry.
         Fault::JustStarted => {}
-        Fault::RefusesConnections => assert!(members > SUBSET_SIZE, "{members} members"),
-        // An ejected endpoint is tried again with a first attempt, now and then.
+        Fault::RefusesConnections => assert!(
+            members > SUBSET_SIZE,
+            "the subset has only {members} members"
+        ),
+        // An ejected endpoint is tried again with a first attempt at times.
         Fault::Silent => assert!(
             sent_to_faulty < requests / 4 && members > SUBSET_SIZE,
-            "{sent_to_faulty} of {requests} sent to them, {members} members"
+            "{sent_to_faulty} attempts for {requests} requests went to silent endpoints, {members} members"
         ),
         Fault::Drained | Fault::Removed => {
-            assert_eq!(sent_to_faulty, 0, "sent to what is not ready");
+            assert_eq!(
+                sent_to_faulty, 0,
+                "attempts were sent to endpoints that are not ready"
+            );
         }
     }
 }
--- a/crates/decision/tests/engine/subset/mod.rs
+++ b/crates/decision/tests/engine/subset/mod.rs
@@ -1,5 +1,5 @@
-//! Agents that work with a subset of a long endpoint list: what it costs, how even the load is, and that nothing
-//! that holds for the whole list is lost with the rest of it.
+//! Agents that work with a subset of a long endpoint list: what a round costs, how even the load is, and that the rules
+//! for the whole list hold for the subset as well.
 mod balance;
 mod consistency;
 mod cost;
@@ -20,7 +20,7 @@
 };
 
 const AGENTS: u32 = 530;
-/// How many endpoints a subset has where nothing is wrong with them.
+/// Number of endpoints in a subset while all of them can serve.
 const SUBSET_SIZE: usize = 160;
 const TICKS_PER_SECOND: u32 = 100;
 const IDEMPOTENT: RequestClass = RequestClass(0);
@@ -47,7 +47,7 @@
     DecisionEngine::new(settings)
 }
 
-/// The endpoint of an index, in one of eight zones and in a cell of three.
+/// The endpoint of an index, in one of eight zones and in a cell of three endpoints.
 fn endpoint(index: u32) -> Endpoint {
     Endpoint {
         cell: Cell((index / 3) as u16),
@@ -60,13 +60,13 @@
     (0..count).map(endpoint).collect()
 }
 
-/// How many requests come in a tick at so many a second.
+/// Number of requests that come in a tick at a rate in requests a second.
 fn requests_in_tick(tick: u32, rate: u32) -> u32 {
     let requests_before = |tick| tick * rate / TICKS_PER_SECOND;
     requests_before(tick + 1) - requests_before(tick)
 }
 
-/// How an attempt ends, and after what time.
+/// How an attempt ends, and how long it takes.
 #[derive(Clone, Copy)]
 struct AttemptEnd {
     outcome: Outcome,
@@ -91,7 +91,7 @@
     AttemptEnd::SUCCESS
 }
 
-/// One agent and what stands around it; how an attempt ends is settled when it is sent.
+/// One agent and its simulated environment. How an attempt ends is determined when it is sent.
 struct Simulation {
     engine: DecisionEngine,
     now: Duration,
@@ -103,7 +103,7 @@
 }
 
 impl Simulation {
-    /// An agent that has the list, where the first build is released.
+    /// An agent that has received the list, with the first build released.
     fn new(agent: u32, listed: &[Endpoint]) -> Self {
         let mut simulation = Simulation {
             engine: engine(agent, AGENTS),
@@ -121,7 +121,7 @@
         simulation
     }
 
-    /// When the next wake-up or answer is due.
+    /// When the next wake-up or answer is due, if any.
     fn next_event(&mut self) -> Option<Duration> {
         self.drop_past_wake_ups();
         let answers = self.in_flight.iter().map(|attempt| attempt.due);
@@ -146,12 +146,13 @@
         self.receive(|events| events.on_endpoints(ListUpdate::Delta, &mut changed.into_iter()));
     }
 
-    /// A round with these events, in which all attempts succeed.
+    /// Plays a round with these events, in which all attempts succeed.
     fn receive(&mut self, events: impl FnOnce(&mut dyn EventHandler)) {
         self.round(events, all_succeed);
     }
 
-    /// Plays what is due and the given events; `end` says how an attempt ends. Returns what was sent.
+    /// Plays a round with the answers that are due and the given events; `end` determines how an attempt ends. Returns
+    /// the attempts that were sent.
     fn round(
         &mut self,
         given: impl FnOnce(&mut dyn EventHandler),
@@ -187,7 +188,7 @@
         decided.sent
     }
 
-    /// A tick in which so many requests of a class come.
+    /// Plays one tick in which `requests` requests of a class come. Returns the attempts that were sent.
     fn tick(
         &mut self,
         requests: u32,
@@ -209,7 +210,7 @@
         self.round(events, end)
     }
 
-    /// So many ticks with so many requests a second, which all succeed; the endpoints that they went to.
+    /// Plays ticks with `rate` requests a second, which all succeed. Returns the endpoints that they went to.
     fn serve(&mut self, ticks: u32, rate: u32) -> Vec<EndpointId> {
         let mut used = Vec::new();
         for tick in 0..ticks {
