--- a/crates/decision/src/policy/load_balancing.rs
+++ b/crates/decision/src/policy/load_balancing.rs
@@ -61,7 +61,7 @@
     },
 }
 
-/// What the choice of an endpoint depends on.
+/// Everything that the choice of an endpoint depends on, as of one round.
 #[derive(Clone, Copy)]
 pub(crate) struct EndpointSelection<'a> {
     pub(crate) now: Duration,
--- a/crates/decision/src/policy/sequential_test.rs
+++ b/crates/decision/src/policy/sequential_test.rs
@@ -37,7 +37,7 @@
     }
 }
 
-/// The running intersection of confidence intervals (formula 10).
+/// The intersection of the confidence intervals of the difference so far (formula 10).
 #[derive(Clone, Copy, Debug)]
 struct ConfidenceInterval {
     lower: f64,
@@ -51,8 +51,8 @@
     };
 }
 
-/// A mixture sequential probability ratio test (mSPRT) of two failure rates: those of the earlier builds (the
-/// paper's X) and of the canary (its Y).
+/// A test of whether the canary's failure rate (the paper's Y) exceeds that of the earlier builds (its X) by more than
+/// the tolerated difference.
 #[derive(Debug)]
 pub struct SequentialTest {
     settings: SequentialTestSettings,
@@ -64,7 +64,7 @@
 }
 
 impl SequentialTest {
-    /// A test without any outcome.
+    /// Creates a test that has no outcomes yet.
     pub fn new(settings: SequentialTestSettings) -> Self {
         SequentialTest {
             settings,
@@ -100,7 +100,7 @@
         } = self.settings;
         let mixed = variance + n * mixing_deviation * mixing_deviation;
         let spread = 2.0 * variance * mixed / (n * mixing_deviation).powi(2);
-        // Formula 12.
+        // The likelihood ratio of formula 12.
         let likelihood_ratio =
             (variance / mixed).sqrt() * ((y - x - tolerated_difference).powi(2) / spread).exp();
         // Formula 9, but one-sided: a canary that has been better for a while must not count as different, and so as
@@ -108,7 +108,7 @@
         if y - x > tolerated_difference {
             self.p_value = self.p_value.min(1.0 / likelihood_ratio);
         }
-        // Formula 10 for formula 12: all differences whose likelihood ratio stays below 1 / level.
+        // Formula 10 with that likelihood ratio: the interval holds all differences whose ratio is below 1 / level.
         let half_width = (spread * ((1.0 / level).ln() + 0.5 * (mixed / variance).ln())).sqrt();
         self.interval = ConfidenceInterval {
             lower: self.interval.lower.max(y - x - half_width),
--- a/crates/decision/src/policy/subsetting.rs
+++ b/crates/decision/src/policy/subsetting.rs
@@ -65,7 +65,7 @@
     reach: Reach,
     /// How many of the members can serve now.
     serving: usize,
-    /// How many endpoints the arm has in all.
+    /// Number of ready endpoints of the arm in the whole list.
     arm_size: usize,
     /// The agent's own rank, relative to the first member: agents divide the ranks of the arm evenly, whereas the
     /// positions of endpoints on the ring are spread at random. May lie outside of the segment.
--- a/crates/decision/tests/engine/final_answers/mod.rs
+++ b/crates/decision/tests/engine/final_answers/mod.rs
@@ -20,7 +20,7 @@
 use crate::support::{Attempt, EPOCH, READ, ReleaseUpdate, agent_settings, endpoint, request};
 
 const STEP: Duration = Duration::from_millis(5);
-/// Events happen in the first steps, and all deadlines have passed by the last.
+/// Number of steps in which events are drawn; by the last of [`STEPS`], all deadlines have passed.
 const STEPS_WITH_EVENTS: u32 = 400;
 const STEPS: u32 = 1200;
 const DEDUPLICATION_WINDOW: Duration = Duration::from_millis(200);
