--- a/crates/agent/src/endpoint_list.rs
+++ b/crates/agent/src/endpoint_list.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use lilacgate_decision::{Build, Cell, Endpoint, EndpointId, EndpointStatus, Model, Zone};
+use lilacgate_decision::{Build, Cell, Endpoint, EndpointId, EndpointStatus, MachineModel, Zone};
 use lilacgate_start_settings::{Settings, SettingsError};
 
 use crate::endpoint_ids::EndpointIds;
@@ -173,7 +173,7 @@
         let endpoint = Endpoint {
             id: self.id_of(name, named),
             status: read_status(text("state")?)?,
-            model: Model(index_of(&self.models, text("kind")?)?),
+            machine_model: MachineModel(index_of(&self.models, text("kind")?)?),
             weight: weight as f32,
             started: Some(Duration::from_millis(number("started_ms")?))
                 .filter(|started| !started.is_zero()),
--- a/crates/agent/tests/upstream.rs
+++ b/crates/agent/tests/upstream.rs
@@ -91,11 +91,11 @@
     let settings = Settings::from_lines(SETTINGS);
     let pool = UpstreamPool::new(event_loop.clone(), &settings, max_connections).expect("a pool");
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let (model, build, cell, zone) = Default::default();
+    let (machine_model, build, cell, zone) = Default::default();
     let entry = Endpoint {
         id: ENDPOINT,
         status: EndpointStatus::Ready,
-        model,
+        machine_model,
         weight: 1.0,
         started: None,
         build,
--- a/crates/decision/examples/round_cost.rs
+++ b/crates/decision/examples/round_cost.rs
@@ -7,7 +7,7 @@
 
 use lilacgate_decision::{
     Actions, AgentId, AttemptNumber, Build, Cell, DecisionEngine, Endpoint, EndpointId,
-    EventHandler, ListUpdate, Model, Outcome, ReleasePhase, RequestClass, RequestId, Stage,
+    EventHandler, ListUpdate, MachineModel, Outcome, ReleasePhase, RequestClass, RequestId, Stage,
     TimerId, Vote, Zone,
 };
 use rustix::time::{ClockId, clock_gettime};
@@ -65,7 +65,7 @@
 fn endpoint(index: u32, scene: Scene) -> Endpoint {
     let runs_canary = scene == Scene::Trial && index.is_multiple_of(2);
     Endpoint {
-        model: Model((index % 3) as u8),
+        machine_model: MachineModel((index % 3) as u8),
         build: Build(if runs_canary { 2 } else { 1 }),
         cell: Cell((index / 5) as u16),
         zone: Zone((index % 8) as u8),
--- a/crates/decision/src/engine/outcomes.rs
+++ b/crates/decision/src/engine/outcomes.rs
@@ -116,7 +116,8 @@
             took: ended.took,
             is_endpoint_alive,
             is_timing_fair,
-            model_pace: record.and_then(|record| model_paces.get(&record.endpoint.model).copied()),
+            model_pace: record
+                .and_then(|record| model_paces.get(&record.endpoint.machine_model).copied()),
             mean_work: self.load.mean_work,
         };
         if let Some(counts) = observed.counts() {
--- a/crates/decision/src/lib.rs
+++ b/crates/decision/src/lib.rs
@@ -24,7 +24,7 @@
 pub use model::{
     AdvanceRule, AgentId, AttemptNumber, Build, Cell, ClassPolicy, DeduplicationScope, Endpoint,
     EndpointDiscoverySettings, EndpointId, EndpointStatus, EngineSettings, ExposureSettings,
-    FleetPosition, Idempotency, IdempotencyKey, ListUpdate, Model, Outcome,
+    FleetPosition, Idempotency, IdempotencyKey, ListUpdate, MachineModel, Outcome,
     ReleaseAnalysisSettings, ReleasePhase, Request, RequestClass, RequestId, RequestSettings,
     SlowStartSettings, Stage, Tenant, TimerId, Vote, VoteTiming, Zone,
 };
--- a/crates/decision/src/model/endpoint.rs
+++ b/crates/decision/src/model/endpoint.rs
@@ -1,7 +1,7 @@
 //! Endpoints as discovery lists them.
 use std::time::Duration;
 
-use super::ids::{Build, Cell, EndpointId, Model, Zone};
+use super::ids::{Build, Cell, EndpointId, MachineModel, Zone};
 
 /// Whether an endpoint takes requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -35,7 +35,7 @@
     /// Whether it takes requests.
     pub status: EndpointStatus,
     /// Its type of machine.
-    pub model: Model,
+    pub machine_model: MachineModel,
     /// Its capacity in relation to the others; finite and not negative.
     pub weight: f32,
     /// When its process last started; `None` for long ago.
--- a/crates/decision/src/model/ids.rs
+++ b/crates/decision/src/model/ids.rs
@@ -22,7 +22,7 @@
     /// An availability zone.
     Zone(u8);
     /// A type of machine.
-    Model(u8);
+    MachineModel(u8);
     /// A small group of endpoints that share which idempotency keys they have seen.
     Cell(u16);
     /// A version of the endpoints' software; later ones are higher.
--- a/crates/decision/src/model/mod.rs
+++ b/crates/decision/src/model/mod.rs
@@ -13,7 +13,7 @@
 pub use endpoint::{Endpoint, EndpointStatus, ListUpdate};
 pub use fleet::FleetPosition;
 pub use ids::{
-    AgentId, AttemptNumber, Build, Cell, EndpointId, IdempotencyKey, Model, RequestClass,
+    AgentId, AttemptNumber, Build, Cell, EndpointId, IdempotencyKey, MachineModel, RequestClass,
     RequestId, Stage, Tenant, TimerId, Zone,
 };
 pub(crate) use release::ReleaseStatus;
--- a/crates/decision/src/policy/load_balancing.rs
+++ b/crates/decision/src/policy/load_balancing.rs
@@ -159,7 +159,7 @@
         // Listed weights leave out how fast a model is; what the mean one carries can overload a slow one.
         let full_rate = self.load.capacity_per_weight
             * record.weight()
-            * self.evidence.relative_speed(record.endpoint.model);
+            * self.evidence.relative_speed(record.endpoint.machine_model);
         let load = SlowStartLoad {
             full_rate,
             work_due: self.load.work_due,
--- a/crates/decision/src/state/endpoint_table.rs
+++ b/crates/decision/src/state/endpoint_table.rs
@@ -9,7 +9,8 @@
 use super::half_lives::BASELINE;
 use super::hash_ring::{Position, Side, nearest};
 use crate::model::{
-    Build, Confinement, Endpoint, EndpointId, EndpointStatus, ListUpdate, Model, PerArm, Zone,
+    Build, Confinement, Endpoint, EndpointId, EndpointStatus, ListUpdate, MachineModel, PerArm,
+    Zone,
 };
 
 /// So many endpoints are looked at for each that is wanted outside the subset.
@@ -247,12 +248,12 @@
     }
 
     /// The long-run pace of each model at builds before this one.
-    pub(crate) fn paces_before(&self, now: Duration, build: Build) -> BTreeMap<Model, f64> {
-        let mut sums = BTreeMap::<Model, Fraction>::new();
+    pub(crate) fn paces_before(&self, now: Duration, build: Build) -> BTreeMap<MachineModel, f64> {
+        let mut sums = BTreeMap::<MachineModel, Fraction>::new();
         let earlier = self.ready().filter(|record| record.endpoint.build < build);
         for record in earlier {
             let pace = record.health.baseline_pace.read(now, BASELINE);
-            let sum = sums.entry(record.endpoint.model).or_default();
+            let sum = sums.entry(record.endpoint.machine_model).or_default();
             *sum = Fraction::sum([*sum, pace].into_iter());
         }
         sums.into_iter()
--- a/crates/decision/src/state/evidence.rs
+++ b/crates/decision/src/state/evidence.rs
@@ -4,7 +4,7 @@
 
 use super::decaying_sum::DecayingRatio;
 use super::half_lives::REPORTED;
-use crate::model::{EndpointId, Model, PerArm, RequestClass, Stage};
+use crate::model::{EndpointId, MachineModel, PerArm, RequestClass, Stage};
 
 /// Which outcomes a count is of.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
@@ -209,13 +209,13 @@
     /// The last outcome of each arm.
     pub(crate) last_outcome: PerArm<Option<Duration>>,
     /// The long-run pace of each model at earlier builds.
-    pub(crate) model_paces: BTreeMap<Model, f64>,
+    pub(crate) model_paces: BTreeMap<MachineModel, f64>,
     pub(crate) served_work: ServedWork,
 }
 
 impl Evidence {
     /// A model's speed over that of the mean model, 1 at most.
-    pub(crate) fn relative_speed(&self, model: Model) -> f64 {
+    pub(crate) fn relative_speed(&self, model: MachineModel) -> f64 {
         let count = self.model_paces.len().max(1) as f64;
         let mean = self.model_paces.values().sum::<f64>() / count;
         self.model_paces
--- a/crates/decision/tests/engine/same_decisions.rs
+++ b/crates/decision/tests/engine/same_decisions.rs
@@ -6,8 +6,8 @@
 use lilacgate_decision::{
     Actions, AgentId, AttemptNumber, Build, Cell, ClassPolicy, DecisionEngine, DeduplicationScope,
     Endpoint, EndpointId, EndpointStatus, EventHandler, Idempotency, IdempotencyKey, ListUpdate,
-    Model, Note, Outcome, ReleasePermissions, ReleasePhase, Request, RequestClass, RequestId,
-    Stage, TimerId, Vote, Zone,
+    MachineModel, Note, Outcome, ReleasePermissions, ReleasePhase, Request, RequestClass,
+    RequestId, Stage, TimerId, Vote, Zone,
 };
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -180,7 +180,7 @@
 /// An endpoint of a list of that length: three models, cells of three, four zones.
 fn endpoint_of(index: u32, listed: u32) -> Endpoint {
     Endpoint {
-        model: Model((index % 3) as u8),
+        machine_model: MachineModel((index % 3) as u8),
         weight: [1.0, 2.5, 4.0][index as usize % 3],
         cell: Cell((index / 3) as u16),
         zone: Zone((index * 4 / listed) as u8),
--- a/crates/decision/tests/engine/scenarios/words.rs
+++ b/crates/decision/tests/engine/scenarios/words.rs
@@ -5,7 +5,7 @@
 
 use lilacgate_decision::{
     AttemptNumber, Build, Cell, ClassPolicy, DeduplicationScope, Endpoint, EndpointId,
-    EndpointStatus, Idempotency, ListUpdate, Model, Outcome, ReleasePhase, RequestId, Zone,
+    EndpointStatus, Idempotency, ListUpdate, MachineModel, Outcome, ReleasePhase, RequestId, Zone,
 };
 
 pub(super) fn number<T: FromStr<Err: Debug>>(text: &str) -> T {
@@ -98,7 +98,7 @@
     Endpoint {
         id: EndpointId(number(id)),
         status,
-        model: Model(0),
+        machine_model: MachineModel(0),
         weight: 1.0,
         started: age.map(|age| now.saturating_sub(milliseconds(age))),
         build: Build(number(build)),
--- a/crates/decision/tests/engine/support/setup.rs
+++ b/crates/decision/tests/engine/support/setup.rs
@@ -4,7 +4,7 @@
 use lilacgate_decision::{
     AdvanceRule, AgentId, Build, Cell, ClassPolicy, Endpoint, EndpointDiscoverySettings,
     EndpointId, EndpointStatus, EngineSettings, EventHandler, ExposureSettings, FleetPosition,
-    Idempotency, Model, ReleaseAnalysisSettings, ReleasePhase, Request, RequestClass,
+    Idempotency, MachineModel, ReleaseAnalysisSettings, ReleasePhase, Request, RequestClass,
     RequestSettings, SlowStartSettings, Stage, Tenant, VoteTiming, Zone,
 };
 
@@ -78,7 +78,7 @@
     Endpoint {
         id: EndpointId(index.wrapping_mul(0x9E37_79B9)),
         status: EndpointStatus::Ready,
-        model: Model(0),
+        machine_model: MachineModel(0),
         weight: 4.0,
         started: None,
         build: Build(1),
--- a/crates/simulator-adapter/src/wire/event.rs
+++ b/crates/simulator-adapter/src/wire/event.rs
@@ -3,8 +3,8 @@
 
 use lilacgate_decision::{
     AgentId, AttemptNumber, Build, Cell, Endpoint, EndpointId, EndpointStatus, IdempotencyKey,
-    ListUpdate, Model, Outcome, ReleasePhase, Request, RequestClass, RequestId, Stage, Tenant,
-    TimerId, Zone,
+    ListUpdate, MachineModel, Outcome, ReleasePhase, Request, RequestClass, RequestId, Stage,
+    Tenant, TimerId, Zone,
 };
 
 use super::fields::{Fields, WireError};
@@ -253,7 +253,7 @@
             2 => EndpointStatus::Draining,
             code => return Err(WireError::UnknownStatus(code)),
         },
-        model: Model(fields.u8(entry::MODEL)),
+        machine_model: MachineModel(fields.u8(entry::MODEL)),
         weight,
         started: Some(fields.instant(entry::STARTED)).filter(|started| !started.is_zero()),
         build: Build(build as u16),
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -92,9 +92,9 @@
     ENTRIES,
     EventKind::EndpointPage,
     "EndpointPage(EndpointPage { number: 9, endpoints: [\
-     Endpoint { id: EndpointId(51530247), status: Ready, model: Model(4), weight: 1.0, \
+     Endpoint { id: EndpointId(51530247), status: Ready, machine_model: MachineModel(4), weight: 1.0, \
      started: Some(6.1s), build: Build(42), cell: Cell(1286), zone: Zone(7) }, \
-     Endpoint { id: EndpointId(747639282), status: Draining, model: Model(8), weight: 1.5, \
+     Endpoint { id: EndpointId(747639282), status: Draining, machine_model: MachineModel(8), weight: 1.5, \
      started: None, build: Build(41), cell: Cell(258), zone: Zone(3) }] })",
     1..13
 )]
--- a/crates/store/tests/stored_form.rs
+++ b/crates/store/tests/stored_form.rs
@@ -8,7 +8,8 @@
 
 use lilacgate_decision::{
     AttemptNumber, Build, Cell, EjectionReason, Endpoint, EndpointId, EndpointStatus, GiveUpReason,
-    ListUpdate, Model, Note, Outcome, ReleasePhase, RequestClass, RequestId, Stage, Vote, Zone,
+    ListUpdate, MachineModel, Note, Outcome, ReleasePhase, RequestClass, RequestId, Stage, Vote,
+    Zone,
 };
 use lilacgate_store::reader::{DamagedFile, read};
 use lilacgate_store::segment_format::{SegmentError, append_record, header};
@@ -39,7 +40,7 @@
     Endpoint {
         id: EndpointId(node),
         status,
-        model: Model(0),
+        machine_model: MachineModel(0),
         weight: 1.0,
         started,
         build: Build(1),
--- a/crates/test-bed/src/virtual_time/mod.rs
+++ b/crates/test-bed/src/virtual_time/mod.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use lilacgate_decision::{
-    Build, Cell, Endpoint, EndpointId, EndpointStatus, Model, Outcome, RequestClass, Zone,
+    Build, Cell, Endpoint, EndpointId, EndpointStatus, MachineModel, Outcome, RequestClass, Zone,
 };
 use lilacgate_timeline::entry::Departure;
 use lilacgate_timeline::fleet_timeline::{FleetTimeline, MemoryLimits};
@@ -179,7 +179,7 @@
     Endpoint {
         id: EndpointId(node),
         status: EndpointStatus::Ready,
-        model: Model(0),
+        machine_model: MachineModel(0),
         weight: 1.0,
         started,
         build: Build(build),
