--- a/crates/decision/src/policy/exposure.rs
+++ b/crates/decision/src/policy/exposure.rs
@@ -90,7 +90,7 @@
         let (tenant, class) = (request.request.tenant, request.request.class);
         self.permissions
             .as_ref()
-            .is_none_or(|permissions| permissions.admits(build, zone, tenant, class))
+            .is_none_or(|permissions| permissions.permits(build, zone, tenant, class))
     }
 
     /// Whether the operator's rules permit a build there for anyone. What is closed to all takes no part, or
@@ -98,7 +98,7 @@
     pub(crate) fn is_open(&self, build: Build, zone: Zone) -> bool {
         self.permissions
             .as_ref()
-            .is_none_or(|permissions| permissions.any(build, zone))
+            .is_none_or(|permissions| permissions.permits_any(build, zone))
     }
 
     /// Whether a request may go to a build at all.
@@ -158,7 +158,7 @@
     pub(crate) fn is_held(&self, status: ReleaseStatus) -> bool {
         self.permissions
             .as_ref()
-            .is_some_and(|permissions| !permissions.may_step(status.build, status.stage))
+            .is_some_and(|permissions| !permissions.may_advance(status.build, status.stage))
     }
 
     /// Remembers that the canary has answered a request, where it may not go back to an earlier build then.
--- a/crates/decision/src/release_permissions.rs
+++ b/crates/decision/src/release_permissions.rs
@@ -14,7 +14,7 @@
     classes: Vec<u64>,
     /// By build and zone: the classes that are open to any tenant.
     classes_of_any: Vec<u64>,
-    step: Option<(Build, Stage)>,
+    advance_from: Option<(Build, Stage)>,
 }
 
 impl ReleasePermissions {
@@ -22,7 +22,7 @@
     pub const MAX_CLASSES: usize = 64;
 
     /// `rows` are in the order of their builds; each holds `zone_count` x `tenant_count` cells, those of a zone
-    /// together, with a bit for each class. `step` is the one stage that may be followed by the next.
+    /// together, with a bit for each class. `advance_from` is the one stage that may be followed by the next.
     ///
     /// # Panics
     /// Where a row has another number of cells, or rows are out of order: a fault of the caller's.
@@ -30,7 +30,7 @@
         zone_count: usize,
         tenant_count: usize,
         rows: &[(Build, &[u64])],
-        step: Option<(Build, Stage)>,
+        advance_from: Option<(Build, Stage)>,
     ) -> Self {
         assert!(
             rows.is_sorted_by(|(one, _), (next, _)| one < next),
@@ -60,7 +60,7 @@
             tenant_count,
             classes,
             classes_of_any,
-            step,
+            advance_from,
         }
     }
 
@@ -71,7 +71,7 @@
     }
 
     /// Whether requests of a class and tenant may go to a build in a zone.
-    pub fn admits(&self, build: Build, zone: Zone, tenant: Tenant, class: RequestClass) -> bool {
+    pub fn permits(&self, build: Build, zone: Zone, tenant: Tenant, class: RequestClass) -> bool {
         let (tenant, class) = (usize::from(tenant.0), u32::from(class.0));
         let index = self.index(build, zone);
         let Some(index) = index.filter(|_| tenant < self.tenant_count) else {
@@ -83,13 +83,13 @@
     }
 
     /// Whether a build in a zone is open to anyone.
-    pub fn any(&self, build: Build, zone: Zone) -> bool {
+    pub fn permits_any(&self, build: Build, zone: Zone) -> bool {
         self.index(build, zone)
             .is_some_and(|index| self.classes_of_any[index] != 0)
     }
 
     /// Whether a vote may ask that a build advances from this stage.
-    pub fn may_step(&self, build: Build, stage: Stage) -> bool {
-        self.step == Some((build, stage))
+    pub fn may_advance(&self, build: Build, stage: Stage) -> bool {
+        self.advance_from == Some((build, stage))
     }
 }
--- a/crates/releases/tests/laws/gate.rs
+++ b/crates/releases/tests/laws/gate.rs
@@ -115,9 +115,9 @@
             let own = admitted(&gate).into_iter().filter(|(place, _)| place.tenant == only);
             for (place, admits) in own {
                 let (build, zone) = (Build(place.build), Zone(place.zone));
-                let handed = permissions.admits(build, zone, Tenant(0), RequestClass(place.class));
+                let handed = permissions.permits(build, zone, Tenant(0), RequestClass(place.class));
                 prop_assert_eq!(handed, admits);
-                prop_assert!(!handed || permissions.any(build, zone));
+                prop_assert!(!handed || permissions.permits_any(build, zone));
             }
         }
     }
--- a/crates/releases/tests/scenarios.rs
+++ b/crates/releases/tests/scenarios.rs
@@ -194,7 +194,7 @@
     fn check_advance(&self, build: Build, stage: Stage) {
         let expected = PermittedAdvance { build, stage };
         assert_eq!(self.gate.permitted_advance(), Ok(expected));
-        assert!(self.gate.permissions().may_step(build, stage));
+        assert!(self.gate.permissions().may_advance(build, stage));
     }
 
     fn check_hold(&self, reason: &str, until: &[&str]) {
