--- a/crates/agent/src/recorder/store.rs
+++ b/crates/agent/src/recorder/store.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use lilacgate_operator_config::Store;
-use lilacgate_store::background_writer::{BackgroundWriter, StatusChange, Submitted};
+use lilacgate_store::background_writer::{BackgroundWriter, StatusChange, SubmitResult};
 use lilacgate_store::storage::FileSystem;
 use lilacgate_store::writer::{Retention, StoreWriter};
 use lilacgate_timeline::entry::Record;
@@ -71,9 +71,9 @@
             return;
         }
         match pump.submit(now, batch) {
-            Submitted::Accepted => {}
-            Submitted::QueueFull(batch) => self.waiting = shortened(now, batch),
-            Submitted::Closed => {
+            SubmitResult::Accepted => {}
+            SubmitResult::QueueFull(batch) => self.waiting = shortened(now, batch),
+            SubmitResult::Closed => {
                 self.pump = None;
                 info!("timeline_store_closed folder={}", Quoted(&self.folder));
             }
--- a/crates/store/src/background_writer.rs
+++ b/crates/store/src/background_writer.rs
@@ -31,7 +31,7 @@
 
 /// What became of a batch.
 #[derive(Debug)]
-pub enum Submitted {
+pub enum SubmitResult {
     /// The batch will be written, as soon as the disk takes it.
     Accepted,
     /// The queue is full, since the disk is behind: the batch comes back.
@@ -127,14 +127,14 @@
     }
 
     /// Submits a batch; never waits. `now` is a span since 1970.
-    pub fn submit(&mut self, now: Duration, records: Vec<Record>) -> Submitted {
+    pub fn submit(&mut self, now: Duration, records: Vec<Record>) -> SubmitResult {
         let Some(queue) = &self.queue else {
-            return Submitted::Closed;
+            return SubmitResult::Closed;
         };
         match queue.try_send(Batch { now, records }) {
-            Ok(()) => Submitted::Accepted,
-            Err(TrySendError::Full(batch)) => Submitted::QueueFull(batch.records),
-            Err(TrySendError::Disconnected(_)) => Submitted::Closed,
+            Ok(()) => SubmitResult::Accepted,
+            Err(TrySendError::Full(batch)) => SubmitResult::QueueFull(batch.records),
+            Err(TrySendError::Disconnected(_)) => SubmitResult::Closed,
         }
     }
 
--- a/crates/store/src/reader.rs
+++ b/crates/store/src/reader.rs
@@ -6,7 +6,7 @@
 
 use lilacgate_timeline::entry::Record;
 
-use crate::segment_format::{SegmentError, begun_at, decode_records};
+use crate::segment_format::{SegmentError, creation_time, decode_records};
 
 /// The file name extension of segments.
 pub(crate) const EXTENSION: &str = "seg";
@@ -87,7 +87,7 @@
 
 /// Adds a segment's records up to the first that is damaged.
 fn read_segment(bytes: &[u8], records: &mut Vec<Record>) -> Result<(), SegmentError> {
-    begun_at(bytes)?;
+    creation_time(bytes)?;
     let decoded = decode_records(bytes);
     records.extend(decoded.records);
     if decoded.end < bytes.len() {
--- a/crates/store/src/segment_format.rs
+++ b/crates/store/src/segment_format.rs
@@ -65,7 +65,7 @@
 ///
 /// # Errors
 /// [`SegmentError::NotASegment`] or [`SegmentError::UnknownVersion`].
-pub fn begun_at(bytes: &[u8]) -> Result<u64, SegmentError> {
+pub fn creation_time(bytes: &[u8]) -> Result<u64, SegmentError> {
     let header = bytes
         .first_chunk::<HEADER_BYTES>()
         .filter(|header| header[..4] == MAGIC)
--- a/crates/store/src/writer.rs
+++ b/crates/store/src/writer.rs
@@ -13,7 +13,7 @@
 use lilacgate_timeline::entry::Record;
 
 use crate::reader::{EXTENSION, segments};
-use crate::segment_format::{HEADER_BYTES, append_record, begun_at, decode_records, header};
+use crate::segment_format::{HEADER_BYTES, append_record, creation_time, decode_records, header};
 use crate::storage::{SegmentFile, Storage};
 
 /// A store is this many segments at most, so that little is removed at a time.
@@ -261,13 +261,13 @@
 fn begun_of_file(path: &Path) -> Option<u64> {
     let mut header = [0; HEADER_BYTES];
     File::open(path).ok()?.read_exact(&mut header).ok()?;
-    begun_at(&header).ok()
+    creation_time(&header).ok()
 }
 
 /// Cuts a segment off behind its last whole record. A file that is no segment stays as it is.
 fn cut_off_torn_end(path: &Path) -> io::Result<()> {
     let bytes = fs::read(path)?;
-    if begun_at(&bytes).is_err() {
+    if creation_time(&bytes).is_err() {
         return Ok(());
     }
     let end = decode_records(&bytes).end;
--- a/crates/store/tests/store.rs
+++ b/crates/store/tests/store.rs
@@ -4,10 +4,10 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use lilacgate_store::background_writer::{BackgroundWriter, StatusChange, Submitted};
+use lilacgate_store::background_writer::{BackgroundWriter, StatusChange, SubmitResult};
 use lilacgate_store::reader::{read, segments};
 use lilacgate_store::segment_format::{
-    HEADER_BYTES, SegmentError, begun_at, decode_records, header,
+    HEADER_BYTES, SegmentError, creation_time, decode_records, header,
 };
 use lilacgate_store::storage::{FileSystem, SegmentFile, Storage};
 use lilacgate_store::writer::{Retention, StoreWriter};
@@ -153,9 +153,9 @@
     let mut batch = vec![record(number)];
     loop {
         match background.submit(now(0), batch) {
-            Submitted::Accepted => return,
-            Submitted::QueueFull(returned) => batch = returned,
-            Submitted::Closed => panic!("the thread has ended"),
+            SubmitResult::Accepted => return,
+            SubmitResult::QueueFull(returned) => batch = returned,
+            SubmitResult::Closed => panic!("the thread has ended"),
         }
         std::thread::sleep(Duration::from_micros(100));
     }
@@ -398,7 +398,7 @@
     let decoded = decode_records(bytes);
     assert_eq!(decoded.records, [record(1), record(300)]);
     assert_eq!(decoded.end, bytes.len());
-    assert_eq!(begun_at(bytes), Ok(1_796_083_200));
+    assert_eq!(creation_time(bytes), Ok(1_796_083_200));
 }
 
 proptest! {
