--- a/crates/agent/src/clients/mod.rs
+++ b/crates/agent/src/clients/mod.rs
@@ -105,11 +105,11 @@
             event_loop,
             upstream,
             classes: read_classes(settings)?,
-            sends_retry_after: settings.number("limits.retry-after")?,
+            sends_retry_after: settings.value("limits.retry-after")?,
             max_connections,
-            max_pending_replies: settings.number::<usize>("limits.streams-per-conn")?.max(1),
+            max_pending_replies: settings.value::<usize>("limits.streams-per-conn")?.max(1),
             max_held_bytes,
-            max_requests_in_flight: settings.number("limits.max-open")?,
+            max_requests_in_flight: settings.value("limits.max-open")?,
             connect_timeout: settings.period("limits.connect-timeout")?,
             longest_deadline: settings.longest_deadline()?,
             held_bytes: ByteBudget::default(),
@@ -126,7 +126,7 @@
 
 /// The request classes, under the names that clients give them.
 fn read_classes(settings: &Settings) -> Result<Vec<NamedClass>, SettingsError> {
-    let count: u8 = settings.number("profiles.count")?;
+    let count: u8 = settings.value("profiles.count")?;
     (0..count)
         .map(|index| {
             Ok(NamedClass {
--- a/crates/agent/src/discovery.rs
+++ b/crates/agent/src/discovery.rs
@@ -102,7 +102,7 @@
             upstream,
             address: ServiceAddress::new(address),
             connect_timeout,
-            is_on_request: settings.requests_endpoint_list()?,
+            is_on_request: settings.endpoint_list_on_request()?,
             max_message_bytes,
             endpoint_list,
             last_contact: Cell::default(),
--- a/crates/agent/src/recorder.rs
+++ b/crates/agent/src/recorder.rs
@@ -355,7 +355,7 @@
 /// # Errors
 /// A setting that is missing or cannot be read.
 pub(crate) fn class_names(settings: &Settings) -> Result<Vec<String>, SettingsError> {
-    let classes: u8 = settings.number("profiles.count")?;
+    let classes: u8 = settings.value("profiles.count")?;
     let mut names = Vec::new();
     for class in 0..classes {
         let name = settings.text(&format!("profiles.{class}.name"))?;
--- a/crates/agent/src/startup.rs
+++ b/crates/agent/src/startup.rs
@@ -62,7 +62,7 @@
     let signals = at_start(SignalStream::new).map_err(StartError::Signals)?;
     let mut config = read_start_file(&path)?;
     let settings = &config.settings;
-    let engine = lilacgate_start_settings::instance(config.seed, settings)?.engine;
+    let engine = lilacgate_start_settings::build_instance(config.seed, settings)?.engine;
     let event_loop = EventLoop::new(settings.duration("rules.answer-slack")?);
     let max_connections = max_connections(&config)?;
     let (upstream, clients) = create_data_path(&event_loop, &config, max_connections)?;
--- a/crates/agent/tests/large_fleets.rs
+++ b/crates/agent/tests/large_fleets.rs
@@ -38,7 +38,7 @@
 ) {
     let config = read_start_file(agents, endpoints);
     assert_eq!(config.peers.as_ref().expect("peers").peers.len(), agents);
-    let mut engine = lilacgate_start_settings::instance(config.seed, &config.settings)
+    let mut engine = lilacgate_start_settings::build_instance(config.seed, &config.settings)
         .expect("a decision engine")
         .engine;
     let event_loop = EventLoop::new(Duration::ZERO);
--- a/crates/scale/src/module.rs
+++ b/crates/scale/src/module.rs
@@ -153,7 +153,7 @@
     /// # Errors
     /// The settings cannot be used.
     pub fn new(seed: u64, settings: &Settings) -> Result<Self, ScaleError> {
-        let instance = lilacgate_start_settings::instance(seed, settings)
+        let instance = lilacgate_start_settings::build_instance(seed, settings)
             .map_err(|error| ScaleError::Settings(error.to_string()))?;
         let endpoint_list = EndpointListReader::new(settings)
             .map_err(|error| ScaleError::Settings(error.to_string()))?;
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -140,7 +140,7 @@
             };
             let settings = std::str::from_utf8(settings)
                 .map_err(|_| segment.error(index, EventError::SettingsNotUtf8))?;
-            match lilacgate_start_settings::instance(seed, &Settings::from_lines(settings)) {
+            match lilacgate_start_settings::build_instance(seed, &Settings::from_lines(settings)) {
                 Ok(instance) => drop(self.instances.insert(number, instance)),
                 Err(error) => {
                     reply.for_instance(number).fatal(&error.to_string());
--- a/crates/start-settings/src/engine.rs
+++ b/crates/start-settings/src/engine.rs
@@ -36,7 +36,7 @@
 ///
 /// # Errors
 /// A setting is missing or unusable.
-pub fn instance(seed: u64, settings: &Settings) -> Result<Instance, SettingsError> {
+pub fn build_instance(seed: u64, settings: &Settings) -> Result<Instance, SettingsError> {
     let engine_settings = engine_settings(seed, settings)?;
     Ok(Instance {
         request_classes: engine_settings.requests.classes.len(),
@@ -55,7 +55,7 @@
         requests: requests(settings)?,
         tick: settings.period("tick")?,
         discovery: discovery(settings)?,
-        zone: Zone(settings.number("zone")?),
+        zone: Zone(settings.value("zone")?),
         slow_start: slow_start(settings)?,
         exposure: exposure(settings)?,
         release_analysis: release_analysis(settings)?,
@@ -69,7 +69,7 @@
 }
 
 fn discovery(settings: &Settings) -> Result<EndpointDiscoverySettings, SettingsError> {
-    let request_within = if settings.requests_endpoint_list()? {
+    let request_within = if settings.endpoint_list_on_request()? {
         Some(settings.period("rules.ask-within")?)
     } else {
         None
@@ -79,23 +79,23 @@
 
 fn slow_start(settings: &Settings) -> Result<SlowStartSettings, SettingsError> {
     Ok(SlowStartSettings {
-        initial_capacity_share: settings.amount("rules.cold-from")?,
+        initial_capacity_share: settings.non_negative("rules.cold-from")?,
         ramp: settings.duration("rules.ramp-time")?,
-        overload_multiple: settings.amount("rules.fall-multiple")?,
+        overload_multiple: settings.non_negative("rules.fall-multiple")?,
         overload_window: settings.duration("rules.overload-for")?,
     })
 }
 
 fn exposure(settings: &Settings) -> Result<ExposureSettings, SettingsError> {
-    let caps = settings.amounts("family-info.most-shares")?;
+    let caps = settings.non_negative_list("family-info.most-shares")?;
     let per_class_choices = [("all", false), ("per_lane", true)];
     Ok(ExposureSettings {
         window: settings.duration("family-info.span")?,
-        free_requests: settings.amount("family-info.free")?,
+        free_requests: settings.non_negative("family-info.free")?,
         initial_cap: caps.first().copied().unwrap_or(0.0),
         per_class: settings.choice("family-info.per", &per_class_choices)?,
-        guarded_stages: settings.number("family-info.guarded-stages")?,
-        forward_only: settings.number("family-info.forward-only")?,
+        guarded_stages: settings.value("family-info.guarded-stages")?,
+        forward_only: settings.value("family-info.forward-only")?,
     })
 }
 
@@ -108,7 +108,7 @@
     let in_place_choices = [("side_by_side", false), ("rolling", true)];
     Ok(ReleaseAnalysisSettings {
         advance_rule: settings.choice("family-info.gate-mode", &advance_rules)?,
-        stage_shares: settings.amounts("family-info.rings")?,
+        stage_shares: settings.non_negative_list("family-info.rings")?,
         minimum_stage_time: settings.period("family-info.min-dwell")?,
         vote_timing: VoteTiming {
             validity: settings.period("family-info.vote-ttl")?,
@@ -121,9 +121,9 @@
 
 fn fleet_position(settings: &Settings) -> Result<FleetPosition, SettingsError> {
     Ok(FleetPosition {
-        own_id: AgentId(settings.number("me")?),
-        agent_count: settings.number("instances")?,
-        can_message_peers: settings.number("limits.peers")?,
+        own_id: AgentId(settings.value("me")?),
+        agent_count: settings.value("instances")?,
+        can_message_peers: settings.value("limits.peers")?,
     })
 }
 
@@ -132,17 +132,17 @@
         .map(|class| class_policy(settings, class))
         .collect::<Result<_, _>>()?;
     // An attempt's number is a byte on every wire.
-    let max_attempts: usize = settings.number("limits.max-attempts")?;
+    let max_attempts: usize = settings.value("limits.max-attempts")?;
     Ok(RequestSettings {
         classes,
         max_attempts: max_attempts.min(u8::MAX.into()),
-        may_cancel: settings.number("limits.may-cancel")?,
+        may_cancel: settings.value("limits.may-cancel")?,
         max_retry_after: max_retry_after(settings)?,
     })
 }
 
 fn max_retry_after(settings: &Settings) -> Result<Duration, SettingsError> {
-    if settings.number("limits.retry-after")? {
+    if settings.value("limits.retry-after")? {
         settings.duration("limits.max-retry-after")
     } else {
         Ok(Duration::ZERO)
@@ -161,7 +161,7 @@
         latency_objective: settings.period(&path("aim"))?,
         deadline: settings.period(&path("give-up"))?,
         deduplication_window,
-        priority_weight: settings.amount(&path("worth"))?,
-        late_weight_share: settings.amount(&path("late-value"))?,
+        priority_weight: settings.non_negative(&path("worth"))?,
+        late_weight_share: settings.non_negative(&path("late-value"))?,
     })
 }
--- a/crates/start-settings/src/lib.rs
+++ b/crates/start-settings/src/lib.rs
@@ -8,6 +8,6 @@
 mod error;
 mod settings;
 
-pub use engine::{Instance, engine_settings, instance};
+pub use engine::{Instance, build_instance, engine_settings};
 pub use error::SettingsError;
 pub use settings::{SettingValue, Settings};
--- a/crates/start-settings/src/settings.rs
+++ b/crates/start-settings/src/settings.rs
@@ -77,7 +77,7 @@
     ///
     /// # Errors
     /// The setting is missing, or does not have the form of a `T`.
-    pub fn number<T: SettingValue>(&self, path: &str) -> Result<T, SettingsError> {
+    pub fn value<T: SettingValue>(&self, path: &str) -> Result<T, SettingsError> {
         let text = self.text(path)?;
         text.parse().map_err(|_| unusable(path, text, T::EXPECTED))
     }
@@ -107,17 +107,17 @@
     }
 
     /// A finite number that is not negative.
-    pub(crate) fn amount(&self, path: &str) -> Result<f64, SettingsError> {
+    pub(crate) fn non_negative(&self, path: &str) -> Result<f64, SettingsError> {
         let text = self.text(path)?;
-        parse_amount(text).ok_or_else(|| unusable(path, text, "a finite number, not below 0"))
+        parse_non_negative(text).ok_or_else(|| unusable(path, text, "a finite number, not below 0"))
     }
 
     /// A list of finite numbers that are not negative, at least one.
-    pub(crate) fn amounts(&self, path: &str) -> Result<Vec<f64>, SettingsError> {
+    pub(crate) fn non_negative_list(&self, path: &str) -> Result<Vec<f64>, SettingsError> {
         let text = self.text(path)?;
         let expected = "finite numbers, not below 0, between commas";
         text.split(',')
-            .map(|part| parse_amount(part).ok_or_else(|| unusable(path, text, expected)))
+            .map(|part| parse_non_negative(part).ok_or_else(|| unusable(path, text, expected)))
             .collect()
     }
 
@@ -152,13 +152,13 @@
     ///
     /// # Errors
     /// The setting is missing or unknown.
-    pub fn requests_endpoint_list(&self) -> Result<bool, SettingsError> {
+    pub fn endpoint_list_on_request(&self) -> Result<bool, SettingsError> {
         self.choice("membership-mode", &[("push", false), ("ask", true)])
     }
 
     /// The number of request classes.
     pub(crate) fn class_count(&self) -> Result<usize, SettingsError> {
-        self.number::<u8>("profiles.count").map(usize::from)
+        self.value::<u8>("profiles.count").map(usize::from)
     }
 
     /// The longest deadline of all request classes.
@@ -199,9 +199,9 @@
     }
 }
 
-fn parse_amount(text: &str) -> Option<f64> {
-    let amount: f64 = text.parse().ok()?;
-    (amount.is_finite() && amount >= 0.0).then_some(amount)
+fn parse_non_negative(text: &str) -> Option<f64> {
+    let number: f64 = text.parse().ok()?;
+    (number.is_finite() && number >= 0.0).then_some(number)
 }
 
 fn unusable(path: &str, value: &str, expected: impl Into<String>) -> SettingsError {
--- a/crates/start-settings/tests/settings.rs
+++ b/crates/start-settings/tests/settings.rs
@@ -2,7 +2,7 @@
 use std::time::Duration;
 
 use lilacgate_decision::{AdvanceRule, DeduplicationScope, Idempotency};
-use lilacgate_start_settings::{Settings, SettingsError, engine_settings, instance};
+use lilacgate_start_settings::{Settings, SettingsError, build_instance, engine_settings};
 use rstest::rstest;
 
 const START: &str = include_str!("fixtures/start.txt");
@@ -111,7 +111,7 @@
 #[test]
 fn sizes_and_lists() {
     let settings = start();
-    let instance = instance(SEED, &settings).expect("a whole file");
+    let instance = build_instance(SEED, &settings).expect("a whole file");
     assert_eq!(instance.request_classes, 3);
     assert_eq!(instance.zones, 3);
     assert_eq!(settings.names("shapes").expect("names"), ["small", "large"]);
@@ -219,6 +219,6 @@
         assert_eq!(error.to_string(), format!("settings lack {path}"));
         assert_eq!(error, SettingsError::Missing { path });
     }
-    let error = instance(SEED, &start_with("zones", None)).expect_err("zones are counted");
+    let error = build_instance(SEED, &start_with("zones", None)).expect_err("zones are counted");
     assert_eq!(error.to_string(), "settings lack zones");
 }
