--- a/crates/agent/src/operator_file.rs
+++ b/crates/agent/src/operator_file.rs
@@ -8,7 +8,7 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 
-use lilacgate_operator_config::{Known, OperatorConfig, Releases, Timeline};
+use lilacgate_operator_config::{KnownNames, OperatorConfig, Releases, Timeline};
 use lilacgate_releases::gate::Gate;
 use lilacgate_start_settings::{Settings, SettingsError};
 
@@ -49,7 +49,7 @@
     /// This agent's name.
     agent: String,
     /// The zones and request classes of the start settings.
-    known: Known,
+    known: KnownNames,
     event_loop: Rc<EventLoop>,
     /// Where the gate's state is written on request.
     state_path: RefCell<Option<PathBuf>>,
@@ -185,9 +185,9 @@
 }
 
 /// The names that an operator's file may use for zones and request classes, with their numbers.
-fn known_names(settings: &Settings) -> Result<Known, SettingsError> {
+fn known_names(settings: &Settings) -> Result<KnownNames, SettingsError> {
     let products = class_names(settings)?;
-    Ok(Known {
+    Ok(KnownNames {
         zones: settings.names("zones")?,
         products,
     })
--- a/crates/capacity/src/target.rs
+++ b/crates/capacity/src/target.rs
@@ -138,7 +138,7 @@
     /// # Errors
     /// The file cannot be read or has faults.
     pub fn load(path: &Path) -> Result<Target, TargetError> {
-        xml::text_of(path)
+        xml::read_text(path)
             .and_then(|text| xml::parse(&text, read_root))
             .map_err(|faults| TargetError {
                 path: Some(path.to_owned()),
--- a/crates/ctl/src/check.rs
+++ b/crates/ctl/src/check.rs
@@ -2,7 +2,7 @@
 use std::path::{Path, PathBuf};
 
 use clap::Args;
-use lilacgate_operator_config::{Fault, Known, load};
+use lilacgate_operator_config::{Fault, KnownNames, load};
 use serde_json::{Value, json};
 
 use crate::Answer;
@@ -20,7 +20,7 @@
         let mut reports = Vec::new();
         for file in &self.files {
             tracing::debug!(file = %file.display(), "reading");
-            let faults = load(file, &Known::default()).err().unwrap_or_default();
+            let faults = load(file, &KnownNames::default()).err().unwrap_or_default();
             all_fine &= faults.is_empty();
             if as_json {
                 reports.push(report(file, &faults));
--- a/crates/ctl/src/releases/mod.rs
+++ b/crates/ctl/src/releases/mod.rs
@@ -8,7 +8,7 @@
 use std::path::Path;
 
 use clap::Subcommand;
-use lilacgate_operator_config::{Known, load};
+use lilacgate_operator_config::{KnownNames, load};
 use lilacgate_releases::model::Rules;
 use lilacgate_releases::stored_state::StoredState;
 
@@ -34,10 +34,11 @@
 
 /// Reads the rules for releases of an operator's file.
 fn read_rules(file: &Path) -> Result<Rules, CommandError> {
-    let operator = load(file, &Known::default()).map_err(|faults| CommandError::OperatorFile {
-        path: file.to_owned(),
-        faults,
-    })?;
+    let operator =
+        load(file, &KnownNames::default()).map_err(|faults| CommandError::OperatorFile {
+            path: file.to_owned(),
+            faults,
+        })?;
     let releases = operator
         .releases
         .ok_or_else(|| CommandError::NoReleases(file.to_owned()))?;
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -8,11 +8,11 @@
 
 use std::path::Path;
 
-pub use places::{Known, Places};
+pub use places::{KnownNames, Places};
 pub use releases::{ControlPlane, Releases};
 use roxmltree::Node;
 pub use timeline::{Store, Timeline};
-pub use xml::{AttributeError, Fault, FaultKind, LARGEST};
+pub use xml::{AttributeError, Fault, FaultKind, MAX_FILE_BYTES};
 
 use crate::xml::XmlReader;
 
@@ -34,7 +34,7 @@
 ///
 /// # Errors
 /// All faults, in the order of their places.
-pub fn read(text: &str, known: &Known) -> Result<OperatorConfig, Vec<Fault>> {
+pub fn read(text: &str, known: &KnownNames) -> Result<OperatorConfig, Vec<Fault>> {
     xml::parse(text, |reader, root| read_root(reader, root, known))
 }
 
@@ -42,14 +42,14 @@
 ///
 /// # Errors
 /// All faults, in the order of their places; one without a place if the file itself cannot be read.
-pub fn load(path: &Path, known: &Known) -> Result<OperatorConfig, Vec<Fault>> {
-    read(&xml::text_of(path)?, known)
+pub fn load(path: &Path, known: &KnownNames) -> Result<OperatorConfig, Vec<Fault>> {
+    read(&xml::read_text(path)?, known)
 }
 
 fn read_root<'a>(
     reader: &XmlReader<'a>,
     root: Node<'a, 'a>,
-    known: &Known,
+    known: &KnownNames,
 ) -> Option<OperatorConfig> {
     if root.tag_name().name() != "operator" {
         reader.report(root, FaultKind::WrongRoot("operator"));
--- a/crates/operator-config/src/places.rs
+++ b/crates/operator-config/src/places.rs
@@ -12,7 +12,7 @@
 
 /// Names that have their numbers already, from the agent's start settings.
 #[derive(Clone, Debug, Default)]
-pub struct Known {
+pub struct KnownNames {
     /// The zones, by their numbers.
     pub zones: Vec<String>,
     /// The request classes, by their numbers.
@@ -91,7 +91,7 @@
     reader: &XmlReader<'_>,
     root: Node<'_, '_>,
     node: Option<Node<'_, '_>>,
-    known: &Known,
+    known: &KnownNames,
 ) -> Places {
     let Some(node) = node else {
         reader.report(root, FaultKind::MissingElement("places"));
@@ -107,7 +107,7 @@
 }
 
 impl PlacesReader<'_, '_> {
-    fn places(&self, known: &Known) -> Places {
+    fn places(&self, known: &KnownNames) -> Places {
         let zones = self.names(&NameKind {
             element: "zone",
             known: &known.zones,
--- a/crates/operator-config/src/xml/fault.rs
+++ b/crates/operator-config/src/xml/fault.rs
@@ -5,7 +5,7 @@
 
 use lilacgate_releases::calendar::TimeTextError;
 
-use super::LARGEST;
+use super::MAX_FILE_BYTES;
 
 /// Something in a file that cannot be used. Faults are ordered by their places, then by their texts.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -74,7 +74,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FaultKind {
     /// The file is larger than any that is read.
-    #[error("the file has {bytes} bytes; {LARGEST} are the most")]
+    #[error("the file has {bytes} bytes; {MAX_FILE_BYTES} are the most")]
     FileTooLarge {
         /// The file's size.
         bytes: usize,
--- a/crates/operator-config/src/xml/mod.rs
+++ b/crates/operator-config/src/xml/mod.rs
@@ -12,7 +12,7 @@
 use roxmltree::{Document, Node, ParsingOptions};
 
 /// The largest file that is read, in bytes.
-pub const LARGEST: u64 = 1 << 20;
+pub const MAX_FILE_BYTES: u64 = 1 << 20;
 /// The most elements, attributes and texts of a file.
 const MAX_NODES: u32 = 200_000;
 
@@ -25,7 +25,7 @@
     read: impl for<'a> FnOnce(&XmlReader<'a>, Node<'a, 'a>) -> Option<T>,
 ) -> Result<T, Vec<Fault>> {
     let bytes = text.len();
-    if bytes as u64 > LARGEST {
+    if bytes as u64 > MAX_FILE_BYTES {
         return Err(vec![Fault::of_file(FaultKind::FileTooLarge { bytes })]);
     }
     let options = ParsingOptions {
@@ -45,7 +45,7 @@
 ///
 /// # Errors
 /// One fault without a place if the file cannot be read.
-pub fn text_of(path: &Path) -> Result<String, Vec<Fault>> {
+pub fn read_text(path: &Path) -> Result<String, Vec<Fault>> {
     let unreadable = |error: std::io::Error| {
         vec![Fault::of_file(FaultKind::FileUnreadable {
             path: path.to_owned(),
@@ -54,7 +54,7 @@
     };
     let file = std::fs::File::open(path).map_err(unreadable)?;
     let mut text = String::new();
-    file.take(LARGEST + 1)
+    file.take(MAX_FILE_BYTES + 1)
         .read_to_string(&mut text)
         .map_err(unreadable)?;
     Ok(text)
--- a/crates/operator-config/tests/files.rs
+++ b/crates/operator-config/tests/files.rs
@@ -3,7 +3,7 @@
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-use lilacgate_operator_config::{Known, load, read};
+use lilacgate_operator_config::{KnownNames, load, read};
 use proptest::prelude::*;
 use rstest::rstest;
 
@@ -26,7 +26,7 @@
     #[files("../../deploy/operator*.xml")]
     path: PathBuf,
 ) {
-    let read = load(&path, &Known::default());
+    let read = load(&path, &KnownNames::default());
     assert!(read.is_ok(), "{:?}", read.err());
     assert!(is_valid(&path), "the schema refuses {}", path.display());
 }
@@ -38,7 +38,7 @@
         .lines()
         .map_while(|line| line.strip_prefix("<!-- ")?.strip_suffix(" -->"))
         .collect();
-    let faults = load(&path, &Known::default()).expect_err("it is refused");
+    let faults = load(&path, &KnownNames::default()).expect_err("it is refused");
     let said: Vec<String> = faults.iter().map(ToString::to_string).collect();
     let named: Vec<&str> = lines
         .iter()
@@ -71,13 +71,13 @@
     let path = folder.path().join("large.xml");
     std::fs::write(&path, " ".repeat((1 << 20) + 1)).expect("it is written");
     assert!(
-        load(&path, &Known::default()).expect_err("too large")[0]
+        load(&path, &KnownNames::default()).expect_err("too large")[0]
             .to_string()
             .contains("the most")
     );
     let gone = folder.path().join("gone.xml");
     assert!(
-        load(&gone, &Known::default()).expect_err("not there")[0]
+        load(&gone, &KnownNames::default()).expect_err("not there")[0]
             .to_string()
             .contains("gone.xml")
     );
@@ -85,7 +85,7 @@
 
 #[test]
 fn known_names_keep_their_numbers() {
-    let known = Known {
+    let known = KnownNames {
         zones: vec!["b".into(), "a".into()],
         products: vec!["q".into()],
     };
@@ -114,7 +114,7 @@
         let text = include_str!("../../../deploy/operator.xml");
         let at = (at % text.len()..text.len()).find(|i| text.is_char_boundary(*i)).unwrap_or(0);
         let changed = format!("{}{put}{}", &text[..at], &text[at..]);
-        if let Err(faults) = read(&changed, &Known::default()) {
+        if let Err(faults) = read(&changed, &KnownNames::default()) {
             prop_assert!(!faults.is_empty() && faults.iter().all(|fault| !fault.kind.to_string().is_empty()));
         }
     }
--- a/crates/releases/tests/scenarios.rs
+++ b/crates/releases/tests/scenarios.rs
@@ -15,7 +15,7 @@
 use std::time::Duration;
 
 use lilacgate_decision::{Build, ReleasePhase, RequestClass, Stage, Tenant, Zone};
-use lilacgate_operator_config::{Known, read};
+use lilacgate_operator_config::{KnownNames, read};
 use lilacgate_releases::gate::Gate;
 use lilacgate_releases::model::{Rules, ServiceId};
 use lilacgate_releases::reason::PermittedAdvance;
@@ -28,7 +28,8 @@
 const ALL: &str = "*";
 
 fn rules(text: &str) -> Rules {
-    let operator = read(text, &Known::default()).unwrap_or_else(|faults| panic!("{faults:#?}"));
+    let operator =
+        read(text, &KnownNames::default()).unwrap_or_else(|faults| panic!("{faults:#?}"));
     operator.releases.expect("releases").rules
 }
 
--- a/crates/releases/tests/stored_state.rs
+++ b/crates/releases/tests/stored_state.rs
@@ -1,6 +1,6 @@
 //! Stored state of the first form: a file written earlier is read, used and written again with the same content.
 use lilacgate_decision::{Build, RequestClass, Tenant, Zone};
-use lilacgate_operator_config::{Known, read};
+use lilacgate_operator_config::{KnownNames, read};
 use lilacgate_releases::gate::Gate;
 use lilacgate_releases::model::Rules;
 use lilacgate_releases::stored_state::StoredState;
@@ -10,7 +10,7 @@
 const STATE_FILE: &str = include_str!("fixtures/state-form-1.json");
 
 fn rules() -> Rules {
-    let operator = read(OPERATOR_FILE, &Known::default()).expect("the file has no fault");
+    let operator = read(OPERATOR_FILE, &KnownNames::default()).expect("the file has no fault");
     operator.releases.expect("it has releases").rules
 }
 
