--- a/crates/simulator-adapter/src/delivery.rs
+++ b/crates/simulator-adapter/src/delivery.rs
@@ -14,7 +14,7 @@
 impl Pages {
     pub(crate) fn store(&mut self, page: EndpointPage) -> Result<(), EventError> {
         let slot = self.0.get_mut(page.number as usize);
-        *slot.ok_or(EventError::PageNumber(page.number))? = Some(page.endpoints);
+        *slot.ok_or(EventError::PageNumberOutOfRange(page.number))? = Some(page.endpoints);
         Ok(())
     }
 
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -31,10 +31,10 @@
         records: usize,
     },
     /// An event cannot be used.
-    #[error("{place}: {error}")]
+    #[error("{location}: {error}")]
     Event {
         /// Where the event stands.
-        place: RecordPlace,
+        location: RecordLocation,
         /// What is wrong with it.
         #[source]
         error: EventError,
@@ -43,7 +43,7 @@
 
 /// Where an event's record stands in its frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct RecordPlace {
+pub struct RecordLocation {
     /// The record's position in the frame, from 0.
     pub record: usize,
     /// The event's kind, where its code is known.
@@ -52,7 +52,7 @@
     pub instance: Option<u16>,
 }
 
-impl fmt::Display for RecordPlace {
+impl fmt::Display for RecordLocation {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(formatter, "record {}", self.record)?;
         if let Some(kind) = self.kind {
@@ -82,7 +82,7 @@
     SettingsNotUtf8,
     /// A page's number is beyond those that the bench uses.
     #[error("PAGE has the number {0}")]
-    PageNumber(u32),
+    PageNumberOutOfRange(u32),
     /// An update refers to a page that has not been sent.
     #[error("UPDATE names list {0}, which was never given")]
     UnknownPage(u32),
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -44,14 +44,14 @@
                 .get(&instance)
                 .filter(|stop| **stop >= range.start)
                 .map_or(range.start, |stop| range.end.min(stop + 1));
-            self.skip_dead(&Segment {
+            self.skip_stopped(&Segment {
                 instance,
-                first: range.start,
+                first_position: range.start,
                 records: &records[range.start..live_start],
             })?;
             let live = Segment {
                 instance,
-                first: live_start,
+                first_position: live_start,
                 records: &records[live_start..range.end],
             };
             self.run_round(frame.now, &live, reply)?;
@@ -60,7 +60,7 @@
     }
 
     /// Removes an instance that dies, and keeps the pages that arrive before that.
-    fn skip_dead(&mut self, segment: &Segment<'_, '_>) -> Result<(), AdapterError> {
+    fn skip_stopped(&mut self, segment: &Segment<'_, '_>) -> Result<(), AdapterError> {
         self.store_pages(segment)?;
         if let Some(instance) = segment.instance
             && segment
@@ -90,11 +90,11 @@
         segment: &Segment<'_, '_>,
         reply: &mut Reply,
     ) -> Result<(), AdapterError> {
-        let only_pages = segment
+        let has_only_pages = segment
             .records
             .iter()
             .all(|record| record.kind() == Some(EventKind::EndpointPage));
-        if only_pages {
+        if has_only_pages {
             return self.store_pages(segment);
         }
         let Some(number) = segment.instance else {
--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -10,5 +10,5 @@
 mod segment;
 pub mod wire;
 
-pub use error::{AdapterError, EventError, RecordPlace};
+pub use error::{AdapterError, EventError, RecordLocation};
 pub use host::serve;
--- a/crates/simulator-adapter/src/segment.rs
+++ b/crates/simulator-adapter/src/segment.rs
@@ -2,26 +2,26 @@
 use std::collections::BTreeMap;
 use std::ops::Range;
 
-use crate::error::{AdapterError, EventError, RecordPlace};
+use crate::error::{AdapterError, EventError, RecordLocation};
 use crate::wire::{Event, EventKind, EventRecord};
 
 /// Consecutive events of one instance, as one round of its decision engine.
 pub(crate) struct Segment<'a, 'f> {
     pub(crate) instance: Option<u16>,
     /// The position of the first of the records in the frame.
-    pub(crate) first: usize,
+    pub(crate) first_position: usize,
     pub(crate) records: &'a [EventRecord<'f>],
 }
 
 impl<'f> Segment<'_, 'f> {
     pub(crate) fn error(&self, index: usize, error: impl Into<EventError>) -> AdapterError {
-        let place = RecordPlace {
-            record: self.first + index,
+        let location = RecordLocation {
+            record: self.first_position + index,
             kind: self.records.get(index).and_then(|record| record.kind()),
             instance: self.instance,
         };
         AdapterError::Event {
-            place,
+            location,
             error: error.into(),
         }
     }
--- a/crates/simulator-adapter/src/wire/event.rs
+++ b/crates/simulator-adapter/src/wire/event.rs
@@ -240,10 +240,10 @@
     let build = fields.f32(entry::BUILD);
     let weight = fields.f32(entry::WEIGHT);
     if !(0.0..65536.0).contains(&build) {
-        return Err(WireError::EntryBuild(build));
+        return Err(WireError::InvalidEntryBuild(build));
     }
     if !(weight.is_finite() && weight >= 0.0) {
-        return Err(WireError::EntryWeight(weight));
+        return Err(WireError::InvalidEntryWeight(weight));
     }
     Ok(Endpoint {
         id: fields.endpoint(entry::ENDPOINT),
--- a/crates/simulator-adapter/src/wire/fields.rs
+++ b/crates/simulator-adapter/src/wire/fields.rs
@@ -26,13 +26,13 @@
     UnknownStatus(u8),
     /// A share of requests is negative or not finite.
     #[error("a share of {0}")]
-    Share(f64),
+    InvalidShare(f64),
     /// The build of an entry is not a number from 0 to 65535.
     #[error("an entry names the build {0}")]
-    EntryBuild(f32),
+    InvalidEntryBuild(f32),
     /// The weight of an entry is negative or not finite.
     #[error("an entry has the share {0}")]
-    EntryWeight(f32),
+    InvalidEntryWeight(f32),
     /// A field of variable size is not within the frame.
     #[error("a reference points outside the tail")]
     OutsideTail,
@@ -112,7 +112,7 @@
         if share.is_finite() && share >= 0.0 {
             Ok(share)
         } else {
-            Err(WireError::Share(share))
+            Err(WireError::InvalidShare(share))
         }
     }
 
--- a/crates/simulator-adapter/src/wire/frame.rs
+++ b/crates/simulator-adapter/src/wire/frame.rs
@@ -9,7 +9,7 @@
 use crate::error::AdapterError;
 
 /// The most bytes that are reserved on the word of a header; a longer frame grows as its bytes arrive.
-const MAX_RESERVED: usize = 1 << 20;
+const MAX_INITIAL_CAPACITY_BYTES: usize = 1 << 20;
 
 /// One frame: all events of an instant.
 #[derive(Clone, Debug)]
@@ -109,7 +109,7 @@
 }
 
 fn read_body(input: &mut impl Read, length: usize) -> Result<Vec<u8>, AdapterError> {
-    let mut body = Vec::with_capacity(length.min(MAX_RESERVED));
+    let mut body = Vec::with_capacity(length.min(MAX_INITIAL_CAPACITY_BYTES));
     input
         .take(length as u64)
         .read_to_end(&mut body)
--- a/crates/simulator-adapter/src/wire/reply.rs
+++ b/crates/simulator-adapter/src/wire/reply.rs
@@ -16,7 +16,7 @@
     /// The instance that the next actions belong to.
     instance: Option<u16>,
     /// The instance that the last record of its kind has named.
-    named_instance: Option<u16>,
+    selected_instance: Option<u16>,
 }
 
 /// One action's record; bytes that no field sets are 0.
@@ -42,7 +42,7 @@
         self.records.clear();
         self.tail.clear();
         self.instance = None;
-        self.named_instance = None;
+        self.selected_instance = None;
     }
 
     /// What follows belongs to this instance. Only its first action names it: an instance without actions leaves
@@ -72,10 +72,10 @@
     }
 
     fn push(&mut self, record: ActionRecord) {
-        if self.named_instance != self.instance
+        if self.selected_instance != self.instance
             && let Some(instance) = self.instance
         {
-            self.named_instance = self.instance;
+            self.selected_instance = self.instance;
             let select = ActionRecord::new(action::code::SELECT_INSTANCE)
                 .with(action::INSTANCE, instance.to_be_bytes());
             self.records.extend_from_slice(&select.0);
--- a/crates/simulator-adapter/tests/malformed.rs
+++ b/crates/simulator-adapter/tests/malformed.rs
@@ -56,7 +56,7 @@
 #[case::no_instance(frame(&[&[1]], &[]), "before any ON")]
 #[case::page_number(frame(&[ON, &[5, 0, 0, 0, 99]], &[]), "number 99")]
 #[case::page_outside(frame(&[ON, &[5, 0, 0, 0, 1, 0, 0, 0, 0, 255, 255, 255, 255]], &[]), "outside the tail")]
-fn refused(#[case] input: Vec<u8>, #[case] why: &str) {
+fn malformed_frames_are_refused(#[case] input: Vec<u8>, #[case] why: &str) {
     let Run {
         success, errors, ..
     } = run_adapter(&input);
@@ -72,7 +72,7 @@
 #[case::no_instance(frame(&[&[1]], &[]), "record 0, REMINDER: ")]
 #[case::unknown_instance(frame(&[ON, &[9], &[2]], &[]), "record 2, HANGUP of instance 3: ")]
 #[case::settings_outside(frame(&[ON, &[6, 0, 0, 0, 0, 0, 0, 0, 1, 0, 0, 0, 9]], &[]), "record 1, UP of instance 3: ")]
-fn place_is_named(#[case] input: Vec<u8>, #[case] place: &str) {
+fn error_names_the_record(#[case] input: Vec<u8>, #[case] location: &str) {
     let Run {
         success,
         replies,
@@ -80,11 +80,11 @@
     } = run_adapter(&input);
     assert!(!success);
     assert!(replies.is_empty());
-    assert!(errors.contains(place), "errors {errors:?}");
+    assert!(errors.contains(location), "errors {errors:?}");
 }
 
 #[rstest]
-fn empty_batches_and_the_end() {
+fn empty_frames_are_answered_until_the_input_ends() {
     let Run {
         success,
         replies,
@@ -97,7 +97,7 @@
 #[rstest]
 #[case::lacks_a_key(b"tick=5000\n", "settings lack profiles.count")]
 #[case::not_utf8(b"\xff\xfe", "not UTF-8")]
-fn bad_settings(#[case] options: &[u8], #[case] why: &str) {
+fn unusable_settings(#[case] options: &[u8], #[case] why: &str) {
     let mut up = vec![6, 0, 0, 0, 0, 0, 0, 0, 1, 0, 0, 0, 0];
     up.extend((options.len() as u32).to_be_bytes());
     let Run {
@@ -109,7 +109,7 @@
 
 /// Pages belong to all instances: those behind a start with settings that cannot be used are read all the same.
 #[test]
-fn a_page_behind_bad_settings_is_read() {
+fn a_page_after_unusable_settings_is_read() {
     let options = b"tick=5000\n";
     let mut up = vec![6, 0, 0, 0, 0, 0, 0, 0, 1, 0, 0, 0, 0];
     up.extend((options.len() as u32).to_be_bytes());
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -14,7 +14,7 @@
 /// 8412250 µs.
 const CLOCK: [u8; 8] = [0, 0, 0, 0, 0, 0x80, 0x5c, 0x5a];
 
-fn bytes_of(hex: &str) -> Vec<u8> {
+fn from_hex(hex: &str) -> Vec<u8> {
     let digits: Vec<u8> = hex
         .chars()
         .filter_map(|digit| digit.to_digit(16))
@@ -26,7 +26,7 @@
         .collect()
 }
 
-fn hex_of(bytes: &[u8]) -> String {
+fn to_hex(bytes: &[u8]) -> String {
     bytes.iter().fold(String::new(), |mut hex, byte| {
         write!(hex, "{byte:02x}").expect("text grows");
         hex
@@ -188,9 +188,9 @@
     #[case] tail: &str,
     #[case] kind: EventKind,
     #[case] event: &str,
-    #[case] used: Range<usize>,
+    #[case] used_bytes: Range<usize>,
 ) {
-    let (mut record, tail) = (bytes_of(record), bytes_of(tail));
+    let (mut record, tail) = (from_hex(record), from_hex(tail));
     record.resize(EVENT_SIZE, 0);
     let expected = Decoded {
         now: Duration::from_micros(8_412_250),
@@ -200,13 +200,17 @@
     assert_eq!(decoded(&record, &tail), expected);
     for position in 1..EVENT_SIZE {
         // Any bit sets a flag, so that it takes 0 to clear one.
-        let others = [record[position] ^ 0x7f, 0];
-        let matters = others.iter().any(|other| {
+        let replacements = [record[position] ^ 0x7f, 0];
+        let is_significant = replacements.iter().any(|replacement| {
             let mut changed = record.clone();
-            changed[position] = *other;
+            changed[position] = *replacement;
             decoded(&changed, &tail).event != event
         });
-        assert_eq!(matters, used.contains(&position), "byte {position}");
+        assert_eq!(
+            is_significant,
+            used_bytes.contains(&position),
+            "byte {position}"
+        );
     }
 }
 
@@ -261,7 +265,7 @@
     "error: a reference points outside the tail"
 )]
 fn event_values(#[case] record: &str, #[case] expected: &str) {
-    let event = decoded(&bytes_of(record), &[]).event;
+    let event = decoded(&from_hex(record), &[]).event;
     assert!(event.contains(expected), "{event}");
 }
 
@@ -287,8 +291,8 @@
     "error: a reference points outside the tail"
 )]
 fn entry_values(#[case] entry: &str, #[case] expected: &str) {
-    let page = bytes_of("05 00000009 00000000 00000001");
-    let event = decoded(&page, &bytes_of(entry)).event;
+    let page = from_hex("05 00000009 00000000 00000001");
+    let event = decoded(&page, &from_hex(entry)).event;
     assert!(event.contains(expected), "{event}");
 }
 
@@ -297,7 +301,7 @@
 const TIMER: TimerId = TimerId(0x0100_0000_0000_004d);
 const BUILD: Build = Build(0x042a);
 
-type Act = fn(&mut Reply);
+type AppendAction = fn(&mut Reply);
 
 #[rstest]
 #[case::send_attempt(
@@ -334,18 +338,18 @@
 #[case::advance(|reply: &mut Reply| reply.vote(BUILD, Stage(2), Vote::Advance), "0d 042a 02 01", "")]
 #[case::hold(|reply: &mut Reply| reply.vote(BUILD, Stage(2), Vote::Hold), "0d 042a 02 02", "")]
 #[case::roll_back(|reply: &mut Reply| reply.vote(BUILD, Stage(2), Vote::RollBack), "0d 042a 02 03", "")]
-fn actions(#[case] act: Act, #[case] record: &str, #[case] tail: &str) {
+fn actions(#[case] append: AppendAction, #[case] record: &str, #[case] tail: &str) {
     let mut reply = Reply::default();
-    act(reply.for_instance(0x0a03));
-    let tail = bytes_of(tail);
+    append(reply.for_instance(0x0a03));
+    let tail = from_hex(tail);
     let mut expected = 2_u32.to_be_bytes().to_vec();
     expected.extend(((8 + 2 * ACTION_SIZE + tail.len()) as u32).to_be_bytes());
-    expected.extend(bytes_of("0e 0a03"));
+    expected.extend(from_hex("0e 0a03"));
     expected.resize(8 + ACTION_SIZE, 0);
-    expected.extend(bytes_of(record));
+    expected.extend(from_hex(record));
     expected.resize(8 + 2 * ACTION_SIZE, 0);
     expected.extend(tail);
-    assert_eq!(hex_of(&written(&reply)), hex_of(&expected));
+    assert_eq!(to_hex(&written(&reply)), to_hex(&expected));
 }
 
 fn written(reply: &Reply) -> Vec<u8> {
@@ -372,7 +376,7 @@
         format!("0c{}", zeros(23)),
         "616263".to_owned(),
     ];
-    assert_eq!(hex_of(&written(&reply)), expected.concat());
+    assert_eq!(to_hex(&written(&reply)), expected.concat());
     reply.clear();
-    assert_eq!(hex_of(&written(&reply)), "0000000000000008");
+    assert_eq!(to_hex(&written(&reply)), "0000000000000008");
 }
