--- a/crates/simulator-adapter/src/delivery.rs
+++ b/crates/simulator-adapter/src/delivery.rs
@@ -1,13 +1,13 @@
-//! Checks events against what is known, and passes them to a decision engine.
+//! Checks events against the instance's start settings and the pages received, and passes them to a decision engine.
 use lilacgate_decision::{Endpoint, EndpointId, EventHandler, ListUpdate, RequestClass};
 
 use crate::error::EventError;
 use crate::wire::{AttemptEnd, EndpointPage, Event, LoadReport, PeriodStatistics, ReleaseNotice};
 
-/// The bench numbers its pages of endpoints from 0 to 15.
+/// The simulator numbers its pages of endpoints from 0 to 15.
 const PAGE_COUNT: usize = 16;
 
-/// The pages of endpoints, which all instances share.
+/// The pages of endpoints by their numbers, shared by all instances.
 #[derive(Default)]
 pub(crate) struct Pages([Option<Vec<Endpoint>>; PAGE_COUNT]);
 
@@ -26,7 +26,7 @@
     }
 }
 
-/// How many request classes and zones an instance's start settings name.
+/// The number of request classes and zones in an instance's start settings. Events must not use higher indices.
 #[derive(Clone, Copy)]
 pub(crate) struct Limits {
     pub(crate) classes: usize,
@@ -60,7 +60,7 @@
     handler: &mut dyn EventHandler,
 ) -> Result<(), EventError> {
     match event {
-        // These have been handled before the round.
+        // The host has handled these before the round.
         Event::SelectInstance(_) | Event::InstanceStarted { .. } | Event::InstanceStopped => {}
         Event::EndpointPage(page) => pages.store(page)?,
         Event::EndpointUpdate { page, update } => {
@@ -140,7 +140,7 @@
     }
 }
 
-/// The status comes first: the answer to a vote concerns the stage that the same notice names.
+/// Delivers the status before the answer to a vote, since the answer concerns the stage that the status names.
 fn deliver_release_notice(notice: ReleaseNotice, handler: &mut dyn EventHandler) {
     if let Some(status) = notice.status {
         handler.on_release_status(
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -1,4 +1,4 @@
-//! The host loop: passes each frame's events to the instances that they are for.
+//! The main loop: passes each frame's events to the instances that they are for.
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
 use std::time::Duration;
@@ -13,7 +13,7 @@
 /// Answers each frame of events with a frame of actions, until the input ends.
 ///
 /// # Errors
-/// The input or the output fails, or a frame cannot be used; nothing is answered to that frame.
+/// The input or the output fails, or a frame cannot be used. Such a frame gets no answer.
 pub fn serve(input: &mut impl Read, output: &mut impl Write) -> Result<(), AdapterError> {
     let mut host = Host::default();
     let mut reply = Reply::default();
@@ -37,7 +37,7 @@
 impl Host {
     fn handle(&mut self, frame: &Frame, reply: &mut Reply) -> Result<(), AdapterError> {
         let records = frame.records();
-        // Nothing that an instance received before it died in this frame may lead to an action.
+        // Events that precede an instance's stop in the same frame must not lead to actions.
         let last_stops = last_stops(&records);
         for InstanceRange { instance, range } in instance_ranges(&records) {
             let live_start = last_stops
@@ -59,7 +59,8 @@
         Ok(())
     }
 
-    /// Removes an instance that dies, and keeps the pages that arrive before that.
+    /// Handles the records up to an instance's stop: removes the instance, and stores the pages among them, which
+    /// other instances use too.
     fn skip_stopped(&mut self, segment: &Segment<'_, '_>) -> Result<(), AdapterError> {
         self.store_pages(segment)?;
         if let Some(instance) = segment.instance
@@ -126,8 +127,8 @@
         result
     }
 
-    /// Starts the instance anew for each start in its segment. `false` if its settings cannot be used, which the
-    /// reply then says.
+    /// Creates the instance for each start in its segment, replacing the one before. Returns `false` if its settings
+    /// cannot be used; the reply then holds a fatal error that says why.
     fn start_instances(
         &mut self,
         number: u16,
--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -1,8 +1,8 @@
-//! Hosts many instances of the decision module on the bench's wire, in one process. Instances share nothing but
-//! the pages of endpoints that the bench sends once for all of them.
+//! Runs many instances of the decision module in one process, driven by the simulator's wire protocol. Instances
+//! share no state but the pages of endpoints, which the simulator sends once for all of them.
 //!
-//! [`wire`] knows the bytes: it reads frames of events and writes frames of actions. [`serve`] is the loop that
-//! passes events to the instances.
+//! [`wire`] decodes frames of events and encodes frames of actions. [`serve`] is the loop that passes events to the
+//! instances.
 
 mod delivery;
 mod error;
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,4 +1,4 @@
-//! Reads frames of events from standard input and writes a frame of actions for each to standard output.
+//! Reads frames of events from standard input and answers each with a frame of actions on standard output.
 use std::io::{self, BufReader, BufWriter};
 use std::process::ExitCode;
 
--- a/crates/simulator-adapter/src/segment.rs
+++ b/crates/simulator-adapter/src/segment.rs
@@ -5,10 +5,10 @@
 use crate::error::{AdapterError, EventError, RecordLocation};
 use crate::wire::{Event, EventKind, EventRecord};
 
-/// Consecutive events of one instance, as one round of its decision engine.
+/// Consecutive events of one instance, which its decision engine gets in one round.
 pub(crate) struct Segment<'a, 'f> {
     pub(crate) instance: Option<u16>,
-    /// The position of the first of the records in the frame.
+    /// The position in the frame of the first record.
     pub(crate) first_position: usize,
     pub(crate) records: &'a [EventRecord<'f>],
 }
@@ -32,13 +32,13 @@
             .map_err(|error| self.error(index, error))
     }
 
-    /// Positions in the segment of the records of a kind.
+    /// The positions, within the segment, of all records of a kind.
     pub(crate) fn positions(&self, kind: EventKind) -> impl Iterator<Item = usize> {
         (0..self.records.len()).filter(move |index| self.records[*index].kind() == Some(kind))
     }
 }
 
-/// The position of the last record by which each selected instance dies in a frame.
+/// By instance, the position of the last record in a frame that stops it.
 pub(crate) fn last_stops(records: &[EventRecord<'_>]) -> BTreeMap<Option<u16>, usize> {
     let mut stops = BTreeMap::new();
     let mut instance = None;
@@ -51,14 +51,14 @@
     stops
 }
 
-/// Positions of consecutive records of one instance.
+/// A range of positions in a frame whose records are all for one instance.
 pub(crate) struct InstanceRange {
-    /// `None` before the frame's first record that selects one.
+    /// `None` for records before the first one that selects an instance.
     pub(crate) instance: Option<u16>,
     pub(crate) range: Range<usize>,
 }
 
-/// The ranges of records between those that select an instance; none is empty.
+/// Splits a frame's records at those that select an instance. Empty ranges are left out.
 pub(crate) fn instance_ranges(records: &[EventRecord<'_>]) -> Vec<InstanceRange> {
     let mut ranges = Vec::new();
     let mut instance = None;
--- a/crates/simulator-adapter/src/wire/event.rs
+++ b/crates/simulator-adapter/src/wire/event.rs
@@ -1,4 +1,4 @@
-//! Decodes events.
+//! The events of the wire protocol and how they are decoded from records.
 use std::time::Duration;
 
 use lilacgate_decision::{
@@ -15,44 +15,44 @@
     select_instance, wake_up, wrong_answer,
 };
 
-/// The most gauges of a load report.
+/// The number of gauges in a load report that are kept; any more are ignored.
 const MAX_GAUGES: usize = 4;
 
-/// An event in the terms of the decision module. Nothing in it has been compared with start settings yet.
+/// An event in the types of the decision module. Its classes and zones are not yet checked against start settings.
 #[derive(Clone, Debug)]
 pub enum Event<'a> {
-    /// The following events are for this instance.
+    /// Says which instance the following events are for.
     SelectInstance(u16),
     /// The instance starts.
     InstanceStarted {
-        /// The seed of its random numbers.
+        /// The seed of the instance's random numbers.
         seed: u64,
-        /// Its start settings, as lines of `path=value`.
+        /// The start settings, as lines of the form `path=value`.
         settings: &'a [u8],
     },
-    /// The instance dies.
+    /// The instance is terminated without notice.
     InstanceStopped,
     /// A page of endpoints, for all instances.
     EndpointPage(EndpointPage),
-    /// The instance's endpoint list changes.
+    /// The instance's endpoint list is updated.
     EndpointUpdate {
-        /// The number of the page with the entries; without meaning where the update failed.
+        /// The number of the page that holds the entries; meaningless if the update failed.
         page: u32,
-        /// How the entries are to be read.
+        /// What the entries are: changes, a full list or a cached one; none if the update failed.
         update: ListUpdate,
     },
     /// A client sent a request.
     Request {
-        /// The request's id.
+        /// Identifies the request in later events and actions.
         id: RequestId,
-        /// The request.
+        /// The request's properties.
         request: Request,
     },
     /// An attempt ended.
     AttemptEnded(AttemptEnd),
-    /// The first part of a response has gone to its client.
+    /// The first part of a response was sent to the client.
     ResponseStarted {
-        /// The request's id.
+        /// The request that is being answered.
         id: RequestId,
         /// The attempt that the response belongs to.
         attempt: AttemptNumber,
@@ -61,7 +61,7 @@
         /// The time since the attempt was sent.
         took: Duration,
     },
-    /// A client has gone.
+    /// The client of this request closed its connection.
     ClientLeft(RequestId),
     /// A wake-up is due.
     WakeUp(TimerId),
@@ -69,25 +69,25 @@
     HealthCheck {
         /// The endpoint that was checked.
         endpoint: EndpointId,
-        /// How the check ended.
+        /// Whether and how the check failed.
         outcome: Outcome,
-        /// The time that it took.
+        /// The duration of the check.
         took: Duration,
         /// The load that the endpoint reported.
         load: LoadReport,
     },
     /// Another agent sent a message.
     PeerMessage {
-        /// The sender.
+        /// The agent that sent the message.
         sender: AgentId,
-        /// What it sent.
+        /// The message as that agent encoded it.
         payload: &'a [u8],
     },
     /// The status of the newest build, the answer to a vote, or both.
     ReleaseNotice(ReleaseNotice),
-    /// The platform's count of a past period.
+    /// The platform's own statistics of a past period.
     PeriodStatistics(PeriodStatistics),
-    /// A response that counted as good was wrong.
+    /// A response that was counted as a success was found to be wrong.
     WrongAnswer {
         /// The endpoint that responded.
         endpoint: EndpointId,
@@ -101,70 +101,70 @@
 /// A numbered page of endpoints.
 #[derive(Clone, Debug)]
 pub struct EndpointPage {
-    /// The page's number.
+    /// The number by which updates refer to the page; 0 to 15 are valid.
     pub number: u32,
-    /// Its entries.
+    /// The endpoints in the order of the page's entries.
     pub endpoints: Vec<Endpoint>,
 }
 
 /// The end of an attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptEnd {
-    /// The request's id.
+    /// The request that the attempt belongs to.
     pub id: RequestId,
-    /// The attempt's number.
+    /// The attempt's number among those of its request.
     pub attempt: AttemptNumber,
-    /// The endpoint that it was sent to.
+    /// The endpoint that the attempt was sent to.
     pub endpoint: EndpointId,
-    /// How it ended.
+    /// Whether and how the attempt failed.
     pub outcome: Outcome,
-    /// The time since it was sent.
+    /// The time since the attempt was sent.
     pub took: Duration,
-    /// Whether the request needs no answer any more.
+    /// Whether the request no longer needs an answer.
     pub closed: bool,
     /// The load that the endpoint reported.
     pub load: LoadReport,
 }
 
-/// The gauges of a load report, absent ones as NaN; `None` where there is no report.
+/// The gauges of a load report, with NaN for absent gauges; `None` if there is no report.
 pub type LoadReport = Option<[f32; MAX_GAUGES]>;
 
-/// What the platform says of the newest build.
+/// The platform's message about the newest build.
 #[derive(Clone, Copy, Debug)]
 pub struct ReleaseNotice {
-    /// Where the build stands; absent in the answer to a vote that did not succeed.
+    /// The build's status; `None` in the answer to a vote that did not succeed.
     pub status: Option<ReleaseStatus>,
-    /// How the call that cast the last vote ended; absent where this is no answer to a vote.
+    /// How the call that cast the last vote ended; `None` if this is not an answer to a vote.
     pub vote_outcome: Option<Outcome>,
 }
 
-/// Where a build stands.
+/// The stage and phase of a build's release.
 #[derive(Clone, Copy, Debug)]
 pub struct ReleaseStatus {
-    /// The build.
+    /// The build that is being released.
     pub build: Build,
-    /// Its stage.
+    /// The stage of the release that the build has reached.
     pub stage: Stage,
-    /// Its phase.
+    /// Whether the build is a canary, released, being rolled back or withdrawn.
     pub phase: ReleasePhase,
-    /// The highest share of requests that the build may get.
+    /// The highest share of requests that the build may get; finite and not negative.
     pub cap: f64,
     /// The time since this phase or stage began.
     pub age: Duration,
 }
 
-/// The platform's count of one build's attempts of one class in a past period.
+/// The platform's statistics of one build's attempts of one request class in a past period.
 #[derive(Clone, Copy, Debug)]
 pub struct PeriodStatistics {
-    /// The build.
+    /// The build that ran the attempts.
     pub build: Build,
-    /// The class.
+    /// The request class of the attempts.
     pub class: RequestClass,
-    /// The attempts in the sample.
+    /// The number of attempts in the sample.
     pub count: u32,
-    /// Those of them that failed.
+    /// The number of attempts in the sample that failed.
     pub failed: u32,
-    /// The mean time of the others.
+    /// The mean duration of the attempts that did not fail.
     pub mean: Duration,
     /// The time since the period ended.
     pub age: Duration,
@@ -291,7 +291,7 @@
     })
 }
 
-/// The number of gauges, then the gauges.
+/// Reads a load report: the number of gauges, then the gauges.
 fn load_report(fields: Fields<'_>, at: usize) -> LoadReport {
     let count = usize::from(fields.u8(at));
     if count == 0 {
@@ -307,7 +307,7 @@
 fn release_notice(fields: Fields<'_>) -> Result<ReleaseNotice, WireError> {
     let outcome = fields.outcome(release_notice::OUTCOME)?;
     let answers_vote = fields.flag(release_notice::ANSWERS_VOTE);
-    // The answer to a vote that did not succeed holds no status.
+    // The answer to a vote that did not succeed has no status; its status fields are not valid.
     let status = if outcome == Outcome::Succeeded || !answers_vote {
         Some(release_status(fields)?)
     } else {
--- a/crates/simulator-adapter/src/wire/fields.rs
+++ b/crates/simulator-adapter/src/wire/fields.rs
@@ -1,4 +1,4 @@
-//! Reads the fields of one record, header or entry.
+//! Reads the fields of a record, a header or an entry of a page.
 use std::time::Duration;
 
 use lilacgate_decision::{
@@ -10,35 +10,36 @@
 #[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
 pub enum WireError {
     /// No event has this code.
-    #[error("unknown event code {0}")]
+    #[error("unknown event code {0}; expected 1 to 15")]
     UnknownEvent(u8),
     /// No outcome has this code.
-    #[error("unknown outcome {0}")]
+    #[error("unknown outcome code {0}; expected a multiple of 10 from 10 to 80")]
     UnknownOutcome(u8),
     /// No release phase has this code.
-    #[error("unknown course {0}")]
+    #[error("unknown release phase code {0}; expected 0 to 3")]
     UnknownPhase(u8),
     /// No kind of update of the endpoint list has this code.
-    #[error("unknown kind of list {0}")]
+    #[error("unknown endpoint list update code {0}; expected 0 to 3")]
     UnknownListUpdate(u8),
     /// No status of an endpoint has this code.
-    #[error("unknown mode {0}")]
+    #[error("unknown endpoint status code {0}; expected 0 to 2")]
     UnknownStatus(u8),
     /// A share of requests is negative or not finite.
-    #[error("a share of {0}")]
+    #[error("a share of requests is {0}; expected a finite number, not below 0")]
     InvalidShare(f64),
     /// The build of an entry is not a number from 0 to 65535.
-    #[error("an entry names the build {0}")]
+    #[error("an endpoint has the build {0}; expected 0 to 65535")]
     InvalidEntryBuild(f32),
     /// The weight of an entry is negative or not finite.
-    #[error("an entry has the share {0}")]
+    #[error("an endpoint has the weight {0}; expected a finite number, not below 0")]
     InvalidEntryWeight(f32),
-    /// A field of variable size is not within the frame.
-    #[error("a reference points outside the tail")]
+    /// A field refers to bytes beyond the end of the frame's tail.
+    #[error("a field refers to bytes outside the frame's tail")]
     OutsideTail,
 }
 
-/// The bytes of one record, header or entry. Positions are constants within its size; one beyond it panics.
+/// The bytes of a record, a header or an entry. Callers pass constant positions within its size; reading beyond it
+/// panics.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Fields<'a>(pub(super) &'a [u8]);
 
@@ -78,7 +79,7 @@
         Duration::from_micros(self.u32(at).into())
     }
 
-    /// An instant of 64 bits, in microseconds of the bench's clock.
+    /// An instant of 64 bits, in microseconds of the simulator's clock.
     pub(super) fn instant(self, at: usize) -> Duration {
         Duration::from_micros(self.u64(at))
     }
@@ -150,7 +151,8 @@
         })
     }
 
-    /// The bytes of the tail that a field refers to: an offset, then a number of items of `item_size` bytes.
+    /// The bytes of the tail that a field refers to. The field holds an offset, then a number of items of `item_size`
+    /// bytes.
     pub(super) fn tail_slice(
         self,
         at: usize,
--- a/crates/simulator-adapter/src/wire/frame.rs
+++ b/crates/simulator-adapter/src/wire/frame.rs
@@ -8,13 +8,14 @@
 use super::layout::{CODE, EVENT_SIZE, event_header, select_instance};
 use crate::error::AdapterError;
 
-/// The most bytes that are reserved on the word of a header; a longer frame grows as its bytes arrive.
+/// The most bytes that are allocated for a frame because of the length in its header. The buffer of a longer frame
+/// grows as its bytes arrive, so that a wrong length does not exhaust the memory.
 const MAX_INITIAL_CAPACITY_BYTES: usize = 1 << 20;
 
-/// One frame: all events of an instant.
+/// A frame: all events of one instant.
 #[derive(Clone, Debug)]
 pub struct Frame {
-    /// The bench's clock.
+    /// The time of the events on the simulator's clock.
     pub now: Duration,
     body: Vec<u8>,
     tail_start: usize,
@@ -42,12 +43,12 @@
 }
 
 impl<'a> EventRecord<'a> {
-    /// What the record is about, where its code is known.
+    /// The kind of event; `None` if the record's code is unknown.
     pub fn kind(self) -> Option<EventKind> {
         EventKind::from_code(self.fields.u8(CODE))
     }
 
-    /// The instance that a record of the kind [`EventKind::SelectInstance`] names.
+    /// The instance that a record of kind [`EventKind::SelectInstance`] selects; `None` for other kinds.
     pub fn selected_instance(self) -> Option<u16> {
         let selects = self.kind() == Some(EventKind::SelectInstance);
         selects.then(|| self.fields.u16(select_instance::INSTANCE))
--- a/crates/simulator-adapter/src/wire/kind.rs
+++ b/crates/simulator-adapter/src/wire/kind.rs
@@ -1,14 +1,14 @@
 //! The kinds of events and their codes.
 use std::fmt;
 
-/// What an event's record is about.
+/// The kind of an event, given by its record's code.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EventKind {
     /// A wake-up is due.
     WakeUp,
-    /// A client has gone.
+    /// A client closed its connection.
     ClientLeft,
-    /// The platform's count of a past period.
+    /// The platform's own statistics of a past period.
     PeriodStatistics,
     /// An attempt ended.
     AttemptEnded,
@@ -16,15 +16,15 @@
     EndpointPage,
     /// An instance starts.
     InstanceStarted,
-    /// The first part of a response has gone to its client.
+    /// The first part of a response was sent to the client.
     ResponseStarted,
     /// The status of the newest build, or the answer to a vote.
     ReleaseNotice,
-    /// An instance dies.
+    /// An instance is terminated without notice.
     InstanceStopped,
     /// A message of another agent.
     PeerMessage,
-    /// A response that counted as good was wrong.
+    /// A response that was counted as a success was found to be wrong.
     WrongAnswer,
     /// A health check ended.
     HealthCheck,
@@ -32,12 +32,12 @@
     Request,
     /// An update of an instance's endpoint list.
     EndpointUpdate,
-    /// Names the instance that the following events are for.
+    /// Selects the instance that the following events are for.
     SelectInstance,
 }
 
 impl EventKind {
-    /// The kind that a code stands for.
+    /// The kind with this code, from 1 to 15; `None` for other codes.
     pub fn from_code(code: u8) -> Option<Self> {
         Some(match code {
             1 => EventKind::WakeUp,
--- a/crates/simulator-adapter/src/wire/layout.rs
+++ b/crates/simulator-adapter/src/wire/layout.rs
@@ -1,13 +1,13 @@
-//! Sizes in bytes and field positions of frames and records. Positions count from the start of the record, which
-//! begins with its code.
+//! Sizes and field positions of frames and records, in bytes. Positions count from the start of the record, which
+//! begins with its code. Each record's module is documented with the record's name on the wire.
 
-/// Size of an event's record.
+/// The size of an event's record.
 pub(super) const EVENT_SIZE: usize = 40;
-/// Size of an action's record.
+/// The size of an action's record.
 pub(super) const ACTION_SIZE: usize = 24;
-/// Size of an entry of a page of endpoints.
+/// The size of an entry of a page of endpoints.
 pub(super) const ENTRY_SIZE: usize = 25;
-/// Position of the code in every record.
+/// The position of the code in every record.
 pub(super) const CODE: usize = 0;
 
 /// The header of a frame of events.
@@ -50,7 +50,7 @@
     pub(in crate::wire) const ZONE: usize = 24;
 }
 
-/// `UPDATE`. The revision at 1 is not used.
+/// `UPDATE`. The revision at position 1 is not used.
 pub(super) mod endpoint_update {
     pub(in crate::wire) const PAGE: usize = 9;
     pub(in crate::wire) const UPDATE: usize = 13;
@@ -65,9 +65,9 @@
     pub(in crate::wire) const TENANT: usize = 15;
     pub(in crate::wire) const DEADLINE: usize = 17;
     pub(in crate::wire) const ESTIMATED_WORK: usize = 25;
-    /// The flag of a request whose estimated work is valid.
+    /// Set if the request's estimated work is valid.
     pub(in crate::wire) const FLAG_WORK_IS_KNOWN: u8 = 1;
-    /// The flag of a request that its client sends again.
+    /// Set if the client sends the request again.
     pub(in crate::wire) const FLAG_RETRY: u8 = 2;
 }
 
@@ -144,7 +144,7 @@
 
 /// The records of actions.
 pub(super) mod action {
-    /// Codes, which stand beside those of events and may have the same numbers.
+    /// The codes of actions. They are independent of the codes of events, so that both use the same numbers.
     pub(in crate::wire) mod code {
         /// `DELIVER`.
         pub(in crate::wire) const SEND_ATTEMPT: u8 = 1;
@@ -176,7 +176,7 @@
         pub(in crate::wire) const SELECT_INSTANCE: u8 = 14;
     }
 
-    /// The request's id, in all actions on requests.
+    /// The position of the request's id in all actions on requests.
     pub(in crate::wire) const REQUEST: usize = 1;
     pub(in crate::wire) const SEND_ATTEMPT_ENDPOINT: usize = 5;
     pub(in crate::wire) const SEND_ATTEMPT_TIMEOUT: usize = 9;
@@ -184,13 +184,13 @@
     pub(in crate::wire) const CANCEL_ATTEMPT: usize = 5;
     pub(in crate::wire) const WAKE_UP_AT: usize = 1;
     pub(in crate::wire) const WAKE_UP_TIMER: usize = 9;
-    /// The endpoint, in the actions on endpoints.
+    /// The position of the endpoint's id in the actions on endpoints.
     pub(in crate::wire) const ENDPOINT: usize = 1;
     pub(in crate::wire) const PEER: usize = 1;
     pub(in crate::wire) const PEER_PAYLOAD: usize = 5;
-    /// The peer that stands for all of them.
+    /// The peer id that addresses all peers.
     pub(in crate::wire) const EVERY_PEER: u32 = u32::MAX;
-    /// The text of a log line or a fatal error.
+    /// The position of the text of a log line or a fatal error.
     pub(in crate::wire) const TEXT: usize = 1;
     pub(in crate::wire) const WATCH_IS_ON: usize = 1;
     pub(in crate::wire) const VOTE_BUILD: usize = 1;
--- a/crates/simulator-adapter/src/wire/mod.rs
+++ b/crates/simulator-adapter/src/wire/mod.rs
@@ -1,5 +1,5 @@
-//! The bench's wire: frames of big-endian records, events in and actions out. The wire's own words stand in this
-//! module alone; everything that leaves it has the types of the decision module.
+//! The simulator's wire protocol: frames of big-endian records, with events as input and actions as output. The
+//! protocol's own terms are used in this module only; outside of it, values have the types of the decision module.
 
 mod event;
 mod fields;
--- a/crates/simulator-adapter/src/wire/reply.rs
+++ b/crates/simulator-adapter/src/wire/reply.rs
@@ -1,4 +1,4 @@
-//! Writes frames of actions.
+//! Encodes and writes frames of actions.
 use std::io::{self, Write};
 use std::time::Duration;
 
@@ -8,18 +8,18 @@
 
 use super::layout::{ACTION_SIZE, CODE, REPLY_HEADER_SIZE, action};
 
-/// A reply under construction; the decision module writes its actions straight into it.
+/// A frame of actions under construction. The decision module adds its actions through the trait [`Actions`].
 #[derive(Clone, Debug, Default)]
 pub struct Reply {
     records: Vec<u8>,
     tail: Vec<u8>,
     /// The instance that the next actions belong to.
     instance: Option<u16>,
-    /// The instance that the last record of its kind has named.
+    /// The instance that the last `INSTANCE` record selected.
     selected_instance: Option<u16>,
 }
 
-/// One action's record; bytes that no field sets are 0.
+/// The record of one action. Bytes that no field sets are 0.
 struct ActionRecord([u8; ACTION_SIZE]);
 
 impl ActionRecord {
@@ -37,7 +37,7 @@
 }
 
 impl Reply {
-    /// Begins another frame, and keeps the memory.
+    /// Removes all actions to begin another frame; the allocated memory is reused.
     pub fn clear(&mut self) {
         self.records.clear();
         self.tail.clear();
@@ -45,20 +45,20 @@
         self.selected_instance = None;
     }
 
-    /// What follows belongs to this instance. Only its first action names it: an instance without actions leaves
-    /// no record.
+    /// Assigns the following actions to this instance. The record that selects it is written with its first action,
+    /// so that an instance without actions adds no record.
     pub fn for_instance(&mut self, instance: u16) -> &mut Self {
         self.instance = Some(instance);
         self
     }
 
-    /// Reports that the instance cannot go on; the bench stops and shows the text.
+    /// Reports that the instance cannot continue; the simulator stops and shows the text.
     pub fn fatal(&mut self, text: &str) {
         let record = ActionRecord::new(action::code::FATAL);
         self.push_with_tail(record, action::TEXT, text.as_bytes());
     }
 
-    /// Writes the frame.
+    /// Writes the frame: header, records, tail.
     ///
     /// # Errors
     /// The output cannot be written.
@@ -83,7 +83,8 @@
         self.records.extend_from_slice(&record.0);
     }
 
-    /// Pushes a record whose field at `at` refers to bytes in the tail: their offset, then their number.
+    /// Adds a record and the bytes of the tail that its field at `at` refers to. The field holds their offset, then
+    /// their number.
     fn push_with_tail(&mut self, record: ActionRecord, at: usize, bytes: &[u8]) {
         let offset = self.tail.len() as u32;
         let length = bytes.len() as u32;
@@ -96,14 +97,14 @@
     }
 }
 
-/// Microseconds in 32 bits, the largest number where they do not fit.
+/// A duration as microseconds in 32 bits; a longer duration becomes the largest number.
 fn micros32(duration: Duration) -> [u8; 4] {
     u32::try_from(duration.as_micros())
         .unwrap_or(u32::MAX)
         .to_be_bytes()
 }
 
-/// Microseconds in 64 bits, the largest number where they do not fit.
+/// A duration as microseconds in 64 bits; a longer duration becomes the largest number.
 fn micros64(duration: Duration) -> [u8; 8] {
     u64::try_from(duration.as_micros())
         .unwrap_or(u64::MAX)
--- a/crates/simulator-adapter/tests/malformed.rs
+++ b/crates/simulator-adapter/tests/malformed.rs
@@ -1,4 +1,4 @@
-//! Malformed frames: one plain line on standard error and a non-zero exit, never a panic.
+//! A malformed frame ends the adapter with one line on standard error and a non-zero exit code, never with a panic.
 use std::io::Write;
 use std::process::{Command, Stdio};
 
@@ -20,10 +20,10 @@
     child
         .stdin
         .take()
-        .expect("its input")
+        .expect("the adapter has a pipe as its input")
         .write_all(input)
-        .expect("it reads");
-    let output = child.wait_with_output().expect("it ends");
+        .expect("the adapter reads its input");
+    let output = child.wait_with_output().expect("the adapter exits");
     Run {
         success: output.status.success(),
         replies: output.stdout,
@@ -52,10 +52,10 @@
 #[case::short_length(vec![0, 0, 0, 9, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0], "shorter than its header")]
 #[case::cut_body(frame(&[ON], &[])[..40].to_vec(), "inside a frame")]
 #[case::many_records([&[0, 0, 0, 16, 255, 255, 255, 255][..], &[0; 8]].concat(), "cannot hold")]
-#[case::unknown_instance(frame(&[ON, &[1]], &[]), "never started")]
-#[case::no_instance(frame(&[&[1]], &[]), "before any ON")]
+#[case::unknown_instance(frame(&[ON, &[1]], &[]), "not been started")]
+#[case::no_instance(frame(&[&[1]], &[]), "before the frame's first ON")]
 #[case::page_number(frame(&[ON, &[5, 0, 0, 0, 99]], &[]), "number 99")]
-#[case::page_outside(frame(&[ON, &[5, 0, 0, 0, 1, 0, 0, 0, 0, 255, 255, 255, 255]], &[]), "outside the tail")]
+#[case::page_outside(frame(&[ON, &[5, 0, 0, 0, 1, 0, 0, 0, 0, 255, 255, 255, 255]], &[]), "outside the frame's tail")]
 fn malformed_frames_are_refused(#[case] input: Vec<u8>, #[case] why: &str) {
     let Run {
         success, errors, ..
@@ -107,7 +107,7 @@
     assert!(output.contains(why), "output {output:?}");
 }
 
-/// Pages belong to all instances: those behind a start with settings that cannot be used are read all the same.
+/// Pages are for all instances, so that a page is also read after a start whose settings cannot be used.
 #[test]
 fn a_page_after_unusable_settings_is_read() {
     let options = b"tick=5000\n";
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -1,4 +1,5 @@
-//! One frame of each kind of event and of action, byte for byte: all fields at their places, and no other byte used.
+//! Decodes one frame of each kind of event and encodes one of each kind of action, and compares them byte by byte: all
+//! fields are at their positions, and no other byte is used.
 use std::fmt::Write;
 use std::ops::Range;
 use std::time::Duration;
@@ -28,7 +29,7 @@
 
 fn to_hex(bytes: &[u8]) -> String {
     bytes.iter().fold(String::new(), |mut hex, byte| {
-        write!(hex, "{byte:02x}").expect("text grows");
+        write!(hex, "{byte:02x}").expect("writing to a string succeeds");
         hex
     })
 }
@@ -46,7 +47,7 @@
     bytes
 }
 
-/// What a frame of one record holds.
+/// The decoded content of a frame with one record.
 #[derive(Debug, PartialEq)]
 struct Decoded {
     now: Duration,
@@ -58,10 +59,10 @@
 fn decoded(record: &[u8], tail: &[u8]) -> Decoded {
     let bytes = frame(record, tail);
     let frame = read_frame(&mut bytes.as_slice())
-        .expect("a whole frame")
-        .expect("a frame");
+        .expect("the frame is complete")
+        .expect("the input has a frame");
     let [record] = frame.records()[..] else {
-        panic!("not one record");
+        panic!("the frame does not hold exactly one record");
     };
     let event = match record.event() {
         Ok(event) => format!("{event:?}"),
@@ -199,7 +200,7 @@
     };
     assert_eq!(decoded(&record, &tail), expected);
     for position in 1..EVENT_SIZE {
-        // Any bit sets a flag, so that it takes 0 to clear one.
+        // A flag is set by any bit of its byte, so that only 0 clears it.
         let replacements = [record[position] ^ 0x7f, 0];
         let is_significant = replacements.iter().any(|replacement| {
             let mut changed = record.clone();
@@ -214,7 +215,7 @@
     }
 }
 
-/// Codes, flags and absent values of which the frames above show one each.
+/// The codes, flags and absent values that the frames above do not cover.
 #[rstest]
 #[case::no_key(
     "0d 5d3a91c4 04 0000000000000000 05 0607 00000000008405da 00002ee0",
@@ -244,25 +245,37 @@
 #[case::connection_lost("0c 2c9011f2 3c", "outcome: ConnectionLost")]
 #[case::cancelled("0c 2c9011f2 46", "outcome: Cancelled")]
 #[case::not_sent("0c 2c9011f2 50", "outcome: NotSent")]
-#[case::unknown_outcome("0c 2c9011f2 51", "error: unknown outcome 81")]
+#[case::unknown_outcome(
+    "0c 2c9011f2 51",
+    "error: unknown outcome code 81; expected a multiple of 10 from 10 to 80"
+)]
 #[case::delta("0e 0000000000000029 00000000 00", "update: Delta")]
 #[case::full("0e 0000000000000029 00000000 01", "update: Full")]
 #[case::failed_update("0e 0000000000000029 00000000 03", "update: Failed")]
-#[case::unknown_update("0e 0000000000000029 00000000 04", "error: unknown kind of list 4")]
+#[case::unknown_update(
+    "0e 0000000000000029 00000000 04",
+    "error: unknown endpoint list update code 4; expected 0 to 3"
+)]
 #[case::canary("08 042a 02 00 00 0a 3e000000", "phase: Canary")]
 #[case::released("08 042a 02 02 00 0a 3e000000", "phase: Released")]
 #[case::withdrawn("08 042a 02 03 00 0a 3e000000", "phase: Withdrawn")]
-#[case::unknown_phase("08 042a 02 04 00 0a 3e000000", "error: unknown course 4")]
+#[case::unknown_phase(
+    "08 042a 02 04 00 0a 3e000000",
+    "error: unknown release phase code 4; expected 0 to 3"
+)]
 #[case::no_vote("08 042a 02 00 00 0a 3e000000", "vote_outcome: None")]
 #[case::lost_vote(
     "08 042a 02 09 01 50 7fc00000",
     "status: None, vote_outcome: Some(NotSent)"
 )]
-#[case::no_share("08 042a 02 00 00 0a bf800000", "error: a share of -1")]
-#[case::unknown_event("10", "error: unknown event code 16")]
+#[case::no_share(
+    "08 042a 02 00 00 0a bf800000",
+    "error: a share of requests is -1; expected a finite number, not below 0"
+)]
+#[case::unknown_event("10", "error: unknown event code 16; expected 1 to 15")]
 #[case::outside_tail(
     "0a 00000001 00000000 00000001",
-    "error: a reference points outside the tail"
+    "error: a field refers to bytes outside the frame's tail"
 )]
 fn event_values(#[case] record: &str, #[case] expected: &str) {
     let event = decoded(&from_hex(record), &[]).event;
@@ -276,19 +289,19 @@
 )]
 #[case::unknown_status(
     "03124a07 03 04 3f800000 0000000000000000 42280000 0506 07",
-    "error: unknown mode 3"
+    "error: unknown endpoint status code 3; expected 0 to 2"
 )]
 #[case::build(
     "03124a07 01 04 3f800000 0000000000000000 47800000 0506 07",
-    "error: an entry names the build 65536"
+    "error: an endpoint has the build 65536; expected 0 to 65535"
 )]
 #[case::weight(
     "03124a07 01 04 bf800000 0000000000000000 42280000 0506 07",
-    "error: an entry has the share -1"
+    "error: an endpoint has the weight -1; expected a finite number, not below 0"
 )]
 #[case::cut(
     "03124a07 01 04 3f800000 0000000000000000 42280000 0506",
-    "error: a reference points outside the tail"
+    "error: a field refers to bytes outside the frame's tail"
 )]
 fn entry_values(#[case] entry: &str, #[case] expected: &str) {
     let page = from_hex("05 00000009 00000000 00000001");
@@ -354,11 +367,11 @@
 
 fn written(reply: &Reply) -> Vec<u8> {
     let mut bytes = Vec::new();
-    reply.write(&mut bytes).expect("memory takes it");
+    reply.write(&mut bytes).expect("writing to memory succeeds");
     bytes
 }
 
-/// An instance is named before its first action only, and tails follow one another.
+/// An instance is selected before its first action only, and the tails of its actions follow one another.
 #[test]
 fn instances_and_tails() {
     let mut reply = Reply::default();
