--- a/crates/simulator-adapter/tests/malformed.rs
+++ b/crates/simulator-adapter/tests/malformed.rs
@@ -95,7 +95,7 @@
 }
 
 #[rstest]
-#[case::lacks_a_key(b"tick=5000\n", "settings lack profiles.count")]
+#[case::lacks_a_key(b"tick=5000\n", "setting profiles.count is missing")]
 #[case::not_utf8(b"\xff\xfe", "not UTF-8")]
 fn unusable_settings(#[case] options: &[u8], #[case] why: &str) {
     let mut up = vec![6, 0, 0, 0, 0, 0, 0, 0, 1, 0, 0, 0, 0];
--- a/crates/start-settings/src/engine.rs
+++ b/crates/start-settings/src/engine.rs
@@ -1,4 +1,4 @@
-//! Builds the decision engine that start settings describe.
+//! Builds a decision engine from start settings.
 use std::fmt;
 use std::time::Duration;
 
@@ -11,9 +11,10 @@
 use crate::error::SettingsError;
 use crate::settings::{Settings, class_path};
 
-/// A decision engine, and the sizes of the lists that its settings name.
+/// A decision engine and the numbers of request classes and zones in its settings, which bound the indices that its
+/// host may pass to it.
 pub struct Instance {
-    /// The engine.
+    /// The engine, before its first round.
     pub engine: DecisionEngine,
     /// The number of request classes.
     pub request_classes: usize,
@@ -21,7 +22,7 @@
     pub zones: usize,
 }
 
-/// Leaves out the engine, whose state fills pages.
+/// Leaves out the engine, whose state is too long to be printed.
 impl fmt::Debug for Instance {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter
@@ -32,7 +33,7 @@
     }
 }
 
-/// Builds a decision engine from start settings and the seed of its random draws.
+/// Builds a decision engine from start settings and the seed of its random numbers.
 ///
 /// # Errors
 /// A setting is missing or unusable.
@@ -45,7 +46,7 @@
     })
 }
 
-/// Reads all that a decision engine needs. `seed` is the seed of its random draws.
+/// Reads all settings that a decision engine needs. `seed` is the seed of its random numbers.
 ///
 /// # Errors
 /// A setting is missing or unusable.
@@ -63,7 +64,7 @@
     })
 }
 
-/// Zones are numbered by their position, so that an empty name counts too.
+/// Counts the zones. They are numbered by their position in the list, so that an empty name counts too.
 fn zone_count(settings: &Settings) -> Result<usize, SettingsError> {
     Ok(settings.text("zones")?.split(',').count())
 }
@@ -131,7 +132,7 @@
     let classes = (0..settings.class_count()?)
         .map(|class| class_policy(settings, class))
         .collect::<Result<_, _>>()?;
-    // An attempt's number is a byte on every wire.
+    // Every protocol encodes an attempt's number in one byte.
     let max_attempts: usize = settings.value("limits.max-attempts")?;
     Ok(RequestSettings {
         classes,
--- a/crates/start-settings/src/error.rs
+++ b/crates/start-settings/src/error.rs
@@ -1,22 +1,22 @@
-//! Why start settings cannot be used.
+//! The error for start settings that are missing or invalid.
 
 /// Why start settings cannot be used.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsError {
-    /// A setting that is needed is missing.
-    #[error("settings lack {path}")]
+    /// A required setting is missing.
+    #[error("setting {path} is missing")]
     Missing {
         /// The setting's path.
         path: String,
     },
-    /// A setting has another form or range than is wanted.
-    #[error("{path} is {value:?}; expected {expected}")]
+    /// A setting's value does not have the expected form or is out of range.
+    #[error("setting {path} is {value:?}; expected {expected}")]
     Unusable {
         /// The setting's path.
         path: String,
-        /// What was read.
+        /// The value as it stands in the settings.
         value: String,
-        /// What is wanted, in words.
+        /// The accepted values, in words.
         expected: String,
     },
 }
--- a/crates/start-settings/src/lib.rs
+++ b/crates/start-settings/src/lib.rs
@@ -1,8 +1,8 @@
-//! Start settings: pairs of path and value that an agent gets at its start, and the decision engine that they
-//! describe. The simulator sends them as lines; the agent flattens its start file to the same paths.
+//! Start settings: pairs of path and value that an agent reads when it starts, and the decision engine that is built
+//! from them. The simulator sends them as lines; the agent flattens its start file to the same paths.
 //!
-//! [`Settings`] reads single values, [`engine_settings`] all that a decision engine needs. Nothing here decides:
-//! each value goes to its place as it stands, or is refused with its path.
+//! [`Settings`] reads single values, [`engine_settings`] all values that a decision engine needs. This crate makes no
+//! decisions of its own: a value is passed on as it stands, or refused with an error that names its path.
 
 mod engine;
 mod error;
--- a/crates/start-settings/src/settings.rs
+++ b/crates/start-settings/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings by their paths, and the readers of single values.
+//! Settings by their paths, and functions that read single values.
 use std::collections::BTreeMap;
 use std::str::FromStr;
 use std::time::Duration;
@@ -7,13 +7,13 @@
 
 use crate::error::SettingsError;
 
-/// Start settings: each value's text by its path, such as `profiles.0.aim`.
+/// Start settings: the text of each value by its path, such as `profiles.0.aim`.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Settings(BTreeMap<String, String>);
 
-/// A type of which a setting can be.
+/// A type that [`Settings::value`] can read.
 pub trait SettingValue: FromStr {
-    /// The form of such a setting, in words.
+    /// The accepted values, in words, for error messages.
     const EXPECTED: &'static str;
 }
 
@@ -33,7 +33,7 @@
     const EXPECTED: &'static str = "a whole number, not below 0";
 }
 
-/// Whether a request class may be sent again, as its setting says.
+/// The value of a class's setting `repeat`: whether its requests may be sent again.
 #[derive(Clone, Copy)]
 enum Repeatability {
     Idempotent,
@@ -47,14 +47,14 @@
     }
 }
 
-/// The path of a request class's field.
+/// The path of a setting of a request class.
 pub(crate) fn class_path(class: usize, field: &str) -> String {
     format!("profiles.{class}.{field}")
 }
 
 impl Settings {
-    /// Settings from lines of the form `path=value`. Lines of another form are ignored; of several lines with the
-    /// same path the last one counts.
+    /// Reads settings from lines of the form `path=value`. Other lines are ignored; if several lines have the same
+    /// path, the last one counts.
     pub fn from_lines(text: &str) -> Self {
         text.lines()
             .filter_map(|line| line.split_once('='))
@@ -62,7 +62,7 @@
             .collect()
     }
 
-    /// A value's text.
+    /// The text of a setting's value.
     ///
     /// # Errors
     /// The setting is missing.
@@ -76,7 +76,7 @@
     /// A whole number or a flag.
     ///
     /// # Errors
-    /// The setting is missing, or does not have the form of a `T`.
+    /// The setting is missing, or its value is not a valid `T`.
     pub fn value<T: SettingValue>(&self, path: &str) -> Result<T, SettingsError> {
         let text = self.text(path)?;
         text.parse().map_err(|_| unusable(path, text, T::EXPECTED))
@@ -85,7 +85,7 @@
     /// A duration, given in microseconds.
     ///
     /// # Errors
-    /// The setting is missing or no whole number of microseconds.
+    /// The setting is missing or not a whole number of microseconds.
     pub fn duration(&self, path: &str) -> Result<Duration, SettingsError> {
         let text = self.text(path)?;
         text.parse()
@@ -93,10 +93,11 @@
             .map_err(|_| unusable(path, text, "a whole number of microseconds"))
     }
 
-    /// A duration above zero, given in microseconds: something is divided by it, or repeated after it.
+    /// A duration above zero, given in microseconds. It is read for values that are used as a divisor or as the
+    /// interval of something that repeats.
     ///
     /// # Errors
-    /// The setting is missing or no whole number of microseconds above 0.
+    /// The setting is missing or not a whole number of microseconds above 0.
     pub fn period(&self, path: &str) -> Result<Duration, SettingsError> {
         let duration = self.duration(path)?;
         if duration.is_zero() {
@@ -112,16 +113,16 @@
         parse_non_negative(text).ok_or_else(|| unusable(path, text, "a finite number, not below 0"))
     }
 
-    /// A list of finite numbers that are not negative, at least one.
+    /// A comma-separated list of at least one finite number that is not negative.
     pub(crate) fn non_negative_list(&self, path: &str) -> Result<Vec<f64>, SettingsError> {
         let text = self.text(path)?;
-        let expected = "finite numbers, not below 0, between commas";
+        let expected = "a comma-separated list of finite numbers, not below 0";
         text.split(',')
             .map(|part| parse_non_negative(part).ok_or_else(|| unusable(path, text, expected)))
             .collect()
     }
 
-    /// The names of a list, none if it is empty.
+    /// The names of a comma-separated list. Empty names are left out.
     ///
     /// # Errors
     /// The setting is missing.
@@ -134,7 +135,7 @@
             .collect())
     }
 
-    /// The meaning of one of several words.
+    /// The value that `choices` gives for the setting's word.
     pub(crate) fn choice<T: Copy>(
         &self,
         path: &str,
@@ -148,10 +149,10 @@
         })
     }
 
-    /// Whether the endpoint list is sent on request only; otherwise it is pushed.
+    /// Whether the endpoint list is sent on request only (`ask`); otherwise discovery pushes it (`push`).
     ///
     /// # Errors
-    /// The setting is missing or unknown.
+    /// The setting is missing or has another value.
     pub fn endpoint_list_on_request(&self) -> Result<bool, SettingsError> {
         self.choice("membership-mode", &[("push", false), ("ask", true)])
     }
@@ -164,7 +165,7 @@
     /// The longest deadline of all request classes.
     ///
     /// # Errors
-    /// The deadline of a class, or the number of classes, is missing or unusable.
+    /// The deadline of a class, or the number of classes, is missing or invalid.
     pub fn longest_deadline(&self) -> Result<Duration, SettingsError> {
         (0..self.class_count()?).try_fold(Duration::ZERO, |longest, class| {
             let deadline = self.period(&class_path(class, "give-up"))?;
@@ -172,10 +173,10 @@
         })
     }
 
-    /// Whether a request of a class may be sent again.
+    /// Whether a request of a class may be sent again. A keyed class also needs a deduplication scope.
     ///
     /// # Errors
-    /// The setting, or the scope that deduplication needs, is missing or unknown.
+    /// The setting, or the deduplication scope of a keyed class, is missing or has an unknown value.
     pub fn idempotency(&self, class: usize) -> Result<Idempotency, SettingsError> {
         let choices = [
             ("retryable", Repeatability::Idempotent),
--- a/crates/start-settings/tests/settings.rs
+++ b/crates/start-settings/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Start settings are read as they stand, and faults name the path, what was read and what is wanted.
+//! Settings are passed on unchanged, and errors name the path, the value and what is accepted.
 use std::time::Duration;
 
 use lilacgate_decision::{AdvanceRule, DeduplicationScope, Idempotency};
@@ -12,7 +12,7 @@
     Settings::from_lines(START)
 }
 
-/// The fixture with one setting replaced, or left out where there is no value.
+/// The fixture with one setting replaced, or removed if `value` is `None`.
 fn start_with(path: &str, value: Option<&str>) -> Settings {
     let prefix = format!("{path}=");
     let kept = START.lines().filter(|line| !line.starts_with(&prefix));
@@ -21,8 +21,8 @@
     Settings::from_lines(&lines.join("\n"))
 }
 
-fn error_of(settings: &Settings) -> SettingsError {
-    engine_settings(SEED, settings).expect_err("it is refused")
+fn expect_error(settings: &Settings) -> SettingsError {
+    engine_settings(SEED, settings).expect_err("the settings are refused")
 }
 
 fn millis(count: u64) -> Duration {
@@ -31,7 +31,7 @@
 
 #[test]
 fn engine() {
-    let engine = engine_settings(SEED, &start()).expect("a whole file");
+    let engine = engine_settings(SEED, &start()).expect("the fixture is complete");
     assert_eq!(engine.seed, SEED);
     assert_eq!(engine.tick, millis(5));
     assert_eq!(engine.zone.0, 1);
@@ -45,7 +45,7 @@
 #[test]
 fn slow_start() {
     let slow_start = engine_settings(SEED, &start())
-        .expect("a whole file")
+        .expect("the fixture is complete")
         .slow_start;
     assert_eq!(slow_start.initial_capacity_share, 0.33);
     assert_eq!(slow_start.ramp, millis(4500));
@@ -56,7 +56,7 @@
 #[test]
 fn exposure() {
     let exposure = engine_settings(SEED, &start())
-        .expect("a whole file")
+        .expect("the fixture is complete")
         .exposure;
     assert_eq!(exposure.window, millis(3000));
     assert_eq!(exposure.free_requests, 2.5);
@@ -68,7 +68,7 @@
 
 #[test]
 fn release_analysis() {
-    let engine = engine_settings(SEED, &start()).expect("a whole file");
+    let engine = engine_settings(SEED, &start()).expect("the fixture is complete");
     let analysis = engine.release_analysis;
     assert_eq!(analysis.advance_rule, AdvanceRule::Majority);
     assert_eq!(analysis.stage_shares, [0.1, 0.4, 1.0]);
@@ -85,7 +85,7 @@
 #[test]
 fn requests() {
     let requests = engine_settings(SEED, &start())
-        .expect("a whole file")
+        .expect("the fixture is complete")
         .requests;
     assert_eq!(requests.max_attempts, 3);
     assert!(requests.may_cancel);
@@ -111,14 +111,14 @@
 #[test]
 fn sizes_and_lists() {
     let settings = start();
-    let instance = build_instance(SEED, &settings).expect("a whole file");
+    let instance = build_instance(SEED, &settings).expect("the fixture is complete");
     assert_eq!(instance.request_classes, 3);
     assert_eq!(instance.zones, 3);
     assert_eq!(settings.names("shapes").expect("names"), ["small", "large"]);
     assert!(
         settings
             .names("feedback.names")
-            .expect("no names")
+            .expect("an empty list")
             .is_empty()
     );
     assert_eq!(
@@ -131,7 +131,7 @@
 fn pushed_list_needs_no_interval() {
     let settings = start_with("membership-mode", Some("push"));
     let discovery = engine_settings(SEED, &settings)
-        .expect("a whole file")
+        .expect("the fixture is complete")
         .discovery;
     assert_eq!(discovery.request_within, None);
 }
@@ -140,22 +140,22 @@
 fn no_retry_after() {
     let settings = start_with("limits.retry-after", Some("false"));
     let requests = engine_settings(SEED, &settings)
-        .expect("a whole file")
+        .expect("the fixture is complete")
         .requests;
     assert_eq!(requests.max_retry_after, Duration::ZERO);
 }
 
-/// An attempt's number is a byte on every wire.
+/// The number of attempts is limited to 255, since every protocol encodes an attempt's number in one byte.
 #[test]
-fn attempts_are_numbered_in_a_byte() {
+fn max_attempts_is_limited_to_one_byte() {
     let settings = start_with("limits.max-attempts", Some("1000"));
     let requests = engine_settings(SEED, &settings)
-        .expect("a whole file")
+        .expect("the fixture is complete")
         .requests;
     assert_eq!(requests.max_attempts, 255);
 }
 
-/// The last of several lines with one path counts; what is no pair is ignored.
+/// If several lines have the same path, the last one counts. Lines without `=` are ignored.
 #[test]
 fn lines() {
     let settings = Settings::from_lines("zone=1\nnothing\nzone=2=3\n");
@@ -176,12 +176,12 @@
 #[case::amounts(
     "family-info.rings",
     "0.1,,1",
-    "finite numbers, not below 0, between commas"
+    "a comma-separated list of finite numbers, not below 0"
 )]
 #[case::infinite(
     "family-info.most-shares",
     "inf",
-    "finite numbers, not below 0, between commas"
+    "a comma-separated list of finite numbers, not below 0"
 )]
 #[case::mode("membership-mode", "pull", "one of push, ask")]
 #[case::rule("family-info.gate-mode", "both", "one of single, majority, clocked")]
@@ -190,7 +190,7 @@
 #[case::idempotency("profiles.0.repeat", "once", "one of retryable, dedup, fragile")]
 #[case::scope("profiles.1.group", "rack", "one of all, zone, cell")]
 fn unusable(#[case] path: &str, #[case] value: &str, #[case] expected: &str) {
-    let error = error_of(&start_with(path, Some(value)));
+    let error = expect_error(&start_with(path, Some(value)));
     assert_eq!(
         error,
         SettingsError::Unusable {
@@ -201,11 +201,11 @@
     );
     assert_eq!(
         error.to_string(),
-        format!("{path} is {value:?}; expected {expected}")
+        format!("setting {path} is {value:?}; expected {expected}")
     );
 }
 
-/// Each setting that the engine needs is named where it is missing. The others are the agent's own.
+/// Each setting that the engine needs is named in the error if it is missing. The agent reads the others itself.
 #[test]
 fn missing() {
     let others = ["feedback.names", "shapes", "zones"];
@@ -214,11 +214,12 @@
         if others.contains(&path) || path.ends_with(".name") {
             continue;
         }
-        let error = error_of(&start_with(path, None));
+        let error = expect_error(&start_with(path, None));
         let path = path.to_owned();
-        assert_eq!(error.to_string(), format!("settings lack {path}"));
+        assert_eq!(error.to_string(), format!("setting {path} is missing"));
         assert_eq!(error, SettingsError::Missing { path });
     }
-    let error = build_instance(SEED, &start_with("zones", None)).expect_err("zones are counted");
-    assert_eq!(error.to_string(), "settings lack zones");
+    let error =
+        build_instance(SEED, &start_with("zones", None)).expect_err("the zones are missing");
+    assert_eq!(error.to_string(), "setting zones is missing");
 }
