--- a/crates/store/src/background_writer.rs
+++ b/crates/store/src/background_writer.rs
@@ -18,7 +18,7 @@
 /// The longest pause between two tries.
 const MAX_RETRY_PAUSE: Duration = Duration::from_secs(2);
 /// How long a disk that fails is tried still once the writer is closed.
-const CLOSING_TIMEOUT: Duration = Duration::from_secs(1);
+const CLOSE_RETRY_TIMEOUT: Duration = Duration::from_secs(1);
 /// Changes of the status that are kept for whoever asks; a disk that fails again and again drops the oldest.
 const MAX_STATUS_CHANGES: usize = 16;
 
@@ -62,21 +62,21 @@
 }
 
 impl Status {
-    fn failed(&mut self, error: io::Error) {
+    fn on_failure(&mut self, error: io::Error) {
         if self.failing_since.is_none() {
             self.failing_since = Some(Instant::now());
-            self.note(StatusChange::Failed(error));
+            self.push_change(StatusChange::Failed(error));
         }
     }
 
-    fn succeeded(&mut self) {
+    fn on_success(&mut self) {
         if let Some(since) = self.failing_since.take() {
             let failed_for = since.elapsed();
-            self.note(StatusChange::Resumed { failed_for });
+            self.push_change(StatusChange::Resumed { failed_for });
         }
     }
 
-    fn note(&mut self, change: StatusChange) {
+    fn push_change(&mut self, change: StatusChange) {
         if self.changes.len() >= MAX_STATUS_CHANGES {
             self.changes.remove(0);
         }
@@ -177,11 +177,11 @@
 
 impl Worker {
     fn run(&self, open: OpenStore, batches: &Receiver<Batch>) {
-        let mut writer = self.until_done(open);
+        let mut writer = self.retry_until_success(open);
         for batch in batches {
-            let written = writer
-                .as_mut()
-                .and_then(|writer| self.until_done(|| writer.append(batch.now, &batch.records)));
+            let written = writer.as_mut().and_then(|writer| {
+                self.retry_until_success(|| writer.append(batch.now, &batch.records))
+            });
             if written.is_none() {
                 // The disk failed until the end: what is left is given up at once.
                 writer = None;
@@ -195,22 +195,22 @@
     }
 
     /// Does something until it succeeds; none if the writer was closed and the disk went on failing.
-    fn until_done<T>(&self, mut action: impl FnMut() -> io::Result<T>) -> Option<T> {
+    fn retry_until_success<T>(&self, mut action: impl FnMut() -> io::Result<T>) -> Option<T> {
         let mut pause = FIRST_RETRY_PAUSE;
-        let mut give_up_at = None;
+        let mut close_deadline = None;
         loop {
             match action() {
                 Ok(done) => {
-                    self.status().succeeded();
+                    self.status().on_success();
                     return Some(done);
                 }
-                Err(error) => self.status().failed(error),
+                Err(error) => self.status().on_failure(error),
             }
-            if give_up_at.is_some_and(|at| Instant::now() >= at) {
+            if close_deadline.is_some_and(|at| Instant::now() >= at) {
                 return None;
             }
-            if self.wait(pause) && give_up_at.is_none() {
-                give_up_at = Some(Instant::now() + CLOSING_TIMEOUT);
+            if self.wait_until_closed(pause) && close_deadline.is_none() {
+                close_deadline = Some(Instant::now() + CLOSE_RETRY_TIMEOUT);
                 pause = FIRST_RETRY_PAUSE;
             } else {
                 pause = (pause * 2).min(MAX_RETRY_PAUSE);
@@ -219,7 +219,7 @@
     }
 
     /// Waits for this long, or until the writer is closed; returns whether it is.
-    fn wait(&self, pause: Duration) -> bool {
+    fn wait_until_closed(&self, pause: Duration) -> bool {
         match self.closed.recv_timeout(pause) {
             Err(RecvTimeoutError::Timeout) => false,
             // Closed before already: the pause is real then too.
--- a/crates/store/src/reader.rs
+++ b/crates/store/src/reader.rs
@@ -9,7 +9,7 @@
 use crate::segment_format::{SegmentError, creation_time, decode_records};
 
 /// The file name extension of segments.
-pub(crate) const EXTENSION: &str = "seg";
+pub(crate) const SEGMENT_EXTENSION: &str = "seg";
 
 /// A segment's file.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -22,8 +22,8 @@
 
 impl SegmentPath {
     /// The segment with this file name, if it is one of a segment.
-    fn of(path: PathBuf) -> Option<SegmentPath> {
-        if path.extension()? != EXTENSION {
+    fn from_path(path: PathBuf) -> Option<SegmentPath> {
+        if path.extension()? != SEGMENT_EXTENSION {
             return None;
         }
         let number = path.file_stem()?.to_str()?.parse().ok()?;
@@ -35,10 +35,10 @@
 ///
 /// # Errors
 /// What the file system reports.
-pub fn segments(folder: &Path) -> io::Result<Vec<SegmentPath>> {
+pub fn list_segments(folder: &Path) -> io::Result<Vec<SegmentPath>> {
     let mut found = Vec::new();
     for entry in fs::read_dir(folder)? {
-        found.extend(SegmentPath::of(entry?.path()));
+        found.extend(SegmentPath::from_path(entry?.path()));
     }
     found.sort();
     Ok(found)
@@ -68,7 +68,7 @@
 /// What the file system reports; damage is no error.
 pub fn read(path: &Path) -> io::Result<StoreContents> {
     let files = if path.is_dir() {
-        segments(path)?
+        list_segments(path)?
             .into_iter()
             .map(|segment| segment.path)
             .collect()
--- a/crates/store/src/segment_format.rs
+++ b/crates/store/src/segment_format.rs
@@ -53,11 +53,11 @@
 }
 
 /// The header of a segment that is begun at `begun`, in seconds since 1970.
-pub fn header(begun: u64) -> [u8; HEADER_BYTES] {
+pub fn header(created: u64) -> [u8; HEADER_BYTES] {
     let mut header = [0; HEADER_BYTES];
     header[..4].copy_from_slice(&MAGIC);
     header[4..6].copy_from_slice(&VERSION.to_le_bytes());
-    header[8..].copy_from_slice(&begun.to_le_bytes());
+    header[8..].copy_from_slice(&created.to_le_bytes());
     header
 }
 
@@ -74,21 +74,21 @@
     if version == 0 || version > VERSION {
         return Err(SegmentError::UnknownVersion { found: version });
     }
-    let begun = header.last_chunk().copied().unwrap_or_default();
-    Ok(u64::from_le_bytes(begun))
+    let seconds = header.last_chunk().copied().unwrap_or_default();
+    Ok(u64::from_le_bytes(seconds))
 }
 
 /// Appends a record's frame. A record that is too long, or can't be serialized, is left out.
-pub fn append_record(bytes: &mut Vec<u8>, record: &Record) {
+pub fn append_record(segment: &mut Vec<u8>, record: &Record) {
     let Ok(body) = postcard::to_stdvec(record) else {
         return;
     };
     if body.len() > MAX_RECORD_BYTES {
         return;
     }
-    bytes.extend((body.len() as u32).to_le_bytes());
-    bytes.extend(crc32fast::hash(&body).to_le_bytes());
-    bytes.extend(body);
+    segment.extend((body.len() as u32).to_le_bytes());
+    segment.extend(crc32fast::hash(&body).to_le_bytes());
+    segment.extend(body);
 }
 
 /// Reads the records that follow the header of a segment.
--- a/crates/store/src/writer.rs
+++ b/crates/store/src/writer.rs
@@ -12,7 +12,7 @@
 
 use lilacgate_timeline::entry::Record;
 
-use crate::reader::{EXTENSION, segments};
+use crate::reader::{SEGMENT_EXTENSION, list_segments};
 use crate::segment_format::{HEADER_BYTES, append_record, creation_time, decode_records, header};
 use crate::storage::{SegmentFile, Storage};
 
@@ -22,7 +22,7 @@
 const MIN_SEGMENT_BYTES: u64 = 1 << 12;
 const MAX_SEGMENT_BYTES: u64 = 16 << 20;
 /// How many segments may be given up without having been cut off yet; beyond it no new one is begun.
-const MAX_UNCUT_SEGMENTS: usize = 16;
+const MAX_UNTRUNCATED_SEGMENTS: usize = 16;
 
 /// How much is kept.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -49,15 +49,15 @@
 }
 
 /// A segment that was given up, and could not be cut off behind what had been synced.
-struct UncutSegment {
+struct UntruncatedSegment {
     path: PathBuf,
     /// How much of it counts, in bytes.
     size: u64,
 }
 
-impl UncutSegment {
+impl UntruncatedSegment {
     /// Cuts it off, or removes it if nothing of it counts.
-    fn cut(&self) -> io::Result<()> {
+    fn truncate_or_remove(&self) -> io::Result<()> {
         if self.size > HEADER_BYTES as u64 {
             return OpenOptions::new()
                 .write(true)
@@ -72,12 +72,12 @@
 }
 
 /// A segment that may be removed.
-struct KeptSegment {
+struct StoredSegment {
     path: PathBuf,
     /// Its size, in bytes.
     size: u64,
     /// When it was begun, in seconds since 1970; `None` if it can't be read.
-    begun: Option<u64>,
+    created: Option<u64>,
 }
 
 /// Writes a store.
@@ -85,8 +85,8 @@
     folder: PathBuf,
     retention: Retention,
     storage: Box<dyn Storage>,
-    open: Option<OpenSegment>,
-    uncut: Vec<UncutSegment>,
+    open_segment: Option<OpenSegment>,
+    untruncated: Vec<UntruncatedSegment>,
     next_number: u64,
 }
 
@@ -113,16 +113,16 @@
         storage: Box<dyn Storage>,
     ) -> io::Result<StoreWriter> {
         fs::create_dir_all(folder)?;
-        let last = segments(folder)?.pop();
+        let last = list_segments(folder)?.pop();
         if let Some(last) = &last {
-            cut_off_torn_end(&last.path)?;
+            truncate_torn_end(&last.path)?;
         }
         Ok(StoreWriter {
             folder: folder.to_owned(),
             retention,
             storage,
-            open: None,
-            uncut: Vec::new(),
+            open_segment: None,
+            untruncated: Vec::new(),
             next_number: last.map_or(0, |last| last.number + 1),
         })
     }
@@ -133,61 +133,66 @@
     /// What the file system reports; the batch may be appended again then, and none of its records is kept twice unless
     /// the file system refuses to cut off what was given up until the process ends.
     pub fn append(&mut self, now: Duration, batch: &[Record]) -> io::Result<()> {
-        self.uncut.retain(|segment| segment.cut().is_err());
+        self.untruncated
+            .retain(|segment| segment.truncate_or_remove().is_err());
         let mut bytes = Vec::new();
         for record in batch {
             append_record(&mut bytes, record);
         }
         let added = bytes.len() as u64;
-        let open = match self.open.take().filter(|open| self.has_room(open, added)) {
+        let open = match self
+            .open_segment
+            .take()
+            .filter(|open| self.has_room_for(open, added))
+        {
             Some(open) => open,
-            None => self.begin_segment(now)?,
+            None => self.start_segment(now)?,
         };
-        let open = self.open.insert(open);
+        let open = self.open_segment.insert(open);
         match write_and_sync(open.file.as_mut(), &bytes) {
             Ok(()) => {
                 open.size += added;
                 Ok(())
             }
             Err(error) => {
-                self.give_up_segment();
+                self.abandon_segment();
                 Err(error)
             }
         }
     }
 
     /// Gives the open segment up: what was synced of it is kept, and nothing more is written to it.
-    fn give_up_segment(&mut self) {
+    fn abandon_segment(&mut self) {
         let Some(OpenSegment {
             path,
             mut file,
             size,
-        }) = self.open.take()
+        }) = self.open_segment.take()
         else {
             return;
         };
-        let is_worth_keeping = size > HEADER_BYTES as u64;
-        if !is_worth_keeping || file.truncate(size).is_err() {
+        let has_records = size > HEADER_BYTES as u64;
+        if !has_records || file.truncate(size).is_err() {
             drop(file);
-            let segment = UncutSegment { path, size };
-            if segment.cut().is_err() {
-                self.uncut.push(segment);
+            let segment = UntruncatedSegment { path, size };
+            if segment.truncate_or_remove().is_err() {
+                self.untruncated.push(segment);
             }
         }
     }
 
     /// Whether a batch fits into a segment. An empty segment takes a batch of any size.
-    fn has_room(&self, open: &OpenSegment, added: u64) -> bool {
+    fn has_room_for(&self, open: &OpenSegment, added: u64) -> bool {
         let is_empty = open.size <= HEADER_BYTES as u64;
         is_empty || open.size + added <= self.retention.segment_bytes()
     }
 
-    fn begin_segment(&mut self, now: Duration) -> io::Result<OpenSegment> {
-        if self.uncut.len() >= MAX_UNCUT_SEGMENTS {
+    fn start_segment(&mut self, now: Duration) -> io::Result<OpenSegment> {
+        if self.untruncated.len() >= MAX_UNTRUNCATED_SEGMENTS {
             return Err(io::Error::other("too many segments could not be cut off"));
         }
-        self.remove_beyond_retention(now)?;
-        let name = format!("{:012}.{EXTENSION}", self.next_number);
+        self.enforce_retention(now)?;
+        let name = format!("{:012}.{SEGMENT_EXTENSION}", self.next_number);
         // A number is used one time only: what a failed try has left in its file is never appended to.
         self.next_number += 1;
         let path = self.folder.join(name);
@@ -198,9 +203,9 @@
                 size: HEADER_BYTES as u64,
             }),
             Err(error) => {
-                let segment = UncutSegment { path, size: 0 };
-                if segment.cut().is_err() {
-                    self.uncut.push(segment);
+                let segment = UntruncatedSegment { path, size: 0 };
+                if segment.truncate_or_remove().is_err() {
+                    self.untruncated.push(segment);
                 }
                 Err(error)
             }
@@ -216,13 +221,13 @@
     }
 
     /// Removes the oldest segments until the rest is young enough and leaves room for a new one.
-    fn remove_beyond_retention(&self, now: Duration) -> io::Result<()> {
-        let kept = self.kept_segments()?;
-        let sizes: u64 = kept.iter().map(|segment| segment.size).sum();
+    fn enforce_retention(&self, now: Duration) -> io::Result<()> {
+        let stored = self.stored_segments()?;
+        let sizes: u64 = stored.iter().map(|segment| segment.size).sum();
         let mut total = sizes + self.retention.segment_bytes();
-        for segment in kept {
-            let is_old = segment.begun.is_some_and(|begun| {
-                now.saturating_sub(Duration::from_secs(begun)) > self.retention.max_age
+        for segment in stored {
+            let is_old = segment.created.is_some_and(|created| {
+                now.saturating_sub(Duration::from_secs(created)) > self.retention.max_age
             });
             if !is_old && total <= self.retention.max_bytes {
                 return Ok(());
@@ -233,17 +238,17 @@
         Ok(())
     }
 
-    fn kept_segments(&self) -> io::Result<Vec<KeptSegment>> {
-        let mut kept = Vec::new();
-        for segment in segments(&self.folder)? {
+    fn stored_segments(&self) -> io::Result<Vec<StoredSegment>> {
+        let mut stored = Vec::new();
+        for segment in list_segments(&self.folder)? {
             let size = fs::metadata(&segment.path)?.len();
-            kept.push(KeptSegment {
-                begun: begun_of_file(&segment.path),
+            stored.push(StoredSegment {
+                created: read_creation_time(&segment.path),
                 path: segment.path,
                 size,
             });
         }
-        Ok(kept)
+        Ok(stored)
     }
 }
 
@@ -258,14 +263,14 @@
 }
 
 /// When the segment in a file was begun, in seconds since 1970; `None` if it is none, or can't be read.
-fn begun_of_file(path: &Path) -> Option<u64> {
+fn read_creation_time(path: &Path) -> Option<u64> {
     let mut header = [0; HEADER_BYTES];
     File::open(path).ok()?.read_exact(&mut header).ok()?;
     creation_time(&header).ok()
 }
 
 /// Cuts a segment off behind its last whole record. A file that is no segment stays as it is.
-fn cut_off_torn_end(path: &Path) -> io::Result<()> {
+fn truncate_torn_end(path: &Path) -> io::Result<()> {
     let bytes = fs::read(path)?;
     if creation_time(&bytes).is_err() {
         return Ok(());
--- a/crates/store/tests/store.rs
+++ b/crates/store/tests/store.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use lilacgate_store::background_writer::{BackgroundWriter, StatusChange, SubmitResult};
-use lilacgate_store::reader::{read, segments};
+use lilacgate_store::reader::{list_segments, read};
 use lilacgate_store::segment_format::{
     HEADER_BYTES, SegmentError, creation_time, decode_records, header,
 };
@@ -42,7 +42,7 @@
     StoreWriter::new(folder, retention, Box::new(FileSystem)).expect("a writer")
 }
 
-fn numbers(folder: &Path) -> Vec<u32> {
+fn stored_numbers(folder: &Path) -> Vec<u32> {
     let number = |record: &Record| match record {
         Record::Entry(Entry {
             event: Event::GivenUp { count, .. },
@@ -59,22 +59,22 @@
 }
 
 #[test]
-fn what_was_appended_is_there_again() {
+fn appended_records_are_read_back() {
     let folder = tempfile::tempdir().expect("a folder");
-    for life in 0..3 {
+    for run in 0..3 {
         let mut writer = writer(folder.path(), RETENTION);
         for batch in 0..4 {
-            let first = life * 40 + batch * 10;
+            let first = run * 40 + batch * 10;
             writer
                 .append(now(0), &(first..first + 10).map(record).collect::<Vec<_>>())
                 .expect("it is kept");
         }
     }
-    assert_eq!(numbers(folder.path()), (0..120).collect::<Vec<_>>());
+    assert_eq!(stored_numbers(folder.path()), (0..120).collect::<Vec<_>>());
 }
 
 #[test]
-fn bounds_hold_in_bytes_and_age() {
+fn retention_bounds_bytes_and_age() {
     let folder = tempfile::tempdir().expect("a folder");
     let retention = Retention {
         max_bytes: 1 << 17,
@@ -87,28 +87,28 @@
             &(0..200).map(|_| record(number)).collect::<Vec<_>>(),
         )
         .expect("it is kept");
-        let sum: u64 = segments(folder.path())
+        let sum: u64 = list_segments(folder.path())
             .expect("files")
             .iter()
             .map(|segment| segment.path.metadata().expect("a size").len())
             .sum();
         assert!(sum <= retention.max_bytes, "{sum}");
     }
-    let kept = numbers(folder.path());
+    let kept = stored_numbers(folder.path());
     assert!(kept.first() > Some(&0) && kept.last() == Some(&39) && kept.is_sorted());
     writer(folder.path(), retention)
         .append(now(1000), &[record(99)])
         .expect("it is kept");
-    assert_eq!(numbers(folder.path()), [99]);
+    assert_eq!(stored_numbers(folder.path()), [99]);
 }
 
 /// A disk with this many bytes left.
 #[derive(Clone)]
-struct SmallDisk {
+struct FillingDisk {
     bytes_left: Arc<Mutex<usize>>,
 }
 
-impl Storage for SmallDisk {
+impl Storage for FillingDisk {
     fn open(&mut self, path: &Path) -> io::Result<Box<dyn SegmentFile>> {
         Ok(Box::new(FillingFile {
             file: FileSystem.open(path)?,
@@ -125,12 +125,12 @@
 impl Write for FillingFile {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         let mut bytes_left = self.bytes_left.lock().expect("a lock");
-        let some = bytes.len().min(*bytes_left);
-        if some == 0 {
+        let accepted = bytes.len().min(*bytes_left);
+        if accepted == 0 {
             return Err(io::ErrorKind::StorageFull.into());
         }
-        *bytes_left -= some;
-        self.file.write(&bytes[..some])
+        *bytes_left -= accepted;
+        self.file.write(&bytes[..accepted])
     }
 
     fn flush(&mut self) -> io::Result<()> {
@@ -179,9 +179,9 @@
 
 /// The disk fills amid a batch; what was taken is written once there is room again, each record one time.
 #[test]
-fn a_disk_that_is_full_for_a_while_loses_nothing_that_was_accepted() {
+fn a_disk_that_is_full_for_a_while_loses_no_accepted_batch() {
     let folder = tempfile::tempdir().expect("a folder");
-    let disk = SmallDisk {
+    let disk = FillingDisk {
         bytes_left: Arc::new(Mutex::new(HEADER_BYTES + 110)),
     };
     let bytes_left = disk.bytes_left.clone();
@@ -200,15 +200,15 @@
     );
     (12..40).for_each(|number| submit(&mut background, number));
     assert_eq!(background.close(), 0);
-    assert_eq!(numbers(folder.path()), (0..40).collect::<Vec<_>>());
+    assert_eq!(stored_numbers(folder.path()), (0..40).collect::<Vec<_>>());
     assert!(read(folder.path()).expect("it is read").damaged.is_empty());
 }
 
 /// The disk stays full to the end: what was synced is there and whole, all else is counted, and closing takes a second.
 #[test]
-fn what_a_full_disk_never_took_is_counted_at_the_end() {
+fn records_that_a_full_disk_never_took_are_counted_on_close() {
     let folder = tempfile::tempdir().expect("a folder");
-    let disk = SmallDisk {
+    let disk = FillingDisk {
         bytes_left: Arc::new(Mutex::new(HEADER_BYTES + 110)),
     };
     let mut background = background_writer(folder.path(), disk);
@@ -221,7 +221,7 @@
         "{:?}",
         closing.elapsed()
     );
-    let kept = numbers(folder.path());
+    let kept = stored_numbers(folder.path());
     assert!(
         !kept.is_empty() && kept.iter().copied().eq(0..kept.len() as u32),
         "{kept:?}"
@@ -231,7 +231,7 @@
     self::writer(folder.path(), RETENTION)
         .append(now(0), &[record(7000)])
         .expect("it is kept");
-    assert_eq!(numbers(folder.path()).len(), kept.len() + 1);
+    assert_eq!(stored_numbers(folder.path()).len(), kept.len() + 1);
 }
 
 /// A disk whose syncs, or whose openings, fail so many times.
@@ -252,10 +252,10 @@
 impl FailingDisk {
     /// Fails if this call is to, and is so still.
     fn call(&self, call: FailingCall) -> io::Result<()> {
-        let is_hit = self.fails == call
+        let is_failing_call = self.fails == call
             || self.fails == FailingCall::SyncAndTruncate && call == FailingCall::Sync;
         let mut left = self.failures_left.lock().expect("a lock");
-        if !is_hit || *left == 0 {
+        if !is_failing_call || *left == 0 {
             return Ok(());
         }
         *left -= 1;
@@ -313,7 +313,7 @@
 /// Each call fails for a while, after a batch that was kept and from the very first one: a batch is appended again until
 /// it is kept, and stands there one time, in its place.
 #[rstest]
-fn a_call_that_fails_for_a_while_costs_no_record(
+fn a_call_that_fails_for_a_while_loses_no_record(
     #[values(
         FailingCall::Open,
         FailingCall::Write,
@@ -350,7 +350,7 @@
         while writer.append(now(0), &batch(number)).is_err() {}
     }
     assert_eq!(
-        numbers(folder.path()),
+        stored_numbers(folder.path()),
         (0..(kept_before + 6) * 100).collect::<Vec<_>>()
     );
     assert!(read(folder.path()).expect("it is read").damaged.is_empty());
@@ -365,7 +365,7 @@
 }
 
 #[test]
-fn foreign_and_later_files_cost_only_themselves() {
+fn foreign_and_later_files_do_not_affect_other_segments() {
     let folder = tempfile::tempdir().expect("a folder");
     std::fs::write(
         folder.path().join("000000000000.seg"),
@@ -406,10 +406,10 @@
 
     /// A byte that is flipped costs the rest of its segment, nothing before it and no other segment; nothing panics.
     #[test]
-    fn a_flipped_byte(at in 0usize..10_000, bit in 0u8..8) {
+    fn a_flipped_bit_affects_only_the_rest_of_its_segment(at in 0usize..10_000, bit in 0u8..8) {
         let folder = tempfile::tempdir().expect("a folder");
-        for life in 0..3 {
-            writer(folder.path(), RETENTION).append(now(0), &(life * 10..life * 10 + 10).map(record).collect::<Vec<_>>()).expect("kept");
+        for run in 0..3 {
+            writer(folder.path(), RETENTION).append(now(0), &(run * 10..run * 10 + 10).map(record).collect::<Vec<_>>()).expect("kept");
         }
         let path = folder.path().join("000000000001.seg");
         let mut bytes = std::fs::read(&path).expect("a segment");
@@ -417,16 +417,16 @@
         let before = decode_records(&bytes[..at.max(HEADER_BYTES)]).records.len() as u32;
         bytes[at] ^= 1 << bit;
         std::fs::write(&path, &bytes).expect("it is written");
-        let kept = numbers(folder.path());
-        let harmless = (6..HEADER_BYTES).contains(&at);
-        let whole = if at < 6 { 0 } else if harmless { 10 } else { before };
-        let want: Vec<u32> = (0..10).chain(10..10 + whole).chain(20..30).collect();
-        prop_assert_eq!(kept, want);
+        let kept = stored_numbers(folder.path());
+        let affects_no_record = (6..HEADER_BYTES).contains(&at);
+        let intact = if at < 6 { 0 } else if affects_no_record { 10 } else { before };
+        let expected: Vec<u32> = (0..10).chain(10..10 + intact).chain(20..30).collect();
+        prop_assert_eq!(kept, expected);
     }
 
     /// Whatever stands in a file, reading ends.
     #[test]
-    fn any_bytes(tail in prop::collection::vec(any::<u8>(), 0..300)) {
+    fn decoding_any_bytes_ends_within_them(tail in prop::collection::vec(any::<u8>(), 0..300)) {
         let mut bytes = header(0).to_vec();
         bytes.extend(tail);
         prop_assert!(decode_records(&bytes).end <= bytes.len());
