--- a/crates/store/src/background_writer.rs
+++ b/crates/store/src/background_writer.rs
@@ -1,5 +1,5 @@
-//! A writer on a thread of its own. Batches wait in a bounded queue, so that whoever submits one never waits for the
-//! disk. What the disk refuses is tried again until it is written, or until the writer is closed.
+//! A writer on its own thread. Batches wait in a bounded queue, so that submitting one never waits for the disk. A
+//! batch that cannot be written is retried until it is written or the writer is closed.
 use std::fmt;
 use std::io;
 use std::sync::mpsc::{Receiver, RecvTimeoutError, SyncSender, TrySendError, sync_channel};
@@ -11,53 +11,54 @@
 
 use crate::writer::StoreWriter;
 
-/// Batches that may wait.
+/// The number of batches that the queue holds.
 const MAX_WAITING_BATCHES: usize = 16;
-/// The pause after the first failure; each further one is twice as long.
+/// The pause after the first failure; each further pause is twice as long.
 const FIRST_RETRY_PAUSE: Duration = Duration::from_millis(100);
-/// The longest pause between two tries.
+/// The longest pause between two attempts.
 const MAX_RETRY_PAUSE: Duration = Duration::from_secs(2);
-/// How long a disk that fails is tried still once the writer is closed.
+/// How long writes to a failing disk are still retried after the writer is closed.
 const CLOSE_RETRY_TIMEOUT: Duration = Duration::from_secs(1);
-/// Changes of the status that are kept for whoever asks; a disk that fails again and again drops the oldest.
+/// The number of status changes that are kept until they are taken. If a disk fails and recovers more often, the oldest
+/// changes are dropped.
 const MAX_STATUS_CHANGES: usize = 16;
 
-/// Records that are written together.
+/// Records that are written and synced together.
 struct Batch {
-    /// When it was submitted, since 1970.
+    /// When the batch was submitted, as time since 1970.
     now: Duration,
     records: Vec<Record>,
 }
 
-/// What became of a batch.
+/// The result of submitting a batch.
 #[derive(Debug)]
 pub enum SubmitResult {
-    /// The batch will be written, as soon as the disk takes it.
+    /// The batch is in the queue and will be written as soon as the disk permits.
     Accepted,
-    /// The queue is full, since the disk is behind: the batch comes back.
+    /// The queue is full because the disk is slow or fails; the records are returned.
     QueueFull(Vec<Record>),
-    /// The writer's thread is gone.
+    /// The writer's thread has ended.
     Closed,
 }
 
-/// Something that changed about the disk.
+/// A change of the disk's status.
 #[derive(Debug)]
 pub enum StatusChange {
-    /// It began to fail.
+    /// Opening or writing the store began to fail with this error.
     Failed(io::Error),
-    /// It took a write again.
+    /// Opening or writing the store succeeded again.
     Resumed {
-        /// How long it had failed.
+        /// The time since the first failure.
         failed_for: Duration,
     },
 }
 
-/// The status of the disk, shared with the writer's thread.
+/// The status of the disk, shared between the writer and its thread.
 #[derive(Debug, Default)]
 struct Status {
     failing_since: Option<Instant>,
     changes: Vec<StatusChange>,
-    /// Records of batches that were accepted and could not be written before the writer was closed.
+    /// The number of records that were accepted but not written before the writer ended.
     lost_records: u64,
 }
 
@@ -84,14 +85,14 @@
     }
 }
 
-/// Opens the store, as often as that takes.
+/// Opens the store; called again until it succeeds.
 type OpenStore = Box<dyn FnMut() -> io::Result<StoreWriter> + Send>;
 
-/// Writes a store on a thread of its own. Dropping it waits until all accepted batches are written, or for a second
-/// while the disk fails.
+/// Writes a store on its own thread. Dropping it waits until all accepted batches are written; if the disk fails, it
+/// gives up after about a second and the remaining batches are lost.
 pub struct BackgroundWriter {
     queue: Option<SyncSender<Batch>>,
-    /// Disconnected once the writer is closed.
+    /// Dropped when the writer is closed, which ends the thread's pauses between retries.
     closing: Option<SyncSender<()>>,
     status: Arc<Mutex<Status>>,
     thread: Option<thread::JoinHandle<()>>,
@@ -107,7 +108,7 @@
 }
 
 impl BackgroundWriter {
-    /// Starts the thread, which opens the store first. `open` is called again until it succeeds.
+    /// Starts the thread, which first opens the store. `open` is called again until it succeeds.
     pub fn new(open: impl FnMut() -> io::Result<StoreWriter> + Send + 'static) -> BackgroundWriter {
         let (queue, batches) = sync_channel::<Batch>(MAX_WAITING_BATCHES);
         let (closing, closed) = sync_channel::<()>(0);
@@ -126,7 +127,7 @@
         }
     }
 
-    /// Submits a batch; never waits. `now` is a span since 1970.
+    /// Submits a batch without waiting. `now` is the time since 1970.
     pub fn submit(&mut self, now: Duration, records: Vec<Record>) -> SubmitResult {
         let Some(queue) = &self.queue else {
             return SubmitResult::Closed;
@@ -138,14 +139,14 @@
         }
     }
 
-    /// What has changed about the disk since the last call, the oldest first.
+    /// Takes the changes of the disk's status since the last call, the oldest first.
     pub fn take_status_changes(&self) -> Vec<StatusChange> {
         let mut status = self.status.lock().unwrap_or_else(PoisonError::into_inner);
         std::mem::take(&mut status.changes)
     }
 
-    /// Waits until all accepted batches are written, or for a second while the disk fails; returns how many records
-    /// could not be written.
+    /// Waits until all accepted batches are written; if the disk fails, it gives up after about a second. Returns the
+    /// number of records that were not written.
     pub fn close(mut self) -> u64 {
         self.join();
         let status = self.status.lock().unwrap_or_else(PoisonError::into_inner);
@@ -157,7 +158,7 @@
         self.queue = None;
         self.closing = None;
         if let Some(thread) = self.thread.take() {
-            // Its panic was reported where it happened.
+            // A panic of the thread has already been printed by the panic hook.
             thread.join().ok();
         }
     }
@@ -169,7 +170,7 @@
     }
 }
 
-/// The writer's thread.
+/// The state of the writer's thread.
 struct Worker {
     closed: Receiver<()>,
     status: Arc<Mutex<Status>>,
@@ -183,7 +184,7 @@
                 self.retry_until_success(|| writer.append(batch.now, &batch.records))
             });
             if written.is_none() {
-                // The disk failed until the end: what is left is given up at once.
+                // The disk failed until the deadline for closing: the remaining batches are dropped at once.
                 writer = None;
                 self.status().lost_records += batch.records.len() as u64;
             }
@@ -194,7 +195,8 @@
         self.status.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Does something until it succeeds; none if the writer was closed and the disk went on failing.
+    /// Retries an action until it succeeds. Returns `None` if the writer was closed and the action still failed when
+    /// [`CLOSE_RETRY_TIMEOUT`] had passed.
     fn retry_until_success<T>(&self, mut action: impl FnMut() -> io::Result<T>) -> Option<T> {
         let mut pause = FIRST_RETRY_PAUSE;
         let mut close_deadline = None;
@@ -218,11 +220,11 @@
         }
     }
 
-    /// Waits for this long, or until the writer is closed; returns whether it is.
+    /// Waits for a pause or until the writer is closed, and returns whether it is closed.
     fn wait_until_closed(&self, pause: Duration) -> bool {
         match self.closed.recv_timeout(pause) {
             Err(RecvTimeoutError::Timeout) => false,
-            // Closed before already: the pause is real then too.
+            // With a disconnected channel `recv_timeout` returns at once, so the pause between attempts is made here.
             Err(RecvTimeoutError::Disconnected) => {
                 thread::sleep(pause.min(FIRST_RETRY_PAUSE));
                 true
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,13 +1,13 @@
-//! Keeps timelines on disk: an append-only log of segments with checksums, bounded in bytes and age.
+//! Stores timelines on disk: an append-only log of segments with checksums, limited in size and age.
 //!
-//! What was synced is there after `kill -9` at any moment. A torn end is cut off; a flipped byte costs the rest of its
-//! segment only. This crate knows how records are framed, not what they mean, and never makes its caller wait for a
-//! disk.
+//! Records that were synced survive `kill -9` at any moment. A record that was written only in part is cut off from the
+//! end of its segment. A flipped byte makes only the rest of its own segment unreadable. This crate frames records and
+//! does not interpret them.
 //!
 //! - [`segment_format`]: the bytes of a segment;
-//! - [`reader`]: all records of a store, and what is damaged;
-//! - [`writer`]: appends batches, within [`writer::Retention`], to files of a [`storage`];
-//! - [`background_writer`]: a writer on a thread of its own.
+//! - [`reader`]: reads all records of a store and reports damaged files;
+//! - [`writer`]: appends batches to the files of a [`storage`], within the limits of [`writer::Retention`];
+//! - [`background_writer`]: a writer on its own thread, so that its caller never waits for the disk.
 
 pub mod background_writer;
 pub mod reader;
--- a/crates/store/src/reader.rs
+++ b/crates/store/src/reader.rs
@@ -1,5 +1,5 @@
-//! Reads all records of a store, or of a single segment such as a dump, and reports what is damaged. It changes
-//! nothing.
+//! Reads all records of a store, or of a single segment such as a dump, and reports damaged files. It does not change
+//! the files.
 use std::fs;
 use std::io;
 use std::path::{Path, PathBuf};
@@ -11,17 +11,17 @@
 /// The file name extension of segments.
 pub(crate) const SEGMENT_EXTENSION: &str = "seg";
 
-/// A segment's file.
+/// The file of a segment.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct SegmentPath {
-    /// Its number; later segments have higher ones.
+    /// The segment's number, from its file name. Later segments have higher numbers.
     pub number: u64,
-    /// Where it is.
+    /// The path, including the folder of the store.
     pub path: PathBuf,
 }
 
 impl SegmentPath {
-    /// The segment with this file name, if it is one of a segment.
+    /// The segment at a path; `None` if the file name is not a number with the segments' extension.
     fn from_path(path: PathBuf) -> Option<SegmentPath> {
         if path.extension()? != SEGMENT_EXTENSION {
             return None;
@@ -31,10 +31,10 @@
     }
 }
 
-/// The segments of a folder, in their order.
+/// Lists the segments in a folder, the oldest first.
 ///
 /// # Errors
-/// What the file system reports.
+/// The folder cannot be read.
 pub fn list_segments(folder: &Path) -> io::Result<Vec<SegmentPath>> {
     let mut found = Vec::new();
     for entry in fs::read_dir(folder)? {
@@ -44,28 +44,28 @@
     Ok(found)
 }
 
-/// A file of which a part, or all, can't be read.
+/// A file that cannot be read, in part or as a whole.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DamagedFile {
-    /// Where it is.
+    /// The path, including the folder of the store.
     pub path: PathBuf,
-    /// What is damaged.
+    /// Why the file, or the rest of it, cannot be read.
     pub error: SegmentError,
 }
 
-/// What was read from a store.
+/// The records of a store, and the files whose records are lost.
 #[derive(Clone, Debug, Default)]
 pub struct StoreContents {
-    /// All records that can be read, in their order.
+    /// All records that can be read, in the order in which they were appended.
     pub records: Vec<Record>,
-    /// The files that are damaged.
+    /// The files that are damaged, in the order of their numbers.
     pub damaged: Vec<DamagedFile>,
 }
 
-/// Reads a folder of segments, or a file that is one.
+/// Reads all segments of a folder, or a single file that is a segment.
 ///
 /// # Errors
-/// What the file system reports; damage is no error.
+/// The folder or a file cannot be read. A damaged file is not an error; it is listed in [`StoreContents::damaged`].
 pub fn read(path: &Path) -> io::Result<StoreContents> {
     let files = if path.is_dir() {
         list_segments(path)?
@@ -85,7 +85,7 @@
     Ok(contents)
 }
 
-/// Adds a segment's records up to the first that is damaged.
+/// Adds a segment's records up to the first that is damaged or incomplete.
 fn read_segment(bytes: &[u8], records: &mut Vec<Record>) -> Result<(), SegmentError> {
     creation_time(bytes)?;
     let decoded = decode_records(bytes);
--- a/crates/store/src/segment_format.rs
+++ b/crates/store/src/segment_format.rs
@@ -1,58 +1,59 @@
-//! The bytes of a segment: a header, then frames, each with a record's length, its checksum and the record itself.
+//! The binary format of a segment: a header, then frames, each with a record's length, its checksum and the record.
 //!
 //! | offset in the header | bytes | content |
 //! | --- | --- | --- |
 //! | 0 | 4 | `lgtl` |
-//! | 4 | 2 | the version |
+//! | 4 | 2 | the format's version |
 //! | 6 | 2 | unused |
-//! | 8 | 8 | when the segment was begun, in seconds since 1970 |
+//! | 8 | 8 | when the segment was created, in seconds since 1970 |
 //!
 //! A frame begins with the length (4 bytes) and the CRC-32 (4 bytes) of its record. Numbers are little-endian.
 use lilacgate_timeline::entry::Record;
 
-/// The version that is written; it and all before it are read.
+/// The format version that is written. Segments of this version and all earlier ones can be read.
 pub const VERSION: u16 = 1;
-/// The length of a segment's header.
+/// The size of a segment's header.
 pub const HEADER_BYTES: usize = 16;
-/// The length of what stands before each record.
+/// The size of the length and checksum before each record.
 pub const FRAME_HEADER_BYTES: usize = 8;
-/// The longest record; a greater length is damage.
+/// The size of the largest record. A frame with a greater length is treated as damaged.
 pub const MAX_RECORD_BYTES: usize = 1 << 20;
 
+/// The bytes with which every segment begins.
 const MAGIC: [u8; 4] = *b"lgtl";
 
-/// Why a segment, or the rest of it, can't be read.
+/// Why a segment, or the rest of it, cannot be read.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SegmentError {
-    /// The file does not begin like a segment.
-    #[error("no segment of a time line")]
+    /// The file is shorter than a segment's header or does not begin with the segment's magic bytes.
+    #[error("not a timeline segment: the file does not begin with a segment header")]
     NotASegment,
-    /// The segment was written by a later version of this crate.
-    #[error("version {found}; {VERSION} is the last that is known here")]
+    /// The segment has version 0 or was written by a later version of this crate.
+    #[error("unsupported segment version {found}; expected 1 to {VERSION}")]
     UnknownVersion {
         /// The version in the header.
         found: u16,
     },
-    /// A record is damaged or torn; it and what follows are lost.
-    #[error("damaged at byte {offset}; {lost} lost")]
+    /// A record is damaged or incomplete. It and all bytes after it are lost.
+    #[error("damaged at byte {offset}; the {lost} bytes from there to the end are lost")]
     Damaged {
-        /// Where the damage begins, in bytes from the file's beginning.
+        /// Where the damage begins, in bytes from the start of the file.
         offset: usize,
-        /// How many bytes are lost.
+        /// The number of bytes that are lost.
         lost: usize,
     },
 }
 
-/// The records of a segment up to the first that is damaged or torn.
+/// The records of a segment up to the first that is damaged or incomplete.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DecodedRecords {
-    /// The records, in their order.
+    /// The records in the order in which they were appended.
     pub records: Vec<Record>,
-    /// Where the last of them ends, in bytes from the segment's beginning.
+    /// The end of the last record, in bytes from the start of the segment.
     pub end: usize,
 }
 
-/// The header of a segment that is begun at `begun`, in seconds since 1970.
+/// The header of a segment that is created at `created`, in seconds since 1970.
 pub fn header(created: u64) -> [u8; HEADER_BYTES] {
     let mut header = [0; HEADER_BYTES];
     header[..4].copy_from_slice(&MAGIC);
@@ -61,7 +62,7 @@
     header
 }
 
-/// When a segment was begun, in seconds since 1970.
+/// Reads from a segment's header when it was created, in seconds since 1970.
 ///
 /// # Errors
 /// [`SegmentError::NotASegment`] or [`SegmentError::UnknownVersion`].
@@ -78,7 +79,8 @@
     Ok(u64::from_le_bytes(seconds))
 }
 
-/// Appends a record's frame. A record that is too long, or can't be serialized, is left out.
+/// Appends a record's frame to a segment. A record that is longer than [`MAX_RECORD_BYTES`], or cannot be serialized,
+/// is left out.
 pub fn append_record(segment: &mut Vec<u8>, record: &Record) {
     let Ok(body) = postcard::to_stdvec(record) else {
         return;
@@ -91,7 +93,7 @@
     segment.extend(body);
 }
 
-/// Reads the records that follow the header of a segment.
+/// Decodes the records after a segment's header, up to the first that is damaged or incomplete.
 pub fn decode_records(bytes: &[u8]) -> DecodedRecords {
     let mut records = Vec::new();
     let mut end = HEADER_BYTES;
@@ -104,11 +106,11 @@
 
 struct Frame {
     record: Record,
-    /// Its length with its header, in bytes.
+    /// The size of the frame, including its header, in bytes.
     length: usize,
 }
 
-/// The frame with which `bytes` begin; `None` if it is damaged or torn.
+/// Decodes the frame at the start of `bytes`; `None` if it is damaged or incomplete.
 fn decode_frame(bytes: &[u8]) -> Option<Frame> {
     let (length, rest) = bytes.split_first_chunk()?;
     let (checksum, rest) = rest.split_first_chunk()?;
--- a/crates/store/src/storage.rs
+++ b/crates/store/src/storage.rs
@@ -1,29 +1,29 @@
-//! Where segments are written: files, or what stands in for them in tests.
+//! The interface through which segments are written. Tests replace the file system with disks that fill up or fail.
 use std::fs::{File, OpenOptions};
 use std::io::{self, Write};
 use std::path::Path;
 
 /// Opens files for a writer.
 pub trait Storage: Send {
-    /// Opens a file for appending, and creates it if it is missing.
+    /// Opens a file for appending, and creates it if it does not exist.
     ///
     /// # Errors
-    /// What the storage reports.
+    /// The file cannot be opened or created.
     fn open(&mut self, path: &Path) -> io::Result<Box<dyn SegmentFile>>;
 }
 
 /// A file that is open for appending.
 pub trait SegmentFile: Write + Send {
-    /// Returns once all that was written is on disk.
+    /// Returns once all bytes that were written are on disk.
     ///
     /// # Errors
-    /// What the storage reports.
+    /// The storage cannot confirm that the bytes are on disk.
     fn sync(&mut self) -> io::Result<()>;
 
-    /// Cuts the file off behind so many bytes.
+    /// Reduces the file to its first `size` bytes.
     ///
     /// # Errors
-    /// What the storage reports.
+    /// The file cannot be truncated.
     fn truncate(&mut self, size: u64) -> io::Result<()>;
 }
 
--- a/crates/store/src/writer.rs
+++ b/crates/store/src/writer.rs
@@ -1,9 +1,9 @@
-//! Appends batches of records to the last segment and syncs them, begins a new segment when that is full, and removes
-//! the oldest ones beyond the retention. It never writes into the middle of a file.
+//! Appends batches of records to the last segment and syncs them, starts a new segment when that one is full, and
+//! removes the oldest segments beyond the retention limits. It never writes into the middle of a file.
 //!
-//! After a write or sync that fails nobody knows what of it is on disk, and a later sync of the same pages may succeed
-//! without them. The segment is given up then: it is cut off behind what was synced before, and the batch goes into a new
-//! one.
+//! After a failed write or sync it is unknown which bytes are on disk, and a later sync of the same pages may report
+//! success although the pages were never written. The segment is therefore abandoned: it is truncated to the bytes that
+//! were synced before, and the batch is written to a new segment.
 use std::fmt;
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Read};
@@ -16,25 +16,26 @@
 use crate::segment_format::{HEADER_BYTES, append_record, creation_time, decode_records, header};
 use crate::storage::{SegmentFile, Storage};
 
-/// A store is this many segments at most, so that little is removed at a time.
+/// The number of segments into which the store's size is divided, so that each removal drops a small part of the store.
 const SEGMENTS_PER_STORE: u64 = 16;
-/// The bounds of a segment's size, in bytes.
+/// The lower bound of the size at which a segment is full.
 const MIN_SEGMENT_BYTES: u64 = 1 << 12;
+/// The upper bound of the size at which a segment is full.
 const MAX_SEGMENT_BYTES: u64 = 16 << 20;
-/// How many segments may be given up without having been cut off yet; beyond it no new one is begun.
+/// The most abandoned segments that may wait to be truncated or removed. At this number no new segment is started.
 const MAX_UNTRUNCATED_SEGMENTS: usize = 16;
 
-/// How much is kept.
+/// The limits of a store's size and age.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Retention {
-    /// The most bytes of all segments together.
+    /// The total size of all segments.
     pub max_bytes: u64,
-    /// Segments that were begun longer ago than this are removed.
+    /// Segments that were created longer ago than this are removed.
     pub max_age: Duration,
 }
 
 impl Retention {
-    /// The most bytes of a segment.
+    /// The size at which a segment is full.
     fn segment_bytes(self) -> u64 {
         (self.max_bytes / SEGMENTS_PER_STORE).clamp(MIN_SEGMENT_BYTES, MAX_SEGMENT_BYTES)
     }
@@ -44,19 +45,19 @@
 struct OpenSegment {
     path: PathBuf,
     file: Box<dyn SegmentFile>,
-    /// How much of it has been synced, in bytes.
+    /// The number of bytes that have been synced.
     size: u64,
 }
 
-/// A segment that was given up, and could not be cut off behind what had been synced.
+/// An abandoned segment that could not yet be truncated to the bytes that had been synced, or removed.
 struct UntruncatedSegment {
     path: PathBuf,
-    /// How much of it counts, in bytes.
+    /// The number of bytes that had been synced.
     size: u64,
 }
 
 impl UntruncatedSegment {
-    /// Cuts it off, or removes it if nothing of it counts.
+    /// Truncates the file to the synced bytes, or removes it if they hold no record.
     fn truncate_or_remove(&self) -> io::Result<()> {
         if self.size > HEADER_BYTES as u64 {
             return OpenOptions::new()
@@ -71,16 +72,16 @@
     }
 }
 
-/// A segment that may be removed.
+/// A segment on disk that retention may remove.
 struct StoredSegment {
     path: PathBuf,
-    /// Its size, in bytes.
+    /// The file's size in bytes.
     size: u64,
-    /// When it was begun, in seconds since 1970; `None` if it can't be read.
+    /// When it was created, in seconds since 1970; `None` if the header cannot be read.
     created: Option<u64>,
 }
 
-/// Writes a store.
+/// Writes the segments of a store.
 pub struct StoreWriter {
     folder: PathBuf,
     retention: Retention,
@@ -102,11 +103,11 @@
 }
 
 impl StoreWriter {
-    /// Continues a store, or begins one: the torn end of its last segment is cut off, and the next batch begins a new
-    /// segment.
+    /// Opens a store, and creates its folder if it does not exist. An incomplete record at the end of the last segment
+    /// is cut off, and the next batch starts a new segment.
     ///
     /// # Errors
-    /// What the file system reports.
+    /// The folder cannot be created or read, or the last segment cannot be read or truncated.
     pub fn new(
         folder: &Path,
         retention: Retention,
@@ -127,11 +128,12 @@
         })
     }
 
-    /// Appends a batch and syncs it: once this returns, the batch is kept. `now` is a span since 1970.
+    /// Appends a batch and syncs it. Once this returns without an error, the batch is on disk. `now` is the time since
+    /// 1970.
     ///
     /// # Errors
-    /// What the file system reports; the batch may be appended again then, and none of its records is kept twice unless
-    /// the file system refuses to cut off what was given up until the process ends.
+    /// A file cannot be opened, written, synced or removed. The batch may then be appended again. None of its records
+    /// is stored twice, unless an abandoned segment can neither be truncated nor removed until the process ends.
     pub fn append(&mut self, now: Duration, batch: &[Record]) -> io::Result<()> {
         self.untruncated
             .retain(|segment| segment.truncate_or_remove().is_err());
@@ -161,7 +163,7 @@
         }
     }
 
-    /// Gives the open segment up: what was synced of it is kept, and nothing more is written to it.
+    /// Abandons the open segment: its synced bytes are kept, and nothing more is written to it.
     fn abandon_segment(&mut self) {
         let Some(OpenSegment {
             path,
@@ -181,7 +183,7 @@
         }
     }
 
-    /// Whether a batch fits into a segment. An empty segment takes a batch of any size.
+    /// Whether a batch of `added` bytes fits into a segment. An empty segment takes a batch of any size.
     fn has_room_for(&self, open: &OpenSegment, added: u64) -> bool {
         let is_empty = open.size <= HEADER_BYTES as u64;
         is_empty || open.size + added <= self.retention.segment_bytes()
@@ -189,11 +191,13 @@
 
     fn start_segment(&mut self, now: Duration) -> io::Result<OpenSegment> {
         if self.untruncated.len() >= MAX_UNTRUNCATED_SEGMENTS {
-            return Err(io::Error::other("too many segments could not be cut off"));
+            return Err(io::Error::other(
+                "too many abandoned segments could not be truncated or removed",
+            ));
         }
         self.enforce_retention(now)?;
         let name = format!("{:012}.{SEGMENT_EXTENSION}", self.next_number);
-        // A number is used one time only: what a failed try has left in its file is never appended to.
+        // Each number is used only once, so that nothing is appended to a file that a failed attempt has left.
         self.next_number += 1;
         let path = self.folder.join(name);
         match self.create_segment(&path, now) {
@@ -215,12 +219,12 @@
     fn create_segment(&mut self, path: &Path, now: Duration) -> io::Result<Box<dyn SegmentFile>> {
         let mut file = self.storage.open(path)?;
         write_and_sync(file.as_mut(), &header(now.as_secs()))?;
-        // Without syncing the folder, the file's name may be gone after a loss of power.
+        // Without a sync of the folder, the new file's name may be lost in a power failure.
         File::open(&self.folder)?.sync_all()?;
         Ok(file)
     }
 
-    /// Removes the oldest segments until the rest is young enough and leaves room for a new one.
+    /// Removes the oldest segments until the others are within the maximal age and leave room for a new segment.
     fn enforce_retention(&self, now: Duration) -> io::Result<()> {
         let stored = self.stored_segments()?;
         let sizes: u64 = stored.iter().map(|segment| segment.size).sum();
@@ -262,14 +266,15 @@
     }
 }
 
-/// When the segment in a file was begun, in seconds since 1970; `None` if it is none, or can't be read.
+/// Reads when the segment in a file was created, in seconds since 1970; `None` if the file cannot be read or is not a
+/// segment.
 fn read_creation_time(path: &Path) -> Option<u64> {
     let mut header = [0; HEADER_BYTES];
     File::open(path).ok()?.read_exact(&mut header).ok()?;
     creation_time(&header).ok()
 }
 
-/// Cuts a segment off behind its last whole record. A file that is no segment stays as it is.
+/// Truncates a segment after its last complete record. A file that is not a segment is not changed.
 fn truncate_torn_end(path: &Path) -> io::Result<()> {
     let bytes = fs::read(path)?;
     if creation_time(&bytes).is_err() {
--- a/crates/store/tests/store.rs
+++ b/crates/store/tests/store.rs
@@ -1,4 +1,5 @@
-//! The store against damage: torn ends, flipped bytes, full disks, foreign files; and its bounds.
+//! Tests of the store under damage (incomplete records, flipped bytes, full and failing disks, foreign files) and of
+//! its limits of size and age.
 use std::io::{self, Write};
 use std::path::Path;
 use std::sync::{Arc, Mutex};
@@ -39,7 +40,7 @@
 }
 
 fn writer(folder: &Path, retention: Retention) -> StoreWriter {
-    StoreWriter::new(folder, retention, Box::new(FileSystem)).expect("a writer")
+    StoreWriter::new(folder, retention, Box::new(FileSystem)).expect("the store is opened")
 }
 
 fn stored_numbers(folder: &Path) -> Vec<u32> {
@@ -51,7 +52,7 @@
         other => panic!("{other:?}"),
     };
     read(folder)
-        .expect("it is read")
+        .expect("the store is readable")
         .records
         .iter()
         .map(number)
@@ -60,14 +61,14 @@
 
 #[test]
 fn appended_records_are_read_back() {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("a temporary folder");
     for run in 0..3 {
         let mut writer = writer(folder.path(), RETENTION);
         for batch in 0..4 {
             let first = run * 40 + batch * 10;
             writer
                 .append(now(0), &(first..first + 10).map(record).collect::<Vec<_>>())
-                .expect("it is kept");
+                .expect("the batch is stored");
         }
     }
     assert_eq!(stored_numbers(folder.path()), (0..120).collect::<Vec<_>>());
@@ -75,7 +76,7 @@
 
 #[test]
 fn retention_bounds_bytes_and_age() {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("a temporary folder");
     let retention = Retention {
         max_bytes: 1 << 17,
         max_age: Duration::from_secs(100),
@@ -86,11 +87,17 @@
             now(u64::from(number)),
             &(0..200).map(|_| record(number)).collect::<Vec<_>>(),
         )
-        .expect("it is kept");
+        .expect("the batch is stored");
         let sum: u64 = list_segments(folder.path())
-            .expect("files")
+            .expect("the folder is readable")
             .iter()
-            .map(|segment| segment.path.metadata().expect("a size").len())
+            .map(|segment| {
+                segment
+                    .path
+                    .metadata()
+                    .expect("the segment has a size")
+                    .len()
+            })
             .sum();
         assert!(sum <= retention.max_bytes, "{sum}");
     }
@@ -98,11 +105,11 @@
     assert!(kept.first() > Some(&0) && kept.last() == Some(&39) && kept.is_sorted());
     writer(folder.path(), retention)
         .append(now(1000), &[record(99)])
-        .expect("it is kept");
+        .expect("the batch is stored");
     assert_eq!(stored_numbers(folder.path()), [99]);
 }
 
-/// A disk with this many bytes left.
+/// A disk with a limited number of free bytes.
 #[derive(Clone)]
 struct FillingDisk {
     bytes_left: Arc<Mutex<usize>>,
@@ -124,7 +131,7 @@
 
 impl Write for FillingFile {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        let mut bytes_left = self.bytes_left.lock().expect("a lock");
+        let mut bytes_left = self.bytes_left.lock().expect("the lock is not poisoned");
         let accepted = bytes.len().min(*bytes_left);
         if accepted == 0 {
             return Err(io::ErrorKind::StorageFull.into());
@@ -177,10 +184,11 @@
     BackgroundWriter::new(move || StoreWriter::new(&folder, RETENTION, Box::new(disk.clone())))
 }
 
-/// The disk fills amid a batch; what was taken is written once there is room again, each record one time.
+/// The disk fills up in the middle of a batch. Accepted batches are written once there is space again, and each record
+/// is stored exactly once.
 #[test]
 fn a_disk_that_is_full_for_a_while_loses_no_accepted_batch() {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("a temporary folder");
     let disk = FillingDisk {
         bytes_left: Arc::new(Mutex::new(HEADER_BYTES + 110)),
     };
@@ -192,7 +200,7 @@
         matches!(&failed, StatusChange::Failed(error) if error.kind() == io::ErrorKind::StorageFull),
         "{failed:?}"
     );
-    *bytes_left.lock().expect("a lock") = usize::MAX;
+    *bytes_left.lock().expect("the lock is not poisoned") = usize::MAX;
     let resumed = next_change(&background);
     assert!(
         matches!(resumed, StatusChange::Resumed { failed_for } if failed_for > Duration::ZERO),
@@ -201,13 +209,19 @@
     (12..40).for_each(|number| submit(&mut background, number));
     assert_eq!(background.close(), 0);
     assert_eq!(stored_numbers(folder.path()), (0..40).collect::<Vec<_>>());
-    assert!(read(folder.path()).expect("it is read").damaged.is_empty());
+    assert!(
+        read(folder.path())
+            .expect("the store is readable")
+            .damaged
+            .is_empty()
+    );
 }
 
-/// The disk stays full to the end: what was synced is there and whole, all else is counted, and closing takes a second.
+/// The disk stays full until the writer is closed. Synced records are intact, all others are counted as lost, and
+/// closing does not wait for the disk much longer than a second.
 #[test]
 fn records_that_a_full_disk_never_took_are_counted_on_close() {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("a temporary folder");
     let disk = FillingDisk {
         bytes_left: Arc::new(Mutex::new(HEADER_BYTES + 110)),
     };
@@ -227,14 +241,19 @@
         "{kept:?}"
     );
     assert_eq!(kept.len() as u64 + lost, 12);
-    assert!(read(folder.path()).expect("it is read").damaged.is_empty());
+    assert!(
+        read(folder.path())
+            .expect("the store is readable")
+            .damaged
+            .is_empty()
+    );
     self::writer(folder.path(), RETENTION)
         .append(now(0), &[record(7000)])
-        .expect("it is kept");
+        .expect("the batch is stored");
     assert_eq!(stored_numbers(folder.path()).len(), kept.len() + 1);
 }
 
-/// A disk whose syncs, or whose openings, fail so many times.
+/// A disk on which one kind of call fails a given number of times.
 #[derive(Clone)]
 struct FailingDisk {
     failures_left: Arc<Mutex<u32>>,
@@ -250,11 +269,11 @@
 }
 
 impl FailingDisk {
-    /// Fails if this call is to, and is so still.
+    /// Fails if this kind of call is to fail and failures are left.
     fn call(&self, call: FailingCall) -> io::Result<()> {
         let is_failing_call = self.fails == call
             || self.fails == FailingCall::SyncAndTruncate && call == FailingCall::Sync;
-        let mut left = self.failures_left.lock().expect("a lock");
+        let mut left = self.failures_left.lock().expect("the lock is not poisoned");
         if !is_failing_call || *left == 0 {
             return Ok(());
         }
@@ -263,7 +282,7 @@
     }
 }
 
-/// The error number of an input or output that failed.
+/// The error number of Linux for an input or output error.
 const EIO: i32 = 5;
 
 impl Storage for FailingDisk {
@@ -283,7 +302,7 @@
 
 impl Write for FailingFile {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        // Half of it is there all the same.
+        // Half of the bytes are written nevertheless, as in a short write.
         if let Err(error) = self.disk.call(FailingCall::Write) {
             self.file.write_all(&bytes[..bytes.len() / 2])?;
             return Err(error);
@@ -310,8 +329,8 @@
     }
 }
 
-/// Each call fails for a while, after a batch that was kept and from the very first one: a batch is appended again until
-/// it is kept, and stands there one time, in its place.
+/// Each kind of call fails for a while, from the first batch on or after some batches were stored. A batch that is
+/// appended again until it succeeds is stored exactly once and in its order.
 #[rstest]
 fn a_call_that_fails_for_a_while_loses_no_record(
     #[values(
@@ -323,10 +342,10 @@
     fails: FailingCall,
     #[values(0, 3)] kept_before: u32,
     #[values(1, 4, 30)] failures: u32,
-    // Each segment has room for one batch, or for all.
+    // Each segment has room for one batch, or one segment has room for all.
     #[values(1 << 16, 1 << 20)] max_bytes: u64,
 ) {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("a temporary folder");
     let disk = FailingDisk {
         failures_left: Arc::default(),
         fails,
@@ -336,16 +355,19 @@
         max_bytes,
         ..RETENTION
     };
-    let mut writer = StoreWriter::new(folder.path(), retention, Box::new(disk)).expect("a writer");
+    let mut writer =
+        StoreWriter::new(folder.path(), retention, Box::new(disk)).expect("the store is opened");
     let batch = |number: u32| {
         (number * 100..number * 100 + 100)
             .map(record)
             .collect::<Vec<_>>()
     };
     for number in 0..kept_before {
-        writer.append(now(0), &batch(number)).expect("it is kept");
+        writer
+            .append(now(0), &batch(number))
+            .expect("the batch is stored");
     }
-    *failures_left.lock().expect("a lock") = failures;
+    *failures_left.lock().expect("the lock is not poisoned") = failures;
     for number in kept_before..kept_before + 6 {
         while writer.append(now(0), &batch(number)).is_err() {}
     }
@@ -353,33 +375,38 @@
         stored_numbers(folder.path()),
         (0..(kept_before + 6) * 100).collect::<Vec<_>>()
     );
-    assert!(read(folder.path()).expect("it is read").damaged.is_empty());
+    assert!(
+        read(folder.path())
+            .expect("the store is readable")
+            .damaged
+            .is_empty()
+    );
 }
 
 #[test]
 fn a_folder_that_cannot_be_written_is_an_error() {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("a temporary folder");
     let file = folder.path().join("file");
-    std::fs::write(&file, "x").expect("it is written");
+    std::fs::write(&file, "x").expect("the file is written");
     assert!(StoreWriter::new(&file.join("under"), RETENTION, Box::new(FileSystem)).is_err());
 }
 
 #[test]
 fn foreign_and_later_files_do_not_affect_other_segments() {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("a temporary folder");
     std::fs::write(
         folder.path().join("000000000000.seg"),
         "something else altogether",
     )
-    .expect("it is written");
+    .expect("the file is written");
     let mut later = header(0);
     later[4] = 9;
-    std::fs::write(folder.path().join("000000000001.seg"), later).expect("it is written");
-    std::fs::write(folder.path().join("notes.txt"), "x").expect("it is written");
+    std::fs::write(folder.path().join("000000000001.seg"), later).expect("the file is written");
+    std::fs::write(folder.path().join("notes.txt"), "x").expect("the file is written");
     writer(folder.path(), RETENTION)
         .append(now(0), &[record(5)])
-        .expect("it is kept");
-    let read = read(folder.path()).expect("it is read");
+        .expect("the batch is stored");
+    let read = read(folder.path()).expect("the store is readable");
     assert_eq!(read.records, [record(5)]);
     let errors: Vec<SegmentError> = read.damaged.into_iter().map(|file| file.error).collect();
     assert_eq!(
@@ -391,7 +418,7 @@
     );
 }
 
-/// A segment of the first version, as it was written then, stays readable.
+/// A segment that was written by the first version of the format stays readable.
 #[test]
 fn the_first_version_stays_readable() {
     let bytes = include_bytes!("version-1.seg");
@@ -404,19 +431,20 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// A byte that is flipped costs the rest of its segment, nothing before it and no other segment; nothing panics.
+    /// A flipped bit loses at most the records from it to the end of its segment. Nothing before it and no other
+    /// segment is affected, and nothing panics.
     #[test]
     fn a_flipped_bit_affects_only_the_rest_of_its_segment(at in 0usize..10_000, bit in 0u8..8) {
-        let folder = tempfile::tempdir().expect("a folder");
+        let folder = tempfile::tempdir().expect("a temporary folder");
         for run in 0..3 {
-            writer(folder.path(), RETENTION).append(now(0), &(run * 10..run * 10 + 10).map(record).collect::<Vec<_>>()).expect("kept");
+            writer(folder.path(), RETENTION).append(now(0), &(run * 10..run * 10 + 10).map(record).collect::<Vec<_>>()).expect("stored");
         }
         let path = folder.path().join("000000000001.seg");
-        let mut bytes = std::fs::read(&path).expect("a segment");
+        let mut bytes = std::fs::read(&path).expect("the segment is readable");
         let at = at % bytes.len();
         let before = decode_records(&bytes[..at.max(HEADER_BYTES)]).records.len() as u32;
         bytes[at] ^= 1 << bit;
-        std::fs::write(&path, &bytes).expect("it is written");
+        std::fs::write(&path, &bytes).expect("the file is written");
         let kept = stored_numbers(folder.path());
         let affects_no_record = (6..HEADER_BYTES).contains(&at);
         let intact = if at < 6 { 0 } else if affects_no_record { 10 } else { before };
@@ -424,7 +452,7 @@
         prop_assert_eq!(kept, expected);
     }
 
-    /// Whatever stands in a file, reading ends.
+    /// Decoding ends within the file whatever its bytes are.
     #[test]
     fn decoding_any_bytes_ends_within_them(tail in prop::collection::vec(any::<u8>(), 0..300)) {
         let mut bytes = header(0).to_vec();
--- a/crates/store/tests/stored_form.rs
+++ b/crates/store/tests/stored_form.rs
@@ -1,7 +1,9 @@
-//! What earlier versions stored stays readable, and what is stored today has the same bytes.
+//! Files of earlier versions stay readable, and the same records are still stored as the same bytes. Records are
+//! encoded by the order of their fields and variants, so that a reordered type would break stored files.
 //!
 //! The files in `fixtures/version-1` were written before the types of records were renamed: a store of several
-//! segments of which one is cut off, and a dump. `*.jsonl` hold what was read from them then, a record a line.
+//! segments, of which the last one is cut off, and a dump. The files `*.jsonl` hold the records that were read from
+//! them then, one per line.
 use std::fs;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -24,13 +26,13 @@
 use lilacgate_timeline::step_history::TimedStep;
 use serde_json::{Value, json};
 
-/// When the recorded session begins, since 1970.
+/// When the recorded session begins, as time since 1970.
 const START: Duration = Duration::from_secs(1_796_083_200);
-/// How long the session is, in steps of 25 ms.
+/// The length of the session in steps of [`STEP`].
 const SESSION_STEPS: u32 = 2400;
 const STEP: Duration = Duration::from_millis(25);
 const NODES: u32 = 4;
-/// During these steps half of the answers of node 3 are failures.
+/// During these steps half of the attempts on node 3 fail.
 const FAILING_STEPS: std::ops::Range<u32> = 1200..1600;
 /// The agent does not run during these steps.
 const PAUSED_STEPS: std::ops::Range<u32> = 2000..2080;
@@ -48,7 +50,7 @@
     }
 }
 
-/// Releases, votes and notes, each kind of them once.
+/// Records each kind of release phase, vote and note at its own step.
 fn record_decisions(timeline: &mut FleetTimeline, step: u32, now: Duration) {
     let (build, stage, endpoint) = (Build(2), Stage(1), EndpointId(2));
     let phase =
@@ -93,7 +95,7 @@
     }
 }
 
-/// One request, its attempt and how that ended.
+/// Records a request with one attempt and its outcome.
 fn record_request(timeline: &mut FleetTimeline, step: u32, now: Duration) {
     let (id, attempt) = (RequestId(step), AttemptNumber(0));
     let node = EndpointId(step % NODES);
@@ -125,7 +127,7 @@
     timeline.attempt_ended(now + took, &end);
 }
 
-/// A minute of an agent's life, the same in each run.
+/// The timeline of one minute, the same in each run.
 fn session() -> FleetTimeline {
     let config = MonitorConfig {
         false_alarms_per_hour: 50.0,
@@ -150,7 +152,7 @@
     timeline
 }
 
-/// The records with which a store begins.
+/// The records that an agent writes first to a store.
 fn first_records() -> Vec<Record> {
     let start = Record::Start {
         agent: "n0".into(),
@@ -164,7 +166,7 @@
     std::iter::once(start).chain((0..NODES).map(name)).collect()
 }
 
-/// Departures of each kind and scope, as far as the session has none.
+/// Departures of the kinds and scopes that do not occur in the session.
 fn other_departures() -> Vec<Record> {
     let at = START + Duration::from_secs(61);
     let departures = [
@@ -201,13 +203,14 @@
     (0u32..).zip(departures).map(record).collect()
 }
 
-/// Writes the session to a store of several segments, and cuts the last one off amid a record.
+/// Writes the session to a store of several segments, and cuts off the last one in the middle of a record.
 fn write_store(folder: &Path, timeline: &mut FleetTimeline) {
     let retention = Retention {
         max_bytes: 1 << 17,
         max_age: Duration::from_secs(3600),
     };
-    let mut writer = StoreWriter::new(folder, retention, Box::new(FileSystem)).expect("a writer");
+    let mut writer =
+        StoreWriter::new(folder, retention, Box::new(FileSystem)).expect("the store is opened");
     let mut records = first_records();
     records.extend(other_departures());
     records.extend(timeline.take_records());
@@ -216,14 +219,14 @@
         count: 17,
     });
     for batch in records.chunks(10) {
-        writer.append(START, batch).expect("it is kept");
+        writer.append(START, batch).expect("the batch is stored");
     }
-    let last = segment_files(folder).pop().expect("segments");
-    let bytes = fs::read(&last).expect("a segment");
-    fs::write(&last, &bytes[..bytes.len() - 3]).expect("it is cut off");
+    let last = segment_files(folder).pop().expect("the store has segments");
+    let bytes = fs::read(&last).expect("the segment is readable");
+    fs::write(&last, &bytes[..bytes.len() - 3]).expect("the segment is cut off");
 }
 
-/// A dump, as an agent puts it together.
+/// A dump with the records that an agent writes to it.
 fn dump(timeline: &FleetTimeline) -> Vec<u8> {
     let mut records = first_records();
     let entries = |node: &NodeTimeline| -> Vec<Record> {
@@ -234,7 +237,7 @@
     };
     records.extend(entries(timeline.agent()));
     for node in timeline.nodes() {
-        let node_timeline = timeline.node(node).expect("a timeline");
+        let node_timeline = timeline.node(node).expect("the node has a timeline");
         records.extend(entries(node_timeline));
         for TimedStep { duration, step } in node_timeline.steps().since(Duration::ZERO) {
             records.push(Record::Step(StepRecord {
@@ -254,9 +257,9 @@
     bytes
 }
 
-/// A record under its stored names; of a latency sketch, its quantiles in seconds.
+/// A record as JSON with its stored names. A latency sketch is shown by its quantiles in seconds.
 fn shown(record: &Record) -> Value {
-    let mut value = serde_json::to_value(record).expect("a record");
+    let mut value = serde_json::to_value(record).expect("the record is serialized");
     if let Record::Step(step) = record {
         let latency = LatencySketch::from_bytes(step.latency.clone());
         let quantile = |share| latency.quantile(share).map(|time| time.as_secs_f64());
@@ -266,7 +269,7 @@
 }
 
 fn shown_lines(path: &Path) -> String {
-    let records = read(path).expect("it is read").records;
+    let records = read(path).expect("the store is readable").records;
     records
         .iter()
         .map(|record| format!("{}\n", shown(record)))
@@ -275,8 +278,8 @@
 
 fn segment_files(folder: &Path) -> Vec<PathBuf> {
     let mut files: Vec<PathBuf> = fs::read_dir(folder)
-        .expect("a folder")
-        .map(|entry| entry.expect("an entry").path())
+        .expect("the folder is readable")
+        .map(|entry| entry.expect("the entry is readable").path())
         .collect();
     files.sort();
     files
@@ -295,32 +298,42 @@
 
 #[test]
 fn a_stored_timeline_is_read_as_before() {
-    let expected = fs::read_to_string(fixtures().join("store.jsonl")).expect("a fixture");
+    let expected =
+        fs::read_to_string(fixtures().join("store.jsonl")).expect("the fixture is readable");
     assert_same_lines(&shown_lines(&fixtures().join("store")), &expected);
 }
 
 #[test]
 fn a_segment_that_is_cut_off_is_named_with_the_place() {
-    let damaged = read(&fixtures().join("store")).expect("it is read").damaged;
+    let damaged = read(&fixtures().join("store"))
+        .expect("the store is readable")
+        .damaged;
     let [DamagedFile { path, error }] = &damaged[..] else {
         panic!("{damaged:?}")
     };
-    let name = path.file_name().expect("a name").to_string_lossy();
+    let name = path
+        .file_name()
+        .expect("the path has a file name")
+        .to_string_lossy();
     assert_eq!(name, "000000000007.seg");
     let (offset, lost) = (7667, 13);
     assert_eq!(*error, SegmentError::Damaged { offset, lost });
-    assert_eq!(error.to_string(), "damaged at byte 7667; 13 lost");
+    assert_eq!(
+        error.to_string(),
+        "damaged at byte 7667; the 13 bytes from there to the end are lost"
+    );
 }
 
 #[test]
 fn a_dump_is_read_as_before() {
-    let expected = fs::read_to_string(fixtures().join("dump.jsonl")).expect("a fixture");
+    let expected =
+        fs::read_to_string(fixtures().join("dump.jsonl")).expect("the fixture is readable");
     assert_same_lines(&shown_lines(&fixtures().join("dump.seg")), &expected);
 }
 
 #[test]
 fn a_store_is_written_with_the_same_bytes() {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("a temporary folder");
     write_store(folder.path(), &mut session());
     let (written, expected) = (
         segment_files(folder.path()),
@@ -336,12 +349,14 @@
     assert_eq!(names(&written), names(&expected));
     for (written, expected) in written.iter().zip(&expected) {
         let (written, expected) = (fs::read(written), fs::read(expected));
-        assert!(written.expect("bytes") == expected.expect("bytes"));
+        assert!(
+            written.expect("the segment is readable") == expected.expect("the segment is readable")
+        );
     }
 }
 
 #[test]
 fn a_dump_is_written_with_the_same_bytes() {
-    let expected = fs::read(fixtures().join("dump.seg")).expect("a fixture");
+    let expected = fs::read(fixtures().join("dump.seg")).expect("the fixture is readable");
     assert!(dump(&session()) == expected);
 }
