--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -1,4 +1,4 @@
-//! The host loop: passes each frame's events to the instances that they are for.
+//! The main loop: passes each frame's events to the instances that they are for.
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
 use std::time::Duration;
@@ -13,7 +13,7 @@
 /// Answers each frame of events with a frame of actions, until the input ends.
 ///
 /// # Errors
-/// The input or the output fails, or a frame cannot be used; nothing is answered to that frame.
+/// The input or the output fails, or a frame cannot be used. Such a frame gets no answer.
 pub fn serve(input: &mut impl Read, output: &mut impl Write) -> Result<(), AdapterError> {
     let mut host = Host::default();
     let mut reply = Reply::default();
@@ -37,21 +37,21 @@
 impl Host {
     fn handle(&mut self, frame: &Frame, reply: &mut Reply) -> Result<(), AdapterError> {
         let records = frame.records();
-        // Nothing that an instance received before it died in this frame may lead to an action.
+        // Events that precede an instance's stop in the same frame must not lead to actions.
         let last_stops = last_stops(&records);
         for InstanceRange { instance, range } in instance_ranges(&records) {
             let live_start = last_stops
                 .get(&instance)
                 .filter(|stop| **stop >= range.start)
                 .map_or(range.start, |stop| range.end.min(stop + 1));
-            self.skip_dead(&Segment {
+            self.skip_stopped(&Segment {
                 instance,
-                first: range.start,
+                first_position: range.start,
                 records: &records[range.start..live_start],
             })?;
             let live = Segment {
                 instance,
-                first: live_start,
+                first_position: live_start,
                 records: &records[live_start..range.end],
             };
             self.run_round(frame.now, &live, reply)?;
@@ -59,8 +59,9 @@
         Ok(())
     }
 
-    /// Removes an instance that dies, and keeps the pages that arrive before that.
-    fn skip_dead(&mut self, segment: &Segment<'_, '_>) -> Result<(), AdapterError> {
+    /// Handles the records up to an instance's stop: removes the instance, and stores the pages among them, which
+    /// other instances use too.
+    fn skip_stopped(&mut self, segment: &Segment<'_, '_>) -> Result<(), AdapterError> {
         self.store_pages(segment)?;
         if let Some(instance) = segment.instance
             && segment
@@ -90,11 +91,11 @@
         segment: &Segment<'_, '_>,
         reply: &mut Reply,
     ) -> Result<(), AdapterError> {
-        let only_pages = segment
+        let has_only_pages = segment
             .records
             .iter()
             .all(|record| record.kind() == Some(EventKind::EndpointPage));
-        if only_pages {
+        if has_only_pages {
             return self.store_pages(segment);
         }
         let Some(number) = segment.instance else {
@@ -126,8 +127,8 @@
         result
     }
 
-    /// Starts the instance anew for each start in its segment. `false` if its settings cannot be used, which the
-    /// reply then says.
+    /// Creates the instance for each start in its segment, replacing the one before. Returns `false` if its settings
+    /// cannot be used; the reply then holds a fatal error that says why.
     fn start_instances(
         &mut self,
         number: u16,
@@ -140,7 +141,7 @@
             };
             let settings = std::str::from_utf8(settings)
                 .map_err(|_| segment.error(index, EventError::SettingsNotUtf8))?;
-            match lilacgate_start_settings::instance(seed, &Settings::from_lines(settings)) {
+            match lilacgate_start_settings::build_instance(seed, &Settings::from_lines(settings)) {
                 Ok(instance) => drop(self.instances.insert(number, instance)),
                 Err(error) => {
                     reply.for_instance(number).fatal(&error.to_string());
--- a/crates/store/src/writer.rs
+++ b/crates/store/src/writer.rs
@@ -1,9 +1,9 @@
-//! Appends batches of records to the last segment and syncs them, begins a new segment when that is full, and removes
-//! the oldest ones beyond the retention. It never writes into the middle of a file.
+//! Appends batches of records to the last segment and syncs them, starts a new segment when that one is full, and
+//! removes the oldest segments beyond the retention limits. It never writes into the middle of a file.
 //!
-//! After a write or sync that fails nobody knows what of it is on disk, and a later sync of the same pages may succeed
-//! without them. The segment is given up then: it is cut off behind what was synced before, and the batch goes into a new
-//! one.
+//! After a failed write or sync it is unknown which bytes are on disk, and a later sync of the same pages may report
+//! success although the pages were never written. The segment is therefore abandoned: it is truncated to the bytes that
+//! were synced before, and the batch is written to a new segment.
 use std::fmt;
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Read};
@@ -12,29 +12,30 @@
 
 use lilacgate_timeline::entry::Record;
 
-use crate::reader::{EXTENSION, segments};
-use crate::segment_format::{HEADER_BYTES, append_record, begun_at, decode_records, header};
+use crate::reader::{SEGMENT_EXTENSION, list_segments};
+use crate::segment_format::{HEADER_BYTES, append_record, creation_time, decode_records, header};
 use crate::storage::{SegmentFile, Storage};
 
-/// A store is this many segments at most, so that little is removed at a time.
+/// The number of segments into which the store's size is divided, so that each removal drops a small part of the store.
 const SEGMENTS_PER_STORE: u64 = 16;
-/// The bounds of a segment's size, in bytes.
+/// The lower bound of the size at which a segment is full.
 const MIN_SEGMENT_BYTES: u64 = 1 << 12;
+/// The upper bound of the size at which a segment is full.
 const MAX_SEGMENT_BYTES: u64 = 16 << 20;
-/// How many segments may be given up without having been cut off yet; beyond it no new one is begun.
-const MAX_UNCUT_SEGMENTS: usize = 16;
+/// The most abandoned segments that may wait to be truncated or removed. At this number no new segment is started.
+const MAX_UNTRUNCATED_SEGMENTS: usize = 16;
 
-/// How much is kept.
+/// The limits of a store's size and age.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Retention {
-    /// The most bytes of all segments together.
+    /// The total size of all segments.
     pub max_bytes: u64,
-    /// Segments that were begun longer ago than this are removed.
+    /// Segments that were created longer ago than this are removed.
     pub max_age: Duration,
 }
 
 impl Retention {
-    /// The most bytes of a segment.
+    /// The size at which a segment is full.
     fn segment_bytes(self) -> u64 {
         (self.max_bytes / SEGMENTS_PER_STORE).clamp(MIN_SEGMENT_BYTES, MAX_SEGMENT_BYTES)
     }
@@ -44,20 +45,20 @@
 struct OpenSegment {
     path: PathBuf,
     file: Box<dyn SegmentFile>,
-    /// How much of it has been synced, in bytes.
+    /// The number of bytes that have been synced.
     size: u64,
 }
 
-/// A segment that was given up, and could not be cut off behind what had been synced.
-struct UncutSegment {
+/// An abandoned segment that could not yet be truncated to the bytes that had been synced, or removed.
+struct UntruncatedSegment {
     path: PathBuf,
-    /// How much of it counts, in bytes.
+    /// The number of bytes that had been synced.
     size: u64,
 }
 
-impl UncutSegment {
-    /// Cuts it off, or removes it if nothing of it counts.
-    fn cut(&self) -> io::Result<()> {
+impl UntruncatedSegment {
+    /// Truncates the file to the synced bytes, or removes it if they hold no record.
+    fn truncate_or_remove(&self) -> io::Result<()> {
         if self.size > HEADER_BYTES as u64 {
             return OpenOptions::new()
                 .write(true)
@@ -71,22 +72,22 @@
     }
 }
 
-/// A segment that may be removed.
-struct KeptSegment {
+/// A segment on disk that retention may remove.
+struct StoredSegment {
     path: PathBuf,
-    /// Its size, in bytes.
+    /// The file's size in bytes.
     size: u64,
-    /// When it was begun, in seconds since 1970; `None` if it can't be read.
-    begun: Option<u64>,
+    /// When it was created, in seconds since 1970; `None` if the header cannot be read.
+    created: Option<u64>,
 }
 
-/// Writes a store.
+/// Writes the segments of a store.
 pub struct StoreWriter {
     folder: PathBuf,
     retention: Retention,
     storage: Box<dyn Storage>,
-    open: Option<OpenSegment>,
-    uncut: Vec<UncutSegment>,
+    open_segment: Option<OpenSegment>,
+    untruncated: Vec<UntruncatedSegment>,
     next_number: u64,
 }
 
@@ -102,93 +103,101 @@
 }
 
 impl StoreWriter {
-    /// Continues a store, or begins one: the torn end of its last segment is cut off, and the next batch begins a new
-    /// segment.
+    /// Opens a store, and creates its folder if it does not exist. An incomplete record at the end of the last segment
+    /// is cut off, and the next batch starts a new segment.
     ///
     /// # Errors
-    /// What the file system reports.
+    /// The folder cannot be created or read, or the last segment cannot be read or truncated.
     pub fn new(
         folder: &Path,
         retention: Retention,
         storage: Box<dyn Storage>,
     ) -> io::Result<StoreWriter> {
         fs::create_dir_all(folder)?;
-        let last = segments(folder)?.pop();
+        let last = list_segments(folder)?.pop();
         if let Some(last) = &last {
-            cut_off_torn_end(&last.path)?;
+            truncate_torn_end(&last.path)?;
         }
         Ok(StoreWriter {
             folder: folder.to_owned(),
             retention,
             storage,
-            open: None,
-            uncut: Vec::new(),
+            open_segment: None,
+            untruncated: Vec::new(),
             next_number: last.map_or(0, |last| last.number + 1),
         })
     }
 
-    /// Appends a batch and syncs it: once this returns, the batch is kept. `now` is a span since 1970.
+    /// Appends a batch and syncs it. Once this returns without an error, the batch is on disk. `now` is the time since
+    /// 1970.
     ///
     /// # Errors
-    /// What the file system reports; the batch may be appended again then, and none of its records is kept twice unless
-    /// the file system refuses to cut off what was given up until the process ends.
+    /// A file cannot be opened, written, synced or removed. The batch may then be appended again. None of its records
+    /// is stored twice, unless an abandoned segment can neither be truncated nor removed until the process ends.
     pub fn append(&mut self, now: Duration, batch: &[Record]) -> io::Result<()> {
-        self.uncut.retain(|segment| segment.cut().is_err());
+        self.untruncated
+            .retain(|segment| segment.truncate_or_remove().is_err());
         let mut bytes = Vec::new();
         for record in batch {
             append_record(&mut bytes, record);
         }
         let added = bytes.len() as u64;
-        let open = match self.open.take().filter(|open| self.has_room(open, added)) {
+        let open = match self
+            .open_segment
+            .take()
+            .filter(|open| self.has_room_for(open, added))
+        {
             Some(open) => open,
-            None => self.begin_segment(now)?,
+            None => self.start_segment(now)?,
         };
-        let open = self.open.insert(open);
+        let open = self.open_segment.insert(open);
         match write_and_sync(open.file.as_mut(), &bytes) {
             Ok(()) => {
                 open.size += added;
                 Ok(())
             }
             Err(error) => {
-                self.give_up_segment();
+                self.abandon_segment();
                 Err(error)
             }
         }
     }
 
-    /// Gives the open segment up: what was synced of it is kept, and nothing more is written to it.
-    fn give_up_segment(&mut self) {
+    /// Abandons the open segment: its synced bytes are kept, and nothing more is written to it.
+    fn abandon_segment(&mut self) {
         let Some(OpenSegment {
             path,
             mut file,
             size,
-        }) = self.open.take()
+        }) = self.open_segment.take()
         else {
             return;
         };
-        let is_worth_keeping = size > HEADER_BYTES as u64;
-        if !is_worth_keeping || file.truncate(size).is_err() {
+        let has_records = size > HEADER_BYTES as u64;
+        if !has_records || file.truncate(size).is_err() {
             drop(file);
-            let segment = UncutSegment { path, size };
-            if segment.cut().is_err() {
-                self.uncut.push(segment);
+            let segment = UntruncatedSegment { path, size };
+            if segment.truncate_or_remove().is_err() {
+                self.untruncated.push(segment);
             }
         }
     }
 
-    /// Whether a batch fits into a segment. An empty segment takes a batch of any size.
-    fn has_room(&self, open: &OpenSegment, added: u64) -> bool {
+    /// Whether a batch of `added` bytes fits into a segment. An empty segment takes a batch of any size.
+    fn has_room_for(&self, open: &OpenSegment, added: u64) -> bool {
         let is_empty = open.size <= HEADER_BYTES as u64;
         is_empty || open.size + added <= self.retention.segment_bytes()
     }
 
-    fn begin_segment(&mut self, now: Duration) -> io::Result<OpenSegment> {
-        if self.uncut.len() >= MAX_UNCUT_SEGMENTS {
-            return Err(io::Error::other("too many segments could not be cut off"));
+    fn start_segment(&mut self, now: Duration) -> io::Result<OpenSegment> {
+        if self.untruncated.len() >= MAX_UNTRUNCATED_SEGMENTS {
+            return Err(io::Error::other(
+                "too many abandoned segments could not be truncated or removed",
+            ));
         }
-        self.remove_beyond_retention(now)?;
-        let name = format!("{:012}.{EXTENSION}", self.next_number);
-        // A number is used one time only: what a failed try has left in its file is never appended to.
+        self.enforce_retention(now)?;
+        let name = format!("{:012}.{SEGMENT_EXTENSION}", self.next_number);
+        // Each number is used only once, so that nothing is appended to a file that a failed attempt has left.
         self.next_number += 1;
         let path = self.folder.join(name);
         match self.create_segment(&path, now) {
@@ -198,9 +207,9 @@
                 size: HEADER_BYTES as u64,
             }),
             Err(error) => {
-                let segment = UncutSegment { path, size: 0 };
-                if segment.cut().is_err() {
-                    self.uncut.push(segment);
+                let segment = UntruncatedSegment { path, size: 0 };
+                if segment.truncate_or_remove().is_err() {
+                    self.untruncated.push(segment);
                 }
                 Err(error)
             }
@@ -210,19 +219,19 @@
     fn create_segment(&mut self, path: &Path, now: Duration) -> io::Result<Box<dyn SegmentFile>> {
         let mut file = self.storage.open(path)?;
         write_and_sync(file.as_mut(), &header(now.as_secs()))?;
-        // Without syncing the folder, the file's name may be gone after a loss of power.
+        // Without a sync of the folder, the new file's name may be lost in a power failure.
         File::open(&self.folder)?.sync_all()?;
         Ok(file)
     }
 
-    /// Removes the oldest segments until the rest is young enough and leaves room for a new one.
-    fn remove_beyond_retention(&self, now: Duration) -> io::Result<()> {
-        let kept = self.kept_segments()?;
-        let sizes: u64 = kept.iter().map(|segment| segment.size).sum();
+    /// Removes the oldest segments until the others are within the maximal age and leave room for a new segment.
+    fn enforce_retention(&self, now: Duration) -> io::Result<()> {
+        let stored = self.stored_segments()?;
+        let sizes: u64 = stored.iter().map(|segment| segment.size).sum();
         let mut total = sizes + self.retention.segment_bytes();
-        for segment in kept {
-            let is_old = segment.begun.is_some_and(|begun| {
-                now.saturating_sub(Duration::from_secs(begun)) > self.retention.max_age
+        for segment in stored {
+            let is_old = segment.created.is_some_and(|created| {
+                now.saturating_sub(Duration::from_secs(created)) > self.retention.max_age
             });
             if !is_old && total <= self.retention.max_bytes {
                 return Ok(());
@@ -233,17 +242,17 @@
         Ok(())
     }
 
-    fn kept_segments(&self) -> io::Result<Vec<KeptSegment>> {
-        let mut kept = Vec::new();
-        for segment in segments(&self.folder)? {
+    fn stored_segments(&self) -> io::Result<Vec<StoredSegment>> {
+        let mut stored = Vec::new();
+        for segment in list_segments(&self.folder)? {
             let size = fs::metadata(&segment.path)?.len();
-            kept.push(KeptSegment {
-                begun: begun_of_file(&segment.path),
+            stored.push(StoredSegment {
+                created: read_creation_time(&segment.path),
                 path: segment.path,
                 size,
             });
         }
-        Ok(kept)
+        Ok(stored)
     }
 }
 
@@ -257,17 +266,18 @@
     }
 }
 
-/// When the segment in a file was begun, in seconds since 1970; `None` if it is none, or can't be read.
-fn begun_of_file(path: &Path) -> Option<u64> {
+/// Reads when the segment in a file was created, in seconds since 1970; `None` if the file cannot be read or is not a
+/// segment.
+fn read_creation_time(path: &Path) -> Option<u64> {
     let mut header = [0; HEADER_BYTES];
     File::open(path).ok()?.read_exact(&mut header).ok()?;
-    begun_at(&header).ok()
+    creation_time(&header).ok()
 }
 
-/// Cuts a segment off behind its last whole record. A file that is no segment stays as it is.
-fn cut_off_torn_end(path: &Path) -> io::Result<()> {
+/// Truncates a segment after its last complete record. A file that is not a segment is not changed.
+fn truncate_torn_end(path: &Path) -> io::Result<()> {
     let bytes = fs::read(path)?;
-    if begun_at(&bytes).is_err() {
+    if creation_time(&bytes).is_err() {
         return Ok(());
     }
     let end = decode_records(&bytes).end;
