--- a/crates/agent/src/clients/admission.rs
+++ b/crates/agent/src/clients/admission.rs
@@ -46,7 +46,7 @@
         arguments: &RequestArguments,
         connection: &Rc<ConnectionState>,
     ) -> Result<(), CommandError> {
-        let id = &parts[command::ID];
+        let id = &parts[command::ID_INDEX];
         if self.in_flight_ids.contains(id) {
             return Err(CommandError::IdInFlight);
         }
--- a/crates/agent/src/clients/command.rs
+++ b/crates/agent/src/clients/command.rs
@@ -74,9 +74,9 @@
 }
 
 /// The place of the request's id in its command.
-pub(super) const ID: usize = 2;
+pub(super) const ID_INDEX: usize = 2;
 /// The place of the `name=value` pairs.
-const PAIRS: usize = 3;
+const PAIRS_INDEX: usize = 3;
 
 /// The name of the class, in the pairs of a request.
 const CLASS: &str = "c";
@@ -194,9 +194,9 @@
     Rc::new(move |time_left| {
         // The closure has to own the reservation, and so to mention it.
         let _ = &reservation;
-        let pairs = with_deadline(&parts[PAIRS], time_left);
+        let pairs = with_deadline(&parts[PAIRS_INDEX], time_left);
         let part = |(index, part)| {
-            if index == PAIRS {
+            if index == PAIRS_INDEX {
                 pairs.as_bytes()
             } else {
                 Vec::as_slice(part)
--- a/crates/agent/src/clients/connection.rs
+++ b/crates/agent/src/clients/connection.rs
@@ -6,7 +6,7 @@
 use futures_lite::{FutureExt, StreamExt, future, pin};
 
 use super::byte_budget::ByteBudget;
-use super::lingering_close::Remainder;
+use super::lingering_close::TrailingInput;
 use super::reply_queue::{ReadyReply, ReplyQueue};
 use super::{COMMAND_TIMEOUT, Clients};
 use crate::log::{ConnectionEnd, Count, count, info};
@@ -16,7 +16,7 @@
 };
 
 /// A command that is read so long after it may have come is one that the agent was held up for.
-const READ_LATE: Duration = Duration::from_millis(100);
+const LATE_READ_THRESHOLD: Duration = Duration::from_millis(100);
 
 /// What other tasks can see of an open connection.
 pub(super) struct ConnectionState {
@@ -30,9 +30,9 @@
     /// Why it is closed once it stands between commands.
     pub(super) end_reason: Cell<Option<ConnectionEnd>>,
     /// Whether its last command took too long to come.
-    is_stalled: Cell<bool>,
+    has_command_timed_out: Cell<bool>,
     /// Whether a command that had begun was answered before it was read to its end; nothing more is executed.
-    is_refused: Cell<bool>,
+    is_partial_command_refused: Cell<bool>,
     /// When a command last arrived or a reply was last written.
     pub(super) last_activity: Cell<Duration>,
 }
@@ -51,8 +51,8 @@
             has_received_command: Cell::default(),
             has_partial_command,
             end_reason: Cell::default(),
-            is_stalled: Cell::default(),
-            is_refused: Cell::default(),
+            has_command_timed_out: Cell::default(),
+            is_partial_command_refused: Cell::default(),
             last_activity: Cell::new(opened),
         }
     }
@@ -65,17 +65,17 @@
 
     /// Answers a command that has begun, or that is waiting to be read, without waiting for its end: a command that was
     /// read in part must not be left without an answer. Nothing has been done for it, so it is rejected.
-    pub(super) fn refuse_unfinished(&self) {
+    pub(super) fn refuse_partial_command(&self) {
         let is_empty = || {
             self.stream
                 .upgrade()
                 .is_none_or(|stream| has_no_input(&stream))
         };
-        if self.is_refused.get() || !self.has_partial_command.get() && is_empty() {
+        if self.is_partial_command_refused.get() || !self.has_partial_command.get() && is_empty() {
             return;
         }
         count(Count::RequestsRefused);
-        self.is_refused.set(true);
+        self.is_partial_command_refused.set(true);
         self.replies.push_line("-BUSY");
     }
 
@@ -107,17 +107,17 @@
                 ConnectionEnd::Malformed | ConnectionEnd::TooLong | ConnectionEnd::TooManyMessages
             )
         );
-        is_unreadable || self.is_stalled.get() || self.is_refused.get()
+        is_unreadable || self.has_command_timed_out.get() || self.is_partial_command_refused.get()
     }
 
     /// What becomes of input behind the last command that counts.
-    fn remainder(&self, end: ConnectionEnd) -> Remainder {
+    fn trailing_input(&self, end: ConnectionEnd) -> TrailingInput {
         match end {
             ConnectionEnd::Malformed | ConnectionEnd::TooLong | ConnectionEnd::TooManyMessages => {
-                Remainder::Discarded
+                TrailingInput::Discarded
             }
-            _ if self.is_refused.get() => Remainder::Discarded,
-            _ => Remainder::Unread,
+            _ if self.is_partial_command_refused.get() => TrailingInput::Discarded,
+            _ => TrailingInput::Unread,
         }
     }
 
@@ -172,8 +172,8 @@
             self.event_loop.client_left(request);
         }
         if connection.end_reason.get() == Some(end) && connection.replies.has_sent_any() {
-            let remainder = connection.remainder(end);
-            self.linger(&stream, end, remainder).await;
+            let trailing_input = connection.trailing_input(end);
+            self.linger(&stream, end, trailing_input).await;
         }
         drop(stream);
         self.connections.borrow_mut().remove(&serial);
@@ -237,10 +237,14 @@
                 }
             };
             match next {
-                Some(Ok(_)) if connection.is_refused.get() => break ConnectionEnd::Evicted,
+                Some(Ok(_)) if connection.is_partial_command_refused.get() => {
+                    break ConnectionEnd::Evicted;
+                }
                 Some(Ok((arrived, command))) => {
                     // An attempt for a client that has gone would run for nobody.
-                    if arrived.elapsed() >= READ_LATE && self.is_gone_after(arrived, &stream) {
+                    if arrived.elapsed() >= LATE_READ_THRESHOLD
+                        && self.is_gone_after(arrived, &stream)
+                    {
                         return ConnectionEnd::Closed;
                     }
                     let arrived = self.event_loop.clock.time_of(arrived);
@@ -260,7 +264,7 @@
                 }
                 // The commands before one that was never completed get their replies still.
                 Some(Err(ConnectionEnd::TimedOut)) => {
-                    connection.is_stalled.set(true);
+                    connection.has_command_timed_out.set(true);
                     break ConnectionEnd::TimedOut;
                 }
                 Some(Err(end)) => return end,
@@ -271,8 +275,8 @@
         // else it ends with its last reply.
         let reason = connection.end_reason.get().unwrap_or(reason);
         connection.end(reason);
-        let remainder = connection.remainder(reason);
-        let end = self.wait_for_client_end(&stream, remainder).await;
+        let trailing_input = connection.trailing_input(reason);
+        let end = self.wait_for_client_end(&stream, trailing_input).await;
         if end != ConnectionEnd::TooManyMessages && connection.replies.has_unanswered() {
             end
         } else {
--- a/crates/agent/src/clients/eviction.rs
+++ b/crates/agent/src/clients/eviction.rs
@@ -64,7 +64,7 @@
             .cloned();
         longest_idle
             .inspect(|connection| {
-                connection.refuse_unfinished();
+                connection.refuse_partial_command();
                 connection.end(ConnectionEnd::Evicted);
             })
             .is_some()
--- a/crates/agent/src/clients/lingering_close.rs
+++ b/crates/agent/src/clients/lingering_close.rs
@@ -10,7 +10,7 @@
 
 use super::Clients;
 use crate::log::ConnectionEnd;
-use crate::transport::{TcpSocket, peek, uninterrupted, with_timeout};
+use crate::transport::{TcpSocket, peek, retry_interrupted, with_timeout};
 
 /// The most bytes to read at a time where they are discarded.
 const DISCARD_CHUNK: usize = 4 << 10;
@@ -20,7 +20,7 @@
 
 /// What becomes of input on a connection that takes no more commands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Remainder {
+pub(super) enum TrailingInput {
     /// It is read and dropped: it belongs to something that has had its reply, or cannot be read.
     Discarded,
     /// It is left unread: it is a command whose client sends it again elsewhere.
@@ -34,7 +34,7 @@
         &self,
         stream: &TcpSocket,
         end: ConnectionEnd,
-        remainder: Remainder,
+        trailing_input: TrailingInput,
     ) {
         stream.get_ref().shutdown(Shutdown::Write).ok();
         let shutdown = async {
@@ -45,7 +45,8 @@
                 .await;
             Err(ConnectionEnd::ShuttingDown)
         };
-        let client_end = async { Err::<(), _>(self.wait_for_client_end(stream, remainder).await) };
+        let client_end =
+            async { Err::<(), _>(self.wait_for_client_end(stream, trailing_input).await) };
         // One that made room for another must not keep its place from it.
         let timeout = if end == ConnectionEnd::Evicted {
             self.connect_timeout.min(EVICTED_LINGER)
@@ -61,15 +62,16 @@
     pub(super) async fn wait_for_client_end(
         &self,
         stream: &TcpSocket,
-        remainder: Remainder,
+        trailing_input: TrailingInput,
     ) -> ConnectionEnd {
-        let discards = remainder == Remainder::Discarded;
+        let discards = trailing_input == TrailingInput::Discarded;
         // On the heap: within the task it would enlarge every connection for as long as that lives.
         let mut bytes = vec![0; if discards { DISCARD_CHUNK } else { 1 }];
         let mut discarded = 0;
         while discarded < self.max_held_bytes {
             let result = if discards {
-                let mut read = |mut socket: &TcpStream| uninterrupted(|| socket.read(&mut bytes));
+                let mut read =
+                    |mut socket: &TcpStream| retry_interrupted(|| socket.read(&mut bytes));
                 stream.read_with(|socket| read(socket)).await
             } else {
                 stream.read_with(|socket| peek(socket, &mut bytes)).await
--- a/crates/agent/src/clients/listener.rs
+++ b/crates/agent/src/clients/listener.rs
@@ -15,7 +15,7 @@
 use crate::log::{ConnectionEnd, Count, Quoted, count, info};
 use crate::loop_monitor::LoopPhases;
 use crate::transport::{
-    ArrivalTracker, TcpSocket, is_of_one_connection, uninterrupted, with_timeout,
+    ArrivalTracker, TcpSocket, is_per_connection_error, retry_interrupted, with_timeout,
 };
 
 /// A connection of a client that has been accepted.
@@ -26,25 +26,25 @@
 }
 
 /// What a look at the backlog brought.
-enum BacklogLook {
+enum AcceptResult {
     /// A connection.
     Accepted(TcpStream),
     /// Nobody waits.
     Empty,
     /// This machine lacks the means to accept those who wait.
-    Shortage(io::Error),
+    OutOfResources(io::Error),
 }
 
 /// Looks at the backlog once, without waiting. A connection that broke while it waited is passed over.
-fn look_at_backlog(listener: &TcpListener) -> BacklogLook {
+fn try_accept(listener: &TcpListener) -> AcceptResult {
     loop {
-        match uninterrupted(|| listener.accept()) {
-            Ok((stream, _)) => return BacklogLook::Accepted(stream),
-            Err(error) if error.kind() == io::ErrorKind::WouldBlock => return BacklogLook::Empty,
-            Err(error) if is_of_one_connection(&error) => count(Count::AcceptsFailed),
+        match retry_interrupted(|| listener.accept()) {
+            Ok((stream, _)) => return AcceptResult::Accepted(stream),
+            Err(error) if error.kind() == io::ErrorKind::WouldBlock => return AcceptResult::Empty,
+            Err(error) if is_per_connection_error(&error) => count(Count::AcceptsFailed),
             Err(error) => {
                 count(Count::AcceptsFailed);
-                return BacklogLook::Shortage(error);
+                return AcceptResult::OutOfResources(error);
             }
         }
     }
@@ -61,16 +61,16 @@
         let draining = self.draining.notified();
         pin!(draining);
         while !self.draining.is_notified() {
-            match look_at_backlog(listener.get_ref()) {
-                BacklogLook::Accepted(stream) => {
+            match try_accept(listener.get_ref()) {
+                AcceptResult::Accepted(stream) => {
                     spawn(Accepted {
                         stream,
-                        earliest_arrival: arrivals.earliest(),
+                        earliest_arrival: arrivals.earliest_arrival(),
                     });
                     future::yield_now().await;
                 }
-                BacklogLook::Empty => {
-                    arrivals.emptied();
+                AcceptResult::Empty => {
+                    arrivals.note_empty();
                     let readable = async {
                         if let Err(error) = arrivals.readable(&listener).await {
                             info!("accept_failed error={}", Quoted(error));
@@ -79,17 +79,17 @@
                     };
                     readable.or(&mut draining).await;
                 }
-                BacklogLook::Shortage(error) => self.relieve_shortage(error).await,
+                AcceptResult::OutOfResources(error) => self.relieve_resource_shortage(error).await,
             }
             self.wait_for_room(&listener).await;
         }
-        self.take_over_backlog(listener, arrivals.earliest(), spawn)
+        self.accept_backlog(listener, arrivals.earliest_arrival(), spawn)
             .await;
         self.listener_closed.notify();
     }
 
     /// Accepts all who wait, and closes the listener.
-    async fn take_over_backlog(
+    async fn accept_backlog(
         &self,
         listener: Async<TcpListener>,
         earliest_arrival: Instant,
@@ -97,25 +97,25 @@
     ) {
         // No await may stand between the last look at the backlog and the close.
         loop {
-            match look_at_backlog(listener.get_ref()) {
-                BacklogLook::Accepted(stream) => spawn(Accepted {
+            match try_accept(listener.get_ref()) {
+                AcceptResult::Accepted(stream) => spawn(Accepted {
                     stream,
                     earliest_arrival,
                 }),
-                BacklogLook::Empty => break,
-                BacklogLook::Shortage(error) => {
+                AcceptResult::Empty => break,
+                AcceptResult::OutOfResources(error) => {
                     if self.event_loop.clock.now() >= self.linger_deadline.get() {
                         info!("backlog_lost error={}", ConnectionEnd::from(error));
                         break;
                     }
-                    self.relieve_shortage(error).await;
+                    self.relieve_resource_shortage(error).await;
                 }
             }
         }
     }
 
     /// Makes room for another connection, or waits for some.
-    async fn relieve_shortage(&self, error: io::Error) {
+    async fn relieve_resource_shortage(&self, error: io::Error) {
         info!("accept_failed error={}", ConnectionEnd::from(error));
         self.evict_idle(Eviction::ForConnection);
         self.wait_for_connection_end().await;
@@ -141,7 +141,8 @@
 
     /// Has the event loop watch a connection. It is kept until that succeeds: its client may have sent a request.
     async fn register(&self, stream: Arc<TcpStream>) -> TcpSocket {
-        self.unwatched.set(self.unwatched.get() + 1);
+        self.unregistered_connections
+            .set(self.unregistered_connections.get() + 1);
         let socket = loop {
             match Async::new(stream.clone()) {
                 Ok(socket) => break socket,
@@ -151,7 +152,8 @@
                 }
             }
         };
-        self.unwatched.set(self.unwatched.get() - 1);
+        self.unregistered_connections
+            .set(self.unregistered_connections.get() - 1);
         socket
     }
 
--- a/crates/agent/src/clients/mod.rs
+++ b/crates/agent/src/clients/mod.rs
@@ -68,7 +68,7 @@
     /// The open connections, by their serial number.
     connections: RefCell<BTreeMap<u64, Rc<ConnectionState>>>,
     /// Accepted connections that the event loop does not watch yet.
-    unwatched: Cell<usize>,
+    unregistered_connections: Cell<usize>,
     /// Wakes whoever waits for a connection to end.
     connection_ended: WakeSignal,
     /// Notified when no more connections and requests are accepted.
@@ -115,7 +115,7 @@
             held_bytes: ByteBudget::default(),
             in_flight_ids: InFlightIds::default(),
             connections: RefCell::default(),
-            unwatched: Cell::default(),
+            unregistered_connections: Cell::default(),
             connection_ended: WakeSignal::default(),
             draining: Notifier::default(),
             listener_closed: Notifier::default(),
--- a/crates/agent/src/clients/shutdown.rs
+++ b/crates/agent/src/clients/shutdown.rs
@@ -35,7 +35,7 @@
         self.draining.notify();
         self.listener_closed.notified().await;
         let closing_started = clock.now();
-        while (self.unwatched.get() > 0 || !self.connections.borrow().is_empty())
+        while (self.unregistered_connections.get() > 0 || !self.connections.borrow().is_empty())
             && clock.now() < deadline + self.longest_deadline
         {
             self.end_connections(closing_started);
@@ -58,7 +58,7 @@
                 continue;
             }
             if is_reading_over {
-                connection.refuse_unfinished();
+                connection.refuse_partial_command();
             }
             let grace = if connection.has_received_command.get() {
                 Duration::ZERO
--- a/crates/agent/src/engine_host.rs
+++ b/crates/agent/src/engine_host.rs
@@ -96,7 +96,7 @@
             if let Some(event) = first_event {
                 event(&mut router);
             }
-            event_loop.drain(&mut router);
+            event_loop.handle_queued_events(&mut router);
             for wake_up in expired {
                 router.on_wake_up(wake_up.timer);
             }
--- a/crates/agent/src/event_loop.rs
+++ b/crates/agent/src/event_loop.rs
@@ -37,7 +37,7 @@
     /// How it ended.
     pub outcome: Outcome,
     /// The time from the decision to send it to its end.
-    pub took: Duration,
+    pub duration: Duration,
     /// The answer's value; empty unless it succeeded.
     pub value: Vec<u8>,
 }
@@ -96,7 +96,7 @@
     /// Runs all tasks until `main` has ended, and returns its result.
     pub async fn run<T>(&self, main: impl Future<Output = T>) -> T {
         let main = future::or(main, self.monitor.run_heartbeat());
-        self.monitor.watch(self.tasks.run(main)).await
+        self.monitor.run_monitored(self.tasks.run(main)).await
     }
 
     /// Queues an event for the next round.
@@ -107,7 +107,7 @@
     }
 
     /// Handles all queued events.
-    pub fn drain(&self, router: &mut EventRouter) {
+    pub fn handle_queued_events(&self, router: &mut EventRouter) {
         while let Ok(event) = self.queue_receiver.try_recv() {
             event(router);
         }
@@ -136,7 +136,7 @@
     }
 
     /// Waits until `time`, or until a shutdown is so near that an answer has to go out.
-    pub async fn wait_until(&self, time: Duration) {
+    pub async fn wait_until_or_shutdown(&self, time: Duration) {
         let shutdown = async {
             self.shutdown_started.notified().await;
             let last_answer = self
@@ -156,13 +156,13 @@
         answer: impl FnOnce(FinalAnswer) + 'static,
     ) -> RequestId {
         count(Count::RequestsAccepted);
-        let until = request
+        let deadline = request
             .deadline
             .min(self.shutdown_deadline.get())
             .saturating_sub(self.answer_slack);
         let id = self
             .unanswered
-            .insert(encoded_request, until, Box::new(answer));
+            .insert(encoded_request, deadline, Box::new(answer));
         self.enqueue(move |router| router.on_request(id, request));
         id
     }
@@ -200,10 +200,10 @@
             id,
             endpoint,
             outcome,
-            took,
+            duration,
             value,
         } = result;
-        count(counter_of(outcome));
+        count(outcome_counter(outcome));
         if outcome == Outcome::Succeeded {
             self.unanswered
                 .answer(id.request, FinalAnswer::Succeeded(value));
@@ -214,13 +214,13 @@
             if closed {
                 event_loop.unanswered.remove(id.request);
             }
-            router.on_attempt_ended(id.request, id.number, endpoint, outcome, took, closed);
+            router.on_attempt_ended(id.request, id.number, endpoint, outcome, duration, closed);
         });
     }
 }
 
 /// The counter of attempts that end so.
-fn counter_of(outcome: Outcome) -> Count {
+fn outcome_counter(outcome: Outcome) -> Count {
     match outcome {
         Outcome::Succeeded => Count::AttemptsSucceeded,
         Outcome::Failed => Count::AttemptsFailed,
--- a/crates/agent/src/http_response.rs
+++ b/crates/agent/src/http_response.rs
@@ -178,8 +178,8 @@
 impl Parse for HttpResponse {
     type Item = Json;
 
-    fn is_between(&self) -> bool {
-        self.values.is_between()
+    fn is_between_items(&self) -> bool {
+        self.values.is_between_items()
     }
 
     fn take(&mut self, bytes: &[u8]) -> Result<(usize, Option<Json>), ConnectionEnd> {
@@ -199,7 +199,7 @@
             }
         }
         // A body that ends amid a value was cut.
-        if matches!(self.state, State::Finished) && !self.values.is_between() {
+        if matches!(self.state, State::Finished) && !self.values.is_between_items() {
             return Err(ConnectionEnd::Malformed);
         }
         Ok((taken, None))
@@ -214,13 +214,13 @@
 impl Parse for ValuesAndHeartbeats {
     type Item = Option<Json>;
 
-    fn is_between(&self) -> bool {
-        self.0.is_between()
+    fn is_between_items(&self) -> bool {
+        self.0.is_between_items()
     }
 
     fn take(&mut self, bytes: &[u8]) -> Result<(usize, Option<Option<Json>>), ConnectionEnd> {
         let (taken, value) = self.0.take(bytes)?;
-        let is_item = value.is_some() || self.0.is_between();
+        let is_item = value.is_some() || self.0.is_between_items();
         Ok((taken, is_item.then_some(value)))
     }
 }
--- a/crates/agent/src/json/parser.rs
+++ b/crates/agent/src/json/parser.rs
@@ -352,14 +352,14 @@
 impl Parse for JsonParser {
     type Item = Json;
 
-    fn is_between(&self) -> bool {
+    fn is_between_items(&self) -> bool {
         self.length == 0
     }
 
     fn take(&mut self, bytes: &[u8]) -> Result<(usize, Option<Json>), ConnectionEnd> {
         for (index, &byte) in bytes.iter().enumerate() {
-            let is_between = self.is_between() && self.open.is_empty();
-            let is_skipped = is_between && byte.is_ascii_whitespace();
+            let is_between_items = self.is_between_items() && self.open.is_empty();
+            let is_skipped = is_between_items && byte.is_ascii_whitespace();
             self.length += usize::from(!is_skipped);
             if self.length > self.max_bytes {
                 return Err(ConnectionEnd::TooLong);
--- a/crates/agent/src/log/connection_end.rs
+++ b/crates/agent/src/log/connection_end.rs
@@ -2,7 +2,7 @@
 use std::fmt;
 use std::io;
 
-use crate::transport::is_shortage;
+use crate::transport::is_resource_shortage;
 
 /// Why a connection ended. What each code means, and what to do, is in `docs/on-call.md`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -90,7 +90,7 @@
             | io::ErrorKind::HostUnreachable
             | io::ErrorKind::NetworkUnreachable => ConnectionEnd::Unreachable,
             // No port, memory or descriptor is free.
-            _ if is_shortage(&error) => ConnectionEnd::ResourceLimit,
+            _ if is_resource_shortage(&error) => ConnectionEnd::ResourceLimit,
             _ => ConnectionEnd::Failed,
         }
     }
--- a/crates/agent/src/loop_monitor.rs
+++ b/crates/agent/src/loop_monitor.rs
@@ -41,7 +41,7 @@
     /// When the last wait for events began.
     pub wait_started: Instant,
     /// Whether a pass was running.
-    pub is_running: bool,
+    pub is_pass_running: bool,
     /// The last time for which the loop was held up.
     pub hold_up: Option<HoldUp>,
 }
@@ -51,7 +51,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HoldUp {
     /// When the loop had looked for events before.
-    pub looked_at: Instant,
+    pub polled_at: Instant,
     /// Until when a report may be of something that came meanwhile.
     pub reported_until: Instant,
 }
@@ -63,16 +63,16 @@
             previous_pass_started: now,
             pass_started: now,
             wait_started: now,
-            is_running: true,
+            is_pass_running: true,
             hold_up: None,
         }
     }
 
-    /// Notes that the loop was held up until `now`, and had looked for events at `looked_at`.
-    fn held_up(&mut self, looked_at: Instant, now: Instant) {
+    /// Notes that the loop was held up until `now`, and had looked for events at `polled_at`.
+    fn note_hold_up(&mut self, polled_at: Instant, now: Instant) {
         let earlier = self.hold_up.filter(|earlier| now <= earlier.reported_until);
         self.hold_up = Some(HoldUp {
-            looked_at: earlier.map_or(looked_at, |earlier| earlier.looked_at.min(looked_at)),
+            polled_at: earlier.map_or(polled_at, |earlier| earlier.polled_at.min(polled_at)),
             reported_until: now + AFTER_HOLD_UP,
         });
     }
@@ -88,21 +88,25 @@
         if let Some(hold_up) = self.hold_up
             && reported <= hold_up.reported_until
         {
-            return hold_up.looked_at;
+            return hold_up.polled_at;
         }
-        let is_later_look = reported > self.pass_started + REPORTING_SLACK;
-        if self.is_running && is_later_look {
+        let is_late_in_pass = reported > self.pass_started + REPORTING_SLACK;
+        if self.is_pass_running && is_late_in_pass {
             return self.pass_started;
         }
-        let looked_at = if self.is_running {
+        let polled_at = if self.is_pass_running {
             self.previous_pass_started
         } else {
             self.pass_started
         };
         let waited = reported.saturating_duration_since(self.wait_started);
-        let is_amid_wait =
+        let arrived_during_wait =
             IMMEDIATE_WAIT < waited && waited <= HEARTBEAT_INTERVAL + SCHEDULING_SLACK;
-        if is_amid_wait { reported } else { looked_at }
+        if arrived_during_wait {
+            reported
+        } else {
+            polled_at
+        }
     }
 }
 
@@ -124,23 +128,23 @@
     fn begin_pass(&self, now: Instant) {
         let mut phase = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         let waited = now.saturating_duration_since(phase.wait_started);
-        if !phase.is_running && waited > HEARTBEAT_INTERVAL + SCHEDULING_SLACK {
-            let looked_at = phase.pass_started;
-            phase.held_up(looked_at, now);
+        if !phase.is_pass_running && waited > HEARTBEAT_INTERVAL + SCHEDULING_SLACK {
+            let polled_at = phase.pass_started;
+            phase.note_hold_up(polled_at, now);
         }
         phase.previous_pass_started = phase.pass_started;
         phase.pass_started = now;
-        phase.is_running = true;
+        phase.is_pass_running = true;
     }
 
     fn begin_wait(&self, now: Instant) {
         let mut phase = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        let looked_at = phase.pass_started;
-        if now.saturating_duration_since(looked_at) >= LOGGED_HOLD_UP {
-            phase.held_up(looked_at, now);
+        let polled_at = phase.pass_started;
+        if now.saturating_duration_since(polled_at) >= LOGGED_HOLD_UP {
+            phase.note_hold_up(polled_at, now);
         }
         phase.wait_started = now;
-        phase.is_running = false;
+        phase.is_pass_running = false;
     }
 }
 
@@ -193,7 +197,7 @@
     }
 
     /// Runs the loop's future up to its end, and measures its passes and waits.
-    pub async fn watch<F: Future>(&self, tasks: F) -> F::Output {
+    pub async fn run_monitored<F: Future>(&self, tasks: F) -> F::Output {
         let mut tasks = pin!(tasks);
         future::poll_fn(|context| {
             self.begin_pass(Instant::now());
@@ -224,7 +228,7 @@
 
     fn begin_pass(&self, now: Instant) {
         let phase = self.phases.current();
-        if !phase.is_running {
+        if !phase.is_pass_running {
             let waited = now.saturating_duration_since(phase.wait_started);
             let hold_up = waited.saturating_sub(HEARTBEAT_INTERVAL);
             if count_hold_up(hold_up) {
--- a/crates/agent/src/outbound.rs
+++ b/crates/agent/src/outbound.rs
@@ -28,9 +28,9 @@
     /// What is sent.
     pub encoded_request: EncodedRequest,
     /// When the decision to send it was made.
-    pub began: Duration,
+    pub started: Duration,
     /// When the wait for its answer ends.
-    pub until: Duration,
+    pub deadline: Duration,
 }
 
 impl fmt::Debug for OutgoingAttempt {
@@ -39,8 +39,8 @@
             .debug_struct("OutgoingAttempt")
             .field("id", &self.id)
             .field("endpoint", &self.endpoint)
-            .field("began", &self.began)
-            .field("until", &self.until)
+            .field("started", &self.started)
+            .field("deadline", &self.deadline)
             .finish_non_exhaustive()
     }
 }
--- a/crates/agent/src/peers.rs
+++ b/crates/agent/src/peers.rs
@@ -12,7 +12,7 @@
 use crate::event_loop::EventLoop;
 use crate::log::{ConnectionEnd, Count, count, info};
 use crate::outbound::PeerSender;
-use crate::transport::{at_start, uninterrupted};
+use crate::transport::{retry_at_startup, retry_interrupted};
 
 /// The longest datagram, in bytes.
 const MAX_DATAGRAM_BYTES: usize = 256;
@@ -55,12 +55,13 @@
         event_loop: Rc<EventLoop>,
         addresses: PeerAddresses,
     ) -> Result<Rc<Self>, StartError> {
-        let socket = at_start(|| Async::<UdpSocket>::bind(addresses.listen)).map_err(|error| {
-            StartError::PeerListen {
-                address: addresses.listen,
-                error,
-            }
-        })?;
+        let socket =
+            retry_at_startup(|| Async::<UdpSocket>::bind(addresses.listen)).map_err(|error| {
+                StartError::PeerListen {
+                    address: addresses.listen,
+                    error,
+                }
+            })?;
         Ok(Rc::new(Peers {
             event_loop,
             socket,
@@ -73,7 +74,7 @@
         // One byte more, to notice a datagram that is too long.
         let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
-            let receive = |socket: &UdpSocket| uninterrupted(|| socket.recv_from(&mut buffer));
+            let receive = |socket: &UdpSocket| retry_interrupted(|| socket.recv_from(&mut buffer));
             match self.socket.read_with(receive).await {
                 Ok((length, sender)) => self.receive(&buffer[..length], sender),
                 Err(error) => {
@@ -120,7 +121,7 @@
                 None => info!("datagram_not_sent peer=all bytes={bytes}"),
             };
         };
-        match uninterrupted(|| self.socket.get_ref().send_to(payload, receiver)) {
+        match retry_interrupted(|| self.socket.get_ref().send_to(payload, receiver)) {
             Ok(_) => count(Count::DatagramsSent),
             Err(error) => info!(
                 "datagram_send_failed address={receiver} error={}",
--- a/crates/agent/src/resp.rs
+++ b/crates/agent/src/resp.rs
@@ -147,7 +147,7 @@
 impl Parse for ValueParser {
     type Item = Resp;
 
-    fn is_between(&self) -> bool {
+    fn is_between_items(&self) -> bool {
         self.message_length == 0
     }
 
@@ -194,12 +194,12 @@
 impl Parse for CommandParser {
     type Item = Vec<Vec<u8>>;
 
-    fn is_between(&self) -> bool {
-        self.0.is_between()
+    fn is_between_items(&self) -> bool {
+        self.0.is_between_items()
     }
 
     fn take(&mut self, bytes: &[u8]) -> Result<(usize, Option<Self::Item>), ConnectionEnd> {
-        if self.0.is_between() && bytes.first().is_some_and(|&byte| byte != b'*') {
+        if self.0.is_between_items() && bytes.first().is_some_and(|&byte| byte != b'*') {
             return Err(ConnectionEnd::Malformed);
         }
         let (consumed, value) = self.0.take(bytes)?;
--- a/crates/agent/src/signals.rs
+++ b/crates/agent/src/signals.rs
@@ -11,7 +11,7 @@
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM, SIGUSR1};
 
 use crate::log::{Quoted, info};
-use crate::transport::uninterrupted;
+use crate::transport::retry_interrupted;
 
 /// How long to wait after a pipe could not be read.
 const READ_PAUSE: Duration = Duration::from_millis(100);
@@ -49,7 +49,7 @@
     /// Waits for the next of these signals.
     async fn next(&self) -> Command {
         loop {
-            let read = |mut pipe: &UnixStream| uninterrupted(|| pipe.read(&mut [0]));
+            let read = |mut pipe: &UnixStream| retry_interrupted(|| pipe.read(&mut [0]));
             match self.reader.read_with(read).await {
                 Ok(1) => return self.command,
                 Ok(_) => info!("signal_read_failed error=closed"),
--- a/crates/agent/src/startup.rs
+++ b/crates/agent/src/startup.rs
@@ -30,7 +30,7 @@
 use crate::release_watch::ReleaseUpdate;
 use crate::signals::SignalStream;
 use crate::start_config::{self, MAX_DESCRIPTORS, RELEASE_UPDATE, SAVED_LIST, StartConfig};
-use crate::transport::at_start;
+use crate::transport::retry_at_startup;
 use crate::upstream::UpstreamPool;
 
 /// File descriptors for everything but clients and endpoints: log, reactor, signals, listeners, discovery, platform.
@@ -59,7 +59,7 @@
 pub(crate) fn start(arguments: Arguments) -> Result<(), StartError> {
     let path = command_line::start_file_path()?;
     // First of all: before that a signal may end the agent.
-    let signals = at_start(SignalStream::new).map_err(StartError::Signals)?;
+    let signals = retry_at_startup(SignalStream::new).map_err(StartError::Signals)?;
     let mut config = read_start_file(&path)?;
     let settings = &config.settings;
     let engine = lilacgate_start_settings::instance(config.seed, settings)?.engine;
@@ -212,11 +212,12 @@
     config: &StartConfig,
     backlog: usize,
 ) -> Result<Async<TcpListener>, StartError> {
-    let listener =
-        at_start(|| listen(config.listen, backlog)).map_err(|error| StartError::Listen {
+    let listener = retry_at_startup(|| listen(config.listen, backlog)).map_err(|error| {
+        StartError::Listen {
             address: config.listen,
             error,
-        })?;
+        }
+    })?;
     info!(
         "listening agent={} address={}",
         Quoted(&config.name),
--- a/crates/agent/src/transport/arrival.rs
+++ b/crates/agent/src/transport/arrival.rs
@@ -35,7 +35,7 @@
     }
 
     /// The earliest time at which the next input may have arrived.
-    pub fn earliest(&self) -> Instant {
+    pub fn earliest_arrival(&self) -> Instant {
         self.empty_at
     }
 
@@ -45,7 +45,7 @@
     }
 
     /// Notes that the socket has nothing more now.
-    pub fn emptied(&mut self) {
+    pub fn note_empty(&mut self) {
         self.empty_at = Instant::now();
     }
 
@@ -54,7 +54,7 @@
         let arrived = self.empty_at;
         self.is_unchecked = false;
         if is_drained {
-            self.emptied();
+            self.note_empty();
         }
         arrived
     }
@@ -66,13 +66,13 @@
     pub async fn readable<T>(&mut self, socket: &Async<T>) -> io::Result<()> {
         if self.is_unchecked {
             self.is_unchecked = false;
-            self.emptied();
+            self.note_empty();
         }
         let watched_from = Instant::now();
         let waker = Waker::from(self.waker.clone());
         let mut readable = pin!(socket.readable());
         future::poll_fn(|context| {
-            self.waker.pass_on_to(context.waker());
+            self.waker.set_task(context.waker());
             readable.as_mut().poll(&mut Context::from_waker(&waker))
         })
         .await?;
@@ -103,7 +103,7 @@
 }
 
 impl ReportWaker {
-    fn pass_on_to(&self, task: &Waker) {
+    fn set_task(&self, task: &Waker) {
         let mut report = self.report.lock().unwrap_or_else(PoisonError::into_inner);
         match &mut report.task {
             Some(known) => known.clone_from(task),
--- a/crates/agent/src/transport/connect.rs
+++ b/crates/agent/src/transport/connect.rs
@@ -10,7 +10,7 @@
 use socket2::{Domain, Protocol, Socket, Type};
 
 use super::TcpSocket;
-use super::system_call::{is_local_connect_failure, uninterrupted};
+use super::system_call::{is_local_connect_failure, retry_interrupted};
 use crate::log::ConnectionEnd;
 
 /// The first pause after a connection could not be opened for lack of this machine's means; each further one is twice
@@ -72,7 +72,7 @@
     let socket = Socket::new(Domain::for_address(address), kind, Some(Protocol::TCP));
     let socket = socket.map_err(ConnectError::Local)?;
     // A call that was interrupted may go on connecting: the next one tells.
-    if let Err(error) = uninterrupted(|| socket.connect(&address.into())) {
+    if let Err(error) = retry_interrupted(|| socket.connect(&address.into())) {
         let is_under_way = matches!(
             error.raw_os_error(),
             Some(libc::EINPROGRESS | libc::EALREADY | libc::EISCONN)
--- a/crates/agent/src/transport/input_reader.rs
+++ b/crates/agent/src/transport/input_reader.rs
@@ -9,7 +9,7 @@
 use futures_lite::{FutureExt, pin};
 
 use super::ring_buffer::SocketRead;
-use super::system_call::{has_no_input, is_shortage, pause_for_shortage};
+use super::system_call::{has_no_input, is_resource_shortage, pause_for_resources};
 use super::{ArrivalTracker, RingBuffer, TcpSocket, with_timeout};
 use crate::log::ConnectionEnd;
 
@@ -27,7 +27,7 @@
     fn take(&mut self, bytes: &[u8]) -> Result<(usize, Option<Self::Item>), ConnectionEnd>;
 
     /// Whether no byte of a next item has been consumed yet.
-    fn is_between(&self) -> bool;
+    fn is_between_items(&self) -> bool;
 }
 
 /// Reads items from one connection.
@@ -96,7 +96,7 @@
     /// [`ConnectionEnd::TimedOut`] or [`ConnectionEnd::Stalled`] for an item that is not completed in time, the parser's
     /// error, or the code of the socket's error.
     pub async fn next(&mut self, stream: &TcpSocket) -> Result<Option<P::Item>, ConnectionEnd> {
-        if self.buffer.is_empty() && self.parser.is_between() {
+        if self.buffer.is_empty() && self.parser.is_between_items() {
             self.readable(stream).await?;
         }
         with_timeout(self.read_timeout, self.read_item(stream)).await
@@ -105,7 +105,7 @@
     async fn read_item(&mut self, stream: &TcpSocket) -> Result<Option<P::Item>, ConnectionEnd> {
         loop {
             while !self.buffer.is_empty() {
-                if self.parser.is_between() {
+                if self.parser.is_between_items() {
                     self.item_arrived = self.last_arrival;
                 }
                 let (consumed, item) = self.parser.take(self.buffer.front())?;
@@ -139,8 +139,10 @@
 
     /// Reads what comes next, within the stall timeout if an item has begun.
     async fn read(&mut self, stream: &TcpSocket) -> Result<SocketRead, ConnectionEnd> {
-        let stall_timeout = self.stall_timeout.filter(|_| !self.parser.is_between());
-        let read = self.read_and_date(stream);
+        let stall_timeout = self
+            .stall_timeout
+            .filter(|_| !self.parser.is_between_items());
+        let read = self.read_and_track_arrival(stream);
         let Some(stall_timeout) = stall_timeout else {
             return read.await;
         };
@@ -153,7 +155,10 @@
     }
 
     /// Reads what comes next, and notes when it may have arrived.
-    async fn read_and_date(&mut self, stream: &TcpSocket) -> Result<SocketRead, ConnectionEnd> {
+    async fn read_and_track_arrival(
+        &mut self,
+        stream: &TcpSocket,
+    ) -> Result<SocketRead, ConnectionEnd> {
         // A read without room would look like the end of the stream.
         if self.buffer.is_full() {
             return Err(ConnectionEnd::TooLong);
@@ -161,10 +166,12 @@
         let read = loop {
             match self.buffer.read_from(stream.get_ref()) {
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
-                    self.arrivals.iter_mut().for_each(ArrivalTracker::emptied);
+                    self.arrivals
+                        .iter_mut()
+                        .for_each(ArrivalTracker::note_empty);
                     self.readable(stream).await?;
                 }
-                Err(error) if is_shortage(&error) => pause_for_shortage().await,
+                Err(error) if is_resource_shortage(&error) => pause_for_resources().await,
                 result => break result.map_err(ConnectionEnd::from)?,
             }
         };
@@ -180,7 +187,7 @@
     pub fn is_open_and_empty(&mut self, stream: &TcpSocket) -> bool {
         let would_block = |error: &io::Error| error.kind() == io::ErrorKind::WouldBlock;
         self.buffer.is_empty()
-            && self.parser.is_between()
+            && self.parser.is_between_items()
             && self
                 .buffer
                 .read_from(stream.get_ref())
--- a/crates/agent/src/transport/mod.rs
+++ b/crates/agent/src/transport/mod.rs
@@ -23,7 +23,8 @@
 pub use ring_buffer::RingBuffer;
 pub use service_address::ServiceAddress;
 pub use system_call::{
-    at_start, has_no_input, is_of_one_connection, is_shortage, peek, uninterrupted,
+    has_no_input, is_per_connection_error, is_resource_shortage, peek, retry_at_startup,
+    retry_interrupted,
 };
 
 /// A TCP connection that the event loop watches. The stream is shared, so that it outlives a failed attempt to watch it.
--- a/crates/agent/src/transport/ring_buffer.rs
+++ b/crates/agent/src/transport/ring_buffer.rs
@@ -4,7 +4,7 @@
 use std::net::TcpStream;
 
 use super::TcpSocket;
-use super::system_call::{is_shortage, pause_for_shortage, uninterrupted};
+use super::system_call::{is_resource_shortage, pause_for_resources, retry_interrupted};
 use crate::log::ConnectionEnd;
 
 /// The capacity in bytes that a buffer starts with, and that it may keep while it is empty.
@@ -87,7 +87,7 @@
         };
         self.bytes.resize(buffered + room, 0);
         let tail = &mut self.bytes.make_contiguous()[buffered..];
-        let result = uninterrupted(|| socket.read(tail));
+        let result = retry_interrupted(|| socket.read(tail));
         let count = *result.as_ref().unwrap_or(&0);
         self.bytes.truncate(buffered + count);
         result.map(|count| SocketRead {
@@ -98,7 +98,7 @@
 
     /// Writes as much as the socket takes; returns how many bytes that were.
     fn write_to(&mut self, mut socket: &TcpStream) -> io::Result<usize> {
-        let count = uninterrupted(|| socket.write(self.front()))?;
+        let count = retry_interrupted(|| socket.write(self.front()))?;
         self.consume(count);
         Ok(count)
     }
@@ -113,7 +113,7 @@
             match stream.write_with(|socket| self.write_to(socket)).await {
                 Ok(0) => return Err(ConnectionEnd::Reset),
                 Ok(_) => {}
-                Err(error) if is_shortage(&error) => pause_for_shortage().await,
+                Err(error) if is_resource_shortage(&error) => pause_for_resources().await,
                 Err(error) => return Err(error.into()),
             }
         }
--- a/crates/agent/src/transport/system_call.rs
+++ b/crates/agent/src/transport/system_call.rs
@@ -9,13 +9,13 @@
 use super::TcpSocket;
 
 /// How long to wait before a call is made again that lacked memory.
-const SHORTAGE_PAUSE: Duration = Duration::from_millis(10);
+const RESOURCE_RETRY_DELAY: Duration = Duration::from_millis(10);
 
 /// Makes a call, and makes it again for as long as a signal interrupts it.
 ///
 /// # Errors
 /// Any other error of the call.
-pub fn uninterrupted<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
+pub fn retry_interrupted<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     loop {
         match call() {
             Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
@@ -26,7 +26,7 @@
 
 /// Whether this machine or process lacks memory, descriptors or ports for a call. The call has done nothing.
 #[must_use]
-pub fn is_shortage(error: &io::Error) -> bool {
+pub fn is_resource_shortage(error: &io::Error) -> bool {
     matches!(
         error.raw_os_error(),
         Some(libc::EMFILE | libc::ENFILE | libc::ENOBUFS | libc::ENOMEM | libc::EADDRNOTAVAIL)
@@ -36,7 +36,7 @@
 /// Whether `accept` failed for the connection that it was to accept, or for the network below it; others are accepted
 /// all the same.
 #[must_use]
-pub fn is_of_one_connection(error: &io::Error) -> bool {
+pub fn is_per_connection_error(error: &io::Error) -> bool {
     matches!(
         error.raw_os_error(),
         Some(
@@ -58,7 +58,7 @@
 /// Whether `connect` failed at this machine's own end, before anything went to the other side.
 #[must_use]
 pub(super) fn is_local_connect_failure(error: &io::Error) -> bool {
-    is_shortage(error)
+    is_resource_shortage(error)
         || matches!(
             error.raw_os_error(),
             Some(
@@ -73,17 +73,17 @@
 }
 
 /// How often something is tried again at the start of the agent while the machine lacks the means: for two seconds.
-const START_TRIES: u32 = 200;
+const STARTUP_RETRIES: u32 = 200;
 
 /// Does something at the start of the agent, where nothing else runs yet, and does it again while this machine lacks the
 /// means for it. It blocks.
 ///
 /// # Errors
 /// Any other error, or the last one of a shortage that lasts for two seconds.
-pub fn at_start<T>(mut action: impl FnMut() -> io::Result<T>) -> io::Result<T> {
-    for _ in 0..START_TRIES {
-        match uninterrupted(&mut action) {
-            Err(error) if is_shortage(&error) => std::thread::sleep(SHORTAGE_PAUSE),
+pub fn retry_at_startup<T>(mut action: impl FnMut() -> io::Result<T>) -> io::Result<T> {
+    for _ in 0..STARTUP_RETRIES {
+        match retry_interrupted(&mut action) {
+            Err(error) if is_resource_shortage(&error) => std::thread::sleep(RESOURCE_RETRY_DELAY),
             result => return result,
         }
     }
@@ -91,8 +91,8 @@
 }
 
 /// Waits before a call is made again that lacked memory.
-pub(super) async fn pause_for_shortage() {
-    Timer::after(SHORTAGE_PAUSE).await;
+pub(super) async fn pause_for_resources() {
+    Timer::after(RESOURCE_RETRY_DELAY).await;
 }
 
 /// Looks at what a socket has without taking it, and without waiting.
@@ -100,7 +100,7 @@
 /// # Errors
 /// [`io::ErrorKind::WouldBlock`] if it has nothing; else the socket's error.
 pub fn peek(socket: &TcpStream, bytes: &mut [u8]) -> io::Result<usize> {
-    uninterrupted(|| socket.peek(bytes))
+    retry_interrupted(|| socket.peek(bytes))
 }
 
 /// Whether a socket has nothing to be read, not even the end of the stream.
--- a/crates/agent/src/unanswered.rs
+++ b/crates/agent/src/unanswered.rs
@@ -30,7 +30,7 @@
 struct UnansweredRequest {
     encoded_request: EncodedRequest,
     /// When the wait for the last of its attempts ends.
-    until: Duration,
+    deadline: Duration,
     /// How many attempts have been sent.
     attempts: u8,
     /// Taken when the final answer is given, or when the client has left.
@@ -42,7 +42,7 @@
     pub(crate) id: AttemptId,
     pub(crate) encoded_request: EncodedRequest,
     /// When the wait for its answer ends.
-    pub(crate) until: Duration,
+    pub(crate) deadline: Duration,
 }
 
 /// The requests that have no final answer yet.
@@ -66,14 +66,14 @@
     pub(crate) fn insert(
         &self,
         encoded_request: EncodedRequest,
-        until: Duration,
+        deadline: Duration,
         callback: AnswerCallback,
     ) -> RequestId {
         let id = RequestId(self.next_id.get());
         self.next_id.set(self.next_id.get().wrapping_add(1));
         let request = UnansweredRequest {
             encoded_request,
-            until,
+            deadline,
             attempts: 0,
             callback: Some(callback),
         };
@@ -135,10 +135,10 @@
         let request = requests.get_mut(&id)?;
         let number = AttemptNumber(request.attempts);
         request.attempts += 1;
-        let until = if give_up_after.is_zero() {
-            request.until
+        let deadline = if give_up_after.is_zero() {
+            request.deadline
         } else {
-            request.until.min(now + give_up_after)
+            request.deadline.min(now + give_up_after)
         };
         Some(StartedAttempt {
             id: AttemptId {
@@ -146,7 +146,7 @@
                 number,
             },
             encoded_request: request.encoded_request.clone(),
-            until,
+            deadline,
         })
     }
 }
--- a/crates/agent/src/upstream/attempt.rs
+++ b/crates/agent/src/upstream/attempt.rs
@@ -40,12 +40,12 @@
         let OutgoingAttempt {
             id,
             endpoint,
-            began,
-            until,
+            started,
+            deadline,
             ..
         } = self.outgoing;
         let timeout = async {
-            pool.event_loop.wait_until(until).await;
+            pool.event_loop.wait_until_or_shutdown(deadline).await;
             Err(Outcome::TimedOut)
         };
         let cancellation = async {
@@ -65,12 +65,12 @@
             }
             Err(outcome) => (outcome, Vec::new()),
         };
-        let took = pool.clock().now().saturating_sub(began);
+        let duration = pool.clock().now().saturating_sub(started);
         pool.event_loop.attempt_ended(AttemptResult {
             id,
             endpoint,
             outcome,
-            took,
+            duration,
             value,
         });
     }
@@ -78,7 +78,7 @@
     /// Sends the request and reads the reply, on an idle connection or on a new one.
     async fn exchange(&self, pool: &UpstreamPool) -> Result<Reply, Outcome> {
         let mut connection = self.connection(pool).await?;
-        let time_left = self.outgoing.until.saturating_sub(pool.clock().now());
+        let time_left = self.outgoing.deadline.saturating_sub(pool.clock().now());
         let command = (self.outgoing.encoded_request)(time_left);
         let reply = connection.exchange(&command, &self.fully_written).await?;
         let reply = parse_reply(reply).ok_or_else(|| connection.reject_reply())?;
--- a/crates/agent/tests/arrival.rs
+++ b/crates/agent/tests/arrival.rs
@@ -6,14 +6,14 @@
 use rstest::rstest;
 
 /// A phase whose previous pass, wait and pass began at these milliseconds after `zero`.
-fn phase(zero: Instant, starts: [u64; 3], is_running: bool) -> LoopPhase {
+fn phase(zero: Instant, starts: [u64; 3], is_pass_running: bool) -> LoopPhase {
     let [previous_pass_started, wait_started, pass_started] =
         starts.map(|start| zero + Duration::from_millis(start));
     LoopPhase {
         previous_pass_started,
         pass_started,
         wait_started,
-        is_running,
+        is_pass_running,
         hold_up: None,
     }
 }
@@ -27,7 +27,7 @@
     let zero = Instant::now();
     let after = |milliseconds| zero + Duration::from_millis(milliseconds);
     let hold_up = HoldUp {
-        looked_at: after(100),
+        polled_at: after(100),
         reported_until: after(1_100),
     };
     let waiting = LoopPhase {
@@ -51,13 +51,13 @@
 #[case::late_in_a_pass([100, 101, 160], true, 400, 160)]
 fn the_earliest_arrival(
     #[case] starts: [u64; 3],
-    #[case] is_running: bool,
+    #[case] is_pass_running: bool,
     #[case] reported: u64,
     #[case] expected: u64,
 ) {
     let zero = Instant::now();
     let after = |milliseconds| zero + Duration::from_millis(milliseconds);
-    let earliest = phase(zero, starts, is_running).earliest_arrival(after(reported));
+    let earliest = phase(zero, starts, is_pass_running).earliest_arrival(after(reported));
     assert_eq!(earliest - zero, after(expected) - zero);
 }
 
--- a/crates/agent/tests/input_reader.rs
+++ b/crates/agent/tests/input_reader.rs
@@ -24,7 +24,7 @@
         Ok((self.length, Some(bytes[..self.length].to_vec())))
     }
 
-    fn is_between(&self) -> bool {
+    fn is_between_items(&self) -> bool {
         true
     }
 }
--- a/crates/agent/tests/large_fleets.rs
+++ b/crates/agent/tests/large_fleets.rs
@@ -132,7 +132,7 @@
         now,
         |module| {
             let (gate_host, recorder) = (&mut ReleaseGateHost::default(), &empty_recorder());
-            event_loop.drain(&mut EventRouter {
+            event_loop.handle_queued_events(&mut EventRouter {
                 engine: module,
                 gate_host,
                 recorder,
--- a/crates/agent/tests/upstream.rs
+++ b/crates/agent/tests/upstream.rs
@@ -72,7 +72,7 @@
     fn wait_for_outcome(&mut self, event_loop: &EventLoop) -> Option<Outcome> {
         async_io::block_on(event_loop.run(async {
             while self.outcome.is_none() {
-                event_loop.drain(&mut EventRouter {
+                event_loop.handle_queued_events(&mut EventRouter {
                     engine: self,
                     gate_host: &mut ReleaseGateHost::default(),
                     recorder: &empty_recorder(),
@@ -114,8 +114,8 @@
         id: ATTEMPT,
         endpoint,
         encoded_request,
-        began: now,
-        until: now + TIMEOUT,
+        started: now,
+        deadline: now + TIMEOUT,
     });
 }
 
