--- a/crates/agent/src/clients/admission.rs
+++ b/crates/agent/src/clients/admission.rs
@@ -1,4 +1,4 @@
-//! The admission of requests: what exceeds a bound is rejected before the event loop takes it.
+//! Admission control: rejects a request that would exceed a bound before the event loop accepts it.
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -12,15 +12,16 @@
 use crate::resp;
 use crate::unanswered::FinalAnswer;
 
-/// The share of all connections that gets no request slot: one of so many.
+/// One in this many connections gets no request slot: it is there only to have its requests rejected.
 const CONNECTIONS_PER_UNSLOTTED: usize = 5;
 
 impl Clients {
-    /// Carries out a command, or passes its request to the event loop.
+    /// Executes a command, or passes its request on to the event loop.
     ///
     /// # Errors
     ///
-    /// Why the command is invalid. One that is rejected for lack of room has its reply, and is no error.
+    /// Returns why the command is invalid. A request that is rejected because a bound is reached gets `-BUSY` as its
+    /// reply and is no error.
     pub(super) fn execute(
         &self,
         arrived: Duration,
@@ -73,8 +74,8 @@
         Ok(())
     }
 
-    /// The request as the decision engine sees it. While the agent drains its deadline is over on arrival, and the
-    /// engine rejects it.
+    /// Returns the request as the decision engine gets it. While the agent drains, its deadline is its arrival, so
+    /// that the engine rejects it.
     fn request(&self, arrived: Duration, arguments: &RequestArguments) -> Request {
         let deadline = if self.draining.is_notified() {
             arrived
@@ -92,14 +93,14 @@
         }
     }
 
-    /// Whether a request that holds so many bytes would exceed a bound that all clients share.
+    /// Whether a request of `size` bytes would exceed a bound that all clients share.
     fn is_full(&self, size: usize) -> bool {
         self.event_loop.unanswered_requests() >= self.max_requests_in_flight
             || self.held_bytes.held() + size > self.max_held_bytes
     }
 
-    /// Whether the connection may have requests in flight. Its first request claims a slot, which it then keeps; an
-    /// idle connection may lose its own for that.
+    /// Returns whether the connection may have requests in flight. Its first request claims a slot, which it keeps; if
+    /// no slot is free, an idle connection is evicted to free one.
     fn claim_request_slot(&self, connection: &ConnectionState) -> bool {
         if !connection.has_request_slot.get() {
             let is_free = self.has_free_request_slot() || self.evict_idle(Eviction::ForRequestSlot);
@@ -121,7 +122,7 @@
     }
 }
 
-/// The bytes that a request holds while it is in flight.
+/// Returns how many bytes a request holds while it is in flight.
 fn held_size(parts: &[Vec<u8>]) -> usize {
     parts
         .iter()
--- a/crates/agent/src/clients/byte_budget.rs
+++ b/crates/agent/src/clients/byte_budget.rs
@@ -1,12 +1,12 @@
-//! The count of bytes that clients' requests and replies hold.
+//! Counts the bytes that the requests and replies of all clients hold.
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// How many bytes are held at present.
+/// The number of bytes that are held now, shared by all reservations.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ByteBudget(Rc<Cell<usize>>);
 
-/// Counts some bytes as held for as long as it lives.
+/// Counts `count` bytes as held until it is dropped.
 #[derive(Debug)]
 pub(super) struct ByteReservation {
     budget: ByteBudget,
@@ -18,7 +18,7 @@
         self.0.get()
     }
 
-    /// Counts as many bytes more. The caller keeps the bound.
+    /// Counts `count` more bytes as held. The caller checks the bound.
     pub(super) fn reserve(&self, count: usize) -> ByteReservation {
         self.0.set(self.0.get() + count);
         ByteReservation {
--- a/crates/agent/src/clients/command.rs
+++ b/crates/agent/src/clients/command.rs
@@ -1,4 +1,4 @@
-//! The commands of clients: their syntax, their errors, and their encoding for an endpoint.
+//! Parses the commands of clients, and encodes requests for endpoints.
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::rc::Rc;
@@ -12,7 +12,7 @@
 use crate::outbound::EncodedRequest;
 use crate::resp;
 
-/// A request class under the name that clients give it.
+/// A request class, with the name by which clients refer to it.
 #[derive(Debug)]
 pub(super) struct NamedClass {
     pub(super) name: String,
@@ -20,16 +20,16 @@
     pub(super) idempotency: Idempotency,
 }
 
-/// A command of a client.
+/// A parsed command.
 #[derive(Debug)]
 pub(super) enum Command {
-    /// Asks whether requests can be served at all.
+    /// Asks whether any endpoint takes requests.
     Ping,
     /// A request for an endpoint.
     Request(RequestArguments),
 }
 
-/// What a client asks for beside the request itself.
+/// The arguments by which the decision engine routes a request.
 #[derive(Debug)]
 pub(super) struct RequestArguments {
     pub(super) class: RequestClass,
@@ -40,7 +40,7 @@
     pub(super) is_retry: bool,
 }
 
-/// Why a command is rejected; clients receive the text behind `-ERR`.
+/// Why a command is invalid. Clients receive the text after `-ERR`; it is part of the protocol.
 #[derive(Debug, Error)]
 pub(super) enum CommandError {
     #[error("no appliance is known")]
@@ -73,27 +73,27 @@
     InvalidValue(&'static str),
 }
 
-/// The place of the request's id in its command.
+/// The index of the request's id among the parts of its command.
 pub(super) const ID_INDEX: usize = 2;
-/// The place of the `name=value` pairs.
+/// The index of the `name=value` pairs among the parts of a command.
 const PAIRS_INDEX: usize = 3;
 
-/// The name of the class, in the pairs of a request.
+/// The pair that names the request class.
 const CLASS: &str = "c";
-/// The deadline, in milliseconds from the command's arrival.
+/// The pair with the deadline, in milliseconds from the command's arrival.
 const DEADLINE: &str = "d";
-/// The hint how much work the request is, in microseconds.
+/// The pair with the estimated work of the request, in microseconds.
 const WORK_HINT: &str = "h";
-/// The idempotency key, which endpoints read.
+/// The pair with the idempotency key, which endpoints read.
 const KEY: &str = "k";
-/// Whether the client sends this request once more.
+/// The pair that is 1 if the request is a client's retry.
 const RETRY: &str = "r";
 
-/// Parses a command of at least one part.
+/// Parses a command. `parts` must not be empty.
 ///
 /// # Errors
 ///
-/// The first error that is found.
+/// Returns the first error found.
 pub(super) fn parse(parts: &[Vec<u8>], classes: &[NamedClass]) -> Result<Command, CommandError> {
     let is_write = match parts[0].to_ascii_uppercase().as_slice() {
         b"PING" => return Ok(Command::Ping),
@@ -164,7 +164,7 @@
             .ok_or(CommandError::UnknownClass)
     }
 
-    /// A number of digits only, if it is given.
+    /// Returns the value of a pair that consists of decimal digits only, or `None` if there is no such pair.
     fn number(&self, name: &'static str) -> Result<Option<u32>, CommandError> {
         let Some(value) = self.get(name) else {
             return Ok(None);
@@ -178,7 +178,7 @@
     }
 }
 
-/// What the request concerns, as the decision engine knows it; an empty key concerns nothing.
+/// Hashes the key of a command to the idempotency key that the decision engine uses; an empty key has none.
 fn hash_key(key: &[u8]) -> Option<IdempotencyKey> {
     if key.is_empty() {
         return None;
@@ -188,11 +188,11 @@
     Some(IdempotencyKey(hasher.finish()))
 }
 
-/// Encodes a request for an endpoint: as it came, but for its deadline, which becomes the time that is left. The
-/// reservation of its bytes is held for as long as the encoded request.
+/// Encodes a request for an endpoint. It is sent as received, except that its deadline is replaced by the time left.
+/// The encoded request owns the reservation of its bytes.
 pub(super) fn encode_request(parts: Vec<Vec<u8>>, reservation: ByteReservation) -> EncodedRequest {
     Rc::new(move |time_left| {
-        // The closure has to own the reservation, and so to mention it.
+        // A closure captures only what it mentions, and this one has to own the reservation.
         let _ = &reservation;
         let pairs = with_deadline(&parts[PAIRS_INDEX], time_left);
         let part = |(index, part)| {
@@ -206,7 +206,7 @@
     })
 }
 
-/// The pairs of a request with another deadline, in their order.
+/// Returns the pairs in their order, with the deadline replaced by `time_left`.
 fn with_deadline(pairs: &[u8], time_left: Duration) -> String {
     let pairs = String::from_utf8_lossy(pairs);
     let replace = |pair: &str| {
--- a/crates/agent/src/clients/connection.rs
+++ b/crates/agent/src/clients/connection.rs
@@ -1,4 +1,4 @@
-//! One client connection: the task that reads its commands and writes its replies.
+//! Serves one client connection: a task that reads its commands and writes its replies.
 use std::cell::Cell;
 use std::rc::{Rc, Weak};
 use std::time::{Duration, Instant};
@@ -15,23 +15,24 @@
     ArrivalTracker, InputReader, RingBuffer, TcpSocket, has_no_input, items, peek, with_timeout,
 };
 
-/// A command that is read so long after it may have come is one that the agent was held up for.
+/// A command that is read this long after its earliest possible arrival counts as read late, because the event loop
+/// was held up.
 const LATE_READ_THRESHOLD: Duration = Duration::from_millis(100);
 
-/// What other tasks can see of an open connection.
+/// The state of an open connection that is shared with other tasks, such as eviction and shutdown.
 pub(super) struct ConnectionState {
     pub(super) replies: ReplyQueue,
     stream: Weak<TcpSocket>,
-    /// Whether it may have requests in flight; its first request claims that.
+    /// Whether the connection may have requests in flight; its first request claims the slot.
     pub(super) has_request_slot: Cell<bool>,
     pub(super) has_received_command: Cell<bool>,
-    /// Whether bytes were read that are no whole command yet.
+    /// Whether bytes have been read that do not form a whole command yet.
     has_partial_command: Rc<Cell<bool>>,
-    /// Why it is closed once it stands between commands.
+    /// Why the connection is to be closed as soon as it is between commands; `None` while it stays open.
     pub(super) end_reason: Cell<Option<ConnectionEnd>>,
-    /// Whether its last command took too long to come.
+    /// Whether the last command was not complete within its time limit.
     has_command_timed_out: Cell<bool>,
-    /// Whether a command that had begun was answered before it was read to its end; nothing more is executed.
+    /// Whether a partly read command has been answered with `-BUSY`; no further command is executed then.
     is_partial_command_refused: Cell<bool>,
     /// When a command last arrived or a reply was last written.
     pub(super) last_activity: Cell<Duration>,
@@ -57,14 +58,14 @@
         }
     }
 
-    /// Has the connection closed as soon as it stands between commands.
+    /// Closes the connection as soon as it is between commands.
     pub(super) fn end(&self, reason: ConnectionEnd) {
         self.end_reason.set(Some(reason));
         self.replies.wake();
     }
 
-    /// Answers a command that has begun, or that is waiting to be read, without waiting for its end: a command that was
-    /// read in part must not be left without an answer. Nothing has been done for it, so it is rejected.
+    /// Rejects a command that has been read in part or is waiting to be read, without waiting for the rest of it.
+    /// Such a command must not be left without a reply, and nothing has been executed for it yet.
     pub(super) fn refuse_partial_command(&self) {
         let is_empty = || {
             self.stream
@@ -79,13 +80,13 @@
         self.replies.push_line("-BUSY");
     }
 
-    /// Whether the connection is not about to be closed, and stands between commands.
+    /// Whether the connection is between commands and not about to be closed.
     pub(super) fn is_idle(&self) -> bool {
         self.end_reason.get().is_none() && self.is_between_commands()
     }
 
-    /// Whether the connection can be closed without losing a command: all replies are written, no command was read in
-    /// part, and none is waiting to be read.
+    /// Whether the connection can be closed without losing a command: all replies have been written, no command has
+    /// been read in part, and none is waiting to be read.
     fn is_between_commands(&self) -> bool {
         if !self.replies.is_empty() {
             return false;
@@ -98,8 +99,8 @@
                     .is_some_and(|stream| has_no_input(&stream))
     }
 
-    /// Whether input no longer counts: what follows a command that cannot be parsed cannot be parsed either, and what
-    /// follows one that was refused or came too slowly is the rest of it.
+    /// Whether further input is ignored. What follows a malformed command cannot be parsed either, and what follows a
+    /// command that was refused or timed out is the rest of that command.
     fn is_input_over(&self) -> bool {
         let is_unreadable = matches!(
             self.end_reason.get(),
@@ -110,7 +111,7 @@
         is_unreadable || self.has_command_timed_out.get() || self.is_partial_command_refused.get()
     }
 
-    /// What becomes of input behind the last command that counts.
+    /// Returns what is done with input that follows the last executed command.
     fn trailing_input(&self, end: ConnectionEnd) -> TrailingInput {
         match end {
             ConnectionEnd::Malformed | ConnectionEnd::TooLong | ConnectionEnd::TooManyMessages => {
@@ -125,7 +126,7 @@
     ///
     /// # Errors
     ///
-    /// The reason to close the connection, once it stands between commands.
+    /// Returns the reason to close the connection, once it is between commands.
     async fn next_reply(&self) -> Result<ReadyReply, ConnectionEnd> {
         loop {
             if let Some(reply) = self.replies.take_ready() {
@@ -140,7 +141,7 @@
 }
 
 impl Clients {
-    /// Serves a connection up to its end.
+    /// Serves a connection until it is closed.
     pub(super) async fn serve(
         self: Rc<Self>,
         serial: u64,
@@ -185,7 +186,7 @@
     /// Writes replies in the order of their commands; returns why the connection ends.
     #[expect(
         clippy::manual_async_fn,
-        reason = "an async fn keeps its arguments twice, in the task of every connection"
+        reason = "an async fn stores its arguments twice in its future, which costs memory for every connection"
     )]
     fn write_replies(
         &self,
@@ -200,19 +201,21 @@
                     Err(reason) => return reason,
                 };
                 output.append(&reply.bytes);
-                // A client that does not read its replies delays nobody else, and is not waited for without end.
+                // A client that does not read its replies must not hold its connection for ever.
                 let flush = output.flush(stream);
                 if let Err(end) = with_timeout(self.longest_deadline, flush).await {
                     return end;
                 }
-                // Until then its bytes were held, by the socket's side of this connection.
+                // The bytes count as held until the socket has taken all of them.
                 drop(reply);
                 connection.last_activity.set(self.event_loop.clock.now());
             }
         }
     }
 
-    /// Reads and executes commands; returns why the connection ends, unless that is for the replies to decide.
+    /// Reads and executes commands, and returns why the connection ends. After the last command it returns only if the
+    /// client leaves while one of its requests is in flight; otherwise [`write_replies`](Self::write_replies) ends the
+    /// connection after the last reply.
     async fn read_commands(
         &self,
         stream: Rc<TcpSocket>,
@@ -230,7 +233,7 @@
                 match with_timeout(COMMAND_TIMEOUT, async { Ok(next.await) }).await {
                     Ok(next) => next,
                     Err(end) => {
-                        // A command that begins just now is still read, in a time of its own.
+                        // A command whose first bytes arrive just now is still read, within its own time limit.
                         connection.end(end);
                         continue;
                     }
@@ -241,7 +244,7 @@
                     break ConnectionEnd::Evicted;
                 }
                 Some(Ok((arrived, command))) => {
-                    // An attempt for a client that has gone would run for nobody.
+                    // An attempt for a client that has left would be wasted work for the endpoint.
                     if arrived.elapsed() >= LATE_READ_THRESHOLD
                         && self.is_gone_after(arrived, &stream)
                     {
@@ -251,7 +254,7 @@
                     if let Err(reason) = self.execute_and_reply(arrived, command, connection) {
                         break reason;
                     }
-                    // A client that pipelines without end leaves others their turn.
+                    // Let other tasks run, even if this client pipelines commands without pause.
                     future::yield_now().await;
                 }
                 Some(Err(end @ (ConnectionEnd::Malformed | ConnectionEnd::TooLong))) => {
@@ -262,7 +265,7 @@
                     ));
                     break end;
                 }
-                // The commands before one that was never completed get their replies still.
+                // Commands before the incomplete one still get their replies.
                 Some(Err(ConnectionEnd::TimedOut)) => {
                     connection.has_command_timed_out.set(true);
                     break ConnectionEnd::TimedOut;
@@ -271,8 +274,8 @@
                 None => return ConnectionEnd::Closed,
             }
         };
-        // No more commands are taken. A client that leaves while one of its requests is in flight ends the connection;
-        // else it ends with its last reply.
+        // No more commands are read. If the client leaves while one of its requests is in flight, the connection ends
+        // at once; otherwise it ends after its last reply.
         let reason = connection.end_reason.get().unwrap_or(reason);
         connection.end(reason);
         let trailing_input = connection.trailing_input(reason);
@@ -284,7 +287,7 @@
         }
     }
 
-    /// Counts a command that was read late, and returns whether its client has closed its side since.
+    /// Counts a command that was read late, and returns whether its client has closed its sending side since.
     fn is_gone_after(&self, arrived: Instant, stream: &TcpSocket) -> bool {
         count(Count::RequestsReadLate);
         let is_gone = matches!(peek(stream.get_ref(), &mut [0]), Ok(0));
@@ -298,11 +301,12 @@
         is_gone
     }
 
-    /// Executes a command. An invalid one gets its error as reply.
+    /// Executes a command. An invalid command gets an error reply.
     ///
     /// # Errors
     ///
-    /// [`ConnectionEnd::TooManyMessages`] if too many replies are pending then; what follows is not read.
+    /// Returns [`ConnectionEnd::TooManyMessages`] if too many replies are pending afterwards. No further input is read
+    /// then.
     fn execute_and_reply(
         &self,
         arrived: Duration,
@@ -324,7 +328,8 @@
     }
 }
 
-/// The text of the error reply to a command that cannot be read. Part of the protocol, unlike the codes in log lines.
+/// Returns the text of the error reply to a malformed command. It is part of the protocol, unlike the codes in log
+/// lines.
 const fn protocol_error_text(end: ConnectionEnd) -> &'static str {
     match end {
         ConnectionEnd::TooLong => "too-long",
--- a/crates/agent/src/clients/eviction.rs
+++ b/crates/agent/src/clients/eviction.rs
@@ -1,4 +1,4 @@
-//! Closing idle connections, so that others find room.
+//! Closes idle connections to make room for others.
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -9,24 +9,24 @@
 use super::{COMMAND_TIMEOUT, Clients};
 use crate::log::ConnectionEnd;
 
-/// How long a connection may be silent before its first command if another one needs its place.
+/// How long a connection has for its first command before it may be evicted for another one.
 const FIRST_COMMAND_GRACE: Duration = COMMAND_TIMEOUT.checked_div(4).unwrap();
-/// How often idle connections are looked for within the connect timeout.
+/// How many sweeps for idle connections there are within one connect timeout.
 const SWEEPS_IN_CONNECT_TIMEOUT: u32 = 4;
 
-/// What a connection is evicted for.
+/// What an eviction is to free.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Eviction {
-    /// The place of a connection.
+    /// A place for another connection.
     ForConnection,
-    /// A request slot: only a connection that has one can be evicted for it.
+    /// A request slot; only a connection that has one is evicted.
     ForRequestSlot,
 }
 
 impl Clients {
-    /// Closes the longest idle connection, and returns whether there is one. Connections that have sent no whole
-    /// command although one had time to come go first. At the bound on all connections, any that stands between two
-    /// commands may go.
+    /// Evicts the connection that has been idle longest, and returns whether there was one. Connections that have not
+    /// sent a whole command within [`FIRST_COMMAND_GRACE`] are evicted first. At the bound on open connections, any
+    /// connection between two commands may be evicted; below it, only one that has been idle for the connect timeout.
     pub(super) fn evict_idle(&self, eviction: Eviction) -> bool {
         let now = self.event_loop.clock.now();
         let is_at_bound = self.connections.borrow().len() >= self.max_connections;
@@ -70,9 +70,10 @@
             .is_some()
     }
 
-    /// Closes connections that have been idle for long, as long as the agent runs: once a quarter of the places are in
-    /// use, and much sooner once half are. Clients bound how many connections they open, and some send one command
-    /// and stay.
+    /// Closes long-idle connections periodically, for as long as the agent runs. Clients limit how many connections
+    /// they open, and some send one command and keep the connection. Once a quarter of the connections are in use,
+    /// those that have been idle for [`COMMAND_TIMEOUT`] are closed; once half are, those that have been idle for the
+    /// connect timeout.
     pub async fn sweep_idle_connections(self: Rc<Self>) {
         let mut ticks = Timer::interval(self.connect_timeout / SWEEPS_IN_CONNECT_TIMEOUT);
         while ticks.next().await.is_some() {
--- a/crates/agent/src/clients/in_flight_ids.rs
+++ b/crates/agent/src/clients/in_flight_ids.rs
@@ -1,4 +1,4 @@
-//! The ids that clients gave to the requests in flight; one id stands for one request at a time.
+//! Tracks the ids that clients gave to requests in flight. An id identifies one request at a time.
 use std::cell::RefCell;
 use std::collections::HashSet;
 use std::rc::Rc;
@@ -7,7 +7,7 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct InFlightIds(Rc<RefCell<HashSet<Vec<u8>>>>);
 
-/// Keeps an id taken for as long as it lives.
+/// Keeps an id reserved until it is dropped.
 #[derive(Debug)]
 pub(super) struct InFlightIdGuard {
     ids: InFlightIds,
--- a/crates/agent/src/clients/lingering_close.rs
+++ b/crates/agent/src/clients/lingering_close.rs
@@ -1,7 +1,7 @@
-//! Lingering close: the sending side is shut down first, and the socket closed only once the client has seen that.
+//! Lingering close: shuts down the sending side first, and closes the socket only when the client has closed its side.
 //!
-//! Closing a socket while bytes stand unread resets the connection, and a reset destroys replies that the client has
-//! not read yet.
+//! Closing a socket with unread input resets the connection, and a reset discards replies that the client has not read
+//! yet.
 use std::io::Read;
 use std::net::{Shutdown, TcpStream};
 use std::time::Duration;
@@ -12,24 +12,24 @@
 use crate::log::ConnectionEnd;
 use crate::transport::{TcpSocket, peek, retry_interrupted, with_timeout};
 
-/// The most bytes to read at a time where they are discarded.
+/// How many bytes of discarded input are read at a time.
 const DISCARD_CHUNK: usize = 4 << 10;
 
-/// How long a connection that was evicted waits for its client's end: time enough for its last reply to arrive.
+/// How long an evicted connection waits for its client to close: enough time for the last reply to arrive.
 const EVICTED_LINGER: Duration = Duration::from_millis(50);
 
-/// What becomes of input on a connection that takes no more commands.
+/// What is done with input on a connection that accepts no more commands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum TrailingInput {
-    /// It is read and dropped: it belongs to something that has had its reply, or cannot be read.
+    /// It is read and discarded, because it belongs to a command that has had its reply or cannot be parsed.
     Discarded,
-    /// It is left unread: it is a command whose client sends it again elsewhere.
+    /// It is left unread, so that its client may send it again on another connection.
     Unread,
 }
 
 impl Clients {
-    /// Shuts the sending side down, and waits for the client's end: no longer than a connection may take to be
-    /// established, nor beyond the agent's own shutdown.
+    /// Shuts down the sending side, and waits for the client to close its side: at most for the connect timeout, and
+    /// not beyond the agent's own shutdown.
     pub(super) async fn linger(
         &self,
         stream: &TcpSocket,
@@ -47,7 +47,7 @@
         };
         let client_end =
             async { Err::<(), _>(self.wait_for_client_end(stream, trailing_input).await) };
-        // One that made room for another must not keep its place from it.
+        // An evicted connection must soon free its place for the one that it was evicted for.
         let timeout = if end == ConnectionEnd::Evicted {
             self.connect_timeout.min(EVICTED_LINGER)
         } else {
@@ -56,16 +56,16 @@
         with_timeout(timeout, client_end.or(shutdown)).await.ok();
     }
 
-    /// Waits for the client's end on a connection that takes no more commands; returns
-    /// [`ConnectionEnd::TooManyMessages`] if it sends on instead. What is discarded is so up to as many bytes as all
-    /// clients together may hold.
+    /// Waits for the client to close its side of a connection that accepts no more commands. Returns
+    /// [`ConnectionEnd::TooManyMessages`] if the client sends on instead: at the first byte if input is left unread,
+    /// else once as many bytes have been discarded as all clients together may hold.
     pub(super) async fn wait_for_client_end(
         &self,
         stream: &TcpSocket,
         trailing_input: TrailingInput,
     ) -> ConnectionEnd {
         let discards = trailing_input == TrailingInput::Discarded;
-        // On the heap: within the task it would enlarge every connection for as long as that lives.
+        // On the heap, because an array in the future would enlarge the task of every connection.
         let mut bytes = vec![0; if discards { DISCARD_CHUNK } else { 1 }];
         let mut discarded = 0;
         while discarded < self.max_held_bytes {
--- a/crates/agent/src/clients/listener.rs
+++ b/crates/agent/src/clients/listener.rs
@@ -1,5 +1,7 @@
-//! Accepting connections. What the machine has accepted counts as taken: no failure of a call leaves a client that waits
-//! without an answer for longer than it lasts.
+//! Accepts client connections.
+//!
+//! A connection that the kernel has put in the backlog counts as accepted. If a system call fails, its client waits no
+//! longer than the failure lasts.
 use std::cell::Cell;
 use std::io;
 use std::net::{TcpListener, TcpStream};
@@ -18,24 +20,24 @@
     ArrivalTracker, TcpSocket, is_per_connection_error, retry_interrupted, with_timeout,
 };
 
-/// A connection of a client that has been accepted.
+/// An accepted connection.
 struct Accepted {
     stream: TcpStream,
-    /// What it brings came no earlier than this.
+    /// The earliest time at which input on this connection may have arrived.
     earliest_arrival: Instant,
 }
 
-/// What a look at the backlog brought.
+/// The result of one non-blocking accept.
 enum AcceptResult {
-    /// A connection.
+    /// A connection was taken from the backlog.
     Accepted(TcpStream),
-    /// Nobody waits.
+    /// No connection is waiting.
     Empty,
-    /// This machine lacks the means to accept those who wait.
+    /// The machine or process lacks the memory or descriptors to accept a waiting connection.
     OutOfResources(io::Error),
 }
 
-/// Looks at the backlog once, without waiting. A connection that broke while it waited is passed over.
+/// Accepts a connection without waiting. Connections that broke while they were in the backlog are skipped.
 fn try_accept(listener: &TcpListener) -> AcceptResult {
     loop {
         match retry_interrupted(|| listener.accept()) {
@@ -51,8 +53,8 @@
 }
 
 impl Clients {
-    /// Accepts connections until the agent drains. Clients that still wait in the backlog then are let in, to have their
-    /// requests rejected. `listening_since` is a time before any client could connect.
+    /// Accepts connections until the agent drains. Clients that are still in the backlog then are accepted too, so that
+    /// their requests are rejected. `listening_since` is a time before any client could connect.
     pub async fn accept(self: Rc<Self>, listener: Async<TcpListener>, listening_since: Instant) {
         let phases = self.event_loop.monitor.phases();
         let mut arrivals = ArrivalTracker::new(phases.clone(), listening_since);
@@ -88,14 +90,15 @@
         self.listener_closed.notify();
     }
 
-    /// Accepts all who wait, and closes the listener.
+    /// Accepts all connections in the backlog, and closes the listener.
     async fn accept_backlog(
         &self,
         listener: Async<TcpListener>,
         earliest_arrival: Instant,
         spawn: impl Fn(Accepted),
     ) {
-        // No await may stand between the last look at the backlog and the close.
+        // There must be no await between the accept that finds the backlog empty and the close of the listener:
+        // a connection that came in between would be reset.
         loop {
             match try_accept(listener.get_ref()) {
                 AcceptResult::Accepted(stream) => spawn(Accepted {
@@ -114,7 +117,7 @@
         }
     }
 
-    /// Makes room for another connection, or waits for some.
+    /// Evicts an idle connection to free its resources, and waits for a connection to end.
     async fn relieve_resource_shortage(&self, error: io::Error) {
         info!("accept_failed error={}", ConnectionEnd::from(error));
         self.evict_idle(Eviction::ForConnection);
@@ -139,7 +142,8 @@
         });
     }
 
-    /// Has the event loop watch a connection. It is kept until that succeeds: its client may have sent a request.
+    /// Registers a connection with the event loop. Failures are retried until one try succeeds, because the client may
+    /// have sent a request already.
     async fn register(&self, stream: Arc<TcpStream>) -> TcpSocket {
         self.unregistered_connections
             .set(self.unregistered_connections.get() + 1);
@@ -157,7 +161,8 @@
         socket
     }
 
-    /// Waits until another connection may be open. At the bound, a connection is evicted only once another one waits.
+    /// Waits until another connection may be accepted. At the bound, a connection is evicted only when another one is
+    /// waiting in the backlog.
     async fn wait_for_room(&self, listener: &Async<TcpListener>) {
         while self.is_at_connection_bound() && !self.draining.is_notified() {
             let backlog = async { listener.readable().await.map_err(ConnectionEnd::from) };
@@ -173,7 +178,7 @@
         self.connections.borrow().len() >= self.max_connections
     }
 
-    /// Waits until a connection has ended, or for [`POLL_INTERVAL`].
+    /// Waits until a connection has ended, for at most [`POLL_INTERVAL`].
     pub(super) async fn wait_for_connection_end(&self) {
         let ended = async {
             self.connection_ended.wait().await;
--- a/crates/agent/src/clients/mod.rs
+++ b/crates/agent/src/clients/mod.rs
@@ -1,15 +1,15 @@
-//! Client connections: commands in, replies out.
+//! Client connections: reads commands and writes replies.
 //!
 //! Invariants:
 //!
-//! - Each command gets one reply, complete, and in the order of the commands on its connection.
-//! - Once the event loop has taken a request, only the event loop answers it.
+//! - Each command gets exactly one complete reply, in the order of the commands on its connection.
+//! - Once the event loop has accepted a request, only the event loop answers it.
 //! - What exceeds a bound (connections, bytes held, requests in flight, pending replies of one connection) is rejected
-//!   before the decision engine learns of it.
-//! - A client that reads slowly, sends without end or vanishes delays no other one.
+//!   before it reaches the decision engine.
+//! - A client that reads slowly, sends without pause or disappears does not delay any other client.
 //!
-//! [`Clients`] is the state that all connections share. Each connection is a task of its own, with a `ConnectionState`
-//! that the tasks for eviction and shutdown can see.
+//! [`Clients`] is the state that all connections share. Each connection has its own task, and a `ConnectionState` that
+//! eviction and shutdown access.
 mod admission;
 mod byte_budget;
 mod command;
@@ -38,44 +38,44 @@
 use crate::transport::{Notifier, WakeSignal};
 use crate::upstream::UpstreamPool;
 
-/// The time limit for the first command of a connection, and for each command from its first byte to its last. A
-/// connection that has been idle for as long may be closed.
+/// The time limit for the first command of a connection, and for each command from its first byte to its last. Once a
+/// quarter of the connections are in use, a connection that has been idle for this long is closed.
 const COMMAND_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long to wait for a connection to end before the situation is looked at again.
+/// How long to wait for a connection to end before checking again.
 const POLL_INTERVAL: Duration = shutdown::CLOSING_PHASE.checked_div(8).unwrap();
 
-/// All client connections.
+/// The state that all client connections share.
 pub struct Clients {
     event_loop: Rc<EventLoop>,
     upstream: Rc<UpstreamPool>,
     classes: Vec<NamedClass>,
-    /// Whether a rejection may say when to retry.
+    /// Whether a rejection tells the client when to retry.
     sends_retry_after: bool,
-    /// The bound on open connections. The last fifth of them is there only to reject requests: a connection that waits
-    /// unaccepted would get no reply at all.
+    /// The bound on open connections. A fifth of them get no request slot and are accepted only to have their requests
+    /// rejected, because a client that is left in the backlog gets no reply at all.
     max_connections: usize,
-    /// The bound on the pending replies of one connection; one at least.
+    /// The bound on the pending replies of one connection; at least 1.
     max_pending_replies: usize,
     max_held_bytes: usize,
     max_requests_in_flight: usize,
-    /// How long a connection may take to be established. One has to be idle for as long before it is closed in favour
-    /// of another.
+    /// The setting `limits.connect-timeout`. Below the bound on open connections, a connection has to be idle for this
+    /// long before it is evicted for another one.
     connect_timeout: Duration,
-    /// The longest that a client waits for a reply.
+    /// The longest time that a client waits for a reply.
     longest_deadline: Duration,
     held_bytes: ByteBudget,
     in_flight_ids: InFlightIds,
     /// The open connections, by their serial number.
     connections: RefCell<BTreeMap<u64, Rc<ConnectionState>>>,
-    /// Accepted connections that the event loop does not watch yet.
+    /// The number of accepted connections that are not registered with the event loop yet.
     unregistered_connections: Cell<usize>,
-    /// Wakes whoever waits for a connection to end.
+    /// Wakes the task that waits for a connection to end.
     connection_ended: WakeSignal,
     /// Notified when no more connections and requests are accepted.
     draining: Notifier,
     /// Notified when the listener is closed.
     listener_closed: Notifier,
-    /// Until when a lingering close may take, once the agent shuts down.
+    /// When lingering closes end at the latest, once the agent shuts down.
     linger_deadline: Cell<Duration>,
 }
 
@@ -89,11 +89,12 @@
 }
 
 impl Clients {
-    /// At most `max_connections` connections, and `max_held_bytes` bytes of requests and replies for all of them.
+    /// Creates the state for at most `max_connections` connections, whose requests and replies together hold at most
+    /// `max_held_bytes` bytes.
     ///
     /// # Errors
     ///
-    /// The setting that is missing or out of range.
+    /// Names the setting that is missing or out of range.
     pub fn new(
         event_loop: Rc<EventLoop>,
         upstream: Rc<UpstreamPool>,
@@ -124,7 +125,7 @@
     }
 }
 
-/// The request classes, under the names that clients give them.
+/// Reads the request classes and the names by which clients refer to them.
 fn read_classes(settings: &Settings) -> Result<Vec<NamedClass>, SettingsError> {
     let count: u8 = settings.number("profiles.count")?;
     (0..count)
--- a/crates/agent/src/clients/reply_queue.rs
+++ b/crates/agent/src/clients/reply_queue.rs
@@ -1,4 +1,4 @@
-//! The replies that one connection still has to send, in the order of its commands.
+//! Queues the replies of one connection in the order of its commands.
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 
@@ -9,22 +9,22 @@
 
 /// A reply that has not been handed to the socket yet.
 enum PendingReply {
-    /// The event loop has yet to answer the request.
+    /// The event loop has not answered the request yet.
     Unanswered(RequestId),
     Ready(ReadyReply),
 }
 
-/// A reply that can be written. Its bytes count as held for as long as it lives.
+/// A reply that can be written. Its bytes count as held until it is dropped.
 pub(super) struct ReadyReply {
     pub(super) bytes: Vec<u8>,
     _reservation: ByteReservation,
 }
 
-/// The place of a reply, counted from the start of the connection.
+/// The position of a reply among all replies of its connection, counted from 0.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ReplyPosition(u64);
 
-/// The pending replies of a connection. Replies may become ready in any order; they are taken in the order of their
+/// The pending replies of a connection. They may become ready in any order, and are taken in the order of their
 /// commands.
 pub(super) struct ReplyQueue {
     pending: RefCell<VecDeque<PendingReply>>,
@@ -52,7 +52,7 @@
         self.pending.borrow().is_empty()
     }
 
-    /// Whether any reply was taken so far.
+    /// Whether any reply has been taken so far.
     pub(super) fn has_sent_any(&self) -> bool {
         self.first_position.get() > 0
     }
@@ -65,17 +65,17 @@
             .any(|reply| matches!(reply, PendingReply::Unanswered(_)))
     }
 
-    /// The position of the reply that is pushed next.
+    /// Returns the position of the reply that is pushed next.
     pub(super) fn next_position(&self) -> ReplyPosition {
         ReplyPosition(self.first_position.get() + self.len() as u64)
     }
 
-    /// Adds a place for the answer to a request, which [`fill`](Self::fill) puts there.
+    /// Adds a placeholder for the answer to a request, which [`fill`](Self::fill) replaces.
     pub(super) fn push_unanswered(&self, request: RequestId) {
         self.push(PendingReply::Unanswered(request));
     }
 
-    /// Adds a reply of one line, given without its line end.
+    /// Adds a reply of one line. `line` does not include the line end.
     pub(super) fn push_line(&self, line: &str) {
         let reply = self.ready(format!("{line}\r\n").into_bytes());
         self.push(reply);
@@ -93,7 +93,7 @@
         self.changed.wake();
     }
 
-    /// Makes a reply ready, wherever in the order it stands.
+    /// Replaces the placeholder at `position` by the reply. Nothing happens if the queue has been abandoned.
     pub(super) fn fill(&self, position: ReplyPosition, bytes: Vec<u8>) {
         let index = position
             .0
@@ -119,7 +119,7 @@
         Some(reply)
     }
 
-    /// Drops all pending replies; returns the requests that were unanswered.
+    /// Drops all pending replies, and returns the requests that were unanswered.
     pub(super) fn abandon(&self) -> impl Iterator<Item = RequestId> {
         self.pending
             .take()
@@ -130,12 +130,12 @@
             })
     }
 
-    /// Makes [`changed`](Self::changed) return although no reply is new.
+    /// Makes [`changed`](Self::changed) return although no reply has changed.
     pub(super) fn wake(&self) {
         self.changed.wake();
     }
 
-    /// Waits until a reply was added or became ready.
+    /// Waits until a reply is added or becomes ready.
     pub(super) async fn changed(&self) {
         self.changed.wait().await;
     }
--- a/crates/agent/src/clients/shutdown.rs
+++ b/crates/agent/src/clients/shutdown.rs
@@ -1,4 +1,4 @@
-//! Graceful shutdown within the time that a planned restart allows.
+//! Shuts down gracefully within the time that a planned restart allows.
 use std::time::Duration;
 
 use futures_lite::FutureExt;
@@ -7,21 +7,22 @@
 use super::POLL_INTERVAL;
 use crate::log::{ConnectionEnd, info};
 
-/// A planned restart may kill the agent once the longest deadline, counted as this at most, and [`KILL_MARGIN`] have
-/// passed since SIGTERM.
+/// The longest deadline for which a planned restart waits. The agent may be killed once the longest deadline, capped at
+/// this, and [`KILL_MARGIN`] have passed since SIGTERM.
 const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
-/// The time beside the longest deadline after which the agent may be killed.
+/// How long after the longest deadline the agent may be killed.
 const KILL_MARGIN: Duration = Duration::from_millis(700);
-/// The last part of the shutdown: all requests have their answer, and connections are closed between commands.
+/// The last part of the shutdown, in which all requests have been answered and connections are closed between commands.
 pub(super) const CLOSING_PHASE: Duration = KILL_MARGIN.checked_div(4).unwrap();
-/// How much of the closing phase connections are read in. What sends without a pause is not read beyond it.
+/// The part of the closing phase in which connections are still read. A client that sends without pause is not read
+/// after it.
 const READING_PHASE: Duration = CLOSING_PHASE.saturating_mul(3).checked_div(4).unwrap();
-/// How long a new connection may take for its first command in the closing phase.
+/// How long a new connection has for its first command in the closing phase.
 const FIRST_COMMAND_GRACE: Duration = CLOSING_PHASE.checked_div(4).unwrap();
 
 impl Clients {
-    /// Serves on for as long as the agent is sure to live, as clients go on using connections that stay open. Then
-    /// rejects what comes, answers all that was taken, and closes the connections between commands.
+    /// Keeps serving for as long as the agent is certain not to be killed, because clients keep using connections that
+    /// stay open. Then rejects new requests, answers all accepted ones, and closes the connections between commands.
     pub async fn shut_down(&self) {
         let clock = self.event_loop.clock;
         let started = clock.now();
@@ -48,7 +49,7 @@
         );
     }
 
-    /// Ends the connections that may be closed by now.
+    /// Ends the connections that may be closed now.
     fn end_connections(&self, closing_started: Duration) {
         let now = self.event_loop.clock.now();
         let is_reading_over = closing_started + READING_PHASE <= now;
@@ -76,7 +77,7 @@
         }
     }
 
-    /// Starts to drain now: no more connections and requests are accepted.
+    /// Starts draining at once: no more connections and requests are accepted.
     pub fn drain(&self) {
         self.draining.notify();
     }
--- a/crates/agent/src/transport/arrival.rs
+++ b/crates/agent/src/transport/arrival.rs
@@ -1,4 +1,5 @@
-//! Bounds when the input of a socket arrived. What is read may have lain in the socket while the process did not run.
+//! Estimates when the input of a socket arrived. Input may have been in the socket's buffer for some time before it is
+//! read, if the process did not run or the event loop was held up.
 use std::io;
 use std::pin::pin;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -10,18 +11,19 @@
 
 use crate::loop_monitor::LoopPhases;
 
-/// Bounds the arrival of what one socket brings, by the last time at which it was known to be empty.
+/// Tracks the last time at which a socket was known to be empty, which is the earliest time at which its next input may
+/// have arrived.
 #[derive(Debug)]
 pub struct ArrivalTracker {
-    /// The socket was empty then; what comes next has arrived later.
+    /// When the socket was last known to be empty.
     empty_at: Instant,
-    /// Whether nobody has looked into the socket yet: input may lie in it already.
+    /// Whether the socket has not been read yet, so that input may be waiting in it.
     is_unchecked: bool,
     waker: Arc<ReportWaker>,
 }
 
 impl ArrivalTracker {
-    /// Tracks a socket that was empty, or not there yet, at `empty_at`.
+    /// Tracks a socket that was empty, or did not exist yet, at `empty_at`.
     pub fn new(phases: Arc<LoopPhases>, empty_at: Instant) -> Self {
         let waker = ReportWaker {
             phases,
@@ -34,22 +36,23 @@
         }
     }
 
-    /// The earliest time at which the next input may have arrived.
+    /// Returns the earliest time at which the next input may have arrived.
     pub fn earliest_arrival(&self) -> Instant {
         self.empty_at
     }
 
-    /// Whether input may lie in the socket already, since nobody has looked into it.
+    /// Whether the socket has not been read yet, so that input may be waiting in it.
     pub(super) fn is_unchecked(&self) -> bool {
         self.is_unchecked
     }
 
-    /// Notes that the socket has nothing more now.
+    /// Records that the socket is empty now.
     pub fn note_empty(&mut self) {
         self.empty_at = Instant::now();
     }
 
-    /// Notes a read, and whether it left nothing; returns the earliest time at which what it brought may have arrived.
+    /// Records a read, and whether it emptied the socket. Returns the earliest time at which the bytes read may have
+    /// arrived.
     pub(super) fn note_read(&mut self, is_drained: bool) -> Instant {
         let arrived = self.empty_at;
         self.is_unchecked = false;
@@ -59,10 +62,11 @@
         arrived
     }
 
-    /// Waits until there is input; whoever calls it has found none.
+    /// Waits until there is input. The caller must have found the socket empty.
     ///
     /// # Errors
-    /// The socket cannot be watched.
+    ///
+    /// Returns the error of registering the socket with the event loop.
     pub async fn readable<T>(&mut self, socket: &Async<T>) -> io::Result<()> {
         if self.is_unchecked {
             self.is_unchecked = false;
@@ -76,7 +80,7 @@
             readable.as_mut().poll(&mut Context::from_waker(&waker))
         })
         .await?;
-        // A look for events before the socket was watched says nothing of it.
+        // A poll for events that preceded the registration of this socket does not bound the arrival.
         if let Some(earliest) = self.waker.take_earliest()
             && earliest >= watched_from
         {
@@ -86,16 +90,17 @@
     }
 }
 
-/// What was reported of a socket that is waited for.
+/// The task that waits for a socket, and what has been reported of the socket.
 #[derive(Debug, Default)]
 struct Report {
-    /// The task that waits.
+    /// Wakes the task that waits for input.
     task: Option<Waker>,
-    /// The earliest time at which the input that was reported may have arrived.
+    /// The earliest time at which the reported input may have arrived.
     earliest: Option<Instant>,
 }
 
-/// Notes the phase of the event loop at the moment when input is reported; the task that waits for it may run much later.
+/// Records the phase of the event loop at the moment when input is reported, because the task that waits for the input
+/// may run much later.
 #[derive(Debug)]
 struct ReportWaker {
     phases: Arc<LoopPhases>,
--- a/crates/agent/src/transport/connect.rs
+++ b/crates/agent/src/transport/connect.rs
@@ -1,4 +1,4 @@
-//! Outgoing TCP connections, and timeouts for any network operation.
+//! Opens outgoing TCP connections, and applies timeouts to network operations.
 use std::future::Future;
 use std::io;
 use std::net::{SocketAddr, TcpStream};
@@ -13,25 +13,25 @@
 use super::system_call::{is_local_connect_failure, retry_interrupted};
 use crate::log::ConnectionEnd;
 
-/// The first pause after a connection could not be opened for lack of this machine's means; each further one is twice
-/// as long.
+/// The delay before the first retry after a local failure to connect; it doubles with each further retry.
 const FIRST_RETRY_PAUSE: Duration = Duration::from_millis(2);
-/// How often that is tried again, which takes an eighth of a second together. Nothing has gone to the other side then.
+/// How many times a local failure to connect is retried, for 126 ms in total. Nothing has been sent to the remote side
+/// in such a failure.
 const LOCAL_RETRIES: u32 = 6;
 
 /// Why a connection could not be opened.
 #[derive(Debug)]
 enum ConnectError {
-    /// This machine lacks the means, or has no way there; nothing has been sent.
+    /// This machine lacks resources or a route; nothing has been sent.
     Local(io::Error),
-    /// The other side did not take it, or it did not get there.
+    /// The remote side refused the connection or could not be reached.
     Remote(io::Error),
 }
 
 impl From<ConnectError> for ConnectionEnd {
     fn from(error: ConnectError) -> ConnectionEnd {
         match error {
-            // Without a route for longer than a moment, it is the other side that cannot be reached.
+            // If there is still no route after the retries, the remote side counts as unreachable.
             ConnectError::Local(error) if error.kind() != io::ErrorKind::NetworkUnreachable => {
                 ConnectionEnd::ResourceLimit
             }
@@ -40,12 +40,13 @@
     }
 }
 
-/// Opens a connection with Nagle's algorithm switched off. What this machine lacks for a moment is tried again.
+/// Opens a connection with Nagle's algorithm disabled. Retries for a short time if this machine lacks resources or a
+/// route.
 ///
 /// # Errors
 ///
-/// [`ConnectionEnd::TimedOut`] if the connection is not established within `timeout`,
-/// [`ConnectionEnd::ResourceLimit`] if this machine lacks the means, else the code of the socket's error.
+/// Returns [`ConnectionEnd::TimedOut`] if the connection is not established within `timeout`,
+/// [`ConnectionEnd::ResourceLimit`] if this machine lacks resources, otherwise the code of the socket's error.
 pub async fn connect(address: SocketAddr, timeout: Duration) -> Result<TcpSocket, ConnectionEnd> {
     let stream = with_timeout(timeout, async { Ok(connect_with_retries(address).await?) }).await?;
     stream
@@ -71,7 +72,8 @@
     let kind = Type::STREAM.nonblocking();
     let socket = Socket::new(Domain::for_address(address), kind, Some(Protocol::TCP));
     let socket = socket.map_err(ConnectError::Local)?;
-    // A call that was interrupted may go on connecting: the next one tells.
+    // An interrupted call may have started the connection. The next call then fails with EALREADY or EISCONN, which is
+    // no failure.
     if let Err(error) = retry_interrupted(|| socket.connect(&address.into())) {
         let is_under_way = matches!(
             error.raw_os_error(),
@@ -93,11 +95,12 @@
     }
 }
 
-/// Awaits an operation for at most `timeout`. Every wait for a peer needs one: a peer that has vanished sends no reset.
+/// Awaits an operation for at most `timeout`. Every wait for a peer needs a timeout, because a peer that has
+/// disappeared sends no reset.
 ///
 /// # Errors
 ///
-/// [`ConnectionEnd::TimedOut`] after the timeout, else the error of the operation itself.
+/// Returns [`ConnectionEnd::TimedOut`] after the timeout, otherwise the error of the operation itself.
 pub async fn with_timeout<T>(
     timeout: Duration,
     operation: impl Future<Output = Result<T, ConnectionEnd>>,
--- a/crates/agent/src/transport/input_reader.rs
+++ b/crates/agent/src/transport/input_reader.rs
@@ -1,4 +1,4 @@
-//! The incoming side of a connection: bytes from its socket, cut into items by a parser.
+//! Reads the input of a connection and splits it into items by a parser.
 use std::cell::Cell;
 use std::io;
 use std::rc::Rc;
@@ -13,20 +13,21 @@
 use super::{ArrivalTracker, RingBuffer, TcpSocket, with_timeout};
 use crate::log::ConnectionEnd;
 
-/// An incremental parser. After an error the stream cannot be parsed any further, and its connection has to end.
+/// An incremental parser. After an error the stream cannot be parsed any further, and its connection has to be closed.
 pub trait Parse {
-    /// What the parser makes of the bytes.
+    /// What the parser produces, for example a command or a message.
     type Item;
 
-    /// Consumes bytes from the front, up to the end of one item at most; returns how many, and the item if it is
-    /// complete.
+    /// Consumes bytes from the front, at most up to the end of one item. Returns how many were consumed, and the item
+    /// if it is complete.
     ///
     /// # Errors
     ///
-    /// [`ConnectionEnd::Malformed`] or [`ConnectionEnd::TooLong`], the same however the bytes were split.
+    /// Returns [`ConnectionEnd::Malformed`] or [`ConnectionEnd::TooLong`]. The error does not depend on how the bytes
+    /// are split into calls.
     fn take(&mut self, bytes: &[u8]) -> Result<(usize, Option<Self::Item>), ConnectionEnd>;
 
-    /// Whether no byte of a next item has been consumed yet.
+    /// Whether no byte of the next item has been consumed yet.
     fn is_between_items(&self) -> bool;
 }
 
@@ -37,20 +38,20 @@
     parser: P,
     /// The time limit for an item from its first byte to its last.
     read_timeout: Duration,
-    /// The time limit between two reads within an item, if there is one.
+    /// The time limit between two reads within an item; `None` for no limit.
     stall_timeout: Option<Duration>,
-    /// Bounds the arrival of the input, where that matters.
+    /// Estimates when the input arrived; `None` to use the time of the read.
     arrivals: Option<ArrivalTracker>,
-    /// When the bytes of the last read arrived, at the earliest.
+    /// The earliest time at which the bytes of the last read may have arrived.
     last_arrival: Instant,
-    /// When the first byte of the current item arrived, at the earliest.
+    /// The earliest time at which the first byte of the current item may have arrived.
     item_arrived: Instant,
-    /// Whether bytes were read that have not become an item yet; shared with the owner of the connection.
+    /// Whether bytes have been read that do not form a whole item yet; shared with the owner of the connection.
     has_partial_item: Rc<Cell<bool>>,
 }
 
 impl<P: Parse> InputReader<P> {
-    /// A reader that buffers at most `limit` bytes, and whose items have to be complete `read_timeout` after their
+    /// Creates a reader that buffers at most `limit` bytes. An item has to be complete within `read_timeout` of its
     /// first byte.
     pub fn new(parser: P, limit: usize, read_timeout: Duration) -> Self {
         let now = Instant::now();
@@ -66,7 +67,8 @@
         }
     }
 
-    /// Adds a limit to the time between two reads within one item; beyond it the reader ends with [`ConnectionEnd::Stalled`].
+    /// Limits the time between two reads within an item. When it is exceeded, the reader fails with
+    /// [`ConnectionEnd::Stalled`].
     #[must_use]
     pub fn with_stall_timeout(self, stall_timeout: Duration) -> Self {
         InputReader {
@@ -75,7 +77,7 @@
         }
     }
 
-    /// Takes the time of an item from when it may have arrived; otherwise it is the time of the read.
+    /// Dates items by the earliest time at which they may have arrived, instead of by the time of the read.
     #[must_use]
     pub fn with_arrivals(self, arrivals: ArrivalTracker) -> Self {
         InputReader {
@@ -84,17 +86,17 @@
         }
     }
 
-    /// A flag that says at any time whether bytes were read that have not become an item yet.
+    /// Returns a shared flag that tells whether bytes have been read that do not form a whole item yet.
     pub fn partial_item_flag(&self) -> Rc<Cell<bool>> {
         self.has_partial_item.clone()
     }
 
-    /// Waits for the next item; returns `None` at the end of the stream. No time limit holds before its first byte.
+    /// Waits for the next item; returns `None` at the end of the stream. There is no time limit before its first byte.
     ///
     /// # Errors
     ///
-    /// [`ConnectionEnd::TimedOut`] or [`ConnectionEnd::Stalled`] for an item that is not completed in time, the parser's
-    /// error, or the code of the socket's error.
+    /// Returns [`ConnectionEnd::TimedOut`] or [`ConnectionEnd::Stalled`] for an item that is not completed in time, the
+    /// parser's error, or the code of the socket's error.
     pub async fn next(&mut self, stream: &TcpSocket) -> Result<Option<P::Item>, ConnectionEnd> {
         if self.buffer.is_empty() && self.parser.is_between_items() {
             self.readable(stream).await?;
@@ -114,7 +116,7 @@
                     self.has_partial_item.set(!self.buffer.is_empty());
                     return Ok(Some(item));
                 }
-                // It wants more bytes before it takes any.
+                // The parser needs more bytes before it consumes any.
                 if consumed == 0 {
                     break;
                 }
@@ -137,7 +139,7 @@
         .map_err(ConnectionEnd::from)
     }
 
-    /// Reads what comes next, within the stall timeout if an item has begun.
+    /// Reads the next bytes, within the stall timeout if an item is incomplete.
     async fn read(&mut self, stream: &TcpSocket) -> Result<SocketRead, ConnectionEnd> {
         let stall_timeout = self
             .stall_timeout
@@ -154,12 +156,12 @@
         read.or(stalled).await
     }
 
-    /// Reads what comes next, and notes when it may have arrived.
+    /// Reads the next bytes, and records when they may have arrived.
     async fn read_and_track_arrival(
         &mut self,
         stream: &TcpSocket,
     ) -> Result<SocketRead, ConnectionEnd> {
-        // A read without room would look like the end of the stream.
+        // A read into an empty slice returns 0, which would look like the end of the stream.
         if self.buffer.is_full() {
             return Err(ConnectionEnd::TooLong);
         }
@@ -182,8 +184,8 @@
         Ok(read)
     }
 
-    /// Whether an idle connection is still open and has brought nothing that nobody asked for. It reads from the
-    /// socket without waiting.
+    /// Whether an idle connection is still open and has received no unexpected bytes. Reads from the socket without
+    /// waiting.
     pub fn is_open_and_empty(&mut self, stream: &TcpSocket) -> bool {
         let would_block = |error: &io::Error| error.kind() == io::ErrorKind::WouldBlock;
         self.buffer.is_empty()
@@ -196,8 +198,8 @@
     }
 }
 
-/// A connection as a stream of items, each with the earliest time at which its first byte may have arrived. It ends
-/// after the first error.
+/// Returns the items of a connection as a stream, each with the earliest time at which its first byte may have arrived.
+/// The stream ends after the first error.
 pub fn items<P: Parse>(
     stream: Rc<TcpSocket>,
     reader: InputReader<P>,
--- a/crates/agent/src/transport/mod.rs
+++ b/crates/agent/src/transport/mod.rs
@@ -1,8 +1,8 @@
-//! Byte transport that every protocol of the agent shares: buffers between a socket and a parser, timeouts,
-//! notifications between tasks, and the addresses of services that may move.
+//! Byte transport that all protocols of the agent share: buffers between a socket and a parser, timeouts, notifications
+//! between tasks, and the addresses of services that may change.
 //!
-//! Nothing in here knows a protocol. A connection costs one [`RingBuffer`] for each direction; it starts small, grows
-//! up to its bound, and is given back while the connection is idle.
+//! This module is independent of any protocol. A connection has one [`RingBuffer`] for each direction, which starts
+//! small, grows up to its limit, and is freed while the connection is idle.
 use std::net::TcpStream;
 use std::sync::Arc;
 
@@ -27,5 +27,6 @@
     retry_interrupted,
 };
 
-/// A TCP connection that the event loop watches. The stream is shared, so that it outlives a failed attempt to watch it.
+/// A TCP connection that is registered with the event loop. The stream is shared so that it survives a failed
+/// registration.
 pub type TcpSocket = Async<Arc<TcpStream>>;
--- a/crates/agent/src/transport/notifier.rs
+++ b/crates/agent/src/transport/notifier.rs
@@ -1,7 +1,7 @@
-//! Notifications between tasks of the event loop's single thread.
+//! Notifications between the tasks of the event loop, which run on a single thread.
 use async_channel::{Receiver, Sender};
 
-/// A one-time event: once notified it stays so, and all tasks that wait for it, now or later, go on.
+/// An event that happens once. It wakes all waiting tasks, and later waits return at once.
 #[derive(Debug)]
 pub struct Notifier {
     sender: Sender<()>,
@@ -32,7 +32,8 @@
     }
 }
 
-/// A repeatable wake-up for one waiting task. Signals that are sent while one is pending already are merged with it.
+/// A repeatable wake-up signal for one waiting task. A signal that is sent while another one is pending is merged with
+/// it.
 #[derive(Debug)]
 pub struct WakeSignal {
     sender: Sender<()>,
--- a/crates/agent/src/transport/ring_buffer.rs
+++ b/crates/agent/src/transport/ring_buffer.rs
@@ -1,4 +1,4 @@
-//! The buffer between a socket and a codec, for one direction of one connection.
+//! A buffer between a socket and a parser or encoder, for one direction of a connection.
 use std::collections::VecDeque;
 use std::io::{self, Read, Write};
 use std::net::TcpStream;
@@ -7,22 +7,22 @@
 use super::system_call::{is_resource_shortage, pause_for_resources, retry_interrupted};
 use crate::log::ConnectionEnd;
 
-/// The capacity in bytes that a buffer starts with, and that it may keep while it is empty.
+/// The capacity in bytes that a buffer starts with and may keep while it is empty.
 const IDLE_CAPACITY: usize = 1 << 10;
 
-/// What one read from a socket brought.
+/// The result of one read from a socket.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct SocketRead {
-    /// The bytes that were read, 0 at the end of the stream.
+    /// The number of bytes read; 0 at the end of the stream.
     pub(super) count: usize,
-    /// Whether the socket had no more than these.
+    /// Whether the read emptied the socket.
     pub(super) is_drained: bool,
 }
 
-/// Bytes on their way from or to a socket.
+/// Buffers bytes that were read from a socket or are to be written to one.
 ///
-/// Reading from a socket never fills it beyond its limit, and no byte is lost. What is appended for sending has the
-/// bounds of its message.
+/// Reads from a socket never exceed the limit, and no byte is lost. The limit does not apply to bytes that are appended
+/// for sending, which are bounded by the size of their message.
 #[derive(Debug)]
 pub struct RingBuffer {
     bytes: VecDeque<u8>,
@@ -30,7 +30,7 @@
 }
 
 impl RingBuffer {
-    /// An empty buffer, without an allocation, that reads at most `limit` bytes ahead of their consumer.
+    /// Creates an empty buffer, without allocating, that buffers at most `limit` bytes read from a socket.
     pub fn new(limit: usize) -> Self {
         RingBuffer {
             bytes: VecDeque::new(),
@@ -38,12 +38,12 @@
         }
     }
 
-    /// Whether no byte is buffered.
+    /// Whether there are no buffered bytes.
     pub fn is_empty(&self) -> bool {
         self.bytes.is_empty()
     }
 
-    /// Whether nothing more can be read ahead.
+    /// Whether the limit for reads is reached.
     pub(super) fn is_full(&self) -> bool {
         self.bytes.len() >= self.limit
     }
@@ -53,7 +53,7 @@
         self.bytes.extend(bytes);
     }
 
-    /// The first contiguous part of what is buffered; not empty unless the buffer is.
+    /// Returns the first contiguous part of the buffered bytes, which is empty only if the buffer is.
     pub(super) fn front(&self) -> &[u8] {
         self.bytes.as_slices().0
     }
@@ -63,15 +63,15 @@
         self.bytes.drain(..count);
     }
 
-    /// Returns memory that an idle connection does not need.
+    /// Frees memory that an idle connection does not need.
     pub(super) fn shrink_if_empty(&mut self) {
         if self.bytes.is_empty() && self.bytes.capacity() > IDLE_CAPACITY {
             self.bytes = VecDeque::new();
         }
     }
 
-    /// Reads what the socket has, as far as there is room. The buffer doubles only once it is full, so that a connection
-    /// with small messages stays small.
+    /// Reads the available bytes, as far as there is room. The buffer doubles only when it is full, so that connections
+    /// with small messages use little memory.
     pub(super) fn read_from(&mut self, mut socket: &TcpStream) -> io::Result<SocketRead> {
         let buffered = self.bytes.len();
         let unused = self
@@ -96,18 +96,18 @@
         })
     }
 
-    /// Writes as much as the socket takes; returns how many bytes that were.
+    /// Writes as much as the socket takes, and returns the number of bytes.
     fn write_to(&mut self, mut socket: &TcpStream) -> io::Result<usize> {
         let count = retry_interrupted(|| socket.write(self.front()))?;
         self.consume(count);
         Ok(count)
     }
 
-    /// Writes all that is buffered.
+    /// Writes all buffered bytes.
     ///
     /// # Errors
     ///
-    /// The code of the socket's error; [`ConnectionEnd::Reset`] if it takes nothing more.
+    /// Returns the code of the socket's error, or [`ConnectionEnd::Reset`] if a write takes no bytes.
     pub async fn flush(&mut self, stream: &TcpSocket) -> Result<(), ConnectionEnd> {
         while !self.bytes.is_empty() {
             match stream.write_with(|socket| self.write_to(socket)).await {
--- a/crates/agent/src/transport/service_address.rs
+++ b/crates/agent/src/transport/service_address.rs
@@ -1,11 +1,12 @@
-//! The address of a service that may move while the agent runs.
+//! The address of a service, which may change while the agent runs.
 use std::cell::Cell;
 use std::net::SocketAddr;
 
 use super::WakeSignal;
 use crate::log::ConnectionEnd;
 
-/// Where a service listens. A change ends what one task does at the old address.
+/// The address that a service listens on. A change wakes the one task that waits for it, which then ends its operation
+/// at the old address.
 #[derive(Debug)]
 pub struct ServiceAddress {
     address: Cell<SocketAddr>,
@@ -13,7 +14,7 @@
 }
 
 impl ServiceAddress {
-    /// Starts with this address.
+    /// Creates a service address without a pending change.
     pub fn new(address: SocketAddr) -> Self {
         ServiceAddress {
             address: Cell::new(address),
@@ -26,7 +27,7 @@
         self.address.get()
     }
 
-    /// Moves the service; nothing happens if this is its address already.
+    /// Changes the address. Nothing happens if it is the current address already.
     pub fn set(&self, address: SocketAddr) {
         if self.address.replace(address) != address {
             self.changed.wake();
@@ -37,7 +38,7 @@
     ///
     /// # Errors
     ///
-    /// Always [`ConnectionEnd::AddressChanged`], so that it can end the operation it is raced against.
+    /// Always returns [`ConnectionEnd::AddressChanged`], so that it can end the operation that it is raced against.
     pub async fn changed<T>(&self) -> Result<T, ConnectionEnd> {
         self.changed.wait().await;
         Err(ConnectionEnd::AddressChanged)
--- a/crates/agent/src/transport/system_call.rs
+++ b/crates/agent/src/transport/system_call.rs
@@ -1,5 +1,5 @@
-//! System calls that fail for a moment: what a signal interrupts is called again, and a lack of this machine's means is
-//! told apart from what the other side did.
+//! Handles temporary failures of system calls: retries calls that a signal interrupted, and distinguishes a lack of
+//! local resources from failures of the remote side.
 use std::io;
 use std::net::TcpStream;
 use std::time::Duration;
@@ -8,13 +8,14 @@
 
 use super::TcpSocket;
 
-/// How long to wait before a call is made again that lacked memory.
+/// How long to wait before retrying a call that failed for lack of resources.
 const RESOURCE_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// Makes a call, and makes it again for as long as a signal interrupts it.
+/// Makes a call, and repeats it for as long as a signal interrupts it.
 ///
 /// # Errors
-/// Any other error of the call.
+///
+/// Returns any other error of the call.
 pub fn retry_interrupted<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     loop {
         match call() {
@@ -24,7 +25,8 @@
     }
 }
 
-/// Whether this machine or process lacks memory, descriptors or ports for a call. The call has done nothing.
+/// Whether a call failed because this machine or process lacks memory, descriptors or ports. Such a call has had no
+/// effect.
 #[must_use]
 pub fn is_resource_shortage(error: &io::Error) -> bool {
     matches!(
@@ -33,8 +35,8 @@
     )
 }
 
-/// Whether `accept` failed for the connection that it was to accept, or for the network below it; others are accepted
-/// all the same.
+/// Whether `accept` failed because of the one connection that it was about to accept or its network. Other connections
+/// can still be accepted.
 #[must_use]
 pub fn is_per_connection_error(error: &io::Error) -> bool {
     matches!(
@@ -55,7 +57,7 @@
     )
 }
 
-/// Whether `connect` failed at this machine's own end, before anything went to the other side.
+/// Whether `connect` failed on this machine, before anything was sent to the remote side.
 #[must_use]
 pub(super) fn is_local_connect_failure(error: &io::Error) -> bool {
     is_resource_shortage(error)
@@ -72,14 +74,15 @@
         )
 }
 
-/// How often something is tried again at the start of the agent while the machine lacks the means: for two seconds.
+/// How many times an action is retried at start-up while this machine lacks resources; 200 retries take 2 s.
 const STARTUP_RETRIES: u32 = 200;
 
-/// Does something at the start of the agent, where nothing else runs yet, and does it again while this machine lacks the
-/// means for it. It blocks.
+/// Runs an action at start-up, and retries it while this machine lacks resources. It blocks the thread, so it must be
+/// called only before the event loop runs.
 ///
 /// # Errors
-/// Any other error, or the last one of a shortage that lasts for two seconds.
+///
+/// Returns any other error, or the last one if resources are lacking for two seconds.
 pub fn retry_at_startup<T>(mut action: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     for _ in 0..STARTUP_RETRIES {
         match retry_interrupted(&mut action) {
@@ -90,20 +93,21 @@
     action()
 }
 
-/// Waits before a call is made again that lacked memory.
+/// Waits before a call that failed for lack of resources is retried.
 pub(super) async fn pause_for_resources() {
     Timer::after(RESOURCE_RETRY_DELAY).await;
 }
 
-/// Looks at what a socket has without taking it, and without waiting.
+/// Copies available input of a socket without consuming it, and without waiting.
 ///
 /// # Errors
-/// [`io::ErrorKind::WouldBlock`] if it has nothing; else the socket's error.
+///
+/// Returns [`io::ErrorKind::WouldBlock`] if there is no input, otherwise the socket's error.
 pub fn peek(socket: &TcpStream, bytes: &mut [u8]) -> io::Result<usize> {
     retry_interrupted(|| socket.peek(bytes))
 }
 
-/// Whether a socket has nothing to be read, not even the end of the stream.
+/// Whether a socket has nothing to read, not even the end of the stream.
 pub fn has_no_input(stream: &TcpSocket) -> bool {
     peek(stream.get_ref(), &mut [0]).is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
 }
--- a/crates/agent/src/upstream/attempt.rs
+++ b/crates/agent/src/upstream/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt of a request at one endpoint.
+//! Sends one attempt of a request to one endpoint.
 use std::cell::Cell;
 use std::rc::Rc;
 
@@ -12,17 +12,17 @@
 use crate::outbound::OutgoingAttempt;
 use crate::resp::Resp;
 
-/// An attempt, from its start to its outcome.
+/// An attempt that is under way.
 pub(super) struct Attempt {
     outgoing: OutgoingAttempt,
-    /// Whether its last byte has gone out, so that it may have run.
+    /// Whether the socket has taken the last byte, so that the endpoint may have run the request.
     fully_written: Cell<bool>,
 }
 
-/// The reply of an endpoint to an attempt.
+/// An endpoint's reply to an attempt.
 struct Reply {
     outcome: Outcome,
-    /// The result, which is empty unless the attempt succeeded.
+    /// The value for the client; empty unless the attempt succeeded.
     value: Vec<u8>,
     load_report: Option<Vec<u8>>,
 }
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Runs until its reply, its deadline or its cancellation, and reports the outcome to the event loop.
+    /// Runs until the reply, the deadline or a cancellation, and reports the outcome to the event loop.
     pub(super) async fn run(self, pool: Rc<UpstreamPool>, cancel_receiver: Receiver<()>) {
         let OutgoingAttempt {
             id,
@@ -59,7 +59,7 @@
                 pool.report_load(endpoint, reply.load_report);
                 (reply.outcome, reply.value)
             }
-            // What was not written to its end cannot have run.
+            // The endpoint cannot have run a command that was not fully written.
             Err(Outcome::TimedOut | Outcome::Cancelled) if !self.fully_written.get() => {
                 (Outcome::NotSent, Vec::new())
             }
@@ -86,7 +86,8 @@
         Ok(reply)
     }
 
-    /// While a connection is being opened the attempt may have become needless: the decision engine is asked again.
+    /// Takes an idle connection, or opens one. An attempt may become unnecessary while its connection is being opened,
+    /// so the decision engine is asked again before it is sent on a new connection.
     async fn connection(&self, pool: &UpstreamPool) -> Result<Connection, Outcome> {
         let OutgoingAttempt { id, endpoint, .. } = self.outgoing;
         if let Some(connection) = pool.take_idle(endpoint) {
@@ -102,7 +103,7 @@
     }
 }
 
-/// The meaning of a reply to a request, if it has one.
+/// Interprets a reply to a request; returns `None` if it is not a valid reply to one.
 fn parse_reply(reply: Resp) -> Option<Reply> {
     match reply {
         Resp::Array(Some(items)) => parse_success(items),
@@ -111,7 +112,7 @@
     }
 }
 
-/// Parses `[value, null, load report]`. A load report that cannot be read is none; the value is good all the same.
+/// Parses `[value, null, load report]`. A load report of the wrong type is ignored, and the value is used all the same.
 fn parse_success(items: Vec<Resp>) -> Option<Reply> {
     let [value, null, load_report] = <[Resp; 3]>::try_from(items).ok()?;
     let (Resp::Bulk(Some(value)), Resp::Bulk(None) | Resp::Array(None)) = (value, null) else {
@@ -128,7 +129,7 @@
     })
 }
 
-/// Parses an error code, which a load report may follow.
+/// Parses an error code, which may be followed by a load report.
 fn parse_error(line: Vec<u8>) -> Option<Reply> {
     let line = String::from_utf8(line).ok()?;
     let (code, load_report) = match line.rsplit_once(' ') {
--- a/crates/agent/src/upstream/connection.rs
+++ b/crates/agent/src/upstream/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to an endpoint.
+//! A connection to an endpoint, which carries one exchange at a time.
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -10,8 +10,8 @@
 use crate::resp::{self, Resp};
 use crate::transport::{InputReader, RingBuffer, TcpSocket};
 
-/// The process that an endpoint runs. A connection belongs to one process: the same endpoint with another build, start
-/// time or address is another process, which knows nothing of earlier requests.
+/// Identifies the process that an endpoint runs. A connection belongs to one process: the same endpoint with another
+/// build, start time or address is another process, which knows nothing of earlier requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct EndpointProcess {
     pub(super) address: SocketAddr,
@@ -19,7 +19,7 @@
     pub(super) started: Option<Duration>,
 }
 
-/// Counts one open connection, or one that is being opened, for as long as it lives.
+/// Counts a connection, from before it is opened until the guard is dropped.
 #[derive(Debug)]
 pub(super) struct OpenConnectionGuard(Rc<Cell<usize>>);
 
@@ -36,16 +36,16 @@
     }
 }
 
-/// A connection to a process, which is closed by being dropped.
+/// A connection to an endpoint's process. Dropping it closes the connection and logs the reason.
 #[derive(Debug)]
 pub(super) struct Connection {
     stream: TcpSocket,
     input: InputReader<resp::ValueParser>,
     output: RingBuffer,
     pub(super) process: EndpointProcess,
-    /// When its last exchange ended, or when it was opened.
+    /// When the last exchange ended; before the first exchange, when the connection was opened.
     pub(super) last_used: Duration,
-    /// What is logged as the reason if it is dropped now.
+    /// The reason that is logged when the connection is dropped.
     pub(super) close_reason: ConnectionEnd,
     _open: OpenConnectionGuard,
 }
@@ -61,7 +61,7 @@
 }
 
 impl Connection {
-    /// A connection that has just been opened. A reply has to be complete `read_timeout` after its first byte.
+    /// Wraps a newly opened connection. A reply has to be complete within `read_timeout` of its first byte.
     pub(super) fn new(
         stream: TcpSocket,
         process: EndpointProcess,
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Whether an idle connection may carry another exchange; if not, notes why.
+    /// Returns whether an idle connection can carry another exchange; if not, sets the reason to close it.
     pub(super) fn is_usable(&mut self, now: Duration, idle_timeout: Duration) -> bool {
         if now > self.last_used + idle_timeout {
             self.close_reason = ConnectionEnd::Idle;
@@ -94,12 +94,12 @@
         false
     }
 
-    /// Sends a command and reads its reply. `fully_written` is set once the socket has taken the last byte; before
-    /// that, the endpoint cannot have run the command.
+    /// Sends a command and reads its reply. Sets `fully_written` once the socket has taken the last byte; before that,
+    /// the endpoint cannot have run the command.
     ///
     /// # Errors
     ///
-    /// The outcome of the exchange, if no reply was read.
+    /// Returns the outcome of the exchange if no reply was read.
     pub(super) async fn exchange(
         &mut self,
         command: &[u8],
@@ -123,7 +123,7 @@
         })
     }
 
-    /// Notes that a reply was well-formed RESP2, but not one that the command can have.
+    /// Marks the connection as malformed because its reply was valid RESP2, but not a valid reply to the command.
     pub(super) fn reject_reply(&mut self) -> Outcome {
         self.close_reason = ConnectionEnd::Malformed;
         Outcome::Malformed
--- a/crates/agent/src/upstream/health_check.rs
+++ b/crates/agent/src/upstream/health_check.rs
@@ -1,4 +1,4 @@
-//! Health checks: a command that asks an endpoint for its load.
+//! Health checks, which ask an endpoint for its load report.
 use std::cell::Cell;
 use std::rc::Rc;
 
@@ -9,7 +9,7 @@
 use crate::transport::with_timeout;
 
 impl UpstreamPool {
-    /// Checks an endpoint within the connect timeout, and passes the outcome on to the decision engine.
+    /// Checks an endpoint within the connect timeout, and reports the outcome to the decision engine.
     pub(super) async fn run_health_check(self: Rc<Self>, endpoint: EndpointId) {
         let started = self.clock().now();
         let check = async { Ok(self.request_load(endpoint).await) };
--- a/crates/agent/src/upstream/load_report.rs
+++ b/crates/agent/src/upstream/load_report.rs
@@ -1,11 +1,11 @@
-//! Load reports, which endpoints append to replies and give to health checks as `name=value` pairs.
+//! Load reports: `name=value` pairs that endpoints append to replies and send in reply to health checks.
 use lilacgate_decision::{EndpointId, EventHandler as _};
 
 use super::UpstreamPool;
 
 impl UpstreamPool {
-    /// Passes a load report on to the decision engine. Fields that are missing or unreadable are not-a-number; a
-    /// report without any readable field is dropped.
+    /// Passes a load report on to the decision engine. Missing and unreadable fields are NaN; a report without any
+    /// readable field is dropped.
     pub(super) fn report_load(&self, endpoint: EndpointId, report: Option<Vec<u8>>) {
         let Some(report) = report.and_then(|report| String::from_utf8(report).ok()) else {
             return;
@@ -19,7 +19,7 @@
     }
 }
 
-/// The value of a named field, or not-a-number.
+/// Returns the value of a field by its name, or NaN.
 fn field(report: &str, name: &str) -> f32 {
     report
         .split(',')
--- a/crates/agent/src/upstream/pool.rs
+++ b/crates/agent/src/upstream/pool.rs
@@ -1,4 +1,4 @@
-//! The listed endpoints, and the idle connections to each.
+//! The pool of connections: the listed endpoints and the idle connections to each.
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::fmt;
@@ -20,14 +20,14 @@
 use crate::outbound::{AttemptId, OutgoingAttempt, Upstream};
 use crate::transport::connect;
 
-/// How often idle connections are looked at within their timeout.
+/// How many sweeps of idle connections there are within one idle timeout.
 const SWEEPS_IN_IDLE_TIMEOUT: u32 = 20;
 
-/// A listed endpoint.
+/// An endpoint of the endpoint list, with its idle connections.
 struct UpstreamEndpoint {
     process: EndpointProcess,
     status: EndpointStatus,
-    /// Its idle connections, the longest idle first.
+    /// The idle connections, longest idle first.
     idle: Vec<Connection>,
 }
 
@@ -44,20 +44,20 @@
     }
 }
 
-/// The connections to all listed endpoints.
+/// The pool of connections to all listed endpoints.
 pub struct UpstreamPool {
     pub(super) event_loop: Rc<EventLoop>,
     endpoints: RefCell<HashMap<EndpointId, UpstreamEndpoint>>,
-    /// Wakes the task of an attempt that is to be cancelled.
+    /// The channels by which attempts under way are cancelled.
     pub(super) cancellations: RefCell<HashMap<AttemptId, Sender<()>>>,
-    /// The names of the fields of a load report, in the decision engine's order.
+    /// The names of the load report fields that the decision engine uses, in its order.
     pub(super) load_fields: Vec<String>,
     pub(super) connect_timeout: Duration,
     /// The time limit for a reply from its first byte to its last.
     read_timeout: Duration,
     idle_timeout: Duration,
-    /// How long a connection rests after a reply, so that bytes which belong to no request show before the next one:
-    /// as long as a reply may be late on its way.
+    /// How long a connection is not reused after a reply, so that surplus bytes are noticed before the next request is
+    /// sent: as long as a reply may be delayed in the network.
     reuse_delay: Duration,
     max_connections: usize,
     open_connections: Rc<Cell<usize>>,
@@ -73,11 +73,11 @@
 }
 
 impl UpstreamPool {
-    /// A pool without endpoints, of at most `max_connections` open connections.
+    /// Creates a pool without endpoints, for at most `max_connections` open connections.
     ///
     /// # Errors
     ///
-    /// The setting that is missing or out of range.
+    /// Names the setting that is missing or out of range.
     pub fn new(
         event_loop: Rc<EventLoop>,
         settings: &Settings,
@@ -90,7 +90,8 @@
             load_fields: settings.names("feedback.names")?,
             connect_timeout: settings.period("limits.connect-timeout")?,
             read_timeout: settings.longest_deadline()?,
-            // Sooner than the endpoint would: what is written to a connection that it closes may have run.
+            // Close idle connections before the endpoint does: a command that is written while the endpoint closes the
+            // connection may have run.
             idle_timeout: settings.period("limits.conn-idle")? * 9 / 10,
             reuse_delay: settings
                 .period("tick")?
@@ -104,7 +105,7 @@
         self.event_loop.clock
     }
 
-    /// Takes over an entry of the endpoint list, and the address that the endpoint listens at. Idle connections to an
+    /// Applies an entry of the endpoint list, with the address that the endpoint listens on. Idle connections to an
     /// earlier process, or to one that takes no more requests, are closed.
     pub fn update_endpoint(&self, entry: &Endpoint, address: SocketAddr) {
         let mut endpoints = self.endpoints.borrow_mut();
@@ -130,7 +131,7 @@
         }
     }
 
-    /// Removes all endpoints that a full list does not name.
+    /// Removes all endpoints that a full endpoint list does not contain.
     pub fn retain(&self, is_listed: impl Fn(&EndpointId) -> bool) {
         let mut endpoints = self.endpoints.borrow_mut();
         for (_, mut endpoint) in endpoints.extract_if(|id, _| !is_listed(id)) {
@@ -146,7 +147,8 @@
             .any(|endpoint| endpoint.status == EndpointStatus::Ready)
     }
 
-    /// Closes connections that have been idle for too long, or were closed by the endpoint, as long as the agent runs.
+    /// Periodically closes connections that have been idle for too long or were closed by the endpoint, for as long as
+    /// the agent runs.
     pub async fn sweep_idle_connections(self: Rc<Self>) {
         let mut ticks = Timer::interval(self.idle_timeout / SWEEPS_IN_IDLE_TIMEOUT);
         while ticks.next().await.is_some() {
@@ -159,7 +161,7 @@
         }
     }
 
-    /// Takes the most recently used of the endpoint's connections that have rested for long enough.
+    /// Takes the most recently used of the endpoint's idle connections whose reuse delay has passed.
     pub(super) fn take_idle(&self, id: EndpointId) -> Option<Connection> {
         let now = self.clock().now();
         let mut endpoints = self.endpoints.borrow_mut();
@@ -171,12 +173,12 @@
         Some(idle.remove(rested))
     }
 
-    /// Opens a connection to an endpoint. At the bound the longest idle one to any endpoint is closed for it.
+    /// Opens a connection to an endpoint. At the bound, the longest idle connection to any endpoint is closed for it.
     ///
     /// # Errors
     ///
-    /// [`Outcome::NotSent`] if the endpoint is not listed or this agent lacks the means, which says nothing of the
-    /// endpoint; [`Outcome::ConnectFailed`] if it cannot be reached.
+    /// Returns [`Outcome::NotSent`] if the endpoint is not listed, or if this agent is out of connections or resources,
+    /// which is no failure of the endpoint; [`Outcome::ConnectFailed`] if the endpoint cannot be reached.
     pub(super) async fn open(&self, id: EndpointId) -> Result<Connection, Outcome> {
         let process = self
             .endpoints
@@ -213,7 +215,7 @@
         ))
     }
 
-    /// Closes the longest idle connection to any endpoint; returns whether there was one.
+    /// Closes the longest idle connection to any endpoint, and returns whether there was one.
     fn close_longest_idle(&self) -> bool {
         let mut endpoints = self.endpoints.borrow_mut();
         let longest = endpoints
@@ -225,7 +227,7 @@
             .is_some()
     }
 
-    /// Puts a connection back after an exchange, or closes it if its process takes no more requests.
+    /// Returns a connection to the pool after an exchange, or closes it if its process takes no more requests.
     pub(super) fn put_back(&self, id: EndpointId, mut connection: Connection) {
         connection.last_used = self.clock().now();
         match self.endpoints.borrow_mut().get_mut(&id) {
