--- a/crates/agent/src/clients/eviction.rs
+++ b/crates/agent/src/clients/eviction.rs
@@ -72,7 +72,7 @@
 
     /// Closes long-idle connections periodically, for as long as the agent runs. Clients limit how many connections
     /// they open, and some send one command and keep the connection. Once a quarter of the connections are in use,
-    /// those that have been idle for [`COMMAND_TIMEOUT`] are closed; once half are, those that have been idle for the
+    /// those that have been idle for `COMMAND_TIMEOUT` are closed; once half are, those that have been idle for the
     /// connect timeout.
     pub async fn sweep_idle_connections(self: Rc<Self>) {
         let mut ticks = Timer::interval(self.connect_timeout / SWEEPS_IN_CONNECT_TIMEOUT);
--- a/crates/agent/src/dispatcher.rs
+++ b/crates/agent/src/dispatcher.rs
@@ -1,6 +1,6 @@
-//! Carries out what the decision engine has decided in a round: passes each action to whoever owns that side.
+//! Dispatches the actions that the decision engine takes in a round to the components that carry them out.
 //!
-//! Every action returns at once; what takes time is a task of its own. The dispatcher decides nothing.
+//! Every action returns at once; anything that takes time is spawned as a task. The dispatcher makes no decisions.
 use std::collections::BTreeSet;
 use std::fmt;
 use std::rc::Rc;
@@ -18,21 +18,21 @@
 use crate::recorder::{Recorder, RequestEvent};
 use crate::unanswered::FinalAnswer;
 
-/// Where the actions of the decision engine go.
+/// The components that carry out the actions of the decision engine.
 pub struct ActionDispatcher {
-    /// The event loop, with the requests that are unanswered.
+    /// The event loop, which owns the unanswered requests.
     pub event_loop: Rc<EventLoop>,
-    /// Takes attempts and health checks.
+    /// Sends attempts and health checks.
     pub upstream: Rc<dyn Upstream>,
-    /// Takes requests for the endpoint list.
+    /// Fetches and watches the endpoint list.
     pub discovery: Rc<dyn EndpointListSource>,
-    /// Takes votes.
+    /// Sends votes.
     pub platform: Rc<dyn VoteSender>,
-    /// Takes datagrams; none where there are no peers.
+    /// Sends datagrams; `None` if no peers are configured.
     pub peers: Option<Rc<dyn PeerSender>>,
-    /// Takes what belongs in the time lines.
+    /// Records requests, votes and notes in the timeline.
     pub recorder: Rc<Recorder>,
-    /// The decision engine's own timers that have not expired yet.
+    /// The pending timers of the decision engine.
     pub wake_ups: WakeUps,
 }
 
@@ -49,13 +49,13 @@
 /// A timer of the decision engine. Timers are ordered by the time at which they expire.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct WakeUp {
-    /// When it expires.
+    /// When the timer expires.
     pub time: Duration,
-    /// What the decision engine knows it by.
+    /// The decision engine's id of the timer.
     pub timer: TimerId,
 }
 
-/// The timers of the decision engine that have not expired yet, in the order of their expiry.
+/// The pending timers of the decision engine, in the order of their expiry.
 #[derive(Debug, Default)]
 pub struct WakeUps(BTreeSet<WakeUp>);
 
@@ -65,12 +65,12 @@
         self.0.insert(wake_up);
     }
 
-    /// When the next timer expires.
+    /// Returns when the next timer expires.
     pub fn next(&self) -> Option<Duration> {
         self.0.first().map(|wake_up| wake_up.time)
     }
 
-    /// Takes out the timers that have expired by `now`.
+    /// Removes and returns the timers that have expired by `now`.
     pub fn take_expired(&mut self, now: Duration) -> Vec<WakeUp> {
         let expired = self
             .0
@@ -83,7 +83,7 @@
     }
 }
 
-/// The actions of one round, carried out as they are decided.
+/// Carries out the actions of one round as soon as they are decided.
 pub(crate) struct RoundActions<'a> {
     pub(crate) dispatcher: &'a mut ActionDispatcher,
     /// The time of the round.
@@ -91,7 +91,7 @@
 }
 
 impl RoundActions<'_> {
-    /// Gives a request its final answer without an endpoint's.
+    /// Gives a request a final answer that does not come from an endpoint.
     fn close(&mut self, id: RequestId, answer: FinalAnswer) {
         self.dispatcher
             .recorder
--- a/crates/agent/src/engine_host.rs
+++ b/crates/agent/src/engine_host.rs
@@ -1,4 +1,5 @@
-//! Owns the decision engine and drives its rounds: one for each batch of events, timer, or change by time alone.
+//! Owns the decision engine and runs its rounds: one for each batch of events, expired timers, or change of the release
+//! gate that is due.
 //!
 //! Nothing else may call the engine, and a round never waits. Events that are ready at the same time share a round.
 use std::fmt;
@@ -13,13 +14,13 @@
 use crate::loop_monitor::LoopStep;
 use crate::release_gate::{EventRouter, ReleaseGateHost};
 
-/// The decision engine, with the release gate in front of it and the dispatcher behind it.
+/// The decision engine, with the release gate that its events pass and the dispatcher that carries out its actions.
 pub struct EngineHost {
-    /// Decides; called here alone.
+    /// The decision engine, which is called only by this host.
     pub engine: DecisionEngine,
     /// Restricts the engine by the operator's rules.
     pub gate_host: ReleaseGateHost,
-    /// Carries the decisions out.
+    /// Carries out the engine's actions.
     pub dispatcher: ActionDispatcher,
 }
 
@@ -33,17 +34,17 @@
 }
 
 impl EngineHost {
-    /// Drives rounds for as long as the agent runs.
+    /// Runs rounds for as long as the agent runs.
     pub async fn run(mut self) {
         loop {
             let first_event = self.wait_for_event().await;
-            // Let other tasks queue what they have ready, so that it joins this round.
+            // Let other tasks queue their events, so that they are handled in this round.
             future::yield_now().await;
             let now = self.dispatcher.event_loop.clock.now();
             let expired = self.dispatcher.wake_ups.take_expired(now);
             self.count_round(expired.first(), now);
             self.dispatcher.recorder.advance(now);
-            // The recorder's own timer is no reason for a round.
+            // The recorder's own timer does not need a round.
             let gate_is_due = self.gate_host.next().is_some_and(|next| next <= now);
             if first_event.is_some() || !expired.is_empty() || gate_is_due {
                 self.round(now, first_event, &expired);
@@ -51,7 +52,7 @@
         }
     }
 
-    /// Waits for the next event, or for the time at which something is due without one.
+    /// Waits for the next event, which is returned, or for the next timer.
     async fn wait_for_event(&self) -> Option<Event> {
         let queue = self.dispatcher.event_loop.queue();
         let clock = self.dispatcher.event_loop.clock;
@@ -71,7 +72,7 @@
         future::or(async { queue.recv().await.ok() }, timer).await
     }
 
-    /// Counts a round, and whether its earliest timer expired too long ago.
+    /// Counts a round. It counts as late if its earliest timer expired more than the answer slack ago.
     fn count_round(&self, earliest: Option<&WakeUp>, now: Duration) {
         let slack = self.dispatcher.event_loop.answer_slack();
         if earliest.is_some_and(|wake_up| wake_up.time + slack < now) {
@@ -80,7 +81,7 @@
         count(Count::Rounds);
     }
 
-    /// One round: first the gate's own time, then the events in their order, then the expired timers.
+    /// Runs one round: advances the release gate, then handles the events in their order, then the expired timers.
     fn round(&mut self, now: Duration, first_event: Option<Event>, expired: &[WakeUp]) {
         let event_loop = self.dispatcher.event_loop.clone();
         let recorder = self.dispatcher.recorder.clone();
--- a/crates/agent/src/event_loop.rs
+++ b/crates/agent/src/event_loop.rs
@@ -1,8 +1,8 @@
-//! Owns the executor of the agent's tasks, the queue of events for the decision engine, and the time of the shutdown.
+//! Owns the executor of the agent's tasks, the queue of events for the decision engine, and the shutdown deadline.
 //!
-//! Tasks put events in the queue; [`crate::engine_host`] takes them out, one batch a round. The queue has no bound of
-//! its own: what fills it is bounded (connections, requests, messages a second). Nothing here knows a protocol or
-//! decides anything.
+//! Tasks add events to the queue; [`crate::engine_host`] takes them out, one batch per round. The queue itself is
+//! unbounded, but its sources are bounded (connections, requests, messages per second). This module is independent of
+//! any protocol and makes no decisions.
 use std::cell::Cell;
 use std::fmt;
 use std::future::Future;
@@ -27,34 +27,34 @@
 /// An event for the decision engine, or for the release gate beside it.
 pub(crate) type Event = Box<dyn FnOnce(&mut EventRouter)>;
 
-/// How an attempt ended.
+/// The result of an attempt that has ended.
 #[derive(Debug)]
 pub struct AttemptResult {
-    /// Which attempt of which request.
+    /// The attempt.
     pub id: AttemptId,
-    /// The endpoint that it was sent to.
+    /// The endpoint that the attempt was sent to.
     pub endpoint: EndpointId,
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: Outcome,
-    /// The time from the decision to send it to its end.
+    /// The time from the decision to send the attempt to its end.
     pub duration: Duration,
-    /// The answer's value; empty unless it succeeded.
+    /// The value of the answer; empty unless the attempt succeeded.
     pub value: Vec<u8>,
 }
 
 /// The tasks of the agent and the queue of events for its decision engine.
 pub struct EventLoop {
-    /// The time that all tasks go by.
+    /// The clock of all tasks.
     pub clock: Clock,
-    /// Measures how long the tasks and the process itself hold up all others.
+    /// Measures how long tasks, or pauses of the process, hold up the event loop.
     pub monitor: LoopMonitor,
     tasks: LocalExecutor<'static>,
     queue_sender: Sender<Event>,
     queue_receiver: Receiver<Event>,
     unanswered: UnansweredRequests,
-    /// The time that an answer needs to reach its client before the client gives up.
+    /// The time reserved for an answer to reach its client before the client gives up.
     answer_slack: Duration,
-    /// When the last answer has to be out; far in the future until a shutdown is under way.
+    /// When all requests have to be answered; [`Duration::MAX`] until a shutdown starts.
     shutdown_deadline: Cell<Duration>,
     shutdown_started: Notifier,
 }
@@ -72,7 +72,7 @@
 }
 
 impl EventLoop {
-    /// A loop without tasks. `answer_slack` is the time that an answer needs to reach its client.
+    /// Creates an event loop without tasks. `answer_slack` is the time reserved for an answer to reach its client.
     pub fn new(answer_slack: Duration) -> Rc<Self> {
         let (queue_sender, queue_receiver) = async_channel::unbounded();
         Rc::new(EventLoop {
@@ -88,12 +88,12 @@
         })
     }
 
-    /// Starts a task that runs until it ends by itself, or until the loop ends.
+    /// Starts a task that runs until it completes or the loop ends.
     pub fn spawn(&self, task: impl Future<Output = ()> + 'static) {
         self.tasks.spawn(task).detach();
     }
 
-    /// Runs all tasks until `main` has ended, and returns its result.
+    /// Runs all tasks until `main` completes, and returns its result.
     pub async fn run<T>(&self, main: impl Future<Output = T>) -> T {
         let main = future::or(main, self.monitor.run_heartbeat());
         self.monitor.run_monitored(self.tasks.run(main)).await
@@ -113,29 +113,30 @@
         }
     }
 
-    /// The end of the queue that rounds take their first event from.
+    /// Returns the receiving end of the queue, from which a round takes its first event.
     pub(crate) fn queue(&self) -> &Receiver<Event> {
         &self.queue_receiver
     }
 
-    /// The time that an answer needs to reach its client before the client gives up.
+    /// Returns the time reserved for an answer to reach its client before the client gives up.
     pub(crate) fn answer_slack(&self) -> Duration {
         self.answer_slack
     }
 
-    /// The requests that have no final answer yet.
+    /// Returns the requests that have no final answer yet.
     pub(crate) fn unanswered(&self) -> &UnansweredRequests {
         &self.unanswered
     }
 
-    /// Starts the shutdown: every request, also one that comes later, gets its answer before `deadline`.
+    /// Starts the shutdown: every request, including those accepted later, is answered before `deadline`.
     pub fn shut_down_by(&self, deadline: Duration) {
         self.shutdown_deadline.set(deadline);
         self.shutdown_started.notify();
         self.enqueue(move |router| router.on_shutdown(deadline));
     }
 
-    /// Waits until `time`, or until a shutdown is so near that an answer has to go out.
+    /// Waits until `time`, or, during a shutdown, until the last answers have to be sent: the answer slack before the
+    /// shutdown deadline.
     pub async fn wait_until_or_shutdown(&self, time: Duration) {
         let shutdown = async {
             self.shutdown_started.notified().await;
@@ -148,7 +149,7 @@
         future::or(self.clock.sleep_until(time), shutdown).await;
     }
 
-    /// Accepts a request; `answer` is called once with its final answer, unless the client leaves before.
+    /// Accepts a request. `answer` is called once with its final answer, unless the client leaves before.
     pub fn accept_request(
         &self,
         request: Request,
@@ -167,12 +168,13 @@
         id
     }
 
-    /// How many requests have no final answer yet, or have ended without the decision engine knowing.
+    /// Returns how many requests have no final answer yet, or have one of which the decision engine has not been
+    /// notified.
     pub fn unanswered_requests(&self) -> usize {
         self.unanswered.len()
     }
 
-    /// The client of a request has left; the request needs no answer any more.
+    /// Handles that the client of a request has left, so that the request needs no answer any more.
     pub fn client_left(self: &Rc<Self>, id: RequestId) {
         if self.unanswered.take_callback(id).is_none() {
             return;
@@ -185,7 +187,7 @@
         });
     }
 
-    /// Whether an attempt that has waited for its connection may still be sent: the decision engine is asked.
+    /// Asks the decision engine whether an attempt that had to wait for its connection may still be sent.
     pub async fn may_send(&self, id: RequestId, attempt: AttemptNumber) -> bool {
         let (sender, receiver) = async_channel::bounded(1);
         self.enqueue(move |router| {
@@ -194,7 +196,7 @@
         receiver.recv().await.unwrap_or(false)
     }
 
-    /// An attempt has ended. The first success is passed to the client at once, and ends the request.
+    /// Handles the end of an attempt. The first success is passed to the client at once, and ends the request.
     pub fn attempt_ended(self: &Rc<Self>, result: AttemptResult) {
         let AttemptResult {
             id,
@@ -219,7 +221,7 @@
     }
 }
 
-/// The counter of attempts that end so.
+/// Returns the counter of attempts with this outcome.
 fn outcome_counter(outcome: Outcome) -> Count {
     match outcome {
         Outcome::Succeeded => Count::AttemptsSucceeded,
--- a/crates/agent/src/loop_monitor.rs
+++ b/crates/agent/src/loop_monitor.rs
@@ -1,8 +1,8 @@
-//! Measures the event loop: when it looked for events, how long it was held up, and what it was busy with.
+//! Monitors the event loop: when it polled for events, for how long it was held up, and which step took longest.
 //!
-//! The loop runs all ready tasks (a pass), then waits for events. A heartbeat bounds each wait, so that a wait which
-//! lasts longer shows that the process itself did not run. What was held up is counted and logged; it decides nothing
-//! but the earliest time at which input may have arrived.
+//! The loop runs all ready tasks (a pass), then waits for events. A heartbeat bounds each wait, so a longer wait shows
+//! that the process itself did not run. Hold-ups are counted and logged. The only thing that depends on them is the
+//! estimate of the earliest time at which input may have arrived.
 use std::cell::Cell;
 use std::future::Future;
 use std::pin::pin;
@@ -14,50 +14,51 @@
 
 use crate::log::{Count, count, info, raise_to};
 
-/// The longest wait for events while the process runs.
+/// The interval of the heartbeat, which is the longest wait for events while the process runs.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
-/// A wait may be longer than the heartbeat by so much, for the machine's own scheduling.
+/// How much longer than the heartbeat a wait may last because of the operating system's scheduling.
 const SCHEDULING_SLACK: Duration = Duration::from_millis(25);
-/// A wait that ends sooner than this found events that had come before it began.
+/// A wait that ends sooner than this found events that had arrived before it began.
 const IMMEDIATE_WAIT: Duration = Duration::from_millis(5);
-/// A look for events that ends a wait reports them one by one, while the next pass begins already; that takes no longer.
+/// The poll that ends a wait reports its events one by one, while the next pass is already running. This is the longest
+/// that the reporting takes.
 const REPORTING_SLACK: Duration = Duration::from_millis(20);
-/// What came while the loop was held up is reported within this time after it.
+/// Events that arrived during a hold-up are reported within this time after it.
 const AFTER_HOLD_UP: Duration = Duration::from_millis(200);
-/// A hold-up of so much is counted...
+/// The shortest hold-up that is counted.
 const COUNTED_HOLD_UP: Duration = Duration::from_millis(25);
-/// ... and one of so much is logged, as it takes a part of what requests have to live.
+/// The shortest hold-up that is logged, because it uses up a part of the requests' deadlines.
 const LOGGED_HOLD_UP: Duration = Duration::from_millis(100);
-/// One of so much makes answers late.
+/// The shortest hold-up that makes answers late.
 const LONG_HOLD_UP: Duration = Duration::from_millis(500);
 
-/// What the loop did at an instant: it waited, or a pass ran.
+/// What the loop is doing at an instant: it waits for events, or runs a pass.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LoopPhase {
-    /// When the pass before the last one began.
+    /// When the pass before the last one started.
     pub previous_pass_started: Instant,
-    /// When the last pass began; it may be running still.
+    /// When the last pass started. It may still be running.
     pub pass_started: Instant,
-    /// When the last wait for events began.
+    /// When the last wait for events started.
     pub wait_started: Instant,
-    /// Whether a pass was running.
+    /// Whether a pass is running.
     pub is_pass_running: bool,
-    /// The last time for which the loop was held up.
+    /// The last hold-up.
     pub hold_up: Option<HoldUp>,
 }
 
-/// A time for which the loop did not look for events. What came in it may be reported some time later still: the thread
-/// that reports it has to get its share of a core first, and other events go before it.
+/// A time in which the loop did not poll for events. Events that arrived in it may be reported some time after it,
+/// because the reporting thread has to be scheduled first and may report other events before them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HoldUp {
-    /// When the loop had looked for events before.
+    /// When the loop had last polled for events before the hold-up.
     pub polled_at: Instant,
-    /// Until when a report may be of something that came meanwhile.
+    /// Reports up to this time may be of events that arrived during the hold-up.
     pub reported_until: Instant,
 }
 
 impl LoopPhase {
-    /// A phase before the first pass.
+    /// Creates the phase before the first pass.
     fn new(now: Instant) -> Self {
         LoopPhase {
             previous_pass_started: now,
@@ -68,7 +69,7 @@
         }
     }
 
-    /// Notes that the loop was held up until `now`, and had looked for events at `polled_at`.
+    /// Records that the loop was held up until `now`, and had last polled for events at `polled_at`.
     fn note_hold_up(&mut self, polled_at: Instant, now: Instant) {
         let earlier = self.hold_up.filter(|earlier| now <= earlier.reported_until);
         self.hold_up = Some(HoldUp {
@@ -77,12 +78,12 @@
         });
     }
 
-    /// The earliest time at which input may have arrived that was reported at `reported` in this phase, if its socket
-    /// was watched by then.
+    /// Returns the earliest time at which input may have arrived that is reported at `reported` in this phase. Its
+    /// socket must have been registered by then.
     ///
-    /// The loop looked for events before a pass and found nothing on that socket. The wait behind the pass found nothing
-    /// either if it was not over at once, so that the input came amid it; but if the wait lasted longer than the
-    /// heartbeat lets it, the process did not run, and the input may have come at its beginning.
+    /// The loop polled for events before a pass and found none on that socket. The wait after the pass found none at
+    /// its start either, unless it ended at once, so the input arrived during the wait. But if the wait lasted longer
+    /// than the heartbeat allows, the process did not run, and the input may have arrived right after that poll.
     #[must_use]
     pub fn earliest_arrival(self, reported: Instant) -> Instant {
         if let Some(hold_up) = self.hold_up
@@ -110,7 +111,7 @@
     }
 }
 
-/// The phase of the loop, for all threads that report events to it.
+/// The current phase of the loop, shared with the threads that report events to it.
 #[derive(Debug)]
 pub struct LoopPhases(Mutex<LoopPhase>);
 
@@ -119,7 +120,7 @@
         LoopPhases(Mutex::new(LoopPhase::new(Instant::now())))
     }
 
-    /// The current phase.
+    /// Returns the current phase.
     #[must_use]
     pub fn current(&self) -> LoopPhase {
         *self.0.lock().unwrap_or_else(PoisonError::into_inner)
@@ -151,17 +152,17 @@
 /// A step of a pass that may take long.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LoopStep {
-    /// Any task that is not measured by itself.
+    /// Anything that is not measured separately.
     #[default]
     Other,
     /// A round of the decision engine.
     Round,
-    /// Reading a message of discovery.
+    /// Applying a message of discovery to the endpoint list.
     EndpointList,
 }
 
 impl LoopStep {
-    /// Its code in log lines.
+    /// Returns the code of the step in log lines.
     #[must_use]
     pub const fn code(self) -> &'static str {
         match self {
@@ -190,13 +191,13 @@
 }
 
 impl LoopMonitor {
-    /// The phases of the loop, which may be read from any thread.
+    /// Returns the shared phase of the loop, which any thread may read.
     #[must_use]
     pub fn phases(&self) -> Arc<LoopPhases> {
         self.phases.clone()
     }
 
-    /// Runs the loop's future up to its end, and measures its passes and waits.
+    /// Runs the future of the loop until it completes, and measures its passes and waits.
     pub async fn run_monitored<F: Future>(&self, tasks: F) -> F::Output {
         let mut tasks = pin!(tasks);
         future::poll_fn(|context| {
@@ -208,14 +209,14 @@
         .await
     }
 
-    /// Ends each wait of the loop in time, for as long as the agent runs.
+    /// Runs the heartbeat, which bounds each wait of the loop, for as long as the agent runs.
     pub async fn run_heartbeat<T>(&self) -> T {
         loop {
             Timer::after(HEARTBEAT_INTERVAL).await;
         }
     }
 
-    /// Runs a step of the current pass, and measures it.
+    /// Runs a step of the current pass, and measures its duration.
     pub fn measure<T>(&self, step: LoopStep, work: impl FnOnce() -> T) -> T {
         let started = Instant::now();
         let result = work();
@@ -258,7 +259,7 @@
     }
 }
 
-/// Counts a hold-up by its length; returns whether it is long enough for a log line.
+/// Counts a hold-up by its length, and returns whether it is long enough to be logged.
 fn count_hold_up(hold_up: Duration) -> bool {
     if hold_up < COUNTED_HOLD_UP {
         return false;
--- a/crates/agent/src/outbound.rs
+++ b/crates/agent/src/outbound.rs
@@ -1,6 +1,6 @@
-//! The interfaces through which decisions leave the event loop: one trait for each kind of peer.
+//! The traits by which the decision engine's actions reach endpoints, discovery, the platform and peers.
 //!
-//! Every method returns at once; what takes time is spawned as a task. The implementors do no deciding of their own.
+//! Every method returns at once; anything that takes time is spawned as a task. Implementations make no decisions.
 use std::fmt;
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,26 +10,26 @@
 /// Encodes the command of a request for the time that remains for its answer.
 pub type EncodedRequest = Rc<dyn Fn(Duration) -> Vec<u8>>;
 
-/// One attempt of one request.
+/// Identifies an attempt of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct AttemptId {
     /// The request.
     pub request: RequestId,
-    /// Which of its attempts, counted from 0.
+    /// The number of the attempt within the request, counted from 0.
     pub number: AttemptNumber,
 }
 
 /// An attempt that is to be sent to an endpoint.
 pub struct OutgoingAttempt {
-    /// Which attempt of which request.
+    /// The id of the attempt.
     pub id: AttemptId,
-    /// Where it goes.
+    /// The endpoint to send it to.
     pub endpoint: EndpointId,
-    /// What is sent.
+    /// Encodes the command to send.
     pub encoded_request: EncodedRequest,
     /// When the decision to send it was made.
     pub started: Duration,
-    /// When the wait for its answer ends.
+    /// When the attempt times out.
     pub deadline: Duration,
 }
 
@@ -45,12 +45,12 @@
     }
 }
 
-/// Carries attempts and health checks to endpoints.
+/// Sends attempts and health checks to endpoints.
 pub trait Upstream {
     /// Sends an attempt; its end is reported to the event loop exactly once.
     fn send_attempt(self: Rc<Self>, attempt: OutgoingAttempt);
 
-    /// Gives up an attempt that is under way; nothing happens if it has ended.
+    /// Cancels an attempt. Nothing happens if it has ended already.
     fn cancel(&self, id: AttemptId);
 
     /// Asks an endpoint for its load; the outcome is reported to the event loop exactly once.
@@ -60,7 +60,7 @@
     fn close_idle_connections(&self, endpoint: EndpointId);
 }
 
-/// Obtains the list of endpoints from discovery.
+/// Obtains the endpoint list from discovery.
 pub trait EndpointListSource {
     /// Starts or stops watching the list for changes.
     fn watch(&self, on: bool);
@@ -77,6 +77,6 @@
 
 /// Sends datagrams to other agents.
 pub trait PeerSender {
-    /// Sends a payload to one peer, or to all of them if none is named. It may be lost.
+    /// Sends a payload to a peer, or to all peers if `peer` is `None`. The datagram may be lost.
     fn send_to_peer(&self, peer: Option<AgentId>, payload: &[u8]);
 }
--- a/crates/agent/src/resp.rs
+++ b/crates/agent/src/resp.rs
@@ -1,30 +1,30 @@
 //! Parser and encoder of RESP2, the protocol of clients and endpoints.
 //!
-//! The parsers are incremental and know no command. They never buffer more than [`MAX_MESSAGE`] bytes, and no length
-//! that a peer announces reserves memory before its bytes have come.
+//! The parsers are incremental and independent of any command. They never buffer more than [`MAX_MESSAGE`] bytes, and
+//! allocate no memory for an announced length before its bytes have arrived.
 use crate::log::ConnectionEnd;
 use crate::transport::Parse;
 
 /// The largest bulk string of the protocol, in bytes.
 pub const MAX_VALUE: usize = 64 << 10;
-/// The largest message in bytes: one largest value, and room for what stands around it.
+/// The largest message in bytes: one value of the largest size, and an eighth of that for the rest of the message.
 pub const MAX_MESSAGE: usize = MAX_VALUE + MAX_VALUE / 8;
-/// The most items of one array; no command or reply of ours has more.
+/// The largest number of items in an array; no command or reply of this protocol has more.
 const MAX_ITEMS: i64 = 64;
-/// How deep arrays may be nested.
+/// The largest depth of nested arrays.
 const MAX_DEPTH: usize = 4;
 const LINE_END: &[u8] = b"\r\n";
 
-/// A RESP2 value; `None` stands for the null forms.
+/// A RESP2 value; `None` is the null bulk string or the null array.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Resp {
-    /// A simple string, `+OK`.
+    /// A simple string, such as `+OK`.
     Simple(Vec<u8>),
-    /// An error, `-ERR failed`.
+    /// An error, such as `-ERR failed`.
     Error(Vec<u8>),
-    /// An integer, `:1`.
+    /// An integer, such as `:1`.
     Integer(i64),
-    /// A bulk string, whose length comes first.
+    /// A bulk string, which is prefixed by its length.
     Bulk(Option<Vec<u8>>),
     /// An array of values.
     Array(Option<Vec<Resp>>),
@@ -32,28 +32,28 @@
 
 #[derive(Clone, Copy, Debug)]
 enum State {
-    /// In a line that holds a type, and a length or a short value.
+    /// Reading a line: a type byte, followed by a length or a short value.
     Line,
-    /// In a bulk string; so many bytes of it and of its line end are missing.
+    /// Reading a bulk string, of which `missing` bytes are still to come, including its line end.
     Bulk { missing: usize },
 }
 
-/// An array some of whose items are still to come.
+/// An array of which `missing` items are still to come.
 #[derive(Debug)]
 struct PartialArray {
     missing: usize,
     items: Vec<Resp>,
 }
 
-/// Parses one value after another.
+/// Parses a sequence of RESP2 values.
 #[derive(Debug)]
 pub struct ValueParser {
     state: State,
-    /// The bytes so far of the current line or bulk string.
+    /// The bytes read so far of the current line or bulk string.
     token: Vec<u8>,
-    /// The bytes so far of the current message.
+    /// How many bytes of the current message have been read so far.
     message_length: usize,
-    /// The arrays that are not complete yet, outermost first.
+    /// The incomplete arrays, outermost first.
     open_arrays: Vec<PartialArray>,
 }
 
@@ -69,7 +69,7 @@
 }
 
 impl ValueParser {
-    /// Parses a whole line; returns its value unless more has to come first.
+    /// Parses a whole line. Returns its value, or `None` if it begins a bulk string or an array.
     fn parse_line(&mut self) -> Result<Option<Resp>, ConnectionEnd> {
         let line = std::mem::take(&mut self.token);
         let line = line
@@ -108,7 +108,7 @@
         }))
     }
 
-    /// Takes the value out of a whole bulk string.
+    /// Parses a whole bulk string, including its line end.
     fn parse_bulk(&mut self) -> Result<Resp, ConnectionEnd> {
         self.state = State::Line;
         let mut value = std::mem::take(&mut self.token);
@@ -119,7 +119,7 @@
         Ok(Resp::Bulk(Some(value)))
     }
 
-    /// Adds a value to the innermost open array; returns the outermost value once it is complete.
+    /// Adds a value to the innermost incomplete array. Returns the outermost value once it is complete.
     fn add_value(&mut self, mut value: Resp) -> Option<Resp> {
         while let Some(mut array) = self.open_arrays.pop() {
             array.items.push(value);
@@ -135,7 +135,7 @@
     }
 }
 
-/// Parses a decimal integer; a plus sign is no part of the protocol.
+/// Parses a decimal integer. The protocol allows no plus sign.
 fn parse_integer(digits: &[u8]) -> Result<i64, ConnectionEnd> {
     std::str::from_utf8(digits)
         .ok()
@@ -187,7 +187,7 @@
     }
 }
 
-/// Parses one command after another: arrays of bulk strings, with one item at least.
+/// Parses a sequence of commands: arrays of at least one bulk string.
 #[derive(Debug, Default)]
 pub struct CommandParser(ValueParser);
 
@@ -222,21 +222,21 @@
     }
 }
 
-/// Appends a bulk string.
+/// Appends `text` to `output` as a bulk string.
 pub fn append_bulk(output: &mut Vec<u8>, text: &[u8]) {
     output.extend_from_slice(format!("${}\r\n", text.len()).as_bytes());
     output.extend_from_slice(text);
     output.extend_from_slice(LINE_END);
 }
 
-/// Encodes a bulk string.
+/// Encodes `text` as a bulk string.
 pub fn encode_bulk(text: &[u8]) -> Vec<u8> {
     let mut output = Vec::with_capacity(text.len() + 16);
     append_bulk(&mut output, text);
     output
 }
 
-/// Encodes a command: an array of bulk strings.
+/// Encodes a command as an array of bulk strings.
 pub fn encode_command<'a>(parts: impl ExactSizeIterator<Item = &'a [u8]>) -> Vec<u8> {
     let mut output = format!("*{}\r\n", parts.len()).into_bytes();
     parts.for_each(|part| append_bulk(&mut output, part));
--- a/crates/agent/src/unanswered.rs
+++ b/crates/agent/src/unanswered.rs
@@ -1,7 +1,7 @@
-//! Owns the requests that have no final answer yet, and gives each its one final answer.
+//! Owns the requests that have no final answer yet, and gives each one its final answer.
 //!
-//! A request stays in the table until the decision engine has been notified of its end, so that an answer is given at
-//! most once. The number of requests is bounded by whoever accepts them.
+//! A request stays in the table until the decision engine has been notified of its end, so that it is answered at most
+//! once. The code that accepts requests bounds their number.
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::fmt;
@@ -12,10 +12,10 @@
 use crate::log::{Count, count};
 use crate::outbound::{AttemptId, EncodedRequest};
 
-/// The one final answer to a request.
+/// The final answer to a request.
 #[derive(Debug)]
 pub enum FinalAnswer {
-    /// An endpoint's answer.
+    /// An endpoint has run the request; this is its answer.
     Succeeded(Vec<u8>),
     /// The request has not run; the client may retry after this time.
     Rejected(Duration),
@@ -29,7 +29,7 @@
 /// A request without a final answer, or one whose end the decision engine has not been notified of yet.
 struct UnansweredRequest {
     encoded_request: EncodedRequest,
-    /// When the wait for the last of its attempts ends.
+    /// When its attempts time out at the latest.
     deadline: Duration,
     /// How many attempts have been sent.
     attempts: u8,
@@ -41,7 +41,7 @@
 pub(crate) struct StartedAttempt {
     pub(crate) id: AttemptId,
     pub(crate) encoded_request: EncodedRequest,
-    /// When the wait for its answer ends.
+    /// When the attempt times out.
     pub(crate) deadline: Duration,
 }
 
@@ -62,7 +62,7 @@
 }
 
 impl UnansweredRequests {
-    /// Adds a request and returns its id. Answers are waited for up to `until`.
+    /// Adds a request and returns its id. Its attempts time out at `deadline` at the latest.
     pub(crate) fn insert(
         &self,
         encoded_request: EncodedRequest,
@@ -81,12 +81,12 @@
         id
     }
 
-    /// How many requests are in the table.
+    /// Returns how many requests are in the table.
     pub(crate) fn len(&self) -> usize {
         self.requests.borrow().len()
     }
 
-    /// Removes a request.
+    /// Removes a request, once the decision engine is notified of its end.
     pub(crate) fn remove(&self, id: RequestId) {
         self.requests.borrow_mut().remove(&id);
     }
@@ -99,7 +99,7 @@
             .is_some_and(|request| request.callback.is_some())
     }
 
-    /// Takes the callback of a request that still needs its final answer; after that it needs none.
+    /// Takes the callback of a request that still needs its final answer. Afterwards it needs none.
     pub(crate) fn take_callback(&self, id: RequestId) -> Option<AnswerCallback> {
         self.requests.borrow_mut().get_mut(&id)?.callback.take()
     }
@@ -123,8 +123,8 @@
         self.remove(id);
     }
 
-    /// Numbers the next attempt of a request. Its answer is waited for no longer than `give_up_after` from `now`, if
-    /// that is not zero, and never longer than the request's own limit. None if the request is not in the table.
+    /// Numbers the next attempt of a request. It times out `give_up_after` after `now`, if that is not zero, and at the
+    /// request's own deadline at the latest. Returns `None` if the request is not in the table.
     pub(crate) fn start_attempt(
         &self,
         id: RequestId,
