--- a/crates/agent/src/discovery.rs
+++ b/crates/agent/src/discovery.rs
@@ -15,9 +15,9 @@
 use lilacgate_start_settings::{Settings, SettingsError};
 
 use crate::endpoint_list::{EndpointListReader, ListReceipt};
-use crate::endpoint_start_times::Sighting;
+use crate::endpoint_start_times::ListProvenance;
 use crate::event_loop::EventLoop;
-use crate::http_response::{HttpResponse, MAX_LINE_BYTES, ValuesAndHeartbeats};
+use crate::http_response::{HttpResponseParser, MAX_LINE_BYTES, WatchResponseParser};
 use crate::json::Json;
 use crate::log::{ConnectionEnd, Count, count, info};
 use crate::loop_monitor::LoopStep;
@@ -60,7 +60,7 @@
     pub address: ServiceAddress,
     connect_timeout: Duration,
     /// Whether the decision engine asks for the list; otherwise it is always watched.
-    is_on_request: bool,
+    is_requested_by_engine: bool,
     /// The longest message, in bytes.
     max_message_bytes: usize,
     endpoint_list: RefCell<EndpointListReader>,
@@ -77,7 +77,7 @@
         formatter
             .debug_struct("Discovery")
             .field("address", &self.address.get())
-            .field("is_on_request", &self.is_on_request)
+            .field("is_requested_by_engine", &self.is_requested_by_engine)
             .finish_non_exhaustive()
     }
 }
@@ -102,7 +102,7 @@
             upstream,
             address: ServiceAddress::new(address),
             connect_timeout,
-            is_on_request: settings.requests_endpoint_list()?,
+            is_requested_by_engine: settings.requests_endpoint_list()?,
             max_message_bytes,
             endpoint_list,
             last_contact: Cell::default(),
@@ -117,27 +117,27 @@
     /// read, in which case nothing is passed on.
     pub fn receive(&self, message: &Json, origin: ListOrigin) -> Option<()> {
         let event_loop = &self.event_loop;
-        let mut named = |id: EndpointId, name: &str| {
+        let mut on_new_endpoint = |id: EndpointId, name: &str| {
             let name = name.to_owned();
             event_loop.enqueue(move |router| router.recorder.endpoint_named(id, &name));
         };
         let now = event_loop.clock.now();
-        let sighting = match origin {
-            ListOrigin::StartFile => Sighting::Saved,
-            ListOrigin::Discovery => Sighting::Discovery {
-                silence: self.last_contact.get().map(|last| now.saturating_sub(last)),
+        let provenance = match origin {
+            ListOrigin::StartFile => ListProvenance::Saved,
+            ListOrigin::Discovery => ListProvenance::Discovery {
+                since_last_contact: self.last_contact.get().map(|last| now.saturating_sub(last)),
             },
         };
-        let receipt = ListReceipt { now, sighting };
-        let update = self
-            .endpoint_list
-            .borrow_mut()
-            .read(message, receipt, &mut named)?;
+        let receipt = ListReceipt { now, provenance };
+        let update =
+            self.endpoint_list
+                .borrow_mut()
+                .read(message, receipt, &mut on_new_endpoint)?;
         if origin == ListOrigin::Discovery {
             self.last_contact.set(Some(now));
         }
         if update.is_full {
-            self.upstream.retain(|id| update.names(*id));
+            self.upstream.retain(|id| update.contains(*id));
         }
         for listed in &update.endpoints {
             self.upstream
@@ -156,12 +156,12 @@
         Some(())
     }
 
-    fn failed(&self, end: ConnectionEnd) {
+    fn report_failure(&self, end: ConnectionEnd) {
         info!(
             "connection_closed peer=discovery address={} reason={end}",
             self.address.get()
         );
-        if self.is_on_request {
+        if self.is_requested_by_engine {
             self.event_loop
                 .enqueue(|router| router.on_endpoints(ListUpdate::Failed, &mut std::iter::empty()));
         }
@@ -169,48 +169,48 @@
 
     /// Watches the list for as long as the agent runs: always, or while the decision engine wants it.
     pub async fn run(self: Rc<Self>) {
-        let mut is_wanted = !self.is_on_request;
+        let mut is_wanted = !self.is_requested_by_engine;
         loop {
             while !is_wanted {
                 is_wanted = self.watch_receiver.recv().await.unwrap_or(false);
             }
-            let WatchEnd { end, pause } = self.watch_once().await;
-            let mut has_moved = end == ConnectionEnd::AddressChanged;
-            if !has_moved {
-                is_wanted = !self.is_on_request;
-                has_moved = is_wanted && self.moves_within(pause).await;
+            let WatchEnd { end, pause } = self.watch_until_closed().await;
+            let mut has_address_changed = end == ConnectionEnd::AddressChanged;
+            if !has_address_changed {
+                is_wanted = !self.is_requested_by_engine;
+                has_address_changed = is_wanted && self.address_changes_within(pause).await;
             }
-            if has_moved {
+            if has_address_changed {
                 // Another discovery may count its versions otherwise: the full list is fetched at once.
-                self.endpoint_list.borrow_mut().restart();
-                self.pacing.borrow_mut().moved();
+                self.endpoint_list.borrow_mut().forget_version();
+                self.pacing.borrow_mut().reset();
             }
         }
     }
 
     /// Waits so long, or until discovery has moved; returns whether it has.
-    async fn moves_within(&self, pause: Duration) -> bool {
+    async fn address_changes_within(&self, pause: Duration) -> bool {
         with_timeout(pause, self.address.changed::<()>()).await
             == Err(ConnectionEnd::AddressChanged)
     }
 
     /// One watch, up to its end.
-    async fn watch_once(&self) -> WatchEnd {
+    async fn watch_until_closed(&self) -> WatchEnd {
         let address = self.address.get();
         let has_received = Cell::new(false);
         let began = Instant::now();
         let version = self.endpoint_list.borrow().version();
         let path = format!("{LIST_PATH}?follow=1&since={version}");
         let watch = self.watch_list(&path, &has_received);
-        let unwanted = async {
+        let no_longer_wanted = async {
             while self.watch_receiver.recv().await.unwrap_or(true) {}
             Err(ConnectionEnd::Cancelled)
         };
-        let Err(end) = watch.or(unwanted).or(self.address.changed()).await;
+        let Err(end) = watch.or(no_longer_wanted).or(self.address.changed()).await;
         if end == ConnectionEnd::AddressChanged {
             info!("connection_closed peer=discovery address={address} reason={end}");
         } else {
-            self.failed(end);
+            self.report_failure(end);
         }
         let call_end = match end {
             _ if has_received.get() => CallEnd::Answered,
@@ -267,10 +267,10 @@
                 .as_bytes(),
         );
         with_timeout(self.connect_timeout, request.flush(&stream)).await?;
-        let parser = ValuesAndHeartbeats(HttpResponse::new(self.max_message_bytes));
-        let intake = InputReader::new(parser, self.max_message_bytes, HEARTBEAT_TIMEOUT);
-        let stall = self.pacing.borrow().stall();
-        Ok(items(stream, intake.with_stall_timeout(stall)))
+        let parser = WatchResponseParser(HttpResponseParser::new(self.max_message_bytes));
+        let reader = InputReader::new(parser, self.max_message_bytes, HEARTBEAT_TIMEOUT);
+        let stall_timeout = self.pacing.borrow().stall_timeout();
+        Ok(items(stream, reader.with_stall_timeout(stall_timeout)))
     }
 
     fn receive_from_discovery(&self, message: &Json) -> Result<(), ConnectionEnd> {
@@ -283,7 +283,7 @@
             return Ok(());
         }
         // What was missed here cannot be known: the full list is fetched next time.
-        self.endpoint_list.borrow_mut().restart();
+        self.endpoint_list.borrow_mut().forget_version();
         Err(ConnectionEnd::Malformed)
     }
 }
@@ -318,7 +318,7 @@
                         ConnectionEnd::Closed
                     );
                 }
-                Err(end) => discovery.failed(end),
+                Err(end) => discovery.report_failure(end),
             }
         });
     }
--- a/crates/agent/src/endpoint_list.rs
+++ b/crates/agent/src/endpoint_list.rs
@@ -9,7 +9,7 @@
 use lilacgate_start_settings::{Settings, SettingsError};
 
 use crate::endpoint_ids::EndpointIds;
-use crate::endpoint_start_times::{Sighting, StartTimes};
+use crate::endpoint_start_times::{ListProvenance, StartTimes};
 use crate::json::{self, Json};
 
 /// An endpoint in a message of discovery.
@@ -34,12 +34,12 @@
 
 impl EndpointListUpdate {
     /// Whether it names an endpoint.
-    pub fn names(&self, id: EndpointId) -> bool {
+    pub fn contains(&self, id: EndpointId) -> bool {
         self.statuses.contains_key(&id)
     }
 
     /// Whether an endpoint that was listed before is still listed after it.
-    fn keeps(&self, id: EndpointId) -> bool {
+    fn still_lists(&self, id: EndpointId) -> bool {
         match self.statuses.get(&id) {
             Some(status) => *status != EndpointStatus::Removed,
             None => !self.is_full,
@@ -65,14 +65,14 @@
     /// The time, on the agent's clock.
     pub now: Duration,
     /// Whether and how discovery sent it.
-    pub sighting: Sighting,
+    pub provenance: ListProvenance,
 }
 
 impl ListReceipt {
     /// The receipt of a message whose stamps are of the very clock that its reader goes by, as in virtual time.
     pub const COMMON_CLOCK: ListReceipt = ListReceipt {
         now: Duration::MAX,
-        sighting: Sighting::Saved,
+        provenance: ListProvenance::Saved,
     };
 }
 
@@ -97,17 +97,17 @@
     }
 
     /// Forgets the version: the next list is taken whatever its own.
-    pub fn restart(&mut self) {
+    pub fn forget_version(&mut self) {
         self.version = 0;
     }
 
-    /// Reads a message; none if a part of it cannot be read, or if it is older than the last one. `named` is called
+    /// Reads a message; none if a part of it cannot be read, or if it is older than the last one. `on_new_endpoint` is called
     /// with each endpoint that gets an id.
     pub fn read(
         &mut self,
         message: &Json,
         receipt: ListReceipt,
-        named: &mut dyn FnMut(EndpointId, &str),
+        on_new_endpoint: &mut dyn FnMut(EndpointId, &str),
     ) -> Option<EndpointListUpdate> {
         let version = message.get("version").and_then(Json::as_u64)?;
         let Json::Bool(is_full) = *message.get("full")? else {
@@ -116,7 +116,7 @@
         let entries = message.get("servers").and_then(Json::as_array)?;
         let mut endpoints = entries
             .iter()
-            .map(|entry| self.read_entry(entry, named))
+            .map(|entry| self.read_entry(entry, on_new_endpoint))
             .collect::<Option<Vec<_>>>()?;
         if !is_full && version < self.version {
             return None;
@@ -136,32 +136,36 @@
             statuses,
         };
         // The names of removed endpoints are forgotten: one that returns gets the same id.
-        self.endpoint_ids.retain(|id| update.keeps(id));
-        self.start_times.retain(|id| update.keeps(id));
+        self.endpoint_ids.retain(|id| update.still_lists(id));
+        self.start_times.retain(|id| update.still_lists(id));
         Some(update)
     }
 
     /// Replaces the start that the list shows by that on the agent's clock.
     fn correct_start(&mut self, endpoint: &mut Endpoint, receipt: ListReceipt) {
-        let ListReceipt { now, sighting } = receipt;
-        endpoint.started = self
-            .start_times
-            .started(endpoint.id, endpoint.started, sighting, now);
+        let ListReceipt { now, provenance } = receipt;
+        endpoint.started =
+            self.start_times
+                .start_time(endpoint.id, endpoint.started, provenance, now);
     }
 
-    fn id_of(&mut self, name: &str, named: &mut dyn FnMut(EndpointId, &str)) -> EndpointId {
+    fn id_of(
+        &mut self,
+        name: &str,
+        on_new_endpoint: &mut dyn FnMut(EndpointId, &str),
+    ) -> EndpointId {
         if let Some(id) = self.endpoint_ids.get(name) {
             return id;
         }
         let id = self.endpoint_ids.assign(name);
-        named(id, name);
+        on_new_endpoint(id, name);
         id
     }
 
     fn read_entry(
         &mut self,
         entry: &Json,
-        named: &mut dyn FnMut(EndpointId, &str),
+        on_new_endpoint: &mut dyn FnMut(EndpointId, &str),
     ) -> Option<ListedEndpoint> {
         let text = |field: &str| entry.get(field).and_then(Json::as_str);
         let number = |field| entry.get(field).and_then(Json::as_u64);
@@ -171,7 +175,7 @@
             .filter(|weight| *weight >= 0.0)?;
         let name = text("id").filter(|name| !name.is_empty())?;
         let endpoint = Endpoint {
-            id: self.id_of(name, named),
+            id: self.id_of(name, on_new_endpoint),
             status: read_status(text("state")?)?,
             model: Model(index_of(&self.models, text("kind")?)?),
             weight: weight as f32,
--- a/crates/agent/src/http_response.rs
+++ b/crates/agent/src/http_response.rs
@@ -47,17 +47,17 @@
 
 /// A parser of one HTTP/1.1 response, and of the JSON values in its body.
 #[derive(Debug)]
-pub struct HttpResponse {
+pub struct HttpResponseParser {
     state: State,
     /// The line that is being read.
     line: Vec<u8>,
     values: JsonParser,
 }
 
-impl HttpResponse {
+impl HttpResponseParser {
     /// A parser of values of at most so many bytes.
     pub fn new(max_value_bytes: usize) -> Self {
-        HttpResponse {
+        HttpResponseParser {
             state: State::StatusLine,
             line: Vec::new(),
             values: JsonParser::indented(max_value_bytes),
@@ -175,7 +175,7 @@
     }
 }
 
-impl Parse for HttpResponse {
+impl Parse for HttpResponseParser {
     type Item = Json;
 
     fn is_between(&self) -> bool {
@@ -209,9 +209,9 @@
 /// A parser of the same response for which anything that comes between two values is an item too, without a value: a
 /// heartbeat. What comes amid a value is none, so that a value that was cut is not waited for without end.
 #[derive(Debug)]
-pub struct ValuesAndHeartbeats(pub HttpResponse);
+pub struct WatchResponseParser(pub HttpResponseParser);
 
-impl Parse for ValuesAndHeartbeats {
+impl Parse for WatchResponseParser {
     type Item = Option<Json>;
 
     fn is_between(&self) -> bool {
--- a/crates/agent/src/pacing.rs
+++ b/crates/agent/src/pacing.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 /// How far apart two calls begin at least, however the first one ended.
-pub const SHORTEST_GAP: Duration = Duration::from_millis(50);
+pub const MIN_CALL_INTERVAL: Duration = Duration::from_millis(50);
 /// How far apart calls that bring nothing begin at most, unless one of them lasts longer by itself.
-pub const LONGEST_GAP: Duration = Duration::from_millis(500);
+pub const MAX_CALL_INTERVAL: Duration = Duration::from_millis(500);
 
 /// How a call to discovery went.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -21,48 +21,48 @@
 /// The pace of calls to discovery, over their ends.
 #[derive(Clone, Debug)]
 pub struct Pacing {
-    gap: Duration,
-    first_stall: Duration,
-    longest_stall: Duration,
-    stall: Duration,
+    interval: Duration,
+    initial_stall_timeout: Duration,
+    max_stall_timeout: Duration,
+    stall_timeout: Duration,
 }
 
 impl Pacing {
-    /// `first_stall` is how long the rest of a message is waited for at first, `longest_stall` the most that this
+    /// `initial_stall_timeout` is how long the rest of a message is waited for at first, `max_stall_timeout` the most that this
     /// grows to while messages go on stopping short.
-    pub fn new(first_stall: Duration, longest_stall: Duration) -> Self {
-        let first_stall = first_stall.min(longest_stall);
+    pub fn new(initial_stall_timeout: Duration, max_stall_timeout: Duration) -> Self {
+        let initial_stall_timeout = initial_stall_timeout.min(max_stall_timeout);
         Pacing {
-            gap: SHORTEST_GAP,
-            first_stall,
-            longest_stall,
-            stall: first_stall,
+            interval: MIN_CALL_INTERVAL,
+            initial_stall_timeout,
+            max_stall_timeout,
+            stall_timeout: initial_stall_timeout,
         }
     }
 
     /// How long to wait for more bytes of a message that has begun.
-    pub fn stall(&self) -> Duration {
-        self.stall
+    pub fn stall_timeout(&self) -> Duration {
+        self.stall_timeout
     }
 
     /// Notes how a call ended that lasted so long; returns the pause before the next one may begin. A call that was
     /// waited for longer than the gap between two is followed at once: the wait has spaced them already.
     pub fn pause_after(&mut self, end: CallEnd, lasted: Duration) -> Duration {
-        self.gap = match end {
-            CallEnd::Answered => SHORTEST_GAP,
-            CallEnd::Unanswered | CallEnd::Stalled => (self.gap * 2).min(LONGEST_GAP),
+        self.interval = match end {
+            CallEnd::Answered => MIN_CALL_INTERVAL,
+            CallEnd::Unanswered | CallEnd::Stalled => (self.interval * 2).min(MAX_CALL_INTERVAL),
         };
-        self.stall = match end {
-            CallEnd::Answered => self.first_stall,
-            CallEnd::Unanswered => self.stall,
-            CallEnd::Stalled => (self.stall * 2).min(self.longest_stall),
+        self.stall_timeout = match end {
+            CallEnd::Answered => self.initial_stall_timeout,
+            CallEnd::Unanswered => self.stall_timeout,
+            CallEnd::Stalled => (self.stall_timeout * 2).min(self.max_stall_timeout),
         };
-        self.gap.saturating_sub(lasted)
+        self.interval.saturating_sub(lasted)
     }
 
     /// Discovery has moved: what is known of the earlier one says nothing of it.
-    pub fn moved(&mut self) {
-        self.gap = SHORTEST_GAP;
-        self.stall = self.first_stall;
+    pub fn reset(&mut self) {
+        self.interval = MIN_CALL_INTERVAL;
+        self.stall_timeout = self.initial_stall_timeout;
     }
 }
--- a/crates/agent/tests/fleet.rs
+++ b/crates/agent/tests/fleet.rs
@@ -5,7 +5,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use lilacgate_agent::http_response::HttpResponse;
+use lilacgate_agent::http_response::HttpResponseParser;
 use lilacgate_agent::json::{Json, JsonParser};
 use lilacgate_agent::transport::Parse;
 use lilacgate_capacity::Sample;
@@ -123,7 +123,7 @@
     let line = Membership::new(7_400, &[address], 0.0, 1).whole();
     let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     let text = format!("{head}{:x}\r\n{line}\n\r\n", line.len() + 1);
-    let mut answer = HttpResponse::new(text.len());
+    let mut answer = HttpResponseParser::new(text.len());
     let read = |byte: &u8| {
         answer
             .take(std::slice::from_ref(byte))
--- a/crates/agent/tests/large_fleets.rs
+++ b/crates/agent/tests/large_fleets.rs
@@ -14,7 +14,7 @@
 
 use lilacgate_agent::discovery::{Discovery, ListOrigin};
 use lilacgate_agent::event_loop::EventLoop;
-use lilacgate_agent::http_response::HttpResponse;
+use lilacgate_agent::http_response::HttpResponseParser;
 use lilacgate_agent::json::Json;
 use lilacgate_agent::release_gate::{EventRouter, ReleaseGateHost};
 use lilacgate_agent::start_config::{self, StartConfig};
@@ -103,7 +103,7 @@
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{:x}\r\n{list}\n\r\n",
         list.len() + 1
     );
-    let (mut parser, mut lists) = (HttpResponse::new(max_message), Vec::new());
+    let (mut parser, mut lists) = (HttpResponseParser::new(max_message), Vec::new());
     for mut packet in response.as_bytes().chunks(PACKET) {
         while !packet.is_empty() {
             let (consumed, list) = parser.take(packet).expect("it can be read");
--- a/crates/agent/tests/pacing.rs
+++ b/crates/agent/tests/pacing.rs
@@ -1,11 +1,11 @@
 //! Properties of the pace of calls to discovery, over any order of their ends.
 use std::time::Duration;
 
-use lilacgate_agent::pacing::{CallEnd, LONGEST_GAP, Pacing, SHORTEST_GAP};
+use lilacgate_agent::pacing::{CallEnd, MAX_CALL_INTERVAL, MIN_CALL_INTERVAL, Pacing};
 use proptest::prelude::*;
 
-const FIRST_STALL: Duration = Duration::from_millis(250);
-const LONGEST_STALL: Duration = Duration::from_millis(2500);
+const INITIAL_STALL_TIMEOUT: Duration = Duration::from_millis(250);
+const MAX_STALL_TIMEOUT: Duration = Duration::from_millis(2500);
 
 fn any_end() -> impl Strategy<Value = CallEnd> {
     prop_oneof![
@@ -24,9 +24,9 @@
     /// Two calls begin no sooner than the shortest gap after each other, however fast they fail.
     #[test]
     fn calls_never_come_in_a_rush(calls in any_calls()) {
-        let mut pacing = Pacing::new(FIRST_STALL, LONGEST_STALL);
+        let mut pacing = Pacing::new(INITIAL_STALL_TIMEOUT, MAX_STALL_TIMEOUT);
         for (end, lasted) in calls {
-            prop_assert!(lasted + pacing.pause_after(end, lasted) >= SHORTEST_GAP);
+            prop_assert!(lasted + pacing.pause_after(end, lasted) >= MIN_CALL_INTERVAL);
         }
     }
 
@@ -34,11 +34,11 @@
     /// failed before, a call begins within that time of the end of the one before it.
     #[test]
     fn a_long_wait_is_followed_at_once(calls in any_calls()) {
-        let mut pacing = Pacing::new(FIRST_STALL, LONGEST_STALL);
+        let mut pacing = Pacing::new(INITIAL_STALL_TIMEOUT, MAX_STALL_TIMEOUT);
         for (end, lasted) in calls {
             let pause = pacing.pause_after(end, lasted);
-            prop_assert!(pause <= LONGEST_GAP);
-            prop_assert!(lasted < LONGEST_GAP || pause.is_zero());
+            prop_assert!(pause <= MAX_CALL_INTERVAL);
+            prop_assert!(lasted < MAX_CALL_INTERVAL || pause.is_zero());
         }
     }
 
@@ -46,15 +46,15 @@
     /// start after the first list that came whole.
     #[test]
     fn the_stall_is_bounded(calls in any_calls()) {
-        let mut pacing = Pacing::new(FIRST_STALL, LONGEST_STALL);
+        let mut pacing = Pacing::new(INITIAL_STALL_TIMEOUT, MAX_STALL_TIMEOUT);
         for (end, lasted) in calls {
-            let before = pacing.stall();
+            let before = pacing.stall_timeout();
             pacing.pause_after(end, lasted);
-            let after = pacing.stall();
+            let after = pacing.stall_timeout();
             match end {
-                CallEnd::Answered => prop_assert_eq!(after, FIRST_STALL),
+                CallEnd::Answered => prop_assert_eq!(after, INITIAL_STALL_TIMEOUT),
                 CallEnd::Unanswered => prop_assert_eq!(after, before),
-                CallEnd::Stalled => prop_assert_eq!(after, (before * 2).min(LONGEST_STALL)),
+                CallEnd::Stalled => prop_assert_eq!(after, (before * 2).min(MAX_STALL_TIMEOUT)),
             }
         }
     }
@@ -62,15 +62,15 @@
 
 #[test]
 fn after_a_move_the_pace_is_that_of_a_start() {
-    let mut pacing = Pacing::new(FIRST_STALL, LONGEST_STALL);
+    let mut pacing = Pacing::new(INITIAL_STALL_TIMEOUT, MAX_STALL_TIMEOUT);
     for _ in 0..10 {
         pacing.pause_after(CallEnd::Stalled, Duration::ZERO);
     }
-    assert_eq!(pacing.stall(), LONGEST_STALL);
-    pacing.moved();
-    assert_eq!(pacing.stall(), FIRST_STALL);
+    assert_eq!(pacing.stall_timeout(), MAX_STALL_TIMEOUT);
+    pacing.reset();
+    assert_eq!(pacing.stall_timeout(), INITIAL_STALL_TIMEOUT);
     assert_eq!(
         pacing.pause_after(CallEnd::Unanswered, Duration::ZERO),
-        SHORTEST_GAP * 2
+        MIN_CALL_INTERVAL * 2
     );
 }
--- a/crates/agent/tests/parsers.rs
+++ b/crates/agent/tests/parsers.rs
@@ -2,7 +2,7 @@
 //! scenarios is `KIND BYTES => ITEM | ITEM !ERROR`, with \r \n \xHH and <COUNT*BYTES> in the bytes.
 use std::path::PathBuf;
 
-use lilacgate_agent::http_response::{HttpResponse, ValuesAndHeartbeats};
+use lilacgate_agent::http_response::{HttpResponseParser, WatchResponseParser};
 use lilacgate_agent::json::{Json, JsonParser};
 use lilacgate_agent::resp::{self, Resp};
 use lilacgate_agent::transport::Parse;
@@ -103,7 +103,7 @@
             "json" => parse_in_all_ways(|| JsonParser::new(100), &input, show_json),
             "lines" => parse_in_all_ways(|| JsonParser::lines(100), &input, show_json),
             "indented" => parse_in_all_ways(|| JsonParser::indented(100), &input, show_json),
-            "http" => parse_in_all_ways(|| HttpResponse::new(100), &input, show_json),
+            "http" => parse_in_all_ways(|| HttpResponseParser::new(100), &input, show_json),
             other => panic!("no parser of {other}"),
         };
         assert_eq!(found, expected.trim(), "{line:.300}");
@@ -114,7 +114,7 @@
 /// waited for without end.
 #[rstest]
 fn only_between_lists_is_a_watch_alive() {
-    let mut watch = ValuesAndHeartbeats(HttpResponse::new(100));
+    let mut watch = WatchResponseParser(HttpResponseParser::new(100));
     let mut receive = |text: &str| {
         watch
             .take(text.as_bytes())
--- a/crates/scale/src/module.rs
+++ b/crates/scale/src/module.rs
@@ -5,7 +5,7 @@
 
 use cpu_time::ThreadTime;
 use lilacgate_agent::endpoint_list::{EndpointListReader, ListReceipt};
-use lilacgate_agent::http_response::{HttpResponse, ValuesAndHeartbeats};
+use lilacgate_agent::http_response::{HttpResponseParser, WatchResponseParser};
 use lilacgate_agent::json::{Json, JsonParser};
 use lilacgate_agent::release_watch;
 use lilacgate_agent::transport::Parse;
@@ -143,7 +143,7 @@
     /// The last request's number.
     pub last_request: u32,
     endpoint_list: EndpointListReader,
-    list_parser: ValuesAndHeartbeats,
+    list_parser: WatchResponseParser,
     release_update_parser: JsonParser,
 }
 
@@ -192,7 +192,7 @@
         meter.parse(start.elapsed());
         let Ok(received) = read else {
             meter.counts.unreadable += 1;
-            self.endpoint_list.restart();
+            self.endpoint_list.forget_version();
             self.connect();
             return vec![ModuleEvent::EndpointList(ListUpdate::Failed, vec![])];
         };
@@ -317,8 +317,8 @@
 /// A message is malformed or does not fit the list.
 struct Unreadable;
 
-fn list_parser() -> ValuesAndHeartbeats {
-    ValuesAndHeartbeats(HttpResponse::new(LARGEST_MESSAGE))
+fn list_parser() -> WatchResponseParser {
+    WatchResponseParser(HttpResponseParser::new(LARGEST_MESSAGE))
 }
 
 fn release_update_parser() -> JsonParser {
