--- a/crates/decision/src/policy/exposure.rs
+++ b/crates/decision/src/policy/exposure.rs
@@ -99,7 +99,7 @@
         let (tenant, class) = (request.request.tenant, request.request.class);
         self.permissions
             .as_ref()
-            .is_none_or(|permissions| permissions.admits(build, zone, tenant, class))
+            .is_none_or(|permissions| permissions.permits(build, zone, tenant, class))
     }
 
     /// Whether the operator's rules permit any request to go to a build in a zone. Endpoints where they permit none
@@ -107,7 +107,7 @@
     pub(crate) fn operator_permits_any(&self, build: Build, zone: Zone) -> bool {
         self.permissions
             .as_ref()
-            .is_none_or(|permissions| permissions.any(build, zone))
+            .is_none_or(|permissions| permissions.permits_any(build, zone))
     }
 
     /// Whether a request may go to a build in a zone at all, whatever the canary's window has left. The operator's
@@ -173,7 +173,7 @@
     pub(crate) fn operator_holds(&self, status: ReleaseStatus) -> bool {
         self.permissions
             .as_ref()
-            .is_some_and(|permissions| !permissions.may_step(status.build, status.stage))
+            .is_some_and(|permissions| !permissions.may_advance(status.build, status.stage))
     }
 
     /// Records that a build has answered a request. The request's key is kept if the build is the newest one and
--- a/crates/decision/src/policy/load_balancing.rs
+++ b/crates/decision/src/policy/load_balancing.rs
@@ -171,7 +171,7 @@
         // overload a slow one.
         let full_rate = self.load.capacity_per_weight
             * record.weight()
-            * self.evidence.relative_speed(record.endpoint.model);
+            * self.evidence.relative_speed(record.endpoint.machine_model);
         let load = SlowStartLoad {
             full_rate,
             work_due: self.load.work_due,
