--- a/crates/decision/examples/round_cost.rs
+++ b/crates/decision/examples/round_cost.rs
@@ -1,5 +1,6 @@
-//! What the decision engine costs by the length of its list: processor time a second, the worst round, and a whole
-//! list. One engine runs in virtual time; attempts succeed but for those of [`Scene::Faults`].
+//! Measures the processor time of the decision engine for several lengths of the endpoint list: in each second, in the
+//! worst round, and for a full list. One engine runs in virtual time; all attempts succeed, except in
+//! [`Scenario::Faults`].
 //!
 //! `cargo run --release --example round_cost [SECONDS]`
 use std::collections::{BTreeMap, BTreeSet};
@@ -18,33 +19,33 @@
 use setup::{EPOCH, READ, ReleaseUpdate, WORK, agent_settings, request};
 
 const SECOND: Duration = Duration::from_secs(1);
-const LISTED: [u32; 5] = [35, 150, 600, 2_400, 7_400];
+const LIST_LENGTHS: [u32; 5] = [35, 150, 600, 2_400, 7_400];
 
-/// What else goes on.
+/// What happens besides requests and changes of the list.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Scene {
-    Calm,
-    /// Half of the list runs a canary.
-    Trial,
+enum Scenario {
+    Steady,
+    /// Half of the listed endpoints run a canary.
+    Canary,
     /// A tenth of the attempts fail, and one endpoint in twenty refuses connections.
     Faults,
-    /// An eighth of the list has just started.
-    ZoneBack,
+    /// The endpoints of one zone of eight restart, halfway through.
+    ZoneRestart,
 }
 
 /// The load on one engine.
 #[derive(Clone, Copy)]
 struct Load {
-    scene: Scene,
+    scenario: Scenario,
     requests_per_second: u32,
-    /// Changes of the list.
+    /// Changes of single entries of the list.
     changes_per_second: u32,
 }
 
 impl Load {
-    const fn new(scene: Scene, requests_per_second: u32, changes_per_second: u32) -> Self {
+    const fn new(scenario: Scenario, requests_per_second: u32, changes_per_second: u32) -> Self {
         Load {
-            scene,
+            scenario,
             requests_per_second,
             changes_per_second,
         }
@@ -52,18 +53,18 @@
 }
 
 const LOADS: [Load; 7] = [
-    Load::new(Scene::Calm, 62, 0),
-    Load::new(Scene::Calm, 62, 1),
-    Load::new(Scene::Calm, 300, 0),
-    Load::new(Scene::Calm, 0, 0),
-    Load::new(Scene::Trial, 62, 1),
-    Load::new(Scene::Faults, 62, 1),
-    Load::new(Scene::ZoneBack, 62, 0),
+    Load::new(Scenario::Steady, 62, 0),
+    Load::new(Scenario::Steady, 62, 1),
+    Load::new(Scenario::Steady, 300, 0),
+    Load::new(Scenario::Steady, 0, 0),
+    Load::new(Scenario::Canary, 62, 1),
+    Load::new(Scenario::Faults, 62, 1),
+    Load::new(Scenario::ZoneRestart, 62, 0),
 ];
 
-/// The endpoint of an index: three models, cells of five, eight zones.
-fn endpoint(index: u32, scene: Scene) -> Endpoint {
-    let runs_canary = scene == Scene::Trial && index.is_multiple_of(2);
+/// The endpoint of an index: there are three models, cells of five endpoints, and eight zones.
+fn endpoint(index: u32, scenario: Scenario) -> Endpoint {
+    let runs_canary = scenario == Scenario::Canary && index.is_multiple_of(2);
     Endpoint {
         machine_model: MachineModel((index % 3) as u8),
         build: Build(if runs_canary { 2 } else { 1 }),
@@ -73,16 +74,16 @@
     }
 }
 
-fn outcome(scene: Scene, request: RequestId, endpoint: EndpointId) -> Outcome {
-    match scene {
-        Scene::Faults if endpoint.0.is_multiple_of(20) => Outcome::ConnectFailed,
-        Scene::Faults if request.0.is_multiple_of(10) => Outcome::Failed,
+fn outcome(scenario: Scenario, request: RequestId, endpoint: EndpointId) -> Outcome {
+    match scenario {
+        Scenario::Faults if endpoint.0.is_multiple_of(20) => Outcome::ConnectFailed,
+        Scenario::Faults if request.0.is_multiple_of(10) => Outcome::Failed,
         _ => Outcome::Succeeded,
     }
 }
 
-/// The attempts decided in a round, and when the engine wants to be woken. It takes nothing else, so that its own
-/// cost stays out of the figures.
+/// Takes the attempts decided in a round and the wake-ups that the engine asks for. It records nothing else, which
+/// keeps its own cost out of the figures.
 #[derive(Default)]
 struct Decided {
     sent: Vec<(RequestId, EndpointId)>,
@@ -108,13 +109,13 @@
     fn vote(&mut self, _: Build, _: Stage, _: Vote) {}
 }
 
-/// Processor time of this thread.
+/// Processor time that this thread has used.
 fn processor_time() -> Duration {
     let now = clock_gettime(ClockId::ThreadCPUTime);
     Duration::new(now.tv_sec as u64, now.tv_nsec as u32)
 }
 
-/// What happens at a time, besides wake-ups.
+/// An event that happens at a set time, besides wake-ups.
 enum Event {
     Request(u32),
     Answer {
@@ -123,10 +124,10 @@
         endpoint: EndpointId,
     },
     ListChange(u32),
-    ZoneBack,
+    ZoneRestart,
 }
 
-/// Events by time; a serial number keeps the order of those at the same time.
+/// Events by time; a serial number keeps events of the same time in the order in which they were added.
 #[derive(Default)]
 struct Schedule {
     events: BTreeMap<(Duration, u32), Event>,
@@ -134,7 +135,7 @@
 }
 
 impl Schedule {
-    /// All that a load brings in so many seconds.
+    /// All events that a load brings in a number of seconds.
     fn new(load: Load, seconds: u32) -> Self {
         let mut schedule = Schedule::default();
         for number in 0..load.requests_per_second * seconds {
@@ -145,8 +146,8 @@
             let at = EPOCH + SECOND * number / load.changes_per_second;
             schedule.add(at, Event::ListChange(number));
         }
-        if load.scene == Scene::ZoneBack {
-            schedule.add(EPOCH + SECOND * seconds / 2, Event::ZoneBack);
+        if load.scenario == Scenario::ZoneRestart {
+            schedule.add(EPOCH + SECOND * seconds / 2, Event::ZoneRestart);
         }
         schedule
     }
@@ -166,18 +167,20 @@
     }
 }
 
+/// What an engine has cost.
 struct Cost {
-    /// Of each round, in order of cost.
+    /// Processor time of each round, in ascending order.
     rounds: Vec<Duration>,
+    /// Processor time of the round with the first full list.
     first_list: Duration,
-    /// The same list once more.
+    /// The same for a second list that is equal to the first.
     same_list: Duration,
     endpoints_used: usize,
     rows_visited: u64,
 }
 
 impl Cost {
-    /// The processor time that one round in a thousand exceeds.
+    /// The 99.9th percentile of the processor time of a round.
     fn high_round(&self) -> Duration {
         let count = self.rounds.len();
         let rank = (count - count / 1000).saturating_sub(1);
@@ -188,7 +191,7 @@
 /// One engine in virtual time.
 struct Simulation {
     engine: DecisionEngine,
-    scene: Scene,
+    scenario: Scenario,
     endpoints: Vec<Endpoint>,
     schedule: Schedule,
     wake_ups: BTreeSet<Duration>,
@@ -201,10 +204,10 @@
     fn new(listed: u32, load: Load, seconds: u32) -> Self {
         let mut settings = agent_settings(17, 530, 0);
         settings.seed = 1;
-        let endpoints = (0..listed).map(|index| endpoint(index, load.scene));
+        let endpoints = (0..listed).map(|index| endpoint(index, load.scenario));
         Simulation {
             engine: DecisionEngine::new(settings),
-            scene: load.scene,
+            scenario: load.scenario,
             endpoints: endpoints.collect(),
             schedule: Schedule::new(load, seconds),
             wake_ups: BTreeSet::new(),
@@ -214,7 +217,7 @@
         }
     }
 
-    /// Runs it for so long.
+    /// Runs the engine for a number of seconds.
     fn run(mut self, seconds: u32) -> Cost {
         let first_list = self.list_endpoints(EPOCH);
         let same_list = self.list_endpoints(EPOCH + Duration::from_millis(5));
@@ -239,14 +242,14 @@
         self.schedule.next().into_iter().chain(wake_up).min()
     }
 
-    /// A round in which the whole list comes; its processor time.
+    /// Plays a round in which the full list comes. Returns its processor time.
     fn list_endpoints(&mut self, now: Duration) -> Duration {
         let endpoints = self.endpoints.clone();
-        let scene = self.scene;
-        let began = processor_time();
+        let scenario = self.scenario;
+        let began_at = processor_time();
         let events = |events: &mut dyn EventHandler| {
             ReleaseUpdate::FIRST_BUILD_RELEASED.send_to(events);
-            if scene == Scene::Trial {
+            if scenario == Scenario::Canary {
                 let canary = ReleaseUpdate {
                     build: Build(2),
                     stage: Stage(1),
@@ -258,22 +261,22 @@
             events.on_endpoints(ListUpdate::Full, &mut endpoints.into_iter());
         };
         self.engine.round(now, events, &mut self.decided);
-        processor_time() - began
+        processor_time() - began_at
     }
 
-    /// A round with all that is due; its processor time.
+    /// Plays a round with all events that are due. Returns its processor time.
     fn round(&mut self, now: Duration) -> Duration {
         self.wake_ups.retain(|at| *at > now);
         let due = self.schedule.take_due(now);
-        let (scene, endpoints) = (self.scene, &self.endpoints);
-        let began = processor_time();
+        let (scenario, endpoints) = (self.scenario, &self.endpoints);
+        let began_at = processor_time();
         let events = |events: &mut dyn EventHandler| {
             for event in due {
-                play(event, now, scene, endpoints, events);
+                play(event, now, scenario, endpoints, events);
             }
         };
         self.engine.round(now, events, &mut self.decided);
-        let cost = processor_time() - began;
+        let cost = processor_time() - began_at;
         self.wake_ups.extend(self.decided.wake_ups.drain(..));
         for (request, endpoint) in self.decided.sent.drain(..) {
             self.used.insert(endpoint);
@@ -293,7 +296,7 @@
 fn play(
     event: Event,
     now: Duration,
-    scene: Scene,
+    scenario: Scenario,
     endpoints: &[Endpoint],
     events: &mut dyn EventHandler,
 ) {
@@ -311,14 +314,14 @@
             attempt,
             endpoint,
         } => {
-            let outcome = outcome(scene, request, endpoint);
+            let outcome = outcome(scenario, request, endpoint);
             let closed = outcome == Outcome::Succeeded;
             events.on_attempt_ended(request, attempt, endpoint, outcome, WORK, closed);
         }
-        Event::ZoneBack => {
+        Event::ZoneRestart => {
             let in_zone = endpoints.iter().filter(|endpoint| endpoint.zone == Zone(0));
-            let back: Vec<Endpoint> = in_zone.map(just_started).collect();
-            events.on_endpoints(ListUpdate::Delta, &mut back.into_iter());
+            let restarted: Vec<Endpoint> = in_zone.map(just_started).collect();
+            events.on_endpoints(ListUpdate::Delta, &mut restarted.into_iter());
         }
         Event::ListChange(number) => {
             let index = number.wrapping_mul(7919) as usize % endpoints.len();
@@ -330,14 +333,14 @@
 
 fn print_cost(listed: u32, load: Load, seconds: u32) {
     let Load {
-        scene,
+        scenario,
         requests_per_second: requests,
         changes_per_second: changes,
     } = load;
     let cost = Simulation::new(listed, load, seconds).run(seconds);
     let micros = |time: Duration| time.as_secs_f64() * 1e6;
     println!(
-        "{scene:?} {listed:6} {requests:5} {changes:5} {:8} {:.3} {:8.1} {:8.1} {:4} {:8.1} {:8.1} {}",
+        "{scenario:?} {listed:6} {requests:5} {changes:5} {:8} {:.3} {:8.1} {:8.1} {:4} {:8.1} {:8.1} {}",
         cost.rounds.len() / seconds as usize,
         micros(cost.rounds.iter().sum()) / 1e3 / f64::from(seconds),
         micros(cost.high_round()),
@@ -350,14 +353,15 @@
 }
 
 fn main() {
-    let seconds: u32 = std::env::args()
-        .nth(1)
-        .map_or(20, |text| text.parse().expect("seconds"));
+    let seconds: u32 = std::env::args().nth(1).map_or(20, |text| {
+        text.parse()
+            .expect("the argument is a whole number of seconds")
+    });
     println!(
-        "scene listed requests/s changes/s rounds/s ms/s p99.9_us worst_us used first_list_us same_list_us rows/s"
+        "scenario listed requests/s changes/s rounds/s ms/s p99.9_us worst_us used first_list_us same_list_us rows/s"
     );
     for load in LOADS {
-        for listed in LISTED {
+        for listed in LIST_LENGTHS {
             print_cost(listed, load, seconds);
         }
     }
