--- a/crates/agent/src/watched_services.rs
+++ b/crates/agent/src/watched_services.rs
@@ -112,7 +112,10 @@
 fn services_by_name(releases: &Releases) -> HashMap<String, ControlPlane> {
     let mut services = HashMap::new();
     for control_plane in &releases.control_planes {
-        let name = releases.rules.service(control_plane.service).to_owned();
+        let name = releases
+            .rules
+            .service_name(control_plane.service)
+            .to_owned();
         services.insert(name, *control_plane);
     }
     services
--- a/crates/ctl/src/releases/chart.rs
+++ b/crates/ctl/src/releases/chart.rs
@@ -263,7 +263,7 @@
     rules: &Rules,
     row: Row,
 ) -> Result<(), DrawError> {
-    let name = format!("{} {}", rules.service(row.service), row.build.0);
+    let name = format!("{} {}", rules.service_name(row.service), row.build.0);
     let (_, middle) = context.backend_coord(&(0.0, f64::midpoint(row.low, row.high)));
     root.draw(&Text::new(name, (16, middle - 7), ("sans-serif", 15)))
 }
--- a/crates/ctl/src/releases/describe.rs
+++ b/crates/ctl/src/releases/describe.rs
@@ -10,10 +10,14 @@
             let name = ladder
                 .and_then(|ladder| ladder.rings.get(usize::from(ring)))
                 .map_or("?", |ring| &ring.name);
-            format!("{} {} opens ring {name}", rules.service(service), build.0)
+            format!(
+                "{} {} opens ring {name}",
+                rules.service_name(service),
+                build.0
+            )
         }
         Step::Released(service, build) => {
-            format!("{} {} is released", rules.service(service), build.0)
+            format!("{} {} is released", rules.service_name(service), build.0)
         }
     }
 }
@@ -35,15 +39,15 @@
 pub(super) fn statement(rules: &Rules, goals: &[Goal], statement: Statement) -> String {
     let goal = |index: usize| {
         let Goal { service, build, .. } = goals[index];
-        format!("{} {}", rules.service(service), build.0)
+        format!("{} {}", rules.service_name(service), build.0)
     };
     match statement {
         Statement::GoalReached(index) => format!("{} comes out", goal(index)),
         Statement::Deadline(index) => format!("{} comes out by its time", goal(index)),
         Statement::Dependency(index) => {
             let dependency = &rules.dependencies[index];
-            let service = rules.service(dependency.service);
-            let required = rules.service(dependency.requires);
+            let service = rules.service_name(dependency.service);
+            let required = rules.service_name(dependency.requires);
             let builds = dependency.builds;
             format!(
                 "{service} {}..{} needs {required} {} or later",
@@ -52,7 +56,7 @@
         }
         Statement::Freeze(index) => format!("the freeze {}", rules.freezes[index].name),
         Statement::ReleaseOrder(service) => {
-            let service = rules.service(service);
+            let service = rules.service_name(service);
             format!("builds of {service} come out one after another")
         }
     }
--- a/crates/ctl/src/releases/explain.rs
+++ b/crates/ctl/src/releases/explain.rs
@@ -148,7 +148,7 @@
 
 impl ExplainArguments {
     pub(super) fn run(self, as_json: bool) -> CommandResult {
-        let zone = calendar::time_zone(&self.zone_of_reader)?;
+        let zone = calendar::parse_time_zone(&self.zone_of_reader)?;
         let at = self.at.as_ref().map(|at| time::read(at, &zone));
         let gate = self.gate(at.transpose()?)?;
         let places = self.places(&gate)?;
@@ -229,7 +229,7 @@
         let rules = gate.rules();
         let admits = gate.admits(build, zone, tenant, class);
         let retained = gate
-            .retained_despite(build, zone, tenant)
+            .closed_to_new_users(build, zone, tenant)
             .filter(|_| admits.is_ok());
         let reason = retained.or(admits.err());
         let explanation = reason.map_or_else(
--- a/crates/ctl/src/releases/plan.rs
+++ b/crates/ctl/src/releases/plan.rs
@@ -58,7 +58,7 @@
 
 impl PlanArguments {
     pub(super) fn run(self, as_json: bool) -> CommandResult {
-        let zone = calendar::time_zone(&self.zone_of_reader)?;
+        let zone = calendar::parse_time_zone(&self.zone_of_reader)?;
         let rules = read_rules(&self.file)?;
         let released = self.released_builds(&rules)?;
         let goals = self
@@ -107,7 +107,9 @@
 }
 
 fn service_named(rules: &Rules, name: &str) -> Option<ServiceId> {
-    rules.service_ids().find(|id| rules.service(*id) == name)
+    rules
+        .service_ids()
+        .find(|id| rules.service_name(*id) == name)
 }
 
 /// Reads `SERVICE:BUILD`.
--- a/crates/ctl/src/time.rs
+++ b/crates/ctl/src/time.rs
@@ -35,12 +35,12 @@
     let civil = text
         .parse::<DateTime>()
         .map_err(|_| TimeError::NoTime(text.to_owned()))?;
-    Ok(calendar::earliest(zone, civil))
+    Ok(calendar::earliest_instant(zone, civil))
 }
 
 /// Shows a time to the second, in a zone.
 pub(crate) fn show(at: Duration, zone: &TimeZone) -> String {
-    calendar::instant(at)
+    calendar::timestamp(at)
         .to_zoned(zone.clone())
         .strftime("%Y-%m-%d %H:%M:%S %Z")
         .to_string()
--- a/crates/ctl/src/timeline/read.rs
+++ b/crates/ctl/src/timeline/read.rs
@@ -73,7 +73,7 @@
 /// Reads a time, or a span before the end.
 fn read_moment(text: &str, end: Duration, zone: &TimeZone) -> Result<Duration, CommandError> {
     match text.strip_prefix('-') {
-        Some(span) => Ok(end.saturating_sub(calendar::span(span)?)),
+        Some(span) => Ok(end.saturating_sub(calendar::parse_span(span)?)),
         None => Ok(time::read(text, zone)?),
     }
 }
@@ -81,7 +81,7 @@
 impl ReadArguments {
     /// Reads all records of the span.
     pub(super) fn read(&self) -> Result<Timelines, CommandError> {
-        let zone = calendar::time_zone(&self.zone_of_reader)?;
+        let zone = calendar::parse_time_zone(&self.zone_of_reader)?;
         let records = self.records()?;
         let known = || records.iter().filter_map(RecordTime::of).map(|at| at.known);
         let (begin, end) = (
--- a/crates/operator-config/src/releases/attributes.rs
+++ b/crates/operator-config/src/releases/attributes.rs
@@ -4,7 +4,7 @@
 
 use lilacgate_decision::Build;
 use lilacgate_releases::calendar;
-use lilacgate_releases::model::{Builds, PairSet, WhenUnknown};
+use lilacgate_releases::model::{BuildRange, PairSet, WhenUnknown};
 use roxmltree::Node;
 
 use super::ReleasesReader;
@@ -36,7 +36,7 @@
 
 /// A duration above 0.
 pub(super) fn read_period(text: &str) -> Result<Duration, AttributeError> {
-    let duration = calendar::span(text)?;
+    let duration = calendar::parse_span(text)?;
     if duration.is_zero() {
         Err(AttributeError::Expected("a span of time above 0"))
     } else {
@@ -51,13 +51,13 @@
 
 impl ReleasesReader<'_, '_> {
     /// The builds from one attribute to another, both included. Either may be missing.
-    pub(super) fn builds(&self, node: Node<'_, '_>) -> Option<Builds> {
+    pub(super) fn builds(&self, node: Node<'_, '_>) -> Option<BuildRange> {
         let reader = self.reader;
         let from = reader.optional(node, "from", read_build);
         let to = reader.optional(node, "to", read_build);
-        let builds = Builds {
-            from: from.unwrap_or(Builds::ALL.from),
-            to: to.unwrap_or(Builds::ALL.to),
+        let builds = BuildRange {
+            from: from.unwrap_or(BuildRange::ALL.from),
+            to: to.unwrap_or(BuildRange::ALL.to),
         };
         if builds.from > builds.to {
             let fault = FaultKind::ContradictingAttribute {
--- a/crates/operator-config/src/releases/dependencies.rs
+++ b/crates/operator-config/src/releases/dependencies.rs
@@ -61,8 +61,8 @@
 }
 
 fn describe(rules: &Rules, dependency: &Dependency) -> String {
-    let service = rules.service(dependency.service);
-    let needed = rules.service(dependency.requires);
+    let service = rules.service_name(dependency.service);
+    let needed = rules.service_name(dependency.requires);
     let (first_build, needed_build) = (dependency.builds.from.0, dependency.at_least.0);
     format!("{service} {first_build}.. needs {needed} {needed_build}")
 }
--- a/crates/operator-config/src/releases/freezes.rs
+++ b/crates/operator-config/src/releases/freezes.rs
@@ -76,10 +76,12 @@
     }
 
     fn one_time(&self, node: Node<'_, '_>, zone: &TimeZone) -> Option<Schedule> {
-        let from = self.reader.required(node, "from", calendar::date_time);
-        let to = self.reader.required(node, "to", calendar::date_time);
-        let from = calendar::earliest(zone, from?);
-        let to = calendar::latest(zone, to?);
+        let from = self
+            .reader
+            .required(node, "from", calendar::parse_date_time);
+        let to = self.reader.required(node, "to", calendar::parse_date_time);
+        let from = calendar::earliest_instant(zone, from?);
+        let to = calendar::latest_instant(zone, to?);
         if from >= to {
             let fault = FaultKind::ContradictingAttribute {
                 attribute: "to",
@@ -92,8 +94,10 @@
     }
 
     fn weekly(&self, node: Node<'_, '_>, zone: TimeZone) -> Option<Schedule> {
-        let from = self.reader.required(node, "from", calendar::week_time);
-        let to = self.reader.required(node, "to", calendar::week_time);
+        let from = self
+            .reader
+            .required(node, "from", calendar::parse_week_time);
+        let to = self.reader.required(node, "to", calendar::parse_week_time);
         Some(Schedule::Weekly {
             zone,
             from: from?,
@@ -102,8 +106,10 @@
     }
 
     fn yearly(&self, node: Node<'_, '_>, zone: TimeZone) -> Option<Schedule> {
-        let from = self.reader.required(node, "from", calendar::year_time);
-        let to = self.reader.required(node, "to", calendar::year_time);
+        let from = self
+            .reader
+            .required(node, "from", calendar::parse_year_time);
+        let to = self.reader.required(node, "to", calendar::parse_year_time);
         Some(Schedule::Yearly {
             zone,
             from: from?,
--- a/crates/operator-config/src/releases/ladders.rs
+++ b/crates/operator-config/src/releases/ladders.rs
@@ -23,7 +23,7 @@
         let reader = self.reader;
         reader.check_attributes(node, &["service", "from", "to", "settles"]);
         let service = reader.required(node, "service", |text| self.find_service(text));
-        let settles = reader.optional(node, "settles", calendar::span);
+        let settles = reader.optional(node, "settles", calendar::parse_span);
         let children = reader.children(node, &["ring"]);
         if children.is_empty() {
             reader.report(node, FaultKind::MissingElement("ring"));
@@ -68,7 +68,7 @@
         reader.check_attributes(node, &["name", "stage", "after", "products"]);
         let name = reader.required(node, "name", places::read_name);
         let stage = reader.required(node, "stage", read_stage);
-        let after = reader.optional(node, "after", calendar::span);
+        let after = reader.optional(node, "after", calendar::parse_span);
         let request_classes = self.request_classes(node)?;
         let pairs = self.ring_pairs(node)?;
         Some(Ring {
--- a/crates/operator-config/src/releases/mod.rs
+++ b/crates/operator-config/src/releases/mod.rs
@@ -73,7 +73,7 @@
         node,
         children,
         places,
-        time_zone: reader.optional(node, "time-zone", calendar::time_zone),
+        time_zone: reader.optional(node, "time-zone", calendar::parse_time_zone),
         services: Vec::new(),
         control_planes: Vec::new(),
     };
--- a/crates/operator-config/src/timeline.rs
+++ b/crates/operator-config/src/timeline.rs
@@ -82,7 +82,7 @@
     let false_per_hour = reader.optional(node, "false-events-per-hour", read_rate);
     let memory = reader.optional(node, "memory", read_mebibytes);
     let keep = reader.optional(node, "keep", read_mebibytes);
-    let age = reader.optional(node, "age", calendar::span);
+    let age = reader.optional(node, "age", calendar::parse_span);
     let folder = reader.optional(node, "store", read_absolute_path);
     let dump = reader.optional(node, "dump", read_absolute_path);
     if node.attribute("store").is_none() {
--- a/crates/releases/src/calendar.rs
+++ b/crates/releases/src/calendar.rs
@@ -6,7 +6,9 @@
 pub use jiff::tz::TimeZone;
 use jiff::{Timestamp, ToSpan};
 
-pub use crate::time_text::{TimeTextError, date_time, span, time_zone, week_time, year_time};
+pub use crate::time_text::{
+    TimeTextError, parse_date_time, parse_span, parse_time_zone, parse_week_time, parse_year_time,
+};
 
 /// The days around the present one on which a weekly window may begin that is active now or begins next.
 const WEEKLY_DAYS: std::ops::RangeInclusive<i64> = -15..=8;
@@ -93,7 +95,7 @@
 }
 
 /// An instant as a timestamp; one beyond the range of timestamps is the last of them.
-pub fn instant(at: Duration) -> Timestamp {
+pub fn timestamp(at: Duration) -> Timestamp {
     Timestamp::from_nanosecond(i128::try_from(at.as_nanos()).unwrap_or(i128::MAX))
         .unwrap_or(Timestamp::MAX)
 }
@@ -103,14 +105,14 @@
 }
 
 /// The first instant, since 1970, at which a clock in a time zone shows this.
-pub fn earliest(zone: &TimeZone, at: DateTime) -> Duration {
+pub fn earliest_instant(zone: &TimeZone, at: DateTime) -> Duration {
     zone.to_ambiguous_timestamp(at)
         .earlier()
         .map_or(Duration::ZERO, since_1970)
 }
 
 /// The last instant, since 1970, at which a clock in a time zone shows this.
-pub fn latest(zone: &TimeZone, at: DateTime) -> Duration {
+pub fn latest_instant(zone: &TimeZone, at: DateTime) -> Duration {
     zone.to_ambiguous_timestamp(at)
         .later()
         .map_or(Duration::MAX, since_1970)
@@ -127,8 +129,8 @@
     };
     let last_day = day.checked_add(days.days()).ok()?;
     Some(Window {
-        from: earliest(zone, day.to_datetime(from.time)),
-        to: latest(zone, last_day.to_datetime(to.time)),
+        from: earliest_instant(zone, day.to_datetime(from.time)),
+        to: latest_instant(zone, last_day.to_datetime(to.time)),
     })
 }
 
@@ -140,8 +142,8 @@
         .filter(|end| *end > start)
         .or_else(|| to.in_year(year.checked_add(1)?))?;
     Some(Window {
-        from: earliest(zone, start),
-        to: latest(zone, end),
+        from: earliest_instant(zone, start),
+        to: latest_instant(zone, end),
     })
 }
 
@@ -155,14 +157,14 @@
                 to: *to,
             }],
             Schedule::Weekly { zone, from, to } => {
-                let today = zone.to_datetime(instant(now)).date();
+                let today = zone.to_datetime(timestamp(now)).date();
                 WEEKLY_DAYS
                     .filter_map(|ahead| today.checked_add(ahead.days()).ok())
                     .filter_map(|day| weekly_window(zone, day, *from, *to))
                     .collect()
             }
             Schedule::Yearly { zone, from, to } => {
-                let this_year = zone.to_datetime(instant(now)).year();
+                let this_year = zone.to_datetime(timestamp(now)).year();
                 YEARLY_YEARS
                     .filter_map(|ahead| this_year.checked_add(ahead))
                     .filter_map(|year| yearly_window(zone, year, *from, *to))
--- a/crates/releases/src/describe.rs
+++ b/crates/releases/src/describe.rs
@@ -31,7 +31,7 @@
             }
             ClosedReason::OwnStatusUnknown => {
                 let rules = self.rules();
-                let service = rules.service(rules.own_service);
+                let service = rules.service_name(rules.own_service);
                 format!("the news of {service} cannot be relied on")
             }
             ClosedReason::RollingBack => "it is going back: nobody new gets it".into(),
@@ -80,7 +80,7 @@
             DependencyScope::SameZone => "in the same zone",
             DependencyScope::Everywhere => "everywhere",
         };
-        let service = rules.service(dependency.requires);
+        let service = rules.service_name(dependency.requires);
         format!(
             "{service} {} or later, released {scope}",
             dependency.at_least.0
--- a/crates/releases/src/gate.rs
+++ b/crates/releases/src/gate.rs
@@ -175,7 +175,7 @@
         if !is_known {
             return Err(ClosedReason::NoRing);
         }
-        let cell = &row.cells[rules.pair(zone, tenant)];
+        let cell = &row.cells[rules.pair_index(zone, tenant)];
         if cell.open & Rules::request_class_bit(class) != 0 {
             Ok(())
         } else if cell.open == 0 {
@@ -186,14 +186,14 @@
     }
 
     /// Why a build is closed to new users where those who have it keep it.
-    pub fn retained_despite(
+    pub fn closed_to_new_users(
         &self,
         build: Build,
         zone: Zone,
         tenant: Tenant,
     ) -> Option<ClosedReason> {
         let row = self.rows.get(&build)?;
-        let cell = row.cells.get(self.rules().pair(zone, tenant))?;
+        let cell = row.cells.get(self.rules().pair_index(zone, tenant))?;
         (cell.open != 0 && cell.reason != ClosedReason::Open).then_some(cell.reason)
     }
 
@@ -255,7 +255,7 @@
         let newest = self.newest();
         let named: BTreeSet<Build> = self.listed.iter().copied().chain(newest).collect();
         self.rows.retain(|build, _| named.contains(build));
-        let pairs = self.rules().pairs();
+        let pairs = self.rules().pair_count();
         for &build in &named {
             let observed = &self.observed;
             self.rows.entry(build).or_insert_with(|| {
--- a/crates/releases/src/model.rs
+++ b/crates/releases/src/model.rs
@@ -13,16 +13,16 @@
 
 /// A range of builds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Builds {
+pub struct BuildRange {
     /// The first build.
     pub from: Build,
     /// The last build.
     pub to: Build,
 }
 
-impl Builds {
+impl BuildRange {
     /// All builds.
-    pub const ALL: Builds = Builds {
+    pub const ALL: BuildRange = BuildRange {
         from: Build(0),
         to: Build(u16::MAX),
     };
@@ -45,7 +45,7 @@
     }
 
     /// Adds all pairs of another set.
-    fn add(&mut self, other: &PairSet) {
+    fn insert_all(&mut self, other: &PairSet) {
         for (own, other) in self.0.iter_mut().zip(&other.0) {
             *own |= other;
         }
@@ -82,7 +82,7 @@
     /// The service.
     pub service: ServiceId,
     /// The builds that the ladder applies to.
-    pub builds: Builds,
+    pub builds: BuildRange,
     /// The rings, in their order; the stages never fall.
     pub rings: Vec<Ring>,
     /// The least time that the last ring must have been open before the release.
@@ -92,9 +92,9 @@
 impl Ladder {
     /// All pairs that any of its rings holds.
     pub fn pairs(&self) -> PairSet {
-        let mut all = PairSet(vec![false; self.set_size()]);
+        let mut all = PairSet(vec![false; self.pair_count()]);
         for ring in &self.rings {
-            all.add(&ring.pairs);
+            all.insert_all(&ring.pairs);
         }
         all
     }
@@ -106,10 +106,10 @@
             let found = rings.position(|ring| ring.pairs.0[pair]);
             found.map(|ring| ring as u8)
         };
-        (0..self.set_size()).map(first).collect()
+        (0..self.pair_count()).map(first).collect()
     }
 
-    fn set_size(&self) -> usize {
+    fn pair_count(&self) -> usize {
         self.rings.first().map_or(0, |ring| ring.pairs.0.len())
     }
 }
@@ -138,7 +138,7 @@
     /// The service that has the dependency.
     pub service: ServiceId,
     /// Its builds that have it.
-    pub builds: Builds,
+    pub builds: BuildRange,
     /// The service that is required.
     pub requires: ServiceId,
     /// The least build of it.
@@ -207,18 +207,18 @@
 
 impl Rules {
     /// The index of a pair of a zone and a tenant.
-    pub fn pair(&self, zone: Zone, tenant: Tenant) -> usize {
+    pub fn pair_index(&self, zone: Zone, tenant: Tenant) -> usize {
         usize::from(zone.0) * self.tenants.len() + usize::from(tenant.0)
     }
 
     /// The number of pairs.
-    pub fn pairs(&self) -> usize {
+    pub fn pair_count(&self) -> usize {
         self.zones.len() * self.tenants.len()
     }
 
     /// The indices of the pairs of a zone.
     pub fn zone_pairs(&self, zone: Zone) -> std::ops::Range<usize> {
-        let first = self.pair(zone, Tenant(0));
+        let first = self.pair_index(zone, Tenant(0));
         first..first + self.tenants.len()
     }
 
@@ -228,7 +228,7 @@
     }
 
     /// The name of a service.
-    pub fn service(&self, id: ServiceId) -> &str {
+    pub fn service_name(&self, id: ServiceId) -> &str {
         self.services
             .get(usize::from(id.0))
             .map_or("?", |service| &service.name)
--- a/crates/releases/src/rules_change.rs
+++ b/crates/releases/src/rules_change.rs
@@ -9,11 +9,11 @@
 /// Takes over what was received of each service that both rules name. Rings are opened anew by the same statuses.
 pub(crate) fn carry_over_services(from: &Observed, to: &mut Observed) {
     for id in to.rules.service_ids() {
-        let name = to.rules.service(id);
+        let name = to.rules.service_name(id);
         let found = from
             .rules
             .service_ids()
-            .find(|id| from.rules.service(*id) == name);
+            .find(|id| from.rules.service_name(*id) == name);
         if let Some(old) = found {
             to.services[usize::from(id.0)] = from.service(old).clone();
             carry_over_progress(from, old, to, id);
@@ -55,8 +55,8 @@
 
 /// A row for other rules, with what holds for the pairs that both rules name.
 pub(crate) fn carry_over_row(from: &Rules, row: &PermissionRow, to: &Rules) -> PermissionRow {
-    let mut kept = PermissionRow::new(to.pairs(), false);
-    for pair in 0..to.pairs() {
+    let mut kept = PermissionRow::new(to.pair_count(), false);
+    for pair in 0..to.pair_count() {
         if let Some(old) = same_pair(from, to, pair) {
             kept.had[pair] = row.had[old];
             kept.cells[pair] = row.cells[old];
@@ -74,5 +74,5 @@
         .tenants
         .iter()
         .position(|tenant| tenant == tenant_name)?;
-    Some(from.pair(Zone(zone as u8), Tenant(tenant as u16)))
+    Some(from.pair_index(Zone(zone as u8), Tenant(tenant as u16)))
 }
--- a/crates/releases/src/stored_state.rs
+++ b/crates/releases/src/stored_state.rs
@@ -279,7 +279,7 @@
             .iter()
             .filter(|((service, _), _)| *service == id);
         ServiceState {
-            name: self.observed.rules.service(id).to_owned(),
+            name: self.observed.rules.service_name(id).to_owned(),
             status: status.last().map(StatusState::from),
             last_heartbeat_ms: status.last_heartbeat().map(millis),
             contradiction: status.contradiction(),
@@ -329,7 +329,7 @@
             .observed
             .rules
             .service_ids()
-            .find(|id| self.observed.rules.service(*id) == stored.name);
+            .find(|id| self.observed.rules.service_name(*id) == stored.name);
         let Some(id) = found else {
             return Ok(());
         };
@@ -357,7 +357,7 @@
 
     /// Who has a build, by the names of zones and tenants that the rules still have.
     fn restored_row(&self, state: &StoredState, stored: &BuildState) -> PermissionRow {
-        let mut row = PermissionRow::new(self.observed.rules.pairs(), false);
+        let mut row = PermissionRow::new(self.observed.rules.pair_count(), false);
         for (zone, had) in state.zones.iter().zip(&stored.had) {
             for (tenant, had) in state.tenants.iter().zip(had.bytes()) {
                 let zone = place(&self.observed.rules.zones, zone);
@@ -366,7 +366,7 @@
                     let pair = self
                         .observed
                         .rules
-                        .pair(Zone(zone as u8), Tenant(tenant as u16));
+                        .pair_index(Zone(zone as u8), Tenant(tenant as u16));
                     row.had[pair] = had == HAS_BUILD;
                 }
             }
--- a/crates/releases/src/time_text.rs
+++ b/crates/releases/src/time_text.rs
@@ -72,7 +72,7 @@
 ///
 /// # Errors
 /// The text is not of this form.
-pub fn week_time(text: &str) -> Result<WeekTime, TimeTextError> {
+pub fn parse_week_time(text: &str) -> Result<WeekTime, TimeTextError> {
     let mut form = (terminated(weekday, space1), time).map(|(day, time)| WeekTime { day, time });
     form.parse(text.trim())
         .map_err(|_| TimeTextError::WeekTime(text.to_owned()))
@@ -82,7 +82,7 @@
 ///
 /// # Errors
 /// The text is not of this form, or no year has this day.
-pub fn year_time(text: &str) -> Result<YearTime, TimeTextError> {
+pub fn parse_year_time(text: &str) -> Result<YearTime, TimeTextError> {
     let mut form = (separated_pair(number, '-', number), preceded(space1, time))
         .map(|((month, day), time)| YearTime { month, day, time })
         .verify(|at: &YearTime| Date::new(LEAP_YEAR, at.month, at.day).is_ok());
@@ -94,7 +94,7 @@
 ///
 /// # Errors
 /// The text is not of this form.
-pub fn date_time(text: &str) -> Result<DateTime, TimeTextError> {
+pub fn parse_date_time(text: &str) -> Result<DateTime, TimeTextError> {
     text.trim()
         .parse()
         .map_err(|_| TimeTextError::DateTime(text.to_owned()))
@@ -104,7 +104,7 @@
 ///
 /// # Errors
 /// The text is not of this form.
-pub fn span(text: &str) -> Result<Duration, TimeTextError> {
+pub fn parse_span(text: &str) -> Result<Duration, TimeTextError> {
     let read = text.trim().parse::<jiff::SignedDuration>().ok();
     read.and_then(|span| Duration::try_from(span).ok())
         .ok_or_else(|| TimeTextError::Span(text.to_owned()))
@@ -114,6 +114,6 @@
 ///
 /// # Errors
 /// No time zone has this name.
-pub fn time_zone(name: &str) -> Result<TimeZone, TimeTextError> {
+pub fn parse_time_zone(name: &str) -> Result<TimeZone, TimeTextError> {
     TimeZone::get(name).map_err(|_| TimeTextError::TimeZone(name.to_owned()))
 }
--- a/crates/releases/tests/laws/generated.rs
+++ b/crates/releases/tests/laws/generated.rs
@@ -6,8 +6,8 @@
 use lilacgate_releases::calendar::Schedule;
 use lilacgate_releases::gate::Gate;
 use lilacgate_releases::model::{
-    Builds, Dependency, DependencyScope, Freeze, Ladder, PairSet, Ring, Rules, Service, ServiceId,
-    WhenUnknown,
+    BuildRange, Dependency, DependencyScope, Freeze, Ladder, PairSet, Ring, Rules, Service,
+    ServiceId, WhenUnknown,
 };
 use lilacgate_releases::planner::Goal;
 use lilacgate_releases::service_status::ReleaseStatus;
@@ -57,7 +57,7 @@
             );
             Ladder {
                 service: ServiceId(service),
-                builds: Builds {
+                builds: BuildRange {
                     from: Build(2),
                     to: LAST_BUILD,
                 },
@@ -82,7 +82,7 @@
             };
             Dependency {
                 service: ServiceId(service),
-                builds: Builds {
+                builds: BuildRange {
                     from: Build(from),
                     to: LAST_BUILD,
                 },
--- a/crates/test-bed/src/measure_releases/gate_cost.rs
+++ b/crates/test-bed/src/measure_releases/gate_cost.rs
@@ -5,8 +5,8 @@
 use lilacgate_releases::calendar::{self, Schedule};
 use lilacgate_releases::gate::Gate;
 use lilacgate_releases::model::{
-    Builds, Dependency, DependencyScope, Freeze, Ladder, PairSet, Ring, Rules, Service, ServiceId,
-    WhenUnknown,
+    BuildRange, Dependency, DependencyScope, Freeze, Ladder, PairSet, Ring, Rules, Service,
+    ServiceId, WhenUnknown,
 };
 use lilacgate_releases::service_status::ReleaseStatus;
 use rand::{RngExt, SeedableRng};
@@ -138,8 +138,8 @@
     }
 }
 
-fn builds_from_2() -> Builds {
-    Builds {
+fn builds_from_2() -> BuildRange {
+    BuildRange {
         from: Build(2),
         to: Build(99),
     }
@@ -183,14 +183,14 @@
 
 /// Over each weekend.
 fn freeze(number: usize) -> Freeze {
-    let week_time = |text| calendar::week_time(text).expect("a time of the week");
+    let week_time = |text| calendar::parse_week_time(text).expect("a time of the week");
     Freeze {
         name: format!("z{number}"),
         service: None,
         pairs: every_nth_pair(number + 2),
         closes_canary: number.is_multiple_of(2),
         schedule: Schedule::Weekly {
-            zone: calendar::time_zone("Asia/Tokyo").expect("a built-in time zone"),
+            zone: calendar::parse_time_zone("Asia/Tokyo").expect("a built-in time zone"),
             from: week_time("Fri 18:00"),
             to: week_time("Mon 06:00"),
         },
