--- a/crates/releases/src/advance.rs
+++ b/crates/releases/src/advance.rs
@@ -89,10 +89,10 @@
             until: due.filter(|due| *due > observed.now),
         });
     }
-    match progress.soaked_at(ladder) {
-        Some(soaked) if soaked > observed.now => Err(Hold {
+    match progress.soak_ends_at(ladder) {
+        Some(end) if end > observed.now => Err(Hold {
             reason: BlockedReason::RingTime(opened.saturating_sub(1) as u8),
-            until: Some(soaked),
+            until: Some(end),
         }),
         _ => Ok(()),
     }
--- a/crates/releases/src/dependency_order.rs
+++ b/crates/releases/src/dependency_order.rs
@@ -24,9 +24,9 @@
         for (index, dependency) in self.dependencies.iter().enumerate() {
             for (other_index, other) in self.dependencies.iter().enumerate() {
                 // A build that satisfies this dependency may have dependencies of its own.
-                let rests_on =
+                let is_dependent =
                     other.service == dependency.requires && other.builds.to >= dependency.at_least;
-                if rests_on {
+                if is_dependent {
                     graph.add_edge(nodes[other_index], nodes[index], ());
                 }
             }
--- a/crates/releases/src/events.rs
+++ b/crates/releases/src/events.rs
@@ -7,7 +7,7 @@
 use crate::reason::{BlockedReason, ClosedReason};
 
 /// The most events that are kept until they are taken. Older ones are only counted.
-const CAPACITY: usize = 256;
+const MAX_EVENTS: usize = 256;
 
 /// A change of a build's permissions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -66,7 +66,7 @@
 impl EventLog {
     /// Adds an event, in place of the oldest if the log is full.
     pub(crate) fn record(&mut self, event: Event) {
-        if self.events.len() >= CAPACITY {
+        if self.events.len() >= MAX_EVENTS {
             self.events.pop_front();
             self.dropped += 1;
         }
--- a/crates/releases/src/gate.rs
+++ b/crates/releases/src/gate.rs
@@ -242,7 +242,7 @@
     /// Brings all that follows from rules and observations up to date.
     fn update(&mut self, now: Duration) {
         self.observed.now = self.observed.now.max(now);
-        self.track_named_builds();
+        self.track_builds();
         self.observed.open_due_rings();
         let dependencies = DependencyStates::of(&self.observed);
         self.update_rows(&dependencies);
@@ -251,7 +251,7 @@
     }
 
     /// Forgets builds that are neither listed nor announced, and begins rows for new ones.
-    fn track_named_builds(&mut self) {
+    fn track_builds(&mut self) {
         let newest = self.newest();
         let named: BTreeSet<Build> = self.listed.iter().copied().chain(newest).collect();
         self.rows.retain(|build, _| named.contains(build));
@@ -260,11 +260,11 @@
             let observed = &self.observed;
             self.rows.entry(build).or_insert_with(|| {
                 // A build that is released when it is first seen was there before this agent was.
-                let had = matches!(
+                let has_build = matches!(
                     observed.standing(build),
                     BuildStanding::Earlier | BuildStanding::Released
                 );
-                PermissionRow::new(pairs, had)
+                PermissionRow::new(pairs, has_build)
             });
         }
         self.observed.track_progress_of(&named);
@@ -322,7 +322,7 @@
         let shape = self.shape();
         self.rows.get(&build).is_some_and(|row| {
             let mut cells = row.cells.iter().enumerate();
-            cells.any(|(pair, cell)| cell.open != 0 && shape.shows(pair))
+            cells.any(|(pair, cell)| cell.open != 0 && shape.includes(pair))
         })
     }
 
@@ -330,7 +330,7 @@
         TableShape {
             zones: self.rules().zones.len(),
             tenants: self.rules().tenants.len(),
-            only: self.tenant,
+            only_tenant: self.tenant,
         }
     }
 
--- a/crates/releases/src/observed.rs
+++ b/crates/releases/src/observed.rs
@@ -191,8 +191,12 @@
             .iter()
             .flat_map(|((service, build), progress)| {
                 let ladder = self.rules.ladder(*service, *build);
-                let times = ladder
-                    .map(|ladder| [progress.next_ring_due(ladder), progress.soaked_at(ladder)]);
+                let times = ladder.map(|ladder| {
+                    [
+                        progress.next_ring_due(ladder),
+                        progress.soak_ends_at(ladder),
+                    ]
+                });
                 times.into_iter().flatten().flatten()
             });
         let freezes = self
--- a/crates/releases/src/permission_table.rs
+++ b/crates/releases/src/permission_table.rs
@@ -25,16 +25,16 @@
 #[derive(Clone, Debug)]
 pub(crate) struct PermissionRow {
     /// Whether the pair has had the build since it was last closed to it.
-    pub(crate) had: Vec<bool>,
+    pub(crate) has_build: Vec<bool>,
     /// What holds now.
     pub(crate) cells: Vec<PermissionCell>,
 }
 
 impl PermissionRow {
     /// A closed row, in which all pairs have had the build or none.
-    pub(crate) fn new(pairs: usize, had: bool) -> Self {
+    pub(crate) fn new(pairs: usize, has_build: bool) -> Self {
         PermissionRow {
-            had: vec![had; pairs],
+            has_build: vec![has_build; pairs],
             cells: vec![PermissionCell::CLOSED; pairs],
         }
     }
@@ -53,13 +53,13 @@
     /// The number of tenants.
     pub(crate) tenants: usize,
     /// The only tenant that the engine gets to see, as number 0; all tenants if there is none.
-    pub(crate) only: Option<Tenant>,
+    pub(crate) only_tenant: Option<Tenant>,
 }
 
 impl TableShape {
     /// Whether the engine gets to see a pair.
-    pub(crate) fn shows(self, pair: usize) -> bool {
-        self.only
+    pub(crate) fn includes(self, pair: usize) -> bool {
+        self.only_tenant
             .is_none_or(|tenant| pair % self.tenants == usize::from(tenant.0))
     }
 }
@@ -71,12 +71,12 @@
     advance: Option<PermittedAdvance>,
 ) -> ReleasePermissions {
     let open_classes = |row: &PermissionRow| -> Vec<u64> {
-        let shown = row
+        let included = row
             .cells
             .iter()
             .enumerate()
-            .filter(|(pair, _)| shape.shows(*pair));
-        shown.map(|(_, cell)| cell.open).collect()
+            .filter(|(pair, _)| shape.includes(*pair));
+        included.map(|(_, cell)| cell.open).collect()
     };
     let rows: Vec<(Build, Vec<u64>)> = rows
         .map(|(build, row)| (build, open_classes(row)))
@@ -85,7 +85,7 @@
         .iter()
         .map(|(build, cells)| (*build, &cells[..]))
         .collect();
-    let tenants = if shape.only.is_some() {
+    let tenants = if shape.only_tenant.is_some() {
         1
     } else {
         shape.tenants
--- a/crates/releases/src/planner/conflict.rs
+++ b/crates/releases/src/planner/conflict.rs
@@ -4,7 +4,7 @@
 use super::{Conflict, Problem, Statement, schedule};
 
 /// The most sets that the search for a smaller conflict tries.
-const MAX_TRIES: usize = 20_000;
+const MAX_CANDIDATE_SETS: usize = 20_000;
 
 /// A smallest set of statements in conflict: first one of which none can be left out, then, as far as the tries reach,
 /// a smaller one.
@@ -12,24 +12,24 @@
     let irreducible = irreducible(problem, all);
     let mut search = SmallerSearch {
         problem,
-        tries_left: MAX_TRIES,
+        candidates_left: MAX_CANDIDATE_SETS,
     };
-    let universe: Vec<Statement> = all.iter().copied().collect();
+    let statements: Vec<Statement> = all.iter().copied().collect();
     for size in 1..irreducible.len() {
-        match search.find(&universe, size, &mut BTreeSet::new()) {
+        match search.find(&statements, size, &mut BTreeSet::new()) {
             Some(smaller) => {
                 return Conflict {
                     statements: smaller.into_iter().collect(),
                     is_smallest: true,
                 };
             }
-            None if search.tries_left == 0 => break,
+            None if search.candidates_left == 0 => break,
             None => {}
         }
     }
     Conflict {
         statements: irreducible.into_iter().collect(),
-        is_smallest: search.tries_left > 0,
+        is_smallest: search.candidates_left > 0,
     }
 }
 
@@ -52,7 +52,7 @@
 /// The search through all sets of a size.
 struct SmallerSearch<'a> {
     problem: Problem<'a>,
-    tries_left: usize,
+    candidates_left: usize,
 }
 
 impl SmallerSearch<'_> {
@@ -65,11 +65,11 @@
         chosen: &mut BTreeSet<Statement>,
     ) -> Option<BTreeSet<Statement>> {
         if chosen.len() == size {
-            self.tries_left = self.tries_left.saturating_sub(1);
+            self.candidates_left = self.candidates_left.saturating_sub(1);
             return is_conflict(self.problem, chosen).then(|| chosen.clone());
         }
         for (i, statement) in rest.iter().enumerate() {
-            if self.tries_left == 0 || rest.len() - i < size - chosen.len() {
+            if self.candidates_left == 0 || rest.len() - i < size - chosen.len() {
                 return None;
             }
             chosen.insert(*statement);
--- a/crates/releases/src/planner/schedule.rs
+++ b/crates/releases/src/planner/schedule.rs
@@ -38,7 +38,7 @@
         self.timings.get(&step).map(|timing| timing.at)
     }
 
-    fn take(&mut self, step: Step, timing: Timing) {
+    fn record(&mut self, step: Step, timing: Timing) {
         self.timings.insert(step, timing);
         self.order.push(step);
     }
@@ -89,11 +89,11 @@
     };
     let mut times = StepTimes::default();
     let goals = problem.goals.iter();
-    let mut left: Vec<Step> = goals.flat_map(|goal| search.steps(goal)).collect();
+    let mut remaining: Vec<Step> = goals.flat_map(|goal| search.steps(goal)).collect();
     // The earliest step that is ready is taken: none that comes later can make it earlier.
-    while let Some((timing, step)) = search.earliest_ready(&left, &times) {
-        times.take(step, timing);
-        left.retain(|other| *other != step);
+    while let Some((timing, step)) = search.earliest_next_step(&remaining, &times) {
+        times.record(step, timing);
+        remaining.retain(|other| *other != step);
     }
     search.satisfies_goals(&times).then_some(times)
 }
@@ -167,9 +167,10 @@
         })
     }
 
-    fn earliest_ready(&self, left: &[Step], times: &StepTimes) -> Option<(Timing, Step)> {
-        left.iter()
-            .filter_map(|&step| Some((self.ready(step, times)?, step)))
+    fn earliest_next_step(&self, remaining: &[Step], times: &StepTimes) -> Option<(Timing, Step)> {
+        remaining
+            .iter()
+            .filter_map(|&step| Some((self.earliest_time(step, times)?, step)))
             .min_by_key(|(timing, step)| (timing.at, *step))
     }
 
@@ -189,7 +190,7 @@
     }
 
     /// The earliest time of a step, if all that it waits for has happened.
-    fn ready(&self, step: Step, times: &StepTimes) -> Option<Timing> {
+    fn earliest_time(&self, step: Step, times: &StepTimes) -> Option<Timing> {
         let step = self.goal_step(step)?;
         let mut timing = Timing {
             at: self.problem.start,
--- a/crates/releases/src/row_update.rs
+++ b/crates/releases/src/row_update.rs
@@ -75,7 +75,7 @@
             for pair in rules.zone_pairs(zone) {
                 let access = by_zone.max(frozen[pair]).max(self.access_by_ladder(pair));
                 let before = row.cells[pair];
-                let cell = next_cell(access, request_classes[pair], &mut row.had[pair]);
+                let cell = next_cell(access, request_classes[pair], &mut row.has_build[pair]);
                 row.cells[pair] = cell;
                 match (before.open != 0, cell.open != 0) {
                     (false, true) => change.opened += 1,
@@ -189,21 +189,21 @@
 }
 
 /// The cell for an access. `had` is whether the pair has the build, and is brought up to date.
-fn next_cell(access: Access, request_classes: u64, had: &mut bool) -> PermissionCell {
+fn next_cell(access: Access, request_classes: u64, has_build: &mut bool) -> PermissionCell {
     match access {
         Access::Open => {
-            *had = true;
+            *has_build = true;
             PermissionCell {
                 open: request_classes,
                 reason: ClosedReason::Open,
             }
         }
         Access::Hold(reason) => PermissionCell {
-            open: if *had { request_classes } else { 0 },
+            open: if *has_build { request_classes } else { 0 },
             reason,
         },
         Access::Closed(reason) => {
-            *had = false;
+            *has_build = false;
             PermissionCell { open: 0, reason }
         }
     }
--- a/crates/releases/src/rules_change.rs
+++ b/crates/releases/src/rules_change.rs
@@ -55,14 +55,14 @@
 
 /// A row for other rules, with what holds for the pairs that both rules name.
 pub(crate) fn carry_over_row(from: &Rules, row: &PermissionRow, to: &Rules) -> PermissionRow {
-    let mut kept = PermissionRow::new(to.pair_count(), false);
+    let mut carried = PermissionRow::new(to.pair_count(), false);
     for pair in 0..to.pair_count() {
         if let Some(old) = same_pair(from, to, pair) {
-            kept.had[pair] = row.had[old];
-            kept.cells[pair] = row.cells[old];
+            carried.has_build[pair] = row.has_build[old];
+            carried.cells[pair] = row.cells[old];
         }
     }
-    kept
+    carried
 }
 
 /// The index that a pair of `to` has in `from`.
--- a/crates/releases/src/stage_progress.rs
+++ b/crates/releases/src/stage_progress.rs
@@ -56,11 +56,11 @@
     pub(crate) fn next_ring_due(&self, ladder: &Ladder) -> Option<Duration> {
         let next = ladder.rings.get(self.opened.len())?;
         let since = self.since(next.stage)?;
-        Some(self.soaked_at(ladder).map_or(since, |at| at.max(since)))
+        Some(self.soak_ends_at(ladder).map_or(since, |at| at.max(since)))
     }
 
     /// When the ring that opened last has been open for as long as the next ring, or the release, requires.
-    pub(crate) fn soaked_at(&self, ladder: &Ladder) -> Option<Duration> {
+    pub(crate) fn soak_ends_at(&self, ladder: &Ladder) -> Option<Duration> {
         let soak = ladder
             .rings
             .get(self.opened.len())
--- a/crates/releases/src/stored_state.rs
+++ b/crates/releases/src/stored_state.rs
@@ -159,12 +159,12 @@
     ("withdrawn", ReleasePhase::Withdrawn),
 ];
 
-fn phase_name(phase: ReleasePhase) -> String {
+fn stored_phase_name(phase: ReleasePhase) -> String {
     let found = PHASES.iter().find(|(_, known)| *known == phase);
     found.map_or("", |(name, _)| name).to_owned()
 }
 
-fn phase_named(name: &str) -> Result<ReleasePhase, RestoreError> {
+fn parse_phase(name: &str) -> Result<ReleasePhase, RestoreError> {
     let found = PHASES.iter().find(|(known, _)| *known == name);
     found
         .map(|(_, phase)| *phase)
@@ -198,7 +198,7 @@
         StatusState {
             build: status.build.0,
             stage: status.stage.0,
-            phase: phase_name(status.phase),
+            phase: stored_phase_name(status.phase),
             since_ms: millis(status.since),
         }
     }
@@ -209,7 +209,7 @@
         Ok(ReleaseStatus {
             build: Build(self.build),
             stage: Stage(self.stage),
-            phase: phase_named(&self.phase)?,
+            phase: parse_phase(&self.phase)?,
             since: Duration::from_millis(self.since_ms),
         })
     }
@@ -301,7 +301,7 @@
         let at = Duration::from_millis(state.at_ms);
         let tenant = match &state.tenant {
             Some(name) => Some(
-                place(&rules.tenants, name)
+                position_of(&rules.tenants, name)
                     .map(|i| Tenant(i as u16))
                     .ok_or_else(|| RestoreError::UnknownTenant(name.clone()))?,
             ),
@@ -360,14 +360,14 @@
         let mut row = PermissionRow::new(self.observed.rules.pair_count(), false);
         for (zone, had) in state.zones.iter().zip(&stored.had) {
             for (tenant, had) in state.tenants.iter().zip(had.bytes()) {
-                let zone = place(&self.observed.rules.zones, zone);
-                let tenant = place(&self.observed.rules.tenants, tenant);
+                let zone = position_of(&self.observed.rules.zones, zone);
+                let tenant = position_of(&self.observed.rules.tenants, tenant);
                 if let Some((zone, tenant)) = zone.zip(tenant) {
                     let pair = self
                         .observed
                         .rules
                         .pair_index(Zone(zone as u8), Tenant(tenant as u16));
-                    row.had[pair] = had == HAS_BUILD;
+                    row.has_build[pair] = had == HAS_BUILD;
                 }
             }
         }
@@ -380,10 +380,10 @@
     let zone = |had: &[bool]| had.iter().map(mark).collect();
     BuildState {
         build: build.0,
-        had: row.had.chunks(tenants.max(1)).map(zone).collect(),
+        had: row.has_build.chunks(tenants.max(1)).map(zone).collect(),
     }
 }
 
-fn place(names: &[String], name: &String) -> Option<usize> {
+fn position_of(names: &[String], name: &String) -> Option<usize> {
     names.iter().position(|other| other == name)
 }
--- a/crates/releases/tests/laws/gate.rs
+++ b/crates/releases/tests/laws/gate.rs
@@ -12,15 +12,15 @@
 
 /// A build, a zone, a tenant and a request class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Place {
+struct Query {
     build: u16,
     zone: u8,
     tenant: u16,
     class: u8,
 }
 
-/// What the gate admits, by place.
-fn admitted(gate: &Gate) -> BTreeMap<Place, bool> {
+/// What the gate admits, by query.
+fn admitted(gate: &Gate) -> BTreeMap<Query, bool> {
     let mut found = BTreeMap::new();
     for build in 0..8 {
         for zone in 0..ZONES as u8 {
@@ -32,13 +32,13 @@
                         Tenant(tenant),
                         RequestClass(class),
                     );
-                    let place = Place {
+                    let query = Query {
                         build,
                         zone,
                         tenant,
                         class,
                     };
-                    found.insert(place, admits.is_ok());
+                    found.insert(query, admits.is_ok());
                 }
             }
         }
@@ -49,10 +49,10 @@
 /// Compares the gate with its definition at all places.
 fn compare(gate: &Gate, reference: &mut ReferenceGate<'_>) -> Result<(), TestCaseError> {
     reference.open_rings();
-    for (place, got) in admitted(gate) {
-        let (zone, tenant) = (place.zone.into(), place.tenant.into());
-        let want = reference.admits(place.build, zone, tenant, place.class);
-        prop_assert_eq!(got, want, "{:?} at {}", place, reference.now);
+    for (query, actual) in admitted(gate) {
+        let (zone, tenant) = (query.zone.into(), query.tenant.into());
+        let expected = reference.admits(query.build, zone, tenant, query.class);
+        prop_assert_eq!(actual, expected, "{:?} at {}", query, reference.now);
     }
     Ok(())
 }
@@ -61,7 +61,7 @@
     #![proptest_config(config(400))]
 
     #[test]
-    fn the_table_is_the_plain_definition(rules in rules(), inputs in inputs()) {
+    fn the_gate_agrees_with_the_reference(rules in rules(), inputs in inputs()) {
         let mut gate = Gate::new(rules.clone(), None, seconds(0)).expect("no cycle");
         let mut reference = ReferenceGate::new(&rules);
         for (now, input) in (1..).zip(inputs) {
@@ -96,14 +96,14 @@
                 input.apply(gate, seconds(now));
             }
             let [fewer, more] = gates.each_ref().map(admitted);
-            prop_assert!(more.iter().all(|(place, open)| !open || fewer[place]));
+            prop_assert!(more.iter().all(|(query, open)| !open || fewer[query]));
             let [fewer, more] = gates.each_ref().map(Gate::permitted_advance);
             prop_assert!(more.is_err() || fewer == more);
         }
     }
 
     #[test]
-    fn the_table_handed_out_is_the_same(
+    fn the_engine_table_agrees_with_the_gate(
         rules in rules(),
         inputs in inputs(),
         only in 0..TENANTS as u16,
@@ -112,12 +112,12 @@
         for (now, input) in (1..).zip(inputs) {
             input.apply(&mut gate, seconds(now));
             let permissions = gate.permissions();
-            let own = admitted(&gate).into_iter().filter(|(place, _)| place.tenant == only);
-            for (place, admits) in own {
-                let (build, zone) = (Build(place.build), Zone(place.zone));
-                let handed = permissions.admits(build, zone, Tenant(0), RequestClass(place.class));
-                prop_assert_eq!(handed, admits);
-                prop_assert!(!handed || permissions.any(build, zone));
+            let own = admitted(&gate).into_iter().filter(|(query, _)| query.tenant == only);
+            for (query, admits) in own {
+                let (build, zone) = (Build(query.build), Zone(query.zone));
+                let is_admitted = permissions.admits(build, zone, Tenant(0), RequestClass(query.class));
+                prop_assert_eq!(is_admitted, admits);
+                prop_assert!(!is_admitted || permissions.any(build, zone));
             }
         }
     }
--- a/crates/releases/tests/laws/plan.rs
+++ b/crates/releases/tests/laws/plan.rs
@@ -10,7 +10,7 @@
 use proptest::prelude::*;
 
 use crate::generated::{TENANTS, ZONES, config, goals, rules, seconds};
-use crate::reference_plan::by_trying;
+use crate::reference_plan::earliest_by_exhaustive_search;
 
 const OWN_SERVICE: ServiceId = ServiceId(0);
 
@@ -31,14 +31,14 @@
 }
 
 /// A gate whose own service follows a plan.
-struct Follower {
+struct PlanFollower {
     gate: Gate,
     rules: Rules,
     /// The stage of the canary.
     stage: Option<Stage>,
 }
 
-impl Follower {
+impl PlanFollower {
     fn announce(&mut self, service: ServiceId, status: ReleaseStatus) {
         self.gate.on_release_status(status.since, service, status);
     }
@@ -114,7 +114,7 @@
     fn plans_are_as_early_as_any(rules in rules(), goals in goals()) {
         let released = ReleasedBuilds::from([(ServiceId(2), Build(1))]);
         let found = plan(&rules, &released, &goals, seconds(0));
-        match by_trying(&rules, &released, &goals) {
+        match earliest_by_exhaustive_search(&rules, &released, &goals) {
             Some(times) => {
                 let plan = found.expect("there is a plan");
                 let steps = plan.steps.iter();
@@ -137,14 +137,14 @@
         };
         // With the dependencies and freezes of the conflict alone there still is one; without any one of them there
         // is not.
-        let held: BTreeSet<Statement> = conflict.statements.iter().copied().collect();
+        let conflicting: BTreeSet<Statement> = conflict.statements.iter().copied().collect();
         prop_assert!(conflict.is_smallest);
-        let only_held = reduced(&rules, |statement| held.contains(&statement));
-        prop_assert!(plan(&only_held, &released, &goals, seconds(0)).is_err());
-        for removed in held.iter().copied().filter(|statement| is_rule(*statement)) {
-            let rest = reduced(&rules, |statement| held.contains(&statement) && statement != removed);
+        let only_conflicting = reduced(&rules, |statement| conflicting.contains(&statement));
+        prop_assert!(plan(&only_conflicting, &released, &goals, seconds(0)).is_err());
+        for removed in conflicting.iter().copied().filter(|statement| is_rule(*statement)) {
+            let rest = reduced(&rules, |statement| conflicting.contains(&statement) && statement != removed);
             let named = |(index, goal): (usize, &Goal)| Goal {
-                deadline: goal.deadline.filter(|_| held.contains(&Statement::Deadline(index))),
+                deadline: goal.deadline.filter(|_| conflicting.contains(&Statement::Deadline(index))),
                 ..*goal
             };
             let named: Vec<Goal> = goals.iter().enumerate().map(named).collect();
@@ -153,11 +153,11 @@
             let is_resolved = without.as_ref().map_or_else(
                 |other| {
                     let mut statements = other.statements.iter();
-                    !statements.all(|statement| held.contains(statement) || is_rule(*statement))
+                    !statements.all(|statement| conflicting.contains(statement) || is_rule(*statement))
                 },
                 |_| true,
             );
-            prop_assert!(is_resolved, "{:?} without {:?}: still {:?}", held, removed, without);
+            prop_assert!(is_resolved, "{:?} without {:?}: still {:?}", conflicting, removed, without);
         }
     }
 
@@ -179,7 +179,7 @@
         let Ok(found) = plan(&rules, &ReleasedBuilds::new(), &goals, seconds(0)) else {
             return Ok(());
         };
-        let mut follower = Follower {
+        let mut follower = PlanFollower {
             gate: Gate::new(rules.clone(), None, seconds(0)).expect("no cycle"),
             rules,
             stage: None,
--- a/crates/releases/tests/laws/reference_gate.rs
+++ b/crates/releases/tests/laws/reference_gate.rs
@@ -39,7 +39,7 @@
     reached: BTreeMap<(u8, u16), Vec<(u8, u64)>>,
     opened: BTreeMap<(u8, u16), Vec<u64>>,
     listed: BTreeSet<u16>,
-    had: BTreeMap<(u16, usize), bool>,
+    has_build: BTreeMap<(u16, usize), bool>,
 }
 
 impl<'a> ReferenceGate<'a> {
@@ -54,7 +54,7 @@
             reached: BTreeMap::new(),
             opened: BTreeMap::new(),
             listed: BTreeSet::new(),
-            had: BTreeMap::new(),
+            has_build: BTreeMap::new(),
         }
     }
 
@@ -123,7 +123,7 @@
                 }
             }
         }
-        self.had.retain(|(build, _), _| named.contains(build));
+        self.has_build.retain(|(build, _), _| named.contains(build));
         let (last, released) = (&self.last, &self.released);
         let is_known = |service: u8, build: u16| {
             (service == OWN_SERVICE && named.contains(&build))
@@ -282,9 +282,9 @@
                 classes = self.classes_of_open_rings(build, pair);
             }
         }
-        let had = self.had.entry((build, pair)).or_insert(released);
-        *had = !close && (!hold || *had);
-        *had && classes >> class & 1 == 1
+        let has_build = self.has_build.entry((build, pair)).or_insert(released);
+        *has_build = !close && (!hold || *has_build);
+        *has_build && classes >> class & 1 == 1
     }
 
     /// What dependencies do to a build in a zone.
--- a/crates/releases/tests/laws/reference_plan.rs
+++ b/crates/releases/tests/laws/reference_plan.rs
@@ -25,7 +25,7 @@
 }
 
 /// The times of all steps in seconds; nothing if a goal is not reached.
-pub(crate) fn by_trying(
+pub(crate) fn earliest_by_exhaustive_search(
     rules: &Rules,
     released: &ReleasedBuilds,
     goals: &[Goal],
--- a/crates/releases/tests/scenarios.rs
+++ b/crates/releases/tests/scenarios.rs
@@ -84,7 +84,7 @@
 }
 
 /// A scenario that is being played.
-struct Play {
+struct ScenarioRun {
     /// The operator's file.
     text: String,
     tenant: Option<String>,
@@ -92,7 +92,7 @@
     gate: Gate,
 }
 
-impl Play {
+impl ScenarioRun {
     fn service(&self, name: &str) -> ServiceId {
         let mut services = self.gate.rules().services.iter();
         let found = services.position(|service| service.name == name);
@@ -118,8 +118,8 @@
             ["restart"] => self.restart(),
             ["edit", texts @ ..] => self.edit(&texts.join(" ")),
             ["store"] => self.store_and_restore(),
-            ["open", place @ ..] => self.check_admitted(true, place),
-            ["closed", place @ ..] => self.check_admitted(false, place),
+            ["open", query @ ..] => self.check_admitted(true, query),
+            ["closed", query @ ..] => self.check_admitted(false, query),
             ["advance", number, in_stage] => self.check_advance(build(number), stage(in_stage)),
             ["hold", reason, until @ ..] => self.check_hold(reason, until),
             ["next", "never"] => assert_eq!(self.gate.next_change(), None),
@@ -168,8 +168,8 @@
         self.gate = restored;
     }
 
-    fn check_admitted(&self, is_open: bool, place: &[&str]) {
-        let [number, zone, tenant, class, reason @ ..] = place else {
+    fn check_admitted(&self, is_open: bool, query: &[&str]) {
+        let [number, zone, tenant, class, reason @ ..] = query else {
             panic!("open|closed BUILD ZONE TENANT CLASS [REASON]");
         };
         let rules = self.gate.rules();
@@ -218,7 +218,7 @@
 fn scenario(#[files("tests/scenarios/*.txt")] path: PathBuf) {
     let text = std::fs::read_to_string(&path).expect("a scenario");
     let (file, steps) = text.split_once("\n==\n").expect("a file, then steps");
-    let mut play = Play {
+    let mut run = ScenarioRun {
         text: file.to_owned(),
         tenant: None,
         now: START,
@@ -229,7 +229,7 @@
         for step in line.split('#').next().unwrap_or("").split(';') {
             let words: Vec<&str> = step.split_whitespace().collect();
             if !words.is_empty() {
-                play.step(&words);
+                run.step(&words);
             }
         }
     }
