--- a/crates/releases/src/advance.rs
+++ b/crates/releases/src/advance.rs
@@ -5,8 +5,8 @@
 use crate::observed::Observed;
 use crate::reason::{BlockedReason, Hold, PermittedAdvance};
 
-/// The canary, if the rules allow it to advance. `has_traffic` tells whether a build is open to any of the agent's
-/// requests.
+/// Returns the canary if the rules allow it to advance. `has_traffic` tells whether a build is open to any of the
+/// agent's requests.
 pub(crate) fn permitted_advance(
     observed: &Observed,
     dependencies: &DependencyStates,
@@ -42,7 +42,7 @@
     }
 }
 
-/// A hold that no time alone ends.
+/// A hold that does not end by the passing of time alone.
 fn hold(reason: BlockedReason) -> Hold {
     Hold {
         reason,
@@ -50,7 +50,7 @@
     }
 }
 
-/// Holds the canary while a dependency is not satisfied in a zone that it is used in after the advance.
+/// Holds the canary while a dependency is not satisfied in a zone where the canary is used after the advance.
 fn check_dependencies(
     observed: &Observed,
     dependencies: &DependencyStates,
@@ -73,7 +73,7 @@
     }
 }
 
-/// Holds the canary until all rings of its stage are open, and the last one has been open for long enough.
+/// Holds the canary until all rings of its stage are open and the last one has been open for long enough.
 fn check_rings(observed: &Observed, build: Build, stage: Stage) -> Result<(), Hold> {
     let own = observed.rules.own_service;
     let ladder = observed.rules.ladder(own, build);
--- a/crates/releases/src/calendar.rs
+++ b/crates/releases/src/calendar.rs
@@ -1,5 +1,6 @@
-//! When a freeze is active: once, or in weekly or yearly windows of a time zone. A window is never shorter than ordered:
-//! where a clock change skips or repeats an hour, it begins at the earlier and ends at the later reading of the clock.
+//! When a freeze is active: once, or in weekly or yearly windows in a time zone. A window is never shorter than the
+//! operator wrote it: if its begin or end falls in an hour that a clock change skips or repeats, the earlier instant is
+//! taken for the begin and the later one for the end.
 use std::time::Duration;
 
 use jiff::civil::{Date, DateTime, Time, Weekday};
@@ -10,34 +11,34 @@
     TimeTextError, parse_date_time, parse_span, parse_time_zone, parse_week_time, parse_year_time,
 };
 
-/// The days around the present one on which a weekly window may begin that is active now or begins next.
+/// The days, relative to today, on which a weekly window may begin that is active now or begins next.
 const WEEKLY_DAYS: std::ops::RangeInclusive<i64> = -15..=8;
-/// The years around the present one in which a yearly window may begin that is active now or begins next.
+/// The years, relative to this year, in which a yearly window may begin that is active now or begins next.
 const YEARLY_YEARS: std::ops::RangeInclusive<i16> = -2..=1;
 const DAYS_OF_WEEK: i64 = 7;
 
-/// A day of the week and a time on it.
+/// A day of the week and a time of day.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WeekTime {
-    /// The day.
+    /// The day of the week.
     pub day: Weekday,
-    /// The time on that day.
+    /// The local time on that day.
     pub time: Time,
 }
 
-/// A day of the year and a time on it. The 29th of February counts as the 28th in years that do not have it.
+/// A day of the year and a time of day. In years without a 29th of February, the 28th is used for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct YearTime {
     /// The month, from 1.
     pub month: i8,
     /// The day of the month, from 1.
     pub day: i8,
-    /// The time on that day.
+    /// The local time on that day.
     pub time: Time,
 }
 
 impl YearTime {
-    /// The moment in a year.
+    /// The local date and time in a year; `None` if the calendar does not have it.
     fn in_year(self, year: i16) -> Option<DateTime> {
         let first = Date::new(year, self.month, 1).ok()?;
         let day = self.day.min(first.days_in_month());
@@ -46,55 +47,55 @@
     }
 }
 
-/// When something is active.
+/// The times at which a freeze is active.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Schedule {
-    /// For as long as it stands in the operator's file.
+    /// At all times while the freeze is in the operator's file.
     Declared,
-    /// Once.
+    /// In a single window.
     OneTime {
-        /// The first instant, since 1970.
+        /// The first instant, as time since 1970.
         from: Duration,
-        /// The end, since 1970.
+        /// The end, as time since 1970, which is not included.
         to: Duration,
     },
-    /// Each week.
+    /// In a window of each week.
     Weekly {
-        /// The time zone of the clock.
+        /// The time zone of both times.
         zone: TimeZone,
-        /// The begin.
+        /// When the window begins.
         from: WeekTime,
-        /// The end; one that is not after the begin is in the next week.
+        /// When the window ends; in the next week if this is not after the begin.
         to: WeekTime,
     },
-    /// Each year.
+    /// In a window of each year.
     Yearly {
-        /// The time zone of the clock.
+        /// The time zone of both times.
         zone: TimeZone,
-        /// The begin.
+        /// When the window begins.
         from: YearTime,
-        /// The end; one that is not after the begin is in the next year.
+        /// When the window ends; in the next year if this is not after the begin.
         to: YearTime,
     },
 }
 
-/// The window that is active. A declared one has neither begin nor end.
+/// The window that is active at an instant. The window of [`Schedule::Declared`] has neither a begin nor an end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ActiveWindow {
-    /// The begin, since 1970.
+    /// The begin, as time since 1970.
     pub since: Option<Duration>,
-    /// The end, since 1970.
+    /// The end, as time since 1970.
     pub until: Option<Duration>,
 }
 
-/// A window: its first instant and its end, since 1970.
+/// A window from its first instant to its end, which is not included, as time since 1970.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Window {
     from: Duration,
     to: Duration,
 }
 
-/// An instant as a timestamp; one beyond the range of timestamps is the last of them.
+/// Converts time since 1970 to a timestamp; a time beyond the range of timestamps becomes the last one.
 pub fn timestamp(at: Duration) -> Timestamp {
     Timestamp::from_nanosecond(i128::try_from(at.as_nanos()).unwrap_or(i128::MAX))
         .unwrap_or(Timestamp::MAX)
@@ -104,21 +105,21 @@
     Duration::try_from(at.duration_since(Timestamp::UNIX_EPOCH)).unwrap_or_default()
 }
 
-/// The first instant, since 1970, at which a clock in a time zone shows this.
+/// The first instant, as time since 1970, at which a clock in a time zone shows this date and time.
 pub fn earliest_instant(zone: &TimeZone, at: DateTime) -> Duration {
     zone.to_ambiguous_timestamp(at)
         .earlier()
         .map_or(Duration::ZERO, since_1970)
 }
 
-/// The last instant, since 1970, at which a clock in a time zone shows this.
+/// The last instant, as time since 1970, at which a clock in a time zone shows this date and time.
 pub fn latest_instant(zone: &TimeZone, at: DateTime) -> Duration {
     zone.to_ambiguous_timestamp(at)
         .later()
         .map_or(Duration::MAX, since_1970)
 }
 
-/// The weekly window that begins on a day; nothing if none does.
+/// The weekly window that begins on a day; `None` if the day is not the window's first day.
 fn weekly_window(zone: &TimeZone, day: Date, from: WeekTime, to: WeekTime) -> Option<Window> {
     if day.weekday() != from.day {
         return None;
@@ -148,7 +149,7 @@
 }
 
 impl Schedule {
-    /// All windows that may be active at an instant or begin next, in order.
+    /// All windows that may be active at an instant or begin next, in the order of their begins.
     fn windows_near(&self, now: Duration) -> Vec<Window> {
         match self {
             Schedule::Declared => Vec::new(),
@@ -173,7 +174,7 @@
         }
     }
 
-    /// The window that is active at an instant. A window holds its first instant, but not its end.
+    /// The window that is active at an instant. A window includes its first instant but not its end.
     pub fn active_window(&self, now: Duration) -> Option<ActiveWindow> {
         if *self == Schedule::Declared {
             return Some(ActiveWindow {
@@ -189,7 +190,7 @@
         })
     }
 
-    /// When a window next begins or ends.
+    /// The next time, since 1970, at which a window begins or ends.
     pub fn next_change(&self, now: Duration) -> Option<Duration> {
         self.windows_near(now)
             .into_iter()
--- a/crates/releases/src/dependencies.rs
+++ b/crates/releases/src/dependencies.rs
@@ -1,18 +1,18 @@
-//! Whether dependencies are satisfied, by zone.
+//! Evaluates in which zones dependencies are satisfied.
 use lilacgate_decision::{Build, Zone};
 
 use crate::model::{Dependency, DependencyScope, ServiceId};
 use crate::observed::Observed;
 use crate::service_status::ReleaseLookup;
 
-/// Whether a dependency is satisfied in a zone; the worst state is the last.
+/// Whether a dependency is satisfied in a zone, in the order from the best to the worst state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum DependencyState {
-    /// It is.
+    /// The required build is released in the zone.
     Satisfied,
-    /// There is not enough information.
+    /// The received statuses do not tell.
     Unknown,
-    /// It is not.
+    /// The required build is not released in the zone.
     Unsatisfied,
 }
 
@@ -23,7 +23,7 @@
 }
 
 impl DependencyStates {
-    /// Determines all states, each after those that it rests on.
+    /// Evaluates all dependencies, each after those that it depends on.
     pub(crate) fn of(observed: &Observed) -> Self {
         let rules = &observed.rules;
         let unknown = vec![DependencyState::Unknown; rules.zones.len()];
@@ -50,7 +50,8 @@
         self.by_dependency[index][usize::from(zone.0)]
     }
 
-    /// A dependency's state in each zone by itself. All that it rests on is determined already.
+    /// The state of a dependency in each zone, without regard to its scope. The dependencies that it depends on must
+    /// have been evaluated before.
     fn by_zone(&self, observed: &Observed, dependency: &Dependency) -> Vec<DependencyState> {
         let service = dependency.requires;
         let lookup = match observed.unknown_reason(service) {
@@ -67,7 +68,7 @@
         }
     }
 
-    /// Whether a released build has reached all tenants of a zone, and its own dependencies are satisfied there.
+    /// Whether a released build has reached all tenants of a zone and its own dependencies are satisfied there.
     fn of_release(
         &self,
         observed: &Observed,
--- a/crates/releases/src/dependency_order.rs
+++ b/crates/releases/src/dependency_order.rs
@@ -1,4 +1,4 @@
-//! The order in which dependencies are determined, and cycles of them.
+//! The order in which dependencies are evaluated, and the detection of cycles.
 use std::collections::{HashMap, VecDeque};
 
 use petgraph::algo::toposort;
@@ -7,13 +7,13 @@
 
 use crate::model::Rules;
 
-/// Dependencies that form a cycle: their indices in the rules, with the first one again at the end.
+/// Dependencies that form a cycle: their indices in the rules, with the first one repeated at the end.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("the dependencies {0:?} form a cycle")]
 pub struct DependencyCycle(pub Vec<usize>);
 
 impl Rules {
-    /// The indices of the dependencies, each after all that it rests on.
+    /// The indices of the dependencies, each after all dependencies that it depends on.
     ///
     /// # Errors
     /// A shortest cycle of dependencies.
@@ -23,7 +23,7 @@
         let nodes: Vec<NodeIndex> = indices.map(|index| graph.add_node(index)).collect();
         for (index, dependency) in self.dependencies.iter().enumerate() {
             for (other_index, other) in self.dependencies.iter().enumerate() {
-                // A build that satisfies this dependency may have dependencies of its own.
+                // A build that satisfies `dependency` may itself have the dependency `other`.
                 let is_dependent =
                     other.service == dependency.requires && other.builds.to >= dependency.at_least;
                 if is_dependent {
@@ -38,7 +38,7 @@
     }
 }
 
-/// A shortest cycle through a node that is on one.
+/// Finds a shortest cycle through a node that is on a cycle.
 fn shortest_cycle(graph: &DiGraph<usize, ()>, from: NodeIndex) -> Vec<usize> {
     let mut reached_from = HashMap::new();
     let mut queue = VecDeque::from([from]);
--- a/crates/releases/src/describe.rs
+++ b/crates/releases/src/describe.rs
@@ -1,4 +1,4 @@
-//! Reasons in plain words, as `lgctl` prints them.
+//! Descriptions of reasons, as `lgctl` prints them.
 use lilacgate_decision::Build;
 
 use crate::gate::Gate;
@@ -6,11 +6,13 @@
 use crate::reason::{BlockedReason, ClosedReason};
 
 impl Gate {
-    /// Why a build is closed somewhere, in plain words.
+    /// Describes why a build is closed to a zone and a tenant.
     pub fn describe_closed(&self, build: Build, reason: ClosedReason) -> String {
         match reason {
             ClosedReason::Open => "open".into(),
-            ClosedReason::NotListed => "no appliance is listed with it and no news name it".into(),
+            ClosedReason::NotListed => {
+                "no endpoint is listed with it and no release status names it".into()
+            }
             ClosedReason::NoRing => "no ring of its ladder holds this zone and firm".into(),
             ClosedReason::RingNotOpen(ring) => {
                 format!("ring {:?} is not open yet", self.ring_name(build, ring))
@@ -22,7 +24,7 @@
             }
             ClosedReason::DependencyUnsatisfied(index) => {
                 let dependency = self.describe_dependency(index);
-                format!("it needs {dependency}, which is not so")
+                format!("it needs {dependency}, which is not the case")
             }
             ClosedReason::DependencyUnknown(index) => {
                 let dependency = self.describe_dependency(index);
@@ -32,13 +34,13 @@
             ClosedReason::OwnStatusUnknown => {
                 let rules = self.rules();
                 let service = rules.service_name(rules.own_service);
-                format!("the news of {service} cannot be relied on")
+                format!("the release status of {service} is missing, too old or contradictory")
             }
-            ClosedReason::RollingBack => "it is going back: nobody new gets it".into(),
+            ClosedReason::RollingBack => "it is being rolled back: no new users get it".into(),
         }
     }
 
-    /// Why a build may not advance, in plain words.
+    /// Describes why a build may not advance to its next stage.
     pub fn describe_hold(&self, build: Build, reason: BlockedReason) -> String {
         match reason {
             BlockedReason::NoCanary => "no build is on trial".into(),
@@ -87,7 +89,7 @@
         )
     }
 
-    /// Why the service of a dependency is unknown.
+    /// Why the status of a dependency's required service is unknown, as `Some(..)` or `None`.
     fn describe_unknown(&self, index: u16) -> String {
         let service = self.rules().dependencies[usize::from(index)].requires;
         match self.unknown_reason(service) {
--- a/crates/releases/src/events.rs
+++ b/crates/releases/src/events.rs
@@ -1,4 +1,4 @@
-//! A bounded log of the changes of permissions, for the agent to report.
+//! A bounded log of permission changes, which the agent takes to report them.
 use std::collections::VecDeque;
 use std::time::Duration;
 
@@ -6,33 +6,33 @@
 
 use crate::reason::{BlockedReason, ClosedReason};
 
-/// The most events that are kept until they are taken. Older ones are only counted.
+/// The number of events that are kept until they are taken. Older events are dropped and only counted.
 const MAX_EVENTS: usize = 256;
 
 /// A change of a build's permissions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Event {
-    /// When it happened, since 1970.
+    /// When the change happened, as time since 1970.
     pub at: Duration,
-    /// The build.
+    /// The build whose permissions changed.
     pub build: Build,
-    /// What changed.
+    /// The new permission and whom it affects.
     pub change: Change,
 }
 
-/// What changed.
+/// The kind of a permission change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
     /// The build opened.
     Opened {
-        /// The number of pairs of a zone and a tenant that got it.
+        /// The number of pairs of a zone and a tenant that it opened to.
         pairs: usize,
     },
     /// The build closed.
     Closed {
-        /// The number of pairs that lost it.
+        /// The number of pairs of a zone and a tenant that it closed to.
         pairs: usize,
-        /// Why.
+        /// The reason that closed the build to these pairs.
         reason: ClosedReason,
     },
     /// The next stage may be voted for.
@@ -42,12 +42,12 @@
     },
     /// The next stage may not be voted for.
     Held {
-        /// Why.
+        /// The reason why the build may not advance.
         reason: BlockedReason,
     },
 }
 
-/// The events since they were last taken.
+/// The events since the last call that took them.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct TakenEvents {
     /// The events, in the order in which they happened.
@@ -56,7 +56,7 @@
     pub dropped: u64,
 }
 
-/// The events that were not taken yet.
+/// The events that have not been taken yet.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct EventLog {
     events: VecDeque<Event>,
@@ -64,7 +64,7 @@
 }
 
 impl EventLog {
-    /// Adds an event, in place of the oldest if the log is full.
+    /// Adds an event. If the log is full, the oldest event is dropped.
     pub(crate) fn record(&mut self, event: Event) {
         if self.events.len() >= MAX_EVENTS {
             self.events.pop_front();
@@ -73,7 +73,7 @@
         self.events.push_back(event);
     }
 
-    /// Empties the log.
+    /// Removes all events from the log and returns them.
     pub(crate) fn take(&mut self) -> TakenEvents {
         TakenEvents {
             events: self.events.drain(..).collect(),
--- a/crates/releases/src/gate.rs
+++ b/crates/releases/src/gate.rs
@@ -1,8 +1,9 @@
-//! The release gate: where and for whom each build may be used, and whether the canary may advance. It applies ladders,
-//! dependencies and freezes to what was received, and keeps the table that is looked up for each request.
+//! The release gate decides in which zones and for which tenants each build may be used, and whether the canary may
+//! advance. It applies ladders, dependencies and freezes to the received statuses, and keeps the table that is
+//! consulted for each request.
 //!
-//! The gate only narrows what the decision engine allows: the engine asks it besides its own rules. It never delays a
-//! rollback, and never takes what is unknown for satisfied.
+//! The gate only restricts what the decision engine allows: the engine consults it in addition to its own rules. The
+//! gate never delays a rollback, and never treats an unknown dependency as satisfied.
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,11 +21,11 @@
 use crate::rules_change;
 use crate::service_status::{ReleaseStatus, UnknownReason};
 
-/// The release gate.
+/// The release gate of one agent.
 #[derive(Clone, Debug)]
 pub struct Gate {
     pub(crate) observed: Observed,
-    /// The tenant whose requests are routed here; all if there is none.
+    /// The tenant whose requests this agent routes; all tenants if `None`.
     pub(crate) tenant: Option<Tenant>,
     pub(crate) rows: BTreeMap<Build, PermissionRow>,
     listed: BTreeSet<Build>,
@@ -34,11 +35,11 @@
 }
 
 impl Gate {
-    /// A gate that has received nothing, and so has nothing open. `tenant` is the one whose requests are routed here;
-    /// all if there is none.
+    /// Creates a gate that has received nothing, so that no build is open. `tenant` is the tenant whose requests this
+    /// agent routes; all tenants if `None`.
     ///
     /// # Errors
-    /// A cycle of dependencies.
+    /// The rules' dependencies form a cycle.
     pub fn new(
         rules: Rules,
         tenant: Option<Tenant>,
@@ -60,16 +61,16 @@
         Ok(gate)
     }
 
-    /// The rules.
+    /// The rules that the gate applies.
     pub fn rules(&self) -> &Rules {
         &self.observed.rules
     }
 
-    /// Replaces all rules. What was received of services is kept by their names, and who has which build by the names
-    /// of zones and tenants.
+    /// Replaces all rules. The statuses of services are kept by the services' names, and the record of who has which
+    /// build by the names of zones and tenants.
     ///
     /// # Errors
-    /// A cycle of dependencies; nothing changes then.
+    /// The new rules' dependencies form a cycle; the gate is not changed then.
     pub fn replace_rules(
         &mut self,
         now: Duration,
@@ -90,7 +91,7 @@
         Ok(())
     }
 
-    /// Takes a release status of a service. A service that the rules do not name is ignored.
+    /// Records a release status of a service. A service that the rules do not name is ignored.
     pub fn on_release_status(&mut self, now: Duration, service: ServiceId, status: ReleaseStatus) {
         let Some(known) = self.observed.services.get_mut(usize::from(service.0)) else {
             return;
@@ -109,7 +110,7 @@
         self.update(now);
     }
 
-    /// Takes a heartbeat of a service. A service that the rules do not name is ignored.
+    /// Records a heartbeat of a service. A service that the rules do not name is ignored.
     pub fn on_heartbeat(&mut self, now: Duration, service: ServiceId) {
         let before = self.observed.unknown_reason_at(service, now);
         let Some(known) = self.observed.services.get_mut(usize::from(service.0)) else {
@@ -121,7 +122,7 @@
         }
     }
 
-    /// Sets the builds of the endpoints that are listed now.
+    /// Sets the builds of the endpoints that discovery currently lists.
     pub fn set_listed_builds(&mut self, now: Duration, builds: impl Iterator<Item = Build>) {
         let listed: BTreeSet<Build> = builds.collect();
         if listed != self.listed {
@@ -130,13 +131,13 @@
         }
     }
 
-    /// Lets time pass.
+    /// Advances the gate's clock, which never goes back.
     pub fn advance(&mut self, now: Duration) {
         self.update(now);
     }
 
-    /// Lets time pass, with heartbeats of all services whose status is known: for looking ahead, not for a running
-    /// agent.
+    /// Advances the gate's clock and assumes heartbeats of all services whose status is known. This is for looking
+    /// ahead, not for a running agent.
     pub fn advance_assuming_heartbeats(&mut self, now: Duration) {
         let at = now.max(self.observed.now);
         for service in self.observed.rules.service_ids() {
@@ -147,20 +148,20 @@
         self.update(now);
     }
 
-    /// The present time of the gate, since 1970.
+    /// The gate's clock, as time since 1970.
     pub fn now(&self) -> Duration {
         self.observed.now
     }
 
-    /// The newest build that a status of the own service names.
+    /// The build in the last accepted status of the agent's own service.
     pub fn newest(&self) -> Option<Build> {
         self.observed.own_status().map(|last| last.build)
     }
 
-    /// Whether a request may go to a build in a zone.
+    /// Whether a request may be sent to a build in a zone.
     ///
     /// # Errors
-    /// Why it may not.
+    /// The reason why it may not.
     pub fn admits(
         &self,
         build: Build,
@@ -185,7 +186,7 @@
         }
     }
 
-    /// Why a build is closed to new users where those who have it keep it.
+    /// Why a build is closed to new users, if it is open to a pair only because the pair already has it.
     pub fn closed_to_new_users(
         &self,
         build: Build,
@@ -200,22 +201,22 @@
     /// The canary, if it may advance to its next stage.
     ///
     /// # Errors
-    /// Why it may not, and until when.
+    /// The reason why it may not, and until when.
     pub fn permitted_advance(&self) -> Result<PermittedAdvance, Hold> {
         self.advance
     }
 
-    /// The table in the form of the decision engine; the same one until something changes.
+    /// The permissions for the decision engine. The same object is returned until something changes.
     pub fn permissions(&self) -> Arc<ReleasePermissions> {
         Arc::clone(&self.permissions)
     }
 
-    /// Takes the changes since the last call.
+    /// Takes the permission changes since the last call.
     pub fn take_events(&mut self) -> TakenEvents {
         self.events.take()
     }
 
-    /// The builds that are listed or announced.
+    /// The builds that are listed by discovery or announced by a release status.
     pub fn builds(&self) -> impl Iterator<Item = Build> + '_ {
         self.rows.keys().copied()
     }
@@ -225,12 +226,12 @@
         self.rows.get(&build).map_or(0, PermissionRow::open_pairs)
     }
 
-    /// When something changes by time alone, since 1970.
+    /// The next time, since 1970, at which something changes by the passing of time alone.
     pub fn next_change(&self) -> Option<Duration> {
         self.observed.next_change()
     }
 
-    /// When something changes by time alone, other than that a service falls silent, since 1970.
+    /// As [`Gate::next_change`], but without the times at which a service's heartbeats are overdue.
     pub fn next_scheduled_change(&self) -> Option<Duration> {
         self.observed.next_scheduled_change()
     }
@@ -239,7 +240,7 @@
         self.observed.unknown_reason(service)
     }
 
-    /// Brings all that follows from rules and observations up to date.
+    /// Derives all decisions again from the rules and observations.
     fn update(&mut self, now: Duration) {
         self.observed.now = self.observed.now.max(now);
         self.track_builds();
@@ -250,7 +251,7 @@
         self.update_permissions();
     }
 
-    /// Forgets builds that are neither listed nor announced, and begins rows for new ones.
+    /// Removes the rows of builds that are neither listed nor announced, and adds rows for new builds.
     fn track_builds(&mut self) {
         let newest = self.newest();
         let named: BTreeSet<Build> = self.listed.iter().copied().chain(newest).collect();
@@ -259,7 +260,8 @@
         for &build in &named {
             let observed = &self.observed;
             self.rows.entry(build).or_insert_with(|| {
-                // A build that is released when it is first seen was there before this agent was.
+                // A build that is already released when this agent first sees it was in use before, so that all pairs
+                // are regarded as having it.
                 let has_build = matches!(
                     observed.standing(build),
                     BuildStanding::Earlier | BuildStanding::Released
@@ -300,7 +302,7 @@
         let before = std::mem::replace(&mut self.advance, next);
         let (build, change) = match (before, next) {
             _ if before == next => return,
-            // Only the end of the hold changed.
+            // The same hold with another end is not an event.
             (Err(before), Err(next)) if before.reason == next.reason => return,
             (_, Ok(PermittedAdvance { build, stage })) => {
                 (build, Change::AdvancePermitted { stage })
--- a/crates/releases/src/lib.rs
+++ b/crates/releases/src/lib.rs
@@ -1,14 +1,14 @@
-//! Where and for whom a build may be used, and when its next stage may be voted for: ladders of rings by zone and
-//! tenant, dependencies on other services' builds, freezes. Decisions and state without any I/O; the clock is passed
-//! in, as time since 1970. What is decided here only narrows what the decision engine allows.
+//! Decides in which zones and for which tenants a build may be used, and when its next stage may be voted for. The
+//! operator's rules are ladders of rings, dependencies on builds of other services, and freezes. This crate does no
+//! I/O; the clock is passed in, as time since 1970. Its decisions only restrict what the decision engine allows.
 //!
 //! - [`model`]: the operator's rules; [`calendar`]: when freezes are active.
-//! - [`gate`]: applies the rules to what was received; [`reason`] and [`events`]: its answers and changes.
-//! - [`service_status`]: what was received of a service.
-//! - [`stored_state`]: the gate's state as a file.
-//! - [`planner`]: when builds can be released under the same rules.
+//! - [`gate`]: applies the rules to received statuses; [`reason`] and [`events`]: its decisions and their changes.
+//! - [`service_status`]: the statuses received from a service.
+//! - [`stored_state`]: the gate's state in the form in which it is stored.
+//! - [`planner`]: computes when builds can be released under the same rules.
 //!
-//! Modules depend on each other in one direction: `model`, then what is observed (`service_status`, `stage_progress`,
+//! Modules depend on each other in one direction: first `model`, then observations (`service_status`, `stage_progress`,
 //! `observed`), then decisions (`dependencies`, `row_update`, `advance`), then `gate`, then `stored_state` and
 //! `describe`.
 
--- a/crates/releases/src/model.rs
+++ b/crates/releases/src/model.rs
@@ -1,5 +1,5 @@
-//! The operator's rules: services and their builds, ladders of rings, dependencies, freezes, and which of them concern a
-//! build. Rules hold no state and nothing that was received, and do not change once they are in use.
+//! The operator's rules: services and their builds, ladders of rings, dependencies and freezes, and which of them apply
+//! to a build. Rules hold no state and no received data, and do not change once they are in use.
 use std::time::Duration;
 
 use lilacgate_decision::{Build, RequestClass, Stage, Tenant, Zone};
@@ -11,7 +11,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ServiceId(pub u8);
 
-/// A range of builds.
+/// A range of build numbers, including both ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BuildRange {
     /// The first build.
@@ -33,13 +33,12 @@
     }
 }
 
-/// A set of pairs of a zone and a tenant. The index of a pair is zone x number of tenants + tenant, as
-/// [`Rules::pair`] has it.
+/// A set of pairs of a zone and a tenant: for each pair, by [`Rules::pair_index`], whether it is in the set.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PairSet(pub Vec<bool>);
 
 impl PairSet {
-    /// Whether two sets have a pair in common.
+    /// Whether the sets have a pair in common.
     pub fn intersects(&self, other: &PairSet) -> bool {
         self.0.iter().zip(&other.0).any(|(one, two)| *one && *two)
     }
@@ -55,42 +54,42 @@
 /// A service whose builds are released.
 #[derive(Clone, Debug)]
 pub struct Service {
-    /// Its name.
+    /// The name, by which the operator's file and stored states refer to the service.
     pub name: String,
-    /// After this time without a heartbeat its status is unknown. If there is none, it stays known.
+    /// After this time without a heartbeat the service's status is unknown. If `None`, it stays known.
     pub silent_after: Option<Duration>,
 }
 
-/// One ring of a ladder: who gets a build next.
+/// One ring of a ladder: the zones and tenants that get a build when the ring opens.
 #[derive(Clone, Debug)]
 pub struct Ring {
-    /// Its name.
+    /// The name, which is shown to operators.
     pub name: String,
-    /// The stage from which on it may open.
+    /// The first stage of a release in which the ring may open.
     pub stage: Stage,
-    /// The least time that the ring before it must have been open.
+    /// The minimum time that the previous ring must have been open.
     pub soak_before: Duration,
-    /// The pairs that it holds.
+    /// The pairs of a zone and a tenant in the ring.
     pub pairs: PairSet,
-    /// The request classes that may use a canary there, as bits.
+    /// The request classes that may use a canary in this ring, as bits.
     pub request_classes: u64,
 }
 
-/// The order in which builds of a service come to zones and tenants. Pairs in no ring never get such a build.
+/// The order in which zones and tenants get a service's builds. Pairs that are in no ring never get such a build.
 #[derive(Clone, Debug)]
 pub struct Ladder {
-    /// The service.
+    /// The service whose builds are released ring by ring.
     pub service: ServiceId,
     /// The builds that the ladder applies to.
     pub builds: BuildRange,
-    /// The rings, in their order; the stages never fall.
+    /// The rings in the order in which they open. The stages never decrease.
     pub rings: Vec<Ring>,
-    /// The least time that the last ring must have been open before the release.
+    /// The minimum time that the last ring must have been open before the release.
     pub final_soak: Duration,
 }
 
 impl Ladder {
-    /// All pairs that any of its rings holds.
+    /// All pairs that are in any ring.
     pub fn pairs(&self) -> PairSet {
         let mut all = PairSet(vec![false; self.pair_count()]);
         for ring in &self.rings {
@@ -99,7 +98,7 @@
         all
     }
 
-    /// By pair, the index of the first ring that holds it.
+    /// For each pair, the index of the first ring that contains it.
     pub fn first_rings(&self) -> Vec<Option<u8>> {
         let first = |pair| {
             let mut rings = self.rings.iter();
@@ -114,10 +113,10 @@
     }
 }
 
-/// Where a dependency must be satisfied.
+/// The zones in which a dependency must be satisfied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DependencyScope {
-    /// In all zones, for any zone.
+    /// In all zones, whichever zone the build is used in.
     Everywhere,
     /// In the zone where the build is used.
     SameZone,
@@ -126,59 +125,59 @@
 /// What happens to a build while it is unknown whether a dependency is satisfied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WhenUnknown {
-    /// Those who have it keep it, others do not get it.
+    /// Pairs that have the build keep it; others do not get it.
     Hold,
-    /// It is closed to all.
+    /// The build is closed to all pairs.
     Close,
 }
 
-/// Builds of a service require another service at a released build, or a later one.
+/// A requirement of a service's builds: another service must have released a given build or a later one.
 #[derive(Clone, Debug)]
 pub struct Dependency {
     /// The service that has the dependency.
     pub service: ServiceId,
-    /// Its builds that have it.
+    /// The service's builds that have the dependency.
     pub builds: BuildRange,
     /// The service that is required.
     pub requires: ServiceId,
-    /// The least build of it.
+    /// The lowest build of the required service that satisfies the dependency.
     pub at_least: Build,
-    /// Where.
+    /// The zones in which the required build must be released.
     pub scope: DependencyScope,
-    /// For canaries.
+    /// What happens to a canary while it is unknown whether the dependency is satisfied.
     pub canary_when_unknown: WhenUnknown,
-    /// For released builds.
+    /// What happens to a released build while it is unknown whether the dependency is satisfied.
     pub released_when_unknown: WhenUnknown,
 }
 
-/// While it is active, builds are closed to new users.
+/// A time during which builds are closed to new users.
 #[derive(Clone, Debug)]
 pub struct Freeze {
-    /// Its name.
+    /// The name, which is shown to operators.
     pub name: String,
-    /// The service that it concerns; all services if there is none.
+    /// The service whose builds are frozen; all services if `None`.
     pub service: Option<ServiceId>,
-    /// The pairs that it concerns.
+    /// The pairs of a zone and a tenant for which builds are frozen.
     pub pairs: PairSet,
-    /// Whether canaries are closed to those who have them, too.
+    /// Whether canaries are also closed to pairs that have them.
     pub closes_canary: bool,
-    /// When it is active.
+    /// When the freeze is active.
     pub schedule: Schedule,
 }
 
-/// An active freeze.
+/// A freeze that is active at the instant of the query.
 #[derive(Clone, Copy, Debug)]
 pub struct ActiveFreeze<'a> {
-    /// Its index in the rules.
+    /// The index of the freeze in the rules.
     pub index: usize,
-    /// The freeze.
+    /// The freeze as the operator defined it.
     pub freeze: &'a Freeze,
-    /// Since and until when it is active.
+    /// The time during which the freeze is active.
     pub window: ActiveWindow,
 }
 
 impl ActiveFreeze<'_> {
-    /// When it ends; a freeze without an end ends last.
+    /// When the freeze ends; the largest time if it has no end.
     pub(crate) fn end(&self) -> Duration {
         self.window.until.unwrap_or(Duration::MAX)
     }
@@ -187,77 +186,77 @@
 /// All rules of an operator.
 #[derive(Clone, Debug)]
 pub struct Rules {
-    /// The names of the zones.
+    /// The names of the zones, by their numbers.
     pub zones: Vec<String>,
-    /// The names of the tenants.
+    /// The names of the tenants, by their numbers.
     pub tenants: Vec<String>,
-    /// The names of the request classes.
+    /// The names of the request classes, by their numbers.
     pub request_classes: Vec<String>,
-    /// The services.
+    /// The services, by their [`ServiceId`].
     pub services: Vec<Service>,
-    /// The service whose builds are routed here.
+    /// The service whose requests this agent routes.
     pub own_service: ServiceId,
-    /// The ladders.
+    /// The ladders; for a build the first one that applies is used.
     pub ladders: Vec<Ladder>,
-    /// The dependencies.
+    /// The dependencies, all of which must be satisfied.
     pub dependencies: Vec<Dependency>,
-    /// The freezes.
+    /// The freezes, which may overlap.
     pub freezes: Vec<Freeze>,
 }
 
 impl Rules {
-    /// The index of a pair of a zone and a tenant.
+    /// The index of a pair of a zone and a tenant: zone × number of tenants + tenant.
     pub fn pair_index(&self, zone: Zone, tenant: Tenant) -> usize {
         usize::from(zone.0) * self.tenants.len() + usize::from(tenant.0)
     }
 
-    /// The number of pairs.
+    /// The number of pairs of a zone and a tenant.
     pub fn pair_count(&self) -> usize {
         self.zones.len() * self.tenants.len()
     }
 
-    /// The indices of the pairs of a zone.
+    /// The indices of all pairs of a zone.
     pub fn zone_pairs(&self, zone: Zone) -> std::ops::Range<usize> {
         let first = self.pair_index(zone, Tenant(0));
         first..first + self.tenants.len()
     }
 
-    /// All zones.
+    /// The numbers of all zones.
     pub fn zone_ids(&self) -> impl Iterator<Item = Zone> + use<> {
         (0..self.zones.len()).map(|zone| Zone(zone as u8))
     }
 
-    /// The name of a service.
+    /// The name of a service; `?` if the rules do not have it.
     pub fn service_name(&self, id: ServiceId) -> &str {
         self.services
             .get(usize::from(id.0))
             .map_or("?", |service| &service.name)
     }
 
-    /// All services.
+    /// The ids of all services.
     pub fn service_ids(&self) -> impl Iterator<Item = ServiceId> + use<> {
         (0..self.services.len()).map(|id| ServiceId(id as u8))
     }
 
-    /// The bit of a request class; 0 for one beyond the bits.
+    /// The bit of a request class in a 64-bit set; 0 for a class above 63.
     pub fn request_class_bit(class: RequestClass) -> u64 {
         1u64.checked_shl(u32::from(class.0)).unwrap_or(0)
     }
 
-    /// The ladder of a build: the first that applies to it.
+    /// The first ladder that applies to a build.
     pub fn ladder(&self, service: ServiceId, build: Build) -> Option<&Ladder> {
         let index = self.ladder_index(service, build)?;
         self.ladders.get(index)
     }
 
-    /// The index of a build's ladder.
+    /// The index in the rules of the first ladder that applies to a build.
     pub(crate) fn ladder_index(&self, service: ServiceId, build: Build) -> Option<usize> {
         self.ladders
             .iter()
             .position(|ladder| ladder.service == service && ladder.builds.contains(build))
     }
 
-    /// The dependencies of a build, with their indices.
+    /// The dependencies of a build, with their indices in the rules.
     pub fn dependencies(
         &self,
         service: ServiceId,
@@ -288,7 +287,8 @@
         })
     }
 
-    /// The freeze that holds a build in its stage: any that concerns a pair of its ladder; the one that ends last.
+    /// The freeze that keeps a build from advancing to its next stage. A freeze does so if it applies to any pair of
+    /// the build's ladder; of several the one that ends last is returned.
     pub fn freeze_blocking_step(
         &self,
         service: ServiceId,
@@ -305,7 +305,8 @@
             .max_by_key(ActiveFreeze::end)
     }
 
-    /// The freeze that keeps a ring from opening, if all pairs of the ring are frozen; the one that ends first.
+    /// The freeze that keeps a ring from opening, if all pairs of the ring are frozen. Of several freezes the one that
+    /// ends first is returned.
     pub fn freeze_blocking_ring(
         &self,
         service: ServiceId,
@@ -324,7 +325,7 @@
             .min_by_key(ActiveFreeze::end)
     }
 
-    /// The zones in which a build is used after the next step from a stage.
+    /// The zones in which a build may be used after it advances from a stage to the next one.
     pub fn zones_after_next_step(
         &self,
         service: ServiceId,
--- a/crates/releases/src/observed.rs
+++ b/crates/releases/src/observed.rs
@@ -1,4 +1,4 @@
-//! The rules and all that was received so far: what every decision of the gate is based on.
+//! The rules and everything that was received so far, on which all decisions of the gate are based.
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
@@ -8,16 +8,16 @@
 use crate::service_status::{ReleaseStatus, ServiceStatus, UnknownReason};
 use crate::stage_progress::{ReachedStage, StageProgress};
 
-/// Where a build of the own service stands in relation to the newest announced build.
+/// The status of a build of the agent's own service in relation to the newest announced build.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum BuildStanding {
-    /// It is earlier than the newest build: ladders and freezes no longer apply.
+    /// The build is earlier than the newest build; ladders and freezes no longer apply to it.
     Earlier,
-    /// It is the newest build, and released.
+    /// The build is the newest one and is released.
     Released,
-    /// It is the newest build and a canary, or it is not announced yet.
+    /// The build is the newest one and a canary, or it is not announced yet.
     Canary,
-    /// It is the newest build, and is being rolled back or withdrawn.
+    /// The build is the newest one and is being rolled back or withdrawn.
     RollingBack,
 }
 
@@ -28,34 +28,34 @@
     }
 }
 
-/// A ladder, and the first ring that holds each pair.
+/// A ladder with an index from pairs to rings.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct IndexedLadder<'a> {
-    /// The ladder.
+    /// The ladder as the operator defined it.
     pub(crate) ladder: &'a Ladder,
-    /// By pair, the index of the first ring that holds it.
+    /// For each pair, the index of the first ring that contains it.
     pub(crate) first_rings: &'a [Option<u8>],
 }
 
-/// The rules and what was received.
+/// The rules and everything that was received.
 #[derive(Clone, Debug)]
 pub(crate) struct Observed {
-    /// The rules.
+    /// The operator's rules.
     pub(crate) rules: Rules,
-    /// The indices of the dependencies, each after all that it rests on.
+    /// The indices of the dependencies, each after all dependencies that it depends on.
     pub(crate) dependency_order: Vec<usize>,
-    /// For each ladder, the first ring of each pair.
+    /// For each ladder and each pair, the index of the first ring that contains the pair.
     first_rings: Vec<Vec<Option<u8>>>,
-    /// What was received of each service, by its number.
+    /// The status of each service, by its [`ServiceId`].
     pub(crate) services: Vec<ServiceStatus>,
-    /// How far builds have come on their ladders.
+    /// The progress of builds on their ladders.
     pub(crate) progress: BTreeMap<(ServiceId, Build), StageProgress>,
-    /// The present time, since 1970. It never goes back.
+    /// The current time, since 1970. It never decreases.
     pub(crate) now: Duration,
 }
 
 impl Observed {
-    /// The rules, with nothing received.
+    /// Starts with these rules and nothing received.
     pub(crate) fn new(rules: Rules, now: Duration) -> Result<Self, DependencyCycle> {
         let dependency_order = rules.dependency_order()?;
         let first_rings = rules.ladders.iter().map(Ladder::first_rings).collect();
@@ -70,17 +70,17 @@
         })
     }
 
-    /// What was received of a service.
+    /// The status of a service.
     pub(crate) fn service(&self, service: ServiceId) -> &ServiceStatus {
         &self.services[usize::from(service.0)]
     }
 
-    /// The last accepted status of the own service.
+    /// The last accepted status of the agent's own service.
     pub(crate) fn own_status(&self) -> Option<ReleaseStatus> {
         self.service(self.rules.own_service).last()
     }
 
-    /// Why a service's status is unknown now, if it is.
+    /// Why a service's status is unknown at the current time, if it is.
     pub(crate) fn unknown_reason(&self, service: ServiceId) -> Option<UnknownReason> {
         self.unknown_reason_at(service, self.now)
     }
@@ -96,7 +96,7 @@
         status.unknown_reason(at, self.rules.services[index].silent_after)
     }
 
-    /// Where a build of the own service stands.
+    /// The standing of a build of the agent's own service.
     pub(crate) fn standing(&self, build: Build) -> BuildStanding {
         match self.own_status() {
             Some(last) if build < last.build => BuildStanding::Earlier,
@@ -109,7 +109,7 @@
         }
     }
 
-    /// The ladder of a build, with the first rings of the pairs.
+    /// The first ladder that applies to a build, with its index.
     pub(crate) fn indexed_ladder(
         &self,
         service: ServiceId,
@@ -129,15 +129,15 @@
             .map_or(0, |progress| progress.opened.len())
     }
 
-    /// Forgets the progress of builds that are neither named by a status nor, for the own service, among `builds`, and
-    /// begins it for those.
+    /// Starts to track the progress of `builds` of the agent's own service, and removes the progress of all builds that
+    /// are neither among them nor named by a status.
     pub(crate) fn track_progress_of(&mut self, builds: &BTreeSet<Build>) {
         let own = self.rules.own_service;
         let newest = self.own_status().map(|last| last.build);
         for &build in builds {
             let progress = self.progress.entry((own, build)).or_default();
             if progress.reached.is_empty() && newest.is_none_or(|newest| build > newest) {
-                // A build that is not announced counts as in the first stage since it was first listed.
+                // A build that is not announced is regarded as in the first stage since it was first listed.
                 progress.reached.push(ReachedStage {
                     stage: Stage(0),
                     at: self.now,
@@ -155,7 +155,7 @@
         });
     }
 
-    /// Opens the rings that are due, of builds that are not rolled back.
+    /// Opens the rings that are due, except for builds that are being rolled back or were withdrawn.
     pub(crate) fn open_due_rings(&mut self) {
         for ((service, build), progress) in &mut self.progress {
             let status = self.services[usize::from(service.0)]
@@ -171,7 +171,7 @@
         }
     }
 
-    /// When something changes by time alone.
+    /// The next time at which something changes by the passing of time alone.
     pub(crate) fn next_change(&self) -> Option<Duration> {
         let services = self.rules.services.iter().zip(&self.services);
         let silences = services.filter_map(|(service, status)| {
@@ -184,7 +184,7 @@
             .min()
     }
 
-    /// When something changes by time alone, other than that a service falls silent.
+    /// As [`Observed::next_change`], but without the times at which a service's heartbeats are overdue.
     pub(crate) fn next_scheduled_change(&self) -> Option<Duration> {
         let rings = self
             .progress
--- a/crates/releases/src/permission_table.rs
+++ b/crates/releases/src/permission_table.rs
@@ -1,10 +1,10 @@
-//! The table that is looked up for each request: by build, zone and tenant, which request classes are open, and why the
-//! others are not. It holds decisions and makes none; [`crate::gate`] fills it in.
+//! The table that is consulted for each request: by build, zone and tenant, which request classes are open, and why the
+//! others are closed. The table only stores decisions; [`crate::gate`] makes them.
 use lilacgate_decision::{Build, ReleasePermissions, Tenant};
 
 use crate::reason::{ClosedReason, PermittedAdvance};
 
-/// What holds for one pair of a zone and a tenant.
+/// The permission of one pair of a zone and a tenant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct PermissionCell {
     /// The request classes that are open, as bits.
@@ -24,14 +24,14 @@
 /// The cells of one build, by pair.
 #[derive(Clone, Debug)]
 pub(crate) struct PermissionRow {
-    /// Whether the pair has had the build since it was last closed to it.
+    /// For each pair, whether it has the build: it got the build and the build was not closed to it since.
     pub(crate) has_build: Vec<bool>,
-    /// What holds now.
+    /// The current permission of each pair.
     pub(crate) cells: Vec<PermissionCell>,
 }
 
 impl PermissionRow {
-    /// A closed row, in which all pairs have had the build or none.
+    /// A row that is closed to all pairs. `has_build` says whether the pairs have the build.
     pub(crate) fn new(pairs: usize, has_build: bool) -> Self {
         PermissionRow {
             has_build: vec![has_build; pairs],
@@ -45,26 +45,26 @@
     }
 }
 
-/// The size of a table, and the tenant whose requests are routed.
+/// The size of a table, and the tenant whose requests the agent routes.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct TableShape {
     /// The number of zones.
     pub(crate) zones: usize,
     /// The number of tenants.
     pub(crate) tenants: usize,
-    /// The only tenant that the engine gets to see, as number 0; all tenants if there is none.
+    /// The only tenant that the decision engine's table contains, as number 0; all tenants if `None`.
     pub(crate) only_tenant: Option<Tenant>,
 }
 
 impl TableShape {
-    /// Whether the engine gets to see a pair.
+    /// Whether the decision engine's table contains a pair.
     pub(crate) fn includes(self, pair: usize) -> bool {
         self.only_tenant
             .is_none_or(|tenant| pair % self.tenants == usize::from(tenant.0))
     }
 }
 
-/// The table in the form of the decision engine.
+/// Converts the table to the type of the decision engine.
 pub(crate) fn permissions<'a>(
     rows: impl Iterator<Item = (Build, &'a PermissionRow)>,
     shape: TableShape,
--- a/crates/releases/src/planner.rs
+++ b/crates/releases/src/planner.rs
@@ -1,11 +1,12 @@
-//! The plan: when the builds that are wanted can be released at the earliest under the rules of the gate, and what
-//! determines the end; or a small set of statements that contradict each other. What a freeze, a dependency or a ring
-//! forbids is asked of [`crate::model`]; the planner has no rules of its own, and never plans a step that the gate
-//! would refuse.
+//! Computes the earliest plan by which given builds can be released under the rules of the gate, and the critical path
+//! that determines its end. If there is no plan, it finds a small set of statements that contradict each other. The
+//! planner uses the queries of [`crate::model`] for freezes, dependencies and rings and has no rules of its own, so
+//! that it never plans a step that the gate would refuse.
 //!
-//! Each step waits for all that it requires, and for a dependency the first build that satisfies it will do. So the
-//! earliest time of each step is the least fixed point of functions that never fall, found by taking the steps in the
-//! order of their times (Knuth's generalization of Dijkstra's search). A step that is never taken can never be.
+//! Each step waits for everything that it requires; a dependency is satisfied by the first suitable build. The earliest
+//! times of the steps are therefore the least fixed point of monotone functions, which is found by taking the steps in
+//! the order of their times (Knuth's generalization of Dijkstra's algorithm). A step that this search does not reach
+//! cannot be taken at all.
 mod conflict;
 mod schedule;
 
@@ -19,17 +20,17 @@
 /// A build to release.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Goal {
-    /// The service.
+    /// The service whose build is to be released.
     pub service: ServiceId,
-    /// Its build.
+    /// The build to release.
     pub build: Build,
-    /// The earliest time of any step, since 1970.
+    /// The earliest time of any of the build's steps, since 1970.
     pub not_before: Option<Duration>,
     /// The latest time of the release, since 1970.
     pub deadline: Option<Duration>,
 }
 
-/// Builds that are released everywhere at the start.
+/// Builds that are released everywhere when the plan starts.
 pub type ReleasedBuilds = BTreeSet<(ServiceId, Build)>;
 
 /// A step of a build's release.
@@ -48,7 +49,7 @@
     Start,
     /// The earliest time of the goal.
     NotBefore,
-    /// The step before it, and the least time since.
+    /// The build's previous step and the minimum time after it, or the release of the service's previous build.
     PreviousStep(Step),
     /// A dependency, by its index in the rules, and the step that satisfied it.
     Dependency(usize, Step),
@@ -59,24 +60,24 @@
 /// A step with its time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PlannedStep {
-    /// The step.
+    /// The step that is planned.
     pub step: Step,
-    /// Its earliest time, since 1970.
+    /// The step's earliest time, since 1970.
     pub at: Duration,
     /// What determined the time.
     pub cause: Cause,
 }
 
-/// The earliest plan.
+/// The earliest plan that reaches all goals.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Plan {
-    /// All steps, in the order of their times.
+    /// All steps in the order of their times.
     pub steps: Vec<PlannedStep>,
     /// The steps that determine the end, each caused by the one before.
     pub critical_path: Vec<PlannedStep>,
 }
 
-/// Something that can be given up. The order is the one in which it is tried to leave statements out.
+/// A requirement that a plan must satisfy. When a conflict is reduced, statements are removed in this order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Statement {
     /// The build of a goal, by its index, is released.
@@ -91,16 +92,16 @@
     ReleaseOrder(ServiceId),
 }
 
-/// Statements that cannot all hold; without any one of them the others can.
+/// Statements that cannot all hold. If any one of them is removed, the others can hold.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Conflict {
-    /// The statements.
+    /// The statements in the order of [`Statement`].
     pub statements: Vec<Statement>,
-    /// Whether no smaller set of statements is in conflict. The search for one is bounded.
+    /// Whether it is known that no smaller set of statements is in conflict. The search for one is bounded.
     pub is_smallest: bool,
 }
 
-/// What is planned.
+/// The input of the planner.
 #[derive(Clone, Copy, Debug)]
 struct Problem<'a> {
     rules: &'a Rules,
@@ -109,10 +110,10 @@
     start: Duration,
 }
 
-/// The earliest plan that reaches all goals, from a start on.
+/// Computes the earliest plan that reaches all goals. No step is earlier than `start`, which is time since 1970.
 ///
 /// # Errors
-/// Statements that contradict each other.
+/// No plan reaches all goals; the error is a set of statements that contradict each other.
 pub fn plan(
     rules: &Rules,
     released: &ReleasedBuilds,
--- a/crates/releases/src/planner/conflict.rs
+++ b/crates/releases/src/planner/conflict.rs
@@ -3,11 +3,11 @@
 
 use super::{Conflict, Problem, Statement, schedule};
 
-/// The most sets that the search for a smaller conflict tries.
+/// The number of sets that the search for a smaller conflict tries before it gives up.
 const MAX_CANDIDATE_SETS: usize = 20_000;
 
-/// A smallest set of statements in conflict: first one of which none can be left out, then, as far as the tries reach,
-/// a smaller one.
+/// Finds a small set of statements in conflict. It first reduces all statements to a set from which none can be
+/// removed, then searches for a smaller set within the bound of [`MAX_CANDIDATE_SETS`].
 pub(super) fn find(problem: Problem<'_>, all: &BTreeSet<Statement>) -> Conflict {
     let irreducible = irreducible(problem, all);
     let mut search = SmallerSearch {
@@ -37,7 +37,7 @@
     schedule::earliest_times(problem, statements).is_none()
 }
 
-/// A set in conflict of which no statement can be left out.
+/// A set in conflict from which no statement can be removed.
 fn irreducible(problem: Problem<'_>, all: &BTreeSet<Statement>) -> BTreeSet<Statement> {
     let mut set = all.clone();
     for statement in all {
@@ -49,15 +49,15 @@
     set
 }
 
-/// The search through all sets of a size.
+/// A search through all sets of a given size.
 struct SmallerSearch<'a> {
     problem: Problem<'a>,
     candidates_left: usize,
 }
 
 impl SmallerSearch<'_> {
-    /// A set of this size in conflict that consists of `chosen` and statements of `rest`, if there is one and the tries
-    /// last.
+    /// Finds a conflicting set of this size that consists of `chosen` and statements of `rest`; `None` if there is none
+    /// or the bound of the search is reached.
     fn find(
         &mut self,
         rest: &[Statement],
--- a/crates/releases/src/planner/schedule.rs
+++ b/crates/releases/src/planner/schedule.rs
@@ -1,4 +1,4 @@
-//! Finds the earliest time of each step, and puts the plan together.
+//! Computes the earliest time of each step, and builds the plan from these times.
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 use super::{Cause, Goal, Plan, PlannedStep, Problem, Statement, Step};
 use crate::model::{ActiveFreeze, Dependency, DependencyScope, Ladder, PairSet, ServiceId};
 
-/// The most freezes that follow on each other without a gap, before they count as endless.
+/// The number of freezes without a gap between them after which they are regarded as endless.
 const MAX_ADJACENT_FREEZES: usize = 1_000;
 
 /// The time of a step, and what determined it.
@@ -18,7 +18,7 @@
 }
 
 impl Timing {
-    /// Takes another cause if it is later.
+    /// Delays the step until `at`, and notes the cause, if that is later.
     fn delay_until(&mut self, at: Duration, cause: Cause) {
         if at > self.at {
             *self = Timing { at, cause };
@@ -26,7 +26,7 @@
     }
 }
 
-/// The times of the steps that were taken, and their order: a step comes after those that it waited for.
+/// The times of the steps taken so far, and the order in which they were taken: each after those that it waited for.
 #[derive(Debug, Default)]
 pub(super) struct StepTimes {
     timings: BTreeMap<Step, Timing>,
@@ -57,7 +57,7 @@
 struct GoalStep<'a> {
     goal: &'a Goal,
     ladder: Option<&'a Ladder>,
-    /// The ring that opens; none for the release.
+    /// The index of the ring that opens; `None` for the release.
     ring: Option<usize>,
 }
 
@@ -68,7 +68,8 @@
         self.ring.unwrap_or(rings).checked_sub(1)
     }
 
-    /// The pairs that a freeze must concern to hold up the step; all pairs if there is no ladder.
+    /// The pairs of which a freeze must include at least one to delay the step; `None`, for all pairs, if there is no
+    /// ladder.
     fn pairs(&self) -> Option<PairSet> {
         let ladder = self.ladder?;
         match self.ring {
@@ -78,7 +79,7 @@
     }
 }
 
-/// The earliest times of all steps that can be taken, if these satisfy the statements.
+/// The earliest times of all steps that can be taken; `None` if these times do not satisfy the statements.
 pub(super) fn earliest_times(
     problem: Problem<'_>,
     statements: &BTreeSet<Statement>,
@@ -90,7 +91,7 @@
     let mut times = StepTimes::default();
     let goals = problem.goals.iter();
     let mut remaining: Vec<Step> = goals.flat_map(|goal| search.steps(goal)).collect();
-    // The earliest step that is ready is taken: none that comes later can make it earlier.
+    // The earliest possible step can be taken, since no later step can make it earlier.
     while let Some((timing, step)) = search.earliest_next_step(&remaining, &times) {
         times.record(step, timing);
         remaining.retain(|other| *other != step);
@@ -98,7 +99,7 @@
     search.satisfies_goals(&times).then_some(times)
 }
 
-/// The plan with these times.
+/// Builds the plan from the times of its steps.
 pub(super) fn plan(problem: Problem<'_>, times: &StepTimes) -> Plan {
     let order = times.order.iter();
     let steps: Vec<PlannedStep> = order.filter_map(|step| times.planned(*step)).collect();
@@ -108,7 +109,7 @@
         critical_path.push(planned);
         let before = match planned.cause {
             Cause::PreviousStep(step) | Cause::Dependency(_, step) => Some(step),
-            // What the step waited for before the freeze is the step before it, if there is one.
+            // The step was waiting for the previous step, if there is one, when the freeze delayed it.
             Cause::Freeze(_) => previous_step(problem, planned.step),
             Cause::Start | Cause::NotBefore => None,
         };
@@ -133,7 +134,7 @@
     Some(Step::Ring(service, build, previous))
 }
 
-/// A search for the earliest times under some of the statements.
+/// A search for the earliest times under a set of statements.
 struct Search<'a> {
     problem: Problem<'a>,
     statements: &'a BTreeSet<Statement>,
@@ -144,7 +145,7 @@
         self.problem.rules.ladder(goal.service, goal.build)
     }
 
-    /// All steps of a goal's build.
+    /// All steps of a goal's build, in their order.
     fn steps(&self, goal: &Goal) -> Vec<Step> {
         let rings = self.ladder(goal).map_or(0, |ladder| ladder.rings.len());
         let rings = (0..rings).map(|ring| Step::Ring(goal.service, goal.build, ring as u8));
@@ -174,7 +175,7 @@
             .min_by_key(|(timing, step)| (timing.at, *step))
     }
 
-    /// Whether all goals are reached in time, as far as the statements say so.
+    /// Whether all goals are reached, and reached in time, that the statements require.
     fn satisfies_goals(&self, times: &StepTimes) -> bool {
         let mut goals = self.problem.goals.iter().enumerate();
         goals.all(|(index, goal)| {
@@ -189,7 +190,7 @@
         })
     }
 
-    /// The earliest time of a step, if all that it waits for has happened.
+    /// The earliest time of a step; `None` if a step that it waits for has not been taken.
     fn earliest_time(&self, step: Step, times: &StepTimes) -> Option<Timing> {
         let step = self.goal_step(step)?;
         let mut timing = Timing {
@@ -204,7 +205,8 @@
         self.wait_for_freezes(step, timing)
     }
 
-    /// Waits for the ring before; before the first step of all, for the release of the service's build before.
+    /// Delays the step until the previous ring has been open for long enough. The first step of a build waits for the
+    /// release of the service's previous build instead.
     fn wait_for_previous_step(
         &self,
         step: GoalStep<'_>,
@@ -230,7 +232,7 @@
         Some(())
     }
 
-    /// Waits until all dependencies of the build are satisfied.
+    /// Delays the step until all dependencies of the build are satisfied.
     fn wait_for_dependencies(
         &self,
         step: GoalStep<'_>,
@@ -256,8 +258,8 @@
         Some(())
     }
 
-    /// The first release of a goal that satisfies a dependency in some zones, with its time. A released build has come
-    /// to every ring of its ladder, and so to all zones that these hold.
+    /// The first release of a goal that satisfies a dependency in the given zones, with its time. A released build has
+    /// reached every ring of its ladder, and thus all zones in these rings.
     fn first_satisfying(
         &self,
         dependency: &Dependency,
@@ -275,7 +277,7 @@
             .min()
     }
 
-    /// The zones in which a build is used once the step is taken.
+    /// The zones in which the build is used once the step is taken.
     fn zones(&self, step: GoalStep<'_>) -> Vec<Zone> {
         let rules = self.problem.rules;
         let (Some(ladder), Some(ring)) = (step.ladder, step.ring) else {
@@ -285,7 +287,7 @@
         rules.zones_after_next_step(step.goal.service, step.goal.build, stage)
     }
 
-    /// Whether a released build has come to all tenants of some zones.
+    /// Whether a released build has reached all tenants of the given zones.
     fn reaches(&self, goal: &Goal, zones: &[Zone]) -> bool {
         let Some(pairs) = self.ladder(goal).map(Ladder::pairs) else {
             return true;
@@ -296,7 +298,7 @@
         needed.all(|pair| pairs.0[pair])
     }
 
-    /// The first instant from then on at which no freeze holds up the step.
+    /// Delays the step until no freeze blocks it; `None` if a freeze has no end.
     fn wait_for_freezes(&self, step: GoalStep<'_>, mut timing: Timing) -> Option<Timing> {
         let pairs = step.pairs();
         let blocks = |frozen: &ActiveFreeze<'_>| {
--- a/crates/releases/src/reason.rs
+++ b/crates/releases/src/reason.rs
@@ -1,20 +1,20 @@
-//! Why a build is closed somewhere, and why its next stage is held. Rings, freezes and dependencies are referred to by
-//! their index in the rules.
+//! The reasons for which a build is closed to a zone and a tenant, or may not advance to its next stage. Freezes and
+//! dependencies are identified by their index in the rules, rings by their index in the ladder.
 use std::time::Duration;
 
 use lilacgate_decision::{Build, Stage};
 
-/// Why a build is closed to a zone and a tenant, or closed to new users there. The order decides which of several
-/// reasons is reported: the last.
+/// Why a build is closed to a zone and a tenant, or closed to new users there. If several reasons apply, the one that
+/// is last in this order is reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ClosedReason {
-    /// It is open.
+    /// The build is not closed.
     Open,
     /// No endpoint is listed with the build, and no release status names it.
     NotListed,
-    /// No ring of the build's ladder holds this zone and tenant.
+    /// No ring of the build's ladder contains this zone and tenant.
     NoRing,
-    /// The ring, by its index in the ladder, has not opened yet.
+    /// The ring that contains the zone and tenant has not opened yet.
     RingNotOpen(u8),
     /// The build is open there, but not to this request class.
     RequestClass,
@@ -24,14 +24,14 @@
     DependencyUnsatisfied(u16),
     /// It is unknown whether a dependency is satisfied.
     DependencyUnknown(u16),
-    /// The release status of the own service is not reliable.
+    /// The release status of the agent's own service is missing, too old or contradictory.
     OwnStatusUnknown,
     /// The build is being rolled back.
     RollingBack,
 }
 
 impl ClosedReason {
-    /// The code that logs and `lgctl` show.
+    /// The code that log lines, stored states and `lgctl` show.
     pub fn code(self) -> &'static str {
         match self {
             ClosedReason::Open => "open",
@@ -48,12 +48,12 @@
     }
 }
 
-/// Why the next stage of the canary may not be voted for.
+/// Why the agent may not vote for the canary's next stage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BlockedReason {
     /// No build is a canary.
     NoCanary,
-    /// A ring of the present stage, by its index in the ladder, is not open yet, or the last one not for long enough.
+    /// A ring of the current stage is not open yet, or the last one has not been open for long enough.
     RingTime(u8),
     /// A freeze is active.
     Frozen(u16),
@@ -61,14 +61,14 @@
     DependencyUnsatisfied(u16),
     /// It is unknown whether a dependency is satisfied.
     DependencyUnknown(u16),
-    /// The release status of the own service is not reliable.
+    /// The release status of the agent's own service is missing, too old or contradictory.
     OwnStatusUnknown,
-    /// The build is open to none of this agent's requests, so that the agent has no outcomes to vote on.
+    /// The build is open to none of this agent's requests, so that the agent has no outcomes on which to base a vote.
     NoTraffic,
 }
 
 impl BlockedReason {
-    /// The code that logs and `lgctl` show.
+    /// The code that log lines, stored states and `lgctl` show.
     pub fn code(self) -> &'static str {
         match self {
             BlockedReason::NoCanary => "no-trial",
@@ -82,20 +82,20 @@
     }
 }
 
-/// A stage is held.
+/// The decision that the canary may not advance to its next stage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Hold {
-    /// Why.
+    /// The reason why the canary may not advance.
     pub reason: BlockedReason,
-    /// The earliest end, since 1970, where time alone decides it.
+    /// The earliest end, as time since 1970; `None` if the hold does not end by the passing of time alone.
     pub until: Option<Duration>,
 }
 
 /// A canary whose next stage may be voted for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PermittedAdvance {
-    /// The canary.
+    /// The canary's build.
     pub build: Build,
-    /// The stage that it is in.
+    /// The stage that the canary is in, before it advances.
     pub stage: Stage,
 }
--- a/crates/releases/src/row_update.rs
+++ b/crates/releases/src/row_update.rs
@@ -1,4 +1,4 @@
-//! Decides where and for whom one build is open: its row of the permission table.
+//! Decides to which zones and tenants one build is open: the build's row of the permission table.
 use std::collections::BTreeMap;
 
 use lilacgate_decision::{Build, Zone};
@@ -9,38 +9,38 @@
 use crate::permission_table::{PermissionCell, PermissionRow};
 use crate::reason::ClosedReason;
 
-/// How far a build is open to a pair; the most restrictive access is the last.
+/// How far a build is open to a pair, in ascending order of restriction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Access {
-    /// Open.
+    /// The pair gets the build.
     Open,
-    /// Open only to those who have the build.
+    /// The pair keeps the build if it has it, and does not get it otherwise.
     Hold(ClosedReason),
-    /// Closed.
+    /// The pair loses the build.
     Closed(ClosedReason),
 }
 
 /// How many pairs got and lost a build.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct RowChange {
-    /// The number of pairs that got it.
+    /// The number of pairs that got the build.
     pub(crate) opened: usize,
-    /// The number of pairs that lost it, by reason.
+    /// The number of pairs that lost the build, by reason.
     pub(crate) closed: BTreeMap<ClosedReason, usize>,
 }
 
-/// What decides about one build.
+/// The inputs of the decision about one build.
 struct RowUpdate<'a> {
     observed: &'a Observed,
     dependencies: &'a DependencyStates,
     build: Build,
     standing: BuildStanding,
-    /// The ladder, while it applies.
+    /// The build's ladder; `None` if it has none or the ladder no longer applies.
     ladder: Option<IndexedLadder<'a>>,
     open_rings: usize,
 }
 
-/// Brings a build's row up to date.
+/// Updates a build's row and returns what has changed.
 pub(crate) fn update_row(
     observed: &Observed,
     dependencies: &DependencyStates,
@@ -87,13 +87,13 @@
         change
     }
 
-    /// The open rings of the ladder that applies.
+    /// The open rings of the ladder; none if no ladder applies.
     fn open_ladder_rings(&self) -> &[Ring] {
         let rings: &[Ring] = self.ladder.map_or(&[], |indexed| &indexed.ladder.rings);
         &rings[..self.open_rings.min(rings.len())]
     }
 
-    /// By pair, the request classes that the open rings allow, as bits; all of them once the build is released.
+    /// For each pair, the request classes that the open rings allow, as bits; all classes once the build is released.
     fn request_classes(&self, pairs: usize) -> Vec<u64> {
         let limited = self.standing.is_unreleased() && self.ladder.is_some();
         let mut allowed = vec![if limited { 0 } else { u64::MAX }; pairs];
@@ -107,7 +107,7 @@
         allowed
     }
 
-    /// By pair, what the active freezes leave open.
+    /// For each pair, the access that the active freezes leave.
     fn access_by_freezes(&self, pairs: usize) -> Vec<Access> {
         let mut by_pair = vec![Access::Open; pairs];
         if self.standing == BuildStanding::Earlier {
@@ -130,7 +130,7 @@
         by_pair
     }
 
-    /// What the own service's status leaves open.
+    /// The access that the status of the agent's own service leaves.
     fn access_by_own_status(&self) -> Access {
         let own = self.observed.rules.own_service;
         match self.observed.unknown_reason(own) {
@@ -144,7 +144,7 @@
         }
     }
 
-    /// What the build's dependencies leave open in a zone.
+    /// The access that the build's dependencies leave in a zone.
     fn access_by_dependencies(&self, zone: Zone) -> Access {
         let rules = &self.observed.rules;
         rules
@@ -175,7 +175,7 @@
         }
     }
 
-    /// What the ladder leaves open to a pair.
+    /// The access that the ladder leaves to a pair.
     fn access_by_ladder(&self, pair: usize) -> Access {
         let Some(indexed) = self.ladder else {
             return Access::Open;
@@ -188,7 +188,7 @@
     }
 }
 
-/// The cell for an access. `had` is whether the pair has the build, and is brought up to date.
+/// The cell for an access. Updates `has_build`, which says whether the pair has the build.
 fn next_cell(access: Access, request_classes: u64, has_build: &mut bool) -> PermissionCell {
     match access {
         Access::Open => {
--- a/crates/releases/src/rules_change.rs
+++ b/crates/releases/src/rules_change.rs
@@ -1,4 +1,4 @@
-//! Takes over the state of a gate into one with other rules: by the names of services, zones and tenants.
+//! Carries the state of a gate over to a gate with other rules, matching services, zones and tenants by their names.
 use lilacgate_decision::{Tenant, Zone};
 
 use crate::model::{Ring, Rules, ServiceId};
@@ -6,7 +6,8 @@
 use crate::permission_table::PermissionRow;
 use crate::stage_progress::StageProgress;
 
-/// Takes over what was received of each service that both rules name. Rings are opened anew by the same statuses.
+/// Carries over the statuses of each service that both rules name. Rings that do not stay open are opened again from
+/// the same statuses.
 pub(crate) fn carry_over_services(from: &Observed, to: &mut Observed) {
     for id in to.rules.service_ids() {
         let name = to.rules.service_name(id);
@@ -21,7 +22,7 @@
     }
 }
 
-/// Takes over the progress of a service's builds. Rings that are open stay open up to the first one that was changed.
+/// Carries over the progress of a service's builds. Open rings stay open up to the first one that was changed.
 fn carry_over_progress(from: &Observed, old: ServiceId, to: &mut Observed, id: ServiceId) {
     let of_service = from
         .progress
@@ -44,7 +45,7 @@
     }
 }
 
-/// Whether two rings hold the same zones and tenants, whatever their times.
+/// Whether two rings have the same name, stage, zones and tenants. Their soak times may differ.
 fn same_ring(rules: &Rules, ring: &Ring, other_rules: &Rules, other: &Ring) -> bool {
     rules.zones == other_rules.zones
         && rules.tenants == other_rules.tenants
@@ -53,7 +54,7 @@
         && ring.pairs == other.pairs
 }
 
-/// A row for other rules, with what holds for the pairs that both rules name.
+/// A row for other rules, with the permissions of the pairs that both rules name.
 pub(crate) fn carry_over_row(from: &Rules, row: &PermissionRow, to: &Rules) -> PermissionRow {
     let mut carried = PermissionRow::new(to.pair_count(), false);
     for pair in 0..to.pair_count() {
@@ -65,7 +66,7 @@
     carried
 }
 
-/// The index that a pair of `to` has in `from`.
+/// The index in `from` of a pair of `to`; `None` if `from` does not name its zone or tenant.
 fn same_pair(from: &Rules, to: &Rules, pair: usize) -> Option<usize> {
     let zone_name = &to.zones[pair / to.tenants.len()];
     let tenant_name = &to.tenants[pair % to.tenants.len()];
--- a/crates/releases/src/service_status.rs
+++ b/crates/releases/src/service_status.rs
@@ -1,47 +1,47 @@
-//! What was received of a service's builds, with its age, and what follows from it: known, or unknown and why. A status
-//! that contradicts an earlier one is not accepted; what was accepted is never taken back.
+//! The release statuses received from a service, and whether the service's status is known or why it is unknown. A
+//! status that contradicts the last accepted one is rejected. An accepted status is never revoked.
 use std::collections::BTreeSet;
 use std::time::Duration;
 
 use lilacgate_decision::{Build, ReleasePhase, Stage};
 use serde::{Deserialize, Serialize};
 
-/// The most released builds that are kept of a service, the newest ones.
+/// The number of released builds that are kept for a service; older ones are dropped.
 const MAX_RELEASED: usize = 8;
 
-/// Where a service's newest build stands.
+/// The release status of a service's newest build.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReleaseStatus {
-    /// The build.
+    /// The service's newest build.
     pub build: Build,
-    /// Its stage.
+    /// The stage of its release.
     pub stage: Stage,
-    /// Its release phase.
+    /// Whether it is a canary, released, being rolled back or withdrawn.
     pub phase: ReleasePhase,
-    /// Since when it has this stage and phase, since 1970.
+    /// When the build reached this stage and phase, as time since 1970.
     pub since: Duration,
 }
 
 impl ReleaseStatus {
-    /// Whether another status differs in its time alone.
+    /// Whether the statuses differ at most in their times.
     fn repeats(&self, other: &ReleaseStatus) -> bool {
         self.build == other.build && self.stage == other.stage && self.phase == other.phase
     }
 }
 
-/// Why a service's status is unknown. The serialized names are those of stored state.
+/// Why a service's status is unknown. The serialized names are part of the stored state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum UnknownReason {
-    /// No status was ever received.
+    /// No status has been received yet.
     #[serde(rename = "unheard")]
     NeverReceived,
-    /// Nothing was received for too long.
+    /// No heartbeat or status was received during the service's `silent_after`.
     #[serde(rename = "silent")]
     Silent,
-    /// The last status was of a build before the newest known one.
+    /// The last status named an earlier build than the newest known one.
     #[serde(rename = "build-went-back")]
     BuildRegressed,
-    /// The last status was of a stage before the known one.
+    /// The last status named an earlier stage than the known one.
     #[serde(rename = "stage-went-back")]
     StageRegressed,
     /// The last status reinstated a build that was rolled back.
@@ -62,18 +62,18 @@
     }
 }
 
-/// Whether a service has a released build from a given one on.
+/// Whether a service has released a given build or a later one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ReleaseLookup {
-    /// Its newest released build.
+    /// It has; this is its newest released build.
     Found(Build),
-    /// There is none.
+    /// It has released no such build.
     Missing,
-    /// There is not enough information.
+    /// The received statuses do not tell.
     Unknown,
 }
 
-/// What was received of one service.
+/// The state of one service as far as it was received.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ServiceStatus {
     last: Option<ReleaseStatus>,
@@ -83,13 +83,13 @@
 }
 
 impl ServiceStatus {
-    /// Takes a heartbeat.
+    /// Records a heartbeat.
     pub(crate) fn on_heartbeat(&mut self, now: Duration) {
         self.last_heartbeat = Some(self.last_heartbeat.unwrap_or_default().max(now));
     }
 
-    /// Takes a status. One that contradicts the last accepted one is not accepted, and leaves the service unknown until
-    /// one is received that fits again.
+    /// Records a status. A status that contradicts the last accepted one is rejected, and the service's status is
+    /// unknown until a consistent one is received.
     pub(crate) fn receive(&mut self, now: Duration, status: ReleaseStatus) {
         self.on_heartbeat(now);
         self.contradiction = self.last.and_then(|last| contradiction(last, status));
@@ -106,7 +106,7 @@
         while self.released.len() > MAX_RELEASED {
             self.released.pop_first();
         }
-        // A status that is only repeated does not become younger.
+        // A repeated status keeps the earlier time.
         let repeated = self.last.filter(|last| last.repeats(&status));
         let since = repeated.map_or(status.since, |last| last.since.min(status.since));
         self.last = Some(ReleaseStatus { since, ..status });
@@ -117,22 +117,22 @@
         self.last
     }
 
-    /// When the service last gave a sign of life, since 1970.
+    /// When the last heartbeat or status was received, as time since 1970.
     pub(crate) fn last_heartbeat(&self) -> Option<Duration> {
         self.last_heartbeat
     }
 
-    /// Why the last status was not accepted, if it was not.
+    /// Why the last status was rejected, if it was.
     pub(crate) fn contradiction(&self) -> Option<UnknownReason> {
         self.contradiction
     }
 
-    /// The released builds that are known.
+    /// The known released builds, in ascending order.
     pub(crate) fn released(&self) -> impl Iterator<Item = Build> + '_ {
         self.released.iter().copied()
     }
 
-    /// Why the status is unknown now, if it is.
+    /// Why the status is unknown at `now`, if it is.
     pub(crate) fn unknown_reason(
         &self,
         now: Duration,
@@ -146,14 +146,14 @@
             .or(silent.then_some(UnknownReason::Silent))
     }
 
-    /// Looks for a released build from a given one on. The answer is of use only while the status is known.
+    /// Looks for a released build that is not below `at_least`. The result is valid only while the status is known.
     pub(crate) fn find_release(&self, at_least: Build) -> ReleaseLookup {
         let Some(last) = self.last else {
             return ReleaseLookup::Unknown;
         };
         match self.released.last() {
             Some(&newest) if newest >= at_least => ReleaseLookup::Found(newest),
-            // A released build lies below the newest build, unless that is released itself.
+            // All released builds are below the newest build, unless the newest build itself is released.
             _ if last.phase == ReleasePhase::Released || last.build <= at_least => {
                 ReleaseLookup::Missing
             }
@@ -162,7 +162,7 @@
         }
     }
 
-    /// The status that was stored, as [`crate::stored_state`] reads it.
+    /// Creates the status from the values that [`crate::stored_state`] has read.
     pub(crate) fn restored(
         last: Option<ReleaseStatus>,
         last_heartbeat: Option<Duration>,
@@ -178,7 +178,7 @@
     }
 }
 
-/// How a status contradicts the last one that was accepted.
+/// How a status contradicts the last accepted one, if it does.
 fn contradiction(last: ReleaseStatus, next: ReleaseStatus) -> Option<UnknownReason> {
     use ReleasePhase::{Canary, Released, RollingBack, Withdrawn};
     if next.build != last.build {
--- a/crates/releases/src/stage_progress.rs
+++ b/crates/releases/src/stage_progress.rs
@@ -1,6 +1,6 @@
-//! How far a build has come on its ladder: which rings are open and since when, and when the next one is due. A ring
-//! never opens before its time. An open ring never closes again: what closes a build later are freezes, dependencies
-//! and rollbacks.
+//! A build's progress on its ladder: which rings are open and since when, and when the next one is due. A ring never
+//! opens before it is due. An open ring never closes again; a build is closed later by freezes, dependencies and
+//! rollbacks only.
 use std::time::Duration;
 
 use lilacgate_decision::{ReleasePhase, Stage};
@@ -8,34 +8,34 @@
 use crate::model::{Ladder, Rules, ServiceId};
 use crate::service_status::ReleaseStatus;
 
-/// The stage that a release counts as.
+/// The stage that stands for a release; higher than every real stage.
 const RELEASED: Stage = Stage(u8::MAX);
 
 /// A stage, and when a build reached it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ReachedStage {
-    /// The stage.
+    /// The stage that was reached.
     pub(crate) stage: Stage,
-    /// When it was reached, since 1970.
+    /// When the stage was reached, as time since 1970.
     pub(crate) at: Duration,
 }
 
-/// One build's progress.
+/// The progress of one build.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct StageProgress {
-    /// The stages that it reached, rising; a release counts as the highest of all.
+    /// The stages that the build has reached, in ascending order. A release counts as the highest stage.
     pub(crate) reached: Vec<ReachedStage>,
-    /// When each ring opened, since 1970.
+    /// When each open ring opened, as time since 1970.
     pub(crate) opened: Vec<Duration>,
 }
 
 impl StageProgress {
-    /// Takes a release status of this build.
+    /// Records a release status of this build.
     pub(crate) fn receive(&mut self, status: ReleaseStatus) {
         let stage = match status.phase {
             ReleasePhase::Canary => status.stage,
             ReleasePhase::Released => RELEASED,
-            // A build that is rolled back reaches no further stage.
+            // A build that is being rolled back reaches no further stage.
             ReleasePhase::RollingBack | ReleasePhase::Withdrawn => return,
         };
         if self.reached.last().is_none_or(|last| last.stage < stage) {
@@ -46,20 +46,21 @@
         }
     }
 
-    /// Since when the build is in a stage or beyond.
+    /// Since when the build is in a stage or a later one.
     fn since(&self, stage: Stage) -> Option<Duration> {
         let found = self.reached.iter().find(|reached| reached.stage >= stage);
         found.map(|reached| reached.at)
     }
 
-    /// When the next ring is due, freezes aside. Nothing if its stage is not reached or there is no further ring.
+    /// When the next ring is due, without regard to freezes; `None` if its stage is not reached or there is no further
+    /// ring.
     pub(crate) fn next_ring_due(&self, ladder: &Ladder) -> Option<Duration> {
         let next = ladder.rings.get(self.opened.len())?;
         let since = self.since(next.stage)?;
         Some(self.soak_ends_at(ladder).map_or(since, |at| at.max(since)))
     }
 
-    /// When the ring that opened last has been open for as long as the next ring, or the release, requires.
+    /// When the ring that opened last has been open for as long as the next ring or the release requires.
     pub(crate) fn soak_ends_at(&self, ladder: &Ladder) -> Option<Duration> {
         let soak = ladder
             .rings
@@ -68,8 +69,8 @@
         self.opened.last().map(|at| at.saturating_add(soak))
     }
 
-    /// Whether the build was already released when it was first announced. Then no freeze that is active now has kept
-    /// it from anyone.
+    /// Whether the build was already released when it was first announced. Then its rings opened before, and an active
+    /// freeze does not delay them.
     fn announced_as_released(&self) -> bool {
         self.reached
             .first()
@@ -92,7 +93,7 @@
             };
             match (frozen(due), frozen(now)) {
                 (true, true) => return,
-                // Frozen when it was due, it opens only now.
+                // The ring was frozen when it was due, so that it opens only now.
                 (true, false) => self.opened.push(now),
                 (false, _) => self.opened.push(due),
             }
--- a/crates/releases/src/stored_state.rs
+++ b/crates/releases/src/stored_state.rs
@@ -1,8 +1,8 @@
-//! The stored form of a gate's state: what an agent writes on request and `lgctl` reads. Everything is referred to by
-//! name, so that a state fits rules that were edited since. A state is for inspection only: a running agent never
-//! resumes from it.
+//! The stored form of a gate's state, which an agent writes on request and `lgctl` reads. Services, zones and tenants
+//! are identified by name, so that a state can be used with rules that were edited since. A state is for inspection
+//! only: a running agent never resumes from it.
 //!
-//! The JSON names are part of the form and keep their wording when Rust names change.
+//! The JSON names are part of the format and must not change when Rust names change.
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
@@ -17,23 +17,23 @@
 use crate::service_status::{ReleaseStatus, ServiceStatus, UnknownReason};
 use crate::stage_progress::{ReachedStage, StageProgress};
 
-/// The version of the form that is written. Earlier versions stay readable.
+/// The format version that is written. Earlier versions stay readable.
 pub const FORMAT_VERSION: u32 = 1;
 
 /// Marks a tenant that has a build, in [`BuildState::had`].
 const HAS_BUILD: u8 = b'1';
-/// Marks a tenant that does not have it.
+/// Marks a tenant that does not have a build.
 const LACKS_BUILD: u8 = b'0';
 
 /// A gate's state. Times ending in `_ms` are milliseconds since 1970.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct StoredState {
-    /// The version of this form, [`FORMAT_VERSION`] or an earlier one.
+    /// The format version, [`FORMAT_VERSION`] or an earlier one.
     #[serde(rename = "form")]
     pub format_version: u32,
     /// The agent that wrote the state.
     pub agent: String,
-    /// The tenant whose requests the agent routes; all tenants if there is none.
+    /// The tenant whose requests the agent routes; all tenants if `None`.
     #[serde(rename = "firm")]
     pub tenant: Option<String>,
     /// When the state was written.
@@ -43,77 +43,77 @@
     /// The tenants of the rules, in the order that [`BuildState::had`] uses.
     #[serde(rename = "firms")]
     pub tenants: Vec<String>,
-    /// What was received of each service.
+    /// The status of each service of the rules.
     pub services: Vec<ServiceState>,
-    /// The builds that are listed or announced.
+    /// The builds that are listed by discovery or announced by a release status.
     pub builds: Vec<BuildState>,
-    /// Changes that were not reported elsewhere.
+    /// Permission changes that were not reported elsewhere.
     pub events: Vec<EventState>,
 }
 
-/// What was received of one service, and how far its builds have come.
+/// The received statuses of one service, and the progress of its builds.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ServiceState {
-    /// The service's name.
+    /// The service's name in the rules.
     pub name: String,
     /// The last release status that was accepted.
     #[serde(rename = "news")]
     pub status: Option<StatusState>,
-    /// When the service last gave a sign of life.
+    /// When the last heartbeat or status was received.
     #[serde(rename = "heard_ms")]
     pub last_heartbeat_ms: Option<u64>,
-    /// Why the last release status was not accepted, if it was not.
+    /// Why the last release status was rejected, if it was.
     #[serde(rename = "odd")]
     pub contradiction: Option<UnknownReason>,
-    /// The released builds that are known.
+    /// The known released builds.
     pub released: Vec<u16>,
-    /// How far builds have come on their ladders.
+    /// The progress of builds on their ladders.
     #[serde(rename = "climbs")]
     pub progress: Vec<ProgressState>,
 }
 
-/// A release status.
+/// The stored form of a [`ReleaseStatus`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct StatusState {
-    /// The build.
+    /// The service's newest build.
     pub build: u16,
-    /// Its stage.
+    /// The stage of its release.
     pub stage: u8,
-    /// The name of its release phase.
+    /// The stored name of its release phase.
     #[serde(rename = "course")]
     pub phase: String,
-    /// Since when it has this stage and phase.
+    /// When the build reached this stage and phase.
     pub since_ms: u64,
 }
 
-/// How far a build has come on its ladder.
+/// The progress of a build on its ladder.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ProgressState {
-    /// The build.
+    /// The build that the progress belongs to.
     pub build: u16,
-    /// The stages that it reached, each with the time.
+    /// The stages that the build has reached, each with its time.
     pub reached_ms: Vec<(u8, u64)>,
-    /// When each of its rings opened.
+    /// When each open ring opened, in the order of the ladder.
     pub opened_ms: Vec<u64>,
 }
 
-/// A build that is listed or announced, and who has it.
+/// A build that is listed or announced, and the tenants that have it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct BuildState {
-    /// The build.
+    /// The number of the build.
     pub build: u16,
-    /// One text per zone, in it a `1` for each tenant that has the build and a `0` for each other.
+    /// One text per zone, with a `1` for each tenant that has the build and a `0` for each other tenant.
     pub had: Vec<String>,
 }
 
-/// A change of a build's permissions.
+/// The stored form of an [`Event`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct EventState {
-    /// When it happened, since 1970.
+    /// When the change happened, as time since 1970.
     pub at: Duration,
-    /// The build.
+    /// The build whose permissions changed.
     pub build: u16,
-    /// What changed.
+    /// The new permission and whom it affects.
     #[serde(rename = "what")]
     pub change: ChangeState,
 }
@@ -124,12 +124,12 @@
 pub enum ChangeState {
     /// The number of pairs of a zone and a tenant that got the build.
     Opened(usize),
-    /// The number of pairs that lost it, and the code of the reason.
+    /// The number of pairs that lost the build, and the code of the reason.
     Closed(usize, String),
     /// The stage from which the build may advance.
     #[serde(rename = "may-step")]
     AdvancePermitted(u8),
-    /// The code of the reason for which it may not.
+    /// The code of the reason why the build may not advance.
     #[serde(rename = "stays")]
     Held(String),
 }
@@ -137,17 +137,19 @@
 /// Why a gate cannot be restored from a state.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum RestoreError {
-    /// The state was written by a newer version.
-    #[error("the state has form {0}, which is newer than {FORMAT_VERSION}")]
+    /// The state was written by a newer version of this crate.
+    #[error("the state has format version {0}; expected {FORMAT_VERSION} or earlier")]
     NewerFormat(u32),
     /// The state's tenant is not in the rules.
-    #[error("the state's firm {0:?} is not in the file")]
+    #[error("the state's firm {0:?} is not in the operator's file")]
     UnknownTenant(String),
-    /// A release phase has a name that is not known.
-    #[error("the state's course {0:?} is unknown")]
+    /// The name of a release phase is unknown.
+    #[error(
+        "the state has the unknown course {0:?}; expected on-trial, going-back, released or withdrawn"
+    )]
     UnknownPhase(String),
     /// The rules' dependencies form a cycle.
-    #[error("the file's needs go in a circle")]
+    #[error("the <needs> of the operator's file form a cycle")]
     DependencyCycle,
 }
 
@@ -228,7 +230,7 @@
         }
     }
 
-    /// The progress, with no more open rings than the ladder has now.
+    /// The progress, limited to the number of rings that the ladder has now.
     fn restored(&self, rings: usize) -> StageProgress {
         let reached = self.reached_ms.iter().map(|(stage, at)| ReachedStage {
             stage: Stage(*stage),
@@ -243,7 +245,7 @@
 }
 
 impl Gate {
-    /// The gate's state, with the events given.
+    /// The gate's state in its stored form, with the given events.
     pub fn state(&self, agent: &str, events: Vec<EventState>) -> StoredState {
         let tenants = &self.observed.rules.tenants;
         let services = self
@@ -290,10 +292,10 @@
         }
     }
 
-    /// A gate with these rules in the stored state, at the time of the state.
+    /// Creates a gate with these rules from a stored state. Its clock is the time at which the state was written.
     ///
     /// # Errors
-    /// The part of the state that cannot be used, or a cycle of the rules' dependencies.
+    /// A part of the state cannot be used, or the rules' dependencies form a cycle.
     pub fn from_state(rules: Rules, state: &StoredState) -> Result<Gate, RestoreError> {
         if state.format_version > FORMAT_VERSION {
             return Err(RestoreError::NewerFormat(state.format_version));
@@ -323,7 +325,7 @@
         Ok(gate)
     }
 
-    /// Takes over what is stored of a service; one that the rules no longer name is left out.
+    /// Restores the state of a service. A service that the rules no longer name is skipped.
     fn restore_service(&mut self, stored: &ServiceState) -> Result<(), RestoreError> {
         let found = self
             .observed
@@ -355,7 +357,7 @@
         Ok(())
     }
 
-    /// Who has a build, by the names of zones and tenants that the rules still have.
+    /// Restores which pairs have a build. Zones and tenants that the rules no longer name are skipped.
     fn restored_row(&self, state: &StoredState, stored: &BuildState) -> PermissionRow {
         let mut row = PermissionRow::new(self.observed.rules.pair_count(), false);
         for (zone, had) in state.zones.iter().zip(&stored.had) {
--- a/crates/releases/tests/laws/gate.rs
+++ b/crates/releases/tests/laws/gate.rs
@@ -1,4 +1,4 @@
-//! Laws of the gate.
+//! Properties of the gate.
 use std::collections::BTreeMap;
 
 use lilacgate_decision::{Build, RequestClass, Tenant, Zone};
@@ -10,7 +10,7 @@
 
 const REQUEST_CLASSES: u8 = 2;
 
-/// A build, a zone, a tenant and a request class.
+/// A query to the gate: a build, a zone, a tenant and a request class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Query {
     build: u16,
@@ -19,7 +19,7 @@
     class: u8,
 }
 
-/// What the gate admits, by query.
+/// Whether the gate admits each query.
 fn admitted(gate: &Gate) -> BTreeMap<Query, bool> {
     let mut found = BTreeMap::new();
     for build in 0..8 {
@@ -46,7 +46,7 @@
     found
 }
 
-/// Compares the gate with its definition at all places.
+/// Compares the gate with the reference for all queries.
 fn compare(gate: &Gate, reference: &mut ReferenceGate<'_>) -> Result<(), TestCaseError> {
     reference.open_rings();
     for (query, actual) in admitted(gate) {
@@ -65,7 +65,7 @@
         let mut gate = Gate::new(rules.clone(), None, seconds(0)).expect("no cycle");
         let mut reference = ReferenceGate::new(&rules);
         for (now, input) in (1..).zip(inputs) {
-            // Time passes, then something comes in: the gate is compared both times.
+            // The gate is compared after time has passed and again after the input.
             gate.advance(seconds(now));
             reference.now = now;
             compare(&gate, &mut reference)?;
--- a/crates/releases/tests/laws/generated.rs
+++ b/crates/releases/tests/laws/generated.rs
@@ -1,4 +1,4 @@
-//! Generated rules, and what comes in. They are the same in each run.
+//! Generated rules and inputs of the gate. They are the same in each run, since the seed is fixed.
 use std::collections::BTreeSet;
 use std::time::Duration;
 
@@ -20,7 +20,7 @@
 pub(crate) const SERVICES: u8 = 3;
 const LAST_BUILD: Build = Build(9);
 
-/// The settings of a law that is tried on this many cases.
+/// The settings of a property test that runs this many cases.
 pub(crate) fn config(cases: u32) -> ProptestConfig {
     ProptestConfig {
         cases,
@@ -68,7 +68,7 @@
     )
 }
 
-/// A service requires later ones only, so that there is no cycle.
+/// Generates a dependency. A service only requires services with higher numbers, so that there is no cycle.
 pub(crate) fn dependency() -> impl Strategy<Value = Dependency> {
     let flags = any::<[bool; 3]>();
     (0..SERVICES - 1, 1u8..3, 0u16..4, 0u16..4, flags).prop_map(
@@ -144,10 +144,10 @@
     })
 }
 
-/// Something that comes in, a second after what came before.
+/// An input of the gate, one second after the previous one.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Input {
-    /// This build and the next one are listed.
+    /// Discovery lists this build and the next one.
     Listed { build: u16 },
     /// A release status of a service.
     Status {
@@ -176,7 +176,7 @@
 }
 
 impl Input {
-    /// The builds that a list with this build holds.
+    /// The builds in a list with this build.
     pub(crate) fn listed(build: u16) -> [Build; 2] {
         [Build(build), Build(build + 1)]
     }
@@ -194,7 +194,7 @@
     }
 }
 
-/// The phase of a drawn number: two of five are canaries, two releases, one is a rollback.
+/// The phase for a generated number: two of five are canaries, two are releases, one is a rollback.
 fn phase(drawn: u8) -> ReleasePhase {
     match drawn {
         0 | 1 => ReleasePhase::Canary,
--- a/crates/releases/tests/laws/main.rs
+++ b/crates/releases/tests/laws/main.rs
@@ -1,6 +1,6 @@
-//! Laws of the gate and the planner on generated rules: a further freeze or dependency never admits more, the table
-//! agrees with a plain definition, plans are as early as any, conflicts are as small as any, and the gate admits the
-//! steps of a plan.
+//! Property tests of the gate and the planner on generated rules: an additional freeze or dependency never admits more,
+//! the gate agrees with a simple reference, no plan is earlier, no conflict is smaller, and the gate admits the steps
+//! of a plan.
 mod gate;
 mod generated;
 mod plan;
--- a/crates/releases/tests/laws/plan.rs
+++ b/crates/releases/tests/laws/plan.rs
@@ -1,4 +1,4 @@
-//! Laws of the planner.
+//! Properties of the planner.
 use std::collections::{BTreeMap, BTreeSet};
 
 use lilacgate_decision::{Build, ReleasePhase, RequestClass, Stage, Tenant, Zone};
@@ -14,7 +14,7 @@
 
 const OWN_SERVICE: ServiceId = ServiceId(0);
 
-/// The rules with some of their dependencies and freezes alone.
+/// The rules with only those dependencies and freezes for which `keep` is true.
 fn reduced(rules: &Rules, keep: impl Fn(Statement) -> bool) -> Rules {
     let mut less = rules.clone();
     let mut index = 0..;
@@ -30,11 +30,11 @@
     matches!(statement, Statement::Dependency(_) | Statement::Freeze(_))
 }
 
-/// A gate whose own service follows a plan.
+/// A gate that receives the release statuses of a plan's steps.
 struct PlanFollower {
     gate: Gate,
     rules: Rules,
-    /// The stage of the canary.
+    /// The stage of the canary; `None` before its first ring.
     stage: Option<Stage>,
 }
 
@@ -43,7 +43,7 @@
         self.gate.on_release_status(status.since, service, status);
     }
 
-    /// Checks that the canary may advance, if this agent sees any of it.
+    /// Checks that the canary may advance, if it is open to any requests.
     fn check_advance(&self, build: Build, planned: &PlannedStep) -> Result<(), TestCaseError> {
         if let Some(stage) = self.stage.filter(|_| self.gate.open_pairs(build) > 0) {
             let expected = PermittedAdvance { build, stage };
@@ -52,7 +52,7 @@
         Ok(())
     }
 
-    /// Checks that a ring's requests are admitted.
+    /// Checks that requests of all pairs and request classes of a ring are admitted.
     fn check_ring(
         &self,
         build: Build,
@@ -135,8 +135,8 @@
         let Err(conflict) = plan(&rules, &released, &goals, seconds(0)) else {
             return Ok(());
         };
-        // With the dependencies and freezes of the conflict alone there still is one; without any one of them there
-        // is not.
+        // With only the dependencies and freezes of the conflict there still is a conflict. Without any one of them
+        // this conflict is resolved.
         let conflicting: BTreeSet<Statement> = conflict.statements.iter().copied().collect();
         prop_assert!(conflict.is_smallest);
         let only_conflicting = reduced(&rules, |statement| conflicting.contains(&statement));
@@ -148,7 +148,7 @@
                 ..*goal
             };
             let named: Vec<Goal> = goals.iter().enumerate().map(named).collect();
-            // Goals that the conflict does not name may stay out of reach.
+            // Goals that the conflict does not name may still be out of reach.
             let without = plan(&rest, &released, &named, seconds(0));
             let is_resolved = without.as_ref().map_or_else(
                 |other| {
@@ -161,7 +161,7 @@
         }
     }
 
-    /// The gate admits what is planned for its own service at the planned times, and permits the advance before it.
+    /// At the planned times the gate permits the canary to advance and admits the requests of the opened rings.
     #[test]
     fn the_gate_admits_the_plan(rules in rules(), build in 2u16..4) {
         let mut rules = rules;
--- a/crates/releases/tests/laws/reference_gate.rs
+++ b/crates/releases/tests/laws/reference_gate.rs
@@ -1,5 +1,5 @@
-//! A plain definition of the gate, from the design: one cell at a time, with nothing kept but who had what, when each
-//! ring opened, and what was received last.
+//! A simple reference implementation of the gate, written from its design. It computes one cell at a time and stores
+//! only which pairs have a build, when each ring opened, and what was received.
 use std::collections::{BTreeMap, BTreeSet};
 
 use lilacgate_decision::{Build, ReleasePhase};
@@ -13,7 +13,7 @@
 const OWN_SERVICE: u8 = 0;
 const RELEASED_STAGE: u8 = u8::MAX;
 
-/// Whether a dependency is satisfied; the worst is the last.
+/// Whether a dependency is satisfied, in the order from the best to the worst state.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Satisfied {
     Yes,
@@ -21,14 +21,14 @@
     No,
 }
 
-/// Whether a build is closed, and whether only those who have it keep it.
+/// Whether a build is closed, and whether it is held: kept by pairs that have it and closed to others.
 #[derive(Default)]
 struct Restriction {
     close: bool,
     hold: bool,
 }
 
-/// The gate by its definition. Times are seconds.
+/// The reference implementation of the gate. Times are in seconds.
 pub(crate) struct ReferenceGate<'a> {
     pub(crate) rules: &'a Rules,
     pub(crate) now: u64,
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Whether a freeze concerns a pair, and if so, whether it closes canaries.
+    /// Whether a freeze applies to a pair, and if so, whether it closes canaries.
     fn frozen(&self, service: u8, at: u64, pair: usize) -> Option<bool> {
         let freezes = self.rules.freezes.iter();
         freezes
@@ -110,8 +110,8 @@
         }
     }
 
-    /// Begins builds that are not announced in the first stage, and forgets those that are neither listed nor
-    /// announced.
+    /// Puts builds that are listed but not announced into the first stage, and removes builds that are neither listed
+    /// nor announced.
     fn forget_unnamed(&mut self) {
         let newest = self.last.get(&OWN_SERVICE).map(|last| last.build.0);
         let named: BTreeSet<u16> = self.listed.iter().copied().chain(newest).collect();
@@ -189,7 +189,7 @@
         opened
     }
 
-    /// Whether all pairs of a ring are frozen, and there is one.
+    /// Whether a ring has pairs and all of them are frozen.
     fn is_ring_frozen(&self, service: u8, ring: &Ring, at: u64) -> bool {
         let mut pairs = (0..ring.pairs.0.len())
             .filter(|pair| ring.pairs.0[*pair])
@@ -197,7 +197,7 @@
         pairs.peek().is_some() && pairs.all(|pair| self.frozen(service, at, pair).is_some())
     }
 
-    /// Whether a build has come to a pair; nothing if it has no ladder.
+    /// Whether a build has reached a pair; `None` if the build has no ladder.
     fn has_reached(&self, service: u8, build: u16, pair: usize) -> Option<bool> {
         let ladder = self.rules.ladder(ServiceId(service), Build(build))?;
         let opened = self.opened.get(&(service, build)).map_or(0, Vec::len);
@@ -251,7 +251,7 @@
         transitive.unwrap_or(Satisfied::Yes).max(reached)
     }
 
-    /// Whether requests of a class are admitted. Each call brings up to date whether the pair has the build.
+    /// Whether requests of a class are admitted. Each call updates whether the pair has the build.
     pub(crate) fn admits(&mut self, build: u16, zone: usize, tenant: usize, class: u8) -> bool {
         let newest = self.last.get(&OWN_SERVICE).copied();
         let named =
@@ -287,7 +287,7 @@
         *has_build && classes >> class & 1 == 1
     }
 
-    /// What dependencies do to a build in a zone.
+    /// The restriction of a build by its dependencies in a zone.
     fn by_dependencies(&self, build: u16, zone: usize, released: bool) -> Restriction {
         let mut restriction = Restriction::default();
         let dependencies = self
@@ -310,7 +310,7 @@
         restriction
     }
 
-    /// The request classes that the open rings allow to a pair; all if there is no ladder.
+    /// The request classes that the open rings allow for a pair; all classes if there is no ladder.
     fn classes_of_open_rings(&self, build: u16, pair: usize) -> u64 {
         let ladder = self.rules.ladder(ServiceId(OWN_SERVICE), Build(build));
         let opened = self.opened.get(&(OWN_SERVICE, build)).map_or(0, Vec::len);
--- a/crates/releases/tests/laws/reference_plan.rs
+++ b/crates/releases/tests/laws/reference_plan.rs
@@ -1,4 +1,5 @@
-//! The earliest plan found by trying: second by second, whatever may be taken is taken. No plan can be earlier.
+//! A reference implementation of the planner. It goes from second to second and takes every step that may be taken, so
+//! that no plan can be earlier.
 use std::collections::BTreeMap;
 
 use lilacgate_decision::{Build, Stage, Zone};
@@ -7,16 +8,16 @@
 
 use crate::generated::seconds;
 
-/// The second after which no goal is waited for.
+/// The time in seconds at which the search ends.
 const HORIZON: u64 = 80;
 
-/// A step of a goal, and the least time after the one before.
+/// A step of a goal, and the minimum time after the previous step.
 struct Soaked {
     step: Step,
     soak: u64,
 }
 
-/// What is planned, and the steps taken so far, with their times in seconds.
+/// The input of the planner, and the steps taken so far, with their times in seconds.
 pub(crate) struct ReferencePlan<'a> {
     rules: &'a Rules,
     released: &'a ReleasedBuilds,
@@ -24,7 +25,7 @@
     times: BTreeMap<Step, u64>,
 }
 
-/// The times of all steps in seconds; nothing if a goal is not reached.
+/// The times of all steps in seconds; `None` if a goal is not reached.
 pub(crate) fn earliest_by_exhaustive_search(
     rules: &Rules,
     released: &ReleasedBuilds,
@@ -58,7 +59,7 @@
         self.times.get(&step).copied()
     }
 
-    /// The steps of a goal, in order.
+    /// The steps of a goal in their order.
     fn steps(&self, goal: &Goal) -> Vec<Soaked> {
         let release = |soak| Soaked {
             step: Step::Released(goal.service, goal.build),
@@ -88,7 +89,7 @@
         })
     }
 
-    /// Whether a step, by its index, may be taken: the rules once more, checked instead of solved.
+    /// Whether a step, by its index, may be taken now under all rules.
     fn may_take(&self, goal: &Goal, index: usize, now: u64) -> bool {
         let mut dependencies = self.rules.dependencies(goal.service, goal.build);
         goal.not_before.is_none_or(|from| seconds(now) >= from)
@@ -97,7 +98,7 @@
             && dependencies.all(|(_, dependency)| self.is_satisfied(dependency, goal, index, now))
     }
 
-    /// Whether the step before was not taken, or not long enough ago.
+    /// Whether the previous step was not taken yet, or not long enough ago.
     fn is_too_early(&self, goal: &Goal, index: usize, now: u64) -> bool {
         if index > 0 {
             let steps = self.steps(goal);
@@ -159,7 +160,7 @@
             .zones_after_next_step(goal.service, goal.build, stage)
     }
 
-    /// Whether a released build has come to all tenants of a zone.
+    /// Whether a released build has reached all tenants of a zone.
     fn covers(&self, goal: &Goal, zone: Zone) -> bool {
         let pairs = self.ladder(goal).map(Ladder::pairs);
         pairs.is_none_or(|pairs| self.rules.zone_pairs(zone).all(|pair| pairs.0[pair]))
--- a/crates/releases/tests/scenarios.rs
+++ b/crates/releases/tests/scenarios.rs
@@ -1,16 +1,16 @@
-//! Plays every scenario in `tests/scenarios` against a gate: first an operator's file, then, behind a line `==`, steps:
+//! Runs every scenario in `tests/scenarios` against a gate. A scenario is an operator's file, a line `==`, and steps:
 //!
-//!     tenant NAME                      whose requests are routed here; all, if this does not stand first
-//!     at SECONDS|INSTANT               the time from now on: since 2026-12-01T00:00Z, or in RFC 3339 form
+//!     tenant NAME                      sets the tenant whose requests are routed and restarts; all tenants without it
+//!     at SECONDS|INSTANT               sets the clock: seconds since 2026-12-01T00:00Z, or an instant as in RFC 3339
 //!     status SERVICE BUILD STAGE canary|released|rolling-back|withdrawn [AGO]   a release status, AGO seconds old
 //!     heartbeat SERVICE / list BUILD ..   a heartbeat / the builds that are listed
-//!     restart                          a new gate, which has received nothing
-//!     edit ONE => OTHER                the rules are replaced, with one text of the file in place of another
-//!     store                            the state is written and restored; the permissions stay the same
-//!     open|closed BUILD ZONE TENANT CLASS [REASON]   whether requests are admitted; a `*` stands for all
-//!     advance BUILD STAGE / hold REASON [SECONDS]    whether the canary may advance, and if not, until when
-//!     next SECONDS|never               when something changes by time alone
-//!     event TEXT                       one of the events since the last such step contains this
+//!     restart                          creates a new gate, which has received nothing
+//!     edit ONE => OTHER                replaces a text of the operator's file, and the rules
+//!     store                            stores and restores the state; the permissions must stay the same
+//!     open|closed BUILD ZONE TENANT CLASS [REASON]   checks whether requests are admitted; `*` stands for all names
+//!     advance BUILD STAGE / hold REASON [SECONDS]    checks whether the canary may advance, and until when it is held
+//!     next SECONDS|never               checks when something changes by the passing of time alone
+//!     event TEXT                       checks that an event since the last such step contains the text
 use std::path::PathBuf;
 use std::time::Duration;
 
@@ -24,7 +24,7 @@
 
 /// 2026-12-01T00:00Z, the time at which a scenario begins.
 const START: Duration = Duration::from_secs(1_796_083_200);
-/// Stands for all names.
+/// The word that stands for all names.
 const ALL: &str = "*";
 
 fn rules(text: &str) -> Rules {
@@ -75,7 +75,7 @@
     Gate::new(rules, only, now).expect("no cycle")
 }
 
-/// The indices of a name, or of all names.
+/// The index of a name, or the indices of all names for [`ALL`].
 fn indices(names: &[String], wanted: &str) -> Vec<usize> {
     let fits = |i: &usize| wanted == ALL || names[*i] == wanted;
     let found: Vec<usize> = (0..names.len()).filter(fits).collect();
@@ -83,9 +83,9 @@
     found
 }
 
-/// A scenario that is being played.
+/// A scenario that is being run.
 struct ScenarioRun {
-    /// The operator's file.
+    /// The operator's file with all edits so far.
     text: String,
     tenant: Option<String>,
     now: Duration,
--- a/crates/releases/tests/stored_state.rs
+++ b/crates/releases/tests/stored_state.rs
@@ -1,4 +1,5 @@
-//! Stored state of the first form: a file written earlier is read, used and written again with the same content.
+//! A state file of format version 1, written by an earlier build, is read, used and written again with the same
+//! content.
 use lilacgate_decision::{Build, RequestClass, Tenant, Zone};
 use lilacgate_operator_config::{KnownNames, read};
 use lilacgate_releases::gate::Gate;
@@ -86,6 +87,6 @@
     let fault = Gate::from_state(rules(), &state).expect_err("it is refused");
     assert_eq!(
         fault.to_string(),
-        "the state has form 2, which is newer than 1"
+        "the state has format version 2; expected 1 or earlier"
     );
 }
