--- a/crates/agent/src/operator_file.rs
+++ b/crates/agent/src/operator_file.rs
@@ -163,7 +163,7 @@
 
     /// Takes over which services are watched, and where the gate's state is written.
     fn apply_releases(&self, releases: Option<&Releases>) {
-        let state_path = releases.and_then(|releases| releases.state.clone());
+        let state_path = releases.and_then(|releases| releases.state_path.clone());
         self.state_path.replace(state_path);
         self.services.apply(releases);
     }
--- a/crates/agent/src/recorder.rs
+++ b/crates/agent/src/recorder.rs
@@ -155,12 +155,12 @@
 
     fn open_book(&self, now: Duration, settings: Timeline) -> OpenBook {
         let aims = MonitorConfig {
-            false_alarms_per_hour: settings.false_per_hour,
+            false_alarms_per_hour: settings.max_false_events_per_hour,
             slow_start: self.facts.ramp,
             classes: self.facts.class_names.len(),
         };
         let room = MemoryLimits {
-            timeline_bytes: settings.memory,
+            timeline_bytes: settings.memory_bytes,
             queued_records: match settings.store {
                 Some(_) => MAX_WAITING_RECORDS,
                 None => 0,
--- a/crates/agent/src/recorder/store.rs
+++ b/crates/agent/src/recorder/store.rs
@@ -83,8 +83,8 @@
 
 fn open_pump(store: &Store) -> BackgroundWriter {
     let bounds = Retention {
-        max_bytes: store.keep,
-        max_age: store.age,
+        max_bytes: store.max_bytes,
+        max_age: store.max_age,
     };
     let folder = store.folder.clone();
     BackgroundWriter::new(move || StoreWriter::new(&folder, bounds, Box::new(FileSystem)))
--- a/crates/operator-config/src/places.rs
+++ b/crates/operator-config/src/places.rs
@@ -52,7 +52,7 @@
 struct NameKind<'k> {
     element: &'static str,
     known: &'k [String],
-    most: usize,
+    max_count: usize,
 }
 
 /// The element `<places>` that is being read.
@@ -111,17 +111,17 @@
         let zones = self.names(&NameKind {
             element: "zone",
             known: &known.zones,
-            most: MAX_ZONES,
+            max_count: MAX_ZONES,
         });
         let tenants = self.names(&NameKind {
             element: "firm",
             known: &[],
-            most: MAX_TENANTS,
+            max_count: MAX_TENANTS,
         });
         let products = self.names(&NameKind {
             element: "product",
             known: &known.products,
-            most: ReleasePermissions::MAX_CLASSES,
+            max_count: ReleasePermissions::MAX_CLASSES,
         });
         let agents = self.agents(&tenants);
         Places {
@@ -132,7 +132,7 @@
         }
     }
 
-    fn elements(&self, name: &'static str) -> impl Iterator<Item = Node<'_, '_>> {
+    fn children_named(&self, name: &'static str) -> impl Iterator<Item = Node<'_, '_>> {
         let children = self.children.iter().copied();
         children.filter(move |child| child.tag_name().name() == name)
     }
@@ -152,11 +152,11 @@
             .into_iter()
             .filter(|name| !kind.known.contains(name));
         names.extend(added);
-        if names.len() > kind.most {
+        if names.len() > kind.max_count {
             let fault = FaultKind::TooManyElements {
                 element: kind.element,
                 count: names.len(),
-                most: kind.most,
+                max_count: kind.max_count,
             };
             self.reader.report(self.node, fault);
         }
@@ -169,7 +169,7 @@
 
     fn defined_names(&self, element: &'static str) -> Vec<String> {
         let mut defined = Vec::new();
-        for child in self.elements(element) {
+        for child in self.children_named(element) {
             self.reader.check_attributes(child, &["name"]);
             self.reader.children(child, &[]);
             let Some(name) = self.reader.required(child, "name", read_name) else {
@@ -186,7 +186,7 @@
 
     fn agents(&self, tenants: &[String]) -> Vec<Agent> {
         let mut agents: Vec<Agent> = Vec::new();
-        for child in self.elements("agent") {
+        for child in self.children_named("agent") {
             self.reader.check_attributes(child, &["name", "firm"]);
             self.reader.children(child, &[]);
             let name = self.reader.required(child, "name", read_name);
--- a/crates/operator-config/src/releases/attributes.rs
+++ b/crates/operator-config/src/releases/attributes.rs
@@ -71,7 +71,11 @@
     }
 
     /// Which of the defined names an attribute lists; all of them if it is missing.
-    pub(super) fn listed(&self, node: Node<'_, '_>, list: &NameList<'_>) -> Option<Vec<bool>> {
+    pub(super) fn read_name_list(
+        &self,
+        node: Node<'_, '_>,
+        list: &NameList<'_>,
+    ) -> Option<Vec<bool>> {
         let Some(text) = node.attribute(list.attribute) else {
             return Some(vec![true; list.names.len()]);
         };
@@ -100,7 +104,7 @@
 
     /// Each of the zones with each of the tenants that two attributes list.
     pub(super) fn pairs(&self, node: Node<'_, '_>) -> Option<PairSet> {
-        let zones = self.listed(
+        let zones = self.read_name_list(
             node,
             &NameList {
                 attribute: "zones",
@@ -108,7 +112,7 @@
                 names: &self.places.zones,
             },
         );
-        let tenants = self.listed(
+        let tenants = self.read_name_list(
             node,
             &NameList {
                 attribute: "firms",
@@ -117,9 +121,7 @@
             },
         );
         let (zones, tenants) = zones.zip(tenants)?;
-        let with_each_tenant = |zone: bool| tenants.iter().map(move |tenant| zone && *tenant);
-        Some(PairSet(
-            zones.into_iter().flat_map(with_each_tenant).collect(),
-        ))
+        let pairs_of_zone = |zone: bool| tenants.iter().map(move |tenant| zone && *tenant);
+        Some(PairSet(zones.into_iter().flat_map(pairs_of_zone).collect()))
     }
 }
--- a/crates/operator-config/src/releases/freezes.rs
+++ b/crates/operator-config/src/releases/freezes.rs
@@ -3,12 +3,12 @@
 use lilacgate_releases::model::{Freeze, ServiceId};
 use roxmltree::Node;
 
-use super::{Placed, ReleasesReader};
+use super::{ReleasesReader, RuleElement};
 use crate::places;
 use crate::xml::{AttributeError, FaultKind};
 
 /// Whether builds on trial are closed to those who have them.
-fn read_closes(text: &str) -> Result<bool, AttributeError> {
+fn read_closes_canary(text: &str) -> Result<bool, AttributeError> {
     match text {
         "hold" => Ok(false),
         "close" => Ok(true),
@@ -22,7 +22,7 @@
         reader.check_attributes(node, &["name", "service", "zones", "firms", "keeps"]);
         let name = reader.required(node, "name", places::read_name);
         let service = self.frozen_service(node);
-        let closes = reader.optional(node, "keeps", read_closes);
+        let closes = reader.optional(node, "keeps", read_closes_canary);
         let pairs = self.pairs(node);
         let windows = reader.children(node, &["once", "weekly", "yearly", "declared"]);
         let [window] = windows[..] else {
@@ -117,7 +117,7 @@
         })
     }
 
-    pub(super) fn check_freeze_names(&self, freezes: &[Placed<'_, Freeze>]) {
+    pub(super) fn check_freeze_names(&self, freezes: &[RuleElement<'_, Freeze>]) {
         for (index, freeze) in freezes.iter().enumerate() {
             let name = &freeze.rule.name;
             let earlier = &freezes[..index];
--- a/crates/operator-config/src/releases/ladders.rs
+++ b/crates/operator-config/src/releases/ladders.rs
@@ -5,7 +5,7 @@
 use roxmltree::Node;
 
 use super::attributes::NameList;
-use super::{Placed, ReleasesReader};
+use super::{ReleasesReader, RuleElement};
 use crate::places;
 use crate::xml::{AttributeError, FaultKind};
 
@@ -82,7 +82,7 @@
 
     /// The request classes that an attribute lists, as bits.
     fn request_classes(&self, node: Node<'_, '_>) -> Option<u64> {
-        let listed = self.listed(
+        let listed = self.read_name_list(
             node,
             &NameList {
                 attribute: "products",
@@ -125,7 +125,7 @@
         Some(Stage(stage))
     }
 
-    pub(super) fn check_overlaps(&self, ladders: &[Placed<'_, Ladder>]) {
+    pub(super) fn check_overlaps(&self, ladders: &[RuleElement<'_, Ladder>]) {
         for (index, ladder) in ladders.iter().enumerate() {
             let earlier = &ladders[..index];
             if earlier
--- a/crates/operator-config/src/releases/mod.rs
+++ b/crates/operator-config/src/releases/mod.rs
@@ -40,7 +40,7 @@
     /// Where the release control planes of other services listen.
     pub control_planes: Vec<ControlPlane>,
     /// Where an agent writes its state on request; nowhere if the file names no path.
-    pub state: Option<PathBuf>,
+    pub state_path: Option<PathBuf>,
 }
 
 /// The element `<releases>` that is being read.
@@ -56,7 +56,7 @@
 }
 
 /// A rule and its element, for faults that show only when all rules have been read.
-struct Placed<'r, T> {
+struct RuleElement<'r, T> {
     node: Node<'r, 'r>,
     rule: T,
 }
@@ -93,7 +93,7 @@
         self.check_freeze_names(&freezes);
         self.check_counts();
         let dependency_nodes: Vec<Node<'r, 'r>> =
-            dependencies.iter().map(|placed| placed.node).collect();
+            dependencies.iter().map(|element| element.node).collect();
         let rules = Rules {
             zones: self.places.zones.clone(),
             tenants: self.places.tenants.clone(),
@@ -108,11 +108,11 @@
         Some(Releases {
             rules,
             control_planes: self.control_planes,
-            state: reader.optional(self.node, "state", read_absolute_path),
+            state_path: reader.optional(self.node, "state", read_absolute_path),
         })
     }
 
-    fn elements(&self, name: &'static str) -> impl Iterator<Item = Node<'r, 'r>> {
+    fn children_named(&self, name: &'static str) -> impl Iterator<Item = Node<'r, 'r>> {
         let children = self.children.iter().copied();
         children.filter(move |child| child.tag_name().name() == name)
     }
@@ -122,9 +122,9 @@
         &self,
         name: &'static str,
         read: impl Fn(Node<'r, 'r>) -> Option<T>,
-    ) -> Vec<Placed<'r, T>> {
-        let placed = |node| read(node).map(|rule| Placed { node, rule });
-        self.elements(name).filter_map(placed).collect()
+    ) -> Vec<RuleElement<'r, T>> {
+        let rule_element = |node| read(node).map(|rule| RuleElement { node, rule });
+        self.children_named(name).filter_map(rule_element).collect()
     }
 
     fn find_service(&self, name: &str) -> Result<ServiceId, AttributeError> {
@@ -140,7 +140,7 @@
     }
 
     fn read_services(&mut self) {
-        let nodes: Vec<Node<'r, 'r>> = self.elements("service").collect();
+        let nodes: Vec<Node<'r, 'r>> = self.children_named("service").collect();
         for node in nodes {
             self.read_service(node);
         }
@@ -187,24 +187,30 @@
             ("needs", MAX_RULES),
             ("freeze", MAX_RULES),
         ];
-        for (element, most) in limits {
-            let count = self.elements(element).count();
-            self.check_count(self.node, element, count, most);
+        for (element, max_count) in limits {
+            let count = self.children_named(element).count();
+            self.check_count(self.node, element, count, max_count);
         }
     }
 
-    fn check_count(&self, node: Node<'_, '_>, element: &'static str, count: usize, most: usize) {
-        if count > most {
+    fn check_count(
+        &self,
+        node: Node<'_, '_>,
+        element: &'static str,
+        count: usize,
+        max_count: usize,
+    ) {
+        if count > max_count {
             let fault = FaultKind::TooManyElements {
                 element,
                 count,
-                most,
+                max_count,
             };
             self.reader.report(node, fault);
         }
     }
 }
 
-fn rules_of<T>(placed: Vec<Placed<'_, T>>) -> Vec<T> {
-    placed.into_iter().map(|placed| placed.rule).collect()
+fn rules_of<T>(elements: Vec<RuleElement<'_, T>>) -> Vec<T> {
+    elements.into_iter().map(|element| element.rule).collect()
 }
--- a/crates/operator-config/src/timeline.rs
+++ b/crates/operator-config/src/timeline.rs
@@ -8,15 +8,15 @@
 use crate::xml::{AttributeError, FaultKind, XmlReader};
 
 /// False events an hour unless the file says otherwise.
-const DEFAULT_FALSE_PER_HOUR: f64 = 0.5;
+const DEFAULT_FALSE_EVENTS_PER_HOUR: f64 = 0.5;
 /// The most false events an hour that can be ordered.
-const MAX_FALSE_PER_HOUR: f64 = 100.0;
+const MAX_FALSE_EVENTS_PER_HOUR: f64 = 100.0;
 /// Bytes of memory unless the file says otherwise.
-const DEFAULT_MEMORY: u64 = 8 << 20;
+const DEFAULT_MEMORY_BYTES: u64 = 8 << 20;
 /// Bytes that are stored unless the file says otherwise.
-const DEFAULT_STORED: u64 = 64 << 20;
+const DEFAULT_STORE_BYTES: u64 = 64 << 20;
 /// The age up to which lines are stored unless the file says otherwise: a week.
-const DEFAULT_AGE: Duration = Duration::from_secs(7 * 24 * 3600);
+const DEFAULT_MAX_AGE: Duration = Duration::from_secs(7 * 24 * 3600);
 /// The most mebibytes that can be ordered: a tebibyte.
 const MAX_MEBIBYTES: u64 = 1 << 20;
 
@@ -24,9 +24,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Timeline {
     /// The most false events an hour over all nodes, in the mean.
-    pub false_per_hour: f64,
+    pub max_false_events_per_hour: f64,
     /// The most memory of all lines, in bytes.
-    pub memory: usize,
+    pub memory_bytes: usize,
     /// Where lines are stored; without it they end with the agent.
     pub store: Option<Store>,
     /// Where the lines are written on SIGUSR1.
@@ -39,9 +39,9 @@
     /// The folder of the files.
     pub folder: PathBuf,
     /// The most bytes of the files.
-    pub keep: u64,
+    pub max_bytes: u64,
     /// The greatest age of a line.
-    pub age: Duration,
+    pub max_age: Duration,
 }
 
 pub(crate) fn read_absolute_path(text: &str) -> Result<PathBuf, AttributeError> {
@@ -64,7 +64,7 @@
 
 fn read_rate(text: &str) -> Result<f64, AttributeError> {
     let rate = text.parse::<f64>().ok();
-    rate.filter(|rate| *rate > 0.0 && *rate <= MAX_FALSE_PER_HOUR)
+    rate.filter(|rate| *rate > 0.0 && *rate <= MAX_FALSE_EVENTS_PER_HOUR)
         .ok_or(AttributeError::Expected("a rate above 0, 100 at most"))
 }
 
@@ -79,7 +79,7 @@
     ];
     reader.check_attributes(node, &attributes);
     reader.children(node, &[]);
-    let false_per_hour = reader.optional(node, "false-events-per-hour", read_rate);
+    let max_false_events_per_hour = reader.optional(node, "false-events-per-hour", read_rate);
     let memory = reader.optional(node, "memory", read_mebibytes);
     let keep = reader.optional(node, "keep", read_mebibytes);
     let age = reader.optional(node, "age", calendar::parse_span);
@@ -93,12 +93,13 @@
         }
     }
     Some(Timeline {
-        false_per_hour: false_per_hour.unwrap_or(DEFAULT_FALSE_PER_HOUR),
-        memory: memory.unwrap_or(DEFAULT_MEMORY) as usize,
+        max_false_events_per_hour: max_false_events_per_hour
+            .unwrap_or(DEFAULT_FALSE_EVENTS_PER_HOUR),
+        memory_bytes: memory.unwrap_or(DEFAULT_MEMORY_BYTES) as usize,
         store: folder.map(|folder| Store {
             folder,
-            keep: keep.unwrap_or(DEFAULT_STORED),
-            age: age.unwrap_or(DEFAULT_AGE),
+            max_bytes: keep.unwrap_or(DEFAULT_STORE_BYTES),
+            max_age: age.unwrap_or(DEFAULT_MAX_AGE),
         }),
         dump,
     })
--- a/crates/operator-config/src/xml/fault.rs
+++ b/crates/operator-config/src/xml/fault.rs
@@ -119,21 +119,21 @@
     #[error("<{0}> is missing")]
     MissingElement(&'static str),
     /// There are more elements of a kind than can be numbered or worked through in time.
-    #[error("{count} of <{element}>; {most} are the most")]
+    #[error("{count} of <{element}>; {max_count} are the most")]
     TooManyElements {
         /// The elements' name.
         element: &'static str,
         /// How many there are.
         count: usize,
         /// How many there may be.
-        most: usize,
+        max_count: usize,
     },
     /// A necessary attribute is missing.
     #[error("attribute {0} is missing")]
     MissingAttribute(String),
     /// An attribute has another form than is wanted.
     #[error("{attribute}: {text:?}: expected {expected}")]
-    UnusableAttribute {
+    InvalidAttribute {
         /// The attribute.
         attribute: String,
         /// Its text.
@@ -143,7 +143,7 @@
     },
     /// An attribute is no time or no time zone.
     #[error("{attribute}: {error}")]
-    UnusableTime {
+    InvalidTime {
         /// The attribute.
         attribute: String,
         /// What was read and what is wanted.
@@ -245,7 +245,7 @@
     pub(crate) fn into_fault(self, attribute: &str, text: &str) -> FaultKind {
         let attribute = attribute.to_owned();
         match self {
-            AttributeError::Expected(expected) => FaultKind::UnusableAttribute {
+            AttributeError::Expected(expected) => FaultKind::InvalidAttribute {
                 attribute,
                 text: text.to_owned(),
                 expected: expected.to_owned(),
@@ -255,7 +255,7 @@
                 kind,
                 name,
             },
-            AttributeError::Time(error) => FaultKind::UnusableTime { attribute, error },
+            AttributeError::Time(error) => FaultKind::InvalidTime { attribute, error },
         }
     }
 }
--- a/crates/operator-config/src/xml/reader.rs
+++ b/crates/operator-config/src/xml/reader.rs
@@ -68,7 +68,7 @@
             if !known.contains(&name) {
                 let kind = FaultKind::UnknownAttribute {
                     attribute: name.to_owned(),
-                    expected: one_of(known),
+                    expected: join_names(known),
                 };
                 self.report_at(node, name, kind);
             }
@@ -93,7 +93,7 @@
                 expected: if known.is_empty() {
                     "nothing".to_owned()
                 } else {
-                    one_of(known)
+                    join_names(known)
                 },
             };
             self.report(child, kind);
@@ -146,6 +146,6 @@
     }
 }
 
-fn one_of(names: &[&str]) -> String {
+fn join_names(names: &[&str]) -> String {
     names.join(", ")
 }
