--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -1,5 +1,5 @@
-//! The operator's file: XML with a schema (`deploy/operator.xsd`), read into the parts that the subsystems need.
-//! All faults are reported at once, each with its place. A file with a fault is refused as a whole.
+//! Reads the operator's file, which is XML with a schema (`deploy/operator.xsd`), into the parts that the subsystems
+//! need. All faults are reported at once, each with its line and column. A file with a fault is refused as a whole.
 
 mod places;
 mod releases;
@@ -16,32 +16,32 @@
 
 use crate::xml::XmlReader;
 
-/// The version of the form, as its root says.
+/// The version of the file format, which the attribute `version` of the root must have.
 pub const VERSION: &str = "1";
 
-/// All that an operator's file sets.
+/// The content of an operator's file.
 #[derive(Clone, Debug)]
 pub struct OperatorConfig {
-    /// The names that the other parts refer to.
+    /// The names to which the other parts refer.
     pub places: Places,
-    /// Where builds may be used; without it they may be used everywhere.
+    /// The rules of releases; if `None`, builds may be used everywhere.
     pub releases: Option<Releases>,
-    /// Which time lines are kept; without it none are.
+    /// The settings of timelines; if `None`, no timelines are kept.
     pub timeline: Option<Timeline>,
 }
 
-/// Reads a file's text. Zones and products that are known already keep their numbers.
+/// Reads the text of an operator's file. Zones and products in `known` keep their numbers.
 ///
 /// # Errors
-/// All faults, in the order of their places.
+/// All faults, in the order of their positions.
 pub fn read(text: &str, known: &KnownNames) -> Result<OperatorConfig, Vec<Fault>> {
     xml::parse(text, |reader, root| read_root(reader, root, known))
 }
 
-/// Reads a file.
+/// Reads an operator's file.
 ///
 /// # Errors
-/// All faults, in the order of their places; one without a place if the file itself cannot be read.
+/// All faults, in the order of their positions; a single one without a position if the file itself cannot be read.
 pub fn load(path: &Path, known: &KnownNames) -> Result<OperatorConfig, Vec<Fault>> {
     read(&xml::read_text(path)?, known)
 }
--- a/crates/operator-config/src/places.rs
+++ b/crates/operator-config/src/places.rs
@@ -1,32 +1,32 @@
-//! The names of the file: zones, tenants, request classes, and the tenant whose requests each agent routes. A name is
-//! resolved to its number here and nowhere else; one that is defined nowhere or twice is a fault.
+//! The element `<places>`: the names of zones, tenants and request classes, and the tenant whose requests each agent
+//! routes. Names are resolved to numbers in this module only. A name that is not defined, or defined twice, is a fault.
 use lilacgate_decision::{ReleasePermissions, Tenant};
 use roxmltree::Node;
 
 use crate::xml::{AttributeError, FaultKind, XmlReader};
 
-/// The most zones: what their number holds.
+/// The number of zones that a zone's 8-bit number can identify.
 const MAX_ZONES: usize = 256;
-/// The most tenants: what their number holds.
+/// The number of tenants that a tenant's 16-bit number can identify.
 const MAX_TENANTS: usize = 1 << 16;
 
-/// Names that have their numbers already, from the agent's start settings.
+/// Names whose numbers are given by the agent's start settings.
 #[derive(Clone, Debug, Default)]
 pub struct KnownNames {
-    /// The zones, by their numbers.
+    /// The names of the zones, by their numbers.
     pub zones: Vec<String>,
-    /// The request classes, by their numbers.
+    /// The names of the request classes, by their numbers.
     pub products: Vec<String>,
 }
 
-/// The file's names, by their numbers.
+/// The names that the file defines, each list by number.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Places {
-    /// The zones.
+    /// The names of the zones; those of the start settings come first.
     pub zones: Vec<String>,
-    /// The tenants.
+    /// The names of the tenants, in the order of the file.
     pub tenants: Vec<String>,
-    /// The request classes.
+    /// The names of the request classes; those of the start settings come first.
     pub products: Vec<String>,
     agents: Vec<Agent>,
 }
@@ -39,7 +39,7 @@
 }
 
 impl Places {
-    /// The tenant whose requests an agent routes.
+    /// The tenant whose requests an agent routes; `None` if the file does not name the agent.
     pub fn tenant_of(&self, agent: &str) -> Option<Tenant> {
         let mut agents = self.agents.iter();
         agents
@@ -48,21 +48,21 @@
     }
 }
 
-/// A kind of names and the element that defines them.
+/// A kind of name, with the element that defines it and its limits.
 struct NameKind<'k> {
     element: &'static str,
     known: &'k [String],
     max_count: usize,
 }
 
-/// The element `<places>` that is being read.
+/// Reads the element `<places>`.
 struct PlacesReader<'r, 'a> {
     reader: &'r XmlReader<'a>,
     node: Node<'r, 'r>,
     children: Vec<Node<'r, 'r>>,
 }
 
-/// A name: without spaces, so that lists of names can be read.
+/// Reads a name. It has no spaces, since lists of names are separated by spaces.
 pub(crate) fn read_name(text: &str) -> Result<String, AttributeError> {
     if text.is_empty() || text.contains(char::is_whitespace) {
         Err(AttributeError::Expected("a name without spaces"))
@@ -71,7 +71,7 @@
     }
 }
 
-/// The number of a name.
+/// Finds the number of a name.
 pub(crate) fn find(
     names: &[String],
     kind: &'static str,
@@ -137,7 +137,7 @@
         children.filter(move |child| child.tag_name().name() == name)
     }
 
-    /// The known names, then those that the file adds.
+    /// The names of a kind: first the known ones, then those that the file adds.
     fn names(&self, kind: &NameKind<'_>) -> Vec<String> {
         let defined = self.defined_names(kind.element);
         for missing in kind.known.iter().filter(|name| !defined.contains(name)) {
--- a/crates/operator-config/src/releases/attributes.rs
+++ b/crates/operator-config/src/releases/attributes.rs
@@ -1,4 +1,4 @@
-//! Attributes that several elements of `<releases>` have.
+//! Reads attributes that several elements of `<releases>` have.
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -11,12 +11,12 @@
 use crate::places;
 use crate::xml::{AttributeError, FaultKind};
 
-/// A list of names in an attribute.
+/// Describes an attribute that is a list of names.
 pub(super) struct NameList<'n> {
     pub(super) attribute: &'static str,
-    /// What the names are of.
+    /// The kind of thing that the names denote, such as `zone`.
     pub(super) kind: &'static str,
-    /// The names that are defined.
+    /// The names that are defined in the file.
     pub(super) names: &'n [String],
 }
 
@@ -34,7 +34,7 @@
     }
 }
 
-/// A duration above 0.
+/// Reads a duration above 0.
 pub(super) fn read_period(text: &str) -> Result<Duration, AttributeError> {
     let duration = calendar::parse_span(text)?;
     if duration.is_zero() {
@@ -50,7 +50,8 @@
 }
 
 impl ReleasesReader<'_, '_> {
-    /// The builds from one attribute to another, both included. Either may be missing.
+    /// Reads a range of builds from the attributes `from` and `to`, both inclusive. If one is missing, the range is
+    /// open at this end.
     pub(super) fn builds(&self, node: Node<'_, '_>) -> Option<BuildRange> {
         let reader = self.reader;
         let from = reader.optional(node, "from", read_build);
@@ -70,7 +71,7 @@
         Some(builds)
     }
 
-    /// Which of the defined names an attribute lists; all of them if it is missing.
+    /// Reads which of the defined names an attribute lists; all of them if the attribute is missing.
     pub(super) fn read_name_list(
         &self,
         node: Node<'_, '_>,
@@ -82,7 +83,7 @@
         if text.trim().is_empty() {
             let fault = FaultKind::ContradictingAttribute {
                 attribute: list.attribute,
-                expected: "names, or no attribute for all",
+                expected: "at least one name, or no attribute for all names",
             };
             self.reader.report_at(node, list.attribute, fault);
             return None;
@@ -102,7 +103,7 @@
         all_defined.then_some(listed)
     }
 
-    /// Each of the zones with each of the tenants that two attributes list.
+    /// Reads the pairs of each zone in the attribute `zones` with each tenant in the attribute `firms`.
     pub(super) fn pairs(&self, node: Node<'_, '_>) -> Option<PairSet> {
         let zones = self.read_name_list(
             node,
--- a/crates/operator-config/src/releases/dependencies.rs
+++ b/crates/operator-config/src/releases/dependencies.rs
@@ -1,4 +1,4 @@
-//! The element `<needs>`: builds of a service that depend on a build of another one.
+//! The element `<needs>`: a dependency of a service's builds on a build of another service.
 use lilacgate_releases::model::{Dependency, DependencyCycle, DependencyScope, Rules, WhenUnknown};
 use roxmltree::Node;
 
@@ -48,7 +48,7 @@
     }
 }
 
-/// Reports dependencies that lead back to where they began, at the first of them.
+/// Reports a cycle of dependencies, at the first of them.
 pub(super) fn check_cycles(reader: &XmlReader<'_>, rules: &Rules, nodes: &[Node<'_, '_>]) {
     if let Err(DependencyCycle(cycle)) = rules.dependency_order() {
         let steps: Vec<String> = cycle
--- a/crates/operator-config/src/releases/freezes.rs
+++ b/crates/operator-config/src/releases/freezes.rs
@@ -1,4 +1,4 @@
-//! The element `<freeze>`: windows of time in which no build goes further.
+//! The element `<freeze>`: windows of time in which builds are not released to new users.
 use lilacgate_releases::calendar::{self, Schedule, TimeZone};
 use lilacgate_releases::model::{Freeze, ServiceId};
 use roxmltree::Node;
@@ -7,7 +7,7 @@
 use crate::places;
 use crate::xml::{AttributeError, FaultKind};
 
-/// Whether builds on trial are closed to those who have them.
+/// Reads whether canaries are also closed to those who have them.
 fn read_closes_canary(text: &str) -> Result<bool, AttributeError> {
     match text {
         "hold" => Ok(false),
@@ -38,8 +38,8 @@
         })
     }
 
-    /// The service that a freeze is of, `Some(None)` for all. `None` if the service is defined nowhere, which must
-    /// not make it a freeze of all.
+    /// Reads the service that a freeze applies to: `Some(None)` for all services, and `None` if the service is not
+    /// defined, so that the freeze does not apply to all services by mistake.
     fn frozen_service(&self, node: Node<'_, '_>) -> Option<Option<ServiceId>> {
         if node.attribute("service").is_none() {
             return Some(None);
@@ -67,7 +67,7 @@
     }
 
     fn window_time_zone(&self) -> Option<TimeZone> {
-        // One that is unknown has been reported.
+        // An unknown time zone has already been reported.
         if self.node.attribute("time-zone").is_none() {
             self.reader
                 .report(self.node, FaultKind::WindowsNeedTimeZone);
--- a/crates/operator-config/src/releases/ladders.rs
+++ b/crates/operator-config/src/releases/ladders.rs
@@ -1,4 +1,4 @@
-//! The element `<ladder>`: the rings to which the builds of a service come, one after the other.
+//! The element `<ladder>`: the rings that get the builds of a service one after the other.
 use lilacgate_decision::{RequestClass, Stage};
 use lilacgate_releases::calendar;
 use lilacgate_releases::model::{Ladder, PairSet, Ring, Rules};
@@ -9,9 +9,9 @@
 use crate::places;
 use crate::xml::{AttributeError, FaultKind};
 
-/// The most rings of a ladder.
+/// The number of rings that a ladder may have.
 const MAX_RINGS: usize = 64;
-/// The stages that a ring may have, in words. The number beyond them stands for the release.
+/// The accepted stages, in words, for error messages. Stage 255 stands for the release.
 const STAGES: &str = "a stage, 0 to 254";
 
 fn read_stage(text: &str) -> Result<u8, AttributeError> {
@@ -47,7 +47,7 @@
             if rings.last().is_some_and(|last| last.stage > ring.stage) {
                 let fault = FaultKind::ContradictingAttribute {
                     attribute: "stage",
-                    expected: "one not before that of the ring before",
+                    expected: "a stage not below that of the previous ring",
                 };
                 self.reader.report_at(*node, "stage", fault);
             }
@@ -80,7 +80,7 @@
         })
     }
 
-    /// The request classes that an attribute lists, as bits.
+    /// Reads the request classes that the attribute `products` lists, as bits.
     fn request_classes(&self, node: Node<'_, '_>) -> Option<u64> {
         let listed = self.read_name_list(
             node,
--- a/crates/operator-config/src/releases/mod.rs
+++ b/crates/operator-config/src/releases/mod.rs
@@ -1,6 +1,6 @@
-//! The element `<releases>`: services and where their release control planes listen, the order in which builds come
-//! to rings, dependencies and freezes. It becomes [`lilacgate_releases::model::Rules`]; what contradicts itself is
-//! reported. What the rules then permit is decided elsewhere.
+//! The element `<releases>`: services with the addresses of their release control planes, ladders, dependencies and
+//! freezes. It is read into [`lilacgate_releases::model::Rules`], and contradictions are reported. The crate
+//! `lilacgate-releases` decides what the rules permit.
 
 mod attributes;
 mod dependencies;
@@ -18,32 +18,32 @@
 use crate::timeline::read_absolute_path;
 use crate::xml::{AttributeError, FaultKind, XmlReader};
 
-/// The most services.
+/// The number of services that a file may define.
 const MAX_SERVICES: usize = 64;
-/// The most ladders, needs and freezes each: what one core looks through within a round.
+/// The number of ladders, of needs and of freezes that a file may define. One core can evaluate them within a round.
 const MAX_RULES: usize = 1024;
 
-/// Where the release control plane of another service listens.
+/// The release control plane of another service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ControlPlane {
-    /// The service.
+    /// The service whose releases it controls.
     pub service: ServiceId,
-    /// The address.
+    /// The address on which it listens.
     pub address: SocketAddr,
 }
 
-/// What the operator orders of releases.
+/// The content of the element `<releases>`.
 #[derive(Clone, Debug)]
 pub struct Releases {
-    /// The rules.
+    /// The rules of the release gate.
     pub rules: Rules,
-    /// Where the release control planes of other services listen.
+    /// The release control planes of other services.
     pub control_planes: Vec<ControlPlane>,
-    /// Where an agent writes its state on request; nowhere if the file names no path.
+    /// The file to which an agent writes its gate's state on request; if `None`, it writes none.
     pub state_path: Option<PathBuf>,
 }
 
-/// The element `<releases>` that is being read.
+/// Reads the element `<releases>`.
 struct ReleasesReader<'r, 'a> {
     reader: &'r XmlReader<'a>,
     node: Node<'r, 'r>,
@@ -55,7 +55,7 @@
     control_planes: Vec<ControlPlane>,
 }
 
-/// A rule and its element, for faults that show only when all rules have been read.
+/// A rule and its element, for faults that are found only after all rules have been read.
 struct RuleElement<'r, T> {
     node: Node<'r, 'r>,
     rule: T,
@@ -117,7 +117,7 @@
         children.filter(move |child| child.tag_name().name() == name)
     }
 
-    /// All elements of a name that can be used.
+    /// Reads all elements with a name, and leaves out those with faults.
     fn read_all<T>(
         &self,
         name: &'static str,
@@ -165,7 +165,7 @@
             .extend(address.map(|address| ControlPlane { service, address }));
     }
 
-    /// The address of the own service's release control plane is in the start file.
+    /// Reports an address of the own service's release control plane, which is given in the start file.
     fn check_own_control_plane(&self, own: Option<ServiceId>) {
         let own_control_plane = self
             .control_planes
--- a/crates/operator-config/src/timeline.rs
+++ b/crates/operator-config/src/timeline.rs
@@ -1,4 +1,4 @@
-//! The element `<timeline>`: whether an agent keeps time lines, how often they may err, and where they are kept.
+//! The element `<timeline>`: whether an agent keeps timelines, their rate of false events, and where they are stored.
 use std::path::PathBuf;
 use std::time::Duration;
 
@@ -7,40 +7,40 @@
 
 use crate::xml::{AttributeError, FaultKind, XmlReader};
 
-/// False events an hour unless the file says otherwise.
+/// The default of the attribute `false-events-per-hour`.
 const DEFAULT_FALSE_EVENTS_PER_HOUR: f64 = 0.5;
-/// The most false events an hour that can be ordered.
+/// The largest accepted value of the attribute `false-events-per-hour`.
 const MAX_FALSE_EVENTS_PER_HOUR: f64 = 100.0;
-/// Bytes of memory unless the file says otherwise.
+/// The default of the attribute `memory`.
 const DEFAULT_MEMORY_BYTES: u64 = 8 << 20;
-/// Bytes that are stored unless the file says otherwise.
+/// The default of the attribute `keep`.
 const DEFAULT_STORE_BYTES: u64 = 64 << 20;
-/// The age up to which lines are stored unless the file says otherwise: a week.
+/// The default of the attribute `age`: a week.
 const DEFAULT_MAX_AGE: Duration = Duration::from_secs(7 * 24 * 3600);
-/// The most mebibytes that can be ordered: a tebibyte.
+/// The largest accepted size in mebibytes: a tebibyte.
 const MAX_MEBIBYTES: u64 = 1 << 20;
 
-/// Which time lines are kept.
+/// The settings of an agent's timelines.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Timeline {
-    /// The most false events an hour over all nodes, in the mean.
+    /// The mean number of false events per hour, over all nodes, that must not be exceeded.
     pub max_false_events_per_hour: f64,
-    /// The most memory of all lines, in bytes.
+    /// The memory that all timelines together may use, in bytes.
     pub memory_bytes: usize,
-    /// Where lines are stored; without it they end with the agent.
+    /// Where timelines are stored; if `None`, they are lost when the agent ends.
     pub store: Option<Store>,
-    /// Where the lines are written on SIGUSR1.
+    /// The file to which the timelines are written on SIGUSR1.
     pub dump: Option<PathBuf>,
 }
 
-/// Where lines outlast the agent.
+/// The store in which timelines survive the agent's end.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Store {
-    /// The folder of the files.
+    /// The folder of the segment files.
     pub folder: PathBuf,
-    /// The most bytes of the files.
+    /// The total size of the files, in bytes.
     pub max_bytes: u64,
-    /// The greatest age of a line.
+    /// The age after which segments are removed.
     pub max_age: Duration,
 }
 
@@ -53,19 +53,21 @@
     }
 }
 
-/// Bytes, given in mebibytes.
+/// Reads a size in mebibytes, and returns it in bytes.
 fn read_mebibytes(text: &str) -> Result<u64, AttributeError> {
     let mebibytes = text.parse::<u64>().ok();
     mebibytes
         .filter(|mebibytes| (1..=MAX_MEBIBYTES).contains(mebibytes))
         .map(|mebibytes| mebibytes << 20)
-        .ok_or(AttributeError::Expected("mebibytes, 1 to 1048576"))
+        .ok_or(AttributeError::Expected(
+            "mebibytes, a whole number from 1 to 1048576",
+        ))
 }
 
 fn read_rate(text: &str) -> Result<f64, AttributeError> {
     let rate = text.parse::<f64>().ok();
     rate.filter(|rate| *rate > 0.0 && *rate <= MAX_FALSE_EVENTS_PER_HOUR)
-        .ok_or(AttributeError::Expected("a rate above 0, 100 at most"))
+        .ok_or(AttributeError::Expected("a rate above 0 and at most 100"))
 }
 
 pub(crate) fn read(reader: &XmlReader<'_>, node: Node<'_, '_>) -> Option<Timeline> {
--- a/crates/operator-config/src/xml/fault.rs
+++ b/crates/operator-config/src/xml/fault.rs
@@ -1,4 +1,4 @@
-//! What can be wrong with a configuration file, and where.
+//! The faults of a configuration file, with their positions.
 use std::cmp::Ordering;
 use std::fmt;
 use std::path::PathBuf;
@@ -7,21 +7,21 @@
 
 use super::MAX_FILE_BYTES;
 
-/// Something in a file that cannot be used. Faults are ordered by their places, then by their texts.
+/// A fault in a file. Faults are ordered by their positions, then by their texts.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
-    /// The line, from 1; 0 where the fault has no place.
+    /// The line, from 1; 0 if the fault has no position.
     pub line: u32,
-    /// The column, from 1; 0 where the fault has no place.
+    /// The column, from 1; 0 if the fault has no position.
     pub column: u32,
-    /// The element's name; empty where the fault has no place in an element.
+    /// The element's name; empty if the fault is not in an element.
     pub element: String,
-    /// What is wrong.
+    /// The kind of fault, with the values that it concerns.
     pub kind: FaultKind,
 }
 
 impl Fault {
-    /// A fault of the file as a whole, without a place.
+    /// A fault of the file as a whole, without a position.
     pub fn of_file(kind: FaultKind) -> Fault {
         Fault {
             line: 0,
@@ -70,141 +70,143 @@
     }
 }
 
-/// What is wrong at a place of a file.
+/// The kinds of faults, with their messages.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FaultKind {
-    /// The file is larger than any that is read.
-    #[error("the file has {bytes} bytes; {MAX_FILE_BYTES} are the most")]
+    /// The file is larger than [`MAX_FILE_BYTES`].
+    #[error("the file has {bytes} bytes; expected {MAX_FILE_BYTES} at the most")]
     FileTooLarge {
         /// The file's size.
         bytes: usize,
     },
     /// The file cannot be opened or read, or is not UTF-8.
-    #[error("{}: {error}", path.display())]
+    #[error("{}: the file cannot be read: {error}", path.display())]
     FileUnreadable {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// Why it cannot be read.
+        /// The error of the operating system or of UTF-8 decoding.
         error: String,
     },
-    /// The text is not XML.
+    /// The text is not well-formed XML.
     #[error("not well-formed: {0}")]
     NotWellFormed(String),
-    /// The root is another element.
+    /// The root element has another name than this.
     #[error("the root is not <{0}>")]
     WrongRoot(&'static str),
-    /// An attribute is not one of those of its element.
+    /// The element has no attribute of this name.
     #[error("attribute {attribute} is unknown; expected {expected}")]
     UnknownAttribute {
-        /// The attribute.
+        /// The unknown name.
         attribute: String,
-        /// The attributes of the element.
+        /// The attributes that the element may have.
         expected: String,
     },
-    /// An element has text, which none may.
+    /// An element contains text, which no element may.
     #[error("text is not expected here")]
     UnexpectedText,
-    /// An element stands in another that does not have it.
+    /// An element is in another element that may not contain it.
     #[error("not expected in <{parent}>; expected {expected}")]
     UnexpectedElement {
-        /// The element that it stands in.
+        /// The name of the containing element.
         parent: String,
-        /// The elements of that.
+        /// The elements that the containing element may contain.
         expected: String,
     },
-    /// An element that may stand once stands again.
-    #[error("stands more than once")]
+    /// An element that may occur only once is repeated.
+    #[error("stands more than once; expected at most one")]
     RepeatedElement,
-    /// A necessary element is missing.
+    /// A required element is missing.
     #[error("<{0}> is missing")]
     MissingElement(&'static str),
-    /// There are more elements of a kind than can be numbered or worked through in time.
-    #[error("{count} of <{element}>; {max_count} are the most")]
+    /// There are more elements of a kind than there are numbers for them, or than can be processed in time.
+    #[error("{count} elements <{element}>; expected {max_count} at the most")]
     TooManyElements {
-        /// The elements' name.
+        /// The name of the elements.
         element: &'static str,
-        /// How many there are.
+        /// The number of elements in the file.
         count: usize,
-        /// How many there may be.
+        /// The number of elements that are accepted.
         max_count: usize,
     },
-    /// A necessary attribute is missing.
+    /// A required attribute is missing.
     #[error("attribute {0} is missing")]
     MissingAttribute(String),
-    /// An attribute has another form than is wanted.
+    /// The value of an attribute does not have the expected form or is out of range.
     #[error("{attribute}: {text:?}: expected {expected}")]
     InvalidAttribute {
-        /// The attribute.
+        /// The name of the attribute.
         attribute: String,
-        /// Its text.
+        /// The attribute's value in the file.
         text: String,
-        /// What is wanted.
+        /// The accepted values, in words.
         expected: String,
     },
-    /// An attribute is no time or no time zone.
+    /// The value of an attribute is not a valid time, span of time or time zone.
     #[error("{attribute}: {error}")]
     InvalidTime {
-        /// The attribute.
+        /// The name of the attribute.
         attribute: String,
-        /// What was read and what is wanted.
+        /// The attribute's value and what is accepted.
         error: TimeTextError,
     },
-    /// An attribute contradicts another one, or another element.
+    /// An attribute contradicts another attribute or another element.
     #[error("{attribute}: expected {expected}")]
     ContradictingAttribute {
-        /// The attribute.
+        /// The name of the attribute.
         attribute: &'static str,
-        /// What is wanted.
+        /// The accepted values, in words.
         expected: &'static str,
     },
-    /// An attribute refers to a name that is defined nowhere.
+    /// An attribute refers to a name that is not defined in the file.
     #[error("{attribute}: {kind} {name:?} is defined nowhere")]
     UndefinedName {
-        /// The attribute.
+        /// The name of the attribute.
         attribute: String,
-        /// What the name is of.
+        /// The kind of thing that the name should denote, such as `zone`.
         kind: &'static str,
-        /// The name.
+        /// The name that is not defined.
         name: String,
     },
     /// A name is defined twice.
     #[error("{kind} {name:?} is defined twice")]
     DefinedTwice {
-        /// What the name is of.
+        /// The kind of thing that the name denotes, such as `zone`.
         kind: &'static str,
-        /// The name.
+        /// The name that is repeated.
         name: String,
     },
     /// The start settings have a name that the file does not define.
-    #[error("{kind} {name:?}, which the agent is told of, is not defined")]
+    #[error("{kind} {name:?} of the agent's start settings is not defined")]
     KnownNameNotDefined {
-        /// What the name is of.
+        /// The kind of thing that the name denotes, such as `zone`.
         kind: &'static str,
-        /// The name.
+        /// The name in the start settings.
         name: String,
     },
-    /// No name of a kind is defined.
+    /// The file defines no name with this element.
     #[error("no <{0}> is defined")]
     NoneDefined(&'static str),
-    /// The agent's own service has an address of a release control plane.
-    #[error("service {0:?} is the agent's own: its desk is in the start file")]
+    /// The agent's own service has an address of a release control plane, which the start file already gives.
+    #[error(
+        "service {0:?} is the agent's own: expected no attribute desk, since its address is in the start file"
+    )]
     OwnServiceHasControlPlane(String),
-    /// Two rollouts of one service hold the same builds.
-    #[error("another ladder of this service holds some of these builds")]
+    /// Two ladders of one service apply to the same builds.
+    #[error("another ladder of this service applies to some of these builds")]
     OverlappingLadders,
-    /// Dependencies lead back to where they began.
-    #[error("needs go in a circle: {0}")]
+    /// Dependencies form a cycle.
+    #[error("<needs> form a cycle: {0}")]
     DependencyCycle(String),
     /// A freeze has no window, or several.
-    #[error("expected one of once, weekly, yearly, declared")]
+    #[error("expected exactly one of once, weekly, yearly, declared")]
     FreezeWindow,
     /// A window is given in local time without a time zone.
-    #[error("attribute time-zone is missing, which windows need")]
+    #[error("attribute time-zone is missing; the windows of freezes need it")]
     WindowsNeedTimeZone,
     /// A limit of the store is given without a store.
-    #[error("{0}: without store nothing is kept")]
+    #[error("{0}: expected only together with attribute store")]
     LimitWithoutStore(&'static str),
-    /// A fault in the words of whoever found it.
+    /// A fault with a message of the code that reads the element.
     #[error("{0}")]
     Message(String),
 }
@@ -221,27 +223,27 @@
     }
 }
 
-/// Why the text of an attribute cannot be used.
+/// Why the value of an attribute is refused.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AttributeError {
-    /// The text has another form than this.
+    /// The value is not one of those that these words describe.
     #[error("expected {0}")]
     Expected(&'static str),
-    /// The text is a name that is defined nowhere.
+    /// The value is a name that is not defined in the file.
     #[error("{kind} {name:?} is defined nowhere")]
     Undefined {
-        /// What the name is of.
+        /// The kind of thing that the name should denote, such as `zone`.
         kind: &'static str,
-        /// The name.
+        /// The name that is not defined.
         name: String,
     },
-    /// The text is no time, or no time zone.
+    /// The value is not a valid time, span of time or time zone.
     #[error(transparent)]
     Time(#[from] TimeTextError),
 }
 
 impl AttributeError {
-    /// The fault of the attribute with this text.
+    /// Converts the error to the fault of an attribute with this value.
     pub(crate) fn into_fault(self, attribute: &str, text: &str) -> FaultKind {
         let attribute = attribute.to_owned();
         match self {
--- a/crates/operator-config/src/xml/mod.rs
+++ b/crates/operator-config/src/xml/mod.rs
@@ -1,5 +1,6 @@
-//! Reads configuration files in XML and collects their faults, each with its line, column and element. Nothing here
-//! knows an element of its own; reading goes on after a fault, so that all of them are reported at once.
+//! Reads XML configuration files and collects their faults, each with its line, column and element. This module is
+//! independent of the elements of a particular file. Reading continues after a fault, so that all faults are reported
+//! at once.
 
 mod fault;
 mod reader;
@@ -11,15 +12,15 @@
 pub use reader::XmlReader;
 use roxmltree::{Document, Node, ParsingOptions};
 
-/// The largest file that is read, in bytes.
+/// The size of the largest file that is accepted.
 pub const MAX_FILE_BYTES: u64 = 1 << 20;
-/// The most elements, attributes and texts of a file.
+/// The limit of the parser for elements, attributes and texts in a file.
 const MAX_NODES: u32 = 200_000;
 
-/// Parses a document and reads its root with `read`, which reports faults to the reader that it gets.
+/// Parses a document and reads its root with `read`, which reports faults to the reader that it is given.
 ///
 /// # Errors
-/// All faults, in the order of their places.
+/// All faults, in the order of their positions.
 pub fn parse<T>(
     text: &str,
     read: impl for<'a> FnOnce(&XmlReader<'a>, Node<'a, 'a>) -> Option<T>,
@@ -41,10 +42,10 @@
     value.filter(|_| faults.is_empty()).ok_or(faults)
 }
 
-/// Reads a file's text, up to one byte more than [`parse`] takes.
+/// Reads a file's text, up to one byte more than [`parse`] accepts, so that `parse` refuses a file that is too large.
 ///
 /// # Errors
-/// One fault without a place if the file cannot be read.
+/// The file cannot be read or is not UTF-8: one fault without a position.
 pub fn read_text(path: &Path) -> Result<String, Vec<Fault>> {
     let unreadable = |error: std::io::Error| {
         vec![Fault::of_file(FaultKind::FileUnreadable {
--- a/crates/operator-config/src/xml/reader.rs
+++ b/crates/operator-config/src/xml/reader.rs
@@ -1,4 +1,4 @@
-//! Reads elements and attributes, and collects what is wrong with them.
+//! Reads elements and attributes, and collects their faults.
 use std::cell::RefCell;
 use std::fmt;
 
@@ -29,7 +29,7 @@
         }
     }
 
-    /// All faults, each once, in the order of their places.
+    /// All faults without duplicates, in the order of their positions.
     pub(super) fn into_faults(self) -> Vec<Fault> {
         let mut faults = self.faults.into_inner();
         faults.sort();
@@ -53,7 +53,7 @@
         self.push(node.range().start, node.tag_name().name(), kind.into());
     }
 
-    /// Reports a fault at an attribute, or at its element where that lacks it.
+    /// Reports a fault at an attribute, or at the element if it does not have the attribute.
     pub fn report_at(&self, node: Node<'_, '_>, attribute: &str, kind: impl Into<FaultKind>) {
         let offset = node
             .attribute_node(attribute)
@@ -61,7 +61,7 @@
         self.push(offset, node.tag_name().name(), kind.into());
     }
 
-    /// Reports all attributes but these.
+    /// Reports all attributes that are not in `known`.
     pub fn check_attributes(&self, node: Node<'_, '_>, known: &[&str]) {
         for attribute in node.attributes() {
             let name = attribute.name();
@@ -75,7 +75,7 @@
         }
     }
 
-    /// The child elements with these names. All others are reported, and so is text between them.
+    /// The child elements whose names are in `known`. All others are reported, and so is text between them.
     pub fn children<'n>(&self, node: Node<'n, 'n>, known: &[&str]) -> Vec<Node<'n, 'n>> {
         let parent = node.tag_name().name();
         for child in node.children().filter(Node::is_text) {
@@ -101,7 +101,7 @@
         expected
     }
 
-    /// Reports children whose name an earlier one has.
+    /// Reports each child that has the name of an earlier child.
     pub fn check_no_repeats(&self, children: &[Node<'_, '_>]) {
         let name = |child: &Node<'_, '_>| child.tag_name().name().to_owned();
         for (index, child) in children.iter().enumerate() {
@@ -114,7 +114,7 @@
         }
     }
 
-    /// The value of an attribute that may be missing. A text that `read` refuses is reported.
+    /// The value of an optional attribute. A text that `read` refuses is reported.
     pub fn optional<T, E: Into<AttributeError>>(
         &self,
         node: Node<'_, '_>,
@@ -132,7 +132,7 @@
         }
     }
 
-    /// The value of an attribute that must not be missing. A text that `read` refuses is reported.
+    /// The value of a required attribute. A missing attribute, or a text that `read` refuses, is reported.
     pub fn required<T, E: Into<AttributeError>>(
         &self,
         node: Node<'_, '_>,
--- a/crates/operator-config/tests/files.rs
+++ b/crates/operator-config/tests/files.rs
@@ -1,5 +1,5 @@
-//! The schema and the reader agree: every example is valid by both; of the bad ones each is refused by the reader with
-//! the faults that its first lines name, and by the schema where these demand it.
+//! The schema and the reader agree: both accept every file in `tests/good` and `deploy`. The reader refuses each file
+//! in `tests/bad` with exactly the faults that its first lines name, and the schema accepts or refuses it as they say.
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
@@ -15,13 +15,13 @@
         .arg(path)
         .output();
     xmllint
-        .expect("xmllint is there: .ci/tools installs it")
+        .expect("xmllint is installed by .ci/tools")
         .status
         .success()
 }
 
 #[rstest]
-fn good(
+fn good_files_are_accepted(
     #[files("tests/good/*.xml")]
     #[files("../../deploy/operator*.xml")]
     path: PathBuf,
@@ -32,26 +32,26 @@
 }
 
 #[rstest]
-fn bad(#[files("tests/bad/*.xml")] path: PathBuf) {
-    let text = std::fs::read_to_string(&path).expect("a file");
+fn bad_files_are_refused(#[files("tests/bad/*.xml")] path: PathBuf) {
+    let text = std::fs::read_to_string(&path).expect("the file is readable");
     let lines: Vec<&str> = text
         .lines()
         .map_while(|line| line.strip_prefix("<!-- ")?.strip_suffix(" -->"))
         .collect();
-    let faults = load(&path, &KnownNames::default()).expect_err("it is refused");
-    let said: Vec<String> = faults.iter().map(ToString::to_string).collect();
+    let faults = load(&path, &KnownNames::default()).expect_err("the file is refused");
+    let messages: Vec<String> = faults.iter().map(ToString::to_string).collect();
     let named: Vec<&str> = lines
         .iter()
         .filter_map(|line| line.strip_prefix("fault "))
         .collect();
     assert!(!named.is_empty());
-    for want in &named {
+    for expected in &named {
         assert!(
-            said.iter().any(|said| said.contains(want)),
-            "no {want:?} in {said:#?}"
+            messages.iter().any(|message| message.contains(expected)),
+            "no {expected:?} in {messages:#?}"
         );
     }
-    assert_eq!(said.len(), named.len(), "others in {said:#?}");
+    assert_eq!(messages.len(), named.len(), "others in {messages:#?}");
     assert!(
         faults
             .iter()
@@ -66,14 +66,14 @@
 }
 
 #[test]
-fn too_large_or_not_there() {
-    let folder = tempfile::tempdir().expect("a folder");
+fn large_or_missing_files_are_refused() {
+    let folder = tempfile::tempdir().expect("a temporary folder");
     let path = folder.path().join("large.xml");
-    std::fs::write(&path, " ".repeat((1 << 20) + 1)).expect("it is written");
+    std::fs::write(&path, " ".repeat((1 << 20) + 1)).expect("the file is written");
     assert!(
         load(&path, &KnownNames::default()).expect_err("too large")[0]
             .to_string()
-            .contains("the most")
+            .contains("the file has 1048577 bytes; expected 1048576 at the most")
     );
     let gone = folder.path().join("gone.xml");
     assert!(
@@ -91,7 +91,7 @@
     };
     let text = r#"<operator version="1"><places><zone name="a"/><zone name="c"/><zone name="b"/><firm name="f"/>
 <product name="p"/><product name="q"/><agent name="n" firm="f"/></places></operator>"#;
-    let places = read(text, &known).expect("it is fine").places;
+    let places = read(text, &known).expect("the file has no faults").places;
     assert_eq!(
         (places.zones, places.products),
         (
@@ -103,14 +103,14 @@
     assert!(
         lacks[0]
             .to_string()
-            .contains("zone \"b\", which the agent is told of, is not defined")
+            .contains("zone \"b\" of the agent's start settings is not defined")
     );
 }
 
 proptest! {
-    /// Whatever is written, reading ends with a file or with faults, each with words.
+    /// Reading any text ends with a configuration or with faults, each with a message.
     #[test]
-    fn any_text(at in 0usize..2000, put in "[<>\"&;/a-z =]{0,12}") {
+    fn any_text_is_read_or_refused(at in 0usize..2000, put in "[<>\"&;/a-z =]{0,12}") {
         let text = include_str!("../../../deploy/operator.xml");
         let at = (at % text.len()..text.len()).find(|i| text.is_char_boundary(*i)).unwrap_or(0);
         let changed = format!("{}{put}{}", &text[..at], &text[at..]);
