--- a/crates/operator-config/src/releases/attributes.rs
+++ b/crates/operator-config/src/releases/attributes.rs
@@ -1,22 +1,22 @@
-//! Attributes that several elements of `<releases>` have.
+//! Reads attributes that several elements of `<releases>` have.
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use lilacgate_decision::Build;
 use lilacgate_releases::calendar;
-use lilacgate_releases::model::{Builds, PairSet, WhenUnknown};
+use lilacgate_releases::model::{BuildRange, PairSet, WhenUnknown};
 use roxmltree::Node;
 
 use super::ReleasesReader;
 use crate::places;
 use crate::xml::{AttributeError, FaultKind};
 
-/// A list of names in an attribute.
+/// Describes an attribute that is a list of names.
 pub(super) struct NameList<'n> {
     pub(super) attribute: &'static str,
-    /// What the names are of.
+    /// The kind of thing that the names denote, such as `zone`.
     pub(super) kind: &'static str,
-    /// The names that are defined.
+    /// The names that are defined in the file.
     pub(super) names: &'n [String],
 }
 
@@ -34,9 +34,9 @@
     }
 }
 
-/// A duration above 0.
+/// Reads a duration above 0.
 pub(super) fn read_period(text: &str) -> Result<Duration, AttributeError> {
-    let duration = calendar::span(text)?;
+    let duration = calendar::parse_span(text)?;
     if duration.is_zero() {
         Err(AttributeError::Expected("a span of time above 0"))
     } else {
@@ -50,14 +50,15 @@
 }
 
 impl ReleasesReader<'_, '_> {
-    /// The builds from one attribute to another, both included. Either may be missing.
-    pub(super) fn builds(&self, node: Node<'_, '_>) -> Option<Builds> {
+    /// Reads a range of builds from the attributes `from` and `to`, both inclusive. If one is missing, the range is
+    /// open at this end.
+    pub(super) fn builds(&self, node: Node<'_, '_>) -> Option<BuildRange> {
         let reader = self.reader;
         let from = reader.optional(node, "from", read_build);
         let to = reader.optional(node, "to", read_build);
-        let builds = Builds {
-            from: from.unwrap_or(Builds::ALL.from),
-            to: to.unwrap_or(Builds::ALL.to),
+        let builds = BuildRange {
+            from: from.unwrap_or(BuildRange::ALL.from),
+            to: to.unwrap_or(BuildRange::ALL.to),
         };
         if builds.from > builds.to {
             let fault = FaultKind::ContradictingAttribute {
@@ -70,15 +71,19 @@
         Some(builds)
     }
 
-    /// Which of the defined names an attribute lists; all of them if it is missing.
-    pub(super) fn listed(&self, node: Node<'_, '_>, list: &NameList<'_>) -> Option<Vec<bool>> {
+    /// Reads which of the defined names an attribute lists; all of them if the attribute is missing.
+    pub(super) fn read_name_list(
+        &self,
+        node: Node<'_, '_>,
+        list: &NameList<'_>,
+    ) -> Option<Vec<bool>> {
         let Some(text) = node.attribute(list.attribute) else {
             return Some(vec![true; list.names.len()]);
         };
         if text.trim().is_empty() {
             let fault = FaultKind::ContradictingAttribute {
                 attribute: list.attribute,
-                expected: "names, or no attribute for all",
+                expected: "at least one name, or no attribute for all names",
             };
             self.reader.report_at(node, list.attribute, fault);
             return None;
@@ -98,9 +103,9 @@
         all_defined.then_some(listed)
     }
 
-    /// Each of the zones with each of the tenants that two attributes list.
+    /// Reads the pairs of each zone in the attribute `zones` with each tenant in the attribute `firms`.
     pub(super) fn pairs(&self, node: Node<'_, '_>) -> Option<PairSet> {
-        let zones = self.listed(
+        let zones = self.read_name_list(
             node,
             &NameList {
                 attribute: "zones",
@@ -108,7 +113,7 @@
                 names: &self.places.zones,
             },
         );
-        let tenants = self.listed(
+        let tenants = self.read_name_list(
             node,
             &NameList {
                 attribute: "firms",
@@ -117,9 +122,7 @@
             },
         );
         let (zones, tenants) = zones.zip(tenants)?;
-        let with_each_tenant = |zone: bool| tenants.iter().map(move |tenant| zone && *tenant);
-        Some(PairSet(
-            zones.into_iter().flat_map(with_each_tenant).collect(),
-        ))
+        let pairs_of_zone = |zone: bool| tenants.iter().map(move |tenant| zone && *tenant);
+        Some(PairSet(zones.into_iter().flat_map(pairs_of_zone).collect()))
     }
 }
--- a/crates/operator-config/src/releases/freezes.rs
+++ b/crates/operator-config/src/releases/freezes.rs
@@ -1,14 +1,14 @@
-//! The element `<freeze>`: windows of time in which no build goes further.
+//! The element `<freeze>`: windows of time in which builds are not released to new users.
 use lilacgate_releases::calendar::{self, Schedule, TimeZone};
 use lilacgate_releases::model::{Freeze, ServiceId};
 use roxmltree::Node;
 
-use super::{Placed, ReleasesReader};
+use super::{ReleasesReader, RuleElement};
 use crate::places;
 use crate::xml::{AttributeError, FaultKind};
 
-/// Whether builds on trial are closed to those who have them.
-fn read_closes(text: &str) -> Result<bool, AttributeError> {
+/// Reads whether canaries are also closed to those who have them.
+fn read_closes_canary(text: &str) -> Result<bool, AttributeError> {
     match text {
         "hold" => Ok(false),
         "close" => Ok(true),
@@ -22,7 +22,7 @@
         reader.check_attributes(node, &["name", "service", "zones", "firms", "keeps"]);
         let name = reader.required(node, "name", places::read_name);
         let service = self.frozen_service(node);
-        let closes = reader.optional(node, "keeps", read_closes);
+        let closes = reader.optional(node, "keeps", read_closes_canary);
         let pairs = self.pairs(node);
         let windows = reader.children(node, &["once", "weekly", "yearly", "declared"]);
         let [window] = windows[..] else {
@@ -38,8 +38,8 @@
         })
     }
 
-    /// The service that a freeze is of, `Some(None)` for all. `None` if the service is defined nowhere, which must
-    /// not make it a freeze of all.
+    /// Reads the service that a freeze applies to: `Some(None)` for all services, and `None` if the service is not
+    /// defined, so that the freeze does not apply to all services by mistake.
     fn frozen_service(&self, node: Node<'_, '_>) -> Option<Option<ServiceId>> {
         if node.attribute("service").is_none() {
             return Some(None);
@@ -67,7 +67,7 @@
     }
 
     fn window_time_zone(&self) -> Option<TimeZone> {
-        // One that is unknown has been reported.
+        // An unknown time zone has already been reported.
         if self.node.attribute("time-zone").is_none() {
             self.reader
                 .report(self.node, FaultKind::WindowsNeedTimeZone);
@@ -76,10 +76,12 @@
     }
 
     fn one_time(&self, node: Node<'_, '_>, zone: &TimeZone) -> Option<Schedule> {
-        let from = self.reader.required(node, "from", calendar::date_time);
-        let to = self.reader.required(node, "to", calendar::date_time);
-        let from = calendar::earliest(zone, from?);
-        let to = calendar::latest(zone, to?);
+        let from = self
+            .reader
+            .required(node, "from", calendar::parse_date_time);
+        let to = self.reader.required(node, "to", calendar::parse_date_time);
+        let from = calendar::earliest_instant(zone, from?);
+        let to = calendar::latest_instant(zone, to?);
         if from >= to {
             let fault = FaultKind::ContradictingAttribute {
                 attribute: "to",
@@ -92,8 +94,10 @@
     }
 
     fn weekly(&self, node: Node<'_, '_>, zone: TimeZone) -> Option<Schedule> {
-        let from = self.reader.required(node, "from", calendar::week_time);
-        let to = self.reader.required(node, "to", calendar::week_time);
+        let from = self
+            .reader
+            .required(node, "from", calendar::parse_week_time);
+        let to = self.reader.required(node, "to", calendar::parse_week_time);
         Some(Schedule::Weekly {
             zone,
             from: from?,
@@ -102,8 +106,10 @@
     }
 
     fn yearly(&self, node: Node<'_, '_>, zone: TimeZone) -> Option<Schedule> {
-        let from = self.reader.required(node, "from", calendar::year_time);
-        let to = self.reader.required(node, "to", calendar::year_time);
+        let from = self
+            .reader
+            .required(node, "from", calendar::parse_year_time);
+        let to = self.reader.required(node, "to", calendar::parse_year_time);
         Some(Schedule::Yearly {
             zone,
             from: from?,
@@ -111,7 +117,7 @@
         })
     }
 
-    pub(super) fn check_freeze_names(&self, freezes: &[Placed<'_, Freeze>]) {
+    pub(super) fn check_freeze_names(&self, freezes: &[RuleElement<'_, Freeze>]) {
         for (index, freeze) in freezes.iter().enumerate() {
             let name = &freeze.rule.name;
             let earlier = &freezes[..index];
--- a/crates/operator-config/src/releases/ladders.rs
+++ b/crates/operator-config/src/releases/ladders.rs
@@ -1,17 +1,17 @@
-//! The element `<ladder>`: the rings to which the builds of a service come, one after the other.
+//! The element `<ladder>`: the rings that get the builds of a service one after the other.
 use lilacgate_decision::{RequestClass, Stage};
 use lilacgate_releases::calendar;
 use lilacgate_releases::model::{Ladder, PairSet, Ring, Rules};
 use roxmltree::Node;
 
 use super::attributes::NameList;
-use super::{Placed, ReleasesReader};
+use super::{ReleasesReader, RuleElement};
 use crate::places;
 use crate::xml::{AttributeError, FaultKind};
 
-/// The most rings of a ladder.
+/// The number of rings that a ladder may have.
 const MAX_RINGS: usize = 64;
-/// The stages that a ring may have, in words. The number beyond them stands for the release.
+/// The accepted stages, in words, for error messages. Stage 255 stands for the release.
 const STAGES: &str = "a stage, 0 to 254";
 
 fn read_stage(text: &str) -> Result<u8, AttributeError> {
@@ -23,7 +23,7 @@
         let reader = self.reader;
         reader.check_attributes(node, &["service", "from", "to", "settles"]);
         let service = reader.required(node, "service", |text| self.find_service(text));
-        let settles = reader.optional(node, "settles", calendar::span);
+        let settles = reader.optional(node, "settles", calendar::parse_span);
         let children = reader.children(node, &["ring"]);
         if children.is_empty() {
             reader.report(node, FaultKind::MissingElement("ring"));
@@ -47,7 +47,7 @@
             if rings.last().is_some_and(|last| last.stage > ring.stage) {
                 let fault = FaultKind::ContradictingAttribute {
                     attribute: "stage",
-                    expected: "one not before that of the ring before",
+                    expected: "a stage not below that of the previous ring",
                 };
                 self.reader.report_at(*node, "stage", fault);
             }
@@ -68,7 +68,7 @@
         reader.check_attributes(node, &["name", "stage", "after", "products"]);
         let name = reader.required(node, "name", places::read_name);
         let stage = reader.required(node, "stage", read_stage);
-        let after = reader.optional(node, "after", calendar::span);
+        let after = reader.optional(node, "after", calendar::parse_span);
         let request_classes = self.request_classes(node)?;
         let pairs = self.ring_pairs(node)?;
         Some(Ring {
@@ -80,9 +80,9 @@
         })
     }
 
-    /// The request classes that an attribute lists, as bits.
+    /// Reads the request classes that the attribute `products` lists, as bits.
     fn request_classes(&self, node: Node<'_, '_>) -> Option<u64> {
-        let listed = self.listed(
+        let listed = self.read_name_list(
             node,
             &NameList {
                 attribute: "products",
@@ -125,7 +125,7 @@
         Some(Stage(stage))
     }
 
-    pub(super) fn check_overlaps(&self, ladders: &[Placed<'_, Ladder>]) {
+    pub(super) fn check_overlaps(&self, ladders: &[RuleElement<'_, Ladder>]) {
         for (index, ladder) in ladders.iter().enumerate() {
             let earlier = &ladders[..index];
             if earlier
--- a/crates/operator-config/src/releases/mod.rs
+++ b/crates/operator-config/src/releases/mod.rs
@@ -1,6 +1,6 @@
-//! The element `<releases>`: services and where their release control planes listen, the order in which builds come
-//! to rings, dependencies and freezes. It becomes [`lilacgate_releases::model::Rules`]; what contradicts itself is
-//! reported. What the rules then permit is decided elsewhere.
+//! The element `<releases>`: services with the addresses of their release control planes, ladders, dependencies and
+//! freezes. It is read into [`lilacgate_releases::model::Rules`], and contradictions are reported. The crate
+//! `lilacgate-releases` decides what the rules permit.
 
 mod attributes;
 mod dependencies;
@@ -18,32 +18,32 @@
 use crate::timeline::read_absolute_path;
 use crate::xml::{AttributeError, FaultKind, XmlReader};
 
-/// The most services.
+/// The number of services that a file may define.
 const MAX_SERVICES: usize = 64;
-/// The most ladders, needs and freezes each: what one core looks through within a round.
+/// The number of ladders, of needs and of freezes that a file may define. One core can evaluate them within a round.
 const MAX_RULES: usize = 1024;
 
-/// Where the release control plane of another service listens.
+/// The release control plane of another service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ControlPlane {
-    /// The service.
+    /// The service whose releases it controls.
     pub service: ServiceId,
-    /// The address.
+    /// The address on which it listens.
     pub address: SocketAddr,
 }
 
-/// What the operator orders of releases.
+/// The content of the element `<releases>`.
 #[derive(Clone, Debug)]
 pub struct Releases {
-    /// The rules.
+    /// The rules of the release gate.
     pub rules: Rules,
-    /// Where the release control planes of other services listen.
+    /// The release control planes of other services.
     pub control_planes: Vec<ControlPlane>,
-    /// Where an agent writes its state on request; nowhere if the file names no path.
-    pub state: Option<PathBuf>,
+    /// The file to which an agent writes its gate's state on request; if `None`, it writes none.
+    pub state_path: Option<PathBuf>,
 }
 
-/// The element `<releases>` that is being read.
+/// Reads the element `<releases>`.
 struct ReleasesReader<'r, 'a> {
     reader: &'r XmlReader<'a>,
     node: Node<'r, 'r>,
@@ -55,8 +55,8 @@
     control_planes: Vec<ControlPlane>,
 }
 
-/// A rule and its element, for faults that show only when all rules have been read.
-struct Placed<'r, T> {
+/// A rule and its element, for faults that are found only after all rules have been read.
+struct RuleElement<'r, T> {
     node: Node<'r, 'r>,
     rule: T,
 }
@@ -73,7 +73,7 @@
         node,
         children,
         places,
-        time_zone: reader.optional(node, "time-zone", calendar::time_zone),
+        time_zone: reader.optional(node, "time-zone", calendar::parse_time_zone),
         services: Vec::new(),
         control_planes: Vec::new(),
     };
@@ -93,7 +93,7 @@
         self.check_freeze_names(&freezes);
         self.check_counts();
         let dependency_nodes: Vec<Node<'r, 'r>> =
-            dependencies.iter().map(|placed| placed.node).collect();
+            dependencies.iter().map(|element| element.node).collect();
         let rules = Rules {
             zones: self.places.zones.clone(),
             tenants: self.places.tenants.clone(),
@@ -108,23 +108,23 @@
         Some(Releases {
             rules,
             control_planes: self.control_planes,
-            state: reader.optional(self.node, "state", read_absolute_path),
+            state_path: reader.optional(self.node, "state", read_absolute_path),
         })
     }
 
-    fn elements(&self, name: &'static str) -> impl Iterator<Item = Node<'r, 'r>> {
+    fn children_named(&self, name: &'static str) -> impl Iterator<Item = Node<'r, 'r>> {
         let children = self.children.iter().copied();
         children.filter(move |child| child.tag_name().name() == name)
     }
 
-    /// All elements of a name that can be used.
+    /// Reads all elements with a name, and leaves out those with faults.
     fn read_all<T>(
         &self,
         name: &'static str,
         read: impl Fn(Node<'r, 'r>) -> Option<T>,
-    ) -> Vec<Placed<'r, T>> {
-        let placed = |node| read(node).map(|rule| Placed { node, rule });
-        self.elements(name).filter_map(placed).collect()
+    ) -> Vec<RuleElement<'r, T>> {
+        let rule_element = |node| read(node).map(|rule| RuleElement { node, rule });
+        self.children_named(name).filter_map(rule_element).collect()
     }
 
     fn find_service(&self, name: &str) -> Result<ServiceId, AttributeError> {
@@ -140,7 +140,7 @@
     }
 
     fn read_services(&mut self) {
-        let nodes: Vec<Node<'r, 'r>> = self.elements("service").collect();
+        let nodes: Vec<Node<'r, 'r>> = self.children_named("service").collect();
         for node in nodes {
             self.read_service(node);
         }
@@ -165,7 +165,7 @@
             .extend(address.map(|address| ControlPlane { service, address }));
     }
 
-    /// The address of the own service's release control plane is in the start file.
+    /// Reports an address of the own service's release control plane, which is given in the start file.
     fn check_own_control_plane(&self, own: Option<ServiceId>) {
         let own_control_plane = self
             .control_planes
@@ -187,24 +187,30 @@
             ("needs", MAX_RULES),
             ("freeze", MAX_RULES),
         ];
-        for (element, most) in limits {
-            let count = self.elements(element).count();
-            self.check_count(self.node, element, count, most);
+        for (element, max_count) in limits {
+            let count = self.children_named(element).count();
+            self.check_count(self.node, element, count, max_count);
         }
     }
 
-    fn check_count(&self, node: Node<'_, '_>, element: &'static str, count: usize, most: usize) {
-        if count > most {
+    fn check_count(
+        &self,
+        node: Node<'_, '_>,
+        element: &'static str,
+        count: usize,
+        max_count: usize,
+    ) {
+        if count > max_count {
             let fault = FaultKind::TooManyElements {
                 element,
                 count,
-                most,
+                max_count,
             };
             self.reader.report(node, fault);
         }
     }
 }
 
-fn rules_of<T>(placed: Vec<Placed<'_, T>>) -> Vec<T> {
-    placed.into_iter().map(|placed| placed.rule).collect()
+fn rules_of<T>(elements: Vec<RuleElement<'_, T>>) -> Vec<T> {
+    elements.into_iter().map(|element| element.rule).collect()
 }
--- a/crates/releases/src/planner/conflict.rs
+++ b/crates/releases/src/planner/conflict.rs
@@ -3,33 +3,33 @@
 
 use super::{Conflict, Problem, Statement, schedule};
 
-/// The most sets that the search for a smaller conflict tries.
-const MAX_TRIES: usize = 20_000;
+/// The number of sets that the search for a smaller conflict tries before it gives up.
+const MAX_CANDIDATE_SETS: usize = 20_000;
 
-/// A smallest set of statements in conflict: first one of which none can be left out, then, as far as the tries reach,
-/// a smaller one.
+/// Finds a small set of statements in conflict. It first reduces all statements to a set from which none can be
+/// removed, then searches for a smaller set within the bound of [`MAX_CANDIDATE_SETS`].
 pub(super) fn find(problem: Problem<'_>, all: &BTreeSet<Statement>) -> Conflict {
     let irreducible = irreducible(problem, all);
     let mut search = SmallerSearch {
         problem,
-        tries_left: MAX_TRIES,
+        candidates_left: MAX_CANDIDATE_SETS,
     };
-    let universe: Vec<Statement> = all.iter().copied().collect();
+    let statements: Vec<Statement> = all.iter().copied().collect();
     for size in 1..irreducible.len() {
-        match search.find(&universe, size, &mut BTreeSet::new()) {
+        match search.find(&statements, size, &mut BTreeSet::new()) {
             Some(smaller) => {
                 return Conflict {
                     statements: smaller.into_iter().collect(),
                     is_smallest: true,
                 };
             }
-            None if search.tries_left == 0 => break,
+            None if search.candidates_left == 0 => break,
             None => {}
         }
     }
     Conflict {
         statements: irreducible.into_iter().collect(),
-        is_smallest: search.tries_left > 0,
+        is_smallest: search.candidates_left > 0,
     }
 }
 
@@ -37,7 +37,7 @@
     schedule::earliest_times(problem, statements).is_none()
 }
 
-/// A set in conflict of which no statement can be left out.
+/// A set in conflict from which no statement can be removed.
 fn irreducible(problem: Problem<'_>, all: &BTreeSet<Statement>) -> BTreeSet<Statement> {
     let mut set = all.clone();
     for statement in all {
@@ -49,15 +49,15 @@
     set
 }
 
-/// The search through all sets of a size.
+/// A search through all sets of a given size.
 struct SmallerSearch<'a> {
     problem: Problem<'a>,
-    tries_left: usize,
+    candidates_left: usize,
 }
 
 impl SmallerSearch<'_> {
-    /// A set of this size in conflict that consists of `chosen` and statements of `rest`, if there is one and the tries
-    /// last.
+    /// Finds a conflicting set of this size that consists of `chosen` and statements of `rest`; `None` if there is none
+    /// or the bound of the search is reached.
     fn find(
         &mut self,
         rest: &[Statement],
@@ -65,11 +65,11 @@
         chosen: &mut BTreeSet<Statement>,
     ) -> Option<BTreeSet<Statement>> {
         if chosen.len() == size {
-            self.tries_left = self.tries_left.saturating_sub(1);
+            self.candidates_left = self.candidates_left.saturating_sub(1);
             return is_conflict(self.problem, chosen).then(|| chosen.clone());
         }
         for (i, statement) in rest.iter().enumerate() {
-            if self.tries_left == 0 || rest.len() - i < size - chosen.len() {
+            if self.candidates_left == 0 || rest.len() - i < size - chosen.len() {
                 return None;
             }
             chosen.insert(*statement);
--- a/crates/releases/tests/laws/plan.rs
+++ b/crates/releases/tests/laws/plan.rs
@@ -1,4 +1,4 @@
-//! Laws of the planner.
+//! Properties of the planner.
 use std::collections::{BTreeMap, BTreeSet};
 
 use lilacgate_decision::{Build, ReleasePhase, RequestClass, Stage, Tenant, Zone};
@@ -10,11 +10,11 @@
 use proptest::prelude::*;
 
 use crate::generated::{TENANTS, ZONES, config, goals, rules, seconds};
-use crate::reference_plan::by_trying;
+use crate::reference_plan::earliest_by_exhaustive_search;
 
 const OWN_SERVICE: ServiceId = ServiceId(0);
 
-/// The rules with some of their dependencies and freezes alone.
+/// The rules with only those dependencies and freezes for which `keep` is true.
 fn reduced(rules: &Rules, keep: impl Fn(Statement) -> bool) -> Rules {
     let mut less = rules.clone();
     let mut index = 0..;
@@ -30,20 +30,20 @@
     matches!(statement, Statement::Dependency(_) | Statement::Freeze(_))
 }
 
-/// A gate whose own service follows a plan.
-struct Follower {
+/// A gate that receives the release statuses of a plan's steps.
+struct PlanFollower {
     gate: Gate,
     rules: Rules,
-    /// The stage of the canary.
+    /// The stage of the canary; `None` before its first ring.
     stage: Option<Stage>,
 }
 
-impl Follower {
+impl PlanFollower {
     fn announce(&mut self, service: ServiceId, status: ReleaseStatus) {
         self.gate.on_release_status(status.since, service, status);
     }
 
-    /// Checks that the canary may advance, if this agent sees any of it.
+    /// Checks that the canary may advance, if it is open to any requests.
     fn check_advance(&self, build: Build, planned: &PlannedStep) -> Result<(), TestCaseError> {
         if let Some(stage) = self.stage.filter(|_| self.gate.open_pairs(build) > 0) {
             let expected = PermittedAdvance { build, stage };
@@ -52,7 +52,7 @@
         Ok(())
     }
 
-    /// Checks that a ring's requests are admitted.
+    /// Checks that requests of all pairs and request classes of a ring are admitted.
     fn check_ring(
         &self,
         build: Build,
@@ -114,7 +114,7 @@
     fn plans_are_as_early_as_any(rules in rules(), goals in goals()) {
         let released = ReleasedBuilds::from([(ServiceId(2), Build(1))]);
         let found = plan(&rules, &released, &goals, seconds(0));
-        match by_trying(&rules, &released, &goals) {
+        match earliest_by_exhaustive_search(&rules, &released, &goals) {
             Some(times) => {
                 let plan = found.expect("there is a plan");
                 let steps = plan.steps.iter();
@@ -135,33 +135,33 @@
         let Err(conflict) = plan(&rules, &released, &goals, seconds(0)) else {
             return Ok(());
         };
-        // With the dependencies and freezes of the conflict alone there still is one; without any one of them there
-        // is not.
-        let held: BTreeSet<Statement> = conflict.statements.iter().copied().collect();
+        // With only the dependencies and freezes of the conflict there still is a conflict. Without any one of them
+        // this conflict is resolved.
+        let conflicting: BTreeSet<Statement> = conflict.statements.iter().copied().collect();
         prop_assert!(conflict.is_smallest);
-        let only_held = reduced(&rules, |statement| held.contains(&statement));
-        prop_assert!(plan(&only_held, &released, &goals, seconds(0)).is_err());
-        for removed in held.iter().copied().filter(|statement| is_rule(*statement)) {
-            let rest = reduced(&rules, |statement| held.contains(&statement) && statement != removed);
+        let only_conflicting = reduced(&rules, |statement| conflicting.contains(&statement));
+        prop_assert!(plan(&only_conflicting, &released, &goals, seconds(0)).is_err());
+        for removed in conflicting.iter().copied().filter(|statement| is_rule(*statement)) {
+            let rest = reduced(&rules, |statement| conflicting.contains(&statement) && statement != removed);
             let named = |(index, goal): (usize, &Goal)| Goal {
-                deadline: goal.deadline.filter(|_| held.contains(&Statement::Deadline(index))),
+                deadline: goal.deadline.filter(|_| conflicting.contains(&Statement::Deadline(index))),
                 ..*goal
             };
             let named: Vec<Goal> = goals.iter().enumerate().map(named).collect();
-            // Goals that the conflict does not name may stay out of reach.
+            // Goals that the conflict does not name may still be out of reach.
             let without = plan(&rest, &released, &named, seconds(0));
             let is_resolved = without.as_ref().map_or_else(
                 |other| {
                     let mut statements = other.statements.iter();
-                    !statements.all(|statement| held.contains(statement) || is_rule(*statement))
+                    !statements.all(|statement| conflicting.contains(statement) || is_rule(*statement))
                 },
                 |_| true,
             );
-            prop_assert!(is_resolved, "{:?} without {:?}: still {:?}", held, removed, without);
+            prop_assert!(is_resolved, "{:?} without {:?}: still {:?}", conflicting, removed, without);
         }
     }
 
-    /// The gate admits what is planned for its own service at the planned times, and permits the advance before it.
+    /// At the planned times the gate permits the canary to advance and admits the requests of the opened rings.
     #[test]
     fn the_gate_admits_the_plan(rules in rules(), build in 2u16..4) {
         let mut rules = rules;
@@ -179,7 +179,7 @@
         let Ok(found) = plan(&rules, &ReleasedBuilds::new(), &goals, seconds(0)) else {
             return Ok(());
         };
-        let mut follower = Follower {
+        let mut follower = PlanFollower {
             gate: Gate::new(rules.clone(), None, seconds(0)).expect("no cycle"),
             rules,
             stage: None,
