--- a/crates/agent/src/dispatcher.rs
+++ b/crates/agent/src/dispatcher.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use lilacgate_decision::{
-    Actions, AgentId, AttemptNumber, Build, EndpointId, Note, RequestId, Stage, TimerId, Vote,
+    Actions, AgentId, AttemptNumber, Build, Diagnostic, EndpointId, RequestId, Stage, TimerId, Vote,
 };
 
 use crate::event_loop::EventLoop;
@@ -185,9 +185,9 @@
             .send_vote(build, stage, vote);
     }
 
-    fn note(&mut self, note: Note) {
+    fn record_diagnostic(&mut self, diagnostic: Diagnostic) {
         self.dispatcher
             .recorder
-            .update(|book| book.record_note(self.now, note));
+            .update(|book| book.record_diagnostic(self.now, diagnostic));
     }
 }
--- a/crates/decision/src/actions.rs
+++ b/crates/decision/src/actions.rs
@@ -68,7 +68,7 @@
 
 /// Something worth recording beside the actions. Nothing depends on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Note {
+pub enum Diagnostic {
     /// An endpoint gets no requests for some time.
     Ejected {
         /// The endpoint.
@@ -79,7 +79,7 @@
         until: Duration,
     },
     /// An ejected endpoint is tried with a request.
-    Tried(EndpointId),
+    Probed(EndpointId),
     /// An ejected endpoint takes requests again.
     Readmitted(EndpointId),
     /// A request was given up, for this reason.
@@ -126,5 +126,5 @@
     fn vote(&mut self, build: Build, stage: Stage, vote: Vote);
 
     /// Records what happened beside the actions.
-    fn note(&mut self, _note: Note) {}
+    fn record_diagnostic(&mut self, _diagnostic: Diagnostic) {}
 }
--- a/crates/decision/src/engine/attempts.rs
+++ b/crates/decision/src/engine/attempts.rs
@@ -5,7 +5,7 @@
 use rand_pcg::Pcg64Mcg;
 
 use super::DecisionEngine;
-use crate::actions::{Actions, GiveUpReason, Note};
+use crate::actions::{Actions, Diagnostic, GiveUpReason};
 use crate::model::{AttemptNumber, EndpointId, EndpointStatus, Outcome, RequestId};
 use crate::policy::admission;
 use crate::policy::load_balancing::Choice;
@@ -148,7 +148,7 @@
     }
 
     fn give_up(&mut self, id: RequestId, reason: GiveUpReason, actions: &mut dyn Actions) {
-        actions.note(Note::GivenUp(reason));
+        actions.record_diagnostic(Diagnostic::GivenUp(reason));
         let Some(request) = self.requests.by_id.remove(&id) else {
             return;
         };
@@ -188,7 +188,7 @@
             was_ejected: record.is_ejected(),
         };
         if outstanding.was_ejected {
-            self.notes.push(Note::Tried(endpoint));
+            self.diagnostics.push(Diagnostic::Probed(endpoint));
         }
         let attempt_id = AttemptId {
             request: id,
--- a/crates/decision/src/engine/mod.rs
+++ b/crates/decision/src/engine/mod.rs
@@ -11,7 +11,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use crate::actions::{Actions, Note};
+use crate::actions::{Actions, Diagnostic};
 use crate::events::EventHandler;
 use crate::model::{EndpointId, EngineSettings, FleetPosition, RequestId, TimerId, Zone};
 use crate::policy::admission::Overload;
@@ -60,7 +60,7 @@
     load: LoadEstimate,
     schedule: Schedule,
     /// Notes of this round.
-    notes: Vec<Note>,
+    diagnostics: Vec<Diagnostic>,
 }
 
 impl DecisionEngine {
@@ -87,7 +87,7 @@
             demand: Demand::default(),
             load: LoadEstimate::default(),
             schedule: Schedule::default(),
-            notes: Vec::new(),
+            diagnostics: Vec::new(),
         }
     }
 
@@ -111,7 +111,9 @@
         let check_at = self.attend_requests(actions);
         let mut is_awake = !self.requests.by_id.is_empty() || self.schedule.events > 0;
         is_awake |= self.attend_release(actions);
-        self.notes.drain(..).for_each(|note| actions.note(note));
+        self.diagnostics
+            .drain(..)
+            .for_each(|diagnostic| actions.record_diagnostic(diagnostic));
         self.schedule_wake_up(check_at, is_awake, actions);
     }
 
--- a/crates/decision/src/engine/outcomes.rs
+++ b/crates/decision/src/engine/outcomes.rs
@@ -50,9 +50,10 @@
                 record.health.on_served(now, ended.took, ended.attempt.work);
             }
             if is_served {
-                self.notes.extend(outlier_ejection::readmit(record, now));
+                self.diagnostics
+                    .extend(outlier_ejection::readmit(record, now));
             }
-            self.notes
+            self.diagnostics
                 .extend(outlier_ejection::eject_outlier(record, now, outcome, peers));
         }
         self.schedule.events += 1;
--- a/crates/decision/src/engine/refresh.rs
+++ b/crates/decision/src/engine/refresh.rs
@@ -55,7 +55,7 @@
             self.now,
             max_silence,
             resumed_at,
-            &mut self.notes,
+            &mut self.diagnostics,
         );
     }
 
--- a/crates/decision/src/lib.rs
+++ b/crates/decision/src/lib.rs
@@ -18,7 +18,7 @@
 mod release_permissions;
 mod state;
 
-pub use actions::{Actions, EjectionReason, GiveUpReason, Note};
+pub use actions::{Actions, Diagnostic, EjectionReason, GiveUpReason};
 pub use engine::DecisionEngine;
 pub use events::EventHandler;
 pub use model::{
--- a/crates/decision/src/policy/outlier_ejection.rs
+++ b/crates/decision/src/policy/outlier_ejection.rs
@@ -1,7 +1,7 @@
 //! Outlier ejection: endpoints that fail, break connections or fall silent get no requests for some time.
 use std::time::Duration;
 
-use crate::actions::{EjectionReason, Note};
+use crate::actions::{Diagnostic, EjectionReason};
 use crate::model::{EndpointId, Outcome};
 use crate::state::endpoint_record::{EndpointHealth, EndpointRecord};
 use crate::state::endpoint_table::{EndpointTable, PeerFailures};
@@ -40,14 +40,14 @@
     now: Duration,
     endpoint: EndpointId,
     reason: EjectionReason,
-) -> Option<Note> {
+) -> Option<Diagnostic> {
     if now < health.ejected_until {
         return None;
     }
     let doubled = health.ejection_time * 2;
     health.ejection_time = doubled.clamp(MIN_EJECTION_TIME, MAX_EJECTION_TIME);
     health.ejected_until = now + health.ejection_time;
-    Some(Note::Ejected {
+    Some(Diagnostic::Ejected {
         endpoint,
         reason,
         until: health.ejected_until,
@@ -63,14 +63,14 @@
     now: Duration,
     max_silence: f64,
     resumed_at: Duration,
-    notes: &mut Vec<Note>,
+    diagnostics: &mut Vec<Diagnostic>,
 ) {
     for (&id, record) in &mut endpoints.records {
         let silence = record
             .silent_since()
             .map(|since| now.saturating_sub(since.max(resumed_at)).as_secs_f64());
         if silence.is_some_and(|silence| silence > max_silence) {
-            notes.extend(eject(&mut record.health, now, id, EjectionReason::Silence));
+            diagnostics.extend(eject(&mut record.health, now, id, EjectionReason::Silence));
         }
     }
 }
@@ -81,12 +81,12 @@
 }
 
 /// Readmits an endpoint that has served a request after its ejection.
-pub(crate) fn readmit(record: &mut EndpointRecord, now: Duration) -> Option<Note> {
+pub(crate) fn readmit(record: &mut EndpointRecord, now: Duration) -> Option<Diagnostic> {
     if !record.is_ejected() || now < record.health.ejected_until {
         return None;
     }
     record.health.ejection_time = Duration::ZERO;
-    Some(Note::Readmitted(record.id()))
+    Some(Diagnostic::Readmitted(record.id()))
 }
 
 /// Ejects an endpoint that breaks connections, or fails far more than others of its build. A build as a whole is
@@ -96,7 +96,7 @@
     now: Duration,
     outcome: Outcome,
     peers: PeerFailures,
-) -> Option<Note> {
+) -> Option<Diagnostic> {
     let excess = if outcome == Outcome::Malformed {
         EXCESS_FAILURE_SHARE_MALFORMED
     } else {
--- a/crates/decision/tests/engine/same_decisions.rs
+++ b/crates/decision/tests/engine/same_decisions.rs
@@ -5,8 +5,8 @@
 
 use lilacgate_decision::{
     Actions, AgentId, AttemptNumber, Build, Cell, ClassPolicy, DecisionEngine, DeduplicationScope,
-    Endpoint, EndpointId, EndpointStatus, EventHandler, Idempotency, IdempotencyKey, ListUpdate,
-    MachineModel, Note, Outcome, ReleasePermissions, ReleasePhase, Request, RequestClass,
+    Diagnostic, Endpoint, EndpointId, EndpointStatus, EventHandler, Idempotency, IdempotencyKey,
+    ListUpdate, MachineModel, Outcome, ReleasePermissions, ReleasePhase, Request, RequestClass,
     RequestId, Stage, TimerId, Vote, Zone,
 };
 use rand::{RngExt, SeedableRng};
@@ -52,7 +52,7 @@
     DecisionEngine::new(settings)
 }
 
-/// The digests were recorded when votes, notes and log lines had these forms, which are kept here so that a
+/// The digests were recorded when votes, diagnostics and log lines had these forms, which are kept here so that a
 /// renamed variant does not change them.
 fn recorded_vote(vote: Vote) -> &'static str {
     match vote {
@@ -63,9 +63,9 @@
     }
 }
 
-fn recorded_note(note: Note) -> String {
-    match note {
-        Note::Ejected {
+fn recorded_diagnostic(diagnostic: Diagnostic) -> String {
+    match diagnostic {
+        Diagnostic::Ejected {
             endpoint,
             reason,
             until,
@@ -76,9 +76,9 @@
                 reason.as_str()
             )
         }
-        Note::Tried(endpoint) => format!("Tried(ApplianceId({}))", endpoint.0),
-        Note::Readmitted(endpoint) => format!("Unbarred(ApplianceId({}))", endpoint.0),
-        Note::GivenUp(reason) => format!("GivenUp({:?})", reason.as_str()),
+        Diagnostic::Probed(endpoint) => format!("Tried(ApplianceId({}))", endpoint.0),
+        Diagnostic::Readmitted(endpoint) => format!("Unbarred(ApplianceId({}))", endpoint.0),
+        Diagnostic::GivenUp(reason) => format!("GivenUp({:?})", reason.as_str()),
     }
 }
 
@@ -172,8 +172,8 @@
             recorded_vote(vote)
         ));
     }
-    fn note(&mut self, note: Note) {
-        self.add(&format!("note {}", recorded_note(note)));
+    fn record_diagnostic(&mut self, diagnostic: Diagnostic) {
+        self.add(&format!("note {}", recorded_diagnostic(diagnostic)));
     }
 }
 
--- a/crates/decision/tests/engine/scenarios/checks.rs
+++ b/crates/decision/tests/engine/scenarios/checks.rs
@@ -45,9 +45,12 @@
             ("noted", text) => {
                 let text = text.join(" ");
                 assert!(
-                    recorder.notes.iter().any(|note| note.contains(&text)),
+                    recorder
+                        .diagnostics
+                        .iter()
+                        .any(|diagnostic| diagnostic.contains(&text)),
                     "{:?}",
-                    recorder.notes
+                    recorder.diagnostics
                 );
             }
             ("test", [x_bad, x_all, y_bad, y_all, "p", p]) => {
--- a/crates/decision/tests/engine/scenarios/recorder.rs
+++ b/crates/decision/tests/engine/scenarios/recorder.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use lilacgate_decision::{
-    Actions, AgentId, AttemptNumber, Build, EndpointId, Note, RequestId, Stage, TimerId, Vote,
+    Actions, AgentId, AttemptNumber, Build, Diagnostic, EndpointId, RequestId, Stage, TimerId, Vote,
 };
 use lilacgate_timeline::fleet_timeline::{FleetTimeline, MemoryLimits};
 use lilacgate_timeline::monitor::MonitorConfig;
@@ -38,7 +38,7 @@
     /// The decisions since they were last cleared, and all since the start.
     pub(super) recent: Vec<String>,
     pub(super) all: Vec<String>,
-    pub(super) notes: Vec<String>,
+    pub(super) diagnostics: Vec<String>,
     pub(super) in_flight: VecDeque<Sent>,
     attempts: AttemptCounter,
 }
@@ -102,10 +102,10 @@
         self.add("watch".to_owned());
     }
     fn fetch_endpoints(&mut self) {}
-    fn note(&mut self, note: Note) {
-        self.notes.push(format!("{note:?}"));
+    fn record_diagnostic(&mut self, diagnostic: Diagnostic) {
+        self.diagnostics.push(format!("{diagnostic:?}"));
         if let Some(record) = &mut self.record {
-            record.record_note(self.now, note);
+            record.record_diagnostic(self.now, diagnostic);
         }
     }
     fn vote(&mut self, build: Build, stage: Stage, vote: Vote) {
--- a/crates/store/tests/stored_form.rs
+++ b/crates/store/tests/stored_form.rs
@@ -7,9 +7,9 @@
 use std::time::Duration;
 
 use lilacgate_decision::{
-    AttemptNumber, Build, Cell, EjectionReason, Endpoint, EndpointId, EndpointStatus, GiveUpReason,
-    ListUpdate, MachineModel, Note, Outcome, ReleasePhase, RequestClass, RequestId, Stage, Vote,
-    Zone,
+    AttemptNumber, Build, Cell, Diagnostic, EjectionReason, Endpoint, EndpointId, EndpointStatus,
+    GiveUpReason, ListUpdate, MachineModel, Outcome, ReleasePhase, RequestClass, RequestId, Stage,
+    Vote, Zone,
 };
 use lilacgate_store::reader::{DamagedFile, read};
 use lilacgate_store::segment_format::{SegmentError, append_record, header};
@@ -49,7 +49,7 @@
     }
 }
 
-/// Releases, votes and notes, each kind of them once.
+/// Releases, votes and diagnostics, each kind of them once.
 fn record_decisions(timeline: &mut FleetTimeline, step: u32, now: Duration) {
     let (build, stage, endpoint) = (Build(2), Stage(1), EndpointId(2));
     let phase =
@@ -67,17 +67,17 @@
         150 => phase(timeline, ReleasePhase::RollingBack),
         160 => vote(timeline, Vote::Retract),
         170 => phase(timeline, ReleasePhase::Withdrawn),
-        200 => timeline.record_note(
+        200 => timeline.record_diagnostic(
             now,
-            Note::Ejected {
+            Diagnostic::Ejected {
                 endpoint,
                 reason: EjectionReason::FailureRate,
                 until: now + 40 * STEP,
             },
         ),
-        240 => timeline.record_note(now, Note::Tried(endpoint)),
-        250 => timeline.record_note(now, Note::Readmitted(endpoint)),
-        300 | 301 => timeline.record_note(now, Note::GivenUp(GiveUpReason::Overload)),
+        240 => timeline.record_diagnostic(now, Diagnostic::Probed(endpoint)),
+        250 => timeline.record_diagnostic(now, Diagnostic::Readmitted(endpoint)),
+        300 | 301 => timeline.record_diagnostic(now, Diagnostic::GivenUp(GiveUpReason::Overload)),
         400 => {
             let draining = endpoint_entry(2, EndpointStatus::Draining, None);
             timeline.apply_list_update(now, ListUpdate::Delta, &[draining]);
--- a/crates/timeline/src/fleet_timeline/decisions.rs
+++ b/crates/timeline/src/fleet_timeline/decisions.rs
@@ -1,7 +1,7 @@
 //! Records what the agent decides: ejections, votes, and where the release of a build stands.
 use std::time::Duration;
 
-use lilacgate_decision::{Build, EndpointId, Note, ReleasePhase, Stage, Vote};
+use lilacgate_decision::{Build, Diagnostic, EndpointId, ReleasePhase, Stage, Vote};
 
 use super::{FleetTimeline, stored_text};
 use crate::entry::{Entry, Event};
@@ -41,11 +41,11 @@
         }
     }
 
-    /// Records a note of the decision engine. Requests given up are counted, and recorded at the next tick.
-    pub fn record_note(&mut self, now: Duration, note: Note) {
+    /// Records a diagnostic of the decision engine. Requests given up are counted, and recorded at the next tick.
+    pub fn record_diagnostic(&mut self, now: Duration, diagnostic: Diagnostic) {
         let mut put = |endpoint: EndpointId, event| self.put_now(now, Some(endpoint.0), event);
-        match note {
-            Note::Ejected {
+        match diagnostic {
+            Diagnostic::Ejected {
                 endpoint,
                 reason,
                 until,
@@ -56,9 +56,9 @@
                     until,
                 },
             ),
-            Note::Tried(endpoint) => put(endpoint, Event::Probed),
-            Note::Readmitted(endpoint) => put(endpoint, Event::Readmitted),
-            Note::GivenUp(reason) => *self.given_up.entry(reason.as_str()).or_default() += 1,
+            Diagnostic::Probed(endpoint) => put(endpoint, Event::Probed),
+            Diagnostic::Readmitted(endpoint) => put(endpoint, Event::Readmitted),
+            Diagnostic::GivenUp(reason) => *self.given_up.entry(reason.as_str()).or_default() += 1,
         }
     }
 
