--- a/crates/agent/src/event_loop.rs
+++ b/crates/agent/src/event_loop.rs
@@ -181,7 +181,7 @@
         let event_loop = self.clone();
         self.enqueue(move |router| {
             event_loop.unanswered.remove(id);
-            router.on_client_left(id);
+            router.on_client_disconnected(id);
         });
     }
 
--- a/crates/agent/src/release_gate.rs
+++ b/crates/agent/src/release_gate.rs
@@ -289,9 +289,9 @@
         self.engine.on_response_started(id, attempt, endpoint, took);
     }
 
-    fn on_client_left(&mut self, id: RequestId) {
+    fn on_client_disconnected(&mut self, id: RequestId) {
         self.recorder.record(self.now, RequestEvent::Closed(id));
-        self.engine.on_client_left(id);
+        self.engine.on_client_disconnected(id);
     }
 
     fn may_send(&mut self, id: RequestId, attempt: AttemptNumber) -> bool {
--- a/crates/agent/tests/upstream.rs
+++ b/crates/agent/tests/upstream.rs
@@ -51,7 +51,7 @@
         self.outcome = Some(outcome);
     }
     fn on_response_started(&mut self, _: RequestId, _: AttemptNumber, _: EndpointId, _: Duration) {}
-    fn on_client_left(&mut self, _: RequestId) {}
+    fn on_client_disconnected(&mut self, _: RequestId) {}
     fn may_send(&mut self, _: RequestId, _: AttemptNumber) -> bool {
         self.may_send
     }
--- a/crates/decision/src/actions.rs
+++ b/crates/decision/src/actions.rs
@@ -12,7 +12,7 @@
     /// A connection to it could not be opened, or broke.
     ConnectionFailure,
     /// It has left several requests unanswered for far longer than usual.
-    Silence,
+    Unresponsive,
 }
 
 impl EjectionReason {
@@ -21,7 +21,7 @@
         match self {
             EjectionReason::FailureRate => "fails",
             EjectionReason::ConnectionFailure => "unlinked",
-            EjectionReason::Silence => "silent",
+            EjectionReason::Unresponsive => "silent",
         }
     }
 }
--- a/crates/decision/src/engine/event_handling.rs
+++ b/crates/decision/src/engine/event_handling.rs
@@ -59,7 +59,7 @@
         endpoint: EndpointId,
         outcome: Outcome,
         took: Duration,
-        closed: bool,
+        request_closed: bool,
     ) {
         let attempt_id = AttemptId {
             request: id,
@@ -79,7 +79,7 @@
                 took,
             });
         }
-        if closed {
+        if request_closed {
             self.requests.by_id.remove(&id);
         } else if let Some(request) = self.requests.by_id.get_mut(&id) {
             request.on_attempt_ended(attempt, outcome);
@@ -91,7 +91,7 @@
         self.requests.by_id.remove(&id);
     }
 
-    fn on_client_left(&mut self, id: RequestId) {
+    fn on_client_disconnected(&mut self, id: RequestId) {
         self.requests.by_id.remove(&id);
     }
 
--- a/crates/decision/src/events.rs
+++ b/crates/decision/src/events.rs
@@ -14,7 +14,7 @@
     /// A client sent a request.
     fn on_request(&mut self, id: RequestId, request: Request);
 
-    /// An attempt ended after `took`; `closed` if its request needs no answer any more.
+    /// An attempt ended after `took`; `request_closed` if its request needs no answer any more.
     fn on_attempt_ended(
         &mut self,
         id: RequestId,
@@ -22,7 +22,7 @@
         endpoint: EndpointId,
         outcome: Outcome,
         took: Duration,
-        closed: bool,
+        request_closed: bool,
     );
 
     /// The first part of an answer has gone to the client.
@@ -35,7 +35,7 @@
     );
 
     /// The client closed its connection.
-    fn on_client_left(&mut self, id: RequestId);
+    fn on_client_disconnected(&mut self, id: RequestId);
 
     /// Whether an attempt that waited for its connection may still be sent. If not, it ends as
     /// [`Outcome::NotSent`].
--- a/crates/decision/src/policy/outlier_ejection.rs
+++ b/crates/decision/src/policy/outlier_ejection.rs
@@ -67,10 +67,15 @@
 ) {
     for (&id, record) in &mut endpoints.records {
         let silence = record
-            .silent_since()
+            .unanswered_since()
             .map(|since| now.saturating_sub(since.max(resumed_at)).as_secs_f64());
         if silence.is_some_and(|silence| silence > max_silence) {
-            diagnostics.extend(eject(&mut record.health, now, id, EjectionReason::Silence));
+            diagnostics.extend(eject(
+                &mut record.health,
+                now,
+                id,
+                EjectionReason::Unresponsive,
+            ));
         }
     }
 }
--- a/crates/decision/src/state/endpoint_record.rs
+++ b/crates/decision/src/state/endpoint_record.rs
@@ -175,7 +175,7 @@
     }
 
     /// When the oldest of several outstanding attempts was sent, if there was no response since.
-    pub(crate) fn silent_since(&self) -> Option<Duration> {
+    pub(crate) fn unanswered_since(&self) -> Option<Duration> {
         let oldest = self
             .outstanding
             .values()
--- a/crates/decision/tests/engine/final_answers/mod.rs
+++ b/crates/decision/tests/engine/final_answers/mod.rs
@@ -183,7 +183,7 @@
         let id = *which.get(&self.pending.keys().copied().collect::<Vec<_>>());
         self.pending.remove(&id);
         self.answered.insert(id);
-        events.on_client_left(id);
+        events.on_client_disconnected(id);
     }
 
     fn shut_down(&mut self, at: Duration, events: &mut dyn EventHandler) {
--- a/crates/decision/tests/engine/scenarios/events.rs
+++ b/crates/decision/tests/engine/scenarios/events.rs
@@ -30,7 +30,7 @@
             ("burst", [count, class]) => self.burst(number(count), class),
             ("client-left", [id]) => {
                 let id = RequestId(number(id));
-                self.round(|events| events.on_client_left(id));
+                self.round(|events| events.on_client_disconnected(id));
             }
             ("ended", [which, at, how, took]) => self.end_attempt([which, at, how, took], false),
             ("ended", [which, at, how, took, "closed"]) => {
--- a/crates/simulator-adapter/src/delivery.rs
+++ b/crates/simulator-adapter/src/delivery.rs
@@ -82,7 +82,7 @@
             endpoint,
             took,
         } => handler.on_response_started(id, attempt, endpoint, took),
-        Event::ClientLeft(id) => handler.on_client_left(id),
+        Event::ClientLeft(id) => handler.on_client_disconnected(id),
         Event::WakeUp(timer) => handler.on_wake_up(timer),
         Event::HealthCheck {
             endpoint,
