--- a/crates/decision/src/engine/attempts.rs
+++ b/crates/decision/src/engine/attempts.rs
@@ -76,7 +76,7 @@
         let has_failed = request.last_outcome() == Some(Outcome::Failed);
         let policy = request.policy;
         let is_futile = has_failed && {
-            let success = self.demand.retry_success(self.now, self.load.few_requests);
+            let success = self.demand.retry_success(self.now, self.load.sample_period);
             self.random.random::<f64>() > retry::retry_probability(success)
         };
         if is_worthless {
@@ -142,7 +142,9 @@
             return false;
         };
         let catalog = &self.endpoints.catalog;
-        let mut places = catalog.builds_and_zones(request.confinement()).peekable();
+        let mut places = catalog
+            .builds_and_zones(request.routing_constraint())
+            .peekable();
         places.peek().is_some()
             && !places.any(|(build, zone)| self.exposure.is_permitted(build, zone, request))
     }
--- a/crates/decision/src/engine/outcomes.rs
+++ b/crates/decision/src/engine/outcomes.rs
@@ -74,7 +74,7 @@
 
     fn record_demand(&mut self, attempt: EndedAttempt, work: f64) {
         self.demand
-            .on_attempt_ended(self.now, self.load.few_requests, attempt);
+            .on_attempt_ended(self.now, self.load.sample_period, attempt);
         if attempt.outcome == Outcome::Succeeded {
             self.demand.on_served(self.now, work);
             self.analysis.evidence.served_work.add(WorkSums {
@@ -100,8 +100,8 @@
         } else {
             Arm::Baseline
         };
-        let few_requests = self.load.few_requests;
-        let is_comparable = self.analysis.on_arm_answered(self.now, arm, few_requests);
+        let sample_period = self.load.sample_period;
+        let is_comparable = self.analysis.on_arm_answered(self.now, arm, sample_period);
         if arm == Arm::Baseline && !is_comparable {
             return;
         }
--- a/crates/decision/src/engine/refresh.rs
+++ b/crates/decision/src/engine/refresh.rs
@@ -8,7 +8,7 @@
 use crate::policy::outlier_ejection::{self, eject_silent, max_silence};
 use crate::policy::subsetting::{SubsetSelection, assigned_count};
 use crate::state::evidence::WorkSums;
-use crate::state::half_lives::{BASELINE, RECENT};
+use crate::state::half_lives::{BASELINE_HALF_LIFE, RECENT_HALF_LIFE};
 
 /// So many requests served are "a few".
 const FEW_REQUESTS: f64 = 5.0;
@@ -21,8 +21,8 @@
         self.refresh_load();
         self.eject_silent_endpoints();
         self.refresh_candidates();
-        let few_requests = Duration::from_secs_f64(FEW_REQUESTS / self.load.served_rate.max(1.0));
-        self.load.few_requests = few_requests.clamp(RECENT, BASELINE);
+        let sample_period = Duration::from_secs_f64(FEW_REQUESTS / self.load.served_rate.max(1.0));
+        self.load.sample_period = sample_period.clamp(RECENT_HALF_LIFE, BASELINE_HALF_LIFE);
         if let Some(status) = self.exposure.release_status {
             let paces = self.endpoints.paces_before(self.now, status.build);
             self.analysis.evidence.model_paces.extend(paces);
--- a/crates/decision/src/model/endpoint.rs
+++ b/crates/decision/src/model/endpoint.rs
@@ -57,7 +57,7 @@
 
 /// The zone and the cell that a request is confined to, if any.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Confinement {
+pub(crate) struct RoutingConstraint {
     pub(crate) zone: Option<Zone>,
     pub(crate) cell: Option<Cell>,
 }
--- a/crates/decision/src/model/mod.rs
+++ b/crates/decision/src/model/mod.rs
@@ -9,7 +9,7 @@
 mod settings;
 
 pub(crate) use arm::{Arm, PerArm};
-pub(crate) use endpoint::Confinement;
+pub(crate) use endpoint::RoutingConstraint;
 pub use endpoint::{Endpoint, EndpointStatus, ListUpdate};
 pub use fleet::FleetPosition;
 pub use ids::{
--- a/crates/decision/src/peer_reports/relays.rs
+++ b/crates/decision/src/peer_reports/relays.rs
@@ -94,7 +94,7 @@
     }
 
     /// Whether one agent may have to forward what another reports.
-    pub(crate) fn share_a_group(&self, one: AgentId, other: AgentId) -> bool {
+    pub(crate) fn are_in_same_group(&self, one: AgentId, other: AgentId) -> bool {
         let is_aggregator = self.aggregators.contains(&one) || self.aggregators.contains(&other);
         !is_aggregator && self.members(one).contains(&other.0)
     }
--- a/crates/decision/src/peer_reports/reporter.rs
+++ b/crates/decision/src/peer_reports/reporter.rs
@@ -138,7 +138,7 @@
         }
         let own_id = self.routing.fleet_position.own_id;
         let groups = self.routing.groups(now, header.build);
-        if groups.is_some_and(|groups| groups.share_a_group(own_id, from)) {
+        if groups.is_some_and(|groups| groups.are_in_same_group(own_id, from)) {
             self.on_received(from, version);
             self.aggregate.add(header.work, entries);
         }
--- a/crates/decision/src/policy/admission.rs
+++ b/crates/decision/src/policy/admission.rs
@@ -4,7 +4,7 @@
 use crate::model::ClassPolicy;
 use crate::state::demand::Demand;
 use crate::state::endpoint_table::EndpointTable;
-use crate::state::half_lives::RECENT;
+use crate::state::half_lives::RECENT_HALF_LIFE;
 use crate::state::load_estimate::LoadEstimate;
 
 /// Expected wait, as a share of the time left, at which rejections begin for requests without priority.
@@ -38,7 +38,7 @@
         // Nothing can have been served yet by an agent that has just come up.
         if self
             .started_at
-            .is_none_or(|started| self.now < started + RECENT)
+            .is_none_or(|started| self.now < started + RECENT_HALF_LIFE)
         {
             return 0.0;
         }
@@ -63,7 +63,7 @@
             .map(|class| class.priority_weight)
             .fold(f64::MIN_POSITIVE, f64::max);
         let wait_share = self.wait_share(objective_left);
-        let late_share = demand.late_share(self.now, self.load.few_requests);
+        let late_share = demand.late_share(self.now, self.load.sample_period);
         let bonus = PRIORITY_BONUS * policy.priority_weight / highest_priority;
         let overload = f64::max(
             (wait_share - TOLERATED_WAIT_SHARE - bonus) / WAIT_RANGE,
--- a/crates/decision/src/policy/load_balancing.rs
+++ b/crates/decision/src/policy/load_balancing.rs
@@ -13,7 +13,7 @@
 use crate::state::endpoint_record::EndpointRecord;
 use crate::state::endpoint_table::EndpointTable;
 use crate::state::evidence::Evidence;
-use crate::state::half_lives::{BASELINE, RECENT};
+use crate::state::half_lives::{BASELINE_HALF_LIFE, RECENT_HALF_LIFE};
 use crate::state::load_estimate::LoadEstimate;
 use crate::state::pending_requests::PendingRequest;
 
@@ -32,13 +32,13 @@
 
 /// An endpoint's own pace in the long run, drawn to that of all while it is little known.
 pub(crate) fn baseline_pace(record: &EndpointRecord, now: Duration, load: &LoadEstimate) -> f64 {
-    let own = record.health.baseline_pace.read(now, BASELINE);
+    let own = record.health.baseline_pace.read(now, BASELINE_HALF_LIFE);
     ((own.numerator + load.baseline_pace) / (own.denominator + 1.0)).max(MIN_PACE)
 }
 
 /// An endpoint's pace of late, drawn to its long-run one.
 pub(crate) fn recent_pace(record: &EndpointRecord, now: Duration, load: &LoadEstimate) -> f64 {
-    let own = record.health.recent_pace.read(now, RECENT);
+    let own = record.health.recent_pace.read(now, RECENT_HALF_LIFE);
     let prior = PACE_PRIOR_REQUESTS * load.mean_work;
     (own.numerator + prior * baseline_pace(record, now, load)) / (own.denominator + prior)
 }
--- a/crates/decision/src/policy/release_analysis.rs
+++ b/crates/decision/src/policy/release_analysis.rs
@@ -15,7 +15,7 @@
 use crate::state::evidence::{
     Evidence, OutcomeCounts, OutcomeEntry, OutcomeKey, ServedWork, WorkSums,
 };
-use crate::state::half_lives::REPORTED;
+use crate::state::half_lives::REPORTED_HALF_LIFE;
 use crate::state::load_estimate::LoadEstimate;
 use crate::state::votes::VotingState;
 
@@ -87,7 +87,7 @@
         stand_in_draw: f64,
     ) {
         // An agent that restarted amid a canary has no time before it to compare with.
-        let has_past = agent_started_at + REPORTED < now;
+        let has_past = agent_started_at + REPORTED_HALF_LIFE < now;
         let baseline_capacity = if has_past {
             demand.capacity_per_weight(now)
         } else {
@@ -142,10 +142,10 @@
         &mut self,
         now: Duration,
         arm: Arm,
-        few_requests: Duration,
+        sample_period: Duration,
     ) -> bool {
         self.evidence.last_outcome[arm] = Some(now);
-        let is_recent = |at: &Option<Duration>| at.is_some_and(|at| at + few_requests >= now);
+        let is_recent = |at: &Option<Duration>| at.is_some_and(|at| at + sample_period >= now);
         self.evidence.last_outcome.iter().all(is_recent)
     }
 
@@ -218,7 +218,7 @@
         }
         // What an agent that stood still did not serve in time is its own doing.
         let mut work = self.evidence.served_work.take_whole();
-        if now < resumed_at + REPORTED {
+        if now < resumed_at + REPORTED_HALF_LIFE {
             work = WorkSums::default();
         }
         self.evidence.served_work.pool(now, work);
--- a/crates/decision/src/policy/subsetting.rs
+++ b/crates/decision/src/policy/subsetting.rs
@@ -11,12 +11,12 @@
 use super::outlier_ejection::MAX_EJECTION_TIME;
 use super::slow_start::SlowStart;
 use crate::model::{Arm, Build, Endpoint, EndpointId, FleetPosition, PerArm, Zone};
-use crate::state::candidates::{Candidates, Reach, Subset};
+use crate::state::candidates::{Candidates, Subset, SubsetExtent};
 use crate::state::endpoint_catalog::{EndpointCatalog, WalkedEndpoints};
 use crate::state::endpoint_pool::{EndpointPool, rank_in};
 use crate::state::endpoint_record::EndpointRecord;
 use crate::state::endpoint_table::EndpointTable;
-use crate::state::half_lives::RECENT;
+use crate::state::half_lives::RECENT_HALF_LIFE;
 use crate::state::hash_ring::{Position, Side, nearest};
 use crate::state::load_estimate::LoadEstimate;
 use crate::state::pending_requests::PendingRequest;
@@ -52,14 +52,14 @@
     enough: Enough,
     /// An arm of up to so many endpoints is taken whole.
     max_whole: usize,
-    minimum: Reach,
+    minimum: SubsetExtent,
 }
 
 /// The part of one arm's ring around an agent's own place.
 struct Segment {
     /// In the order of the ring.
     members: Vec<EndpointId>,
-    reach: Reach,
+    extent: SubsetExtent,
     /// How many of the members can serve now.
     serving: usize,
     /// How many endpoints the arm has in all.
@@ -102,7 +102,7 @@
         let fraction = f64::from(fleet_position.own_id.0) / agent_count;
         let offset = fraction * arm_size as f64 - rank_in(pools.iter().copied(), place) as f64;
         Segment {
-            reach: Reach {
+            extent: SubsetExtent {
                 before: before.ids.len(),
                 after: after.ids.len(),
             },
@@ -145,8 +145,9 @@
     ) -> PerArm<usize> {
         self.resize(subset);
         let half = (subset.target_size / 2.0) as usize;
-        let segments = PerArm::from_fn(|arm| self.segment(arm, half, subset.reach[arm], endpoints));
-        subset.reach = PerArm::from_fn(|arm| segments[arm].reach);
+        let segments =
+            PerArm::from_fn(|arm| self.segment(arm, half, subset.extent[arm], endpoints));
+        subset.extent = PerArm::from_fn(|arm| segments[arm].extent);
         let serving: usize = segments.iter().map(|segment| segment.serving).sum();
         subset.is_full = serving >= half;
         let members = PerArm::from_fn(|arm| segments[arm].members.as_slice());
@@ -160,7 +161,7 @@
             .exposure
             .windows
             .started_at
-            .is_some_and(|started| started + RECENT <= self.now);
+            .is_some_and(|started| started + RECENT_HALF_LIFE <= self.now);
         let assigned = self.assigned_count;
         if is_known && subset.target_size < MIN_SIZE_PER_ASSIGNED * assigned {
             subset.target_size *= 2.0;
@@ -169,11 +170,17 @@
         }
     }
 
-    fn segment(&self, arm: Arm, half: usize, reach: Reach, endpoints: &EndpointTable) -> Segment {
+    fn segment(
+        &self,
+        arm: Arm,
+        half: usize,
+        extent: SubsetExtent,
+        endpoints: &EndpointTable,
+    ) -> Segment {
         let catalog = &endpoints.catalog;
         let has_warmed_up =
             |endpoint: &Endpoint| self.slow_start.capacity_share(endpoint.age(self.now)) >= 1.0;
-        let narrowed = |reach: usize| (reach * NARROWED_SIXTEENTHS / 16).max(1) - 1;
+        let narrowed = |extent: usize| (extent * NARROWED_SIXTEENTHS / 16).max(1) - 1;
         Segment::new(
             catalog,
             self.fleet_position,
@@ -188,9 +195,9 @@
                 // does so for a request that needs it.
                 enough: |taken, serving| serving >= half || taken >= MAX_WALK_FACTOR * half,
                 max_whole: 2 * half,
-                minimum: Reach {
-                    before: narrowed(reach.before),
-                    after: narrowed(reach.after),
+                minimum: SubsetExtent {
+                    before: narrowed(extent.before),
+                    after: narrowed(extent.after),
                 },
             },
         )
@@ -231,8 +238,12 @@
     } = rules;
     let admits = |build, zone| exposure.admits(build, zone, request);
     let from = Position(random.random());
-    let found =
-        endpoints.outside_subset(request.confinement(), from, MIN_ASSIGNED as usize, admits);
+    let found = endpoints.outside_subset(
+        request.routing_constraint(),
+        from,
+        MIN_ASSIGNED as usize,
+        admits,
+    );
     for endpoint in &found {
         let arm = exposure.arm(endpoint.build);
         let arm_share = match arm {
--- a/crates/decision/src/state/candidates.rs
+++ b/crates/decision/src/state/candidates.rs
@@ -25,7 +25,7 @@
 
 /// How many members of the subset lie on each side of the agent's place on the ring.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Reach {
+pub(crate) struct SubsetExtent {
     pub(crate) before: usize,
     pub(crate) after: usize,
 }
@@ -35,7 +35,7 @@
 pub(crate) struct Subset {
     /// How many members of each arm are wanted that can take a request.
     pub(crate) target_size: f64,
-    pub(crate) reach: PerArm<Reach>,
+    pub(crate) extent: PerArm<SubsetExtent>,
     /// Whether it has as many members as it should.
     pub(crate) is_full: bool,
     /// Endpoints that have left it and may have an open connection.
@@ -47,7 +47,7 @@
     pub(crate) fn new(target_size: f64) -> Self {
         Subset {
             target_size,
-            reach: PerArm::default(),
+            extent: PerArm::default(),
             is_full: false,
             removed: Vec::new(),
         }
--- a/crates/decision/src/state/decaying_sum.rs
+++ b/crates/decision/src/state/decaying_sum.rs
@@ -26,15 +26,15 @@
 
 /// Two numbers that are summed, or compared, together.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub(crate) struct Fraction {
+pub(crate) struct RatioSums {
     pub(crate) numerator: f64,
     pub(crate) denominator: f64,
 }
 
-impl Fraction {
+impl RatioSums {
     /// The sums of the numerators and of the denominators.
-    pub(crate) fn sum(all: impl Iterator<Item = Fraction>) -> Fraction {
-        all.fold(Fraction::default(), |sum, one| Fraction {
+    pub(crate) fn sum(all: impl Iterator<Item = RatioSums>) -> RatioSums {
+        all.fold(RatioSums::default(), |sum, one| RatioSums {
             numerator: sum.numerator + one.numerator,
             denominator: sum.denominator + one.denominator,
         })
@@ -50,8 +50,8 @@
 
 impl DecayingRatio {
     /// Both sums.
-    pub(crate) fn read(&self, now: Duration, half_life: Duration) -> Fraction {
-        Fraction {
+    pub(crate) fn read(&self, now: Duration, half_life: Duration) -> RatioSums {
+        RatioSums {
             numerator: self.numerator.read(now, half_life),
             denominator: self.denominator.read(now, half_life),
         }
--- a/crates/decision/src/state/demand.rs
+++ b/crates/decision/src/state/demand.rs
@@ -2,8 +2,8 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use super::decaying_sum::{DecayingRatio, DecayingSum, Fraction, decayed_duration};
-use super::half_lives::{BASELINE, RECENT};
+use super::decaying_sum::{DecayingRatio, DecayingSum, RatioSums, decayed_duration};
+use super::half_lives::{BASELINE_HALF_LIFE, RECENT_HALF_LIFE};
 use crate::model::{AttemptNumber, Outcome, Request, RequestClass};
 
 /// Half-life of the rates of requests and attempts served.
@@ -54,7 +54,8 @@
         accepts: impl Fn(RequestClass) -> bool,
     ) -> Option<f64> {
         let accepted = self.estimates.iter().filter(|(class, _)| accepts(**class));
-        let sums = Fraction::sum(accepted.map(|(_, estimates)| estimates.read(now, BASELINE)));
+        let sums =
+            RatioSums::sum(accepted.map(|(_, estimates)| estimates.read(now, BASELINE_HALF_LIFE)));
         (sums.denominator > 0.0).then(|| sums.numerator / sums.denominator)
     }
 
@@ -64,7 +65,7 @@
         if let Some(estimate) = request.estimated_work {
             self.estimates.entry(request.class).or_default().add(
                 now,
-                BASELINE,
+                BASELINE_HALF_LIFE,
                 estimate.as_secs_f64(),
                 1.0,
             );
@@ -75,27 +76,32 @@
             .or_else(|| self.mean_work(now, |class| class == request.class))
     }
 
-    /// Records how an attempt ended. `few_requests` is the half-life of what a few answers are to show.
+    /// Records how an attempt ended. `sample_period` is the half-life of what a few answers are to show.
     pub(crate) fn on_attempt_ended(
         &mut self,
         now: Duration,
-        few_requests: Duration,
+        sample_period: Duration,
         attempt: EndedAttempt,
     ) {
         let count = |yes: bool| f64::from(u8::from(yes));
         let is_served = attempt.outcome == Outcome::Succeeded;
         let is_rejected = attempt.outcome == Outcome::Rejected;
-        self.rejections.add(now, RECENT, count(is_rejected), 1.0);
-        self.connection_shortage
-            .add(now, BASELINE, count(attempt.lacked_connection), 1.0);
+        self.rejections
+            .add(now, RECENT_HALF_LIFE, count(is_rejected), 1.0);
+        self.connection_shortage.add(
+            now,
+            BASELINE_HALF_LIFE,
+            count(attempt.lacked_connection),
+            1.0,
+        );
         if is_served || attempt.outcome == Outcome::TimedOut {
             let is_late = !is_served || attempt.is_late;
             self.late_answers
-                .add(now, few_requests, count(is_late), 1.0);
+                .add(now, sample_period, count(is_late), 1.0);
         }
         let is_answered = matches!(attempt.outcome, Outcome::Succeeded | Outcome::Failed);
         if attempt.number.0 > 0 && is_answered {
-            self.retries.add(now, few_requests, count(is_served), 1.0);
+            self.retries.add(now, sample_period, count(is_served), 1.0);
         }
     }
 
@@ -106,8 +112,9 @@
         passed: Duration,
         listed_weight: f64,
     ) -> f64 {
-        let weight_seconds = decayed_duration(passed, BASELINE) * listed_weight;
-        self.carried.add(now, BASELINE, 0.0, weight_seconds);
+        let weight_seconds = decayed_duration(passed, BASELINE_HALF_LIFE) * listed_weight;
+        self.carried
+            .add(now, BASELINE_HALF_LIFE, 0.0, weight_seconds);
         let uptime = decayed_duration(passed, RATE_HALF_LIFE);
         self.uptime.add(now, RATE_HALF_LIFE, uptime);
         weight_seconds
@@ -115,21 +122,21 @@
 
     /// Records that work, in seconds, was served.
     pub(crate) fn on_served(&mut self, now: Duration, work: f64) {
-        self.recently_served.add(now, RECENT, 1.0);
-        self.carried.add(now, BASELINE, work, 0.0);
+        self.recently_served.add(now, RECENT_HALF_LIFE, 1.0);
+        self.carried.add(now, BASELINE_HALF_LIFE, work, 0.0);
         self.served_and_received.add(now, RATE_HALF_LIFE, 1.0, 0.0);
     }
 
     /// Served work in seconds for each unit of listed weight and second.
     pub(crate) fn capacity_per_weight(&self, now: Duration) -> f64 {
-        let carried = self.carried.read(now, BASELINE);
+        let carried = self.carried.read(now, BASELINE_HALF_LIFE);
         carried.numerator / carried.denominator.max(1e-9)
     }
 
     /// Attempts served a second, of late.
     pub(crate) fn served_rate(&self, now: Duration) -> f64 {
-        let served = self.recently_served.read(now, RECENT);
-        served * std::f64::consts::LN_2 / RECENT.as_secs_f64()
+        let served = self.recently_served.read(now, RECENT_HALF_LIFE);
+        served * std::f64::consts::LN_2 / RECENT_HALF_LIFE.as_secs_f64()
     }
 
     /// Requests received a second, over the time that the agent has been up: one that has just started
@@ -142,21 +149,21 @@
     /// Share of attempts that found no connection where connections are short.
     pub(crate) fn connection_shortage(&self, now: Duration) -> f64 {
         self.connection_shortage
-            .share(now, BASELINE, PRIOR_ATTEMPTS)
+            .share(now, BASELINE_HALF_LIFE, PRIOR_ATTEMPTS)
     }
 
     /// Share of attempts that an endpoint rejected.
     pub(crate) fn rejected_share(&self, now: Duration) -> f64 {
-        self.rejections.share(now, RECENT, 1.0)
+        self.rejections.share(now, RECENT_HALF_LIFE, 1.0)
     }
 
     /// Share of answers that came after the latency objective or not at all.
-    pub(crate) fn late_share(&self, now: Duration, few_requests: Duration) -> f64 {
-        self.late_answers.share(now, few_requests, PRIOR_ATTEMPTS)
+    pub(crate) fn late_share(&self, now: Duration, sample_period: Duration) -> f64 {
+        self.late_answers.share(now, sample_period, PRIOR_ATTEMPTS)
     }
 
     /// Share of retries that were served, 1 while there was none.
-    pub(crate) fn retry_success(&self, now: Duration, few_requests: Duration) -> f64 {
-        self.retries.optimistic_share(now, few_requests)
+    pub(crate) fn retry_success(&self, now: Duration, sample_period: Duration) -> f64 {
+        self.retries.optimistic_share(now, sample_period)
     }
 }
--- a/crates/decision/src/state/endpoint_catalog.rs
+++ b/crates/decision/src/state/endpoint_catalog.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use super::endpoint_pool::{EndpointPool, insert_sorted, remove_sorted};
-use crate::model::{Build, Cell, Confinement, Endpoint, EndpointId, EndpointStatus, Zone};
+use crate::model::{Build, Cell, Endpoint, EndpointId, EndpointStatus, RoutingConstraint, Zone};
 
 /// Up to so many changes are made one by one; for more, the indexes are rebuilt.
 const MAX_SINGLE_CHANGES: usize = 32;
@@ -99,9 +99,9 @@
     /// The builds and zones of the ready endpoints that a request may go to.
     pub(crate) fn builds_and_zones(
         &self,
-        confinement: Confinement,
+        routing_constraint: RoutingConstraint,
     ) -> impl Iterator<Item = (Build, Zone)> {
-        let Confinement { zone, cell } = confinement;
+        let RoutingConstraint { zone, cell } = routing_constraint;
         let by_cell = cell
             .into_iter()
             .flat_map(|cell| self.in_cell(cell, 0))
--- a/crates/decision/src/state/endpoint_record.rs
+++ b/crates/decision/src/state/endpoint_record.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::decaying_sum::DecayingRatio;
-use super::half_lives::{BASELINE, RECENT};
+use super::half_lives::{BASELINE_HALF_LIFE, RECENT_HALF_LIFE};
 use crate::model::{AttemptNumber, Build, Endpoint, EndpointId, Outcome, RequestClass, RequestId};
 
 /// An attempt of a request.
@@ -67,20 +67,20 @@
         }
         if !matches!(outcome, Outcome::Cancelled | Outcome::NotSent) {
             let failed = f64::from(u8::from(outcome != Outcome::Succeeded));
-            self.failures.add(now, RECENT, failed, 1.0);
+            self.failures.add(now, RECENT_HALF_LIFE, failed, 1.0);
         }
     }
 
     /// Records the time that a served attempt took, and its work in seconds.
     pub(crate) fn on_served(&mut self, now: Duration, took: Duration, work: f64) {
         let took = took.as_secs_f64();
-        self.recent_pace.add(now, RECENT, took, work);
-        self.baseline_pace.add(now, BASELINE, took, work);
+        self.recent_pace.add(now, RECENT_HALF_LIFE, took, work);
+        self.baseline_pace.add(now, BASELINE_HALF_LIFE, took, work);
     }
 
     /// Share of attempts that failed, of late.
     pub(crate) fn failure_share(&self, now: Duration) -> f64 {
-        self.failures.share(now, RECENT, 1.0)
+        self.failures.share(now, RECENT_HALF_LIFE, 1.0)
     }
 
     pub(crate) fn is_ejected(&self) -> bool {
--- a/crates/decision/src/state/endpoint_table.rs
+++ b/crates/decision/src/state/endpoint_table.rs
@@ -3,14 +3,14 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use super::decaying_sum::Fraction;
+use super::decaying_sum::RatioSums;
 use super::endpoint_catalog::EndpointCatalog;
 use super::endpoint_record::EndpointRecord;
-use super::half_lives::BASELINE;
+use super::half_lives::BASELINE_HALF_LIFE;
 use super::hash_ring::{Position, Side, nearest};
 use crate::model::{
-    Build, Confinement, Endpoint, EndpointId, EndpointStatus, ListUpdate, MachineModel, PerArm,
-    Zone,
+    Build, Endpoint, EndpointId, EndpointStatus, ListUpdate, MachineModel, PerArm,
+    RoutingConstraint, Zone,
 };
 
 /// So many endpoints are looked at for each that is wanted outside the subset.
@@ -162,7 +162,7 @@
     /// Up to `wanted` ready endpoints outside the subset that a request may go to, from a random position on.
     pub(crate) fn outside_subset(
         &self,
-        confinement: Confinement,
+        routing_constraint: RoutingConstraint,
         from: Position,
         wanted: usize,
         admits: impl Fn(Build, Zone) -> bool,
@@ -170,7 +170,7 @@
         if !self.has_subset {
             return Vec::new();
         }
-        let Confinement { zone, cell } = confinement;
+        let RoutingConstraint { zone, cell } = routing_constraint;
         let is_member = |endpoint: &&Endpoint| {
             self.records
                 .get(&endpoint.id)
@@ -249,12 +249,12 @@
 
     /// The long-run pace of each model at builds before this one.
     pub(crate) fn paces_before(&self, now: Duration, build: Build) -> BTreeMap<MachineModel, f64> {
-        let mut sums = BTreeMap::<MachineModel, Fraction>::new();
+        let mut sums = BTreeMap::<MachineModel, RatioSums>::new();
         let earlier = self.ready().filter(|record| record.endpoint.build < build);
         for record in earlier {
-            let pace = record.health.baseline_pace.read(now, BASELINE);
+            let pace = record.health.baseline_pace.read(now, BASELINE_HALF_LIFE);
             let sum = sums.entry(record.endpoint.machine_model).or_default();
-            *sum = Fraction::sum([*sum, pace].into_iter());
+            *sum = RatioSums::sum([*sum, pace].into_iter());
         }
         sums.into_iter()
             .filter(|(_, sum)| sum.denominator > 0.0)
@@ -274,8 +274,8 @@
     pub(crate) fn mean_pace(&self, now: Duration) -> Option<f64> {
         let paces = self
             .ready()
-            .map(|record| record.health.baseline_pace.read(now, BASELINE));
-        let sums = Fraction::sum(paces);
+            .map(|record| record.health.baseline_pace.read(now, BASELINE_HALF_LIFE));
+        let sums = RatioSums::sum(paces);
         (sums.denominator > 0.0).then(|| sums.numerator / sums.denominator)
     }
 }
--- a/crates/decision/src/state/evidence.rs
+++ b/crates/decision/src/state/evidence.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::decaying_sum::DecayingRatio;
-use super::half_lives::REPORTED;
+use super::half_lives::REPORTED_HALF_LIFE;
 use crate::model::{EndpointId, MachineModel, PerArm, RequestClass, Stage};
 
 /// Which outcomes a count is of.
@@ -170,9 +170,9 @@
     pub(crate) fn pool(&mut self, now: Duration, reported: WorkSums<u16>) {
         let sums = reported.map(f64::from);
         self.against_baseline
-            .add(now, REPORTED, sums.in_time, sums.baseline);
+            .add(now, REPORTED_HALF_LIFE, sums.in_time, sums.baseline);
         self.against_requested
-            .add(now, REPORTED, sums.in_time, sums.requested);
+            .add(now, REPORTED_HALF_LIFE, sums.in_time, sums.requested);
     }
 
     /// The better of the two shares over what they were when the last stage ended; `None` unless at least
@@ -183,8 +183,11 @@
         stage: Stage,
         minimum_requested: f64,
     ) -> Option<f64> {
-        let baseline = self.against_baseline.read(now, REPORTED);
-        let requested = self.against_requested.read(now, REPORTED).denominator;
+        let baseline = self.against_baseline.read(now, REPORTED_HALF_LIFE);
+        let requested = self
+            .against_requested
+            .read(now, REPORTED_HALF_LIFE)
+            .denominator;
         let in_time = baseline.numerator;
         let shares = ServedShares {
             of_baseline: (in_time / baseline.denominator.max(1e-9)).min(1.0),
--- a/crates/decision/src/state/half_lives.rs
+++ b/crates/decision/src/state/half_lives.rs
@@ -2,8 +2,8 @@
 use std::time::Duration;
 
 /// Half-life of recent outcomes and times: a few answers of a small agent's share of an endpoint.
-pub(crate) const RECENT: Duration = Duration::from_secs(1);
+pub(crate) const RECENT_HALF_LIFE: Duration = Duration::from_secs(1);
 /// Half-life of baselines, against which recent values are compared.
-pub(crate) const BASELINE: Duration = Duration::from_secs(10);
+pub(crate) const BASELINE_HALF_LIFE: Duration = Duration::from_secs(10);
 /// Half-life of what peers report: a quarter of the baseline's.
-pub(crate) const REPORTED: Duration = Duration::from_millis(2500);
+pub(crate) const REPORTED_HALF_LIFE: Duration = Duration::from_millis(2500);
--- a/crates/decision/src/state/load_estimate.rs
+++ b/crates/decision/src/state/load_estimate.rs
@@ -26,7 +26,7 @@
     /// Mean estimated work of a request, in seconds.
     pub(crate) mean_work: f64,
     /// How long the agent takes to be served a few requests.
-    pub(crate) few_requests: Duration,
+    pub(crate) sample_period: Duration,
     /// Requests received a second.
     pub(crate) request_rate: f64,
     /// Attempts served a second, of late.
@@ -44,7 +44,7 @@
             baseline_pace: 1.0,
             median_pace: 1.0,
             mean_work: INITIAL_WORK,
-            few_requests: Duration::ZERO,
+            sample_period: Duration::ZERO,
             request_rate: 0.0,
             served_rate: 0.0,
             lost_share: 0.0,
--- a/crates/decision/src/state/pending_requests.rs
+++ b/crates/decision/src/state/pending_requests.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use crate::model::{
-    AttemptNumber, Build, Cell, ClassPolicy, Confinement, DeduplicationScope, Endpoint, EndpointId,
-    Idempotency, Outcome, Request, RequestClass, RequestId, RequestSettings, Zone,
+    AttemptNumber, Build, Cell, ClassPolicy, DeduplicationScope, Endpoint, EndpointId, Idempotency,
+    Outcome, Request, RequestClass, RequestId, RequestSettings, RoutingConstraint, Zone,
 };
 
 /// An attempt, as its request remembers it.
@@ -63,24 +63,24 @@
 impl PendingRequest {
     /// Whether an endpoint would drop this as a repeat, if it may have run before.
     pub(crate) fn may_go_to(&self, endpoint: &Endpoint) -> bool {
-        let Confinement { zone, cell } = self.confinement();
+        let RoutingConstraint { zone, cell } = self.routing_constraint();
         zone.is_none_or(|zone| endpoint.zone == zone)
             && cell.is_none_or(|cell| endpoint.cell == cell)
     }
 
     /// Where this is confined to, if it may have run before.
-    pub(crate) fn confinement(&self) -> Confinement {
-        let mut confinement = Confinement::default();
+    pub(crate) fn routing_constraint(&self) -> RoutingConstraint {
+        let mut routing_constraint = RoutingConstraint::default();
         match (self.policy.idempotency, self.possible_execution) {
             (Idempotency::Keyed(DeduplicationScope::Zone), Some(execution)) => {
-                confinement.zone = Some(execution.zone);
+                routing_constraint.zone = Some(execution.zone);
             }
             (Idempotency::Keyed(DeduplicationScope::Cell), Some(execution)) => {
-                confinement.cell = Some(execution.cell);
+                routing_constraint.cell = Some(execution.cell);
             }
             _ => {}
         }
-        confinement
+        routing_constraint
     }
 
     /// Whether an attempt has gone to an endpoint already.
