--- a/crates/decision/src/state/candidates.rs
+++ b/crates/decision/src/state/candidates.rs
@@ -1,49 +1,49 @@
-//! The endpoints that requests choose from, as of the last refresh.
+//! The endpoints that a request can be sent to, as computed by the last refresh.
 use crate::model::{EndpointId, PerArm};
 
-/// An endpoint that a request may choose.
+/// An endpoint that a request may be sent to.
 #[derive(Debug)]
 pub(crate) struct Candidate {
     pub(crate) endpoint: EndpointId,
-    /// Its relative probability of being drawn.
+    /// Relative probability that load balancing draws it; not normalised.
     pub(crate) odds: f64,
-    /// Its place in the subset.
+    /// Rank in the subset by distance from the agent on the hash ring, from 0; `None` outside the subset.
     pub(crate) rank: Option<usize>,
 }
 
-/// The endpoints that requests choose from, and the canary's share.
+/// The endpoints that requests may be sent to, and the canary's share of them.
 #[derive(Debug, Default)]
 pub(crate) struct Candidates {
     pub(crate) by_arm: PerArm<Vec<Candidate>>,
-    /// Listed weight of each arm, as far as it is open and has warmed up.
+    /// Listed weight of each arm: of permitted endpoints that are not excluded, scaled by how far each has warmed up.
     pub(crate) listed_weight: PerArm<f64>,
-    /// The canary's share of the listed weight, 0 to 1.
+    /// The canary's share of the listed weight, 0 to 1; 0 while the canary has the longer queue for its weight.
     pub(crate) canary_share: f64,
-    /// Panic mode: most endpoints are ejected, so ejections are ignored.
+    /// Panic mode: so many endpoints are ejected that ejections are ignored.
     pub(crate) is_panic: bool,
 }
 
-/// How many members of the subset lie on each side of the agent's place on the ring.
+/// How many members of the subset lie on each side of the agent's position on the hash ring.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct SubsetExtent {
     pub(crate) before: usize,
     pub(crate) after: usize,
 }
 
-/// The subset of a long endpoint list that the agent works with.
+/// The subset of a long endpoint list that the agent sends requests to.
 #[derive(Debug)]
 pub(crate) struct Subset {
-    /// How many members of each arm are wanted that can take a request.
+    /// Wanted number of members of each arm that can take a request.
     pub(crate) target_size: f64,
     pub(crate) extent: PerArm<SubsetExtent>,
-    /// Whether it has as many members as it should.
+    /// Whether at least half of `target_size` members, of both arms together, can serve.
     pub(crate) is_full: bool,
-    /// Endpoints that have left it and may have an open connection.
+    /// Endpoints that are no longer members and may still have an open connection.
     pub(crate) removed: Vec<EndpointId>,
 }
 
 impl Subset {
-    /// An empty subset that is to have so many members of each arm.
+    /// Creates an empty subset with this wanted number of members per arm.
     pub(crate) fn new(target_size: f64) -> Self {
         Subset {
             target_size,
--- a/crates/decision/src/state/decaying_sum.rs
+++ b/crates/decision/src/state/decaying_sum.rs
@@ -1,7 +1,7 @@
-//! Sums whose older parts decay exponentially.
+//! Sums whose older contributions decay exponentially.
 use std::time::Duration;
 
-/// A sum that decays, brought up to date when it is read.
+/// An exponentially decaying sum. Decay is applied when the sum is read.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct DecayingSum {
     sum: f64,
@@ -9,13 +9,12 @@
 }
 
 impl DecayingSum {
-    /// What is left of the sum now.
+    /// The decayed value at `now`.
     pub(crate) fn read(&self, now: Duration, half_life: Duration) -> f64 {
         let age = now.saturating_sub(self.updated_at).as_secs_f64();
         self.sum * (-age / half_life.as_secs_f64()).exp2()
     }
 
-    /// Adds a value.
     pub(crate) fn add(&mut self, now: Duration, half_life: Duration, value: f64) {
         *self = DecayingSum {
             sum: self.read(now, half_life) + value,
@@ -24,7 +23,7 @@
     }
 }
 
-/// Two numbers that are summed, or compared, together.
+/// The numerator and the denominator of a ratio, kept apart so that they can be summed before they are divided.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct RatioSums {
     pub(crate) numerator: f64,
@@ -32,16 +31,16 @@
 }
 
 impl RatioSums {
-    /// The sums of the numerators and of the denominators.
-    pub(crate) fn sum(all: impl Iterator<Item = RatioSums>) -> RatioSums {
-        all.fold(RatioSums::default(), |sum, one| RatioSums {
-            numerator: sum.numerator + one.numerator,
-            denominator: sum.denominator + one.denominator,
+    /// Adds up the numerators and, apart from them, the denominators.
+    pub(crate) fn sum(terms: impl Iterator<Item = RatioSums>) -> RatioSums {
+        terms.fold(RatioSums::default(), |sum, term| RatioSums {
+            numerator: sum.numerator + term.numerator,
+            denominator: sum.denominator + term.denominator,
         })
     }
 }
 
-/// Two sums that decay together, of which the ratio is of interest.
+/// A ratio of two sums that decay with the same half-life.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct DecayingRatio {
     numerator: DecayingSum,
@@ -49,7 +48,7 @@
 }
 
 impl DecayingRatio {
-    /// Both sums.
+    /// Both decayed sums at `now`.
     pub(crate) fn read(&self, now: Duration, half_life: Duration) -> RatioSums {
         RatioSums {
             numerator: self.numerator.read(now, half_life),
@@ -57,19 +56,19 @@
         }
     }
 
-    /// The numerator as a share of the denominator plus `prior`, which keeps few values from counting fully.
+    /// The numerator over the denominator plus `prior`, which pulls the share towards 0 while few values are counted.
     pub(crate) fn share(&self, now: Duration, half_life: Duration, prior: f64) -> f64 {
         let sums = self.read(now, half_life);
         sums.numerator / (sums.denominator + prior)
     }
 
-    /// The share, as if one more had been counted in both sums.
+    /// The ratio with 1 added to both sums, which pulls it towards 1 while few values are counted.
     pub(crate) fn optimistic_share(&self, now: Duration, half_life: Duration) -> f64 {
         let sums = self.read(now, half_life);
         (sums.numerator + 1.0) / (sums.denominator + 1.0)
     }
 
-    /// Adds to both sums.
+    /// Adds one value to the numerator and one to the denominator.
     pub(crate) fn add(
         &mut self,
         now: Duration,
@@ -82,11 +81,12 @@
     }
 }
 
-/// What is left, in seconds, of a stretch of time that was added up as it passed. Of a short one, all.
-pub(crate) fn decayed_duration(passed: Duration, half_life: Duration) -> f64 {
-    if passed < half_life / 8 {
-        return passed.as_secs_f64();
+/// The decayed value, in seconds, of a duration that was added to a sum continuously while it elapsed. Decay within
+/// less than an eighth of the half-life is neglected.
+pub(crate) fn decayed_duration(elapsed: Duration, half_life: Duration) -> f64 {
+    if elapsed < half_life / 8 {
+        return elapsed.as_secs_f64();
     }
     let mean_life = half_life.as_secs_f64() / std::f64::consts::LN_2;
-    mean_life * (1.0 - (-passed.as_secs_f64() / half_life.as_secs_f64()).exp2())
+    mean_life * (1.0 - (-elapsed.as_secs_f64() / half_life.as_secs_f64()).exp2())
 }
--- a/crates/decision/src/state/demand.rs
+++ b/crates/decision/src/state/demand.rs
@@ -1,4 +1,4 @@
-//! What requests demand of the fleet, and what of it was served.
+//! Demand: the work that requests ask for, and how much of it is served.
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -9,45 +9,48 @@
 /// Half-life of the rates of requests and attempts served.
 const RATE_HALF_LIFE: Duration = Duration::from_secs(5);
 
-/// So many attempts are assumed beside those counted, so that one alone is no shortage or overload.
+/// Attempts assumed to have ended well beside those counted, so that a single one is not taken for a shortage or
+/// an overload.
 const PRIOR_ATTEMPTS: f64 = 2.0;
 
-/// How an attempt ended, as far as the demand is concerned.
+/// What [`Demand`] records of an attempt that ended.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct EndedAttempt {
     pub(crate) number: AttemptNumber,
     pub(crate) outcome: Outcome,
     /// It took longer than the latency objective.
     pub(crate) is_late: bool,
-    /// It found no connection at an endpoint that answers others.
+    /// No connection could be opened to an endpoint that answered since an earlier attempt failed to connect: its
+    /// connections are used up.
     pub(crate) lacked_connection: bool,
 }
 
-/// What requests demand of the fleet, and what of it was served.
+/// The work that the agent's requests ask for, and how their attempts end.
 #[derive(Debug, Default)]
 pub(crate) struct Demand {
     /// Estimated work in seconds and number of requests, by class.
     estimates: BTreeMap<RequestClass, DecayingRatio>,
-    /// Served work, and listed weight times seconds: what a unit of weight is seen to carry.
-    carried: DecayingRatio,
-    /// Attempts served of late.
+    /// Served work in seconds over listed weight times seconds: the capacity of a unit of weight.
+    capacity_per_weight: DecayingRatio,
+    /// Attempts served recently.
     recently_served: DecayingSum,
-    /// Attempts that found no connection where connections are short, and all that ended.
+    /// Attempts that lacked a connection (see [`EndedAttempt::lacked_connection`]), over all that ended.
     connection_shortage: DecayingRatio,
-    /// Attempts that an endpoint rejected, and all that ended.
+    /// Attempts that an endpoint rejected, over all that ended.
     rejections: DecayingRatio,
-    /// Answers that came after the latency objective or not at all, and all answers.
+    /// Attempts answered after the latency objective or timed out, over all that were answered or timed out.
     late_answers: DecayingRatio,
-    /// Attempts served, and requests received, in the long run.
+    /// Attempts served, over requests received.
     served_and_received: DecayingRatio,
-    /// For how many seconds the agent has been up meanwhile.
+    /// Seconds that the agent has been up, decaying like `served_and_received`.
     uptime: DecayingSum,
-    /// Retries served, and all that ended with an answer.
+    /// Retries served, over all retries that succeeded or failed.
     retries: DecayingRatio,
 }
 
 impl Demand {
-    /// Mean estimated work of a request in seconds, over the classes that the filter accepts.
+    /// Mean estimated work of a request in seconds, over the classes that `accepts` selects; `None` without an
+    /// estimate.
     pub(crate) fn mean_work(
         &self,
         now: Duration,
@@ -59,7 +62,7 @@
         (sums.denominator > 0.0).then(|| sums.numerator / sums.denominator)
     }
 
-    /// Records a request; returns its work in seconds by its estimate, or by the mean of its class.
+    /// Records a request; returns its work in seconds: its own estimate, or else the mean of its class.
     pub(crate) fn on_request(&mut self, now: Duration, request: &Request) -> Option<f64> {
         self.served_and_received.add(now, RATE_HALF_LIFE, 0.0, 1.0);
         if let Some(estimate) = request.estimated_work {
@@ -76,14 +79,15 @@
             .or_else(|| self.mean_work(now, |class| class == request.class))
     }
 
-    /// Records how an attempt ended. `sample_period` is the half-life of what a few answers are to show.
+    /// Records how an attempt ended. `sample_period` is the half-life of the shares of late answers and of
+    /// successful retries.
     pub(crate) fn on_attempt_ended(
         &mut self,
         now: Duration,
         sample_period: Duration,
         attempt: EndedAttempt,
     ) {
-        let count = |yes: bool| f64::from(u8::from(yes));
+        let count = |applies: bool| f64::from(u8::from(applies));
         let is_served = attempt.outcome == Outcome::Succeeded;
         let is_rejected = attempt.outcome == Outcome::Rejected;
         self.rejections
@@ -105,64 +109,66 @@
         }
     }
 
-    /// Records that time has passed at this listed weight; returns their product as far as it counts now.
+    /// Records that `elapsed` time has passed at this listed weight; returns their product in weight times seconds,
+    /// decayed with the half-life of baselines.
     pub(crate) fn on_elapsed(
         &mut self,
         now: Duration,
-        passed: Duration,
+        elapsed: Duration,
         listed_weight: f64,
     ) -> f64 {
-        let weight_seconds = decayed_duration(passed, BASELINE_HALF_LIFE) * listed_weight;
-        self.carried
+        let weight_seconds = decayed_duration(elapsed, BASELINE_HALF_LIFE) * listed_weight;
+        self.capacity_per_weight
             .add(now, BASELINE_HALF_LIFE, 0.0, weight_seconds);
-        let uptime = decayed_duration(passed, RATE_HALF_LIFE);
+        let uptime = decayed_duration(elapsed, RATE_HALF_LIFE);
         self.uptime.add(now, RATE_HALF_LIFE, uptime);
         weight_seconds
     }
 
-    /// Records that work, in seconds, was served.
+    /// Records an attempt that was served, with its work in seconds.
     pub(crate) fn on_served(&mut self, now: Duration, work: f64) {
         self.recently_served.add(now, RECENT_HALF_LIFE, 1.0);
-        self.carried.add(now, BASELINE_HALF_LIFE, work, 0.0);
+        self.capacity_per_weight
+            .add(now, BASELINE_HALF_LIFE, work, 0.0);
         self.served_and_received.add(now, RATE_HALF_LIFE, 1.0, 0.0);
     }
 
-    /// Served work in seconds for each unit of listed weight and second.
+    /// Capacity of a unit of listed weight, as served work in seconds per second.
     pub(crate) fn capacity_per_weight(&self, now: Duration) -> f64 {
-        let carried = self.carried.read(now, BASELINE_HALF_LIFE);
-        carried.numerator / carried.denominator.max(1e-9)
+        let capacity = self.capacity_per_weight.read(now, BASELINE_HALF_LIFE);
+        capacity.numerator / capacity.denominator.max(1e-9)
     }
 
-    /// Attempts served a second, of late.
+    /// Recent rate of served attempts, per second.
     pub(crate) fn served_rate(&self, now: Duration) -> f64 {
         let served = self.recently_served.read(now, RECENT_HALF_LIFE);
         served * std::f64::consts::LN_2 / RECENT_HALF_LIFE.as_secs_f64()
     }
 
-    /// Requests received a second, over the time that the agent has been up: one that has just started
-    /// receives no fewer than others.
+    /// Rate of received requests, per second. It is taken over the agent's uptime, so that an agent that has just
+    /// started does not underestimate it.
     pub(crate) fn request_rate(&self, now: Duration) -> f64 {
         let received = self.served_and_received.read(now, RATE_HALF_LIFE);
         received.denominator / self.uptime.read(now, RATE_HALF_LIFE).max(1e-3)
     }
 
-    /// Share of attempts that found no connection where connections are short.
+    /// Share of attempts that lacked a connection (see [`EndedAttempt::lacked_connection`]).
     pub(crate) fn connection_shortage(&self, now: Duration) -> f64 {
         self.connection_shortage
             .share(now, BASELINE_HALF_LIFE, PRIOR_ATTEMPTS)
     }
 
-    /// Share of attempts that an endpoint rejected.
+    /// Recent share of attempts that an endpoint rejected.
     pub(crate) fn rejected_share(&self, now: Duration) -> f64 {
         self.rejections.share(now, RECENT_HALF_LIFE, 1.0)
     }
 
-    /// Share of answers that came after the latency objective or not at all.
+    /// Share of attempts that were answered after the latency objective or timed out.
     pub(crate) fn late_share(&self, now: Duration, sample_period: Duration) -> f64 {
         self.late_answers.share(now, sample_period, PRIOR_ATTEMPTS)
     }
 
-    /// Share of retries that were served, 1 while there was none.
+    /// Share of retries that were served; 1 without any.
     pub(crate) fn retry_success(&self, now: Duration, sample_period: Duration) -> f64 {
         self.retries.optimistic_share(now, sample_period)
     }
--- a/crates/decision/src/state/endpoint_catalog.rs
+++ b/crates/decision/src/state/endpoint_catalog.rs
@@ -1,5 +1,5 @@
-//! All endpoints that the list names, as compact rows, with sums and indexes that follow each update. What the
-//! agent has observed of those it works with is in [`super::endpoint_table`].
+//! All listed endpoints as compact rows, with indexes and sums that are maintained by each update. The agent's own
+//! observations of the endpoints that it sends requests to are in [`super::endpoint_table`].
 use std::cell::Cell as Counter;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,27 +7,27 @@
 use super::endpoint_pool::{EndpointPool, insert_sorted, remove_sorted};
 use crate::model::{Build, Cell, Endpoint, EndpointId, EndpointStatus, RoutingConstraint, Zone};
 
-/// Up to so many changes are made one by one; for more, the indexes are rebuilt.
+/// Largest number of changes that are applied one by one; for more, all indexes are rebuilt.
 const MAX_SINGLE_CHANGES: usize = 32;
 
-/// The first endpoints of a walk, and how many of them can serve.
+/// The endpoints that [`EndpointCatalog::take_until`] took, and how many of them can serve.
 #[derive(Debug, Default)]
 pub(crate) struct WalkedEndpoints {
     pub(crate) ids: Vec<EndpointId>,
     pub(crate) serving: usize,
 }
 
-/// What the list says of all endpoints.
+/// All listed endpoints, with indexes over the ready ones.
 #[derive(Debug, Default)]
 pub(crate) struct EndpointCatalog {
-    /// Ready and draining ones, by id.
+    /// Ready and draining endpoints, ordered by id.
     rows: Vec<Endpoint>,
     pools: BTreeMap<(Build, Zone), EndpointPool>,
-    /// Ready ones, by cell.
+    /// Ready endpoints, ordered by cell and id.
     cells: Vec<(Cell, EndpointId)>,
-    /// Listed weight of all ready ones.
+    /// Listed weight of all ready endpoints.
     weight: f64,
-    /// Rows looked at since the start, here and in the records of the endpoint table.
+    /// Rows and records of the endpoint table that were examined since the start: a measure of the cost.
     visited: Counter<u64>,
 }
 
@@ -53,7 +53,6 @@
         self.weight
     }
 
-    /// How many endpoints are ready.
     pub(crate) fn ready_count(&self) -> usize {
         self.cells.len()
     }
@@ -71,32 +70,34 @@
             .map(|(_, pool)| pool)
     }
 
-    /// How many ready endpoints run a build.
+    /// Number of ready endpoints that run a build.
     pub(crate) fn count_running(&self, build: Build) -> usize {
         self.pools_of(build).map(|pool| pool.ring().len()).sum()
     }
 
-    /// When the latest of those that run a build started.
+    /// When the most recently started ready endpoint of a build started; `None` if no start is known.
     pub(crate) fn latest_start(&self, build: Build) -> Option<Duration> {
         self.pools_of(build)
             .filter_map(EndpointPool::latest_start)
             .max()
     }
 
-    /// The ready endpoints of a cell, a full turn from the one at a random index.
+    /// The ready endpoints of a cell, each once. The walk begins at the index `start` modulo their number and wraps
+    /// around.
     pub(crate) fn in_cell(&self, cell: Cell, start: usize) -> impl Iterator<Item = &Endpoint> {
         let from = self.cells.partition_point(|(other, _)| *other < cell);
         let to = self.cells.partition_point(|(other, _)| *other <= cell);
         let first = start.checked_rem(to - from).unwrap_or(0);
-        let (before, after) = self.cells[from..to].split_at(first);
-        after
+        let (before, from_first) = self.cells[from..to].split_at(first);
+        from_first
             .iter()
             .chain(before)
             .inspect(|_| self.count_visits(1))
             .filter_map(|(_, id)| self.get(*id))
     }
 
-    /// The builds and zones of the ready endpoints that a request may go to.
+    /// The builds and zones of the ready endpoints that satisfy a routing constraint. For a cell, each pair occurs
+    /// once for each of its endpoints.
     pub(crate) fn builds_and_zones(
         &self,
         routing_constraint: RoutingConstraint,
@@ -112,8 +113,8 @@
             .filter(move |(_, other)| zone.is_none_or(|zone| zone == *other))
     }
 
-    /// The first of these endpoints: at least `minimum`, and on until it is `enough` by how many were taken and
-    /// how many of these can serve.
+    /// Takes at least `minimum` of these endpoints, and then more until `enough` is true of the numbers of
+    /// endpoints taken and of endpoints among them that can serve.
     pub(crate) fn take_until(
         &self,
         ids: impl Iterator<Item = EndpointId>,
@@ -133,7 +134,7 @@
         walked
     }
 
-    /// Rows looked at since the start.
+    /// Rows and records examined since the start.
     pub(crate) fn visited(&self) -> u64 {
         self.visited.get()
     }
@@ -142,7 +143,7 @@
         self.visited.set(self.visited.get() + rows as u64);
     }
 
-    /// Applies an update; with `is_full`, what it does not name is gone.
+    /// Applies an update; with `is_full`, endpoints that it does not name are removed.
     pub(crate) fn update(&mut self, is_full: bool, endpoints: &[Endpoint]) {
         self.count_visits(endpoints.len());
         let indexes = endpoints
@@ -151,7 +152,7 @@
             .map(|(endpoint, index)| (endpoint.id, index));
         let mut order: Vec<(EndpointId, u32)> = indexes.collect();
         order.sort_unstable();
-        // Of several entries for one endpoint the last one holds.
+        // Of several entries for one endpoint, the last one takes effect.
         let last = order
             .chunk_by(|one, other| one.0 == other.0)
             .filter_map(|same| same.last());
@@ -162,13 +163,14 @@
             updated.copied().collect()
         };
         if changes.len() <= MAX_SINGLE_CHANGES {
-            changes.iter().for_each(|endpoint| self.put(endpoint));
+            changes.iter().for_each(|endpoint| self.apply(endpoint));
         } else {
-            self.put_many(changes);
+            self.apply_many(changes);
         }
     }
 
-    /// What differs from the rows in a full list, both by id; what is not in it is gone.
+    /// The entries of a full list, ordered by id, that differ from the rows. Rows that the list lacks are returned as
+    /// removed.
     fn changes<'a>(&self, full: impl Iterator<Item = &'a Endpoint>) -> Vec<Endpoint> {
         self.count_visits(self.rows.len());
         let removed = |row: &Endpoint| Endpoint {
@@ -189,8 +191,8 @@
         changes
     }
 
-    /// Puts one entry into the rows and all indexes.
-    fn put(&mut self, endpoint: &Endpoint) {
+    /// Inserts, replaces or removes one row, and updates all indexes.
+    fn apply(&mut self, endpoint: &Endpoint) {
         let found = self.rows.binary_search_by_key(&endpoint.id, |row| row.id);
         if let Ok(index) = found {
             let row = self.rows[index];
@@ -233,26 +235,26 @@
         self.weight -= f64::from(endpoint.weight);
     }
 
-    /// Puts many entries, by id, and rebuilds the indexes.
-    fn put_many(&mut self, changes: Vec<Endpoint>) {
+    /// Applies many changes, ordered by id, and rebuilds the indexes.
+    fn apply_many(&mut self, changes: Vec<Endpoint>) {
         self.count_visits(self.rows.len());
         let mut rows = Vec::with_capacity(self.rows.len() + changes.len());
-        let mut before = std::mem::take(&mut self.rows).into_iter().peekable();
+        let mut previous = std::mem::take(&mut self.rows).into_iter().peekable();
         for endpoint in changes {
-            while let Some(row) = before.next_if(|row| row.id < endpoint.id) {
+            while let Some(row) = previous.next_if(|row| row.id < endpoint.id) {
                 rows.push(row);
             }
-            before.next_if(|row| row.id == endpoint.id);
+            previous.next_if(|row| row.id == endpoint.id);
             if endpoint.status != EndpointStatus::Removed {
                 rows.push(endpoint);
             }
         }
-        rows.extend(before);
+        rows.extend(previous);
         self.rows = rows;
-        self.rebuild();
+        self.rebuild_indexes();
     }
 
-    fn rebuild(&mut self) {
+    fn rebuild_indexes(&mut self) {
         self.pools.clear();
         self.cells.clear();
         self.weight = 0.0;
--- a/crates/decision/src/state/endpoint_pool.rs
+++ b/crates/decision/src/state/endpoint_pool.rs
@@ -1,10 +1,10 @@
-//! The ready endpoints of one build in one zone, indexed.
+//! The ready endpoints of one build in one zone, indexed by ring position and by start time.
 use std::time::Duration;
 
 use super::hash_ring::{Position, Ring, rank};
 use crate::model::{Endpoint, EndpointId};
 
-/// When an endpoint that is known to have started did so, and its weight.
+/// The start time of an endpoint whose start is known, and its listed weight.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct EndpointStart {
     pub(crate) at: Duration,
@@ -27,33 +27,32 @@
 pub(crate) struct EndpointPool {
     ring: Vec<(Position, EndpointId)>,
     weight: f64,
-    /// Latest last.
+    /// Endpoints whose start is known, the latest last.
     starts: Vec<EndpointStart>,
 }
 
 impl EndpointPool {
-    /// The endpoints in the order of the ring.
     pub(crate) fn ring(&self) -> &Ring {
         &self.ring
     }
 
-    /// The sum of the listed weights.
+    /// Sum of the listed weights.
     pub(crate) fn weight(&self) -> f64 {
         self.weight
     }
 
-    /// When the latest of them started.
+    /// When the most recently started of the endpoints started; `None` if no start is known.
     pub(crate) fn latest_start(&self) -> Option<Duration> {
         self.starts.last().map(|start| start.at)
     }
 
-    /// The endpoints that started after this time, the latest last.
+    /// The endpoints that are known to have started after this time, the latest last.
     pub(crate) fn started_after(&self, after: Duration) -> impl Iterator<Item = &EndpointStart> {
         let from = self.starts.partition_point(|start| start.at <= after);
         self.starts[from..].iter()
     }
 
-    /// Adds an endpoint at the end of each index; [`EndpointPool::sort`] has to follow.
+    /// Appends an endpoint to each index without sorting. Call [`EndpointPool::sort`] after the last one.
     pub(super) fn push(&mut self, endpoint: &Endpoint) {
         self.ring
             .push((Position::of_endpoint(endpoint.id), endpoint.id));
@@ -61,13 +60,13 @@
         self.starts.extend(start_of(endpoint));
     }
 
-    /// Restores the order of the indexes.
+    /// Sorts the indexes after [`EndpointPool::push`].
     pub(super) fn sort(&mut self) {
         self.ring.sort_unstable();
         self.starts.sort_unstable_by_key(EndpointStart::key);
     }
 
-    /// Adds an endpoint in order.
+    /// Adds an endpoint and keeps the indexes sorted.
     pub(super) fn insert(&mut self, endpoint: &Endpoint) {
         let entry = (Position::of_endpoint(endpoint.id), endpoint.id);
         insert_sorted(&mut self.ring, entry);
@@ -80,7 +79,6 @@
         }
     }
 
-    /// Removes an endpoint.
     pub(super) fn remove(&mut self, endpoint: &Endpoint) {
         let entry = (Position::of_endpoint(endpoint.id), endpoint.id);
         remove_sorted(&mut self.ring, &entry);
@@ -104,7 +102,7 @@
     })
 }
 
-/// How many of several pools' endpoints stand before a position on the ring.
+/// How many endpoints of these pools have a ring position below `position`.
 pub(crate) fn rank_in<'a>(
     pools: impl Iterator<Item = &'a EndpointPool>,
     position: Position,
@@ -112,15 +110,15 @@
     pools.map(|pool| rank(pool.ring(), position)).sum()
 }
 
-/// Inserts into a sorted vector.
-pub(super) fn insert_sorted<T: Ord>(all: &mut Vec<T>, one: T) {
-    let index = all.partition_point(|other| *other < one);
-    all.insert(index, one);
+/// Inserts into a sorted vector and keeps it sorted.
+pub(super) fn insert_sorted<T: Ord>(sorted: &mut Vec<T>, value: T) {
+    let index = sorted.partition_point(|other| *other < value);
+    sorted.insert(index, value);
 }
 
-/// Removes from a sorted vector.
-pub(super) fn remove_sorted<T: Ord>(all: &mut Vec<T>, one: &T) {
-    if let Ok(index) = all.binary_search(one) {
-        all.remove(index);
+/// Removes a value from a sorted vector, if it is there.
+pub(super) fn remove_sorted<T: Ord>(sorted: &mut Vec<T>, value: &T) {
+    if let Ok(index) = sorted.binary_search(value) {
+        sorted.remove(index);
     }
 }
--- a/crates/decision/src/state/endpoint_record.rs
+++ b/crates/decision/src/state/endpoint_record.rs
@@ -1,4 +1,4 @@
-//! What the agent has observed of one endpoint since its process last started.
+//! What the agent has observed of one endpoint since the endpoint's process last started.
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
@@ -6,14 +6,14 @@
 use super::half_lives::{BASELINE_HALF_LIFE, RECENT_HALF_LIFE};
 use crate::model::{AttemptNumber, Build, Endpoint, EndpointId, Outcome, RequestClass, RequestId};
 
-/// An attempt of a request.
+/// Identifies an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct AttemptId {
     pub(crate) request: RequestId,
     pub(crate) number: AttemptNumber,
 }
 
-/// An attempt that is outstanding, as its endpoint's record has it.
+/// An outstanding attempt, as the record of its endpoint keeps it.
 #[derive(Debug)]
 pub(crate) struct OutstandingAttempt {
     pub(crate) sent_at: Duration,
@@ -21,35 +21,35 @@
     pub(crate) work: f64,
     pub(crate) class: RequestClass,
     pub(crate) build: Build,
-    /// The endpoint was warming up: slowness is no evidence against its build.
+    /// The endpoint was warming up when it was sent, so slowness is no evidence against the build.
     pub(crate) was_warming_up: bool,
-    /// The endpoint was ejected: nothing is evidence against its build.
+    /// The endpoint was ejected when it was sent, so no outcome is evidence against the build.
     pub(crate) was_ejected: bool,
 }
 
-/// Health and pace of an endpoint.
+/// Health and pace of an endpoint. A pace is the time taken for a unit of estimated work.
 #[derive(Debug, Default)]
 pub(crate) struct EndpointHealth {
-    /// Failures, and outcomes of any kind.
+    /// Attempts that did not succeed, over all that ended, without cancelled and unsent ones.
     pub(crate) failures: DecayingRatio,
-    /// Time taken and estimated work of served attempts, of late.
+    /// Time taken over estimated work, of attempts served recently.
     pub(crate) recent_pace: DecayingRatio,
-    /// The same in the long run.
+    /// Time taken over estimated work, of attempts served in the longer term.
     pub(crate) baseline_pace: DecayingRatio,
-    /// Its last sign of life.
+    /// When it last showed by an outcome that its process runs.
     pub(crate) last_response: Duration,
-    /// When the latest of the attempts that it has answered was sent.
+    /// The latest send time of all attempts that it has answered.
     pub(crate) latest_answered_sent_at: Duration,
-    /// When an attempt last found no connection there.
+    /// When an attempt last failed to open a connection to it.
     pub(crate) last_connect_failure: Option<Duration>,
-    /// How long the present ejection lasts; zero if it is not ejected.
+    /// Length of the current ejection; zero if the endpoint is not ejected.
     pub(crate) ejection_time: Duration,
-    /// Until then it is not even tried.
+    /// While ejected, it gets not even a probe request until then.
     pub(crate) ejected_until: Duration,
 }
 
 impl EndpointHealth {
-    /// Records how an attempt ended that was sent then.
+    /// Records how an attempt that was sent at `sent_at` ended.
     pub(crate) fn on_attempt_ended(&mut self, now: Duration, outcome: Outcome, sent_at: Duration) {
         if matches!(
             outcome,
@@ -71,14 +71,14 @@
         }
     }
 
-    /// Records the time that a served attempt took, and its work in seconds.
+    /// Records how long a served attempt took, and its estimated work in seconds.
     pub(crate) fn on_served(&mut self, now: Duration, took: Duration, work: f64) {
         let took = took.as_secs_f64();
         self.recent_pace.add(now, RECENT_HALF_LIFE, took, work);
         self.baseline_pace.add(now, BASELINE_HALF_LIFE, took, work);
     }
 
-    /// Share of attempts that failed, of late.
+    /// Recent share of attempts that did not succeed.
     pub(crate) fn failure_share(&self, now: Duration) -> f64 {
         self.failures.share(now, RECENT_HALF_LIFE, 1.0)
     }
@@ -88,26 +88,27 @@
     }
 }
 
-/// Work sent to an endpoint at one time.
+/// Estimated work of an attempt, and when it was sent.
 #[derive(Clone, Copy, Debug)]
 struct SentWork {
     at: Duration,
+    /// In seconds.
     work: f64,
 }
 
-/// An endpoint that the agent works with.
+/// An endpoint that the agent sends requests to, with what it has observed of it.
 #[derive(Debug)]
 pub(crate) struct EndpointRecord {
     pub(crate) endpoint: Endpoint,
     pub(crate) health: EndpointHealth,
     pub(crate) outstanding: BTreeMap<AttemptId, OutstandingAttempt>,
-    /// Work sent of late, for the rule on endpoints that are warming up.
+    /// Work sent within the overload window, which limits what is sent to an endpoint that is warming up.
     sent_work: VecDeque<SentWork>,
-    /// What part of the agent's requests would go there.
+    /// Expected share of the agent's requests that goes to it, 0 to 1.
     pub(crate) traffic_share: f64,
-    /// Whether a connection there may be open.
+    /// Whether a connection to it may be open.
     pub(crate) may_be_connected: bool,
-    /// Its place in the subset, if it is a member; all have the first place where there is no subset.
+    /// Rank in the subset, from 0; `None` outside the subset. Without a subset all endpoints have rank 0.
     pub(crate) rank: Option<usize>,
 }
 
@@ -124,12 +125,12 @@
         }
     }
 
-    /// Takes a new entry of the list.
+    /// Replaces the list entry, and resets the observations if another process runs behind the id.
     pub(crate) fn update(&mut self, endpoint: Endpoint) {
         let is_same_process =
             self.endpoint.started == endpoint.started && self.endpoint.build == endpoint.build;
         if !is_same_process {
-            // What the earlier process had or did is not the new one's.
+            // Outcomes and outstanding attempts of the earlier process say nothing about the new one.
             self.health = EndpointHealth::default();
             self.outstanding = BTreeMap::new();
         }
@@ -144,7 +145,7 @@
         self.endpoint.age(now)
     }
 
-    /// Records an attempt that is sent there, and forgets work older than the window.
+    /// Records an attempt that is sent to the endpoint, and drops sent work older than the window.
     pub(crate) fn on_sent(
         &mut self,
         now: Duration,
@@ -161,7 +162,7 @@
         self.outstanding.insert(id, attempt);
     }
 
-    /// Work sent there within the window, in seconds.
+    /// Estimated work sent to the endpoint within the window, in seconds.
     pub(crate) fn sent_work(&self, now: Duration, window: Duration) -> f64 {
         self.sent_work
             .iter()
@@ -174,7 +175,7 @@
         self.health.is_ejected()
     }
 
-    /// When the oldest of several outstanding attempts was sent, if there was no response since.
+    /// When the oldest outstanding attempt was sent, if there are several and the endpoint has not responded since.
     pub(crate) fn unanswered_since(&self) -> Option<Duration> {
         let oldest = self
             .outstanding
--- a/crates/decision/src/state/endpoint_table.rs
+++ b/crates/decision/src/state/endpoint_table.rs
@@ -1,5 +1,6 @@
-//! The endpoints of the agent's own list: all of them as rows of the catalog, and records of those that it
-//! works with. These are all while the list is short; else the subset, and what was used of late beside it.
+//! The agent's endpoint list: all endpoints as rows of the catalog, and a record of each endpoint that the agent
+//! sends requests to. A short list has a record for each endpoint; a long one only for the members of the subset and
+//! for others that were used recently.
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -13,24 +14,24 @@
     RoutingConstraint, Zone,
 };
 
-/// So many endpoints are looked at for each that is wanted outside the subset.
+/// At most this many endpoints are examined for each one that is wanted outside the subset.
 const EXAMINED_PER_WANTED: usize = 4;
 
-/// The failure shares of an endpoint's peers: the others that run its build.
+/// Failure shares of an endpoint's peers, which are the other ready endpoints of its build.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct PeerFailures {
     pub(crate) peer_count: f64,
     pub(crate) failure_share_sum: f64,
 }
 
-/// The endpoints of the agent's own list.
+/// The listed endpoints, and what the agent has observed of them.
 #[derive(Debug)]
 pub(crate) struct EndpointTable {
     pub(crate) records: BTreeMap<EndpointId, EndpointRecord>,
     pub(crate) catalog: EndpointCatalog,
-    /// A list of up to so many endpoints has no subset.
+    /// Longest endpoint list that begins without a subset.
     max_without_subset: usize,
-    /// Whether the records are those of a subset.
+    /// Whether the list is long enough for a subset; otherwise each listed endpoint has a record.
     pub(crate) has_subset: bool,
 }
 
@@ -51,7 +52,7 @@
         endpoints: &mut dyn Iterator<Item = Endpoint>,
     ) {
         let is_full = matches!(update, ListUpdate::Full | ListUpdate::Cached);
-        // Of what is gone only outstanding attempts are kept.
+        // The record of a removed endpoint is kept only while attempts are outstanding there.
         self.records.retain(|_, record| {
             record.endpoint.status != EndpointStatus::Removed || !record.outstanding.is_empty()
         });
@@ -68,7 +69,7 @@
         }
     }
 
-    /// Puts the entries into the records: without a subset, each has one.
+    /// Updates the records from the entries; without a subset, creates those that are missing.
     fn update_records(&mut self, endpoints: Vec<Endpoint>) {
         if self.has_subset && endpoints.len() > self.records.len() {
             for (id, record) in &mut self.records {
@@ -91,8 +92,9 @@
         }
     }
 
-    /// A list that grows long gets a subset, and keeps it until it is shorter by a quarter: at the border, one
-    /// endpoint more or less would otherwise move all assigned endpoints.
+    /// Begins a subset when the list exceeds `max_without_subset`, and ends it when the list has shrunk to three
+    /// quarters of that. Without this hysteresis, one endpoint more or less at the limit would change all endpoints
+    /// that the agent is assigned.
     fn begin_or_end_subset(&mut self) {
         let count = self.catalog.len();
         let had_subset = self.has_subset;
@@ -109,8 +111,8 @@
         }
     }
 
-    /// Makes these the members of the subset, each with its rank, and drops the records of others but those
-    /// to be kept. Returns what was dropped and may have an open connection.
+    /// Makes these endpoints the members of the subset, ranked in their order, and drops the records of all others
+    /// except those that `keep` selects. Returns the dropped endpoints that may have an open connection.
     pub(crate) fn set_members(
         &mut self,
         members: PerArm<&[EndpointId]>,
@@ -138,7 +140,7 @@
         removed
     }
 
-    /// Marks all endpoints without an outstanding attempt as not connected; returns which of them may have had a
+    /// Marks all endpoints without an outstanding attempt as not connected. Returns those that may have had an open
     /// connection.
     pub(crate) fn disconnect_idle(&mut self) -> Vec<EndpointId> {
         let idle = self
@@ -152,14 +154,15 @@
         disconnected.collect()
     }
 
-    /// The median of all ready endpoints' values.
+    /// Median of a value over the records of ready endpoints, the upper one of two; `None` without a record.
     pub(crate) fn median(&self, value: impl Fn(&EndpointRecord) -> f64) -> Option<f64> {
         let mut values: Vec<f64> = self.ready().map(value).collect();
         values.sort_by(f64::total_cmp);
         values.get(values.len() / 2).copied()
     }
 
-    /// Up to `wanted` ready endpoints outside the subset that a request may go to, from a random position on.
+    /// Up to `wanted` ready endpoints outside the subset that satisfy the constraint and run an admitted build in
+    /// their zone, beginning at the ring position `from`.
     pub(crate) fn outside_subset(
         &self,
         routing_constraint: RoutingConstraint,
@@ -204,7 +207,7 @@
             .collect()
     }
 
-    /// The entry of an endpoint, as its record has it, if there is one, or else the list.
+    /// The list entry of an endpoint, from its record if it has one, or else from the catalog.
     pub(crate) fn endpoint(&self, id: EndpointId) -> Option<&Endpoint> {
         self.records
             .get(&id)
@@ -212,14 +215,14 @@
             .or_else(|| self.catalog.get(id))
     }
 
-    /// Whether an endpoint has a record and is ejected.
+    /// Whether an endpoint is ejected; `false` without a record.
     pub(crate) fn is_ejected(&self, id: EndpointId) -> bool {
         self.records
             .get(&id)
             .is_some_and(EndpointRecord::is_ejected)
     }
 
-    /// All records; each walk is counted.
+    /// All records, counted as visited.
     pub(crate) fn walk(&self) -> impl Iterator<Item = &EndpointRecord> {
         self.catalog.count_visits(self.records.len());
         self.records.values()
@@ -231,7 +234,7 @@
             .filter(|record| record.endpoint.status == EndpointStatus::Ready)
     }
 
-    /// The failure shares of the other endpoints that run a build.
+    /// Failure shares of the other ready endpoints that run a build.
     pub(crate) fn peer_failures(
         &self,
         now: Duration,
@@ -247,7 +250,7 @@
         })
     }
 
-    /// The long-run pace of each model at builds before this one.
+    /// Baseline pace of each machine model on ready endpoints with builds earlier than this one.
     pub(crate) fn paces_before(&self, now: Duration, build: Build) -> BTreeMap<MachineModel, f64> {
         let mut sums = BTreeMap::<MachineModel, RatioSums>::new();
         let earlier = self.ready().filter(|record| record.endpoint.build < build);
@@ -262,7 +265,7 @@
             .collect()
     }
 
-    /// How many attempts are outstanding, but for those at ejected endpoints.
+    /// Number of outstanding attempts, without those at ejected endpoints.
     pub(crate) fn outstanding_count(&self) -> usize {
         self.walk()
             .filter(|record| !record.is_ejected())
@@ -270,7 +273,7 @@
             .sum()
     }
 
-    /// Time taken for each unit of estimated work in the long run, over all ready endpoints.
+    /// Baseline pace over all ready endpoints together; `None` before any attempt was served.
     pub(crate) fn mean_pace(&self, now: Duration) -> Option<f64> {
         let paces = self
             .ready()
--- a/crates/decision/src/state/evidence.rs
+++ b/crates/decision/src/state/evidence.rs
@@ -1,4 +1,4 @@
-//! Evidence about a canary, besides the sequential tests: counts of outcomes, and the work that was served.
+//! Evidence about a canary beside the sequential tests: counts of outcomes, and the share of work that is served.
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -6,23 +6,23 @@
 use super::half_lives::REPORTED_HALF_LIFE;
 use crate::model::{EndpointId, MachineModel, PerArm, RequestClass, Stage};
 
-/// Which outcomes a count is of.
+/// Identifies the outcomes that are counted together.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct OutcomeKey {
-    /// The canary's endpoint that they come from; `None` for the earlier builds.
+    /// The endpoint, if it runs the canary; `None` for all endpoints of earlier builds together.
     pub(crate) canary_endpoint: Option<EndpointId>,
     pub(crate) class: RequestClass,
 }
 
-/// Counts of outcomes.
+/// Counts of the outcomes of attempts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct OutcomeCounts<T = u8> {
     pub(crate) outcomes: T,
-    /// How many of the outcomes are failures.
+    /// Outcomes that are failures.
     pub(crate) failures: T,
-    /// How many of the outcomes could be timed.
+    /// Outcomes whose duration is comparable.
     pub(crate) timed: T,
-    /// How many of the timed ones were slow.
+    /// Timed outcomes that were slow.
     pub(crate) slow: T,
 }
 
@@ -51,7 +51,7 @@
 }
 
 impl OutcomeCounts {
-    /// Adds up, without overflow.
+    /// Adds each count; a sum stops at the highest value of its type.
     pub(crate) fn saturating_add(self, other: OutcomeCounts) -> OutcomeCounts {
         OutcomeCounts {
             outcomes: self.outcomes.saturating_add(other.outcomes),
@@ -62,22 +62,22 @@
     }
 }
 
-/// Counts of one key.
+/// The counts of one key.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct OutcomeEntry {
     pub(crate) key: OutcomeKey,
     pub(crate) counts: OutcomeCounts,
 }
 
-/// Counts by key.
+/// The counts of a report, by key.
 pub(crate) type OutcomeReport = BTreeMap<OutcomeKey, OutcomeCounts>;
 
-/// Sums of work. Those that are reported are in hundredths of a second.
+/// Sums of estimated work, in seconds; in reports, in hundredths of a second.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct WorkSums<T> {
     /// Work that was served within the latency objective.
     pub(crate) in_time: T,
-    /// Work that the listed endpoints would have served at the capacity they had before the canary.
+    /// Work that the listed endpoints would have served at their capacity before the canary.
     pub(crate) baseline: T,
     /// Work that was requested.
     pub(crate) requested: T,
@@ -105,37 +105,38 @@
     }
 }
 
-/// A share of the stage before counts as this much at least, so that a stage without service is no yardstick.
+/// Lower bound of a previous stage's share in comparisons: a stage in which hardly anything was served would make
+/// any later share look good.
 const MIN_PREVIOUS_SHARE: f64 = 0.1;
-/// Own sums are kept in hundredths of a second, as they are reported.
+/// Reported sums, and the agent's own, are in hundredths of a second.
 const UNITS_PER_SECOND: f64 = 100.0;
 
-/// Work served in time as shares, each 1 at most.
+/// Work served within the latency objective, as shares of at most 1.
 #[derive(Clone, Copy, Debug)]
 struct ServedShares {
     of_baseline: f64,
     of_requested: f64,
 }
 
-/// The work that is served while a canary is analysed, against what it was before.
+/// The work that is served while a canary is analysed, compared with the baseline capacity and the previous stage.
 #[derive(Debug, Default)]
 pub(crate) struct ServedWork {
-    /// Served work for each unit of listed weight and second when the canary was first seen; 0 if unknown.
+    /// Served work in seconds per second and unit of listed weight when the canary was first seen; 0 if unknown.
     pub(crate) baseline_capacity: f64,
-    /// Own sums since the last report.
+    /// The agent's own sums that are not reported yet, in hundredths of a second.
     own: WorkSums<f64>,
-    /// Reported sums, pooled over all that report: work in time, and baseline work.
+    /// Reported work in time over baseline work, pooled over all agents that report.
     against_baseline: DecayingRatio,
-    /// Work in time, and requested work.
+    /// Reported work in time over requested work, pooled over all agents that report.
     against_requested: DecayingRatio,
-    /// The shares when the last stage ended.
+    /// The shares at the end of the previous stage; `None` if too little work was requested then.
     previous_stage: Option<ServedShares>,
-    /// The stage that runs.
+    /// The current stage.
     stage: Stage,
 }
 
 impl ServedWork {
-    /// Begins anew with this capacity.
+    /// Creates empty sums that are compared with this capacity.
     pub(crate) fn new(baseline_capacity: f64) -> Self {
         ServedWork {
             baseline_capacity,
@@ -143,7 +144,7 @@
         }
     }
 
-    /// Adds own work, in seconds, if there is a past to compare it with.
+    /// Adds the agent's own work, in seconds; without a baseline capacity to compare it with, does nothing.
     pub(crate) fn add(&mut self, work: WorkSums<f64>) {
         if self.baseline_capacity > 0.0 {
             self.own.in_time += UNITS_PER_SECOND * work.in_time;
@@ -152,7 +153,7 @@
         }
     }
 
-    /// Takes the whole part of the own sums, in hundredths of a second; the rest is left for the next report.
+    /// Takes the agent's own sums, in whole hundredths of a second; the remainder is left for the next report.
     pub(crate) fn take_whole(&mut self) -> WorkSums<u16> {
         let take = |sum: &mut f64| {
             let whole = sum.floor().clamp(0.0, f64::from(u16::MAX));
@@ -166,7 +167,7 @@
         }
     }
 
-    /// Adds reported sums.
+    /// Adds reported sums to those of all agents.
     pub(crate) fn pool(&mut self, now: Duration, reported: WorkSums<u16>) {
         let sums = reported.map(f64::from);
         self.against_baseline
@@ -175,8 +176,9 @@
             .add(now, REPORTED_HALF_LIFE, sums.in_time, sums.requested);
     }
 
-    /// The better of the two shares over what they were when the last stage ended; `None` unless at least
-    /// `minimum_requested` seconds of work were requested.
+    /// How much of the work is still served in time: the ratio of each share to its value at the end of the previous
+    /// stage, and the higher of the two ratios. `None` unless more than `minimum_requested` seconds of work were
+    /// requested, now and then.
     pub(crate) fn retained_share(
         &mut self,
         now: Duration,
@@ -206,18 +208,18 @@
     }
 }
 
-/// What else is known about a canary and the builds before it.
+/// What is known about a canary and the builds before it, apart from the sequential tests.
 #[derive(Debug, Default)]
 pub(crate) struct Evidence {
-    /// The last outcome of each arm.
+    /// When each arm last had an outcome.
     pub(crate) last_outcome: PerArm<Option<Duration>>,
-    /// The long-run pace of each model at earlier builds.
+    /// Baseline pace of each machine model on earlier builds.
     pub(crate) model_paces: BTreeMap<MachineModel, f64>,
     pub(crate) served_work: ServedWork,
 }
 
 impl Evidence {
-    /// A model's speed over that of the mean model, 1 at most.
+    /// Speed of a machine model relative to the mean over all models, 1 at most; 1 for an unknown model.
     pub(crate) fn relative_speed(&self, model: MachineModel) -> f64 {
         let count = self.model_paces.len().max(1) as f64;
         let mean = self.model_paces.values().sum::<f64>() / count;
--- a/crates/decision/src/state/hash_ring.rs
+++ b/crates/decision/src/state/hash_ring.rs
@@ -1,9 +1,9 @@
-//! A consistent-hashing ring of 2^32 positions. Endpoints stand at a hash of their number, agents at even
-//! distances from each other. One endpoint more or less moves only itself and the last member of each subset
-//! that it lies in.
+//! A consistent-hashing ring of 2^32 positions. The position of an endpoint is a hash of its id; agents are spaced
+//! evenly. An endpoint that is added or removed changes each subset around it by itself and one other member, the
+//! farthest.
 use crate::model::{AgentId, EndpointId, FleetPosition};
 
-/// A place on the ring.
+/// A position on the ring.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Position(pub(crate) u32);
 
@@ -15,8 +15,8 @@
 }
 
 impl Position {
-    /// Where an endpoint stands: its number, mixed by the finalizer of MurmurHash3, which maps no two numbers to
-    /// one position.
+    /// Position of an endpoint: its id, hashed by the finalizer of MurmurHash3, which maps no two ids to the same
+    /// position.
     pub(crate) fn of_endpoint(id: EndpointId) -> Self {
         let mut mixed = id.0;
         mixed = (mixed ^ (mixed >> 16)).wrapping_mul(0x85eb_ca6b);
@@ -24,26 +24,26 @@
         Position(mixed ^ (mixed >> 16))
     }
 
-    /// Where an agent stands: agents share the ring evenly.
+    /// Position of an agent: agents are spaced evenly around the ring.
     pub(crate) fn of_agent(fleet_position: FleetPosition) -> Self {
         let AgentId(number) = fleet_position.own_id;
         let agent_count = u64::from(fleet_position.agent_count.max(1));
         Position(((u64::from(number) << 32) / agent_count) as u32)
     }
 
-    /// The distance from here to there on one side; an endpoint at this very position counts as after it.
-    fn distance(self, there: Position, side: Side) -> u32 {
+    /// Distance to another position in one direction. An endpoint at this very position counts as after it.
+    fn distance(self, other: Position, side: Side) -> u32 {
         match side {
-            Side::After => there.0.wrapping_sub(self.0),
-            Side::Before => self.0.wrapping_sub(there.0).wrapping_sub(1),
+            Side::After => other.0.wrapping_sub(self.0),
+            Side::Before => self.0.wrapping_sub(other.0).wrapping_sub(1),
         }
     }
 }
 
-/// Endpoints in the order of their positions.
+/// Endpoints sorted by position.
 pub(crate) type Ring = [(Position, EndpointId)];
 
-/// All endpoints of several rings as one, by their distance from a position on one side.
+/// Merges several rings: all their endpoints in one direction, by distance from a position.
 pub(crate) fn nearest<'a>(
     rings: impl Iterator<Item = &'a Ring>,
     from: Position,
@@ -62,12 +62,12 @@
     })
 }
 
-/// How many endpoints of a ring stand before a position, counted from position 0.
+/// Number of endpoints with a position lower than this one.
 pub(crate) fn rank(ring: &Ring, position: Position) -> usize {
     ring.partition_point(|(other, _)| *other < position)
 }
 
-/// One ring from a position on, a full turn.
+/// All endpoints of one ring in one direction, beginning next to a position.
 fn full_turn(
     ring: &Ring,
     from: Position,
--- a/crates/decision/src/state/load_estimate.rs
+++ b/crates/decision/src/state/load_estimate.rs
@@ -1,37 +1,39 @@
-//! What is measured of fleet and demand, as of the last refresh.
+//! The load estimate: capacity, latency and request rate as of the last refresh.
 use std::time::Duration;
 
 use super::demand::Demand;
 use super::endpoint_table::EndpointTable;
 
-/// Work that is assumed of a request, in seconds, before any is known.
+/// Work of a request, in seconds, that is assumed before any estimate is known.
 const INITIAL_WORK: f64 = 1e-3;
 
 /// Lower bound of the mean work of a request, in seconds.
 const MIN_MEAN_WORK: f64 = 1e-4;
 
-/// Fleet and demand at a glance. A pace is the time taken for a unit of estimated work.
+/// Capacity of the endpoints and demand on them. A pace is the time taken for a unit of estimated work.
 #[derive(Debug)]
 pub(crate) struct LoadEstimate {
-    /// Served work in seconds for each unit of listed weight and second.
+    /// Served work in seconds per second and unit of listed weight.
     pub(crate) capacity_per_weight: f64,
-    /// Mean listed weight of an endpoint.
+    /// Mean listed weight of a ready endpoint.
     pub(crate) mean_weight: f64,
-    /// Work in hand and to come, in seconds, in the window over which overload is measured.
+    /// Work, in seconds, of pending requests and of those expected within the overload window.
     pub(crate) work_due: f64,
-    /// Long-run mean pace of all endpoints.
+    /// Baseline pace over all ready endpoints.
     pub(crate) baseline_pace: f64,
-    /// The median endpoint's pace now.
+    /// Median over the endpoints of their recent pace.
     pub(crate) median_pace: f64,
     /// Mean estimated work of a request, in seconds.
     pub(crate) mean_work: f64,
-    /// How long the agent takes to be served a few requests.
+    /// Time in which a few of the agent's requests are served, within the half-lives of recent values and of
+    /// baselines. Half-life of shares that have to react to a few answers.
     pub(crate) sample_period: Duration,
-    /// Requests received a second.
+    /// Requests received per second.
     pub(crate) request_rate: f64,
-    /// Attempts served a second, of late.
+    /// Attempts served per second, recently.
     pub(crate) served_rate: f64,
-    /// Share of capacity that is lost, both against what was carried before the canary and what is requested.
+    /// Share of capacity lost since the end of the previous stage: the lower of the losses against the capacity
+    /// before the canary and against the requested work. 0 unless the agent aggregates enough reports to tell.
     pub(crate) lost_share: f64,
 }
 
@@ -53,7 +55,7 @@
 }
 
 impl LoadEstimate {
-    /// Measures fleet and demand anew.
+    /// Updates the values that follow from endpoints and demand alone.
     pub(crate) fn refresh(&mut self, now: Duration, endpoints: &EndpointTable, demand: &Demand) {
         let catalog = &endpoints.catalog;
         self.mean_weight = catalog.weight() / catalog.ready_count().max(1) as f64;
@@ -65,7 +67,7 @@
         self.capacity_per_weight = demand.capacity_per_weight(now);
     }
 
-    /// What the agent has outstanding on average, in requests.
+    /// Expected number of the agent's outstanding requests (Little's law).
     pub(crate) fn mean_outstanding(&self) -> f64 {
         self.request_rate * self.median_pace * self.mean_work
     }
--- a/crates/decision/src/state/mod.rs
+++ b/crates/decision/src/state/mod.rs
@@ -1,4 +1,4 @@
-//! What the engine remembers: plain records, sums and indexes. Nothing here decides anything.
+//! The engine's state: records, sums and indexes. Decisions are made in `policy`.
 pub(crate) mod candidates;
 pub(crate) mod decaying_sum;
 pub(crate) mod demand;
--- a/crates/decision/src/state/pending_requests.rs
+++ b/crates/decision/src/state/pending_requests.rs
@@ -1,4 +1,4 @@
-//! Requests that are waiting for their final answer, and their attempts.
+//! Requests that wait for their final answer, and their attempts.
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
     Outcome, Request, RequestClass, RequestId, RequestSettings, RoutingConstraint, Zone,
 };
 
-/// An attempt, as its request remembers it.
+/// An attempt, as its request keeps it.
 #[derive(Debug)]
 pub(crate) struct Attempt {
     pub(crate) endpoint: EndpointId,
@@ -20,7 +20,7 @@
     pub(crate) is_cancelled: bool,
 }
 
-/// The first attempt that may have run: it fixes where and until when its repeats are dropped.
+/// The first attempt that may have run. It determines which endpoints drop repeats of the request, and until when.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PossibleExecution {
     pub(crate) sent_at: Duration,
@@ -38,37 +38,37 @@
     }
 }
 
-/// A random draw of a request that stands for a while.
+/// A random draw for a request that is kept for some time.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct RandomDraw {
     pub(crate) valid_until: Duration,
-    /// 0 to 1.
+    /// Uniform from 0 to 1.
     pub(crate) value: f64,
 }
 
-/// A request that is waiting for its final answer.
+/// A request that waits for its final answer.
 #[derive(Debug)]
 pub(crate) struct PendingRequest {
     pub(crate) request: Request,
     pub(crate) policy: ClassPolicy,
-    /// Estimated work, in seconds on the reference core.
+    /// Estimated work, in seconds on the reference core; if the client gives none, the mean of its class.
     pub(crate) work: f64,
     pub(crate) arrived_at: Duration,
     pub(crate) attempts: Vec<Attempt>,
     pub(crate) possible_execution: Option<PossibleExecution>,
-    /// Decides whether this may be the first request to an endpoint that is warming up.
+    /// Decides whether this may be the first request that is sent to an endpoint that is warming up.
     pub(crate) slow_start_draw: RandomDraw,
 }
 
 impl PendingRequest {
-    /// Whether an endpoint would drop this as a repeat, if it may have run before.
+    /// Whether the routing constraint allows an endpoint: one that would drop this as a repeat, if it may have run.
     pub(crate) fn may_go_to(&self, endpoint: &Endpoint) -> bool {
         let RoutingConstraint { zone, cell } = self.routing_constraint();
         zone.is_none_or(|zone| endpoint.zone == zone)
             && cell.is_none_or(|cell| endpoint.cell == cell)
     }
 
-    /// Where this is confined to, if it may have run before.
+    /// The zone or cell whose endpoints drop repeats of this request, if it is keyed and may have run.
     pub(crate) fn routing_constraint(&self) -> RoutingConstraint {
         let mut routing_constraint = RoutingConstraint::default();
         match (self.policy.idempotency, self.possible_execution) {
@@ -83,14 +83,14 @@
         routing_constraint
     }
 
-    /// Whether an attempt has gone to an endpoint already.
+    /// Whether an attempt was sent to this endpoint.
     pub(crate) fn was_sent_to(&self, endpoint: EndpointId) -> bool {
         self.attempts
             .iter()
             .any(|attempt| attempt.endpoint == endpoint)
     }
 
-    /// Records how an attempt ended, and which is now the first that may have run.
+    /// Records how an attempt ended, and updates which attempt is the first that may have run.
     pub(crate) fn on_attempt_ended(&mut self, number: AttemptNumber, outcome: Outcome) {
         if let Some(attempt) = self.attempts.get_mut(usize::from(number.0)) {
             attempt.outcome = Some(outcome);
@@ -102,7 +102,7 @@
         self.possible_execution = first.map(PossibleExecution::from);
     }
 
-    /// The first attempt that is outstanding.
+    /// The earliest attempt that is outstanding.
     pub(crate) fn first_outstanding(&self) -> Option<(AttemptNumber, &Attempt)> {
         self.attempts
             .iter()
@@ -111,17 +111,17 @@
             .map(|(index, attempt)| (AttemptNumber(index as u8), attempt))
     }
 
-    /// How the latest attempt ended; `None` without an attempt, or while it is outstanding.
+    /// How the latest attempt ended; `None` without any attempt or while it is outstanding.
     pub(crate) fn last_outcome(&self) -> Option<Outcome> {
         self.attempts.last().and_then(|attempt| attempt.outcome)
     }
 }
 
-/// All pending requests, and what is agreed for them.
+/// All pending requests, and the settings that apply to them.
 #[derive(Debug)]
 pub(crate) struct PendingRequests {
     pub(crate) settings: RequestSettings,
-    /// No answer may be later than this; until a shutdown begins, `Duration::MAX`.
+    /// Latest time of any answer; `Duration::MAX` until a shutdown begins.
     pub(crate) shutdown_deadline: Duration,
     pub(crate) by_id: BTreeMap<RequestId, PendingRequest>,
 }
@@ -135,12 +135,12 @@
         }
     }
 
-    /// The policy of a class, if there is such a class.
+    /// The policy of a class; `None` if the settings have no such class.
     pub(crate) fn policy(&self, class: RequestClass) -> Option<&ClassPolicy> {
         self.settings.classes.get(usize::from(class.0))
     }
 
-    /// Begins a shutdown: every deadline moves to this instant at the latest.
+    /// Begins a shutdown: no request's deadline is later than this instant any more.
     pub(crate) fn begin_shutdown(&mut self, deadline: Duration) {
         self.shutdown_deadline = deadline;
         for pending in self.by_id.values_mut() {
--- a/crates/decision/src/state/schedule.rs
+++ b/crates/decision/src/state/schedule.rs
@@ -1,17 +1,17 @@
-//! When the engine is to act without an event.
+//! When the engine acts without an event.
 use std::time::Duration;
 
-/// Wake-ups and refreshes of the load estimate.
+/// Times of wake-ups and of refreshes of the load estimate.
 #[derive(Debug, Default)]
 pub(crate) struct Schedule {
     /// The wake-up that was scheduled last.
     pub(crate) wake_up_at: Duration,
-    /// When the agent last resumed after it had stood still itself.
+    /// When the agent process last resumed after a pause of its own.
     pub(crate) resumed_at: Duration,
-    /// When the load estimate is to be refreshed.
+    /// When the load estimate is next refreshed.
     pub(crate) refresh_at: Duration,
-    /// Events since the last refresh.
+    /// Number of events since the last refresh.
     pub(crate) events: usize,
-    /// Time passed since the last refresh.
+    /// Time since the last refresh.
     pub(crate) elapsed: Duration,
 }
--- a/crates/decision/src/state/votes.rs
+++ b/crates/decision/src/state/votes.rs
@@ -1,9 +1,9 @@
-//! Votes that were cast, and what delays the next one.
+//! The last vote that was cast, and what delays the next one.
 use std::time::Duration;
 
 use crate::model::{Build, Outcome, Stage, Vote};
 
-/// A vote, and the stage of a build that it is on.
+/// A vote on a stage of a build.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct StageVote {
     pub(crate) build: Build,
@@ -16,20 +16,21 @@
 pub(crate) struct CastVote {
     pub(crate) stage_vote: StageVote,
     pub(crate) cast_at: Duration,
-    /// How the call that cast it ended; `None` until then.
+    /// How the call that casts it ended; `None` while the call is outstanding.
     pub(crate) answer: Option<Outcome>,
 }
 
-/// What the votes on the newest build depend on besides the tests.
+/// State that the votes on the newest build depend on, beside the sequential tests.
 #[derive(Debug, Default)]
 pub(crate) struct VotingState {
     pub(crate) last_vote: Option<CastVote>,
-    /// When peers may be warned again.
+    /// Earliest time of the next warning to the peers that the build is in doubt.
     pub(crate) next_warning_at: Duration,
-    /// Until when a peer's warning, or one's own, counts.
+    /// Until when the last warning, a peer's or the agent's own, delays a vote to advance.
     pub(crate) warned_until: Duration,
-    /// Random draw from 0 to 1: when this agent votes among those that stand in for the aggregators.
+    /// Random draw from 0 to 1: an agent that is no aggregator delays its vote to advance by this, so that such
+    /// agents do not all vote at once if the aggregators did not.
     pub(crate) stand_in_draw: f64,
-    /// When the share of lost capacity was last tolerable.
+    /// When the lost share of capacity was last within its limit.
     pub(crate) last_tolerable_loss: Duration,
 }
