--- a/crates/decision/src/actions.rs
+++ b/crates/decision/src/actions.rs
@@ -1,4 +1,4 @@
-//! What the decision module has decided: one method for each action.
+//! The actions that the decision engine asks of its host: one method for each kind.
 use std::fmt;
 use std::time::Duration;
 
@@ -7,11 +7,11 @@
 /// Why an endpoint was ejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EjectionReason {
-    /// It fails far more requests than other endpoints of its build.
+    /// Its share of failures is far higher than that of the other endpoints of its build.
     FailureRate,
-    /// A connection to it could not be opened, or broke.
+    /// A connection to it could not be opened or was lost.
     ConnectionFailure,
-    /// It has left several requests unanswered for far longer than usual.
+    /// Several attempts have waited far longer than usual without any response.
     Unresponsive,
 }
 
@@ -37,13 +37,13 @@
 pub enum GiveUpReason {
     /// Its latency objective has passed, and a later answer earns nothing.
     TooLate,
-    /// No attempt is left, or none may follow an attempt that may have run.
+    /// All attempts are used up, or an attempt may have run and must not be repeated.
     NoAttemptLeft,
-    /// Retries have hardly helped of late.
+    /// Hardly any retry succeeded recently.
     RetriesFail,
-    /// The expected wait is too long: load is shed.
+    /// The expected wait is too long, so load is shed.
     Overload,
-    /// The operator's rules permit none of the endpoints that could take it.
+    /// The operator's rules permit no endpoint that it could be sent to.
     NotPermitted,
 }
 
@@ -66,51 +66,51 @@
     }
 }
 
-/// Something worth recording beside the actions. Nothing depends on it.
+/// An event inside the engine that is recorded for operators. No decision depends on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Diagnostic {
-    /// An endpoint gets no requests for some time.
+    /// An endpoint was ejected: it gets no requests for some time.
     Ejected {
-        /// The endpoint.
+        /// The ejected endpoint.
         endpoint: EndpointId,
         /// Why it was ejected.
         reason: EjectionReason,
-        /// When it may be tried again.
+        /// When it may get a first probe request.
         until: Duration,
     },
-    /// An ejected endpoint is tried with a request.
+    /// An ejected endpoint is probed with a single request.
     Probed(EndpointId),
     /// An ejected endpoint takes requests again.
     Readmitted(EndpointId),
-    /// A request was given up, for this reason.
+    /// A request was answered without success for this reason.
     GivenUp(GiveUpReason),
 }
 
-/// Takes the module's decisions as they are made.
+/// Carries out the engine's decisions, in the order in which they are made.
 pub trait Actions {
-    /// Sends a request to an endpoint; the attempt times out after `timeout`, or at the request's deadline if
-    /// that is zero.
+    /// Sends a request to an endpoint. The attempt times out after `timeout`; if that is zero, at the request's
+    /// deadline.
     fn send_attempt(&mut self, id: RequestId, endpoint: EndpointId, timeout: Duration);
 
-    /// Answers that the request did not run; the client may retry after `retry_after`.
+    /// Answers the client that the request did not run, and may be retried after `retry_after`.
     fn reject(&mut self, id: RequestId, retry_after: Duration);
 
-    /// Answers that the request failed and may have run.
+    /// Answers the client that the request failed and may have run.
     fn fail(&mut self, id: RequestId);
 
-    /// Gives up waiting for an attempt.
+    /// Cancels an outstanding attempt.
     fn cancel(&mut self, id: RequestId, attempt: AttemptNumber);
 
-    /// Schedules a round at an instant, even if nothing happens until then.
+    /// Schedules a round at this instant, whether or not an event occurs before. `timer` identifies the wake-up.
     fn schedule_wake_up(&mut self, at: Duration, timer: TimerId);
 
-    /// Sends a health check.
+    /// Sends a health check to an endpoint.
     fn check_health(&mut self, endpoint: EndpointId);
 
     /// Closes the idle connections to an endpoint.
     fn close_idle_connections(&mut self, endpoint: EndpointId);
 
-    /// Sends a message to one peer, or to all of them.
+    /// Sends a message to one peer; with `None`, to all of them.
     fn send_to_peer(&mut self, peer: Option<AgentId>, payload: &[u8]);
 
     /// Writes a line to the log.
@@ -122,9 +122,9 @@
     /// Fetches the endpoint list once.
     fn fetch_endpoints(&mut self);
 
-    /// Casts a vote on a build at a stage.
+    /// Casts a vote on a stage of a build.
     fn vote(&mut self, build: Build, stage: Stage, vote: Vote);
 
-    /// Records what happened beside the actions.
+    /// Records a diagnostic; does nothing by default.
     fn record_diagnostic(&mut self, _diagnostic: Diagnostic) {}
 }
--- a/crates/decision/src/events.rs
+++ b/crates/decision/src/events.rs
@@ -1,4 +1,4 @@
-//! What the host reports to the decision module: one method for each event.
+//! The events that the host reports to the decision engine: one method for each kind.
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -8,13 +8,13 @@
 };
 use crate::release_permissions::ReleasePermissions;
 
-/// Receives the events of a round, in the order in which they happened. An event that an implementation has
-/// no use for may be ignored.
+/// Receives the events of a round, in the order in which they happened. Methods with a default do nothing unless an
+/// implementation overrides them.
 pub trait EventHandler {
     /// A client sent a request.
     fn on_request(&mut self, id: RequestId, request: Request);
 
-    /// An attempt ended after `took`; `request_closed` if its request needs no answer any more.
+    /// An attempt ended after `took`. `request_closed` tells whether its request needs no further answer.
     fn on_attempt_ended(
         &mut self,
         id: RequestId,
@@ -25,7 +25,7 @@
         request_closed: bool,
     );
 
-    /// The first part of an answer has gone to the client.
+    /// The first part of an answer was sent to the client, after `took`.
     fn on_response_started(
         &mut self,
         id: RequestId,
@@ -34,27 +34,27 @@
         took: Duration,
     );
 
-    /// The client closed its connection.
+    /// The client of a request closed its connection.
     fn on_client_disconnected(&mut self, id: RequestId);
 
-    /// Whether an attempt that waited for its connection may still be sent. If not, it ends as
+    /// Asks whether an attempt that waited for its connection may still be sent. If not, the host ends it with
     /// [`Outcome::NotSent`].
     fn may_send(&mut self, id: RequestId, attempt: AttemptNumber) -> bool;
 
-    /// Discovery sent an update of the endpoint list; `endpoints` are its entries, none if it failed.
+    /// Discovery updated the endpoint list. `endpoints` are the entries of the update; there are none if it failed.
     fn on_endpoints(&mut self, update: ListUpdate, endpoints: &mut dyn Iterator<Item = Endpoint>);
 
-    /// An endpoint reported its load.
+    /// An endpoint reported its load as a series of gauges; absent ones are NaN.
     fn on_load_report(&mut self, _endpoint: EndpointId, _gauges: &[f32]) {}
 
     /// A health check ended.
     fn on_health_check(&mut self, _endpoint: EndpointId, _outcome: Outcome, _took: Duration) {}
 
-    /// Another agent sent a message.
+    /// A peer sent a message.
     fn on_peer_message(&mut self, _from: AgentId, _payload: &[u8]) {}
 
-    /// The status of the newest build: its stage began `age` ago; `cap` is the highest share of requests that
-    /// it may get, 0 to 1.
+    /// The release control plane reported the status of the newest build. Its stage began `age` ago; `cap` is the
+    /// highest share of requests that it may get, 0 to 1.
     fn on_release_status(
         &mut self,
         build: Build,
@@ -67,7 +67,8 @@
     /// The call that cast the last vote ended.
     fn on_vote_answered(&mut self, outcome: Outcome);
 
-    /// The platform's own count of a period that ended `age` ago.
+    /// The platform counted the requests of a build and class in a period that ended `age` ago: how many, how many
+    /// of them failed, and their mean duration.
     fn on_period_statistics(
         &mut self,
         _build: Build,
@@ -79,15 +80,15 @@
     ) {
     }
 
-    /// What the operator's rules permit from now on; `None` permits everything.
+    /// The operator's rules changed. `permissions` apply from now on; `None` permits everything.
     fn on_release_permissions(&mut self, _permissions: Option<Arc<ReleasePermissions>>) {}
 
-    /// An answer that was sent `sent_ago` ago, and counted as good, was found to be wrong.
+    /// An answer that was sent `sent_ago` ago, and was counted as a success, was found to be wrong.
     fn on_wrong_answer(&mut self, endpoint: EndpointId, class: RequestClass, sent_ago: Duration);
 
-    /// The agent shuts down: no answer may be later than this instant.
+    /// The agent shuts down. Each pending request has to be answered by this instant.
     fn on_shutdown(&mut self, _deadline: Duration) {}
 
-    /// A wake-up that was scheduled is due.
+    /// A scheduled wake-up is due.
     fn on_wake_up(&mut self, _timer: TimerId) {}
 }
--- a/crates/decision/src/lib.rs
+++ b/crates/decision/src/lib.rs
@@ -1,13 +1,13 @@
-//! The decision module of lilacgate: which endpoint a request goes to, when it is rejected, and how an agent
-//! votes on a new build.
+//! The decision engine of lilacgate. It decides which endpoint a request is sent to, when a request is rejected, and
+//! how the agent votes on a new build.
 //!
-//! The host makes a [`DecisionEngine`] from [`EngineSettings`] and calls [`DecisionEngine::round`] with all that
-//! happened since the last round: it calls one method of [`EventHandler`] for each event, and takes what is
-//! decided through [`Actions`]. The crate does no input or output, reads no clock, and draws its random
-//! numbers from a seed: the same events lead to the same actions.
+//! The host creates a [`DecisionEngine`] from [`EngineSettings`] and calls [`DecisionEngine::round`] with the events
+//! since the last round: it calls one method of [`EventHandler`] for each event, and the engine calls one method of
+//! [`Actions`] for each decision. The crate performs no I/O, reads no clock, and draws its random numbers from a
+//! seed, so the same events lead to the same actions.
 //!
-//! Modules depend on each other in one direction: `model` (domain types) below `state` (what is remembered),
-//! below `peer_reports` (messages between agents) and `policy` (all decisions), below `engine` (a round).
+//! Modules depend on each other in one direction, from last to first: `model` (domain types), `state` (records, sums
+//! and indexes), `peer_reports` (messages between agents), `policy` (all decisions) and `engine` (rounds).
 
 mod actions;
 mod engine;
--- a/crates/decision/src/model/arm.rs
+++ b/crates/decision/src/model/arm.rs
@@ -1,7 +1,7 @@
-//! The two arms of a release: the earlier builds, and the canary.
+//! The two arms that a release is analysed by: the earlier builds and the canary.
 use std::ops::{Index, IndexMut};
 
-/// An arm that a request can go to.
+/// An arm of a release.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Arm {
     /// The earlier builds.
@@ -11,7 +11,6 @@
 }
 
 impl Arm {
-    /// The other arm.
     pub(crate) fn other(self) -> Arm {
         match self {
             Arm::Baseline => Arm::Canary,
@@ -20,7 +19,7 @@
     }
 }
 
-/// A value for each arm.
+/// One value for each arm.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct PerArm<T> {
     pub(crate) baseline: T,
@@ -28,14 +27,14 @@
 }
 
 impl<T> PerArm<T> {
-    /// Makes the values, that of the baseline first.
+    /// Computes the value of each arm, the baseline first.
     pub(crate) fn from_fn(mut value: impl FnMut(Arm) -> T) -> Self {
         let baseline = value(Arm::Baseline);
         let canary = value(Arm::Canary);
         PerArm { baseline, canary }
     }
 
-    /// The values, that of the baseline first.
+    /// Both values, the baseline's first.
     pub(crate) fn iter(&self) -> impl Iterator<Item = &T> {
         [&self.baseline, &self.canary].into_iter()
     }
--- a/crates/decision/src/model/endpoint.rs
+++ b/crates/decision/src/model/endpoint.rs
@@ -1,61 +1,61 @@
-//! Endpoints as discovery lists them.
+//! Endpoints, as discovery lists them.
 use std::time::Duration;
 
 use super::ids::{Build, Cell, EndpointId, MachineModel, Zone};
 
-/// Whether an endpoint takes requests.
+/// Whether an endpoint accepts requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointStatus {
-    /// It takes requests.
+    /// It accepts requests.
     Ready,
-    /// It finishes what it has, and takes nothing new.
+    /// It completes its outstanding requests and accepts no new ones.
     Draining,
-    /// It is no longer listed.
+    /// Discovery no longer lists it.
     Removed,
 }
 
-/// How an update of the endpoint list is to be read.
+/// The kind of an update of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListUpdate {
-    /// Only the endpoints named have changed.
+    /// The update names the endpoints that changed.
     Delta,
-    /// What is not named is gone.
+    /// The update names all endpoints; any other one is removed.
     Full,
-    /// A full list that was kept from before the agent started.
+    /// A full list that the agent saved before it was restarted.
     Cached,
-    /// The list could not be fetched.
+    /// The list could not be fetched, or its watch ended.
     Failed,
 }
 
 /// An entry of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Endpoint {
-    /// Which endpoint this is.
+    /// Identifies the endpoint, also across restarts of its process.
     pub id: EndpointId,
-    /// Whether it takes requests.
+    /// Whether it accepts requests.
     pub status: EndpointStatus,
-    /// Its type of machine.
+    /// The model of the machine that it runs on.
     pub machine_model: MachineModel,
-    /// Its capacity in relation to the others; finite and not negative.
+    /// Capacity relative to the other endpoints; finite and not negative.
     pub weight: f32,
-    /// When its process last started; `None` for long ago.
+    /// When its process last started; `None` if that was long ago.
     pub started: Option<Duration>,
     /// The build that it runs.
     pub build: Build,
-    /// The group that shares idempotency keys with it.
+    /// The group of endpoints that it shares idempotency keys with.
     pub cell: Cell,
-    /// Where it stands.
+    /// The zone that it runs in.
     pub zone: Zone,
 }
 
 impl Endpoint {
-    /// How long its process has been running; `None` for long.
+    /// How long its process has been running; `None` if it started long ago.
     pub(crate) fn age(&self, now: Duration) -> Option<Duration> {
         self.started.map(|started| now.saturating_sub(started))
     }
 }
 
-/// The zone and the cell that a request is confined to, if any.
+/// The zone or the cell that a request must be sent to; `None` for any.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct RoutingConstraint {
     pub(crate) zone: Option<Zone>,
--- a/crates/decision/src/model/fleet.rs
+++ b/crates/decision/src/model/fleet.rs
@@ -1,13 +1,13 @@
 //! The fleet of agents.
 use super::ids::AgentId;
 
-/// An agent's position among all agents.
+/// The agent's position among all agents.
 #[derive(Clone, Copy, Debug)]
 pub struct FleetPosition {
-    /// This agent.
+    /// This agent's id.
     pub own_id: AgentId,
-    /// How many agents there are, this one included.
+    /// Number of agents, this one included.
     pub agent_count: u32,
-    /// Whether agents may send each other messages.
+    /// Whether agents may send messages to each other.
     pub can_message_peers: bool,
 }
--- a/crates/decision/src/model/ids.rs
+++ b/crates/decision/src/model/ids.rs
@@ -1,4 +1,4 @@
-//! Identifiers: one type for each kind, so that they cannot be mistaken for each other.
+//! Identifiers. Each kind has a type of its own, so that the compiler rejects a mix-up.
 
 macro_rules! ids {
     ($($(#[$doc:meta])* $name:ident($inner:ty);)*) => {$(
@@ -9,11 +9,11 @@
 }
 
 ids! {
-    /// A request as a client sent it; a number is never reused while the agent runs.
+    /// Identifies a request of a client. A number is never reused while the agent runs.
     RequestId(u32);
-    /// A server process that takes requests; the number outlives a restart of the process.
+    /// Identifies an endpoint. A restart of its process does not change the number.
     EndpointId(u32);
-    /// An agent among its peers, counting from 0.
+    /// Identifies an agent among its peers, counting from 0.
     AgentId(u32);
     /// A class of requests that share one [`ClassPolicy`](crate::ClassPolicy), as its index in the settings.
     RequestClass(u8);
@@ -21,18 +21,18 @@
     Tenant(u16);
     /// An availability zone.
     Zone(u8);
-    /// A type of machine.
+    /// The model of the machine that an endpoint runs on.
     MachineModel(u8);
-    /// A small group of endpoints that share which idempotency keys they have seen.
+    /// A small group of endpoints that know each other's idempotency keys.
     Cell(u16);
-    /// A version of the endpoints' software; later ones are higher.
+    /// A version of the endpoints' software; a later build has a higher number.
     Build(u16);
     /// A stage of a build's rollout, counting from 0.
     Stage(u8);
-    /// Identifies what a request concerns, so that endpoints can drop its repeats.
+    /// The key by which endpoints recognise and drop repeats of a request.
     IdempotencyKey(u64);
-    /// The attempts of one request, counting from 0.
+    /// The number of an attempt within its request, counting from 0.
     AttemptNumber(u8);
-    /// Names a wake-up that was scheduled earlier.
+    /// Identifies a scheduled wake-up.
     TimerId(u64);
 }
--- a/crates/decision/src/model/mod.rs
+++ b/crates/decision/src/model/mod.rs
@@ -1,5 +1,5 @@
-//! The domain types that events, actions and decisions share. None of them has behaviour beyond its own
-//! data. Every instant is a [`std::time::Duration`] since the zero point that the host chose.
+//! The domain types that events, actions and policies share: plain data. Every instant is a [`std::time::Duration`]
+//! since a zero point that the host chooses.
 mod arm;
 mod endpoint;
 mod fleet;
--- a/crates/decision/src/model/release.rs
+++ b/crates/decision/src/model/release.rs
@@ -1,55 +1,55 @@
-//! Releases: where a build stands, and how agents vote on it.
+//! Releases: the phase and stage of a build, and the agents' votes on it.
 use std::time::Duration;
 
 use super::ids::{Build, Stage};
 
-/// Where a build stands in its rollout.
+/// The phase of a build's rollout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReleasePhase {
-    /// It runs on a part of the endpoints, stage by stage, and is analysed.
+    /// It runs on a share of the endpoints that grows with each stage, and is analysed.
     Canary,
-    /// It is being replaced by the earlier build.
+    /// The earlier build replaces it again.
     RollingBack,
-    /// It runs everywhere.
+    /// Its rollout is complete.
     Released,
-    /// It is gone.
+    /// It was rolled back from all endpoints.
     Withdrawn,
 }
 
 /// The rule by which the agents' votes advance a release to its next stage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdvanceRule {
-    /// One agent's vote is enough.
+    /// The vote of a single agent advances it.
     Single,
-    /// More than half of the agents have to vote for it.
+    /// The votes of more than half of the agents advance it.
     Majority,
-    /// The release advances by the clock unless a vote holds it.
+    /// It advances after a fixed time unless a vote holds it.
     Timed,
 }
 
-/// What an agent asks of a release.
+/// An agent's vote on a stage of a release.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Vote {
-    /// Takes the agent's earlier vote back.
+    /// Retracts the agent's earlier vote.
     Retract,
-    /// The next stage may begin.
+    /// Asks for the next stage.
     Advance,
-    /// The stage is to last longer.
+    /// Asks that the stage last longer.
     Hold,
-    /// The earlier build is to return.
+    /// Asks that the earlier build replace the new one.
     RollBack,
 }
 
-/// How long votes are valid, and how long casting one may take.
+/// How long a vote is valid, and how long the call that casts it may take.
 #[derive(Clone, Copy, Debug)]
 pub struct VoteTiming {
-    /// A vote that is not repeated within this time lapses.
+    /// A vote that is not repeated within this time expires.
     pub validity: Duration,
-    /// The answer to the call that casts a vote may take this long.
+    /// Time within which the call that casts a vote has to be answered.
     pub call_timeout: Duration,
 }
 
-/// Where the newest build stands, as the release control plane said last.
+/// The status of the newest build, as last reported by the release control plane.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ReleaseStatus {
     pub(crate) build: Build,
@@ -57,6 +57,6 @@
     pub(crate) phase: ReleasePhase,
     /// Highest share of requests that the build may get, 0 to 1.
     pub(crate) cap: f64,
-    /// When this stage began.
+    /// When the stage began.
     pub(crate) since: Duration,
 }
--- a/crates/decision/src/model/settings.rs
+++ b/crates/decision/src/model/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a decision engine: what the deployment states at the start and what never changes afterwards.
+//! Settings of a decision engine. The deployment provides them at the start; they do not change afterwards.
 use std::time::Duration;
 
 use super::fleet::FleetPosition;
@@ -9,91 +9,92 @@
 /// All settings of one [`DecisionEngine`](crate::DecisionEngine).
 #[derive(Clone, Debug)]
 pub struct EngineSettings {
-    /// Seed of all random draws: the same seed and the same events lead to the same actions.
+    /// Seed of all random draws. The same seed and the same events lead to the same actions.
     pub seed: u64,
-    /// Step of the host's clock; timers of the engine are multiples of it. Not zero.
+    /// Resolution of the host's clock; the engine's timers are multiples of it. Not zero.
     pub tick: Duration,
     /// The zone that the agent runs in.
     pub zone: Zone,
     /// The agent's position among all agents.
     pub fleet_position: FleetPosition,
-    /// Upkeep of the endpoint list.
+    /// How the endpoint list is kept up to date.
     pub discovery: EndpointDiscoverySettings,
-    /// Protection of endpoints that are warming up.
+    /// Limits on traffic to endpoints that are warming up.
     pub slow_start: SlowStartSettings,
-    /// How much traffic a canary may get.
+    /// Limits on traffic to a canary.
     pub exposure: ExposureSettings,
-    /// Analysis of a canary, and the votes on it.
+    /// How a canary is analysed and voted on.
     pub release_analysis: ReleaseAnalysisSettings,
-    /// Requests, their classes and their attempts.
+    /// Request classes, and limits on attempts.
     pub requests: RequestSettings,
 }
 
-/// Upkeep of the endpoint list.
+/// How the endpoint list is kept up to date.
 #[derive(Clone, Copy, Debug)]
 pub struct EndpointDiscoverySettings {
-    /// The time within which all agents of a fleet request the list after a common start or failure; `None`
-    /// where the platform pushes the list without a request.
+    /// Time over which the agents of a fleet spread their requests for the list after a common start or failure.
+    /// `None` if the platform pushes the list without a request.
     pub request_within: Option<Duration>,
 }
 
-/// The capacity of an endpoint that has just started, and what overloads it.
+/// The capacity of an endpoint that has just started, and the load that makes it fail.
 #[derive(Clone, Copy, Debug)]
 pub struct SlowStartSettings {
     /// Share of its full capacity that an endpoint has when its process starts, 0 to 1.
     pub initial_capacity_share: f64,
     /// Time from the start of its process until an endpoint has its full capacity.
     pub ramp: Duration,
-    /// An endpoint fails that is sent more than this many times its present capacity.
+    /// A warming endpoint fails if it is sent more work than this multiple of its current capacity.
     pub overload_multiple: f64,
-    /// The window over which that overload is measured.
+    /// The window over which the work sent to an endpoint is compared with its capacity.
     pub overload_window: Duration,
 }
 
-/// How much traffic a canary may get: a number of requests and a share of all, in a sliding window.
+/// Limits on traffic to a canary: a share of the requests in a sliding window, and a number of requests beyond it.
 #[derive(Clone, Copy, Debug)]
 pub struct ExposureSettings {
     /// Length of the sliding window.
     pub window: Duration,
-    /// Requests in a window that the canary may get beyond its share.
+    /// Number of requests in a window that a canary may get beyond its share.
     pub free_requests: f64,
     /// Highest share of requests, 0 to 1, for a build whose release status is not known yet.
     pub initial_cap: f64,
     /// Whether each request class has a window of its own; otherwise all classes share one.
     pub per_class: bool,
-    /// In stages below this one a canary gets idempotent requests only.
+    /// Number of first stages in which a canary gets idempotent requests only.
     pub guarded_stages: u8,
-    /// Whether a request that the canary has answered must not go to an earlier build afterwards.
+    /// Whether a request with an idempotency key that the canary has answered must not go to an earlier build
+    /// afterwards.
     pub forward_only: bool,
 }
 
-/// Analysis of a canary, and the votes on it.
+/// How a canary is analysed and voted on.
 #[derive(Clone, Debug)]
 pub struct ReleaseAnalysisSettings {
     /// The rule by which votes advance the release.
     pub advance_rule: AdvanceRule,
-    /// Share of the endpoints that run the canary in each stage, 0 to 1.
+    /// Share of the endpoints that run the canary, 0 to 1, by stage.
     pub stage_shares: Vec<f64>,
-    /// Minimum time that a stage lasts. Not zero.
+    /// Minimum duration of a stage. Not zero.
     pub minimum_stage_time: Duration,
-    /// How long votes are valid and may take.
+    /// How long a vote is valid, and how long the call that casts it may take.
     pub vote_timing: VoteTiming,
-    /// Whether endpoints are upgraded in place; otherwise the canary's endpoints are added beside the others.
+    /// Whether endpoints are upgraded in place; otherwise the canary runs on additional endpoints.
     pub in_place: bool,
-    /// Whether reports of outcomes go through relays in fleets of more than 300 agents. All agents of a fleet
-    /// need the same value: an agent drops reports that it is not the relay of.
+    /// Whether reports go through relays in fleets of more than 300 agents. All agents of a fleet need the same
+    /// value: an agent drops a report for which it is not the relay.
     pub use_relays: bool,
 }
 
-/// Requests, their classes and their attempts.
+/// Request classes, and limits on attempts.
 #[derive(Clone, Debug)]
 pub struct RequestSettings {
     /// The policy of each request class, by its number.
     pub classes: Vec<ClassPolicy>,
-    /// Most attempts of one request; at most 255, since an attempt's number is a byte on every wire.
+    /// Largest number of attempts of one request; at most 255, since attempt numbers have one byte on the wire.
     pub max_attempts: usize,
     /// Whether the host can cancel an attempt.
     pub may_cancel: bool,
-    /// Longest Retry-After that a rejection may carry; zero for none.
+    /// Longest retry-after time that a rejection may carry; zero for none.
     pub max_retry_after: Duration,
 }
--- a/crates/decision/src/peer_reports/aggregation.rs
+++ b/crates/decision/src/peer_reports/aggregation.rs
@@ -1,4 +1,4 @@
-//! How a relay adds up the reports of its group.
+//! Aggregation of the reports that a relay receives from its group.
 use std::collections::BTreeMap;
 use std::ops::Bound;
 use std::time::Duration;
@@ -6,18 +6,18 @@
 use super::codec::MAX_ENTRIES;
 use crate::state::evidence::{OutcomeCounts, OutcomeEntry, OutcomeKey, WorkSums};
 
-/// What a relay has received from its group and not yet forwarded.
+/// The counts that a relay has received from its group and not yet forwarded.
 #[derive(Debug, Default)]
 pub(crate) struct ReportAggregate {
     counts: BTreeMap<OutcomeKey, OutcomeCounts<u32>>,
     work: WorkSums<u32>,
-    /// The last key that was forwarded; the next report begins behind it.
+    /// The last key that was forwarded; the next report begins with the key after it.
     last_key: OutcomeKey,
-    /// When the next report may go.
+    /// Earliest time of the next report.
     pub(crate) next_report_at: Duration,
 }
 
-/// What one report of a relay holds.
+/// The content of one report of a relay.
 #[derive(Debug)]
 pub(crate) struct AggregatedReport {
     pub(crate) work: WorkSums<u16>,
@@ -25,7 +25,7 @@
 }
 
 impl ReportAggregate {
-    /// Adds a report.
+    /// Adds the sums and counts of a report.
     pub(crate) fn add(&mut self, work: WorkSums<u16>, entries: impl Iterator<Item = OutcomeEntry>) {
         let sums = add_each(self.work.to_array(), work.map(u32::from).to_array());
         self.work = WorkSums::from_array(sums);
@@ -41,13 +41,13 @@
         !self.counts.is_empty()
     }
 
-    /// Takes what fits into one report, in turn by key, so that no key waits for others forever; the rest is left.
-    /// A sum that no single entry can hold takes several.
+    /// Takes as many counts as fit into one report and leaves the rest. Keys take turns, so that none is postponed
+    /// indefinitely by others. Counts that exceed the range of one entry take several entries.
     pub(crate) fn take(&mut self) -> AggregatedReport {
-        let behind = self
+        let later_keys = self
             .counts
             .range((Bound::Excluded(self.last_key), Bound::Unbounded));
-        let keys: Vec<OutcomeKey> = behind
+        let keys: Vec<OutcomeKey> = later_keys
             .chain(self.counts.range(..=self.last_key))
             .map(|(&key, _)| key)
             .collect();
@@ -82,14 +82,14 @@
     std::array::from_fn(|i| sums[i].saturating_add(added[i]))
 }
 
-/// Numbers of which a share was taken.
+/// Numbers that were divided into a part that was taken and a part that is left.
 struct Split<const N: usize> {
     taken: [u32; N],
     left: [u32; N],
 }
 
-/// Takes as much as the largest of these numbers allows, of all the same share, so that what is taken and what
-/// is left show the same rates.
+/// Takes the same share of each number, the largest share for which no part exceeds `max`. Both parts so keep the
+/// ratios of the numbers, such as the failure rate, apart from rounding.
 fn take_share<const N: usize>(numbers: [u32; N], max: u32) -> Split<N> {
     let largest = numbers.iter().copied().max().unwrap_or_default();
     let taken = numbers.map(|number| {
--- a/crates/decision/src/peer_reports/codec.rs
+++ b/crates/decision/src/peer_reports/codec.rs
@@ -1,26 +1,26 @@
-//! The bytes of peers' messages. All numbers are big-endian.
+//! Encoding of the messages between peers. All numbers are big-endian.
 use crate::model::{Build, EndpointId, RequestClass};
 use crate::state::evidence::{OutcomeCounts, OutcomeEntry, OutcomeKey, WorkSums};
 
 const HEADER_LENGTH: usize = 16;
 const ENTRY_LENGTH: usize = 9;
-/// The longest report, in bytes.
+/// Maximum length of a report, in bytes.
 pub(crate) const MAX_REPORT_LENGTH: usize = 256;
-/// How many entries a report can hold.
+/// Largest number of entries in a report.
 pub(crate) const MAX_ENTRIES: usize = (MAX_REPORT_LENGTH - HEADER_LENGTH) / ENTRY_LENGTH;
-/// Stands for the earlier builds in an entry.
+/// The endpoint field of an entry that counts outcomes of the earlier builds.
 const NO_ENDPOINT: u32 = u32::MAX;
 
-/// Orders the reports of one sender; later ones compare higher.
+/// Version of a report, which orders the reports of one sender; a later one compares higher.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct ReportVersion {
-    /// The agent's incarnation: when it started, in milliseconds.
+    /// When the sender started, in milliseconds.
     pub(crate) incarnation: u32,
-    /// Grows with each report.
+    /// Increases with each report of an incarnation.
     pub(crate) sequence: u32,
 }
 
-/// What a report says besides its entries.
+/// The content of a report apart from its entries.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ReportHeader {
     pub(crate) build: Build,
@@ -28,7 +28,7 @@
     pub(crate) work: WorkSums<u16>,
 }
 
-/// A report as it was received.
+/// A received report whose length is valid.
 #[derive(Debug)]
 pub(crate) struct ReceivedReport<'a> {
     pub(crate) header: ReportHeader,
@@ -36,13 +36,13 @@
 }
 
 impl<'a> ReceivedReport<'a> {
-    /// The counts that it holds.
+    /// Decodes the entries.
     pub(crate) fn entries(&self) -> impl Iterator<Item = OutcomeEntry> + use<'a> {
         self.entries.chunks_exact(ENTRY_LENGTH).map(read_entry)
     }
 }
 
-/// A report with as many of the entries as fit.
+/// Encodes a report with as many of the entries as fit.
 pub(crate) fn write(header: ReportHeader, entries: impl Iterator<Item = OutcomeEntry>) -> Vec<u8> {
     let mut bytes = header.build.0.to_be_bytes().to_vec();
     bytes.extend(header.version.incarnation.to_be_bytes());
@@ -58,23 +58,23 @@
     bytes
 }
 
-/// Reads a report; `None` if it is malformed or too long.
+/// Decodes a report; `None` if it is malformed or too long.
 pub(crate) fn read(bytes: &[u8]) -> Option<ReceivedReport<'_>> {
     let (header, entries) = bytes.split_at_checked(HEADER_LENGTH)?;
     if bytes.len() > MAX_REPORT_LENGTH || entries.len() % ENTRY_LENGTH > 0 {
         return None;
     }
-    let short = |at: usize| u16::from_be_bytes([header[at], header[at + 1]]);
-    let long = |at: usize| {
+    let u16_at = |at: usize| u16::from_be_bytes([header[at], header[at + 1]]);
+    let u32_at = |at: usize| {
         u32::from_be_bytes([header[at], header[at + 1], header[at + 2], header[at + 3]])
     };
     let header = ReportHeader {
-        build: Build(short(0)),
+        build: Build(u16_at(0)),
         version: ReportVersion {
-            incarnation: long(2),
-            sequence: long(6),
+            incarnation: u32_at(2),
+            sequence: u32_at(6),
         },
-        work: WorkSums::from_array([10, 12, 14].map(short)),
+        work: WorkSums::from_array([10, 12, 14].map(u16_at)),
     };
     Some(ReceivedReport { header, entries })
 }
@@ -89,7 +89,7 @@
     OutcomeEntry { key, counts }
 }
 
-/// A warning that a build is in doubt.
+/// Encodes a warning that a build is in doubt.
 pub(crate) fn write_warning(build: Build) -> [u8; 2] {
     build.0.to_be_bytes()
 }
--- a/crates/decision/src/peer_reports/mod.rs
+++ b/crates/decision/src/peer_reports/mod.rs
@@ -1,4 +1,4 @@
-//! What agents send each other: counts of outcomes for the report aggregators, and warnings from these.
+//! The messages between agents: reports of outcomes to the report aggregators, and warnings from the aggregators.
 pub(crate) mod aggregation;
 pub(crate) mod codec;
 pub(crate) mod relays;
--- a/crates/decision/src/peer_reports/relays.rs
+++ b/crates/decision/src/peer_reports/relays.rs
@@ -1,31 +1,31 @@
-//! Who receives reports: a few agents aggregate those of all. In a large fleet agents form groups, and each
-//! group has one relay that adds up its members' counts and reports the sums in its own name.
+//! Routing of reports. A few agents aggregate the reports of all. In a large fleet, agents form groups, and each group
+//! has one relay that adds up its members' counts and reports the sums as its own.
 use std::ops::Range;
 use std::time::Duration;
 
 use super::codec::MAX_REPORT_LENGTH;
 use crate::model::{AgentId, Build, FleetPosition};
 
-/// How many agents aggregate the others' reports.
+/// Number of agents that aggregate the reports on a build.
 const AGGREGATORS: u32 = 3;
-/// Up to so many agents, each reports to the aggregators directly. Relays cost a report a second hop, which is
-/// one more chance to be lost, and pay only where the aggregators would receive more than [`RECEIVER_BUDGET`].
+/// Largest fleet in which all agents report to the aggregators directly. A relay adds a second hop, on which a report
+/// may be lost as well, so relays pay off only where the aggregators would receive more than [`RECEIVER_BUDGET`].
 const MAX_DIRECT_AGENTS: u32 = 300;
-/// Bytes of reports, headers included, that an agent may receive in one minimum stage time: so many datagrams
-/// of full length. Its senders share this evenly, and each waits as long after a report as its part of it takes.
-/// What is unused is not kept: with a token bucket of half a minimum stage time for each sender, aggregators
-/// received more than this.
+/// Bytes of reports, headers included, that an agent may receive within the minimum stage time, in units of full
+/// reports. The senders share this evenly: after a report, each pauses for the time that the report takes of its
+/// share. Unused budget does not accumulate, since with a token bucket of half a minimum stage time per sender the
+/// aggregators received more than the budget.
 const RECEIVER_BUDGET: usize = 24 * MAX_REPORT_LENGTH;
-/// Bytes of the headers of IPv4 and UDP.
+/// Length of the IPv4 and UDP headers, in bytes.
 const DATAGRAM_HEADERS: usize = 28;
-/// A group has so many times as many members as there are groups. Fewer groups shorten the waits of relays, more
-/// those of members; with half of this, votes on a build with 5 % failures came later.
+/// Ratio of the members of a group to the number of groups. Fewer groups shorten the pauses of relays, more groups
+/// those of members. With half this ratio, votes on a build with 5 % failures came later.
 const MEMBERS_PER_GROUP_COUNT: u32 = 8;
-/// For so many minimum stage times one agent is its group's relay, then the next. A relay that died costs what
-/// its group reports until then.
+/// Time for which an agent is the relay of its group, in minimum stage times. If a relay dies, the reports of its
+/// group are lost until the next one takes over.
 const RELAY_TERM: u32 = 4;
 
-/// What the ways of reports depend on.
+/// The settings that determine who receives reports.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ReportRouting {
     pub(crate) fleet_position: FleetPosition,
@@ -33,8 +33,8 @@
     pub(crate) use_relays: bool,
 }
 
-/// The agents that aggregate the reports on a build: a few, spread by the build's number, so that hundreds need
-/// not exchange reports with each other.
+/// The agents that aggregate the reports on a build. They are few, so that hundreds of agents need not exchange
+/// reports with each other, and change with the build's number.
 pub(crate) fn aggregators(
     fleet_position: FleetPosition,
     build: Build,
@@ -51,27 +51,28 @@
     aggregators(fleet_position, build).any(|agent| agent == fleet_position.own_id)
 }
 
-/// The groups that agents form for one build at one time.
+/// The groups that the agents form for a build during one relay term.
 pub(crate) struct RelayGroups {
     agent_count: u32,
     group_count: u32,
     pub(crate) aggregators: Vec<AgentId>,
-    /// Which member of each group is its relay, counted round the group.
-    turn: u64,
+    /// Number of the relay term; modulo the size of a group, the index of its relay.
+    term: u64,
 }
 
 impl RelayGroups {
-    fn new(agent_count: u32, aggregators: Vec<AgentId>, turn: u64) -> Self {
+    fn new(agent_count: u32, aggregators: Vec<AgentId>, term: u64) -> Self {
         let group_count = (agent_count / MEMBERS_PER_GROUP_COUNT).isqrt().max(1);
         RelayGroups {
             agent_count,
             group_count,
             aggregators,
-            turn,
+            term,
         }
     }
 
-    /// Neighbours in number prefer the same endpoints, which keeps the sum of their reports short.
+    /// The ids of an agent's group. Agents with neighbouring ids prefer the same endpoints, so their reports add up to
+    /// few entries.
     fn members(&self, agent: AgentId) -> Range<u32> {
         let (agent_count, group_count) = (u64::from(self.agent_count), u64::from(self.group_count));
         let group = u64::from(agent.0) * group_count / agent_count;
@@ -90,33 +91,33 @@
                 .filter(|member| !self.aggregators.contains(member))
         };
         let size = members().count() as u64;
-        members().nth((self.turn % size) as usize)
+        members().nth((self.term % size) as usize)
     }
 
-    /// Whether one agent may have to forward what another reports.
-    pub(crate) fn are_in_same_group(&self, one: AgentId, other: AgentId) -> bool {
-        let is_aggregator = self.aggregators.contains(&one) || self.aggregators.contains(&other);
-        !is_aggregator && self.members(one).contains(&other.0)
+    /// Whether two agents are members of the same group, so that one may be the relay of the other.
+    pub(crate) fn are_in_same_group(&self, agent: AgentId, other: AgentId) -> bool {
+        let is_aggregator = self.aggregators.contains(&agent) || self.aggregators.contains(&other);
+        !is_aggregator && self.members(agent).contains(&other.0)
     }
 
-    /// How many agents report to an aggregator: the relays and the other aggregators.
+    /// Number of agents that report to an aggregator: the relays and the other aggregators.
     pub(crate) fn senders_to_aggregator(&self) -> u32 {
         self.group_count + self.aggregators.len().saturating_sub(1) as u32
     }
 }
 
-/// Where an agent's own reports go.
+/// The receivers of an agent's own reports.
 pub(crate) struct ReportRoute {
     pub(crate) receivers: Vec<AgentId>,
-    /// The relay among these.
+    /// The relay among the receivers, if the agent's group has one.
     pub(crate) relay: Option<AgentId>,
-    /// How many send to the same receiver; unknown where reports go to the aggregators directly.
+    /// Number of agents that report to the same receiver; `None` without relays.
     senders: Option<u32>,
 }
 
 impl ReportRoute {
-    /// How long an agent waits after a report of this many bytes before its next one. `direct_pause` is a share
-    /// of the minimum stage time, and holds where there are no relays.
+    /// Pause of an agent after a report of `length` bytes. Without relays it is `direct_pause`, as a share of the
+    /// minimum stage time.
     pub(crate) fn pause(
         &self,
         length: usize,
@@ -130,7 +131,7 @@
     }
 }
 
-/// How long a datagram's part of the receiver's budget takes, if so many senders share it.
+/// Pause after a report of `length` bytes that keeps the receiver within its budget if this number of senders share it.
 pub(crate) fn pause_between_reports(
     length: usize,
     minimum_stage_time: Duration,
@@ -141,29 +142,28 @@
 }
 
 impl ReportRouting {
-    /// Whether this fleet's reports go through relays: there are too many agents for the aggregators to receive
-    /// the reports of each.
+    /// Whether reports go through relays: it is set, and the fleet is too large for direct reports.
     pub(crate) fn has_relays(&self) -> bool {
         self.use_relays
             && self.fleet_position.can_message_peers
             && self.fleet_position.agent_count > MAX_DIRECT_AGENTS
     }
 
-    /// The groups for a build now, where there are relays.
+    /// The current groups for a build; `None` without relays.
     pub(crate) fn groups(&self, now: Duration, build: Build) -> Option<RelayGroups> {
         if !self.has_relays() {
             return None;
         }
-        let term = (self.minimum_stage_time * RELAY_TERM).as_millis().max(1);
-        let turn = u64::from(build.0) + (now.as_millis() / term) as u64;
+        let term_millis = (self.minimum_stage_time * RELAY_TERM).as_millis().max(1);
+        let term = u64::from(build.0) + (now.as_millis() / term_millis) as u64;
         Some(RelayGroups::new(
             self.fleet_position.agent_count,
             aggregators(self.fleet_position, build).collect(),
-            turn,
+            term,
         ))
     }
 
-    /// Where this agent's own reports on a build go now.
+    /// The current receivers of this agent's own reports on a build.
     pub(crate) fn route(&self, now: Duration, build: Build) -> ReportRoute {
         let own_id = self.fleet_position.own_id;
         let groups = self.groups(now, build);
--- a/crates/decision/src/peer_reports/reporter.rs
+++ b/crates/decision/src/peer_reports/reporter.rs
@@ -1,4 +1,4 @@
-//! An agent's own reports, and those that it forwards as a relay.
+//! The reports that an agent sends: its own, and those that it forwards as a relay.
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -9,19 +9,19 @@
 use crate::model::{AgentId, Build};
 use crate::state::evidence::{OutcomeEntry, OutcomeReport, WorkSums};
 
-/// Reports of one build's analysis.
+/// Sends the reports on the build that is analysed.
 #[derive(Debug)]
 pub(crate) struct Reporter {
     pub(crate) routing: ReportRouting,
-    /// Own outcomes that are not reported yet.
+    /// The agent's own outcomes that are not reported yet.
     unreported: OutcomeReport,
-    /// When the next own report may go.
+    /// Earliest time of the agent's next own report.
     pub(crate) next_report_at: Duration,
-    /// Of the last report.
+    /// Version of the last report that was sent.
     version: ReportVersion,
-    /// What this agent has to forward for its group.
+    /// The counts that this agent has to forward as a relay.
     aggregate: ReportAggregate,
-    /// The version of the last report from each sender.
+    /// Version of the last accepted report, by sender.
     last_received: BTreeMap<AgentId, ReportVersion>,
 }
 
@@ -37,43 +37,43 @@
         }
     }
 
-    /// Begins the reports on a new build, of an agent that started at this time.
+    /// Begins the reports on a new build. `started_at` is when this agent started.
     pub(crate) fn begin(&mut self, started_at: Duration) {
         self.version.incarnation = started_at.as_millis() as u32;
         self.unreported = OutcomeReport::new();
         self.aggregate = ReportAggregate::default();
     }
 
-    /// Adds own outcomes.
+    /// Adds the agent's own outcomes to its next report.
     pub(crate) fn add(&mut self, entry: OutcomeEntry) {
         let counts = self.unreported.entry(entry.key).or_default();
         *counts = counts.saturating_add(entry.counts);
     }
 
-    /// Whether there are outcomes of the canary that were not reported yet.
+    /// Whether outcomes of the canary are not reported yet.
     pub(crate) fn has_canary_outcomes(&self) -> bool {
         self.unreported
             .keys()
             .any(|key| key.canary_endpoint.is_some())
     }
 
-    /// Whether there is anything to forward for the group.
+    /// Whether there are counts to forward as a relay.
     pub(crate) fn has_group_reports(&self) -> bool {
         self.aggregate.has_counts()
     }
 
-    /// Whether a report is newer than the last one of its sender.
+    /// Whether a report is newer than the last accepted one of its sender.
     pub(crate) fn is_new(&self, from: AgentId, version: ReportVersion) -> bool {
         version > self.last_received.get(&from).copied().unwrap_or_default()
     }
 
-    /// Records that a report was taken: older ones no longer count.
+    /// Records that a report was accepted, so that older ones of its sender are dropped.
     pub(crate) fn on_received(&mut self, from: AgentId, version: ReportVersion) {
         self.last_received.insert(from, version);
     }
 
-    /// The version of the next report. Where there are relays its sequence number is the time when the report
-    /// was made, in milliseconds after the agent's start.
+    /// Advances and returns the version. With relays the sequence number is at least the time since the agent's start,
+    /// in milliseconds.
     fn next_version(&mut self, now: Duration) -> ReportVersion {
         let next = self.version.sequence.wrapping_add(1);
         let since_start = (now.as_millis() as u32).wrapping_sub(self.version.incarnation);
@@ -85,9 +85,9 @@
         self.version
     }
 
-    /// Sends an own report, the canary's outcomes first; a relay keeps its own with those of its group.
-    /// `direct_pause` is the pause until the next one as a share of the minimum stage time, where there are no
-    /// relays.
+    /// Sends a report of the agent's own outcomes, those of the canary first. A relay adds them to the counts of its
+    /// group instead. `direct_pause` is the pause until the next report without relays, as a share of the minimum
+    /// stage time.
     pub(crate) fn send(
         &mut self,
         now: Duration,
@@ -119,8 +119,9 @@
         }
     }
 
-    /// Takes in a report that is for this agent to forward. What was made before it started, an earlier
-    /// incarnation of it may have forwarded already: a minimum stage time is left for clocks that differ.
+    /// Adds a member's report to those that this agent forwards as a relay. A report that was made before this agent
+    /// started, or within a minimum stage time after, is dropped: an earlier incarnation of this agent may have
+    /// forwarded it, and clocks may differ.
     pub(crate) fn add_for_group(
         &mut self,
         now: Duration,
@@ -144,7 +145,7 @@
         }
     }
 
-    /// Forwards to the aggregators what this agent has received from its group, when that is due.
+    /// Sends the group's counts to the aggregators, if there are any and the pause since the last such report is over.
     pub(crate) fn forward(&mut self, now: Duration, build: Build, actions: &mut dyn Actions) {
         if !self.aggregate.has_counts() || now < self.aggregate.next_report_at {
             return;
--- a/crates/decision/src/release_permissions.rs
+++ b/crates/decision/src/release_permissions.rs
@@ -1,31 +1,31 @@
-//! What the operator's rules permit, as a table that the engine looks up for each request. Whoever makes the
-//! table decides; nothing here does. It can only take away: what the engine itself forbids stays forbidden.
+//! What the operator's rules permit, as a table that the engine looks up for each request. The rules are evaluated by
+//! whoever builds the table. It only restricts: what the engine's own policies forbid stays forbidden.
 use crate::model::{Build, RequestClass, Stage, Tenant, Zone};
 
-/// Which builds may be used where and for whom, and which stage may be followed by the next.
+/// Which builds may receive the requests of which tenants and classes in which zones, and which stage may advance.
 ///
-/// A build that has no row is closed; so are zones, tenants and classes beyond the table's size.
+/// Nothing is permitted for a build without a row, or for zones, tenants and classes beyond the table's size.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ReleasePermissions {
     builds: Vec<Build>,
     zone_count: usize,
     tenant_count: usize,
-    /// By build, zone and tenant: a bit for each class.
-    classes: Vec<u64>,
-    /// By build and zone: the classes that are open to any tenant.
-    classes_of_any: Vec<u64>,
+    /// Bit masks of the permitted classes, by build, zone and tenant.
+    class_masks: Vec<u64>,
+    /// Bit masks of the classes that are permitted for at least one tenant, by build and zone.
+    any_tenant_class_masks: Vec<u64>,
     advance_from: Option<(Build, Stage)>,
 }
 
 impl ReleasePermissions {
-    /// The most request classes that a table can tell apart.
+    /// Largest number of request classes: a mask has one bit for each.
     pub const MAX_CLASSES: usize = 64;
 
-    /// `rows` are in the order of their builds; each holds `zone_count` x `tenant_count` cells, those of a zone
-    /// together, with a bit for each class. `advance_from` is the one stage that may be followed by the next.
+    /// Creates a table. `rows` are sorted by build; each holds `zone_count` x `tenant_count` bit masks of the permitted
+    /// classes, grouped by zone. `advance_from` is the only stage that a vote may ask to advance.
     ///
     /// # Panics
-    /// Where a row has another number of cells, or rows are out of order: a fault of the caller's.
+    /// If the rows are not sorted by build, or a row holds another number of masks.
     pub fn new(
         zone_count: usize,
         tenant_count: usize,
@@ -33,37 +33,38 @@
         advance_from: Option<(Build, Stage)>,
     ) -> Self {
         assert!(
-            rows.is_sorted_by(|(one, _), (next, _)| one < next),
-            "rows in the order of their builds"
+            rows.is_sorted_by(|(build, _), (next, _)| build < next),
+            "the rows of release permissions are not sorted by build, or a build occurs twice"
         );
         assert!(
             rows.iter()
-                .all(|(_, cells)| cells.len() == zone_count * tenant_count),
-            "a cell for each zone and tenant"
+                .all(|(_, masks)| masks.len() == zone_count * tenant_count),
+            "a row of release permissions does not hold {zone_count} x {tenant_count} class masks"
         );
         let builds = rows.iter().map(|(build, _)| *build).collect();
-        let classes: Vec<u64> = rows
+        let class_masks: Vec<u64> = rows
             .iter()
-            .flat_map(|(_, cells)| cells.iter().copied())
+            .flat_map(|(_, masks)| masks.iter().copied())
             .collect();
-        let classes_of_any = if tenant_count == 0 {
+        let any_tenant_class_masks = if tenant_count == 0 {
             Vec::new()
         } else {
-            classes
+            class_masks
                 .chunks(tenant_count)
-                .map(|zone| zone.iter().fold(0, |all, cell| all | cell))
+                .map(|zone| zone.iter().fold(0, |union, mask| union | mask))
                 .collect()
         };
         ReleasePermissions {
             builds,
             zone_count,
             tenant_count,
-            classes,
-            classes_of_any,
+            class_masks,
+            any_tenant_class_masks,
             advance_from,
         }
     }
 
+    /// The index of a build and zone in `any_tenant_class_masks`; `None` if the table does not hold them.
     fn index(&self, build: Build, zone: Zone) -> Option<usize> {
         let row = self.builds.binary_search(&build).ok()?;
         let zone = usize::from(zone.0);
@@ -77,18 +78,18 @@
         let Some(index) = index.filter(|_| tenant < self.tenant_count) else {
             return false;
         };
-        self.classes[index * self.tenant_count + tenant]
+        self.class_masks[index * self.tenant_count + tenant]
             .checked_shr(class)
             .is_some_and(|bits| bits & 1 == 1)
     }
 
-    /// Whether a build in a zone is open to anyone.
+    /// Whether any tenant and class may use a build in a zone.
     pub fn permits_any(&self, build: Build, zone: Zone) -> bool {
         self.index(build, zone)
-            .is_some_and(|index| self.classes_of_any[index] != 0)
+            .is_some_and(|index| self.any_tenant_class_masks[index] != 0)
     }
 
-    /// Whether a vote may ask that a build advances from this stage.
+    /// Whether the agent may vote to advance a build from this stage.
     pub fn may_advance(&self, build: Build, stage: Stage) -> bool {
         self.advance_from == Some((build, stage))
     }
