--- a/crates/decision/tests/engine/scenarios/checks.rs
+++ b/crates/decision/tests/engine/scenarios/checks.rs
@@ -1,10 +1,10 @@
-//! The steps of a scenario that check what was decided.
+//! The steps of a scenario that check the decisions.
 use lilacgate_decision::{EndpointId, SequentialTest, SequentialTestSettings};
 
 use super::player::Player;
 use super::words::number;
 
-/// All words that a decision may begin with.
+/// The first words of all decisions.
 const DECISIONS: [&str; 8] = [
     "cancel",
     "close-idle-connections",
@@ -17,43 +17,46 @@
 ];
 
 impl Player {
-    /// Plays a check; false if there is none of that name and form.
+    /// Runs a check; returns `false` if there is none with this name and these arguments.
     pub(super) fn check(&self, name: &str, arguments: &[&str]) -> bool {
         let recorder = &self.recorder;
         match (name, arguments) {
             ("expect", decision) => assert!(
                 count(&recorder.recent, decision) > 0,
-                "not in {:?}",
+                "expected {decision:?}, not found in the recent decisions {:?}",
                 recorder.recent
             ),
-            ("never", decision) => assert!(
+            ("expect-no", decision) => assert!(
                 count(&recorder.recent, decision) == 0,
-                "in {:?}",
+                "expected no {decision:?}, found in the recent decisions {:?}",
                 recorder.recent
             ),
-            ("ever", decision) => {
-                assert!(count(&recorder.all, decision) > 0, "never since the start");
+            ("expect-ever", decision) => {
+                assert!(
+                    count(&recorder.all, decision) > 0,
+                    "expected {decision:?}, not found since the start"
+                );
             }
-            ("most", [most, decision @ ..]) => {
-                let (most, seen) = (number::<usize>(most), count(&recorder.all, decision));
+            ("expect-at-most", [limit, decision @ ..]) => {
+                let (limit, found) = (number::<usize>(limit), count(&recorder.all, decision));
                 assert!(
-                    seen <= most,
-                    "seen {seen} times, last {:?}",
+                    found <= limit,
+                    "expected at most {limit} of {decision:?}, found {found}, the recent decisions are {:?}",
                     recorder.recent
                 );
             }
-            ("noted", text) => {
+            ("expect-diagnostic", text) => {
                 let text = text.join(" ");
                 assert!(
                     recorder
                         .diagnostics
                         .iter()
                         .any(|diagnostic| diagnostic.contains(&text)),
-                    "{:?}",
+                    "expected the diagnostic {text:?}, not found in {:?}",
                     recorder.diagnostics
                 );
             }
-            ("test", [x_bad, x_all, y_bad, y_all, "p", p]) => {
+            ("expect-p-value", [x_bad, x_all, y_bad, y_all, "=", p]) => {
                 let baseline = Counts::new(x_bad, x_all);
                 let canary = Counts::new(y_bad, y_all);
                 check_p_value(baseline, canary, number(p));
@@ -64,19 +67,22 @@
     }
 }
 
-/// How many of the decisions begin with these words; `*` stands for any.
+/// Number of decisions that begin with these words; `*` matches any word.
 fn count(decisions: &[String], words: &[&str]) -> usize {
-    let first = words.first().expect("a decision");
-    assert!(DECISIONS.contains(first), "no decision {first}");
-    let fits = |decision: &&String| {
+    let first = words.first().expect("a check names a decision");
+    assert!(
+        DECISIONS.contains(first),
+        "unknown decision {first:?}, expected one of {DECISIONS:?}"
+    );
+    let matches = |decision: &&String| {
         let decided: Vec<&str> = decision.split(' ').collect();
         decided.len() >= words.len()
             && words
                 .iter()
                 .zip(decided)
-                .all(|(wanted, decided)| *wanted == "*" || *wanted == decided)
+                .all(|(expected, decided)| *expected == "*" || *expected == decided)
     };
-    decisions.iter().filter(fits).count()
+    decisions.iter().filter(matches).count()
 }
 
 #[derive(Clone, Copy)]
@@ -94,7 +100,8 @@
     }
 }
 
-/// Checks the sequential test by itself: bad outcomes come first in the baseline and last in the canary.
+/// Checks the p-value of a sequential test that has observed these outcomes. Bad outcomes come first in the baseline and
+/// last in the canary.
 fn check_p_value(baseline: Counts, canary: Counts, expected: f64) {
     let mut test = SequentialTest::new(SequentialTestSettings {
         tolerated_difference: 0.02,
@@ -109,5 +116,8 @@
         test.observe(Some(EndpointId(1)), 1.0, f64::from(u8::from(bad)));
     }
     let p = test.p_value();
-    assert!((p - expected).abs() < 1e-4, "p is {p}");
+    assert!(
+        (p - expected).abs() < 1e-4,
+        "the p-value is {p}, expected {expected}"
+    );
 }
--- a/crates/decision/tests/engine/scenarios/events.rs
+++ b/crates/decision/tests/engine/scenarios/events.rs
@@ -1,4 +1,4 @@
-//! The steps of a scenario that are events, each in a round of its own.
+//! The steps of a scenario that are events. Each runs in a round of its own.
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -12,32 +12,34 @@
 };
 use crate::support::ReleaseUpdate;
 
-/// Requests of bursts have ids from here on.
+/// The lowest id of requests of a burst.
 const FIRST_BURST_REQUEST: u32 = 2_000_000;
-/// The zones that permissions name.
+/// Number of zones in a table of permissions.
 const ZONES: usize = 3;
 
 impl Player {
-    /// Plays an event; false if there is none of that name and form.
+    /// Runs an event; returns `false` if there is none with this name and these arguments.
     pub(super) fn play_event(&mut self, name: &str, arguments: &[&str]) -> bool {
         match (name, arguments) {
-            ("endpoints", [update, entries @ ..]) => self.list_endpoints(update, entries),
+            ("endpoints", [update, entries @ ..]) => self.update_endpoints(update, entries),
             ("request", [id, class, rest @ ..]) => {
                 let request = self.request(class, rest);
                 let id = RequestId(number(id));
                 self.round(|events| events.on_request(id, request));
             }
             ("burst", [count, class]) => self.burst(number(count), class),
-            ("client-left", [id]) => {
+            ("client-disconnected", [id]) => {
                 let id = RequestId(number(id));
                 self.round(|events| events.on_client_disconnected(id));
             }
-            ("ended", [which, at, how, took]) => self.end_attempt([which, at, how, took], false),
-            ("ended", [which, at, how, took, "closed"]) => {
-                self.end_attempt([which, at, how, took], true);
+            ("ended", [attempt, endpoint, outcome, took]) => {
+                self.end_attempt([attempt, endpoint, outcome, took], false);
             }
-            ("may-send", [which, expected]) => self.check_may_send(which, expected),
-            ("stage", [build, stage, phase, cap]) => {
+            ("ended", [attempt, endpoint, outcome, took, "closed"]) => {
+                self.end_attempt([attempt, endpoint, outcome, took], true);
+            }
+            ("may-send", [attempt, expected]) => self.check_may_send(attempt, expected),
+            ("release", [build, stage, phase, cap]) => {
                 let update = ReleaseUpdate {
                     build: Build(number(build)),
                     stage: Stage(number(stage)),
@@ -46,20 +48,20 @@
                 };
                 self.round(|events| update.send_to(events));
             }
-            ("vote-answered", [how]) => {
-                let outcome = outcome(how);
+            ("vote-answered", [text]) => {
+                let outcome = outcome(text);
                 self.round(|events| events.on_vote_answered(outcome));
             }
             ("permit", ["all"]) => self.round(|events| events.on_release_permissions(None)),
-            ("permit", ["advance", cells @ ..]) => self.permit(cells, true),
-            ("permit", ["hold", cells @ ..]) => self.permit(cells, false),
-            ("wrong-answer", [at, class, ago]) => {
-                let (at, class) = (EndpointId(number(at)), RequestClass(number(class)));
+            ("permit", ["advance", entries @ ..]) => self.permit(entries, true),
+            ("permit", ["hold", entries @ ..]) => self.permit(entries, false),
+            ("wrong-answer", [endpoint, class, ago]) => {
+                let (endpoint, class) = (EndpointId(number(endpoint)), RequestClass(number(class)));
                 let sent_ago = milliseconds(ago);
-                self.round(|events| events.on_wrong_answer(at, class, sent_ago));
+                self.round(|events| events.on_wrong_answer(endpoint, class, sent_ago));
             }
-            ("report", [from, build, serial, sums, records @ ..]) => {
-                let payload = report(build, serial, sums, records);
+            ("report", [from, build, sequence, sums, entries @ ..]) => {
+                let payload = report(build, sequence, sums, entries);
                 let from = AgentId(number(from));
                 self.round(|events| events.on_peer_message(from, &payload));
             }
@@ -72,7 +74,7 @@
         true
     }
 
-    fn list_endpoints(&mut self, update: &str, entries: &[&str]) {
+    fn update_endpoints(&mut self, update: &str, entries: &[&str]) {
         let update = list_update(update);
         let listed: Vec<Endpoint> = entries
             .iter()
@@ -92,33 +94,38 @@
         });
     }
 
-    fn end_attempt(&mut self, [which, at, how, took]: [&str; 4], closed: bool) {
-        let (request, number_of_attempt) = attempt(which);
-        let (at, outcome, took) = (EndpointId(number(at)), outcome(how), milliseconds(took));
+    fn end_attempt(&mut self, [id, endpoint, result, took]: [&str; 4], request_closed: bool) {
+        let (request, attempt) = attempt(id);
+        let (endpoint, outcome, took) = (
+            EndpointId(number(endpoint)),
+            outcome(result),
+            milliseconds(took),
+        );
         self.round(|events| {
-            events.on_attempt_ended(request, number_of_attempt, at, outcome, took, closed);
+            events.on_attempt_ended(request, attempt, endpoint, outcome, took, request_closed);
         });
     }
 
-    fn check_may_send(&mut self, which: &str, expected: &str) {
-        let (request, number_of_attempt) = attempt(which);
+    fn check_may_send(&mut self, id: &str, expected: &str) {
+        let (request, attempt) = attempt(id);
         let expected = match expected {
             "yes" => true,
             "no" => false,
-            other => panic!("neither yes nor no: {other}"),
+            other => panic!("may-send expects yes or no, got {other:?}"),
         };
         let mut may_send = !expected;
-        self.round(|events| may_send = events.may_send(request, number_of_attempt));
+        self.round(|events| may_send = events.may_send(request, attempt));
         assert_eq!(may_send, expected);
     }
 
-    /// Permits classes to builds and zones, and the first stage of the newest of these builds if it `may_advance`.
-    fn permit(&mut self, cells: &[&str], may_advance: bool) {
+    /// Permits only these builds, zones and classes. With `may_advance`, the newest of the builds may advance from its
+    /// first stage.
+    fn permit(&mut self, entries: &[&str], may_advance: bool) {
         let mut rows = BTreeMap::<u16, [u64; ZONES]>::new();
-        for cell in cells {
-            let parts: Vec<&str> = cell.split(':').collect();
+        for entry in entries {
+            let parts: Vec<&str> = entry.split(':').collect();
             let [build, zone, classes @ ..] = parts.as_slice() else {
-                panic!("no BUILD:ZONE[:CLASSES] {cell}");
+                panic!("expected BUILD:ZONE[:CLASSES], got {entry:?}");
             };
             let row = rows.entry(number(build)).or_default();
             row[number::<usize>(zone)] = classes.first().map_or(u64::MAX, |mask| number(mask));
@@ -127,7 +134,7 @@
             .iter()
             .map(|(build, row)| (Build(*build), &row[..]))
             .collect();
-        let advance = may_advance.then(|| (rows.last().expect("a row").0, Stage(0)));
+        let advance = may_advance.then(|| (rows.last().expect("permit names a build").0, Stage(0)));
         let permissions = ReleasePermissions::new(ZONES, 1, &rows, advance);
         self.round(|events| events.on_release_permissions(Some(Arc::new(permissions))));
     }
--- a/crates/decision/tests/engine/scenarios/player.rs
+++ b/crates/decision/tests/engine/scenarios/player.rs
@@ -1,4 +1,4 @@
-//! Plays the steps of a scenario on one engine.
+//! Runs the steps of a scenario on one engine.
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
@@ -7,17 +7,18 @@
     IdempotencyKey, Outcome, Request, RequestClass, RequestId,
 };
 
-use super::recorder::{Recorder, Sent};
+use super::recorder::{Recorder, SentAttempt};
 use super::words::{class, milliseconds, number};
 use crate::support::{agent_settings, request};
 
-/// How long after it was sent an attempt of a flow is answered, and from one request to the next.
-const FLOW_ANSWER_TIME: Duration = Duration::from_millis(50);
-const FLOW_PAUSE: Duration = Duration::from_millis(10);
-/// A request without a deadline of its own has so much time.
-const REQUEST_TIME: Duration = Duration::from_secs(2);
-/// Requests of flows have ids from here on.
-const FIRST_FLOW_REQUEST: u32 = 1_000_000;
+/// Time after which an attempt of a `traffic` step is answered.
+const TRAFFIC_ANSWER_TIME: Duration = Duration::from_millis(50);
+/// Time between two requests of a `traffic` step.
+const TRAFFIC_INTERVAL: Duration = Duration::from_millis(10);
+/// Time to the deadline of a request for which the scenario gives none.
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(2);
+/// The lowest id of requests of `traffic` steps.
+const FIRST_TRAFFIC_REQUEST: u32 = 1_000_000;
 
 pub(super) struct Player {
     pub(super) now: Duration,
@@ -26,7 +27,7 @@
     settings: BTreeMap<String, f64>,
     classes: Vec<ClassPolicy>,
     engine: Option<DecisionEngine>,
-    flow_requests: u32,
+    traffic_request_count: u32,
 }
 
 impl Player {
@@ -38,14 +39,14 @@
             settings: BTreeMap::new(),
             classes: Vec::new(),
             engine: None,
-            flow_requests: 0,
+            traffic_request_count: 0,
         }
     }
 
-    /// The same, with an agent's record beside it.
-    pub(super) fn with_record() -> Self {
+    /// A player that also records the decisions in a timeline.
+    pub(super) fn with_timeline() -> Self {
         Player {
-            recorder: Recorder::with_record(),
+            recorder: Recorder::with_timeline(),
             ..Player::new()
         }
     }
@@ -57,7 +58,10 @@
     pub(super) fn play_step(&mut self, name: &str, arguments: &[&str]) {
         match (name, arguments) {
             ("set", [key, value]) => {
-                assert!(SETTINGS.contains(key), "no setting {key}");
+                assert!(
+                    SETTINGS.contains(key),
+                    "unknown setting {key:?}, expected one of {SETTINGS:?}"
+                );
                 self.settings.insert((*key).to_owned(), number(value));
             }
             ("class", policy) => self.classes.push(class(policy)),
@@ -67,12 +71,12 @@
                 self.round(|_| {});
             }
             ("restart", []) => self.engine = None,
-            ("flow", [until, class, shares @ ..]) => {
-                self.flow(milliseconds(until), class, &failing_shares(shares));
+            ("traffic", [until, class, intervals @ ..]) => {
+                self.run_traffic(milliseconds(until), class, &failure_intervals(intervals));
             }
             _ if self.play_event(name, arguments) => {}
             _ if self.check(name, arguments) => {}
-            _ => panic!("no step {name} {arguments:?}"),
+            _ => panic!("unknown step {name:?} with the arguments {arguments:?}"),
         }
     }
 
@@ -114,11 +118,11 @@
         settings
     }
 
-    /// A request of a class, with a deadline and a key if they are given.
+    /// A request of a class, with a deadline and an idempotency key if they are given.
     pub(super) fn request(&self, class: &str, deadline_and_key: &[&str]) -> Request {
         let deadline = match deadline_and_key.first() {
             Some(deadline) => milliseconds(deadline),
-            None => self.now + REQUEST_TIME,
+            None => self.now + DEFAULT_TIMEOUT,
         };
         let key = deadline_and_key.get(1);
         Request {
@@ -128,20 +132,21 @@
         }
     }
 
-    /// A request every 10 ms and the answers due; no queue, no load: just a script of outcomes.
-    fn flow(&mut self, until: Duration, class: &str, failing: &FailingShares) {
-        let mut in_flight: VecDeque<(Duration, Sent)> = VecDeque::new();
+    /// Runs a round every 10 ms with a request and the answers that are due. Answers always take the same time: the
+    /// endpoints have no queues.
+    fn run_traffic(&mut self, until: Duration, class: &str, failing: &FailureIntervals) {
+        let mut in_flight: VecDeque<(Duration, SentAttempt)> = VecDeque::new();
         self.recorder.in_flight.clear();
         let mut answered: BTreeMap<String, u32> = BTreeMap::new();
         while self.now < until {
-            self.now += FLOW_PAUSE;
-            self.flow_requests += 1;
-            let id = RequestId(FIRST_FLOW_REQUEST + self.flow_requests);
+            self.now += TRAFFIC_INTERVAL;
+            self.traffic_request_count += 1;
+            let id = RequestId(FIRST_TRAFFIC_REQUEST + self.traffic_request_count);
             let request = self.request(class, &[]);
             let mut answers = Vec::new();
             while in_flight.front().is_some_and(|(due, _)| *due <= self.now) {
                 let (_, sent) = in_flight.pop_front().expect("a due attempt");
-                let outcome = self.flow_outcome(&sent, failing, &mut answered);
+                let outcome = self.traffic_outcome(&sent, failing, &mut answered);
                 answers.push((sent, outcome));
             }
             self.recorder.recent.clear();
@@ -152,23 +157,23 @@
                         sent.number,
                         sent.endpoint,
                         outcome,
-                        FLOW_ANSWER_TIME,
+                        TRAFFIC_ANSWER_TIME,
                         outcome == Outcome::Succeeded,
                     );
                 }
                 events.on_request(id, request);
             });
-            let due = self.now + FLOW_ANSWER_TIME;
+            let due = self.now + TRAFFIC_ANSWER_TIME;
             let sent = self.recorder.in_flight.drain(..);
             in_flight.extend(sent.map(|sent| (due, sent)));
         }
     }
 
-    /// Counts the attempt for its build and its endpoint, and fails it if it is the Nth of either.
-    fn flow_outcome(
+    /// Counts the attempt for its build and its endpoint. It fails if either count is a multiple of the interval.
+    fn traffic_outcome(
         &self,
-        sent: &Sent,
-        failing: &FailingShares,
+        sent: &SentAttempt,
+        failing: &FailureIntervals,
         answered: &mut BTreeMap<String, u32>,
     ) -> Outcome {
         let endpoint = &self.endpoints[&sent.endpoint.0];
@@ -178,7 +183,7 @@
             *count += 1;
             failing
                 .get(&key)
-                .is_some_and(|every| count.is_multiple_of(*every))
+                .is_some_and(|interval| count.is_multiple_of(*interval))
         });
         if fails {
             Outcome::Failed
@@ -188,7 +193,7 @@
     }
 }
 
-/// All keys that a scenario may set.
+/// The keys of the `set` step.
 const SETTINGS: [&str; 9] = [
     "agent",
     "agents",
@@ -201,13 +206,15 @@
     "timed-rule",
 ];
 
-/// Of the attempts at a build (`2`) or an endpoint (`@3`), every Nth fails.
-type FailingShares = BTreeMap<String, u32>;
+/// By build (`2`) or endpoint (`@3`): every Nth attempt fails.
+type FailureIntervals = BTreeMap<String, u32>;
 
-fn failing_shares(shares: &[&str]) -> FailingShares {
-    let pairs = shares.iter().map(|share| {
-        let (key, every) = share.split_once('=').expect("BUILD=N or @ID=N");
-        (key.to_owned(), number(every))
+fn failure_intervals(intervals: &[&str]) -> FailureIntervals {
+    let pairs = intervals.iter().map(|text| {
+        let (key, interval) = text
+            .split_once('=')
+            .expect("a failure interval is BUILD=N or @ID=N");
+        (key.to_owned(), number(interval))
     });
     pairs.collect()
 }
--- a/crates/decision/tests/engine/scenarios/recorder.rs
+++ b/crates/decision/tests/engine/scenarios/recorder.rs
@@ -1,4 +1,4 @@
-//! Writes down what the engine decides, in the words of the scenarios.
+//! Records the engine's decisions as text, in the language of the scenarios.
 use std::collections::VecDeque;
 use std::time::Duration;
 
@@ -10,22 +10,22 @@
 
 use crate::support::AttemptCounter;
 
-/// An agent's record, kept beside its decisions; it must not change any.
-fn record() -> FleetTimeline {
-    let aims = MonitorConfig {
+/// A timeline that records the decisions; it must not influence them.
+fn new_timeline() -> FleetTimeline {
+    let config = MonitorConfig {
         false_alarms_per_hour: 0.5,
         slow_start: Duration::from_secs(4),
         classes: 3,
     };
-    let room = MemoryLimits {
+    let limits = MemoryLimits {
         timeline_bytes: 1 << 20,
         queued_records: 100,
     };
-    FleetTimeline::new(Duration::ZERO, aims, room)
+    FleetTimeline::new(Duration::ZERO, config, limits)
 }
 
-/// An attempt that was sent and has no answer yet.
-pub(super) struct Sent {
+/// An attempt that is in flight.
+pub(super) struct SentAttempt {
     pub(super) request: RequestId,
     pub(super) number: AttemptNumber,
     pub(super) endpoint: EndpointId,
@@ -33,29 +33,30 @@
 
 #[derive(Default)]
 pub(super) struct Recorder {
-    record: Option<FleetTimeline>,
+    timeline: Option<FleetTimeline>,
     now: Duration,
-    /// The decisions since they were last cleared, and all since the start.
+    /// The decisions since this list was last cleared.
     pub(super) recent: Vec<String>,
+    /// The decisions since the start.
     pub(super) all: Vec<String>,
     pub(super) diagnostics: Vec<String>,
-    pub(super) in_flight: VecDeque<Sent>,
+    pub(super) in_flight: VecDeque<SentAttempt>,
     attempts: AttemptCounter,
 }
 
 impl Recorder {
-    pub(super) fn with_record() -> Self {
+    pub(super) fn with_timeline() -> Self {
         Recorder {
-            record: Some(record()),
+            timeline: Some(new_timeline()),
             ..Recorder::default()
         }
     }
 
-    /// Sets the time of what is decided next.
+    /// Sets the time of the decisions that follow.
     pub(super) fn advance(&mut self, now: Duration) {
         self.now = now;
-        if let Some(record) = &mut self.record {
-            record.advance(now);
+        if let Some(timeline) = &mut self.timeline {
+            timeline.advance(now);
         }
     }
 
@@ -69,10 +70,10 @@
     fn send_attempt(&mut self, request: RequestId, endpoint: EndpointId, _: Duration) {
         self.add(format!("send {} {}", request.0, endpoint.0));
         let number = self.attempts.next(request);
-        if let Some(record) = &mut self.record {
-            record.attempt_started(self.now, request, number, endpoint);
+        if let Some(timeline) = &mut self.timeline {
+            timeline.attempt_started(self.now, request, number, endpoint);
         }
-        self.in_flight.push_back(Sent {
+        self.in_flight.push_back(SentAttempt {
             request,
             number,
             endpoint,
@@ -104,13 +105,13 @@
     fn fetch_endpoints(&mut self) {}
     fn record_diagnostic(&mut self, diagnostic: Diagnostic) {
         self.diagnostics.push(format!("{diagnostic:?}"));
-        if let Some(record) = &mut self.record {
-            record.record_diagnostic(self.now, diagnostic);
+        if let Some(timeline) = &mut self.timeline {
+            timeline.record_diagnostic(self.now, diagnostic);
         }
     }
     fn vote(&mut self, build: Build, stage: Stage, vote: Vote) {
-        if let Some(record) = &mut self.record {
-            record.record_vote(self.now, build, stage, vote);
+        if let Some(timeline) = &mut self.timeline {
+            timeline.record_vote(self.now, build, stage, vote);
         }
         self.add(format!("vote {} {} {vote:?}", build.0, stage.0).to_lowercase());
     }
--- a/crates/decision/tests/engine/scenarios/words.rs
+++ b/crates/decision/tests/engine/scenarios/words.rs
@@ -1,4 +1,4 @@
-//! What the words of a scenario mean.
+//! Parses the arguments of scenario steps.
 use std::fmt::Debug;
 use std::str::FromStr;
 use std::time::Duration;
@@ -10,16 +10,16 @@
 
 pub(super) fn number<T: FromStr<Err: Debug>>(text: &str) -> T {
     text.parse()
-        .unwrap_or_else(|error| panic!("no number {text}: {error:?}"))
+        .unwrap_or_else(|error| panic!("expected a number, got {text:?}: {error:?}"))
 }
 
 pub(super) fn milliseconds(text: &str) -> Duration {
     Duration::from_millis(number(text))
 }
 
-/// Reads `ID/ATTEMPT`.
+/// Parses `ID/ATTEMPT`.
 pub(super) fn attempt(text: &str) -> (RequestId, AttemptNumber) {
-    let (request, attempt) = text.split_once('/').expect("ID/ATTEMPT");
+    let (request, attempt) = text.split_once('/').expect("an attempt is ID/ATTEMPT");
     (RequestId(number(request)), AttemptNumber(number(attempt)))
 }
 
@@ -33,7 +33,7 @@
         "cancelled" => Outcome::Cancelled,
         "connection-lost" => Outcome::ConnectionLost,
         "malformed" => Outcome::Malformed,
-        other => panic!("no outcome {other}"),
+        other => panic!("unknown outcome {other:?}"),
     }
 }
 
@@ -43,7 +43,7 @@
         "delta" => ListUpdate::Delta,
         "cached" => ListUpdate::Cached,
         "failed" => ListUpdate::Failed,
-        other => panic!("no list update {other}"),
+        other => panic!("unknown list update {other:?}, expected full, delta, cached or failed"),
     }
 }
 
@@ -53,21 +53,23 @@
         "rolling-back" => ReleasePhase::RollingBack,
         "released" => ReleasePhase::Released,
         "withdrawn" => ReleasePhase::Withdrawn,
-        other => panic!("no release phase {other}"),
+        other => panic!(
+            "unknown release phase {other:?}, expected canary, rolling-back, released or withdrawn"
+        ),
     }
 }
 
-/// Reads `KIND OBJECTIVE [SCOPE WINDOW]`; the deadline is four times the latency objective.
+/// Parses `KIND OBJECTIVE [SCOPE WINDOW]`; the deadline is four times the latency objective.
 pub(super) fn class(arguments: &[&str]) -> ClassPolicy {
     let [kind, objective, scope @ ..] = arguments else {
-        panic!("class KIND OBJECTIVE [SCOPE WINDOW]");
+        panic!("expected class KIND OBJECTIVE [SCOPE WINDOW], got {arguments:?}");
     };
     let idempotency = match (*kind, scope) {
         ("keyed", ["all", ..]) => Idempotency::Keyed(DeduplicationScope::All),
         ("keyed", ["zone", ..]) => Idempotency::Keyed(DeduplicationScope::Zone),
         ("non-idempotent", []) => Idempotency::NonIdempotent,
         ("idempotent", []) => Idempotency::Idempotent,
-        _ => panic!("no class {kind} {scope:?}"),
+        _ => panic!("unknown kind of class {kind:?} with the scope and window {scope:?}"),
     };
     let latency_objective = milliseconds(objective);
     ClassPolicy {
@@ -82,17 +84,19 @@
     }
 }
 
-/// Reads `ID:STATUS:BUILD[:AGE[:ZONE]]`.
+/// Parses `ID:STATUS:BUILD[:AGE[:ZONE]]`.
 pub(super) fn endpoint(entry: &str, now: Duration) -> Endpoint {
     let parts: Vec<&str> = entry.split(':').collect();
     let [id, status, build, optional @ ..] = parts.as_slice() else {
-        panic!("no endpoint {entry}");
+        panic!("expected ID:STATUS:BUILD[:AGE[:ZONE]], got {entry:?}");
     };
     let status = match *status {
         "ready" => EndpointStatus::Ready,
         "draining" => EndpointStatus::Draining,
         "removed" => EndpointStatus::Removed,
-        other => panic!("no endpoint status {other}"),
+        other => {
+            panic!("unknown endpoint status {other:?}, expected ready, draining or removed")
+        }
     };
     let age = optional.first().filter(|age| !age.is_empty());
     Endpoint {
@@ -107,17 +111,17 @@
     }
 }
 
-/// Reads `FROM BUILD SERIAL IN-TIME/BASELINE/REQUESTED [ID:CLASS:COUNT:BAD ..]` but for the sender, and returns
-/// the report's bytes. An id of `-` stands for all endpoints of earlier builds.
-pub(super) fn report(build: &str, serial: &str, sums: &str, records: &[&str]) -> Vec<u8> {
+/// Parses `BUILD SEQUENCE IN-TIME/BASELINE/REQUESTED [ID:CLASS:COUNT:BAD ..]` and encodes it as a report. The id `-`
+/// stands for all endpoints of earlier builds.
+pub(super) fn report(build: &str, sequence: &str, sums: &str, entries: &[&str]) -> Vec<u8> {
     let mut payload = number::<u16>(build).to_be_bytes().to_vec();
     payload.extend([0, 0, 0, 1]);
-    payload.extend(number::<u32>(serial).to_be_bytes());
+    payload.extend(number::<u32>(sequence).to_be_bytes());
     for sum in sums.split('/') {
         payload.extend(number::<u16>(sum).to_be_bytes());
     }
-    for record in records {
-        let mut parts = record.split(':');
+    for entry in entries {
+        let mut parts = entry.split(':');
         let id = match parts.next() {
             Some("-") | None => u32::MAX,
             Some(id) => number(id),
