--- a/crates/decision/tests/engine/final_answers/mod.rs
+++ b/crates/decision/tests/engine/final_answers/mod.rs
@@ -218,7 +218,7 @@
                 let ran = sent.filter(|_| outcome.may_have_run());
                 pending.may_have_run = pending.may_have_run.or(ran);
             }
-            attempt.end_closed(closed, events);
+            attempt.end_with(closed, events);
         }
     }
 
--- a/crates/decision/tests/engine/reports/fleet.rs
+++ b/crates/decision/tests/engine/reports/fleet.rs
@@ -1,5 +1,5 @@
-//! A whole fleet of agents with a lossy network between them: what an agent receives of others' reports, and when
-//! a failing build is voted back.
+//! Tests of a whole fleet of agents with a lossy network between them: how many bytes of reports an agent receives, and
+//! when agents vote to roll back a failing build.
 use std::collections::VecDeque;
 use std::time::Duration;
 
@@ -12,42 +12,42 @@
 use rand_pcg::Pcg64Mcg;
 use rstest::rstest;
 
-use super::network::{Datagram, Network, Quality, most_received};
-use super::{Listed, MAX_REPORT, Reporting, SECOND, canary, engine};
+use super::network::{Datagram, Network, NetworkConditions, most_received};
+use super::{EndpointCounts, MAX_REPORT, Reporting, SECOND, canary, engine};
 use crate::support::{Attempt, AttemptCounter, EPOCH, READ, TICK, request};
 
-/// What an agent may receive in a minimum stage time, headers included: 24 full reports.
+/// Bytes of reports, headers included, that an agent may receive per minimum stage time: 24 full reports.
 const BUDGET: f64 = 24.0 * MAX_REPORT as f64;
-/// When the endpoints of the canary have started.
+/// When the canary's endpoints start.
 const RELEASE_AT: Duration = Duration::from_secs(106);
 const ANSWER_TIME: Duration = Duration::from_millis(60);
 
-/// A fleet, the load on it, and its network.
+/// A fleet, the load on it, and the network between its agents.
 #[derive(Clone, Copy)]
-struct Scene {
+struct FleetScenario {
     agents: u32,
     reporting: Reporting,
-    listed: Listed,
-    /// The share of the canary's answers that fail.
+    endpoint_counts: EndpointCounts,
+    /// Share of the canary's answers that are failures, 0 to 1.
     failure_rate: f64,
-    /// Requests a second of each agent.
+    /// Requests per second that each agent receives.
     request_rate: f64,
-    network: Quality,
+    network_conditions: NetworkConditions,
     seed: u64,
 }
 
-impl Default for Scene {
+impl Default for FleetScenario {
     fn default() -> Self {
-        Scene {
+        FleetScenario {
             agents: 530,
             reporting: Reporting::Relayed,
-            listed: Listed {
+            endpoint_counts: EndpointCounts {
                 endpoints: 60,
                 canaries: 6,
             },
             failure_rate: 0.0,
             request_rate: 8.0,
-            network: Quality {
+            network_conditions: NetworkConditions {
                 loss: 0.0,
                 duplication: 0.0,
                 max_latency: Duration::from_millis(5),
@@ -57,17 +57,17 @@
     }
 }
 
-/// The first vote to roll the build back.
+/// The first vote to roll back the build.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct RollBackVote {
     at: Duration,
     by: AgentId,
 }
 
-/// Whether a run ends with the first vote to roll back.
+/// When a run ends.
 #[derive(Clone, Copy, PartialEq)]
-enum Until {
-    End,
+enum StopCondition {
+    TimeIsUp,
     RollBackVote,
 }
 
@@ -87,10 +87,10 @@
 }
 
 impl Agent {
-    fn new(id: u32, scene: Scene, random: &mut Pcg64Mcg) -> Self {
-        let first_request = Duration::from_secs_f64(random.random::<f64>() / scene.request_rate);
+    fn new(id: u32, scenario: FleetScenario, random: &mut Pcg64Mcg) -> Self {
+        let first_request = Duration::from_secs_f64(random.random::<f64>() / scenario.request_rate);
         Agent {
-            engine: engine(id, scene.agents, scene.reporting, scene.seed),
+            engine: engine(id, scenario.agents, scenario.reporting, scenario.seed),
             wake_up: EPOCH,
             next_request: EPOCH + first_request,
             request_count: 0,
@@ -107,16 +107,16 @@
         answered || self.wake_up <= now || self.next_request <= now
     }
 
-    /// A round, if anything is due.
+    /// Runs a round if there is any event; returns the decisions.
     fn round(
         &mut self,
         now: Duration,
-        scene: Scene,
+        scenario: FleetScenario,
         inbox: &[Datagram],
         random: &mut Pcg64Mcg,
     ) -> Option<RecordedActions> {
-        let list_comes = now == EPOCH || now == RELEASE_AT;
-        if !list_comes && inbox.is_empty() && !self.is_due(now) {
+        let list_changes = now == EPOCH || now == RELEASE_AT;
+        if !list_changes && inbox.is_empty() && !self.is_due(now) {
             return None;
         }
         let mut decided = RecordedActions::default();
@@ -128,16 +128,16 @@
             ..
         } = self;
         let events = |events: &mut dyn EventHandler| {
-            if list_comes {
+            if list_changes {
                 let canary_started = (now >= RELEASE_AT).then_some(now);
-                scene.listed.send_to(events, canary_started);
+                scenario.endpoint_counts.send_to(events, canary_started);
             }
             for datagram in inbox {
                 events.on_peer_message(datagram.from, &datagram.payload);
             }
-            answer_due(in_flight, now, events);
+            end_due_attempts(in_flight, now, events);
             while *next_request <= now {
-                let pause = -random.random::<f64>().max(1e-9).ln() / scene.request_rate;
+                let pause = -random.random::<f64>().max(1e-9).ln() / scenario.request_rate;
                 *next_request += Duration::from_secs_f64(pause);
                 *request_count += 1;
                 let request = Request {
@@ -154,7 +154,7 @@
             self.wake_up = now + TICK;
         }
         for (request, to) in decided.sent.drain(..) {
-            self.send_attempt(now, scene, request, to, random);
+            self.send_attempt(now, scenario, request, to, random);
         }
         Some(decided)
     }
@@ -162,15 +162,15 @@
     fn send_attempt(
         &mut self,
         now: Duration,
-        scene: Scene,
+        scenario: FleetScenario,
         request: RequestId,
         to: EndpointId,
         random: &mut Pcg64Mcg,
     ) {
         let number = self.attempts.next(request);
-        let runs_canary =
-            now >= RELEASE_AT && (0..scene.listed.canaries).any(|number| canary(number) == to);
-        let fails = runs_canary && random.random::<f64>() < scene.failure_rate;
+        let runs_canary = now >= RELEASE_AT
+            && (0..scenario.endpoint_counts.canaries).any(|number| canary(number) == to);
+        let fails = runs_canary && random.random::<f64>() < scenario.failure_rate;
         self.in_flight.push_back(Attempt {
             due: now + ANSWER_TIME,
             request,
@@ -186,27 +186,33 @@
     }
 }
 
-fn answer_due(in_flight: &mut VecDeque<Attempt>, now: Duration, events: &mut dyn EventHandler) {
+fn end_due_attempts(
+    in_flight: &mut VecDeque<Attempt>,
+    now: Duration,
+    events: &mut dyn EventHandler,
+) {
     let due = in_flight.partition_point(|attempt| attempt.due <= now);
     for attempt in in_flight.drain(..due) {
         attempt.end(events);
     }
 }
 
-/// Runs a release for so long.
-fn run(scene: Scene, lasts: Duration, until: Until) -> RunResult {
-    let mut random = Pcg64Mcg::seed_from_u64(scene.seed);
-    let mut agents: Vec<_> = (0..scene.agents)
-        .map(|id| Agent::new(id, scene, &mut random))
+/// Runs a fleet from [`EPOCH`] for `duration`, or until the stop condition is met.
+fn run(scenario: FleetScenario, duration: Duration, stop: StopCondition) -> RunResult {
+    let mut random = Pcg64Mcg::seed_from_u64(scenario.seed);
+    let mut agents: Vec<_> = (0..scenario.agents)
+        .map(|id| Agent::new(id, scenario, &mut random))
         .collect();
-    let mut network = Network::new(scene.network);
+    let mut network = Network::new(scenario.network_conditions);
     let mut result = RunResult::default();
     let mut now = EPOCH;
-    while now < EPOCH + lasts && !(until == Until::RollBackVote && result.roll_back.is_some()) {
+    while now < EPOCH + duration
+        && !(stop == StopCondition::RollBackVote && result.roll_back.is_some())
+    {
         let mut inboxes = network.receive(now);
         for (id, agent) in (0..).map(AgentId).zip(&mut agents) {
             let inbox = inboxes.remove(&id).unwrap_or_default();
-            let Some(decided) = agent.round(now, scene, &inbox, &mut random) else {
+            let Some(decided) = agent.round(now, scenario, &inbox, &mut random) else {
                 continue;
             };
             if decided.votes.contains(&Vote::RollBack) {
@@ -230,7 +236,8 @@
     result
 }
 
-/// A tenth more is left for the instants in which one relay hands over to the next.
+/// No agent receives more bytes of reports than the budget, with a margin of a tenth for the moments in which one relay
+/// takes over from another.
 #[rstest]
 #[case::few_requests(530, 60, 6, 8.0)]
 #[case::many_requests(530, 60, 6, 62.0)]
@@ -243,36 +250,42 @@
     #[case] canaries: u32,
     #[case] request_rate: f64,
 ) {
-    let scene = Scene {
+    let scenario = FleetScenario {
         agents,
-        listed: Listed {
+        endpoint_counts: EndpointCounts {
             endpoints,
             canaries,
         },
         request_rate,
-        ..Scene::default()
+        ..FleetScenario::default()
     };
     let (from, to) = (RELEASE_AT + SECOND * 2, RELEASE_AT + SECOND * 6);
-    let result = run(scene, to - EPOCH, Until::End);
+    let result = run(scenario, to - EPOCH, StopCondition::TimeIsUp);
     let received = most_received(&result.sent, from, to);
     println!(
-        "{agents} agents, {endpoints} endpoints, {request_rate}/s: {received:.0} bytes a minimum stage time"
+        "{agents} agents, {endpoints} endpoints, {request_rate} requests/s: {received:.0} bytes per minimum stage time"
     );
     assert!(
         received <= BUDGET * 1.1,
-        "{received:.0} bytes a minimum stage time"
+        "an agent receives {received:.0} bytes per minimum stage time, the budget is {BUDGET:.0}"
     );
 }
 
 /// The mean time from the release to the first vote to roll back, in seconds.
-fn mean_time_to_roll_back(scene: Scene) -> f64 {
+fn mean_time_to_roll_back(scenario: FleetScenario) -> f64 {
     let seeds = 16;
     let times = (0..seeds).map(|seed| {
-        let result = run(Scene { seed, ..scene }, SECOND * 60, Until::RollBackVote);
-        let vote = result.roll_back.expect("a failing build is voted back");
+        let result = run(
+            FleetScenario { seed, ..scenario },
+            SECOND * 60,
+            StopCondition::RollBackVote,
+        );
+        let vote = result
+            .roll_back
+            .expect("an agent votes to roll back within 60 s");
         assert!(
             vote.at > RELEASE_AT,
-            "agent {:?} voted it back at {:?}",
+            "agent {:?} voted to roll back before the release, at {:?}",
             vote.by,
             vote.at
         );
@@ -281,55 +294,63 @@
     times.sum::<f64>() / f64::from(seeds as u32)
 }
 
-/// At most a tenth later than the same fleet that reported to the aggregators directly: this scene's mean over these
-/// seeds before there were relays.
+/// With relays the first vote to roll back comes at most a tenth later than without them. `direct` is the mean time, in
+/// seconds, of the same scenario and seeds with reports that go to the aggregators directly.
 #[rstest]
 #[case::a_twentieth(0.05, 1.814)]
 #[case::a_fifth(0.2, 1.152)]
-fn a_failing_build_is_voted_back_as_soon_as_without_relays(
+fn a_failing_build_is_rolled_back_as_soon_as_without_relays(
     #[case] failure_rate: f64,
     #[case] direct: f64,
 ) {
-    let relayed = mean_time_to_roll_back(Scene {
+    let relayed = mean_time_to_roll_back(FleetScenario {
         failure_rate,
-        ..Scene::default()
+        ..FleetScenario::default()
     });
-    println!("{failure_rate} failing: {relayed:.3} s, directly {direct:.3} s");
+    println!("failure rate {failure_rate}: {relayed:.3} s with relays, {direct:.3} s without");
     assert!(
         relayed <= direct * 1.1,
-        "{relayed:.3} s, directly {direct:.3} s"
+        "first vote to roll back after {relayed:.3} s with relays, {direct:.3} s without"
     );
 }
 
-/// Under loss and duplication no good build is voted back, and a failing one is.
+/// On a network that loses, duplicates and delays reports, agents vote to roll back a failing build and no other.
 #[rstest]
-fn a_lossy_network_has_no_good_build_voted_back(#[values(1, 2)] seed: u64) {
-    let good = Scene {
-        network: Quality {
+fn on_a_lossy_network_only_a_failing_build_is_rolled_back(#[values(1, 2)] seed: u64) {
+    let good = FleetScenario {
+        network_conditions: NetworkConditions {
             loss: 0.1,
             duplication: 0.3,
             max_latency: SECOND / 2,
         },
         seed,
-        ..Scene::default()
+        ..FleetScenario::default()
     };
-    let failing = Scene {
+    let failing = FleetScenario {
         failure_rate: 0.2,
         ..good
     };
-    assert_eq!(run(good, SECOND * 12, Until::RollBackVote).roll_back, None);
+    assert_eq!(
+        run(good, SECOND * 12, StopCondition::RollBackVote).roll_back,
+        None
+    );
     assert!(
-        run(failing, SECOND * 12, Until::RollBackVote)
+        run(failing, SECOND * 12, StopCondition::RollBackVote)
             .roll_back
             .is_some()
     );
 }
 
 #[test]
-fn where_messages_are_forbidden_none_is_sent() {
-    let scene = Scene {
+fn no_report_is_sent_where_messages_are_forbidden() {
+    let scenario = FleetScenario {
         reporting: Reporting::Forbidden,
-        ..Scene::default()
+        ..FleetScenario::default()
     };
-    assert_eq!(run(scene, SECOND * 9, Until::End).sent.len(), 0);
+    assert_eq!(
+        run(scenario, SECOND * 9, StopCondition::TimeIsUp)
+            .sent
+            .len(),
+        0
+    );
 }
--- a/crates/decision/tests/engine/reports/mod.rs
+++ b/crates/decision/tests/engine/reports/mod.rs
@@ -1,5 +1,6 @@
-//! The outcome reports that agents send to the aggregators of a build: what an aggregator of a large fleet receives
-//! is bounded, nothing counts twice, votes are as soon as without relays, and small fleets send what they always did.
+//! Tests of the outcome reports that agents send to the aggregators of a build. In a large fleet the bytes that an
+//! aggregator receives are bounded, no outcome is counted twice, and votes are not much later than without relays.
+//! Small fleets report to the aggregators directly.
 mod datagrams;
 mod fleet;
 mod network;
@@ -16,7 +17,7 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 const CANARY: Build = Build(2);
-/// The largest report, in bytes.
+/// Maximum length of a report, in bytes.
 const MAX_REPORT: usize = 256;
 
 /// How agents report.
@@ -37,20 +38,21 @@
     DecisionEngine::new(settings)
 }
 
-/// The n-th endpoint that runs the canary: each tenth of the list does, until there are enough.
+/// The endpoint with this number among those that run the canary, which are every tenth one of the list.
 fn canary(number: u32) -> EndpointId {
     endpoint(number * 10).id
 }
 
-/// The endpoints of a fleet: how many, and how many of them run the canary.
+/// The numbers of all listed endpoints, and of those that run the canary.
 #[derive(Clone, Copy)]
-struct Listed {
+struct EndpointCounts {
     endpoints: u32,
     canaries: u32,
 }
 
-impl Listed {
-    /// Sends the list and the release status: only the first build, or also the canary that started at a time.
+impl EndpointCounts {
+    /// Sends the endpoint list and the release status. With `canary_started`, the canary has been running since then;
+    /// without it, all endpoints run the first build.
     fn send_to(self, events: &mut dyn EventHandler, canary_started: Option<Duration>) {
         let list = (0..self.endpoints).map(|index| {
             let runs_canary = index.is_multiple_of(10) && index / 10 < self.canaries;
--- a/crates/decision/tests/engine/reports/network.rs
+++ b/crates/decision/tests/engine/reports/network.rs
@@ -1,4 +1,4 @@
-//! A lossy network between agents, and what it brings to each.
+//! A simulated lossy network between agents.
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 
 use crate::support::{MINIMUM_STAGE_TIME, TICK};
 
-/// What a datagram costs on the wire beside its payload: the headers of IPv4 and UDP.
+/// Length of the IPv4 and UDP headers of a datagram.
 const HEADER_BYTES: usize = 28;
 
 /// A message that an agent sent to one peer.
@@ -20,44 +20,45 @@
     pub(super) payload: Vec<u8>,
 }
 
-/// How a network treats datagrams.
+/// The faults of a network.
 #[derive(Clone, Copy)]
-pub(super) struct Quality {
-    /// The shares of the datagrams that are lost, and that come twice.
+pub(super) struct NetworkConditions {
+    /// Share of the datagrams that are lost, 0 to 1.
     pub(super) loss: f64,
+    /// Share of the datagrams that are duplicated, 0 to 1.
     pub(super) duplication: f64,
     pub(super) max_latency: Duration,
 }
 
-/// The datagrams that are on their way, by arrival; a serial number keeps those apart that arrive together.
+/// The datagrams in flight, by arrival time and a serial number that is unique.
 pub(super) struct Network {
-    quality: Quality,
+    conditions: NetworkConditions,
     in_flight: BTreeMap<(Duration, u64), Datagram>,
-    copies: u64,
+    sent_copies: u64,
 }
 
 impl Network {
-    pub(super) fn new(quality: Quality) -> Self {
+    pub(super) fn new(conditions: NetworkConditions) -> Self {
         Network {
-            quality,
+            conditions,
             in_flight: BTreeMap::new(),
-            copies: 0,
+            sent_copies: 0,
         }
     }
 
     pub(super) fn send(&mut self, datagram: &Datagram, random: &mut Pcg64Mcg) {
-        let arrives = random.random::<f64>() >= self.quality.loss;
-        let duplicated = random.random::<f64>() < self.quality.duplication;
+        let arrives = random.random::<f64>() >= self.conditions.loss;
+        let duplicated = random.random::<f64>() < self.conditions.duplication;
         for _ in 0..u32::from(arrives) + u32::from(duplicated) {
-            self.copies += 1;
-            let latency = TICK.max(self.quality.max_latency.mul_f64(random.random()));
+            self.sent_copies += 1;
+            let latency = TICK.max(self.conditions.max_latency.mul_f64(random.random()));
             let arrival = datagram.sent_at + latency;
             self.in_flight
-                .insert((arrival, self.copies), datagram.clone());
+                .insert((arrival, self.sent_copies), datagram.clone());
         }
     }
 
-    /// What arrives until now, by receiver.
+    /// Removes and returns the datagrams that have arrived by `now`, by receiver.
     pub(super) fn receive(&mut self, now: Duration) -> BTreeMap<AgentId, Vec<Datagram>> {
         let later = self.in_flight.split_off(&(now, u64::MAX));
         let mut inboxes = BTreeMap::<AgentId, Vec<Datagram>>::new();
@@ -68,8 +69,8 @@
     }
 }
 
-/// The bytes, headers included, that the busiest agent receives of others' reports in a minimum stage time,
-/// from one instant to another.
+/// Bytes of reports, headers included, that the agent that receives most of them receives per minimum stage time, from
+/// one instant to another.
 pub(super) fn most_received(sent: &[Datagram], from: Duration, to: Duration) -> f64 {
     let mut received = BTreeMap::<AgentId, (usize, usize)>::new();
     for datagram in sent {
--- a/crates/decision/tests/engine/reports/single.rs
+++ b/crates/decision/tests/engine/reports/single.rs
@@ -1,4 +1,4 @@
-//! One agent's engine amid a release, and the reports that it sends as a member of a fleet.
+//! The reports that a single agent of a fleet sends during a release.
 use std::collections::BTreeSet;
 use std::time::Duration;
 
@@ -6,13 +6,13 @@
 use lilacgate_test_bed::recorded_actions::RecordedActions;
 use rstest::rstest;
 
-use super::{CANARY, Listed, Reporting, SECOND, canary, engine};
+use super::{CANARY, EndpointCounts, Reporting, SECOND, canary, engine};
 use crate::support::{EPOCH, MINIMUM_STAGE_TIME};
 
-/// A message, and the peer that it is for; none if it is for all.
+/// The receiver of a message, `None` for all peers, and its payload.
 pub(super) type Message = (Option<AgentId>, Vec<u8>);
 
-/// An agent by itself, amid a release.
+/// One agent's engine during a release.
 pub(super) struct SingleAgent {
     engine: DecisionEngine,
     pub(super) now: Duration,
@@ -33,18 +33,18 @@
             engine: engine(agent, agent_count, reporting, 1),
             now,
         };
-        let listed = Listed {
+        let counts = EndpointCounts {
             endpoints: 400,
             canaries: 40,
         };
-        single.after(Duration::ZERO, |events| {
-            listed.send_to(events, Some(EPOCH - SECOND * 10));
+        single.round_after(Duration::ZERO, |events| {
+            counts.send_to(events, Some(EPOCH - SECOND * 10));
         });
         single
     }
 
-    /// What it sends to others in a round so much later.
-    pub(super) fn after(
+    /// Advances the time by `pause`, runs a round with these events and returns the messages that it sends.
+    pub(super) fn round_after(
         &mut self,
         pause: Duration,
         events: impl FnOnce(&mut dyn EventHandler),
@@ -55,25 +55,25 @@
         decided.peer_messages
     }
 
-    /// What it sends in a round so much later in which a client found a wrong answer of the first canary.
-    fn after_wrong_answer(&mut self, pause: Duration) -> Vec<Message> {
-        self.after(pause, |events| {
+    /// Like [`SingleAgent::round_after`]; in the round an answer of the first canary endpoint is found to be wrong.
+    fn round_with_wrong_answer(&mut self, pause: Duration) -> Vec<Message> {
+        self.round_after(pause, |events| {
             events.on_wrong_answer(canary(0), RequestClass(0), Duration::ZERO);
         })
     }
 }
 
-/// A member of a fleet sends its report, byte by byte, to each aggregator but itself, with a serial number that
-/// counts, and one endpoint's outcome each time.
+/// Checks the bytes of three reports to each aggregator but the agent itself: the sequence number counts up, and each
+/// report holds one outcome of one endpoint.
 fn assert_reports_to_aggregators(mut member: SingleAgent, agent: u32, agent_count: u32) {
     let aggregator_count = agent_count.min(3);
     let aggregators = (0..aggregator_count)
         .map(|i| AgentId((2 + i * agent_count / aggregator_count) % agent_count));
-    for serial in 1..4_u32 {
-        let sent = member.after_wrong_answer(MINIMUM_STAGE_TIME);
+    for sequence in 1..4_u32 {
+        let sent = member.round_with_wrong_answer(MINIMUM_STAGE_TIME);
         let mut payload = CANARY.0.to_be_bytes().to_vec();
         payload.extend((EPOCH.as_millis() as u32).to_be_bytes());
-        payload.extend(serial.to_be_bytes());
+        payload.extend(sequence.to_be_bytes());
         payload.extend([0; 6]);
         payload.extend(canary(0).0.to_be_bytes());
         payload.extend([0, 0, 1, 0, 0]);
@@ -94,7 +94,7 @@
     }
 }
 
-/// A large fleet that was not asked to use relays reports as a small one does.
+/// Without the setting for relays a large fleet reports as a small one does.
 #[rstest]
 fn without_relays_a_large_fleet_reports_to_the_aggregators(#[values(301, 530, 900)] agents: u32) {
     for agent in [0, agents / 2, agents - 1] {
@@ -103,19 +103,19 @@
     }
 }
 
-/// A member's relay is another one every four times the minimum stage time, and never an aggregator: a dead relay
-/// costs no more than that.
-/// A wrong answer of a class that the settings do not have counts in no test, whichever stands behind the classes, and
-/// ends nothing.
+/// A wrong answer of a class that the settings do not have is ignored: it counts in none of the sequential tests, of
+/// which there are more than classes, and the engine does not panic.
 #[rstest]
 fn a_wrong_answer_of_an_unknown_class_counts_nowhere(#[values(1, 2, 3, 255)] class: u8) {
     let mut member = SingleAgent::new(1, 30, Reporting::Direct);
-    let sent = member.after(MINIMUM_STAGE_TIME, |events| {
+    let sent = member.round_after(MINIMUM_STAGE_TIME, |events| {
         events.on_wrong_answer(canary(0), RequestClass(class), Duration::ZERO);
     });
     assert_eq!(sent, Vec::new());
 }
 
+/// Another member becomes the relay every four minimum stage times, and never an aggregator. This bounds what is lost
+/// if a relay dies.
 #[test]
 fn a_member_changes_its_relay() {
     let aggregators = [2, 178, 355].map(AgentId);
@@ -123,8 +123,8 @@
         let mut member = SingleAgent::new(agent, 530, Reporting::Relayed);
         let mut relays = Vec::new();
         for _ in 0..300 {
-            let sent = member.after_wrong_answer(MINIMUM_STAGE_TIME / 3);
-            // As a relay itself it reports to the aggregators.
+            let sent = member.round_with_wrong_answer(MINIMUM_STAGE_TIME / 3);
+            // While the member is the relay itself, it reports to the aggregators.
             let relay = sent
                 .iter()
                 .filter_map(|(to, _)| *to)
@@ -134,12 +134,15 @@
             }
         }
         let distinct: BTreeSet<_> = relays.iter().map(|(relay, _)| relay).collect();
-        assert!(distinct.len() >= 20, "only {distinct:?}");
+        assert!(
+            distinct.len() >= 20,
+            "agent {agent} had only the relays {distinct:?}, 20 expected"
+        );
         for term in relays.chunk_by(|one, next| one.0 == next.0) {
             let lasted = term[term.len() - 1].1 - term[0].1;
             assert!(
                 lasted <= MINIMUM_STAGE_TIME * 4,
-                "one was a relay for {lasted:?}"
+                "an agent was the relay for {lasted:?}, at most four minimum stage times are allowed"
             );
         }
     }
--- a/crates/decision/tests/engine/subset/consistency.rs
+++ b/crates/decision/tests/engine/subset/consistency.rs
@@ -58,7 +58,7 @@
             }
         }
         assert_eq!(simulation.given_up.len(), 0, "rejected");
-        assert_eq!(simulation.attempts.requests(), 30, "sent");
+        assert_eq!(simulation.attempts.request_count(), 30, "sent");
     }
 }
 
--- a/crates/decision/tests/engine/support/attempts.rs
+++ b/crates/decision/tests/engine/support/attempts.rs
@@ -1,4 +1,4 @@
-//! The attempts that an agent has in flight, as the tests play them.
+//! The attempts that a simulated agent has in flight.
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -6,6 +6,7 @@
 
 /// An attempt in flight, and how it will end.
 pub(crate) struct Attempt {
+    /// When it ends.
     pub(crate) due: Duration,
     pub(crate) request: RequestId,
     pub(crate) number: AttemptNumber,
@@ -15,25 +16,25 @@
 }
 
 impl Attempt {
-    /// Ends it; a success is the final answer of its request.
+    /// Reports the end of the attempt; a success closes its request.
     pub(crate) fn end(&self, events: &mut dyn EventHandler) {
-        self.end_closed(self.outcome == Outcome::Succeeded, events);
+        self.end_with(self.outcome == Outcome::Succeeded, events);
     }
 
-    /// Ends it where the test knows whether its request needs no answer any more.
-    pub(crate) fn end_closed(&self, closed: bool, events: &mut dyn EventHandler) {
+    /// Reports the end of the attempt, and whether its request is closed.
+    pub(crate) fn end_with(&self, request_closed: bool, events: &mut dyn EventHandler) {
         events.on_attempt_ended(
             self.request,
             self.number,
             self.endpoint,
             self.outcome,
             self.took,
-            closed,
+            request_closed,
         );
     }
 }
 
-/// Numbers the attempts of each request.
+/// Assigns the numbers of each request's attempts.
 #[derive(Default)]
 pub(crate) struct AttemptCounter(BTreeMap<RequestId, u8>);
 
@@ -45,8 +46,8 @@
         number
     }
 
-    /// How many requests had an attempt.
-    pub(crate) fn requests(&self) -> usize {
+    /// Number of requests that had an attempt.
+    pub(crate) fn request_count(&self) -> usize {
         self.0.len()
     }
 }
--- a/crates/decision/tests/engine/support/mod.rs
+++ b/crates/decision/tests/engine/support/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests have in common.
+//! Helpers that several tests share.
 mod attempts;
 mod setup;
 
@@ -9,11 +9,11 @@
     EPOCH, MINIMUM_STAGE_TIME, READ, ReleaseUpdate, WORK, agent_settings, endpoint, request,
 };
 
-/// From one round of an agent to the next.
+/// Time between the rounds of an agent.
 pub(crate) const TICK: Duration = Duration::from_millis(10);
 
-/// The most requests in a second, of `fair` expected ones, that a warming endpoint with slow start may get from
-/// a whole fleet before it is overloaded: 2.5 times the 0.34 that it can do, and three standard deviations.
+/// The most requests in a second that a whole fleet may send to an endpoint in slow start, where a warm one gets `fair`:
+/// 2.5 times its initial capacity share of 0.34, plus three standard deviations and three requests.
 pub(crate) fn overload_limit(fair: f64) -> f64 {
     let allowed = 2.5 * 0.34 * fair;
     allowed + 3.0 * allowed.sqrt() + 3.0
--- a/crates/decision/tests/engine/support/setup.rs
+++ b/crates/decision/tests/engine/support/setup.rs
@@ -1,4 +1,4 @@
-//! The settings of an agent, endpoints, requests and release updates. The example `round_cost` uses them as well.
+//! Settings, endpoints, requests and release updates for the tests. The example `round_cost` uses them as well.
 use std::time::Duration;
 
 use lilacgate_decision::{
@@ -8,11 +8,11 @@
     RequestSettings, SlowStartSettings, Stage, Tenant, VoteTiming, Zone,
 };
 
-/// Virtual time starts here, so late that what happened before it has a time as well.
+/// Start of virtual time. It is later than zero so that starts of endpoints before it can be expressed.
 pub(crate) const EPOCH: Duration = Duration::from_secs(100);
-/// The work that a request is expected to take.
+/// Estimated work of a request.
 pub(crate) const WORK: Duration = Duration::from_millis(100);
-/// The shortest time a release stays in a stage.
+/// Minimum duration of a stage.
 pub(crate) const MINIMUM_STAGE_TIME: Duration = Duration::from_millis(900);
 /// The only request class of most tests.
 pub(crate) const READ: ClassPolicy = ClassPolicy {
@@ -24,7 +24,7 @@
     late_weight_share: 0.0,
 };
 
-/// The settings of one agent of a fleet, each with a seed of its own.
+/// The settings of one agent of a fleet; each agent has a seed of its own.
 pub(crate) fn agent_settings(agent: u32, agent_count: u32, seed: u64) -> EngineSettings {
     let milliseconds = Duration::from_millis;
     EngineSettings {
@@ -73,7 +73,8 @@
     }
 }
 
-/// The ready endpoint of an index, under the first build; multiplying spreads the ids as if they were drawn.
+/// The ready endpoint with this index, which runs the first build. The multiplication spreads the ids as if they were
+/// random.
 pub(crate) fn endpoint(index: u32) -> Endpoint {
     Endpoint {
         id: EndpointId(index.wrapping_mul(0x9E37_79B9)),
@@ -87,7 +88,7 @@
     }
 }
 
-/// A first request of a class without an idempotency key.
+/// A request of a class that has no idempotency key and is no retry.
 pub(crate) fn request(class: RequestClass, deadline: Duration) -> Request {
     Request {
         class,
@@ -100,7 +101,7 @@
     }
 }
 
-/// What a release update says of a build whose stage has just begun.
+/// A release update for a build whose stage has just begun.
 #[derive(Clone, Copy)]
 pub(crate) struct ReleaseUpdate {
     pub(crate) build: Build,
@@ -110,7 +111,7 @@
 }
 
 impl ReleaseUpdate {
-    /// The first build is released to all.
+    /// The first build is released.
     pub(crate) const FIRST_BUILD_RELEASED: ReleaseUpdate = ReleaseUpdate {
         build: Build(1),
         stage: Stage(2),
