--- a/crates/agent/src/http_response.rs
+++ b/crates/agent/src/http_response.rs
@@ -47,17 +47,17 @@
 
 /// A parser of one HTTP/1.1 response, and of the JSON values in its body.
 #[derive(Debug)]
-pub struct HttpResponse {
+pub struct HttpResponseParser {
     state: State,
     /// The line that is being read.
     line: Vec<u8>,
     values: JsonParser,
 }
 
-impl HttpResponse {
+impl HttpResponseParser {
     /// A parser of values of at most so many bytes.
     pub fn new(max_value_bytes: usize) -> Self {
-        HttpResponse {
+        HttpResponseParser {
             state: State::StatusLine,
             line: Vec::new(),
             values: JsonParser::indented(max_value_bytes),
@@ -175,11 +175,11 @@
     }
 }
 
-impl Parse for HttpResponse {
+impl Parse for HttpResponseParser {
     type Item = Json;
 
-    fn is_between(&self) -> bool {
-        self.values.is_between()
+    fn is_between_items(&self) -> bool {
+        self.values.is_between_items()
     }
 
     fn take(&mut self, bytes: &[u8]) -> Result<(usize, Option<Json>), ConnectionEnd> {
@@ -199,7 +199,7 @@
             }
         }
         // A body that ends amid a value was cut.
-        if matches!(self.state, State::Finished) && !self.values.is_between() {
+        if matches!(self.state, State::Finished) && !self.values.is_between_items() {
             return Err(ConnectionEnd::Malformed);
         }
         Ok((taken, None))
@@ -209,18 +209,18 @@
 /// A parser of the same response for which anything that comes between two values is an item too, without a value: a
 /// heartbeat. What comes amid a value is none, so that a value that was cut is not waited for without end.
 #[derive(Debug)]
-pub struct ValuesAndHeartbeats(pub HttpResponse);
+pub struct WatchResponseParser(pub HttpResponseParser);
 
-impl Parse for ValuesAndHeartbeats {
+impl Parse for WatchResponseParser {
     type Item = Option<Json>;
 
-    fn is_between(&self) -> bool {
-        self.0.is_between()
+    fn is_between_items(&self) -> bool {
+        self.0.is_between_items()
     }
 
     fn take(&mut self, bytes: &[u8]) -> Result<(usize, Option<Option<Json>>), ConnectionEnd> {
         let (taken, value) = self.0.take(bytes)?;
-        let is_item = value.is_some() || self.0.is_between();
+        let is_item = value.is_some() || self.0.is_between_items();
         Ok((taken, is_item.then_some(value)))
     }
 }
--- a/crates/agent/tests/large_fleets.rs
+++ b/crates/agent/tests/large_fleets.rs
@@ -14,7 +14,7 @@
 
 use lilacgate_agent::discovery::{Discovery, ListOrigin};
 use lilacgate_agent::event_loop::EventLoop;
-use lilacgate_agent::http_response::HttpResponse;
+use lilacgate_agent::http_response::HttpResponseParser;
 use lilacgate_agent::json::Json;
 use lilacgate_agent::release_gate::{EventRouter, ReleaseGateHost};
 use lilacgate_agent::start_config::{self, StartConfig};
@@ -38,7 +38,7 @@
 ) {
     let config = read_start_file(agents, endpoints);
     assert_eq!(config.peers.as_ref().expect("peers").peers.len(), agents);
-    let mut engine = lilacgate_start_settings::instance(config.seed, &config.settings)
+    let mut engine = lilacgate_start_settings::build_instance(config.seed, &config.settings)
         .expect("a decision engine")
         .engine;
     let event_loop = EventLoop::new(Duration::ZERO);
@@ -103,7 +103,7 @@
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{:x}\r\n{list}\n\r\n",
         list.len() + 1
     );
-    let (mut parser, mut lists) = (HttpResponse::new(max_message), Vec::new());
+    let (mut parser, mut lists) = (HttpResponseParser::new(max_message), Vec::new());
     for mut packet in response.as_bytes().chunks(PACKET) {
         while !packet.is_empty() {
             let (consumed, list) = parser.take(packet).expect("it can be read");
@@ -132,7 +132,7 @@
         now,
         |module| {
             let (gate_host, recorder) = (&mut ReleaseGateHost::default(), &empty_recorder());
-            event_loop.drain(&mut EventRouter {
+            event_loop.handle_queued_events(&mut EventRouter {
                 engine: module,
                 gate_host,
                 recorder,
--- a/crates/decision/src/engine/event_handling.rs
+++ b/crates/decision/src/engine/event_handling.rs
@@ -5,7 +5,7 @@
 use rand::RngExt;
 
 use super::DecisionEngine;
-use super::outcomes::EndedAt;
+use super::outcomes::AttemptResult;
 use crate::events::EventHandler;
 use crate::model::{
     AgentId, AttemptNumber, Build, Endpoint, EndpointId, ListUpdate, Outcome, ReleasePhase,
@@ -27,7 +27,7 @@
         let Some(&policy) = self.requests.policy(request.class) else {
             return;
         };
-        let exposure_class = self.exposure.class(request.class);
+        let exposure_class = self.exposure.exposure_class(request.class);
         self.exposure.windows.on_request(exposure_class, now);
         self.schedule.events += 1;
         let work = self
@@ -71,7 +71,7 @@
             .get_mut(&endpoint)
             .and_then(|record| record.outstanding.remove(&attempt_id));
         if let Some(outstanding) = outstanding {
-            self.on_outcome(&EndedAt {
+            self.on_outcome(&AttemptResult {
                 id: attempt_id,
                 endpoint,
                 attempt: &outstanding,
@@ -122,9 +122,9 @@
         }
         if phase == ReleasePhase::Canary && self.analysis.build != Some(build) {
             let started_at = self.exposure.windows.started_at.unwrap_or_default();
-            let stand_in_draw = self.random.random();
+            let backup_vote_draw = self.random.random();
             self.analysis
-                .begin(self.now, build, started_at, &self.demand, stand_in_draw);
+                .begin(self.now, build, started_at, &self.demand, backup_vote_draw);
         }
         let same_stage = known.filter(|known| known.build == build && known.stage == stage);
         let since = same_stage.map_or(self.now.saturating_sub(age), |known| known.since);
--- a/crates/decision/src/policy/subsetting.rs
+++ b/crates/decision/src/policy/subsetting.rs
@@ -186,7 +186,8 @@
             self.fleet_position,
             SegmentRequest {
                 includes: |build, zone| {
-                    self.exposure.arm(build) == arm && self.exposure.is_open(build, zone)
+                    self.exposure.arm(build) == arm
+                        && self.exposure.operator_permits_any(build, zone)
                 },
                 can_serve: |id| {
                     !endpoints.is_ejected(id) && catalog.get(id).is_some_and(has_warmed_up)
@@ -236,14 +237,19 @@
         slow_start,
         exposure,
     } = rules;
-    let admits = |build, zone| exposure.admits(build, zone, request);
+    let permits = |build, zone| exposure.permits(build, zone, request);
     let from = Position(random.random());
+<<<<<<< HEAD
     let found = endpoints.outside_subset(
         request.routing_constraint(),
         from,
         MIN_ASSIGNED as usize,
         admits,
     );
+=======
+    let found =
+        endpoints.outside_subset(request.confinement(), from, MIN_ASSIGNED as usize, permits);
+>>>>>>> 6db4b8b45ade4c30a147ad6c1cade88d38f30b5d
     for endpoint in &found {
         let arm = exposure.arm(endpoint.build);
         let arm_share = match arm {
@@ -269,11 +275,11 @@
     request: &PendingRequest,
     random: &mut Pcg64Mcg,
 ) -> Option<EndpointId> {
-    let accepting: Vec<EndpointId> = found
+    let permitted: Vec<EndpointId> = found
         .iter()
         .map(|endpoint| endpoint.id)
         .filter(|id| !request.was_sent_to(*id))
-        .filter(|id| selection.accepts(request, *id))
+        .filter(|id| selection.permits(request, *id))
         .collect();
-    accepting.choose(random).copied()
+    permitted.choose(random).copied()
 }
--- a/crates/decision/tests/engine/same_decisions.rs
+++ b/crates/decision/tests/engine/same_decisions.rs
@@ -1,5 +1,5 @@
-//! On a fleet that is no larger than what one agent works with, the engine decides as it did before it had subsets:
-//! a scripted minute of each size ends in a digest of all decisions, recorded from the program before that change.
+//! Guards against changed decisions on endpoint lists that are too short for a subset. For several list lengths, the
+//! digest of all decisions of a scripted minute must equal the one that was recorded before subsets were introduced.
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -19,8 +19,8 @@
 
 const TICKS: u32 = 6000;
 const DEADLINE: Duration = Duration::from_secs(2);
-/// Among this many ticks a tenth of the endpoints is silent.
-const SILENT_TICKS: std::ops::Range<u32> = 2500..3500;
+/// The ticks during which a tenth of the endpoints does not respond.
+const UNRESPONSIVE_TICKS: std::ops::Range<u32> = 2500..3500;
 
 fn class(idempotency: Idempotency, deduplication_window: Duration) -> ClassPolicy {
     ClassPolicy {
@@ -52,8 +52,8 @@
     DecisionEngine::new(settings)
 }
 
-/// The digests were recorded when votes, diagnostics and log lines had these forms, which are kept here so that a
-/// renamed variant does not change them.
+/// The text of a vote when the digests were recorded. Like those of diagnostics and log lines below, it is kept so that
+/// the rename of a variant does not change a digest.
 fn recorded_vote(vote: Vote) -> &'static str {
     match vote {
         Vote::Retract => "Withdraw",
@@ -82,11 +82,12 @@
     }
 }
 
-/// The recorded form of the line of a vote; any other line as it is.
+/// The text of a log line when the digests were recorded. Only the line of a vote has changed since.
 fn recorded_log(text: &str) -> String {
     recorded_vote_line(text).unwrap_or_else(|| text.to_owned())
 }
 
+/// The recorded text of the line of a vote; `None` for any other line.
 fn recorded_vote_line(text: &str) -> Option<String> {
     let rest = text.strip_prefix("vote_cast vote=")?;
     let (vote, rest) = rest.split_once(" build=")?;
@@ -107,7 +108,7 @@
     ))
 }
 
-/// A digest (FNV-1a, 64 bits) of all decisions but wake-ups, and the attempts of the round.
+/// A digest (FNV-1a, 64 bits) of all decisions except wake-ups, and the attempts that were sent in the round.
 struct Digest {
     hash: u64,
     decisions: u32,
@@ -177,19 +178,20 @@
     }
 }
 
-/// An endpoint of a list of that length: three models, cells of three, four zones.
-fn endpoint_of(index: u32, listed: u32) -> Endpoint {
+/// The endpoint with this index in a list of `count` endpoints: three machine models, cells of three endpoints, and
+/// four zones.
+fn endpoint_of(index: u32, count: u32) -> Endpoint {
     Endpoint {
         machine_model: MachineModel((index % 3) as u8),
         weight: [1.0, 2.5, 4.0][index as usize % 3],
         cell: Cell((index / 3) as u16),
-        zone: Zone((index * 4 / listed) as u8),
+        zone: Zone((index * 4 / count) as u8),
         ..endpoint(index)
     }
 }
 
-/// What an agent sees in the scripted minute.
-struct Minute {
+/// The events that an agent sees during the scripted minute.
+struct ScriptedMinute {
     random: Pcg64Mcg,
     endpoints: Vec<Endpoint>,
     attempts: AttemptCounter,
@@ -197,12 +199,12 @@
     request_count: u32,
 }
 
-impl Minute {
-    fn new(listed: u32, seed: u64) -> Self {
-        Minute {
+impl ScriptedMinute {
+    fn new(endpoint_count: u32, seed: u64) -> Self {
+        ScriptedMinute {
             random: Pcg64Mcg::seed_from_u64(seed),
-            endpoints: (0..listed)
-                .map(|index| endpoint_of(index, listed))
+            endpoints: (0..endpoint_count)
+                .map(|index| endpoint_of(index, endpoint_count))
                 .collect(),
             attempts: AttemptCounter::default(),
             in_flight: Vec::new(),
@@ -222,7 +224,7 @@
         }
     }
 
-    /// All endpoints at first and, but for removed ones, every seven seconds; changes in between.
+    /// Sends a cached list at first, a full list every seven seconds, and the change of one endpoint every 0.6 seconds.
     fn send_endpoints(&mut self, now: Duration, tick: u32, events: &mut dyn EventHandler) {
         if tick == 0 {
             events.on_endpoints(ListUpdate::Cached, &mut self.endpoints.clone().into_iter());
@@ -238,7 +240,7 @@
         }
     }
 
-    /// An endpoint drains, is removed, restarts (later under the canary) or is ready again.
+    /// Changes a random endpoint: it drains, is removed, restarts with the same build or the canary, or becomes ready.
     fn change_endpoint(&mut self, now: Duration, tick: u32, events: &mut dyn EventHandler) {
         let index = self.random.random_range(0..self.endpoints.len());
         let endpoint = &mut self.endpoints[index];
@@ -271,12 +273,12 @@
         events.on_request(RequestId(self.request_count), request);
     }
 
-    /// Decides how an attempt ends: a tenth of the endpoints is silent for ten seconds, others fail at times.
+    /// Draws how an attempt ends. A tenth of the endpoints does not respond for ten seconds; the others fail at times.
     fn send_attempt(&mut self, now: Duration, tick: u32, request: RequestId, to: EndpointId) {
         let number = self.attempts.next(request);
-        let silent = SILENT_TICKS.contains(&tick) && to.0 % 10 == 3;
+        let is_unresponsive = UNRESPONSIVE_TICKS.contains(&tick) && to.0 % 10 == 3;
         let (outcome, milliseconds) = match self.random.random_range(0..100) {
-            _ if silent => (Outcome::TimedOut, 1500),
+            _ if is_unresponsive => (Outcome::TimedOut, 1500),
             0 => (Outcome::TimedOut, 1500),
             1..4 => (Outcome::Failed, 40),
             4 => (Outcome::ConnectionLost, 30),
@@ -315,7 +317,7 @@
     .send_to(events);
 }
 
-/// The operator's rules close some classes to some zones for five seconds.
+/// For five seconds, the operator's rules permit only some classes in some zones.
 fn send_permissions(tick: u32, events: &mut dyn EventHandler) {
     if tick == 4500 {
         let rows = [
@@ -330,10 +332,10 @@
     }
 }
 
-/// The digest of a minute's decisions, and how many they were.
-fn play(listed: u32, seed: u64) -> (u64, u32) {
+/// The digest and the number of a minute's decisions.
+fn play(endpoint_count: u32, seed: u64) -> (u64, u32) {
     let mut engine = engine(seed);
-    let mut minute = Minute::new(listed, seed);
+    let mut minute = ScriptedMinute::new(endpoint_count, seed);
     let mut digest = Digest::new();
     for tick in 0..TICKS {
         let now = EPOCH + TICK * tick;
@@ -356,15 +358,15 @@
 #[case::sixty(60, 4, 0x9714_63d9_a22f_997d, 3100)]
 #[case::most(150, 5, 0xa5b2_6d25_3685_c315, 3153)]
 fn a_scripted_minute_leads_to_the_recorded_decisions(
-    #[case] listed: u32,
+    #[case] endpoint_count: u32,
     #[case] seed: u64,
     #[case] hash: u64,
     #[case] decisions: u32,
 ) {
-    assert_eq!(play(listed, seed), (hash, decisions));
+    assert_eq!(play(endpoint_count, seed), (hash, decisions));
     assert_eq!(
-        play(listed, seed),
+        play(endpoint_count, seed),
         (hash, decisions),
-        "the same events, the same decisions"
+        "a second run with the same events leads to other decisions"
     );
 }
--- a/crates/decision/tests/engine/scenarios/checks.rs
+++ b/crates/decision/tests/engine/scenarios/checks.rs
@@ -100,8 +100,8 @@
     }
 }
 
-/// Checks the p-value of a sequential test that has observed these outcomes. Bad outcomes come first in the baseline and
-/// last in the canary.
+/// Checks the p-value of a sequential test that has observed these outcomes. Bad outcomes come first in the baseline
+/// and last in the canary.
 fn check_p_value(baseline: Counts, canary: Counts, expected: f64) {
     let mut test = SequentialTest::new(SequentialTestSettings {
         tolerated_difference: 0.02,
--- a/crates/decision/tests/engine/scenarios/mod.rs
+++ b/crates/decision/tests/engine/scenarios/mod.rs
@@ -38,8 +38,8 @@
 //!                                          attempts of each KEY, a BUILD or an @ENDPOINT, every Nth fails
 //! ```
 //!
-//! Checks. A decision matches if it begins with the words of DECISION, where `*` is any word. Recent decisions are those
-//! since the last `at` or, in a `traffic` step, of its last round:
+//! Checks. A decision matches if it begins with the words of DECISION, where `*` is any word. Recent decisions are
+//! those since the last `at` or, in a `traffic` step, of its last round:
 //!
 //! ```text
 //! expect DECISION                          a recent decision matches
--- a/crates/decision/tests/engine/support/mod.rs
+++ b/crates/decision/tests/engine/support/mod.rs
@@ -12,8 +12,8 @@
 /// Time between the rounds of an agent.
 pub(crate) const TICK: Duration = Duration::from_millis(10);
 
-/// The most requests in a second that a whole fleet may send to an endpoint in slow start, where a warm one gets `fair`:
-/// 2.5 times its initial capacity share of 0.34, plus three standard deviations and three requests.
+/// The most requests in a second that a whole fleet may send to an endpoint in slow start, where a warm one gets
+/// `fair`: 2.5 times its initial capacity share of 0.34, plus three standard deviations and three requests.
 pub(crate) fn overload_limit(fair: f64) -> f64 {
     let allowed = 2.5 * 0.34 * fair;
     allowed + 3.0 * allowed.sqrt() + 3.0
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -1,4 +1,5 @@
-//! One frame of each kind of event and of action, byte for byte: all fields at their places, and no other byte used.
+//! Decodes one frame of each kind of event and encodes one of each kind of action, and compares them byte by byte: all
+//! fields are at their positions, and no other byte is used.
 use std::fmt::Write;
 use std::ops::Range;
 use std::time::Duration;
@@ -14,7 +15,7 @@
 /// 8412250 µs.
 const CLOCK: [u8; 8] = [0, 0, 0, 0, 0, 0x80, 0x5c, 0x5a];
 
-fn bytes_of(hex: &str) -> Vec<u8> {
+fn from_hex(hex: &str) -> Vec<u8> {
     let digits: Vec<u8> = hex
         .chars()
         .filter_map(|digit| digit.to_digit(16))
@@ -26,9 +27,9 @@
         .collect()
 }
 
-fn hex_of(bytes: &[u8]) -> String {
+fn to_hex(bytes: &[u8]) -> String {
     bytes.iter().fold(String::new(), |mut hex, byte| {
-        write!(hex, "{byte:02x}").expect("text grows");
+        write!(hex, "{byte:02x}").expect("writing to a string succeeds");
         hex
     })
 }
@@ -46,7 +47,7 @@
     bytes
 }
 
-/// What a frame of one record holds.
+/// The decoded content of a frame with one record.
 #[derive(Debug, PartialEq)]
 struct Decoded {
     now: Duration,
@@ -58,10 +59,10 @@
 fn decoded(record: &[u8], tail: &[u8]) -> Decoded {
     let bytes = frame(record, tail);
     let frame = read_frame(&mut bytes.as_slice())
-        .expect("a whole frame")
-        .expect("a frame");
+        .expect("the frame is complete")
+        .expect("the input has a frame");
     let [record] = frame.records()[..] else {
-        panic!("not one record");
+        panic!("the frame does not hold exactly one record");
     };
     let event = match record.event() {
         Ok(event) => format!("{event:?}"),
@@ -188,9 +189,9 @@
     #[case] tail: &str,
     #[case] kind: EventKind,
     #[case] event: &str,
-    #[case] used: Range<usize>,
+    #[case] used_bytes: Range<usize>,
 ) {
-    let (mut record, tail) = (bytes_of(record), bytes_of(tail));
+    let (mut record, tail) = (from_hex(record), from_hex(tail));
     record.resize(EVENT_SIZE, 0);
     let expected = Decoded {
         now: Duration::from_micros(8_412_250),
@@ -199,18 +200,22 @@
     };
     assert_eq!(decoded(&record, &tail), expected);
     for position in 1..EVENT_SIZE {
-        // Any bit sets a flag, so that it takes 0 to clear one.
-        let others = [record[position] ^ 0x7f, 0];
-        let matters = others.iter().any(|other| {
+        // A flag is set by any bit of its byte, so that only 0 clears it.
+        let replacements = [record[position] ^ 0x7f, 0];
+        let is_significant = replacements.iter().any(|replacement| {
             let mut changed = record.clone();
-            changed[position] = *other;
+            changed[position] = *replacement;
             decoded(&changed, &tail).event != event
         });
-        assert_eq!(matters, used.contains(&position), "byte {position}");
+        assert_eq!(
+            is_significant,
+            used_bytes.contains(&position),
+            "byte {position}"
+        );
     }
 }
 
-/// Codes, flags and absent values of which the frames above show one each.
+/// The codes, flags and absent values that the frames above do not cover.
 #[rstest]
 #[case::no_key(
     "0d 5d3a91c4 04 0000000000000000 05 0607 00000000008405da 00002ee0",
@@ -240,28 +245,40 @@
 #[case::connection_lost("0c 2c9011f2 3c", "outcome: ConnectionLost")]
 #[case::cancelled("0c 2c9011f2 46", "outcome: Cancelled")]
 #[case::not_sent("0c 2c9011f2 50", "outcome: NotSent")]
-#[case::unknown_outcome("0c 2c9011f2 51", "error: unknown outcome 81")]
+#[case::unknown_outcome(
+    "0c 2c9011f2 51",
+    "error: unknown outcome code 81; expected a multiple of 10 from 10 to 80"
+)]
 #[case::delta("0e 0000000000000029 00000000 00", "update: Delta")]
 #[case::full("0e 0000000000000029 00000000 01", "update: Full")]
 #[case::failed_update("0e 0000000000000029 00000000 03", "update: Failed")]
-#[case::unknown_update("0e 0000000000000029 00000000 04", "error: unknown kind of list 4")]
+#[case::unknown_update(
+    "0e 0000000000000029 00000000 04",
+    "error: unknown endpoint list update code 4; expected 0 to 3"
+)]
 #[case::canary("08 042a 02 00 00 0a 3e000000", "phase: Canary")]
 #[case::released("08 042a 02 02 00 0a 3e000000", "phase: Released")]
 #[case::withdrawn("08 042a 02 03 00 0a 3e000000", "phase: Withdrawn")]
-#[case::unknown_phase("08 042a 02 04 00 0a 3e000000", "error: unknown course 4")]
+#[case::unknown_phase(
+    "08 042a 02 04 00 0a 3e000000",
+    "error: unknown release phase code 4; expected 0 to 3"
+)]
 #[case::no_vote("08 042a 02 00 00 0a 3e000000", "vote_outcome: None")]
 #[case::lost_vote(
     "08 042a 02 09 01 50 7fc00000",
     "status: None, vote_outcome: Some(NotSent)"
 )]
-#[case::no_share("08 042a 02 00 00 0a bf800000", "error: a share of -1")]
-#[case::unknown_event("10", "error: unknown event code 16")]
+#[case::no_share(
+    "08 042a 02 00 00 0a bf800000",
+    "error: a share of requests is -1; expected a finite number, not below 0"
+)]
+#[case::unknown_event("10", "error: unknown event code 16; expected 1 to 15")]
 #[case::outside_tail(
     "0a 00000001 00000000 00000001",
-    "error: a reference points outside the tail"
+    "error: a field refers to bytes outside the frame's tail"
 )]
 fn event_values(#[case] record: &str, #[case] expected: &str) {
-    let event = decoded(&bytes_of(record), &[]).event;
+    let event = decoded(&from_hex(record), &[]).event;
     assert!(event.contains(expected), "{event}");
 }
 
@@ -272,23 +289,23 @@
 )]
 #[case::unknown_status(
     "03124a07 03 04 3f800000 0000000000000000 42280000 0506 07",
-    "error: unknown mode 3"
+    "error: unknown endpoint status code 3; expected 0 to 2"
 )]
 #[case::build(
     "03124a07 01 04 3f800000 0000000000000000 47800000 0506 07",
-    "error: an entry names the build 65536"
+    "error: an endpoint has the build 65536; expected 0 to 65535"
 )]
 #[case::weight(
     "03124a07 01 04 bf800000 0000000000000000 42280000 0506 07",
-    "error: an entry has the share -1"
+    "error: an endpoint has the weight -1; expected a finite number, not below 0"
 )]
 #[case::cut(
     "03124a07 01 04 3f800000 0000000000000000 42280000 0506",
-    "error: a reference points outside the tail"
+    "error: a field refers to bytes outside the frame's tail"
 )]
 fn entry_values(#[case] entry: &str, #[case] expected: &str) {
-    let page = bytes_of("05 00000009 00000000 00000001");
-    let event = decoded(&page, &bytes_of(entry)).event;
+    let page = from_hex("05 00000009 00000000 00000001");
+    let event = decoded(&page, &from_hex(entry)).event;
     assert!(event.contains(expected), "{event}");
 }
 
@@ -297,7 +314,7 @@
 const TIMER: TimerId = TimerId(0x0100_0000_0000_004d);
 const BUILD: Build = Build(0x042a);
 
-type Act = fn(&mut Reply);
+type AppendAction = fn(&mut Reply);
 
 #[rstest]
 #[case::send_attempt(
@@ -334,27 +351,27 @@
 #[case::advance(|reply: &mut Reply| reply.vote(BUILD, Stage(2), Vote::Advance), "0d 042a 02 01", "")]
 #[case::hold(|reply: &mut Reply| reply.vote(BUILD, Stage(2), Vote::Hold), "0d 042a 02 02", "")]
 #[case::roll_back(|reply: &mut Reply| reply.vote(BUILD, Stage(2), Vote::RollBack), "0d 042a 02 03", "")]
-fn actions(#[case] act: Act, #[case] record: &str, #[case] tail: &str) {
+fn actions(#[case] append: AppendAction, #[case] record: &str, #[case] tail: &str) {
     let mut reply = Reply::default();
-    act(reply.for_instance(0x0a03));
-    let tail = bytes_of(tail);
+    append(reply.for_instance(0x0a03));
+    let tail = from_hex(tail);
     let mut expected = 2_u32.to_be_bytes().to_vec();
     expected.extend(((8 + 2 * ACTION_SIZE + tail.len()) as u32).to_be_bytes());
-    expected.extend(bytes_of("0e 0a03"));
+    expected.extend(from_hex("0e 0a03"));
     expected.resize(8 + ACTION_SIZE, 0);
-    expected.extend(bytes_of(record));
+    expected.extend(from_hex(record));
     expected.resize(8 + 2 * ACTION_SIZE, 0);
     expected.extend(tail);
-    assert_eq!(hex_of(&written(&reply)), hex_of(&expected));
+    assert_eq!(to_hex(&written(&reply)), to_hex(&expected));
 }
 
 fn written(reply: &Reply) -> Vec<u8> {
     let mut bytes = Vec::new();
-    reply.write(&mut bytes).expect("memory takes it");
+    reply.write(&mut bytes).expect("writing to memory succeeds");
     bytes
 }
 
-/// An instance is named before its first action only, and tails follow one another.
+/// An instance is selected before its first action only, and the tails of its actions follow one another.
 #[test]
 fn instances_and_tails() {
     let mut reply = Reply::default();
@@ -372,7 +389,7 @@
         format!("0c{}", zeros(23)),
         "616263".to_owned(),
     ];
-    assert_eq!(hex_of(&written(&reply)), expected.concat());
+    assert_eq!(to_hex(&written(&reply)), expected.concat());
     reply.clear();
-    assert_eq!(hex_of(&written(&reply)), "0000000000000008");
+    assert_eq!(to_hex(&written(&reply)), "0000000000000008");
 }
--- a/crates/start-settings/src/engine.rs
+++ b/crates/start-settings/src/engine.rs
@@ -1,4 +1,4 @@
-//! Builds the decision engine that start settings describe.
+//! Builds a decision engine from start settings.
 use std::fmt;
 use std::time::Duration;
 
@@ -11,9 +11,10 @@
 use crate::error::SettingsError;
 use crate::settings::{Settings, class_path};
 
-/// A decision engine, and the sizes of the lists that its settings name.
+/// A decision engine and the numbers of request classes and zones in its settings, which bound the indices that its
+/// host may pass to it.
 pub struct Instance {
-    /// The engine.
+    /// The engine, before its first round.
     pub engine: DecisionEngine,
     /// The number of request classes.
     pub request_classes: usize,
@@ -21,7 +22,7 @@
     pub zones: usize,
 }
 
-/// Leaves out the engine, whose state fills pages.
+/// Leaves out the engine, whose state is too long to be printed.
 impl fmt::Debug for Instance {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter
@@ -32,11 +33,11 @@
     }
 }
 
-/// Builds a decision engine from start settings and the seed of its random draws.
+/// Builds a decision engine from start settings and the seed of its random numbers.
 ///
 /// # Errors
 /// A setting is missing or unusable.
-pub fn instance(seed: u64, settings: &Settings) -> Result<Instance, SettingsError> {
+pub fn build_instance(seed: u64, settings: &Settings) -> Result<Instance, SettingsError> {
     let engine_settings = engine_settings(seed, settings)?;
     Ok(Instance {
         request_classes: engine_settings.requests.classes.len(),
@@ -45,7 +46,7 @@
     })
 }
 
-/// Reads all that a decision engine needs. `seed` is the seed of its random draws.
+/// Reads all settings that a decision engine needs. `seed` is the seed of its random numbers.
 ///
 /// # Errors
 /// A setting is missing or unusable.
@@ -55,7 +56,7 @@
         requests: requests(settings)?,
         tick: settings.period("tick")?,
         discovery: discovery(settings)?,
-        zone: Zone(settings.number("zone")?),
+        zone: Zone(settings.value("zone")?),
         slow_start: slow_start(settings)?,
         exposure: exposure(settings)?,
         release_analysis: release_analysis(settings)?,
@@ -63,13 +64,13 @@
     })
 }
 
-/// Zones are numbered by their position, so that an empty name counts too.
+/// Counts the zones. They are numbered by their position in the list, so that an empty name counts too.
 fn zone_count(settings: &Settings) -> Result<usize, SettingsError> {
     Ok(settings.text("zones")?.split(',').count())
 }
 
 fn discovery(settings: &Settings) -> Result<EndpointDiscoverySettings, SettingsError> {
-    let request_within = if settings.requests_endpoint_list()? {
+    let request_within = if settings.endpoint_list_on_request()? {
         Some(settings.period("rules.ask-within")?)
     } else {
         None
@@ -79,23 +80,23 @@
 
 fn slow_start(settings: &Settings) -> Result<SlowStartSettings, SettingsError> {
     Ok(SlowStartSettings {
-        initial_capacity_share: settings.amount("rules.cold-from")?,
+        initial_capacity_share: settings.non_negative("rules.cold-from")?,
         ramp: settings.duration("rules.ramp-time")?,
-        overload_multiple: settings.amount("rules.fall-multiple")?,
+        overload_multiple: settings.non_negative("rules.fall-multiple")?,
         overload_window: settings.duration("rules.overload-for")?,
     })
 }
 
 fn exposure(settings: &Settings) -> Result<ExposureSettings, SettingsError> {
-    let caps = settings.amounts("family-info.most-shares")?;
+    let caps = settings.non_negative_list("family-info.most-shares")?;
     let per_class_choices = [("all", false), ("per_lane", true)];
     Ok(ExposureSettings {
         window: settings.duration("family-info.span")?,
-        free_requests: settings.amount("family-info.free")?,
+        free_requests: settings.non_negative("family-info.free")?,
         initial_cap: caps.first().copied().unwrap_or(0.0),
         per_class: settings.choice("family-info.per", &per_class_choices)?,
-        guarded_stages: settings.number("family-info.guarded-stages")?,
-        forward_only: settings.number("family-info.forward-only")?,
+        guarded_stages: settings.value("family-info.guarded-stages")?,
+        forward_only: settings.value("family-info.forward-only")?,
     })
 }
 
@@ -108,7 +109,7 @@
     let in_place_choices = [("side_by_side", false), ("rolling", true)];
     Ok(ReleaseAnalysisSettings {
         advance_rule: settings.choice("family-info.gate-mode", &advance_rules)?,
-        stage_shares: settings.amounts("family-info.rings")?,
+        stage_shares: settings.non_negative_list("family-info.rings")?,
         minimum_stage_time: settings.period("family-info.min-dwell")?,
         vote_timing: VoteTiming {
             validity: settings.period("family-info.vote-ttl")?,
@@ -121,9 +122,9 @@
 
 fn fleet_position(settings: &Settings) -> Result<FleetPosition, SettingsError> {
     Ok(FleetPosition {
-        own_id: AgentId(settings.number("me")?),
-        agent_count: settings.number("instances")?,
-        can_message_peers: settings.number("limits.peers")?,
+        own_id: AgentId(settings.value("me")?),
+        agent_count: settings.value("instances")?,
+        can_message_peers: settings.value("limits.peers")?,
     })
 }
 
@@ -131,18 +132,18 @@
     let classes = (0..settings.class_count()?)
         .map(|class| class_policy(settings, class))
         .collect::<Result<_, _>>()?;
-    // An attempt's number is a byte on every wire.
-    let max_attempts: usize = settings.number("limits.max-attempts")?;
+    // Every protocol encodes an attempt's number in one byte.
+    let max_attempts: usize = settings.value("limits.max-attempts")?;
     Ok(RequestSettings {
         classes,
         max_attempts: max_attempts.min(u8::MAX.into()),
-        may_cancel: settings.number("limits.may-cancel")?,
+        may_cancel: settings.value("limits.may-cancel")?,
         max_retry_after: max_retry_after(settings)?,
     })
 }
 
 fn max_retry_after(settings: &Settings) -> Result<Duration, SettingsError> {
-    if settings.number("limits.retry-after")? {
+    if settings.value("limits.retry-after")? {
         settings.duration("limits.max-retry-after")
     } else {
         Ok(Duration::ZERO)
@@ -161,7 +162,7 @@
         latency_objective: settings.period(&path("aim"))?,
         deadline: settings.period(&path("give-up"))?,
         deduplication_window,
-        priority_weight: settings.amount(&path("worth"))?,
-        late_weight_share: settings.amount(&path("late-value"))?,
+        priority_weight: settings.non_negative(&path("worth"))?,
+        late_weight_share: settings.non_negative(&path("late-value"))?,
     })
 }
