--- a/crates/agent/src/dispatcher.rs
+++ b/crates/agent/src/dispatcher.rs
@@ -30,7 +30,7 @@
     pub platform: Rc<dyn VoteSender>,
     /// Sends datagrams; `None` if no peers are configured.
     pub peers: Option<Rc<dyn PeerSender>>,
-    /// Records requests, votes and notes in the timeline.
+    /// Records requests, votes and diagnostics in the timeline.
     pub recorder: Rc<Recorder>,
     /// The pending timers of the decision engine.
     pub wake_ups: WakeUps,
@@ -188,10 +188,6 @@
     fn record_diagnostic(&mut self, diagnostic: Diagnostic) {
         self.dispatcher
             .recorder
-<<<<<<< HEAD
-            .update(|book| book.record_diagnostic(self.now, diagnostic));
-=======
-            .update(|timeline| timeline.record_note(self.now, note));
->>>>>>> 6db4b8b45ade4c30a147ad6c1cade88d38f30b5d
+            .update(|timeline| timeline.record_diagnostic(self.now, diagnostic));
     }
 }
--- a/crates/decision/src/engine/attempts.rs
+++ b/crates/decision/src/engine/attempts.rs
@@ -78,13 +78,8 @@
         let is_first_or_was_rejected = retry::is_first_or_was_rejected(request);
         let has_failed = request.last_outcome() == Some(Outcome::Failed);
         let policy = request.policy;
-<<<<<<< HEAD
-        let is_futile = has_failed && {
-            let success = self.demand.retry_success(self.now, self.load.sample_period);
-=======
         let gives_up_retrying = has_failed && {
-            let success = self.demand.retry_success(self.now, self.load.few_requests);
->>>>>>> 6db4b8b45ade4c30a147ad6c1cade88d38f30b5d
+            let success = self.demand.retry_success(self.now, self.load.sample_period);
             self.random.random::<f64>() > retry::retry_probability(success)
         };
         if is_answer_worthless {
--- a/crates/decision/src/engine/mod.rs
+++ b/crates/decision/src/engine/mod.rs
@@ -108,21 +108,13 @@
             self.refresh();
             self.close_idle_connections(actions);
         }
-<<<<<<< HEAD
-        let check_at = self.attend_requests(actions);
-        let mut is_awake = !self.requests.by_id.is_empty() || self.schedule.events > 0;
-        is_awake |= self.attend_release(actions);
-        self.diagnostics
-            .drain(..)
-            .for_each(|diagnostic| actions.record_diagnostic(diagnostic));
-        self.schedule_wake_up(check_at, is_awake, actions);
-=======
         let check_at = self.process_requests(actions);
         let mut has_more_work = !self.requests.by_id.is_empty() || self.schedule.events > 0;
         has_more_work |= self.process_release(actions);
-        self.notes.drain(..).for_each(|note| actions.note(note));
+        self.diagnostics
+            .drain(..)
+            .for_each(|diagnostic| actions.record_diagnostic(diagnostic));
         self.schedule_wake_up(check_at, has_more_work, actions);
->>>>>>> 6db4b8b45ade4c30a147ad6c1cade88d38f30b5d
     }
 
     fn begin_round(&mut self, now: Duration) {
--- a/crates/decision/src/policy/subsetting.rs
+++ b/crates/decision/src/policy/subsetting.rs
@@ -239,17 +239,12 @@
     } = rules;
     let permits = |build, zone| exposure.permits(build, zone, request);
     let from = Position(random.random());
-<<<<<<< HEAD
     let found = endpoints.outside_subset(
         request.routing_constraint(),
         from,
         MIN_ASSIGNED as usize,
-        admits,
+        permits,
     );
-=======
-    let found =
-        endpoints.outside_subset(request.confinement(), from, MIN_ASSIGNED as usize, permits);
->>>>>>> 6db4b8b45ade4c30a147ad6c1cade88d38f30b5d
     for endpoint in &found {
         let arm = exposure.arm(endpoint.build);
         let arm_share = match arm {
--- a/crates/decision/src/state/votes.rs
+++ b/crates/decision/src/state/votes.rs
@@ -28,15 +28,9 @@
     pub(crate) next_warning_at: Duration,
     /// Until when the last warning, a peer's or the agent's own, delays a vote to advance.
     pub(crate) warned_until: Duration,
-<<<<<<< HEAD
     /// Random draw from 0 to 1: an agent that is no aggregator delays its vote to advance by this, so that such
     /// agents do not all vote at once if the aggregators did not.
-    pub(crate) stand_in_draw: f64,
-    /// When the lost share of capacity was last within its limit.
-=======
-    /// Random draw from 0 to 1: when this agent votes among those that stand in for the aggregators.
     pub(crate) backup_vote_draw: f64,
-    /// When the share of lost capacity was last tolerable.
->>>>>>> 6db4b8b45ade4c30a147ad6c1cade88d38f30b5d
+    /// When the lost share of capacity was last within its limit.
     pub(crate) last_tolerable_loss: Duration,
 }
--- a/crates/store/tests/stored_form.rs
+++ b/crates/store/tests/stored_form.rs
@@ -51,11 +51,7 @@
     }
 }
 
-<<<<<<< HEAD
-/// Releases, votes and diagnostics, each kind of them once.
-=======
-/// Records each kind of release phase, vote and note at its own step.
->>>>>>> 6db4b8b45ade4c30a147ad6c1cade88d38f30b5d
+/// Records each kind of release phase, vote and diagnostic at its own step.
 fn record_decisions(timeline: &mut FleetTimeline, step: u32, now: Duration) {
     let (build, stage, endpoint) = (Build(2), Stage(1), EndpointId(2));
     let phase =
