--- a/crates/decision/src/engine/mod.rs
+++ b/crates/decision/src/engine/mod.rs
@@ -217,7 +217,7 @@
             local_zone: self.zone,
             endpoints: &self.endpoints,
             candidates: &self.candidates,
-            subset_is_full: self.subset.is_full,
+            subset_is_sufficient: self.subset.is_sufficient,
             load: &self.load,
             evidence: &self.analysis.evidence,
             slow_start: &self.slow_start,
--- a/crates/decision/src/engine/refresh.rs
+++ b/crates/decision/src/engine/refresh.rs
@@ -72,7 +72,7 @@
             };
             first_assigned = selection.choose(&mut self.subset, &mut self.endpoints);
         } else {
-            self.subset.is_full = false;
+            self.subset.is_sufficient = false;
         }
         let inputs = OddsInputs {
             now: self.now,
@@ -80,7 +80,7 @@
             load: &self.load,
             slow_start: &self.slow_start,
             exposure: &self.exposure,
-            is_panic: outlier_ejection::is_panic(&self.endpoints, self.subset.is_full),
+            is_panic: outlier_ejection::is_panic(&self.endpoints, self.subset.is_sufficient),
             assigned_count,
             first_assigned,
         };
--- a/crates/decision/src/policy/load_balancing.rs
+++ b/crates/decision/src/policy/load_balancing.rs
@@ -62,7 +62,7 @@
     pub(crate) local_zone: Zone,
     pub(crate) endpoints: &'a EndpointTable,
     pub(crate) candidates: &'a Candidates,
-    pub(crate) subset_is_full: bool,
+    pub(crate) subset_is_sufficient: bool,
     pub(crate) load: &'a LoadEstimate,
     pub(crate) evidence: &'a Evidence,
     pub(crate) slow_start: &'a SlowStart,
@@ -166,7 +166,7 @@
         };
         // An ejected endpoint is not tried with a retry while the subset has others.
         let may_try_ejected = request.policy.idempotency != Idempotency::NonIdempotent
-            && (request.attempts.is_empty() || !self.subset_is_full);
+            && (request.attempts.is_empty() || !self.subset_is_sufficient);
         let is_panic = self.candidates.is_panic;
         request.may_go_to(&record.endpoint)
             && !outlier_ejection::is_excluded(record, self.now, is_panic)
--- a/crates/decision/src/policy/outlier_ejection.rs
+++ b/crates/decision/src/policy/outlier_ejection.rs
@@ -26,12 +26,12 @@
 
 /// Whether most endpoints are ejected: then the fault is not theirs, and ejections mean nothing, unless a
 /// subset found others.
-pub(crate) fn is_panic(endpoints: &EndpointTable, subset_is_full: bool) -> bool {
+pub(crate) fn is_panic(endpoints: &EndpointTable, subset_is_sufficient: bool) -> bool {
     let ejected = endpoints
         .ready()
         .filter(|record| record.is_ejected())
         .count();
-    2 * ejected > endpoints.ready().count() && !subset_is_full
+    2 * ejected > endpoints.ready().count() && !subset_is_sufficient
 }
 
 /// Ejects an endpoint, unless it is not even to be tried yet.
--- a/crates/decision/src/policy/subsetting.rs
+++ b/crates/decision/src/policy/subsetting.rs
@@ -149,7 +149,7 @@
             PerArm::from_fn(|arm| self.segment(arm, half, subset.extent[arm], endpoints));
         subset.extent = PerArm::from_fn(|arm| segments[arm].extent);
         let serving: usize = segments.iter().map(|segment| segment.serving).sum();
-        subset.is_full = serving >= half;
+        subset.is_sufficient = serving >= half;
         let members = PerArm::from_fn(|arm| segments[arm].members.as_slice());
         subset.removed = endpoints.set_members(members, |record| self.is_kept(record));
         PerArm::from_fn(|arm| segments[arm].first_assigned(self.assigned_count))
--- a/crates/decision/src/state/candidates.rs
+++ b/crates/decision/src/state/candidates.rs
@@ -37,7 +37,7 @@
     pub(crate) target_size: f64,
     pub(crate) extent: PerArm<SubsetExtent>,
     /// Whether at least half of `target_size` members, of both arms together, can serve.
-    pub(crate) is_full: bool,
+    pub(crate) is_sufficient: bool,
     /// Endpoints that are no longer members and may still have an open connection.
     pub(crate) removed: Vec<EndpointId>,
 }
@@ -48,7 +48,7 @@
         Subset {
             target_size,
             extent: PerArm::default(),
-            is_full: false,
+            is_sufficient: false,
             removed: Vec::new(),
         }
     }
--- a/crates/decision/tests/engine/scenarios/events.rs
+++ b/crates/decision/tests/engine/scenarios/events.rs
@@ -33,7 +33,7 @@
                 self.round(|events| events.on_client_disconnected(id));
             }
             ("ended", [attempt, endpoint, outcome, took]) => {
-                self.end_attempt([attempt, endpoint, outcome, took], false);
+                self.end_attempt([attempt, endpoint, outcome, took], false)
             }
             ("ended", [attempt, endpoint, outcome, took, "closed"]) => {
                 self.end_attempt([attempt, endpoint, outcome, took], true);
