--- a/crates/agent/src/dispatcher.rs
+++ b/crates/agent/src/dispatcher.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use lilacgate_decision::{
-    Actions, AgentId, AttemptNumber, Build, EndpointId, Note, RequestId, Stage, TimerId, Vote,
+    Actions, AgentId, AttemptNumber, Build, Diagnostic, EndpointId, RequestId, Stage, TimerId, Vote,
 };
 
 use crate::event_loop::EventLoop;
@@ -30,7 +30,7 @@
     pub platform: Rc<dyn VoteSender>,
     /// Sends datagrams; `None` if no peers are configured.
     pub peers: Option<Rc<dyn PeerSender>>,
-    /// Records requests, votes and notes in the timeline.
+    /// Records requests, votes and diagnostics in the timeline.
     pub recorder: Rc<Recorder>,
     /// The pending timers of the decision engine.
     pub wake_ups: WakeUps,
@@ -185,9 +185,9 @@
             .send_vote(build, stage, vote);
     }
 
-    fn note(&mut self, note: Note) {
+    fn record_diagnostic(&mut self, diagnostic: Diagnostic) {
         self.dispatcher
             .recorder
-            .update(|timeline| timeline.record_note(self.now, note));
+            .update(|timeline| timeline.record_diagnostic(self.now, diagnostic));
     }
 }
--- a/crates/decision/src/engine/attempts.rs
+++ b/crates/decision/src/engine/attempts.rs
@@ -5,7 +5,7 @@
 use rand_pcg::Pcg64Mcg;
 
 use super::DecisionEngine;
-use crate::actions::{Actions, GiveUpReason, Note};
+use crate::actions::{Actions, Diagnostic, GiveUpReason};
 use crate::model::{AttemptNumber, EndpointId, EndpointStatus, Outcome, RequestId};
 use crate::policy::admission;
 use crate::policy::load_balancing::Choice;
@@ -83,7 +83,7 @@
         let has_failed = request.last_outcome() == Some(Outcome::Failed);
         let policy = request.policy;
         let gives_up_retrying = has_failed && {
-            let success = self.demand.retry_success(self.now, self.load.few_requests);
+            let success = self.demand.retry_success(self.now, self.load.sample_period);
             self.random.random::<f64>() > retry::retry_probability(success)
         };
         if is_answer_worthless {
@@ -152,7 +152,9 @@
             return false;
         };
         let catalog = &self.endpoints.catalog;
-        let mut builds_and_zones = catalog.builds_and_zones(request.confinement()).peekable();
+        let mut builds_and_zones = catalog
+            .builds_and_zones(request.routing_constraint())
+            .peekable();
         builds_and_zones.peek().is_some()
             && !builds_and_zones
                 .any(|(build, zone)| self.exposure.operator_permits(build, zone, request))
@@ -160,7 +162,7 @@
 
     /// Answers a request finally without a result: as rejected if its client may safely send it again, else as failed.
     fn give_up(&mut self, id: RequestId, reason: GiveUpReason, actions: &mut dyn Actions) {
-        actions.note(Note::GivenUp(reason));
+        actions.record_diagnostic(Diagnostic::GivenUp(reason));
         let Some(request) = self.requests.by_id.remove(&id) else {
             return;
         };
@@ -200,7 +202,7 @@
             was_ejected: record.is_ejected(),
         };
         if outstanding.was_ejected {
-            self.notes.push(Note::Tried(endpoint));
+            self.diagnostics.push(Diagnostic::Probed(endpoint));
         }
         let attempt_id = AttemptId {
             request: id,
--- a/crates/decision/src/engine/mod.rs
+++ b/crates/decision/src/engine/mod.rs
@@ -11,7 +11,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use crate::actions::{Actions, Note};
+use crate::actions::{Actions, Diagnostic};
 use crate::events::EventHandler;
 use crate::model::{EndpointId, EngineSettings, FleetPosition, RequestId, TimerId, Zone};
 use crate::policy::admission::Overload;
@@ -62,7 +62,7 @@
     load: LoadEstimate,
     schedule: Schedule,
     /// Notes of this round, passed out at its end.
-    notes: Vec<Note>,
+    diagnostics: Vec<Diagnostic>,
 }
 
 impl DecisionEngine {
@@ -89,7 +89,7 @@
             demand: Demand::default(),
             load: LoadEstimate::default(),
             schedule: Schedule::default(),
-            notes: Vec::new(),
+            diagnostics: Vec::new(),
         }
     }
 
@@ -113,7 +113,9 @@
         let check_at = self.process_requests(actions);
         let mut has_more_work = !self.requests.by_id.is_empty() || self.schedule.events > 0;
         has_more_work |= self.process_release(actions);
-        self.notes.drain(..).for_each(|note| actions.note(note));
+        self.diagnostics
+            .drain(..)
+            .for_each(|diagnostic| actions.record_diagnostic(diagnostic));
         self.schedule_wake_up(check_at, has_more_work, actions);
     }
 
@@ -221,7 +223,7 @@
             local_zone: self.zone,
             endpoints: &self.endpoints,
             candidates: &self.candidates,
-            subset_is_full: self.subset.is_full,
+            subset_is_sufficient: self.subset.is_sufficient,
             load: &self.load,
             evidence: &self.analysis.evidence,
             slow_start: &self.slow_start,
--- a/crates/decision/src/engine/outcomes.rs
+++ b/crates/decision/src/engine/outcomes.rs
@@ -50,9 +50,10 @@
                 record.health.on_served(now, ended.took, ended.attempt.work);
             }
             if is_served {
-                self.notes.extend(outlier_ejection::readmit(record, now));
+                self.diagnostics
+                    .extend(outlier_ejection::readmit(record, now));
             }
-            self.notes
+            self.diagnostics
                 .extend(outlier_ejection::eject_outlier(record, now, outcome, peers));
         }
         self.schedule.events += 1;
@@ -75,7 +76,7 @@
     /// Records an outcome, and the work if it was served, in the demand and in the work that is reported to peers.
     fn record_demand(&mut self, attempt: EndedAttempt, work: f64) {
         self.demand
-            .on_attempt_ended(self.now, self.load.few_requests, attempt);
+            .on_attempt_ended(self.now, self.load.sample_period, attempt);
         if attempt.outcome == Outcome::Succeeded {
             self.demand.on_served(self.now, work);
             self.analysis.evidence.served_work.add(WorkSums {
@@ -102,8 +103,8 @@
         } else {
             Arm::Baseline
         };
-        let few_requests = self.load.few_requests;
-        let is_comparable = self.analysis.on_arm_answered(self.now, arm, few_requests);
+        let sample_period = self.load.sample_period;
+        let is_comparable = self.analysis.on_arm_answered(self.now, arm, sample_period);
         if arm == Arm::Baseline && !is_comparable {
             return;
         }
--- a/crates/decision/src/engine/refresh.rs
+++ b/crates/decision/src/engine/refresh.rs
@@ -9,7 +9,7 @@
 use crate::policy::outlier_ejection::{self, eject_silent, max_silence};
 use crate::policy::subsetting::{SubsetSelection, assigned_count};
 use crate::state::evidence::WorkSums;
-use crate::state::half_lives::{BASELINE, RECENT};
+use crate::state::half_lives::{BASELINE_HALF_LIFE, RECENT_HALF_LIFE};
 
 /// The load estimate's `few_requests` is the time that the agent takes to be served this many requests.
 const FEW_REQUESTS: f64 = 5.0;
@@ -23,8 +23,8 @@
         self.refresh_load();
         self.eject_silent_endpoints();
         self.refresh_candidates();
-        let few_requests = Duration::from_secs_f64(FEW_REQUESTS / self.load.served_rate.max(1.0));
-        self.load.few_requests = few_requests.clamp(RECENT, BASELINE);
+        let sample_period = Duration::from_secs_f64(FEW_REQUESTS / self.load.served_rate.max(1.0));
+        self.load.sample_period = sample_period.clamp(RECENT_HALF_LIFE, BASELINE_HALF_LIFE);
         if let Some(status) = self.exposure.release_status {
             let paces = self.endpoints.paces_before(self.now, status.build);
             self.analysis.evidence.model_paces.extend(paces);
@@ -58,7 +58,7 @@
             self.now,
             max_silence,
             resumed_at,
-            &mut self.notes,
+            &mut self.diagnostics,
         );
     }
 
@@ -76,7 +76,7 @@
             };
             first_assigned = selection.choose(&mut self.subset, &mut self.endpoints);
         } else {
-            self.subset.is_full = false;
+            self.subset.is_sufficient = false;
         }
         let inputs = OddsInputs {
             now: self.now,
@@ -84,7 +84,7 @@
             load: &self.load,
             slow_start: &self.slow_start,
             exposure: &self.exposure,
-            is_panic: outlier_ejection::is_panic(&self.endpoints, self.subset.is_full),
+            is_panic: outlier_ejection::is_panic(&self.endpoints, self.subset.is_sufficient),
             assigned_count,
             first_assigned,
         };
--- a/crates/decision/src/policy/admission.rs
+++ b/crates/decision/src/policy/admission.rs
@@ -4,7 +4,7 @@
 use crate::model::ClassPolicy;
 use crate::state::demand::Demand;
 use crate::state::endpoint_table::EndpointTable;
-use crate::state::half_lives::RECENT;
+use crate::state::half_lives::RECENT_HALF_LIFE;
 use crate::state::load_estimate::LoadEstimate;
 
 /// Expected wait, as a share of what is left of the latency objective, above which some requests of priority weight
@@ -40,7 +40,7 @@
         // An agent that has just started has served hardly anything yet, so its served rate would look like overload.
         if self
             .started_at
-            .is_none_or(|started| self.now < started + RECENT)
+            .is_none_or(|started| self.now < started + RECENT_HALF_LIFE)
         {
             return 0.0;
         }
@@ -67,7 +67,7 @@
             .map(|class| class.priority_weight)
             .fold(f64::MIN_POSITIVE, f64::max);
         let wait_share = self.wait_share(objective_left);
-        let late_share = demand.late_share(self.now, self.load.few_requests);
+        let late_share = demand.late_share(self.now, self.load.sample_period);
         let bonus = PRIORITY_WAIT_SHARE_BONUS * policy.priority_weight / highest_priority;
         let overload = f64::max(
             (wait_share - TOLERATED_WAIT_SHARE - bonus) / WAIT_SHARE_RANGE,
--- a/crates/decision/src/policy/load_balancing.rs
+++ b/crates/decision/src/policy/load_balancing.rs
@@ -14,7 +14,7 @@
 use crate::state::endpoint_record::EndpointRecord;
 use crate::state::endpoint_table::EndpointTable;
 use crate::state::evidence::Evidence;
-use crate::state::half_lives::{BASELINE, RECENT};
+use crate::state::half_lives::{BASELINE_HALF_LIFE, RECENT_HALF_LIFE};
 use crate::state::load_estimate::LoadEstimate;
 use crate::state::pending_requests::PendingRequest;
 
@@ -37,13 +37,13 @@
 /// An endpoint's long-run pace: time taken for each second of estimated work. While little work of it is known, the
 /// value is close to the mean of all endpoints.
 pub(crate) fn baseline_pace(record: &EndpointRecord, now: Duration, load: &LoadEstimate) -> f64 {
-    let own = record.health.baseline_pace.read(now, BASELINE);
+    let own = record.health.baseline_pace.read(now, BASELINE_HALF_LIFE);
     ((own.numerator + load.baseline_pace) / (own.denominator + 1.0)).max(MIN_PACE)
 }
 
 /// An endpoint's recent pace. While little recent work of it is known, the value is close to its long-run pace.
 pub(crate) fn recent_pace(record: &EndpointRecord, now: Duration, load: &LoadEstimate) -> f64 {
-    let own = record.health.recent_pace.read(now, RECENT);
+    let own = record.health.recent_pace.read(now, RECENT_HALF_LIFE);
     let prior = PACE_PRIOR_REQUESTS * load.mean_work;
     (own.numerator + prior * baseline_pace(record, now, load)) / (own.denominator + prior)
 }
@@ -68,7 +68,7 @@
     pub(crate) local_zone: Zone,
     pub(crate) endpoints: &'a EndpointTable,
     pub(crate) candidates: &'a Candidates,
-    pub(crate) subset_is_full: bool,
+    pub(crate) subset_is_sufficient: bool,
     pub(crate) load: &'a LoadEstimate,
     pub(crate) evidence: &'a Evidence,
     pub(crate) slow_start: &'a SlowStart,
@@ -179,7 +179,7 @@
         // An ejected endpoint is not tried with a request that must not run twice, nor with a retry while the subset
         // has others.
         let may_try_ejected = request.policy.idempotency != Idempotency::NonIdempotent
-            && (request.attempts.is_empty() || !self.subset_is_full);
+            && (request.attempts.is_empty() || !self.subset_is_sufficient);
         let is_panic = self.candidates.is_panic;
         request.may_go_to(&record.endpoint)
             && !outlier_ejection::is_excluded(record, self.now, is_panic)
--- a/crates/decision/src/policy/outlier_ejection.rs
+++ b/crates/decision/src/policy/outlier_ejection.rs
@@ -2,7 +2,7 @@
 //! for some time.
 use std::time::Duration;
 
-use crate::actions::{EjectionReason, Note};
+use crate::actions::{Diagnostic, EjectionReason};
 use crate::model::{EndpointId, Outcome};
 use crate::state::endpoint_record::{EndpointHealth, EndpointRecord};
 use crate::state::endpoint_table::{EndpointTable, PeerFailures};
@@ -28,12 +28,12 @@
 
 /// Whether the agent is in panic mode: more than half of the endpoints that it works with are ejected, so that the
 /// fault is hardly theirs and ejections are ignored. Never with a full subset, which has found other endpoints instead.
-pub(crate) fn is_panic(endpoints: &EndpointTable, subset_is_full: bool) -> bool {
+pub(crate) fn is_panic(endpoints: &EndpointTable, subset_is_sufficient: bool) -> bool {
     let ejected = endpoints
         .ready()
         .filter(|record| record.is_ejected())
         .count();
-    2 * ejected > endpoints.ready().count() && !subset_is_full
+    2 * ejected > endpoints.ready().count() && !subset_is_sufficient
 }
 
 /// Ejects an endpoint, for twice as long as the last time if it is still ejected. Does nothing, and returns `None`,
@@ -43,14 +43,14 @@
     now: Duration,
     endpoint: EndpointId,
     reason: EjectionReason,
-) -> Option<Note> {
+) -> Option<Diagnostic> {
     if now < health.ejected_until {
         return None;
     }
     let doubled = health.ejection_time * 2;
     health.ejection_time = doubled.clamp(MIN_EJECTION_TIME, MAX_EJECTION_TIME);
     health.ejected_until = now + health.ejection_time;
-    Some(Note::Ejected {
+    Some(Diagnostic::Ejected {
         endpoint,
         reason,
         until: health.ejected_until,
@@ -66,14 +66,19 @@
     now: Duration,
     max_silence: f64,
     resumed_at: Duration,
-    notes: &mut Vec<Note>,
+    diagnostics: &mut Vec<Diagnostic>,
 ) {
     for (&id, record) in &mut endpoints.records {
         let silence = record
-            .silent_since()
+            .unanswered_since()
             .map(|since| now.saturating_sub(since.max(resumed_at)).as_secs_f64());
         if silence.is_some_and(|silence| silence > max_silence) {
-            notes.extend(eject(&mut record.health, now, id, EjectionReason::Silence));
+            diagnostics.extend(eject(
+                &mut record.health,
+                now,
+                id,
+                EjectionReason::Unresponsive,
+            ));
         }
     }
 }
@@ -84,12 +89,12 @@
 }
 
 /// Readmits an endpoint that has served a request, if its ejection time is over.
-pub(crate) fn readmit(record: &mut EndpointRecord, now: Duration) -> Option<Note> {
+pub(crate) fn readmit(record: &mut EndpointRecord, now: Duration) -> Option<Diagnostic> {
     if !record.is_ejected() || now < record.health.ejected_until {
         return None;
     }
     record.health.ejection_time = Duration::ZERO;
-    Some(Note::Readmitted(record.id()))
+    Some(Diagnostic::Readmitted(record.id()))
 }
 
 /// Ejects an endpoint after an attempt has ended if it fails far more than the others of its build, or if the
@@ -100,7 +105,7 @@
     now: Duration,
     outcome: Outcome,
     peers: PeerFailures,
-) -> Option<Note> {
+) -> Option<Diagnostic> {
     let excess = if outcome == Outcome::Malformed {
         EXCESS_FAILURE_SHARE_MALFORMED
     } else {
--- a/crates/decision/src/policy/subsetting.rs
+++ b/crates/decision/src/policy/subsetting.rs
@@ -11,12 +11,12 @@
 use super::outlier_ejection::MAX_EJECTION_TIME;
 use super::slow_start::SlowStart;
 use crate::model::{Arm, Build, Endpoint, EndpointId, FleetPosition, PerArm, Zone};
-use crate::state::candidates::{Candidates, Reach, Subset};
+use crate::state::candidates::{Candidates, Subset, SubsetExtent};
 use crate::state::endpoint_catalog::{EndpointCatalog, WalkedEndpoints};
 use crate::state::endpoint_pool::{EndpointPool, rank_in};
 use crate::state::endpoint_record::EndpointRecord;
 use crate::state::endpoint_table::EndpointTable;
-use crate::state::half_lives::RECENT;
+use crate::state::half_lives::RECENT_HALF_LIFE;
 use crate::state::hash_ring::{Position, Side, nearest};
 use crate::state::load_estimate::LoadEstimate;
 use crate::state::pending_requests::PendingRequest;
@@ -55,14 +55,14 @@
     /// An arm of up to this many endpoints is taken whole.
     max_size_taken_whole: usize,
     /// The least number of members to take on each side.
-    minimum: Reach,
+    minimum: SubsetExtent,
 }
 
 /// The part of one arm's ring around the agent's own position.
 struct Segment {
     /// The endpoints of the segment, in the order of the ring.
     members: Vec<EndpointId>,
-    reach: Reach,
+    extent: SubsetExtent,
     /// How many of the members can serve now.
     serving: usize,
     /// Number of ready endpoints of the arm in the whole list.
@@ -108,7 +108,7 @@
         let offset =
             fraction * arm_size as f64 - rank_in(pools.iter().copied(), own_position) as f64;
         Segment {
-            reach: Reach {
+            extent: SubsetExtent {
                 before: before.ids.len(),
                 after: after.ids.len(),
             },
@@ -153,10 +153,11 @@
     ) -> PerArm<usize> {
         self.resize(subset);
         let half = (subset.target_size / 2.0) as usize;
-        let segments = PerArm::from_fn(|arm| self.segment(arm, half, subset.reach[arm], endpoints));
-        subset.reach = PerArm::from_fn(|arm| segments[arm].reach);
+        let segments =
+            PerArm::from_fn(|arm| self.segment(arm, half, subset.extent[arm], endpoints));
+        subset.extent = PerArm::from_fn(|arm| segments[arm].extent);
         let serving: usize = segments.iter().map(|segment| segment.serving).sum();
-        subset.is_full = serving >= half;
+        subset.is_sufficient = serving >= half;
         let members = PerArm::from_fn(|arm| segments[arm].members.as_slice());
         subset.removed = endpoints.set_members(members, |record| self.keeps_record(record));
         PerArm::from_fn(|arm| segments[arm].first_assigned(self.assigned_count))
@@ -169,7 +170,7 @@
             .exposure
             .windows
             .started_at
-            .is_some_and(|started| started + RECENT <= self.now);
+            .is_some_and(|started| started + RECENT_HALF_LIFE <= self.now);
         let assigned = self.assigned_count;
         if is_known && subset.target_size < MIN_SIZE_PER_ASSIGNED * assigned {
             subset.target_size *= 2.0;
@@ -178,13 +179,19 @@
         }
     }
 
-    /// Takes the segment of an arm, which is to have `half` endpoints that can serve on each side. `reach` is its
+    /// Takes the segment of an arm, which is to have `half` endpoints that can serve on each side. `extent` is its
     /// extent at the last refresh.
-    fn segment(&self, arm: Arm, half: usize, reach: Reach, endpoints: &EndpointTable) -> Segment {
+    fn segment(
+        &self,
+        arm: Arm,
+        half: usize,
+        extent: SubsetExtent,
+        endpoints: &EndpointTable,
+    ) -> Segment {
         let catalog = &endpoints.catalog;
         let has_warmed_up =
             |endpoint: &Endpoint| self.slow_start.capacity_share(endpoint.age(self.now)) >= 1.0;
-        let narrowed = |reach: usize| (reach * MIN_KEPT_SIXTEENTHS / 16).max(1) - 1;
+        let narrowed = |extent: usize| (extent * MIN_KEPT_SIXTEENTHS / 16).max(1) - 1;
         Segment::new(
             catalog,
             self.fleet_position,
@@ -200,9 +207,9 @@
                 // for others for a request that needs one.
                 is_enough: |taken, serving| serving >= half || taken >= MAX_WALK_MULTIPLE * half,
                 max_size_taken_whole: 2 * half,
-                minimum: Reach {
-                    before: narrowed(reach.before),
-                    after: narrowed(reach.after),
+                minimum: SubsetExtent {
+                    before: narrowed(extent.before),
+                    after: narrowed(extent.after),
                 },
             },
         )
@@ -246,7 +253,7 @@
     let permits = |build, zone| exposure.permits(build, zone, request);
     let from = Position(random.random());
     let found = endpoints.outside_subset(
-        request.confinement(),
+        request.routing_constraint(),
         from,
         MIN_ASSIGNED_ENDPOINTS as usize,
         permits,
--- a/crates/decision/tests/engine/final_answers/mod.rs
+++ b/crates/decision/tests/engine/final_answers/mod.rs
@@ -183,7 +183,7 @@
         let id = *which.get(&self.pending.keys().copied().collect::<Vec<_>>());
         self.pending.remove(&id);
         self.answered.insert(id);
-        events.on_client_left(id);
+        events.on_client_disconnected(id);
     }
 
     fn shut_down(&mut self, at: Duration, events: &mut dyn EventHandler) {
@@ -218,7 +218,7 @@
                 let ran = sent.filter(|_| outcome.may_have_run());
                 pending.may_have_run = pending.may_have_run.or(ran);
             }
-            attempt.end_closed(closed, events);
+            attempt.end_with(closed, events);
         }
     }
 
--- a/crates/decision/tests/engine/subset/consistency.rs
+++ b/crates/decision/tests/engine/subset/consistency.rs
@@ -59,7 +59,7 @@
             }
         }
         assert_eq!(simulation.given_up.len(), 0, "requests rejected");
-        assert_eq!(simulation.attempts.requests(), 30, "requests sent");
+        assert_eq!(simulation.attempts.request_count(), 30, "requests sent");
     }
 }
 
