--- a/crates/timeline/src/baseline.rs
+++ b/crates/timeline/src/baseline.rs
@@ -4,13 +4,13 @@
 use std::time::Duration;
 
 /// What was learned counts half after this time.
-const HALF_LIFE: Duration = Duration::from_secs(600);
+const LEARNED_HALF_LIFE: Duration = Duration::from_secs(600);
 /// Observations wait this long before they are learned: longer than it takes to find a departure.
 const LEARNING_DELAY: Duration = Duration::from_secs(8);
 /// Observations are gathered for this long before they wait as one sum.
-const GATHERING_TIME: Duration = Duration::from_secs(1);
+const BATCH_DURATION: Duration = Duration::from_secs(1);
 /// How far back [`Baseline::recent`] looks.
-const RECENT: Duration = Duration::from_secs(3);
+const RECENT_WINDOW: Duration = Duration::from_secs(3);
 
 /// A sum of values and of their weights, from which a mean follows.
 #[derive(Clone, Copy, Debug, Default)]
@@ -23,7 +23,7 @@
 
 impl WeightedSum {
     /// One value of weight 1.
-    pub fn of(value: f64) -> WeightedSum {
+    pub fn single(value: f64) -> WeightedSum {
         WeightedSum {
             sum: value,
             weight: 1.0,
@@ -44,8 +44,8 @@
         }
     }
 
-    fn fade(&mut self, elapsed: Duration) {
-        let kept = (-elapsed.as_secs_f64() / HALF_LIFE.as_secs_f64()).exp2();
+    fn decay(&mut self, elapsed: Duration) {
+        let kept = (-elapsed.as_secs_f64() / LEARNED_HALF_LIFE.as_secs_f64()).exp2();
         self.sum *= kept;
         self.weight *= kept;
     }
@@ -53,45 +53,45 @@
 
 /// Observations that were gathered and wait to be learned.
 #[derive(Clone, Copy, Debug)]
-struct WaitingSum {
-    begun: Duration,
+struct PendingSum {
+    started: Duration,
     sum: WeightedSum,
 }
 
 /// The memory that a sum takes while it waits to be learned, in bytes.
-pub(crate) const WAITING_SUM_BYTES: usize = size_of::<WaitingSum>();
+pub(crate) const PENDING_SUM_BYTES: usize = size_of::<PendingSum>();
 
 /// A mean that fades: what was learned, what is recent, and what waits to be learned.
 #[derive(Clone, Debug, Default)]
 pub struct Baseline {
     learned: WeightedSum,
     learned_at: Duration,
-    waiting: VecDeque<WaitingSum>,
+    pending: VecDeque<PendingSum>,
 }
 
 impl Baseline {
     /// Takes an observation, good or bad; the mean is the share of bad ones.
     pub fn observe(&mut self, now: Duration, bad: bool) {
-        self.add(now, WeightedSum::of(f64::from(u8::from(bad))));
+        self.add(now, WeightedSum::single(f64::from(u8::from(bad))));
     }
 
     /// Takes a value or a sum of values.
     pub fn add(&mut self, now: Duration, sum: WeightedSum) {
-        match self.waiting.back_mut() {
-            Some(last) if now < last.begun + GATHERING_TIME => last.sum.add(sum),
-            _ => self.waiting.push_back(WaitingSum { begun: now, sum }),
+        match self.pending.back_mut() {
+            Some(last) if now < last.started + BATCH_DURATION => last.sum.add(sum),
+            _ => self.pending.push_back(PendingSum { started: now, sum }),
         }
     }
 
     /// Learns what has waited long enough. While `suspended`, that is dropped instead, since a departure lasts.
     pub fn learn(&mut self, now: Duration, suspended: bool) {
-        while let Some(&WaitingSum { begun, sum }) = self.waiting.front() {
-            if begun + LEARNING_DELAY > now {
+        while let Some(&PendingSum { started, sum }) = self.pending.front() {
+            if started + LEARNING_DELAY > now {
                 return;
             }
-            self.waiting.pop_front();
+            self.pending.pop_front();
             if !suspended {
-                self.learned.fade(now.saturating_sub(self.learned_at));
+                self.learned.decay(now.saturating_sub(self.learned_at));
                 self.learned_at = now;
                 self.learned.add(sum);
             }
@@ -111,9 +111,9 @@
     /// What was observed in the last seconds, learned or not.
     pub fn recent(&self, now: Duration) -> WeightedSum {
         let mut recent = WeightedSum::default();
-        let is_recent = |waiting: &&WaitingSum| waiting.begun + RECENT > now;
-        for waiting in self.waiting.iter().rev().take_while(is_recent) {
-            recent.add(waiting.sum);
+        let is_recent = |pending: &&PendingSum| pending.started + RECENT_WINDOW > now;
+        for pending in self.pending.iter().rev().take_while(is_recent) {
+            recent.add(pending.sum);
         }
         recent
     }
--- a/crates/timeline/src/fleet_timeline.rs
+++ b/crates/timeline/src/fleet_timeline.rs
@@ -85,7 +85,7 @@
         }
         self.next_tick = now + TICK;
         if let Some(duration) = self.monitor.tick(now) {
-            self.put(Entry {
+            self.record(Entry {
                 happened: now.saturating_sub(duration),
                 known: now,
                 node: None,
@@ -103,7 +103,7 @@
                 reason: reason.into(),
                 count,
             };
-            self.put_now(now, None, event);
+            self.record_now(now, None, event);
         }
     }
 
@@ -119,7 +119,7 @@
             } else {
                 (now, Event::DepartureEnded(departure))
             };
-            self.put(Entry {
+            self.record(Entry {
                 happened,
                 known: now,
                 node,
@@ -148,8 +148,8 @@
     }
 
     /// Records an event that happened at `now`.
-    fn put_now(&mut self, now: Duration, node: Option<u32>, event: Event) {
-        self.put(Entry {
+    fn record_now(&mut self, now: Duration, node: Option<u32>, event: Event) {
+        self.record(Entry {
             happened: now,
             known: now,
             node,
@@ -158,7 +158,7 @@
     }
 
     /// Adds an entry to the store's queue and to its timeline, if that is known.
-    fn put(&mut self, entry: Entry) {
+    fn record(&mut self, entry: Entry) {
         self.queue.push(entry.known, Record::Entry(entry.clone()));
         let timeline = match entry.node {
             Some(node) => match self.nodes.get_mut(&node) {
--- a/crates/timeline/src/fleet_timeline/attempts.rs
+++ b/crates/timeline/src/fleet_timeline/attempts.rs
@@ -39,7 +39,7 @@
     }
 }
 
-fn result_of(outcome: Outcome) -> AttemptResult {
+fn attempt_result(outcome: Outcome) -> AttemptResult {
     match outcome {
         Outcome::Succeeded => AttemptResult::Succeeded,
         Outcome::Failed | Outcome::Malformed => AttemptResult::Failed,
@@ -104,7 +104,7 @@
         if end.request_closed {
             self.request_closed(end.request);
         }
-        let result = result_of(end.outcome);
+        let result = attempt_result(end.outcome);
         let ended = EndedAttempt {
             id,
             node,
@@ -127,7 +127,7 @@
             let event = Event::Cancelled {
                 class: in_flight.class,
             };
-            self.put_now(now, Some(in_flight.node), event);
+            self.record_now(now, Some(in_flight.node), event);
         }
     }
 
--- a/crates/timeline/src/fleet_timeline/decisions.rs
+++ b/crates/timeline/src/fleet_timeline/decisions.rs
@@ -30,7 +30,7 @@
         if last.is_some_and(|entry| entry.event == event) {
             return;
         }
-        self.put(Entry {
+        self.record(Entry {
             happened,
             known: now,
             node: None,
@@ -43,21 +43,22 @@
 
     /// Records a diagnostic of the decision engine. Requests given up are counted, and recorded at the next tick.
     pub fn record_diagnostic(&mut self, now: Duration, diagnostic: Diagnostic) {
-        let mut put = |endpoint: EndpointId, event| self.put_now(now, Some(endpoint.0), event);
+        let mut record =
+            |endpoint: EndpointId, event| self.record_now(now, Some(endpoint.0), event);
         match diagnostic {
             Diagnostic::Ejected {
                 endpoint,
                 reason,
                 until,
-            } => put(
+            } => record(
                 endpoint,
                 Event::Ejected {
                     reason: reason.as_str().into(),
                     until,
                 },
             ),
-            Diagnostic::Probed(endpoint) => put(endpoint, Event::Probed),
-            Diagnostic::Readmitted(endpoint) => put(endpoint, Event::Readmitted),
+            Diagnostic::Probed(endpoint) => record(endpoint, Event::Probed),
+            Diagnostic::Readmitted(endpoint) => record(endpoint, Event::Readmitted),
             Diagnostic::GivenUp(reason) => *self.given_up.entry(reason.as_str()).or_default() += 1,
         }
     }
@@ -75,6 +76,6 @@
             vote: stored_text::vote(vote).into(),
             figures: std::mem::take(&mut self.vote_figures),
         };
-        self.put_now(now, None, event);
+        self.record_now(now, None, event);
     }
 }
--- a/crates/timeline/src/fleet_timeline/endpoints.rs
+++ b/crates/timeline/src/fleet_timeline/endpoints.rs
@@ -85,7 +85,7 @@
             .started
             .filter(|_| !same_process)
             .map_or(now, |started| started.min(now));
-        self.put(Entry {
+        self.record(Entry {
             happened,
             known: now,
             node: Some(node),
@@ -101,12 +101,12 @@
             self.monitor
                 .node_listed(now, node, endpoint.build.0, endpoint.started);
         }
-        self.evict_beyond_limit();
+        self.evict_over_limit();
     }
 
     /// Drops timelines until the rest fits the memory limit: those of removed nodes first, then those that have been
     /// unchanged longest. The last timeline stays.
-    fn evict_beyond_limit(&mut self) {
+    fn evict_over_limit(&mut self) {
         let per_node = self.monitor.memory_bytes_per_node();
         let mut total: usize = self
             .nodes
@@ -114,7 +114,7 @@
             .map(|tracked| tracked.charged_bytes() + per_node)
             .sum();
         while total > self.limits.timeline_bytes && self.nodes.len() > 1 {
-            let Some(node) = self.least_needed_node() else {
+            let Some(node) = self.eviction_candidate() else {
                 return;
             };
             if let Some(tracked) = self.nodes.remove(&node) {
@@ -125,7 +125,7 @@
         }
     }
 
-    fn least_needed_node(&self) -> Option<u32> {
+    fn eviction_candidate(&self) -> Option<u32> {
         self.nodes
             .iter()
             .min_by_key(|(_, tracked)| (!tracked.is_removed(), tracked.timeline.last_change()))
--- a/crates/timeline/src/fleet_timeline/record_queue.rs
+++ b/crates/timeline/src/fleet_timeline/record_queue.rs
@@ -51,7 +51,7 @@
             .iter()
             .position(|queued| matches!(queued, Record::Step(_)));
         oldest_step
-            .and_then(|place| self.records.remove(place))
+            .and_then(|index| self.records.remove(index))
             .is_some()
     }
 
--- a/crates/timeline/src/monitor.rs
+++ b/crates/timeline/src/monitor.rs
@@ -14,7 +14,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use crate::baseline::{Baseline, WAITING_SUM_BYTES, WeightedSum};
+use crate::baseline::{Baseline, PENDING_SUM_BYTES, WeightedSum};
 use crate::entry::Departure;
 
 mod attempts;
@@ -36,11 +36,13 @@
 
 use departures::StageStart;
 use node::WatchedNode;
-use settings::{MIN_RATE_SECONDS, PAUSE, RATE_JUMP_FACTOR, RATE_JUMP_MARGIN, SECONDS_PER_HOUR};
+use settings::{
+    MIN_RATE_SECONDS, PAUSE_THRESHOLD, RATE_JUMP_FACTOR, RATE_JUMP_MARGIN, SECONDS_PER_HOUR,
+};
 use signals::{Signal, Signals};
 
 /// How many gathered sums a signal's baseline holds at most while they wait to be learned.
-const WAITING_SUMS: usize = 12;
+const MAX_PENDING_SUMS: usize = 12;
 /// The seconds for which the send rate must have been learned before a jump of it is looked for.
 const MIN_KNOWN_RATE_SECONDS: f64 = 4.0;
 
@@ -65,7 +67,7 @@
     resumed_at: Duration,
     latest_stage: Option<StageStart>,
     /// Departures that last, by number.
-    open: BTreeMap<u32, Departure>,
+    open_departures: BTreeMap<u32, Departure>,
     next_number: u32,
     /// What [`FleetMonitor::take_reports`] returns next.
     reports: Vec<DepartureReport>,
@@ -87,7 +89,7 @@
             last_tick: Duration::ZERO,
             resumed_at: Duration::ZERO,
             latest_stage: None,
-            open: BTreeMap::new(),
+            open_departures: BTreeMap::new(),
             next_number: 0,
             reports: Vec::new(),
         }
@@ -105,7 +107,7 @@
         let elapsed = now.saturating_sub(self.last_tick);
         self.last_tick = now;
         let is_first = now <= first_tick;
-        let pause = (!is_first && elapsed >= PAUSE).then_some(elapsed);
+        let pause = (!is_first && elapsed >= PAUSE_THRESHOLD).then_some(elapsed);
         if pause.is_some() {
             self.resumed_at = now;
         }
@@ -145,7 +147,7 @@
 
     /// An estimate of the memory that the monitor takes for a node, in bytes.
     pub fn memory_bytes_per_node(&self) -> usize {
-        let waiting = WAITING_SUMS * WAITING_SUM_BYTES;
-        self.fleet.count() * (size_of::<Signal>() + waiting) + size_of::<WatchedNode>()
+        let pending_bytes = MAX_PENDING_SUMS * PENDING_SUM_BYTES;
+        self.fleet.count() * (size_of::<Signal>() + pending_bytes) + size_of::<WatchedNode>()
     }
 }
--- a/crates/timeline/src/monitor/attempts.rs
+++ b/crates/timeline/src/monitor/attempts.rs
@@ -87,7 +87,7 @@
     }
 
     /// The place of a class's own signals, if the class is known.
-    fn place_of(&self, class: u8) -> Option<usize> {
+    fn class_signal_index(&self, class: u8) -> Option<usize> {
         let class = usize::from(class);
         (class < self.config.classes).then_some(class + 1)
     }
@@ -109,8 +109,8 @@
                 let failed = attempt.result == AttemptResult::Failed;
                 observations.push(DepartureKind::Silence, ALL_CLASSES, false);
                 observations.push(DepartureKind::Errors, ALL_CLASSES, failed);
-                if let Some(place) = self.place_of(attempt.class) {
-                    observations.push(DepartureKind::Errors, place, failed);
+                if let Some(index) = self.class_signal_index(attempt.class) {
+                    observations.push(DepartureKind::Errors, index, failed);
                 }
             }
             AttemptResult::Unanswered if self.shows_silence(attempt.node, sent) => {
@@ -141,7 +141,7 @@
         if attempt.result != AttemptResult::Succeeded || sent < self.resumed_at {
             return false;
         }
-        let Some(place) = self.place_of(attempt.class) else {
+        let Some(index) = self.class_signal_index(attempt.class) else {
             return false;
         };
         let Some(answer) = self.compare_answer_time(now, attempt, sent) else {
@@ -149,7 +149,7 @@
         };
         if answer.counts {
             observations.push(DepartureKind::Latency, ALL_CLASSES, answer.late);
-            observations.push(DepartureKind::Latency, place, answer.late);
+            observations.push(DepartureKind::Latency, index, answer.late);
         }
         answer.late
     }
@@ -166,10 +166,12 @@
         let seconds = attempt.duration.as_secs_f64();
         let baseline_seconds = baseline.mean(seconds, 1.0);
         let known = baseline.weight() >= LATENCY_PRIOR_WEIGHT;
-        baseline.add(now, WeightedSum::of(seconds));
+        baseline.add(now, WeightedSum::single(seconds));
         let ratio = seconds / baseline_seconds.max(MIN_BASELINE_SECONDS);
         let late = known && ratio > LATE_FACTOR * watched.baseline_relative_latency();
-        watched.relative_latency.add(now, WeightedSum::of(ratio));
+        watched
+            .relative_latency
+            .add(now, WeightedSum::single(ratio));
         let counts = known && !watched.is_warming_up(sent, self.config.slow_start);
         Some(AnswerTime { late, counts })
     }
@@ -185,10 +187,10 @@
             .builds
             .entry(watched.build)
             .or_insert_with(|| Signals::new(classes));
-        for &Observation { kind, place, bad } in observations {
-            build.of_mut(kind)[place].baseline.observe(now, bad);
-            watched.signals.of_mut(kind)[place].observe(now, bad);
-            self.fleet.of_mut(kind)[place].observe(now, bad);
+        for &Observation { kind, index, bad } in observations {
+            build.of_kind_mut(kind)[index].baseline.observe(now, bad);
+            watched.signals.of_kind_mut(kind)[index].observe(now, bad);
+            self.fleet.of_kind_mut(kind)[index].observe(now, bad);
         }
     }
 }
--- a/crates/timeline/src/monitor/attribution.rs
+++ b/crates/timeline/src/monitor/attribution.rs
@@ -5,12 +5,12 @@
 
 use super::FleetMonitor;
 use super::departures::Finding;
-use super::settings::{LATENCY_PRIOR_WEIGHT, MIN_FLEET, MOST};
+use super::settings::{LATENCY_PRIOR_WEIGHT, MAJORITY_SHARE, MIN_FLEET_NODES};
 use super::signals::{ALL_CLASSES, Signal};
 use crate::entry::{Departure, DepartureKind, DepartureScope};
 
 /// The fewest observations of other request classes that show that a departure is not theirs.
-const MIN_OF_OTHER_CLASSES: f64 = LATENCY_PRIOR_WEIGHT;
+const MIN_OTHER_CLASS_OBSERVATIONS: f64 = LATENCY_PRIOR_WEIGHT;
 
 /// Some nodes, and how many of them are suspected.
 struct Group {
@@ -28,7 +28,7 @@
     }
 
     fn is_mostly_suspected(&self) -> bool {
-        self.suspected as f64 >= MOST * self.size as f64
+        self.suspected as f64 >= MAJORITY_SHARE * self.size as f64
     }
 }
 
@@ -50,18 +50,18 @@
         let Some(build) = self.nodes.get(&node).map(|watched| watched.build) else {
             return;
         };
-        if let Some(number) = self.open_departure_of_group(build, kind) {
-            self.join(node, kind, number);
+        if let Some(number) = self.open_group_departure(build, kind) {
+            self.add_member(node, kind, number);
             return;
         }
-        let suspicious = threshold.sqrt();
-        let Attribution { scope, members } = self.attribute(now, node, kind, suspicious);
+        let suspicion_threshold = threshold.sqrt();
+        let Attribution { scope, members } = self.attribute(now, node, kind, suspicion_threshold);
         let Some(watched) = self.nodes.get(&node) else {
             return;
         };
-        let place = place_of_departure(watched.signals.of(kind), suspicious);
-        let figures = self.figures(&watched.signals, kind, place, now);
-        let class = place.checked_sub(1).map(|class| class as u8);
+        let index = departure_signal_index(watched.signals.of_kind(kind), suspicion_threshold);
+        let figures = self.figures(&watched.signals, kind, index, now);
+        let class = index.checked_sub(1).map(|class| class as u8);
         let finding = Finding {
             scope,
             kind,
@@ -72,15 +72,18 @@
     }
 
     /// The number of an open departure of the fleet or of a build.
-    fn open_departure_of_group(&self, build: u16, kind: DepartureKind) -> Option<u32> {
+    fn open_group_departure(&self, build: u16, kind: DepartureKind) -> Option<u32> {
         let groups = [DepartureScope::Fleet, DepartureScope::Build(build)];
         let includes = |open: &&Departure| open.kind == kind && groups.contains(&open.scope);
-        self.open.values().find(includes).map(|open| open.number)
+        self.open_departures
+            .values()
+            .find(includes)
+            .map(|open| open.number)
     }
 
-    fn join(&mut self, node: u32, kind: DepartureKind, number: u32) {
+    fn add_member(&mut self, node: u32, kind: DepartureKind, number: u32) {
         if let Some(watched) = self.nodes.get_mut(&node) {
-            watched.open.insert(kind, number);
+            watched.open_departures.insert(kind, number);
         }
     }
 
@@ -91,7 +94,7 @@
         now: Duration,
         node: u32,
         kind: DepartureKind,
-        suspicious: f64,
+        suspicion_threshold: f64,
     ) -> Attribution {
         let alone = Attribution {
             scope: DepartureScope::Node(node),
@@ -101,14 +104,15 @@
             return alone;
         };
         let active = self.active_nodes(now);
-        let suspects = self.suspects(&active, kind, suspicious);
+        let suspects = self.suspects(&active, kind, suspicion_threshold);
         let same_build = self.nodes_of_build(&active, build);
         let fleet_group = Group::new(&active, &suspects);
         let build_group = Group::new(&same_build, &suspects);
         let only_build = fleet_group.size == build_group.size;
 
         let beyond_build = only_build || fleet_group.suspected > build_group.suspected;
-        if fleet_group.size >= MIN_FLEET && fleet_group.is_mostly_suspected() && beyond_build {
+        if fleet_group.size >= MIN_FLEET_NODES && fleet_group.is_mostly_suspected() && beyond_build
+        {
             return Attribution {
                 scope: DepartureScope::Fleet,
                 members: suspects.into_iter().collect(),
@@ -125,10 +129,15 @@
     }
 
     /// Those of the nodes for which there is some evidence.
-    fn suspects(&self, nodes: &[u32], kind: DepartureKind, suspicious: f64) -> BTreeSet<u32> {
+    fn suspects(
+        &self,
+        nodes: &[u32],
+        kind: DepartureKind,
+        suspicion_threshold: f64,
+    ) -> BTreeSet<u32> {
         let is_suspect = |node: &u32| {
             let watched = self.nodes.get(node);
-            watched.is_some_and(|watched| watched.signals.any_reaches(kind, suspicious))
+            watched.is_some_and(|watched| watched.signals.any_reaches(kind, suspicion_threshold))
         };
         nodes.iter().copied().filter(is_suspect).collect()
     }
@@ -144,17 +153,17 @@
 }
 
 /// The place of the one request class that shows a departure while the others show nothing of it; else that of all.
-fn place_of_departure(signals: &[Signal], suspicious: f64) -> usize {
+fn departure_signal_index(signals: &[Signal], suspicion_threshold: f64) -> usize {
     let (showing, others): (Vec<usize>, Vec<usize>) =
-        (1..signals.len()).partition(|place| signals[*place].reaches(suspicious));
+        (1..signals.len()).partition(|index| signals[*index].reaches(suspicion_threshold));
     let others_known = others
         .iter()
-        .any(|place| signals[*place].baseline.weight() >= MIN_OF_OTHER_CLASSES);
+        .any(|index| signals[*index].baseline.weight() >= MIN_OTHER_CLASS_OBSERVATIONS);
     let others_show = others
         .iter()
-        .any(|place| signals[*place].reaches(suspicious.sqrt()));
+        .any(|index| signals[*index].reaches(suspicion_threshold.sqrt()));
     match showing[..] {
-        [place] if others_known && !others_show => place,
+        [index] if others_known && !others_show => index,
         _ => ALL_CLASSES,
     }
 }
--- a/crates/timeline/src/monitor/confirm.rs
+++ b/crates/timeline/src/monitor/confirm.rs
@@ -5,8 +5,8 @@
 use super::FleetMonitor;
 use super::departures::Finding;
 use super::node::WatchedNode;
-use super::settings::{CALM, CONFIRM_AFTER, MIN_FLEET, MOST};
-use super::signals::{ALL_CLASSES, KINDS};
+use super::settings::{CONFIRMATION_DELAY, MAJORITY_SHARE, MIN_FLEET_NODES, RECOVERY_DURATION};
+use super::signals::{ALL_CLASSES, TESTED_KINDS};
 use crate::entry::{DepartureKind, DepartureScope};
 
 /// A node whose evidence for a kind of departure is certain.
@@ -29,7 +29,7 @@
                 self.confirm_at_node(now, node, kind, threshold);
             }
         }
-        for kind in KINDS {
+        for kind in TESTED_KINDS {
             if self.fleet_is_certain(kind, threshold) {
                 self.confirm_in_fleet(now, kind);
             }
@@ -40,9 +40,9 @@
     fn certain_alarms(&mut self, now: Duration, threshold: f64) -> Vec<Alarm> {
         let mut certain = Vec::new();
         for (&node, watched) in &mut self.nodes {
-            for kind in KINDS {
+            for kind in TESTED_KINDS {
                 let since = update_alarms(watched, now, kind, threshold);
-                let long_enough = since.is_some_and(|at| now >= at + CONFIRM_AFTER);
+                let long_enough = since.is_some_and(|at| now >= at + CONFIRMATION_DELAY);
                 if long_enough && watched.is_reportable(kind) {
                     certain.push(Alarm { node, kind });
                 }
@@ -53,7 +53,7 @@
 
     /// Whether the fleet as a whole is above the threshold and no departure of this kind is open anywhere.
     fn fleet_is_certain(&self, kind: DepartureKind, threshold: f64) -> bool {
-        let is_open = self.open.values().any(|open| open.kind == kind);
+        let is_open = self.open_departures.values().any(|open| open.kind == kind);
         kind != DepartureKind::Load && !is_open && self.fleet.any_reaches(kind, threshold)
     }
 
@@ -62,10 +62,10 @@
     fn confirm_in_fleet(&mut self, now: Duration, kind: DepartureKind) {
         let limit = self.fleet_limit(now, kind, ALL_CLASSES).unwrap_or(1.0);
         let active = self.active_nodes(now);
-        let exceeds = |node: &u32| self.exceeds_now(now, *node, kind, limit);
+        let exceeds = |node: &u32| self.recently_exceeds(now, *node, kind, limit);
         let members: Vec<u32> = active.iter().copied().filter(exceeds).collect();
-        let most = members.len() as f64 >= MOST * active.len() as f64;
-        if active.len() >= MIN_FLEET && most {
+        let most = members.len() as f64 >= MAJORITY_SHARE * active.len() as f64;
+        if active.len() >= MIN_FLEET_NODES && most {
             let figures = self.figures(&self.fleet, kind, ALL_CLASSES, now);
             let finding = Finding {
                 scope: DepartureScope::Fleet,
@@ -78,17 +78,19 @@
     }
 
     /// Whether a node's recent share of bad observations is above `limit`.
-    fn exceeds_now(&self, now: Duration, node: u32, kind: DepartureKind, limit: f64) -> bool {
+    fn recently_exceeds(&self, now: Duration, node: u32, kind: DepartureKind, limit: f64) -> bool {
         let Some(watched) = self.nodes.get(&node) else {
             return false;
         };
-        let recent = watched.signals.of(kind)[ALL_CLASSES].baseline.recent(now);
+        let recent = watched.signals.of_kind(kind)[ALL_CLASSES]
+            .baseline
+            .recent(now);
         recent.sum > limit * recent.weight
     }
 
     /// The nodes that gave an observation a short while ago.
     pub(super) fn active_nodes(&self, now: Duration) -> Vec<u32> {
-        let is_active = |watched: &WatchedNode| watched.last_observed + CALM > now;
+        let is_active = |watched: &WatchedNode| watched.last_observed + RECOVERY_DURATION > now;
         let active = self.nodes.iter().filter(|(_, watched)| is_active(watched));
         active.map(|(node, _)| *node).collect()
     }
@@ -101,7 +103,7 @@
     kind: DepartureKind,
     threshold: f64,
 ) -> Option<Duration> {
-    let signals = watched.signals.of_mut(kind);
+    let signals = watched.signals.of_kind_mut(kind);
     for signal in signals.iter_mut() {
         signal.update_alarm(now, threshold);
     }
--- a/crates/timeline/src/monitor/departures.rs
+++ b/crates/timeline/src/monitor/departures.rs
@@ -2,7 +2,7 @@
 use std::time::Duration;
 
 use super::FleetMonitor;
-use super::settings::{PRIOR_WEIGHT, STAGE_TOLERANCE, STAGE_WINDOW};
+use super::settings::{PRIOR_WEIGHT, STAGE_ONSET_TOLERANCE, STAGE_WINDOW};
 use super::signals::Signals;
 use crate::entry::{Departure, DepartureKind, DepartureScope, ReleaseStage};
 
@@ -26,7 +26,7 @@
     /// Whether a departure that began at `onset` may be named together with this stage.
     fn is_near(&self, now: Duration, onset: Duration) -> bool {
         let begun = self.since <= now;
-        let not_before = onset + STAGE_TOLERANCE >= self.since;
+        let not_before = onset + STAGE_ONSET_TOLERANCE >= self.since;
         let soon_after = onset <= self.since + STAGE_WINDOW;
         begun && not_before && soon_after
     }
@@ -59,14 +59,14 @@
         &self,
         signals: &Signals,
         kind: DepartureKind,
-        place: usize,
+        index: usize,
         now: Duration,
     ) -> Figures {
-        let signal = &signals.of(kind)[place];
+        let signal = &signals.of_kind(kind)[index];
         let change = signal.test.change_estimate();
         let baseline = signal
             .baseline
-            .mean(self.fleet_share(kind, place), PRIOR_WEIGHT);
+            .mean(self.fleet_share(kind, index), PRIOR_WEIGHT);
         Figures {
             onset: change.onset.min(now),
             baseline,
@@ -101,17 +101,20 @@
         let departure = self.new_departure(now, finding);
         for member in members {
             if let Some(watched) = self.nodes.get_mut(member) {
-                watched.open.entry(finding.kind).or_insert(departure.number);
-                watched.calm_since = None;
+                watched
+                    .open_departures
+                    .entry(finding.kind)
+                    .or_insert(departure.number);
+                watched.recovered_since = None;
             }
         }
         self.report(departure.clone(), true);
-        self.open.insert(departure.number, departure);
+        self.open_departures.insert(departure.number, departure);
     }
 
     /// Ends and reports a departure; the tests of its kind start anew at its members and for the fleet.
     pub(super) fn end_departure(&mut self, now: Duration, number: u32) {
-        let Some(mut departure) = self.open.remove(&number) else {
+        let Some(mut departure) = self.open_departures.remove(&number) else {
             return;
         };
         departure.ended = Some(now);
@@ -121,8 +124,8 @@
             .values_mut()
             .filter(|watched| watched.is_member(kind, number));
         for watched in members {
-            watched.open.remove(&kind);
-            watched.calm_since = None;
+            watched.open_departures.remove(&kind);
+            watched.recovered_since = None;
             watched.signals.reset_tests(kind);
         }
         self.fleet.reset_tests(kind);
@@ -138,10 +141,10 @@
         let Some(watched) = self.nodes.get(&node) else {
             return;
         };
-        let numbers: Vec<u32> = watched.open.values().copied().collect();
+        let numbers: Vec<u32> = watched.open_departures.values().copied().collect();
         for number in numbers {
             if self
-                .open
+                .open_departures
                 .get(&number)
                 .is_some_and(|departure| departure.scope == DepartureScope::Node(node))
             {
--- a/crates/timeline/src/monitor/learning.rs
+++ b/crates/timeline/src/monitor/learning.rs
@@ -4,7 +4,7 @@
 
 use super::FleetMonitor;
 use super::node::WatchedNode;
-use super::signals::KINDS;
+use super::signals::TESTED_KINDS;
 use crate::entry::{DepartureKind, DepartureScope};
 
 impl FleetMonitor {
@@ -15,9 +15,9 @@
             baseline.learn(now, false);
         }
         self.learn_builds(now);
-        let suspicious = self.suspicion_threshold();
+        let suspicion_threshold = self.suspicion_threshold();
         for watched in self.nodes.values_mut() {
-            learn_node(watched, now, suspicious);
+            learn_node(watched, now, suspicion_threshold);
         }
         self.learn_fleet(now);
     }
@@ -32,16 +32,16 @@
         let running: BTreeSet<u16> = self.nodes.values().map(|watched| watched.build).collect();
         self.builds.retain(|build, _| running.contains(build));
         for signals in self.builds.values_mut() {
-            for kind in KINDS {
+            for kind in TESTED_KINDS {
                 signals.learn(now, kind, true);
             }
         }
     }
 
     fn learn_fleet(&mut self, now: Duration) {
-        for kind in KINDS {
+        for kind in TESTED_KINDS {
             let departed = self
-                .open
+                .open_departures
                 .values()
                 .any(|open| open.scope == DepartureScope::Fleet && open.kind == kind);
             self.fleet.learn(now, kind, departed);
@@ -49,14 +49,16 @@
     }
 }
 
-fn learn_node(watched: &mut WatchedNode, now: Duration, suspicious: f64) {
-    let is_slow = watched.open.contains_key(&DepartureKind::Latency);
+fn learn_node(watched: &mut WatchedNode, now: Duration, suspicion_threshold: f64) {
+    let is_slow = watched
+        .open_departures
+        .contains_key(&DepartureKind::Latency);
     watched.relative_latency.learn(now, is_slow);
-    let has_departed = !watched.open.is_empty();
+    let has_departed = !watched.open_departures.is_empty();
     watched.mean_outstanding.learn(now, has_departed);
-    for kind in KINDS {
-        let suspected = watched.signals.any_reaches(kind, suspicious);
-        let suspended = watched.open.contains_key(&kind) || suspected;
+    for kind in TESTED_KINDS {
+        let suspected = watched.signals.any_reaches(kind, suspicion_threshold);
+        let suspended = watched.open_departures.contains_key(&kind) || suspected;
         watched.signals.learn(now, kind, suspended);
     }
 }
--- a/crates/timeline/src/monitor/limits.rs
+++ b/crates/timeline/src/monitor/limits.rs
@@ -5,8 +5,8 @@
 
 use super::FleetMonitor;
 use super::node::WatchedNode;
-use super::settings::{MIN_RECENT, PRIOR_WEIGHT, QUEUES_DRAIN, RISE_FACTOR, margin};
-use super::signals::KINDS;
+use super::settings::{MIN_RECENT, PRIOR_WEIGHT, QUEUE_DRAIN_DURATION, RISE_FACTOR, margin};
+use super::signals::TESTED_KINDS;
 use crate::baseline::WeightedSum;
 use crate::entry::DepartureKind;
 use crate::sequential_test::Bets;
@@ -17,11 +17,11 @@
         &self,
         now: Duration,
         kind: DepartureKind,
-        place: usize,
+        index: usize,
     ) -> Option<f64> {
-        let known = self.fleet.of(kind)[place].baseline.weight() >= PRIOR_WEIGHT;
-        let testable = known && !self.is_excused(now, kind);
-        testable.then(|| raised(self.fleet_share(kind, place), kind))
+        let known = self.fleet.of_kind(kind)[index].baseline.weight() >= PRIOR_WEIGHT;
+        let testable = known && !self.is_explained_by_rate_jump(now, kind);
+        testable.then(|| tolerated_share(self.fleet_share(kind, index), kind))
     }
 
     /// The limit of a signal of a node; `None` while too little is known to test.
@@ -30,21 +30,22 @@
         now: Duration,
         node: u32,
         kind: DepartureKind,
-        place: usize,
+        index: usize,
     ) -> Option<f64> {
-        self.fleet_limit(now, kind, place)?;
+        self.fleet_limit(now, kind, index)?;
         let watched = self.nodes.get(&node)?;
-        let own = &watched.signals.of(kind)[place].baseline;
-        let share = own.mean(self.fleet_share(kind, place), PRIOR_WEIGHT);
+        let own = &watched.signals.of_kind(kind)[index].baseline;
+        let share = own.mean(self.fleet_share(kind, index), PRIOR_WEIGHT);
         let spread = (share * (1.0 - share) / (own.weight() + PRIOR_WEIGHT)).sqrt();
-        let from_past = raised(share + 2.0 * spread, kind);
-        let from_others = raised(self.recent_share_of_others(now, watched, kind, place), kind);
-        Some(from_past.max(from_others))
+        let from_baseline = tolerated_share(share + 2.0 * spread, kind);
+        let from_others =
+            tolerated_share(self.recent_share_of_others(now, watched, kind, index), kind);
+        Some(from_baseline.max(from_others))
     }
 
     /// The share of bad observations in the fleet's baseline.
-    pub(super) fn fleet_share(&self, kind: DepartureKind, place: usize) -> f64 {
-        self.fleet.of(kind)[place].baseline.mean(0.0, 1.0)
+    pub(super) fn fleet_share(&self, kind: DepartureKind, index: usize) -> f64 {
+        self.fleet.of_kind(kind)[index].baseline.mean(0.0, 1.0)
     }
 
     /// The recent share of bad observations at the nodes of other builds, or at all other nodes if those gave too few.
@@ -53,17 +54,17 @@
         now: Duration,
         watched: &WatchedNode,
         kind: DepartureKind,
-        place: usize,
+        index: usize,
     ) -> f64 {
-        let fleet = self.fleet.of(kind)[place].baseline.recent(now);
+        let fleet = self.fleet.of_kind(kind)[index].baseline.recent(now);
         let other_builds = self
             .builds
             .get(&watched.build)
-            .map(|build| fleet.without(build.of(kind)[place].baseline.recent(now)));
+            .map(|build| fleet.without(build.of_kind(kind)[index].baseline.recent(now)));
         let is_enough = |others: &WeightedSum| others.weight >= MIN_RECENT;
-        let others = other_builds
-            .filter(is_enough)
-            .unwrap_or_else(|| fleet.without(watched.signals.of(kind)[place].baseline.recent(now)));
+        let others = other_builds.filter(is_enough).unwrap_or_else(|| {
+            fleet.without(watched.signals.of_kind(kind)[index].baseline.recent(now))
+        });
         if is_enough(&others) {
             others.sum / others.weight
         } else {
@@ -72,7 +73,7 @@
     }
 
     /// Whether a jump of the send rate explains bad observations of this kind.
-    fn is_excused(&self, now: Duration, kind: DepartureKind) -> bool {
+    fn is_explained_by_rate_jump(&self, now: Duration, kind: DepartureKind) -> bool {
         let from_queues = matches!(
             kind,
             DepartureKind::Latency | DepartureKind::Load | DepartureKind::Silence
@@ -80,32 +81,32 @@
         from_queues
             && self
                 .rate_jumped_at
-                .is_some_and(|at| now < at + QUEUES_DRAIN)
+                .is_some_and(|at| now < at + QUEUE_DRAIN_DURATION)
     }
 
     /// Computes the bets for observations until the next tick, from what came before.
     pub(super) fn update_bets(&mut self, now: Duration) {
         let nodes: Vec<u32> = self.nodes.keys().copied().collect();
-        for kind in KINDS {
-            for place in 0..self.fleet.of(kind).len() {
-                let limit = self.fleet_limit(now, kind, place);
-                self.fleet.of_mut(kind)[place].bets = limit.map(Bets::new);
+        for kind in TESTED_KINDS {
+            for index in 0..self.fleet.of_kind(kind).len() {
+                let limit = self.fleet_limit(now, kind, index);
+                self.fleet.of_kind_mut(kind)[index].bets = limit.map(Bets::new);
                 for &node in &nodes {
-                    self.update_node_bets(now, node, kind, place);
+                    self.update_node_bets(now, node, kind, index);
                 }
             }
         }
     }
 
-    fn update_node_bets(&mut self, now: Duration, node: u32, kind: DepartureKind, place: usize) {
-        let limit = self.node_limit(now, node, kind, place);
+    fn update_node_bets(&mut self, now: Duration, node: u32, kind: DepartureKind, index: usize) {
+        let limit = self.node_limit(now, node, kind, index);
         if let Some(watched) = self.nodes.get_mut(&node) {
-            watched.signals.of_mut(kind)[place].bets = limit.map(Bets::new);
+            watched.signals.of_kind_mut(kind)[index].bets = limit.map(Bets::new);
         }
     }
 }
 
 /// A share of bad observations, raised by what ordinary days vary.
-pub(super) fn raised(share: f64, kind: DepartureKind) -> f64 {
+pub(super) fn tolerated_share(share: f64, kind: DepartureKind) -> f64 {
     share * RISE_FACTOR + margin(kind)
 }
--- a/crates/timeline/src/monitor/membership.rs
+++ b/crates/timeline/src/monitor/membership.rs
@@ -18,7 +18,7 @@
             return;
         }
         let same_build = known.build == build;
-        let already_reported = !known.open.is_empty();
+        let already_reported = !known.open_departures.is_empty();
         self.end_departures_of(now, node);
         self.insert_node(now, node, build, started);
         if same_build && !already_reported {
--- a/crates/timeline/src/monitor/node.rs
+++ b/crates/timeline/src/monitor/node.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::AttemptId;
-use super::settings::{LATENCY_PRIOR_WEIGHT, RECEIVED_RECENTLY};
+use super::settings::{LATENCY_PRIOR_WEIGHT, RECEIVE_WINDOW};
 use super::signals::Signals;
 use crate::baseline::Baseline;
 use crate::entry::DepartureKind;
@@ -26,9 +26,9 @@
     /// When it last gave an observation.
     pub(super) last_observed: Duration,
     /// The numbers of the open departures it is a member of, by kind.
-    pub(super) open: BTreeMap<DepartureKind, u32>,
+    pub(super) open_departures: BTreeMap<DepartureKind, u32>,
     /// Since when an open departure it stands for has been back to the baseline.
-    pub(super) calm_since: Option<Duration>,
+    pub(super) recovered_since: Option<Duration>,
 }
 
 impl WatchedNode {
@@ -48,8 +48,8 @@
             mean_outstanding: Baseline::default(),
             last_received: now,
             last_observed: Duration::ZERO,
-            open: BTreeMap::new(),
-            calm_since: None,
+            open_departures: BTreeMap::new(),
+            recovered_since: None,
         }
     }
 
@@ -67,26 +67,26 @@
 
     /// Whether anything was received from it a short while ago.
     pub(super) fn received_recently(&self, now: Duration) -> bool {
-        self.last_received + RECEIVED_RECENTLY > now
+        self.last_received + RECEIVE_WINDOW > now
     }
 
     /// Whether it is a member of the departure `number` of this kind.
     pub(super) fn is_member(&self, kind: DepartureKind, number: u32) -> bool {
-        self.open.get(&kind) == Some(&number)
+        self.open_departures.get(&kind) == Some(&number)
     }
 
     /// Whether a departure of this kind would be reported: none is open, nor one that explains it.
     pub(super) fn is_reportable(&self, kind: DepartureKind) -> bool {
-        let explained = explained_by(kind)
+        let explained = explaining_kinds(kind)
             .iter()
-            .any(|other| self.open.contains_key(other));
-        !explained && !self.open.contains_key(&kind)
+            .any(|other| self.open_departures.contains_key(other));
+        !explained && !self.open_departures.contains_key(&kind)
     }
 }
 
 /// The kinds that explain another kind at the same node: a silent node also has a high load, for instance, and at a
 /// slow one attempts pile up.
-fn explained_by(kind: DepartureKind) -> &'static [DepartureKind] {
+fn explaining_kinds(kind: DepartureKind) -> &'static [DepartureKind] {
     match kind {
         DepartureKind::Load => &[
             DepartureKind::Silence,
--- a/crates/timeline/src/monitor/outstanding.rs
+++ b/crates/timeline/src/monitor/outstanding.rs
@@ -58,7 +58,7 @@
 fn observation(kind: DepartureKind, bad: bool) -> Observation {
     Observation {
         kind,
-        place: ALL_CLASSES,
+        index: ALL_CLASSES,
         bad,
     }
 }
@@ -67,7 +67,7 @@
 fn observe_load(watched: &mut WatchedNode, now: Duration, others_mean: f64) -> Option<bool> {
     let outstanding = watched.outstanding.len();
     let own_mean = watched.mean_outstanding.mean(1.0, OUTSTANDING_PRIOR_WEIGHT);
-    let sample = WeightedSum::of(outstanding as f64);
+    let sample = WeightedSum::single(outstanding as f64);
     watched.mean_outstanding.add(now, sample);
     let baseline = own_mean.max(others_mean).max(1.0);
     let high = outstanding >= MIN_HIGH_LOAD && outstanding as f64 > HIGH_LOAD_FACTOR * baseline;
--- a/crates/timeline/src/monitor/recovery.rs
+++ b/crates/timeline/src/monitor/recovery.rs
@@ -2,102 +2,104 @@
 use std::time::Duration;
 
 use super::FleetMonitor;
-use super::limits::raised;
-use super::settings::{CALM, MOST, PRIOR_WEIGHT};
+use super::limits::tolerated_share;
+use super::settings::{MAJORITY_SHARE, PRIOR_WEIGHT, RECOVERY_DURATION};
 use super::signals::{ALL_CLASSES, Signal};
 use crate::entry::DepartureKind;
 
 /// An open departure, and whether its members are back to the baseline at this tick.
-struct Progress {
+struct RecoveryState {
     number: u32,
     kind: DepartureKind,
-    is_back: bool,
+    is_recovered: bool,
 }
 
 impl FleetMonitor {
     /// Ends the departures that have been back to the baseline for long enough.
     pub(super) fn end_recovered(&mut self, now: Duration) {
-        let progress: Vec<Progress> = self
-            .open
+        let recoveries: Vec<RecoveryState> = self
+            .open_departures
             .values()
             .map(|open| {
-                let is_back = self.is_back(now, open.number, open.kind);
-                Progress {
+                let is_recovered = self.is_recovered(now, open.number, open.kind);
+                RecoveryState {
                     number: open.number,
                     kind: open.kind,
-                    is_back,
+                    is_recovered,
                 }
             })
             .collect();
-        for one in progress {
-            if self.has_recovered(now, &one) {
-                self.end_departure(now, one.number);
+        for recovery in recoveries {
+            if self.update_recovery(now, &recovery) {
+                self.end_departure(now, recovery.number);
             }
         }
     }
 
     /// Whether most members of a departure are back to the baseline.
-    fn is_back(&self, now: Duration, number: u32, kind: DepartureKind) -> bool {
-        let of_departure = self
+    fn is_recovered(&self, now: Duration, number: u32, kind: DepartureKind) -> bool {
+        let member_nodes = self
             .nodes
             .iter()
             .filter(|(_, watched)| watched.is_member(kind, number));
-        let members: Vec<u32> = of_departure.map(|(node, _)| *node).collect();
-        let calm = members
+        let members: Vec<u32> = member_nodes.map(|(node, _)| *node).collect();
+        let recovered = members
             .iter()
-            .filter(|node| self.is_calm(now, **node, kind))
+            .filter(|node| self.node_is_recovered(now, **node, kind))
             .count();
-        calm as f64 >= MOST * members.len() as f64
+        recovered as f64 >= MAJORITY_SHARE * members.len() as f64
     }
 
     /// Notes at the first member since when the departure has been back to the baseline. Returns whether that is long
     /// enough, or whether no member is left.
-    fn has_recovered(&mut self, now: Duration, progress: &Progress) -> bool {
-        let (kind, number) = (progress.kind, progress.number);
+    fn update_recovery(&mut self, now: Duration, recovery: &RecoveryState) -> bool {
+        let (kind, number) = (recovery.kind, recovery.number);
         let first = self
             .nodes
             .values_mut()
             .find(|watched| watched.is_member(kind, number));
         let Some(first) = first else { return true };
-        first.calm_since = if progress.is_back {
-            first.calm_since.or(Some(now))
+        first.recovered_since = if recovery.is_recovered {
+            first.recovered_since.or(Some(now))
         } else {
             None
         };
-        first.calm_since.is_some_and(|since| now >= since + CALM)
+        first
+            .recovered_since
+            .is_some_and(|since| now >= since + RECOVERY_DURATION)
     }
 
     /// Whether a node shows no more bad observations of a kind now than in its baseline.
-    fn is_calm(&self, now: Duration, node: u32, kind: DepartureKind) -> bool {
+    fn node_is_recovered(&self, now: Duration, node: u32, kind: DepartureKind) -> bool {
         let Some(watched) = self.nodes.get(&node) else {
             return true;
         };
         if kind == DepartureKind::Silence {
             return watched.received_recently(now);
         }
-        let signals = watched.signals.of(kind);
+        let signals = watched.signals.of_kind(kind);
         signals
             .iter()
             .enumerate()
-            .all(|(place, signal)| self.signal_is_calm(now, signal, kind, place))
+            .all(|(index, signal)| self.signal_is_recovered(now, signal, kind, index))
     }
 
     /// Whether a signal's recent observations are as in its baseline. Without any, that of one request class is calm,
     /// and that of all classes is not: nothing shows that the node is back.
-    fn signal_is_calm(
+    fn signal_is_recovered(
         &self,
         now: Duration,
         signal: &Signal,
         kind: DepartureKind,
-        place: usize,
+        index: usize,
     ) -> bool {
         let recent = signal.baseline.recent(now);
         if recent.weight == 0.0 {
-            return place != ALL_CLASSES;
+            return index != ALL_CLASSES;
         }
         let baseline = signal
             .baseline
-            .mean(self.fleet_share(kind, place), PRIOR_WEIGHT);
-        recent.sum <= raised(baseline, kind) * recent.weight + 1.0
+            .mean(self.fleet_share(kind, index), PRIOR_WEIGHT);
+        recent.sum <= tolerated_share(baseline, kind) * recent.weight + 1.0
     }
 }
--- a/crates/timeline/src/monitor/settings.rs
+++ b/crates/timeline/src/monitor/settings.rs
@@ -6,7 +6,7 @@
 /// How often [`super::FleetMonitor::tick`] is to be called.
 pub const TICK: Duration = Duration::from_millis(250);
 /// A gap between ticks from which on the agent counts as having been paused.
-pub(super) const PAUSE: Duration = TICK.saturating_mul(4);
+pub(super) const PAUSE_THRESHOLD: Duration = TICK.saturating_mul(4);
 
 /// Turns a rate per hour into one per second.
 pub(super) const SECONDS_PER_HOUR: f64 = 3600.0;
@@ -34,31 +34,31 @@
 
 /// A test must stay above the threshold this long before a departure is confirmed, so that a fault which hits other
 /// nodes too can show there meanwhile.
-pub(super) const CONFIRM_AFTER: Duration = Duration::from_millis(500);
+pub(super) const CONFIRMATION_DELAY: Duration = Duration::from_millis(500);
 
 /// A send rate above the baseline by this factor excuses late answers, since queues are no departure.
 pub(super) const RATE_JUMP_FACTOR: f64 = 1.25;
 /// How many attempts per second above [`RATE_JUMP_FACTOR`] a jump takes.
 pub(super) const RATE_JUMP_MARGIN: f64 = 2.0;
 /// How long a jump of the send rate excuses late answers.
-pub(super) const QUEUES_DRAIN: Duration = Duration::from_secs(6);
+pub(super) const QUEUE_DRAIN_DURATION: Duration = Duration::from_secs(6);
 /// The shortest span a send rate is computed over, in seconds.
 pub(super) const MIN_RATE_SECONDS: f64 = 1e-3;
 
 /// The share of the active nodes of a group that counts as most of them.
-pub(super) const MOST: f64 = 0.6;
+pub(super) const MAJORITY_SHARE: f64 = 0.6;
 /// The fewest active nodes that a departure of the fleet takes.
-pub(super) const MIN_FLEET: usize = 3;
+pub(super) const MIN_FLEET_NODES: usize = 3;
 
 /// A stage is named in a departure that begins within this time after it.
 pub(super) const STAGE_WINDOW: Duration = Duration::from_secs(20);
 /// How much earlier than the stage the estimated onset may lie for the stage to be named.
-pub(super) const STAGE_TOLERANCE: Duration = TICK.saturating_mul(8);
+pub(super) const STAGE_ONSET_TOLERANCE: Duration = TICK.saturating_mul(8);
 
 /// A departure ends after its node or group was back to the baseline for this long.
-pub(super) const CALM: Duration = Duration::from_secs(3);
+pub(super) const RECOVERY_DURATION: Duration = Duration::from_secs(3);
 /// A silent node is back if anything was received from it within this time.
-pub(super) const RECEIVED_RECENTLY: Duration = TICK.saturating_mul(4);
+pub(super) const RECEIVE_WINDOW: Duration = TICK.saturating_mul(4);
 
 /// What the user of a monitor sets.
 #[derive(Clone, Copy, Debug)]
--- a/crates/timeline/src/monitor/signals.rs
+++ b/crates/timeline/src/monitor/signals.rs
@@ -7,7 +7,7 @@
 use crate::sequential_test::{Bets, SequentialTest};
 
 /// The kinds that are tested for; a restart follows from the endpoint list.
-pub(super) const KINDS: [DepartureKind; 5] = [
+pub(super) const TESTED_KINDS: [DepartureKind; 5] = [
     DepartureKind::Silence,
     DepartureKind::Links,
     DepartureKind::Errors,
@@ -19,20 +19,20 @@
 pub(super) const ALL_CLASSES: usize = 0;
 
 /// The most observations one attempt gives.
-const MAX_PER_ATTEMPT: usize = 6;
+const MAX_OBSERVATIONS_PER_ATTEMPT: usize = 6;
 
 /// One outcome, good or bad, for one signal.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Observation {
     pub(super) kind: DepartureKind,
     /// The signal among those of its kind: [`ALL_CLASSES`], or that of one class.
-    pub(super) place: usize,
+    pub(super) index: usize,
     pub(super) bad: bool,
 }
 
 /// The observations that one attempt gives, kept without an allocation.
 pub(super) struct Observations {
-    list: [Observation; MAX_PER_ATTEMPT],
+    list: [Observation; MAX_OBSERVATIONS_PER_ATTEMPT],
     count: usize,
 }
 
@@ -40,18 +40,18 @@
     pub(super) fn new() -> Self {
         let unused = Observation {
             kind: DepartureKind::Links,
-            place: ALL_CLASSES,
+            index: ALL_CLASSES,
             bad: false,
         };
         Observations {
-            list: [unused; MAX_PER_ATTEMPT],
+            list: [unused; MAX_OBSERVATIONS_PER_ATTEMPT],
             count: 0,
         }
     }
 
     /// Adds an observation; there is room for as many as one attempt gives.
-    pub(super) fn push(&mut self, kind: DepartureKind, place: usize, bad: bool) {
-        self.list[self.count] = Observation { kind, place, bad };
+    pub(super) fn push(&mut self, kind: DepartureKind, index: usize, bad: bool) {
+        self.list[self.count] = Observation { kind, index, bad };
         self.count += 1;
     }
 
@@ -125,7 +125,7 @@
     }
 
     /// The signals of a kind: the one over all request classes first, then by class.
-    pub(super) fn of(&self, kind: DepartureKind) -> &[Signal] {
+    pub(super) fn of_kind(&self, kind: DepartureKind) -> &[Signal] {
         match kind {
             DepartureKind::Errors => &self.errors,
             DepartureKind::Latency => &self.latency,
@@ -135,8 +135,8 @@
         }
     }
 
-    /// As [`Signals::of`], to be changed.
-    pub(super) fn of_mut(&mut self, kind: DepartureKind) -> &mut [Signal] {
+    /// As [`Signals::of_kind`], to be changed.
+    pub(super) fn of_kind_mut(&mut self, kind: DepartureKind) -> &mut [Signal] {
         match kind {
             DepartureKind::Errors => &mut self.errors,
             DepartureKind::Latency => &mut self.latency,
@@ -148,25 +148,30 @@
 
     /// Whether the evidence of any signal of a kind has reached `threshold`.
     pub(super) fn any_reaches(&self, kind: DepartureKind, threshold: f64) -> bool {
-        self.of(kind).iter().any(|signal| signal.reaches(threshold))
+        self.of_kind(kind)
+            .iter()
+            .any(|signal| signal.reaches(threshold))
     }
 
     /// Lets the baselines of a kind learn; while `suspended`, what they would learn is dropped.
     pub(super) fn learn(&mut self, now: Duration, kind: DepartureKind, suspended: bool) {
-        for signal in self.of_mut(kind) {
+        for signal in self.of_kind_mut(kind) {
             signal.baseline.learn(now, suspended);
         }
     }
 
     /// Starts the tests of a kind anew.
     pub(super) fn reset_tests(&mut self, kind: DepartureKind) {
-        for signal in self.of_mut(kind) {
+        for signal in self.of_kind_mut(kind) {
             signal.reset_test();
         }
     }
 
     /// How many signals there are.
     pub(super) fn count(&self) -> usize {
-        KINDS.iter().map(|kind| self.of(*kind).len()).sum()
+        TESTED_KINDS
+            .iter()
+            .map(|kind| self.of_kind(*kind).len())
+            .sum()
     }
 }
--- a/crates/timeline/src/node_timeline.rs
+++ b/crates/timeline/src/node_timeline.rs
@@ -35,10 +35,10 @@
     /// first is dropped.
     pub fn insert(&mut self, entry: Entry) {
         self.last_change = self.last_change.max(entry.known);
-        let place = self
+        let index = self
             .entries
             .partition_point(|other| other.happened <= entry.happened);
-        self.entries.insert(place, entry);
+        self.entries.insert(index, entry);
         if self.entries.len() > MAX_ENTRIES {
             self.entries.pop_front();
             self.dropped += 1;
--- a/crates/timeline/src/sequential_test.rs
+++ b/crates/timeline/src/sequential_test.rs
@@ -9,20 +9,20 @@
 use std::time::Duration;
 
 /// The probabilities bet on, as shares of the way from `p0` to 1: small rises and large ones.
-const RISES: [f64; 3] = [0.15, 0.45, 0.9];
+const BET_RISES: [f64; 3] = [0.15, 0.45, 0.9];
 /// The bet by which the beginning of a change is estimated.
-const MIDDLE: usize = 1;
+const MIDDLE_BET: usize = 1;
 /// `p0` is taken to be within these bounds.
 const MIN_P0: f64 = 1e-4;
 const MAX_P0: f64 = 0.95;
 /// Keeps the statistic finite; far above any threshold.
-const MAX_STATISTIC: f64 = 1e30;
+const MAX_STATISTIC_SECONDS: f64 = 1e30;
 
 /// The factors for a given `p0`, computed once for many observations. The first of a pair is for a good observation,
 /// the second for a bad one.
 #[derive(Clone, Copy, Debug)]
 pub struct Bets {
-    factors: [[f64; RISES.len()]; 2],
+    factors: [[f64; BET_RISES.len()]; 2],
     /// The logarithms of the middle bet's factors.
     middle_logs: [f64; 2],
 }
@@ -31,12 +31,12 @@
     /// Bets against the premise that an observation is bad with probability `p0` at most.
     pub fn new(p0: f64) -> Self {
         let p0 = p0.clamp(MIN_P0, MAX_P0);
-        let p1 = RISES.map(|rise| p0 + rise * (1.0 - p0));
+        let p1 = BET_RISES.map(|rise| p0 + rise * (1.0 - p0));
         let good = p1.map(|p1| (1.0 - p1) / (1.0 - p0));
         let bad = p1.map(|p1| p1 / p0);
         Bets {
             factors: [good, bad],
-            middle_logs: [good[MIDDLE].ln(), bad[MIDDLE].ln()],
+            middle_logs: [good[MIDDLE_BET].ln(), bad[MIDDLE_BET].ln()],
         }
     }
 }
@@ -61,7 +61,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct SequentialTest {
     /// The statistic of each bet, in seconds.
-    statistics: [f64; RISES.len()],
+    statistics: [f64; BET_RISES.len()],
     /// The sum of the middle bet's logarithms. A change seems to have begun when that was last at its lowest.
     log_sum: f64,
     lowest_log_sum: f64,
@@ -79,7 +79,7 @@
             .map_or(0.0, |last| now.saturating_sub(last).as_secs_f64());
         self.last_observed = Some(now);
         for (statistic, factor) in self.statistics.iter_mut().zip(bets.factors[outcome]) {
-            *statistic = ((*statistic + elapsed) * factor).min(MAX_STATISTIC);
+            *statistic = ((*statistic + elapsed) * factor).min(MAX_STATISTIC_SECONDS);
         }
         self.log_sum += bets.middle_logs[outcome];
         if self.log_sum <= self.lowest_log_sum || self.since_onset.observations == 0 {
@@ -96,7 +96,7 @@
 
     /// The evidence, in seconds: reaching `c` by chance takes `c` seconds at least in the mean.
     pub fn evidence(&self) -> f64 {
-        self.statistics.iter().sum::<f64>() / RISES.len() as f64
+        self.statistics.iter().sum::<f64>() / BET_RISES.len() as f64
     }
 
     /// Where a change seems to have begun.
--- a/crates/timeline/src/step_history.rs
+++ b/crates/timeline/src/step_history.rs
@@ -66,7 +66,7 @@
     current: CurrentStep,
     levels: [VecDeque<Step>; LEVELS.len()],
     /// The steps of each level that are to be folded into the next one.
-    to_fold: [Vec<Step>; LEVELS.len() - 1],
+    to_downsample: [Vec<Step>; LEVELS.len() - 1],
 }
 
 impl fmt::Debug for StepHistory {
@@ -96,7 +96,7 @@
         StepHistory {
             current,
             levels: Default::default(),
-            to_fold: Default::default(),
+            to_downsample: Default::default(),
         }
     }
 
@@ -112,7 +112,7 @@
             let step = self.begin_step(from);
             if !step.counts.is_empty() {
                 on_completed(&step);
-                self.keep(0, step);
+                self.push_step(0, step);
             }
         }
         &mut self.current.counts
@@ -138,20 +138,20 @@
     }
 
     /// Adds a step to a level, and folds the steps before it into the next level if they fill a step there.
-    fn keep(&mut self, level: usize, step: Step) {
+    fn push_step(&mut self, level: usize, step: Step) {
         if let Some(coarser) = LEVELS.get(level + 1) {
             let coarse_start = |step: &Step| step_start(step.from, coarser.step_duration);
-            let gathered = &mut self.to_fold[level];
-            let begins_new = gathered
+            let pending = &mut self.to_downsample[level];
+            let starts_coarse_step = pending
                 .first()
                 .is_some_and(|first| coarse_start(first) != coarse_start(&step));
-            if begins_new {
-                let steps = std::mem::take(gathered);
-                gathered.push(step.clone());
-                let folded = fold(coarse_start(&steps[0]), &steps);
-                self.keep(level + 1, folded);
+            if starts_coarse_step {
+                let steps = std::mem::take(pending);
+                pending.push(step.clone());
+                let downsampled = downsample(coarse_start(&steps[0]), &steps);
+                self.push_step(level + 1, downsampled);
             } else {
-                gathered.push(step.clone());
+                pending.push(step.clone());
             }
         }
         let kept = &mut self.levels[level];
@@ -185,7 +185,7 @@
             .levels
             .iter()
             .flatten()
-            .chain(self.to_fold.iter().flatten())
+            .chain(self.to_downsample.iter().flatten())
             .map(step_bytes)
             .sum();
         // The current sketch holds its bins unpacked.
@@ -194,7 +194,7 @@
 }
 
 /// The step that begins at `from` and holds all of `steps`.
-fn fold(from: Duration, steps: &[Step]) -> Step {
+fn downsample(from: Duration, steps: &[Step]) -> Step {
     let mut counts = AttemptCounts::default();
     for step in steps {
         counts.add(&step.counts);
--- a/crates/timeline/tests/departures.rs
+++ b/crates/timeline/tests/departures.rs
@@ -9,16 +9,16 @@
 use rstest::rstest;
 
 /// When the fault begins.
-const AT: Duration = Duration::from_secs(60);
+const FAULT_START: Duration = Duration::from_secs(60);
 
 fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
 }
 
 /// A day with one fault that lasts `fault_ms`.
-fn day(fault: Fault, fault_ms: u64) -> VirtualFleet {
+fn fleet_with_fault(fault: Fault, fault_ms: u64) -> VirtualFleet {
     let events = vec![ScheduledFault {
-        at: AT,
+        at: FAULT_START,
         duration: ms(fault_ms),
         fault,
     }];
@@ -39,30 +39,33 @@
     kind: DepartureKind,
     class: Option<u8>,
     /// How long after the beginning of the fault, in seconds.
-    after: f64,
+    delay_seconds: f64,
 }
 
 /// The departures that a day shows.
-fn reported(day: &VirtualFleet) -> Vec<Reported> {
+fn reported(fleet: &VirtualFleet) -> Vec<Reported> {
     let mut timeline = new_book(0.5);
-    let all = run(day, &mut timeline, &mut |_| {});
+    let all = run(fleet, &mut timeline, &mut |_| {});
     let begun = all.into_iter().filter(|notice| notice.begins);
     begun
         .map(|DepartureNotice { at, departure, .. }| Reported {
             scope: departure.scope,
             kind: departure.kind,
             class: departure.class,
-            after: seconds_after_fault(at),
+            delay_seconds: seconds_after_fault(at),
         })
         .collect()
 }
 
 fn scopes_and_kinds(reported: &[Reported]) -> Vec<(DepartureScope, DepartureKind)> {
-    reported.iter().map(|one| (one.scope, one.kind)).collect()
+    reported
+        .iter()
+        .map(|departure| (departure.scope, departure.kind))
+        .collect()
 }
 
 fn seconds_after_fault(at: Duration) -> f64 {
-    at.as_secs_f64() - (EPOCH + AT).as_secs_f64()
+    at.as_secs_f64() - (EPOCH + FAULT_START).as_secs_f64()
 }
 
 #[rstest]
@@ -72,37 +75,37 @@
 #[case::one_class_slow(Fault::Slow { node: 3, factor: 5.0, class: Some(1) }, 20_000, DepartureScope::Node(3), DepartureKind::Latency, Some(1))]
 #[case::silent(Fault::Silent { node: 3 }, 20_000, DepartureScope::Node(3), DepartureKind::Silence, None)]
 #[case::silent_for_three_seconds(Fault::Silent { node: 3 }, 3_000, DepartureScope::Node(3), DepartureKind::Silence, None)]
-#[case::unlinked(Fault::ConnectionsRefused { node: 3 }, 20_000, DepartureScope::Node(3), DepartureKind::Links, None)]
+#[case::connections_refused(Fault::ConnectionsRefused { node: 3 }, 20_000, DepartureScope::Node(3), DepartureKind::Links, None)]
 #[case::all_slow(Fault::AllSlow { factor: 3.5 }, 15_000, DepartureScope::Fleet, DepartureKind::Latency, None)]
 #[case::restart(Fault::Replace { node: 3, build: 1 }, 1_000, DepartureScope::Node(3), DepartureKind::Restart, None)]
-fn one_event(
+fn fault_reports_one_departure(
     #[case] fault: Fault,
     #[case] fault_ms: u64,
     #[case] scope: DepartureScope,
     #[case] kind: DepartureKind,
     #[case] class: Option<u8>,
 ) {
-    let reported = reported(&day(fault, fault_ms));
+    let reported = reported(&fleet_with_fault(fault, fault_ms));
     let [only] = &reported[..] else {
         panic!("{reported:?}")
     };
     let found = (only.scope, only.kind, only.class);
     assert_eq!(found, (scope, kind, class), "{reported:?}");
-    assert!((0.0..5.0).contains(&only.after), "{reported:?}");
+    assert!((0.0..5.0).contains(&only.delay_seconds), "{reported:?}");
 }
 
 #[rstest]
 #[case::burst(Fault::TrafficChange { factor: 2.5 }, 10_000)]
-#[case::mix(Fault::ClassMix { first_share: 0.2 }, 10_000)]
-#[case::still(Fault::AgentSuspended, 2_000)]
-#[case::few(Fault::TrafficChange { factor: 0.1 }, 20_000)]
-fn no_event(#[case] fault: Fault, #[case] fault_ms: u64) {
-    assert_eq!(reported(&day(fault, fault_ms)), []);
+#[case::class_mix(Fault::ClassMix { first_share: 0.2 }, 10_000)]
+#[case::agent_suspended(Fault::AgentSuspended, 2_000)]
+#[case::little_traffic(Fault::TrafficChange { factor: 0.1 }, 20_000)]
+fn traffic_change_or_pause_reports_no_departure(#[case] fault: Fault, #[case] fault_ms: u64) {
+    assert_eq!(reported(&fleet_with_fault(fault, fault_ms)), []);
 }
 
 #[test]
-fn two_nodes_in_the_same_instant() {
-    let mut day = day(
+fn simultaneous_faults_at_two_nodes_are_reported_separately() {
+    let mut fleet = fleet_with_fault(
         Fault::Errors {
             node: 3,
             share: 0.5,
@@ -110,12 +113,12 @@
         },
         20_000,
     );
-    day.faults.push(ScheduledFault {
+    fleet.faults.push(ScheduledFault {
         fault: Fault::Silent { node: 5 },
-        ..day.faults[0]
+        ..fleet.faults[0]
     });
-    let mut reported = reported(&day);
-    reported.sort_by_key(|one| one.scope);
+    let mut reported = reported(&fleet);
+    reported.sort_by_key(|departure| departure.scope);
     assert_eq!(
         scopes_and_kinds(&reported),
         [
@@ -123,12 +126,17 @@
             (DepartureScope::Node(5), DepartureKind::Silence)
         ]
     );
-    assert!(reported.iter().all(|one| one.after < 5.0), "{reported:?}");
+    assert!(
+        reported
+            .iter()
+            .all(|departure| departure.delay_seconds < 5.0),
+        "{reported:?}"
+    );
 }
 
 #[test]
 fn a_bad_build_is_a_departure_of_the_build() {
-    let mut day = day(
+    let mut fleet = fleet_with_fault(
         Fault::BadBuild {
             build: 2,
             share: 0.3,
@@ -136,12 +144,12 @@
         50_000,
     );
     let start = |node| ScheduledFault {
-        at: AT,
+        at: FAULT_START,
         duration: ms(1000),
         fault: Fault::Replace { node, build: 2 },
     };
-    day.faults.extend([1, 4, 8].map(start));
-    let reported = reported(&day);
+    fleet.faults.extend([1, 4, 8].map(start));
+    let reported = reported(&fleet);
     assert_eq!(
         scopes_and_kinds(&reported),
         [(DepartureScope::Build(2), DepartureKind::Errors)],
@@ -150,47 +158,47 @@
 }
 
 #[test]
-fn a_drift_shows_once_it_doubles() {
-    let day = day(
+fn slow_drift_is_reported_once_latency_doubles() {
+    let fleet = fleet_with_fault(
         Fault::Drift {
             node: 3,
             factor: 4.0,
         },
         45_000,
     );
-    let reported = reported(&day);
+    let reported = reported(&fleet);
     let [
         Reported {
             scope: DepartureScope::Node(3),
             kind: DepartureKind::Latency,
             class: None,
-            after,
+            delay_seconds,
         },
     ] = reported[..]
     else {
         panic!("{reported:?}")
     };
     // It is twice as slow after 15 s, and late by the monitor's measure after 22 s.
-    assert!((10.0..30.0).contains(&after), "{reported:?}");
+    assert!((10.0..30.0).contains(&delay_seconds), "{reported:?}");
 }
 
 #[test]
-fn a_list_that_is_five_seconds_late() {
-    let mut day = day(Fault::Replace { node: 3, build: 1 }, 1000);
-    day.list_delay = ms(5000);
-    let reported = reported(&day);
+fn restart_is_reported_with_a_five_second_list_delay() {
+    let mut fleet = fleet_with_fault(Fault::Replace { node: 3, build: 1 }, 1000);
+    fleet.list_delay = ms(5000);
+    let reported = reported(&fleet);
     let [only] = &reported[..] else {
         panic!("{reported:?}")
     };
     assert_eq!(only.scope, DepartureScope::Node(3), "{reported:?}");
-    assert!(only.after < 5.5, "{reported:?}");
+    assert!(only.delay_seconds < 5.5, "{reported:?}");
 }
 
 #[test]
 fn a_departure_has_an_onset_and_an_end() {
     let mut timeline = new_book(0.5);
     let reports = run(
-        &day(
+        &fleet_with_fault(
             Fault::Errors {
                 node: 3,
                 share: 0.4,
@@ -221,7 +229,7 @@
         (-1.0..3.0).contains(&onset) && begun.observed > 0.2 && begun.baseline < 0.02,
         "{begun:?}"
     );
-    let after = ended.as_secs_f64() - (EPOCH + AT + ms(20_000)).as_secs_f64();
+    let after = ended.as_secs_f64() - (EPOCH + FAULT_START + ms(20_000)).as_secs_f64();
     assert!(
         (0.0..12.0).contains(&after) && over.number == begun.number,
         "{after} {over:?}"
@@ -231,14 +239,14 @@
 /// A build that slows old and new nodes alike: one departure of the fleet, with its stage as a hint.
 #[test]
 fn a_build_that_slows_all_is_a_departure_of_the_fleet() {
-    let mut day = day(Fault::AllSlow { factor: 3.5 }, 15_000);
+    let mut fleet = fleet_with_fault(Fault::AllSlow { factor: 3.5 }, 15_000);
     let start = |node| ScheduledFault {
-        at: AT - ms(2000),
+        at: FAULT_START - ms(2000),
         duration: ms(1000),
         fault: Fault::Replace { node, build: 2 },
     };
-    day.faults.extend([1, 4].map(start));
-    let reports = run(&day, &mut new_book(0.5), &mut |_| {});
+    fleet.faults.extend([1, 4].map(start));
+    let reports = run(&fleet, &mut new_book(0.5), &mut |_| {});
     let begun: Vec<_> = reports
         .iter()
         .filter(|notice| notice.begins)
--- a/crates/timeline/tests/fleet_timeline.rs
+++ b/crates/timeline/tests/fleet_timeline.rs
@@ -195,7 +195,7 @@
 
     /// Folding loses no count as long as a level reaches back, and latencies read back within their error.
     #[test]
-    fn folding_keeps_counts(gaps in prop::collection::vec((0u64..40, 1u32..30, 1u64..2000), 1..300)) {
+    fn downsampling_keeps_counts(gaps in prop::collection::vec((0u64..40, 1u32..30, 1u64..2000), 1..300)) {
         let mut steps = StepHistory::new(EPOCH);
         let mut now = EPOCH;
         let mut all = 0;
