--- a/crates/timeline/src/baseline.rs
+++ b/crates/timeline/src/baseline.rs
@@ -1,23 +1,23 @@
-//! Baselines: shares and means that fade with time. Observations are learned with a delay, so that a departure does not
-//! become part of the baseline before it is found.
+//! Baselines: shares and means with exponential decay. Observations are learned with a delay, so that a departure does
+//! not become part of the baseline before it is detected.
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// What was learned counts half after this time.
+/// The time after which a learned observation has half its weight.
 const LEARNED_HALF_LIFE: Duration = Duration::from_secs(600);
-/// Observations wait this long before they are learned: longer than it takes to find a departure.
+/// How long observations are pending before they are learned; longer than it takes to detect a departure.
 const LEARNING_DELAY: Duration = Duration::from_secs(8);
-/// Observations are gathered for this long before they wait as one sum.
+/// Observations within this time are added up into one pending sum, which bounds the number of sums.
 const BATCH_DURATION: Duration = Duration::from_secs(1);
-/// How far back [`Baseline::recent`] looks.
+/// The window of [`Baseline::recent`].
 const RECENT_WINDOW: Duration = Duration::from_secs(3);
 
-/// A sum of values and of their weights, from which a mean follows.
+/// A sum of values and a sum of their weights; their quotient is the mean.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct WeightedSum {
-    /// The sum of the values; of bad observations, how many.
+    /// The sum of the values. For good or bad observations it is the number of bad ones.
     pub sum: f64,
-    /// The sum of the weights; of observations, how many.
+    /// The sum of the weights. For good or bad observations it is the number of observations.
     pub weight: f64,
 }
 
@@ -36,7 +36,7 @@
         self.weight += other.weight;
     }
 
-    /// This sum without a part of it.
+    /// Subtracts a part of this sum.
     pub fn without(self, part: WeightedSum) -> WeightedSum {
         WeightedSum {
             sum: self.sum - part.sum,
@@ -51,17 +51,17 @@
     }
 }
 
-/// Observations that were gathered and wait to be learned.
+/// The sum of the observations of one [`BATCH_DURATION`] that are not learned yet.
 #[derive(Clone, Copy, Debug)]
 struct PendingSum {
     started: Duration,
     sum: WeightedSum,
 }
 
-/// The memory that a sum takes while it waits to be learned, in bytes.
+/// The memory of one pending sum, in bytes.
 pub(crate) const PENDING_SUM_BYTES: usize = size_of::<PendingSum>();
 
-/// A mean that fades: what was learned, what is recent, and what waits to be learned.
+/// A mean with exponential decay, and the sums that are pending before they are learned.
 #[derive(Clone, Debug, Default)]
 pub struct Baseline {
     learned: WeightedSum,
@@ -70,12 +70,12 @@
 }
 
 impl Baseline {
-    /// Takes an observation, good or bad; the mean is the share of bad ones.
+    /// Adds a good or bad observation; the mean is then the share of bad ones.
     pub fn observe(&mut self, now: Duration, bad: bool) {
         self.add(now, WeightedSum::single(f64::from(u8::from(bad))));
     }
 
-    /// Takes a value or a sum of values.
+    /// Adds a value or a sum of values.
     pub fn add(&mut self, now: Duration, sum: WeightedSum) {
         match self.pending.back_mut() {
             Some(last) if now < last.started + BATCH_DURATION => last.sum.add(sum),
@@ -83,7 +83,8 @@
         }
     }
 
-    /// Learns what has waited long enough. While `suspended`, that is dropped instead, since a departure lasts.
+    /// Learns the sums that were pending for the learning delay. While `suspended`, they are dropped instead, so that
+    /// an open or suspected departure does not become part of the baseline.
     pub fn learn(&mut self, now: Duration, suspended: bool) {
         while let Some(&PendingSum { started, sum }) = self.pending.front() {
             if started + LEARNING_DELAY > now {
@@ -98,17 +99,17 @@
         }
     }
 
-    /// The mean, pulled to `prior` as by `prior_weight` observations of it.
+    /// The mean, shrunk towards `prior` as if `prior_weight` observations of that value had been learned.
     pub fn mean(&self, prior: f64, prior_weight: f64) -> f64 {
         (self.learned.sum + prior * prior_weight) / (self.learned.weight + prior_weight)
     }
 
-    /// The weight of what was learned: how many observations the mean rests on.
+    /// The decayed weight of the learned observations; without decay it would be their number.
     pub fn weight(&self) -> f64 {
         self.learned.weight
     }
 
-    /// What was observed in the last seconds, learned or not.
+    /// The sum of the observations within the last three seconds, all of which are still pending.
     pub fn recent(&self, now: Duration) -> WeightedSum {
         let mut recent = WeightedSum::default();
         let is_recent = |pending: &&PendingSum| pending.started + RECENT_WINDOW > now;
--- a/crates/timeline/src/entry.rs
+++ b/crates/timeline/src/entry.rs
@@ -1,7 +1,7 @@
-//! The records of a timeline: what happened with its two times, departures, and the records that go to a store.
+//! The records of a timeline: events with the two times of each, departures, and the records written to a store.
 //!
-//! The stored form is fixed: `postcard` stores variants by their place and fields in their order, and exports show
-//! the names in the `serde` attributes. Numbers of nodes mean the same at every agent and after a restart.
+//! The stored form is fixed: `postcard` stores variants by their index and fields in their order, and exports show
+//! the names in the `serde` attributes. A node number denotes the same node at every agent and after a restart.
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
@@ -58,20 +58,20 @@
     }
 }
 
-/// A departure from the baseline. All instants are spans since 1970.
+/// A departure from the baseline. All instants are durations since the Unix epoch.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Departure {
-    /// Counted from 0 since the agent's start.
+    /// The departure's number, counted from 0 since the agent's start.
     pub number: u32,
-    /// What it concerns.
+    /// The node, build or fleet that it concerns.
     #[serde(rename = "whom")]
     pub scope: DepartureScope,
     /// The signal in which it shows.
     pub kind: DepartureKind,
-    /// The request class, where it shows in one class alone.
+    /// The request class, if the departure shows in one class only.
     #[serde(rename = "product")]
     pub class: Option<u8>,
-    /// When it is estimated to have begun.
+    /// The estimated instant at which it began.
     pub onset: Duration,
     /// When there was enough evidence to report it.
     pub confirmed: Duration,
@@ -83,14 +83,14 @@
     /// The share of bad observations since the onset, from 0 to 1.
     #[serde(rename = "seen")]
     pub observed: f64,
-    /// A stage that began shortly before. It is a hint, not an attribution.
+    /// A stage that began at about the same time. It is a hint, not the established cause.
     #[serde(rename = "beside")]
     pub concurrent_stage: Option<ReleaseStage>,
 }
 
 /// What happened at a node or at the agent.
 ///
-/// Texts such as states, phases and votes are stored as they are, so that older readers can show them.
+/// States, phases and votes are stored as texts, so that older readers can show them.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Event {
@@ -106,35 +106,35 @@
     /// The node was ejected.
     #[serde(rename = "barred")]
     Ejected {
-        /// Why, as the decision engine says.
+        /// The reason code of the decision engine.
         #[serde(rename = "why")]
         reason: String,
         /// When it is to be readmitted.
         until: Duration,
     },
-    /// A request was sent to an ejected node as a trial.
+    /// A request was sent to an ejected node to probe whether it has recovered.
     #[serde(rename = "tried")]
     Probed,
     /// The node was readmitted.
     #[serde(rename = "unbarred")]
     Readmitted,
-    /// An attempt was cancelled by the agent.
+    /// The agent cancelled an attempt.
     #[serde(rename = "called-off")]
     Cancelled {
         /// The class of its request.
         #[serde(rename = "product")]
         class: u8,
     },
-    /// Requests were given up; one entry for each reason and tick.
+    /// The agent gave up on requests; there is one entry per reason and tick.
     GivenUp {
-        /// Why, as the decision engine says.
+        /// The reason code of the decision engine.
         #[serde(rename = "why")]
         reason: String,
-        /// How many requests.
+        /// The number of requests given up since the last tick.
         #[serde(rename = "many")]
         count: u32,
     },
-    /// A build came to a stage or a phase of its release.
+    /// A build reached a stage or a phase of its release.
     Stage {
         /// The build's number.
         build: u16,
@@ -153,13 +153,13 @@
         /// `on`, `hold`, `back` or `withdraw`.
         #[serde(rename = "verdict")]
         vote: String,
-        /// The figures on which the vote rests, as text.
+        /// The figures behind the vote, as the decision engine logged them.
         figures: String,
     },
-    /// The agent did not run for a time.
+    /// The agent did not run for some time. [`Entry::happened`] is the start of the pause.
     #[serde(rename = "stood-still")]
     Paused {
-        /// How long.
+        /// The duration of the pause.
         #[serde(rename = "long")]
         duration: Duration,
     },
@@ -171,16 +171,16 @@
     DepartureEnded(Departure),
 }
 
-/// An event with its two times. Both are spans since 1970.
+/// An event with its two times, both as durations since the Unix epoch.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
-    /// When it happened.
+    /// When the event happened.
     pub happened: Duration,
-    /// When this agent came to know of it.
+    /// When this agent learned of it.
     pub known: Duration,
-    /// The node's number; `None` for what concerns the agent as a whole.
+    /// The node's number; `None` for events that concern no single node.
     pub node: Option<u32>,
-    /// What happened.
+    /// The event itself.
     #[serde(rename = "what")]
     pub event: Event,
 }
@@ -204,9 +204,9 @@
     pub connection_errors: u32,
     /// Attempts that timed out or were cancelled.
     pub timed_out: u32,
-    /// Answers that took longer than the baseline allows.
+    /// Successful answers that took longer than the baseline allows.
     pub late: u32,
-    /// The most attempts that were outstanding at once.
+    /// The highest number of attempts that were in flight at once.
     #[serde(rename = "most_out")]
     pub max_in_flight: u32,
 }
@@ -229,60 +229,60 @@
         *self == AttemptCounts::default()
     }
 
-    /// All attempts that ended.
+    /// The number of attempts that ended, over all outcomes.
     pub fn ended(&self) -> u32 {
         self.succeeded + self.failed + self.rejected + self.connection_errors + self.timed_out
     }
 }
 
-/// A time span at one node: counts, and the latency of successful attempts.
+/// The counts and the latencies of successful attempts of a time span at one node.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StepRecord {
     /// The node's number.
     pub node: u32,
-    /// When the span begins, since 1970.
+    /// The start of the span, since the Unix epoch.
     pub from: Duration,
-    /// How long the span is.
+    /// The duration of the span.
     #[serde(rename = "long")]
     pub duration: Duration,
-    /// The build that ran there; 0 in a dump.
+    /// The build that ran at the node; 0 in a dump.
     pub build: u16,
-    /// The span's attempts.
+    /// The attempts of the span, counted by outcome.
     pub counts: AttemptCounts,
-    /// A sketch of latencies, as [`crate::latency_sketch::LatencySketch::as_bytes`] gives it.
+    /// The serialized sketch of latencies, as returned by [`crate::latency_sketch::LatencySketch::as_bytes`].
     pub latency: Vec<u8>,
 }
 
-/// A record of a store, in the order in which they are written.
+/// A record of a store. A store holds records in the order in which they were queued.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Record {
     /// The agent started.
     Start {
         /// The agent's name.
         agent: String,
-        /// When, since 1970.
+        /// The instant of the start, since the Unix epoch.
         at: Duration,
-        /// The names of the request classes, which records name by number.
+        /// The names of the request classes; other records refer to a class by its index here.
         #[serde(rename = "products")]
         classes: Vec<String>,
     },
-    /// The name of a node.
+    /// The name of a node, which other records refer to by number.
     Name {
         /// The node's number.
         node: u32,
-        /// Its name.
+        /// The name that belongs to the number.
         name: String,
     },
-    /// Something that happened.
+    /// An event with its two times.
     Entry(Entry),
-    /// A time span at a node.
+    /// The counts and latencies of a time span at a node.
     Step(StepRecord),
-    /// Records of the finest detail were dropped since the queue was full.
+    /// Records were dropped because the queue was full, steps before entries.
     #[serde(rename = "LeftOut")]
     Dropped {
-        /// When that was recorded, since 1970.
+        /// When this record was queued, since the Unix epoch.
         at: Duration,
-        /// How many records.
+        /// The number of records dropped since the last record of this kind.
         #[serde(rename = "many")]
         count: u64,
     },
--- a/crates/timeline/src/fleet_timeline.rs
+++ b/crates/timeline/src/fleet_timeline.rs
@@ -1,8 +1,8 @@
 //! The timelines of all nodes of a fleet and of the agent itself, as the agent records them.
 //!
-//! [`FleetTimeline`] only listens: it changes no decision and requests nothing. Memory is bounded for each timeline and
-//! for all together, whatever ids come and go; what is dropped for that is counted. Records for a store wait in a
-//! bounded queue until they are taken.
+//! [`FleetTimeline`] is a passive observer: it influences no decision and sends nothing. Memory is bounded for each
+//! timeline and for all together, however many node ids appear; entries and timelines dropped for it are counted.
+//! Records for a store are held in a bounded queue until they are taken.
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
@@ -22,12 +22,12 @@
 use endpoints::TrackedNode;
 use record_queue::RecordQueue;
 
-/// How much a [`FleetTimeline`] may hold.
+/// The memory limits of a [`FleetTimeline`].
 #[derive(Clone, Copy, Debug)]
 pub struct MemoryLimits {
-    /// Memory of all node timelines together, in bytes.
+    /// The limit of the memory of all node timelines together, in bytes.
     pub timeline_bytes: usize,
-    /// Records that may wait for the store; with 0, none are kept for it.
+    /// The maximum number of records queued for the store; 0 disables the queue.
     pub queued_records: usize,
 }
 
@@ -37,24 +37,24 @@
     limits: MemoryLimits,
     monitor: FleetMonitor,
     nodes: BTreeMap<u32, TrackedNode>,
-    /// What concerns no node: stages, votes, the agent itself.
+    /// The timeline of events that concern no single node: stages, votes, and pauses of the agent.
     agent: NodeTimeline,
     in_flight: HashMap<AttemptId, InFlightAttempt>,
     /// The class of each open request, by the request's number.
     request_classes: HashMap<u32, u8>,
-    /// Requests given up since the last tick, by reason.
+    /// The number of requests given up since the last tick, by reason.
     given_up: BTreeMap<&'static str, u32>,
     next_tick: Duration,
     queue: RecordQueue,
-    /// Entries and timelines dropped for memory.
+    /// The number of entries and timelines dropped to stay within the memory bounds.
     dropped: u64,
     reports: Vec<DepartureReport>,
-    /// The last figures that were logged; the next vote is recorded with them.
+    /// The figures that the decision engine logged last, which are recorded with the next vote.
     vote_figures: String,
 }
 
 impl FleetTimeline {
-    /// A timeline that begins at `now` and knows no node yet.
+    /// A timeline without nodes that starts at `now`.
     pub fn new(now: Duration, config: MonitorConfig, limits: MemoryLimits) -> Self {
         FleetTimeline {
             limits,
@@ -72,12 +72,12 @@
         }
     }
 
-    /// When [`FleetTimeline::advance`] is due.
+    /// The instant at which [`FleetTimeline::advance`] is due.
     pub fn next_tick(&self) -> Duration {
         self.next_tick
     }
 
-    /// Advances to `now`: looks for departures, and completes the steps that have ended. Does nothing before the next
+    /// Advances to `now`: detects departures, and completes the steps that have ended. Does nothing before the next
     /// tick is due.
     pub fn advance(&mut self, now: Duration) {
         if now < self.next_tick {
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Completes the steps that have ended at nodes without attempts, too.
+    /// Completes the steps that have ended, also at nodes that get no attempts.
     fn complete_steps(&mut self, now: Duration) {
         let nodes: Vec<u32> = self.nodes.keys().copied().collect();
         for node in nodes {
@@ -142,7 +142,7 @@
         std::mem::take(&mut self.reports)
     }
 
-    /// Takes the records that wait for the store, in their order.
+    /// Takes the records queued for the store, in the order in which they were queued.
     pub fn take_records(&mut self) -> Vec<Record> {
         self.queue.take()
     }
@@ -157,7 +157,7 @@
         });
     }
 
-    /// Adds an entry to the store's queue and to its timeline, if that is known.
+    /// Adds an entry to the store's queue, and to the timeline of its node if the node has one.
     fn record(&mut self, entry: Entry) {
         self.queue.push(entry.known, Record::Entry(entry.clone()));
         let timeline = match entry.node {
@@ -172,12 +172,12 @@
         self.dropped += timeline.dropped() - dropped_before;
     }
 
-    /// How many entries and timelines were dropped for memory.
+    /// The number of entries and timelines dropped to stay within the memory bounds.
     pub fn dropped(&self) -> u64 {
         self.dropped
     }
 
-    /// An estimate of the memory that all timelines take, in bytes.
+    /// An estimate of the memory of all timelines and of the monitor, in bytes.
     pub fn memory_bytes(&self) -> usize {
         let per_node = self.monitor.memory_bytes_per_node();
         self.nodes
@@ -192,12 +192,12 @@
         self.nodes.keys().copied()
     }
 
-    /// The timeline of a node.
+    /// The timeline of a node; `None` if the node is unknown or its timeline was dropped.
     pub fn node(&self, node: u32) -> Option<&NodeTimeline> {
         self.nodes.get(&node).map(|tracked| &tracked.timeline)
     }
 
-    /// The timeline of the agent itself: what concerns no node.
+    /// The timeline of events that concern no single node: stages, votes, and pauses of the agent.
     pub fn agent(&self) -> &NodeTimeline {
         &self.agent
     }
--- a/crates/timeline/src/fleet_timeline/attempts.rs
+++ b/crates/timeline/src/fleet_timeline/attempts.rs
@@ -1,4 +1,4 @@
-//! Records requests and their attempts: counts them by node and step, and passes them to the monitor.
+//! Records requests and their attempts: attempts are counted by node and step, and passed to the monitor.
 use std::time::Duration;
 
 use lilacgate_decision::{AttemptNumber, EndpointId, Outcome, RequestClass, RequestId};
@@ -15,20 +15,20 @@
     class: u8,
 }
 
-/// How an attempt ended.
+/// An ended attempt, as the agent reports it.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptEnd {
-    /// The request it was made for.
+    /// The request that the attempt belongs to.
     pub request: RequestId,
-    /// Its number among the request's attempts.
+    /// The number of the attempt within the request.
     pub attempt: AttemptNumber,
     /// The endpoint it was sent to.
     pub endpoint: EndpointId,
-    /// How it ended.
+    /// The outcome of the attempt.
     pub outcome: Outcome,
-    /// How long it took.
+    /// The time from sending the attempt to its end.
     pub duration: Duration,
-    /// Whether its request has ended with it.
+    /// Whether the request has ended with this attempt.
     pub request_closed: bool,
 }
 
@@ -65,17 +65,17 @@
 }
 
 impl FleetTimeline {
-    /// A request has arrived.
+    /// Records that a request of this class has arrived.
     pub fn request_started(&mut self, id: RequestId, class: RequestClass) {
         self.request_classes.insert(id.0, class.0);
     }
 
-    /// A request has had its final answer, or its client has left.
+    /// Records that a request got its final answer, or that its client disconnected.
     pub fn request_closed(&mut self, id: RequestId) {
         self.request_classes.remove(&id.0);
     }
 
-    /// An attempt is sent.
+    /// Records that an attempt is sent to an endpoint.
     pub fn attempt_started(
         &mut self,
         now: Duration,
@@ -94,7 +94,7 @@
         });
     }
 
-    /// An attempt has ended.
+    /// Records the end of an attempt. An attempt whose start was not recorded is counted too.
     pub fn attempt_ended(&mut self, now: Duration, end: &AttemptEnd) {
         let (id, node) = (attempt_id(end.request, end.attempt), end.endpoint.0);
         let class = match self.in_flight.remove(&id) {
@@ -121,7 +121,7 @@
         }
     }
 
-    /// The agent has cancelled an attempt.
+    /// Records that the agent cancelled an attempt; ignored if the attempt is not in flight.
     pub fn attempt_cancelled(&mut self, now: Duration, id: RequestId, attempt: AttemptNumber) {
         if let Some(in_flight) = self.in_flight.get(&attempt_id(id, attempt)) {
             let event = Event::Cancelled {
@@ -131,7 +131,7 @@
         }
     }
 
-    /// The class of a request; the first class if the request is not known.
+    /// The class of a request; class 0 if the request is unknown.
     fn class_of(&self, request: RequestId) -> u8 {
         self.request_classes
             .get(&request.0)
@@ -139,7 +139,7 @@
             .unwrap_or_default()
     }
 
-    /// Changes the counts of a node's current step; queues a record of the step before, if that has ended.
+    /// Updates the counts of a node's current step. If the previous step has ended, a record of it is queued.
     pub(super) fn update_counts(
         &mut self,
         now: Duration,
--- a/crates/timeline/src/fleet_timeline/decisions.rs
+++ b/crates/timeline/src/fleet_timeline/decisions.rs
@@ -1,4 +1,4 @@
-//! Records what the agent decides: ejections, votes, and where the release of a build stands.
+//! Records the agent's decisions: ejections, votes, and the stage and phase of a build's release.
 use std::time::Duration;
 
 use lilacgate_decision::{Build, Diagnostic, EndpointId, ReleasePhase, Stage, Vote};
@@ -7,7 +7,7 @@
 use crate::entry::{Entry, Event};
 
 impl FleetTimeline {
-    /// Records that a build is in a stage and phase of its release, since `age`. A repeated report is ignored.
+    /// Records that a build has been in a stage and phase of its release for `age`. A repeated report is ignored.
     pub fn record_stage(
         &mut self,
         now: Duration,
@@ -41,7 +41,8 @@
         }
     }
 
-    /// Records a diagnostic of the decision engine. Requests given up are counted, and recorded at the next tick.
+    /// Records a diagnostic of the decision engine. Requests given up are counted by reason and recorded at the next
+    /// tick.
     pub fn record_diagnostic(&mut self, now: Duration, diagnostic: Diagnostic) {
         let mut record =
             |endpoint: EndpointId, event| self.record_now(now, Some(endpoint.0), event);
@@ -63,7 +64,7 @@
         }
     }
 
-    /// Keeps a text that the decision engine logged; the last one before a vote holds the vote's figures.
+    /// Sets the text that the decision engine logged last; the last one before a vote holds the figures of the vote.
     pub fn set_vote_figures(&mut self, text: &str) {
         self.vote_figures = text.into();
     }
--- a/crates/timeline/src/fleet_timeline/endpoints.rs
+++ b/crates/timeline/src/fleet_timeline/endpoints.rs
@@ -1,4 +1,4 @@
-//! Keeps the timelines in step with the endpoint list, and all of them within their memory limit.
+//! Applies updates of the endpoint list to the timelines, and enforces their memory limit.
 use std::time::Duration;
 
 use lilacgate_decision::{Endpoint, EndpointStatus, ListUpdate};
@@ -7,7 +7,7 @@
 use crate::entry::{Entry, Event};
 use crate::node_timeline::NodeTimeline;
 
-/// A node counts for the memory limit with this many bytes at least.
+/// The minimum that a node counts towards the memory limit, in bytes.
 const MIN_NODE_BYTES: usize = 1 << 14;
 
 /// A node's timeline and its entry in the endpoint list.
@@ -15,7 +15,7 @@
 pub(super) struct TrackedNode {
     pub(super) timeline: NodeTimeline,
     pub(super) endpoint: Endpoint,
-    /// What the timeline took when its last step was completed, in bytes.
+    /// The memory of the timeline when its last step was completed, in bytes.
     pub(super) memory_bytes: usize,
 }
 
@@ -28,7 +28,7 @@
         }
     }
 
-    /// What counts for the memory limit, without what the monitor holds.
+    /// The bytes that count towards the memory limit, without the monitor's memory.
     fn charged_bytes(&self) -> usize {
         self.memory_bytes.max(MIN_NODE_BYTES)
     }
@@ -39,7 +39,7 @@
 }
 
 impl FleetTimeline {
-    /// Applies an update of the endpoint list. After a full list, nodes that are missing in it count as removed.
+    /// Applies an update of the endpoint list. Nodes that are missing in a full or cached list count as removed.
     pub fn apply_list_update(&mut self, now: Duration, update: ListUpdate, endpoints: &[Endpoint]) {
         if matches!(update, ListUpdate::Full | ListUpdate::Cached) {
             self.remove_missing(now, endpoints);
@@ -80,7 +80,8 @@
             .entry(node)
             .or_insert_with(|| TrackedNode::new(now, endpoint))
             .endpoint = endpoint;
-        // A new process happened when it started; of another change no better time is known than now.
+        // The start of a new process is dated to its start time. For other changes only the time of the update is
+        // known.
         let happened = endpoint
             .started
             .filter(|_| !same_process)
@@ -104,8 +105,8 @@
         self.evict_over_limit();
     }
 
-    /// Drops timelines until the rest fits the memory limit: those of removed nodes first, then those that have been
-    /// unchanged longest. The last timeline stays.
+    /// Drops timelines until the rest fits the memory limit: first those of removed nodes, then the others, in both
+    /// groups the least recently changed first. One timeline is always kept.
     fn evict_over_limit(&mut self) {
         let per_node = self.monitor.memory_bytes_per_node();
         let mut total: usize = self
--- a/crates/timeline/src/fleet_timeline/record_queue.rs
+++ b/crates/timeline/src/fleet_timeline/record_queue.rs
@@ -1,14 +1,14 @@
-//! The bounded queue of records for a store. Where there is no room, steps are dropped before entries, and what was
-//! dropped is counted in a record of its own as soon as there is room again.
+//! The bounded queue of records for a store. When it is full, steps are dropped before entries. The number of dropped
+//! records is queued as a [`Record::Dropped`] as soon as there is room again.
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use crate::entry::Record;
 
-/// Records that wait for a store.
+/// The records that have not been taken for the store yet.
 #[derive(Debug)]
 pub(super) struct RecordQueue {
-    /// With 0, no record is kept.
+    /// The maximum number of records; 0 disables the queue.
     capacity: usize,
     records: VecDeque<Record>,
     /// Records dropped since the last [`Record::Dropped`].
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Adds a record; `now` stands in the note of dropped ones.
+    /// Adds a record; `now` is the time of a [`Record::Dropped`] that may be queued before it.
     pub(super) fn push(&mut self, now: Duration, record: Record) {
         if self.capacity == 0 {
             return;
@@ -41,7 +41,7 @@
         self.records.push_back(record);
     }
 
-    /// Drops the oldest step in favour of an entry. Returns whether there is room now.
+    /// Drops the oldest step if `record` is an entry. Returns whether there is room for `record` now.
     fn make_room_for(&mut self, record: &Record) -> bool {
         if !matches!(record, Record::Entry(_)) {
             return false;
@@ -55,7 +55,7 @@
             .is_some()
     }
 
-    /// Takes all records, in their order.
+    /// Takes all records in the order in which they were queued.
     pub(super) fn take(&mut self) -> Vec<Record> {
         self.records.drain(..).collect()
     }
--- a/crates/timeline/src/fleet_timeline/stored_text.rs
+++ b/crates/timeline/src/fleet_timeline/stored_text.rs
@@ -1,5 +1,5 @@
-//! The texts that stand in stored entries. Older readers show and compare them, so they are fixed, whatever the names
-//! in the code are.
+//! The texts of statuses, phases and votes in stored entries. Older readers show and compare them, so they must not
+//! change when a name in the code does.
 use lilacgate_decision::{EndpointStatus, ReleasePhase, Vote};
 
 pub(super) fn status(status: EndpointStatus) -> &'static str {
--- a/crates/timeline/src/latency_sketch.rs
+++ b/crates/timeline/src/latency_sketch.rs
@@ -1,21 +1,22 @@
-//! Latencies of a time span as a sketch (DDSketch), kept serialized: that takes a tenth of the memory.
+//! The latencies of a time span as a quantile sketch (DDSketch). It is kept serialized, which takes a tenth of the
+//! memory.
 use std::time::Duration;
 
 use sketches_ddsketch::{Config, DDSketch};
 
-/// The relative error of a quantile.
+/// The maximum relative error of a quantile.
 const RELATIVE_ERROR: f64 = 0.03;
-/// The most bins of a sketch.
+/// The maximum number of bins of a sketch.
 pub(crate) const MAX_BINS: u32 = 256;
-/// Latencies below this, in seconds, share a bin.
+/// All latencies below this value, in seconds, share one bin.
 const MIN_SECONDS: f64 = 1e-5;
 
-/// A sketch with no latencies, to which latencies in seconds can be added.
+/// An empty sketch for latencies in seconds.
 pub(crate) fn empty_sketch() -> DDSketch {
     DDSketch::new(Config::new(RELATIVE_ERROR, MAX_BINS, MIN_SECONDS))
 }
 
-/// The latencies of a time span.
+/// A serialized sketch of the latencies of a time span.
 #[derive(Clone, Debug, Default)]
 pub struct LatencySketch {
     /// The serialized sketch; empty if there are no latencies.
@@ -32,17 +33,17 @@
         }
     }
 
-    /// A sketch from its stored bytes. If they can't be read, it holds no latencies.
+    /// Wraps the stored bytes of a sketch. Bytes that cannot be decoded count as an empty sketch.
     pub fn from_bytes(bytes: Vec<u8>) -> LatencySketch {
         LatencySketch { bytes }
     }
 
-    /// The bytes to be stored.
+    /// The serialized sketch, empty if there are no latencies.
     pub fn as_bytes(&self) -> &[u8] {
         &self.bytes
     }
 
-    /// The memory of the bytes, in bytes.
+    /// The allocated size of the serialized sketch, in bytes.
     pub(crate) fn memory_bytes(&self) -> usize {
         self.bytes.capacity()
     }
@@ -51,17 +52,17 @@
         postcard::from_bytes(&self.bytes).unwrap_or_else(|_| empty_sketch())
     }
 
-    /// The latency below which this share (from 0 to 1) of them lies; `None` if there are no latencies.
+    /// The quantile at `share`, from 0 to 1; `None` if there are no latencies.
     pub fn quantile(&self, share: f64) -> Option<Duration> {
         let seconds = self.unpack().quantile(share).ok().flatten()?;
         Duration::try_from_secs_f64(seconds).ok()
     }
 
-    /// All latencies of several sketches.
+    /// Merges several sketches into one.
     pub fn merged<'a>(sketches: impl Iterator<Item = &'a LatencySketch>) -> LatencySketch {
         let mut all = empty_sketch();
         for sketch in sketches.filter(|sketch| !sketch.bytes.is_empty()) {
-            // A sketch with another configuration can't be merged, and is left out.
+            // A sketch with a different configuration cannot be merged and is skipped.
             all.merge(&sketch.unpack()).ok();
         }
         LatencySketch::pack(&all)
--- a/crates/timeline/src/lib.rs
+++ b/crates/timeline/src/lib.rs
@@ -1,12 +1,13 @@
-//! A timeline for each desk node: its state and build, load, errors, latency, and every decision about it, each with
-//! when it happened and when this agent came to know of it; and an event when a node, a build or the fleet departs from
-//! its baseline. No I/O and no clock: instants are passed in, as spans since 1970.
+//! Keeps a timeline for each node, that is, each endpoint named by its number. A timeline holds the node's state and
+//! build, load, errors, latency, and every decision about the node. Each entry has two times: when the event happened
+//! and when this agent learned of it. An event is also recorded when a node, a build or the fleet departs from its
+//! baseline. The crate does no I/O and reads no clock: callers pass instants in, as durations since the Unix epoch.
 //!
-//! - [`fleet_timeline`] takes what an agent receives and decides, and keeps one [`node_timeline`] a node;
-//! - [`step_history`] holds counts over time, with latencies as [`latency_sketch`];
-//! - [`monitor`] decides what is a departure, and whether of a node, a build or the fleet, by a [`sequential_test`]
-//!   against a [`baseline`];
-//! - [`entry`] holds the records, as they are stored.
+//! - [`fleet_timeline`] takes what an agent receives and decides, and keeps one [`node_timeline`] per node;
+//! - [`step_history`] holds counts over time, and latencies as a [`latency_sketch`];
+//! - [`monitor`] detects departures of a node, a build or the fleet with a [`sequential_test`] against a
+//!   [`baseline`];
+//! - [`entry`] defines the records in their stored form.
 
 pub mod baseline;
 pub mod entry;
--- a/crates/timeline/src/monitor.rs
+++ b/crates/timeline/src/monitor.rs
@@ -1,16 +1,17 @@
-//! Decides what counts as a departure from the baseline, and whether it concerns one node, most nodes of a build, or
-//! the fleet. Each node is compared with its own past and with what the other nodes show now, by the sequential tests
-//! of [`crate::sequential_test`]. One fault is reported once, and a stage that began at the same time is named as a
-//! hint, not as the cause.
+//! Detects departures from the baseline, and decides whether each concerns one node, most nodes of a build, or the
+//! fleet. The sequential tests of [`crate::sequential_test`] compare each node with its own past and with the recent
+//! observations of the other nodes. One fault is reported once. A stage that began at about the same time is reported
+//! with it as a hint, not as the cause.
 //!
-//! The rate of false alarms is set for the whole fleet: with K tests running side by side, the mean time to the first
-//! false alarm of each is at least `K x 3600 / rate` seconds while its premise holds. The premise is that a bad
-//! observation is no likelier than a limit, which `limits` derives from the baseline and from what other nodes show.
+//! The rate of false alarms is set for the whole fleet: with K tests in parallel, the mean time to the first false
+//! alarm of each is at least `K x 3600 / rate` seconds under its null hypothesis. The null hypothesis is that the
+//! probability of a bad observation is at most a limit, which `limits` derives from the baseline and from the other
+//! nodes.
 //!
-//! Jobs by module: `membership` keeps the list of nodes, `attempts` and `outstanding` turn attempts into
-//! observations, `signals` holds them by kind, `learning` takes them into the baselines, `limits` derives the tests'
-//! limits, `confirm` decides when an alarm is a departure, `attribution` what it concerns, `recovery` when it is over,
-//! and `departures` keeps the record of those that are open.
+//! Modules: `membership` keeps the list of nodes; `attempts` and `outstanding` turn attempts into observations;
+//! `signals` holds the tests and baselines by kind; `learning` updates the baselines; `limits` derives the limits of
+//! the tests; `confirm` decides when an alarm becomes a departure; `attribution` decides what the departure concerns;
+//! `recovery` decides when it has ended; and `departures` keeps the open ones.
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -41,18 +42,18 @@
 };
 use signals::{Signal, Signals};
 
-/// How many gathered sums a signal's baseline holds at most while they wait to be learned.
+/// The maximum number of pending sums of a signal's baseline, for the memory estimate.
 const MAX_PENDING_SUMS: usize = 12;
-/// The seconds for which the send rate must have been learned before a jump of it is looked for.
+/// The learned time of the send rate, in seconds, from which on jumps of it are detected.
 const MIN_KNOWN_RATE_SECONDS: f64 = 4.0;
 
-/// Watches all nodes of a fleet and reports departures from their baselines. Holds no clock and does no I/O.
+/// Watches all nodes of a fleet and reports departures from their baselines. It reads no clock and does no I/O.
 #[derive(Debug)]
 pub struct FleetMonitor {
     config: MonitorConfig,
     nodes: BTreeMap<u32, WatchedNode>,
     fleet: Signals,
-    /// What the nodes of each build show together; only the baselines are used, not the tests.
+    /// The signals of all nodes of each build together. Only their baselines are used, not their tests.
     builds: BTreeMap<u16, Signals>,
     /// The time to an answer, in seconds, by request class.
     answer_seconds: Vec<Baseline>,
@@ -63,18 +64,18 @@
     rate_jumped_at: Option<Duration>,
     first_tick: Option<Duration>,
     last_tick: Duration,
-    /// When the agent last ran again after a pause.
+    /// When the agent last resumed after a pause.
     resumed_at: Duration,
     latest_stage: Option<StageStart>,
-    /// Departures that last, by number.
+    /// The departures that have not ended, by number.
     open_departures: BTreeMap<u32, Departure>,
     next_number: u32,
-    /// What [`FleetMonitor::take_reports`] returns next.
+    /// The reports that [`FleetMonitor::take_reports`] returns next.
     reports: Vec<DepartureReport>,
 }
 
 impl FleetMonitor {
-    /// A monitor that knows no node yet.
+    /// A monitor without nodes.
     pub fn new(config: MonitorConfig) -> Self {
         FleetMonitor {
             config,
@@ -101,7 +102,8 @@
         tests as f64 * SECONDS_PER_HOUR / self.config.false_alarms_per_hour
     }
 
-    /// Advances the monitor; to be called every [`TICK`]. Returns how long the agent was paused before, if it was.
+    /// Advances the monitor; the caller does so every [`TICK`]. Returns the duration of the pause if the agent was
+    /// paused since the last tick.
     pub fn tick(&mut self, now: Duration) -> Option<Duration> {
         let first_tick = *self.first_tick.get_or_insert(now);
         let elapsed = now.saturating_sub(self.last_tick);
@@ -123,7 +125,8 @@
         pause
     }
 
-    /// Takes the attempts sent since the last tick, and notes whether their rate is well above the baseline.
+    /// Adds the attempts sent since the last tick to the send rate, and records when the recent rate is well above its
+    /// baseline.
     fn track_send_rate(&mut self, now: Duration, sent: f64, elapsed: Duration) {
         let seconds = elapsed.as_secs_f64().clamp(MIN_RATE_SECONDS, 1.0);
         let sent = WeightedSum {
@@ -145,7 +148,7 @@
         std::mem::take(&mut self.reports)
     }
 
-    /// An estimate of the memory that the monitor takes for a node, in bytes.
+    /// An estimate of the monitor's memory per node, in bytes.
     pub fn memory_bytes_per_node(&self) -> usize {
         let pending_bytes = MAX_PENDING_SUMS * PENDING_SUM_BYTES;
         self.fleet.count() * (size_of::<Signal>() + pending_bytes) + size_of::<WatchedNode>()
--- a/crates/timeline/src/monitor/attempts.rs
+++ b/crates/timeline/src/monitor/attempts.rs
@@ -1,4 +1,4 @@
-//! Turns the ends of attempts into observations of the node they were sent to.
+//! Turns ended attempts into observations of the nodes they were sent to.
 use std::time::Duration;
 
 use super::FleetMonitor;
@@ -7,19 +7,19 @@
 use crate::baseline::WeightedSum;
 use crate::entry::DepartureKind;
 
-/// What names an attempt.
+/// Identifies an attempt by its request and its number within the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId {
-    /// The number of its request.
+    /// The number of the request.
     pub request: u32,
-    /// Its number among the request's attempts.
+    /// The number of the attempt within the request, from 0.
     pub attempt: u8,
 }
 
-/// How an attempt ended, as far as a monitor is concerned.
+/// The outcome of an attempt, in the categories that the monitor distinguishes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptResult {
-    /// The node did what was requested.
+    /// The node answered with success.
     Succeeded,
     /// The node answered with an error, or with a malformed answer.
     Failed,
@@ -33,30 +33,30 @@
     NotSent,
 }
 
-/// An attempt that has ended.
+/// An ended attempt, as the monitor takes it.
 #[derive(Clone, Copy, Debug)]
 pub struct EndedAttempt {
-    /// Which attempt.
+    /// The id that was passed to [`FleetMonitor::attempt_sent`].
     pub id: AttemptId,
     /// The node it was sent to.
     pub node: u32,
-    /// The class of its request.
+    /// The request class, numbered from 0.
     pub class: u8,
-    /// How it ended.
+    /// The outcome.
     pub result: AttemptResult,
-    /// How long it took since it was sent.
+    /// The time from sending the attempt to its end.
     pub duration: Duration,
 }
 
-/// An answer time compared with the baseline.
+/// The comparison of an answer time with the baseline.
 struct AnswerTime {
     late: bool,
-    /// Whether it counts as an observation of the node's latency.
+    /// Whether it counts as an observation of the node's latency: the baseline is known and the node is not warming up.
     counts: bool,
 }
 
 impl FleetMonitor {
-    /// An attempt was sent to a node.
+    /// Records that an attempt was sent to a node.
     pub fn attempt_sent(&mut self, now: Duration, node: u32, id: AttemptId) {
         self.sent_since_tick += 1.0;
         if let Some(watched) = self.nodes.get_mut(&node) {
@@ -64,7 +64,7 @@
         }
     }
 
-    /// An attempt ended. Returns whether its answer was late.
+    /// Turns an ended attempt into observations of its node. Returns whether the answer was late.
     pub fn attempt_ended(&mut self, now: Duration, attempt: &EndedAttempt) -> bool {
         let Some(watched) = self.nodes.get_mut(&attempt.node) else {
             return false;
@@ -86,13 +86,13 @@
         late
     }
 
-    /// The place of a class's own signals, if the class is known.
+    /// The index of the class's own signals; `None` if the class is unknown.
     fn class_signal_index(&self, class: u8) -> Option<usize> {
         let class = usize::from(class);
         (class < self.config.classes).then_some(class + 1)
     }
 
-    /// Adds what the end of an attempt says about connections, silence and errors.
+    /// Adds the observations of connections, silence and errors that an ended attempt gives.
     fn observe_result(
         &self,
         attempt: &EndedAttempt,
@@ -120,7 +120,8 @@
         }
     }
 
-    /// Whether nothing was received from the node since an attempt was sent, and the agent was not paused meanwhile.
+    /// Whether nothing has been received from the node since the attempt was sent, without a pause of the agent in
+    /// between.
     fn shows_silence(&self, node: u32, sent: Duration) -> bool {
         let nothing_received = self
             .nodes
@@ -129,7 +130,7 @@
         nothing_received && sent >= self.resumed_at
     }
 
-    /// Adds what the time to an answer says about latency. Returns whether the answer was late.
+    /// Adds the observations of latency that a successful answer gives. Returns whether the answer was late.
     fn observe_answer_time(
         &mut self,
         now: Duration,
@@ -137,7 +138,7 @@
         sent: Duration,
         observations: &mut Observations,
     ) -> bool {
-        // While the agent was paused, the time to an answer was not the node's.
+        // The measured time includes the agent's own pause, so it says nothing about the node.
         if attempt.result != AttemptResult::Succeeded || sent < self.resumed_at {
             return false;
         }
@@ -154,7 +155,7 @@
         answer.late
     }
 
-    /// Compares an answer time with the baseline, and takes it into the baseline.
+    /// Compares an answer time with the baseline, then adds it to the baseline.
     fn compare_answer_time(
         &mut self,
         now: Duration,
@@ -176,7 +177,7 @@
         Some(AnswerTime { late, counts })
     }
 
-    /// Takes observations of a node into its signals, and into those of its build and of the fleet.
+    /// Adds observations of a node to its signals, to the baselines of its build, and to the signals of the fleet.
     pub(super) fn observe(&mut self, now: Duration, node: u32, observations: &[Observation]) {
         let Some(watched) = self.nodes.get_mut(&node) else {
             return;
--- a/crates/timeline/src/monitor/attribution.rs
+++ b/crates/timeline/src/monitor/attribution.rs
@@ -1,5 +1,5 @@
-//! Decides what a confirmed departure concerns (the node, its build, or the fleet) and whether it shows in one request
-//! class alone.
+//! Decides whether a confirmed departure concerns the node, its build, or the fleet, and whether it shows in one
+//! request class only.
 use std::collections::BTreeSet;
 use std::time::Duration;
 
@@ -9,10 +9,10 @@
 use super::signals::{ALL_CLASSES, Signal};
 use crate::entry::{Departure, DepartureKind, DepartureScope};
 
-/// The fewest observations of other request classes that show that a departure is not theirs.
+/// The minimum weight of the observations of another request class for a departure to be attributed to one class.
 const MIN_OTHER_CLASS_OBSERVATIONS: f64 = LATENCY_PRIOR_WEIGHT;
 
-/// Some nodes, and how many of them are suspected.
+/// The size of a group of nodes, and how many of them are suspected.
 struct Group {
     size: usize,
     suspected: usize,
@@ -32,14 +32,15 @@
     }
 }
 
-/// What a departure concerns, and the nodes that are its members.
+/// The scope of a departure, and the nodes that are its members.
 struct Attribution {
     scope: DepartureScope,
     members: Vec<u32>,
 }
 
 impl FleetMonitor {
-    /// Opens the departure that a node's evidence shows, or adds the node to one that is open.
+    /// Opens a departure for a node whose alarm is confirmed, or adds the node to an open departure of the fleet or of
+    /// its build.
     pub(super) fn confirm_at_node(
         &mut self,
         now: Duration,
@@ -71,7 +72,7 @@
         self.open_departure(now, finding, &members);
     }
 
-    /// The number of an open departure of the fleet or of a build.
+    /// The number of an open departure of this kind that concerns the fleet or the build.
     fn open_group_departure(&self, build: u16, kind: DepartureKind) -> Option<u32> {
         let groups = [DepartureScope::Fleet, DepartureScope::Build(build)];
         let includes = |open: &&Departure| open.kind == kind && groups.contains(&open.scope);
@@ -87,8 +88,8 @@
         }
     }
 
-    /// What a departure at `node` concerns, and its members: the fleet or the build if most others there are suspected
-    /// too, else the node.
+    /// Attributes a departure at `node` to the fleet or to the build if most of its active nodes are suspected too, and
+    /// otherwise to the node. The fleet also requires suspects of more than one build, unless only one build is active.
     fn attribute(
         &self,
         now: Duration,
@@ -128,7 +129,7 @@
         alone
     }
 
-    /// Those of the nodes for which there is some evidence.
+    /// The nodes among `nodes` whose evidence reaches `suspicion_threshold`.
     fn suspects(
         &self,
         nodes: &[u32],
@@ -152,7 +153,8 @@
     }
 }
 
-/// The place of the one request class that shows a departure while the others show nothing of it; else that of all.
+/// The signal index of the only request class that shows the departure, if other classes are known and show none of it;
+/// otherwise [`ALL_CLASSES`].
 fn departure_signal_index(signals: &[Signal], suspicion_threshold: f64) -> usize {
     let (showing, others): (Vec<usize>, Vec<usize>) =
         (1..signals.len()).partition(|index| signals[*index].reaches(suspicion_threshold));
--- a/crates/timeline/src/monitor/confirm.rs
+++ b/crates/timeline/src/monitor/confirm.rs
@@ -1,5 +1,5 @@
-//! Confirms departures: those of nodes whose evidence stayed above the threshold, and those that show only in the fleet
-//! as a whole.
+//! Confirms departures of nodes whose evidence has stayed above the threshold, and departures that show only in the
+//! fleet as a whole.
 use std::time::Duration;
 
 use super::FleetMonitor;
@@ -9,18 +9,18 @@
 use super::signals::{ALL_CLASSES, TESTED_KINDS};
 use crate::entry::{DepartureKind, DepartureScope};
 
-/// A node whose evidence for a kind of departure is certain.
+/// A node whose evidence for a kind of departure has stayed above the threshold for [`CONFIRMATION_DELAY`].
 struct Alarm {
     node: u32,
     kind: DepartureKind,
 }
 
 impl FleetMonitor {
-    /// Opens the departures that have become certain.
+    /// Opens the departures whose evidence is sufficient.
     pub(super) fn confirm(&mut self, now: Duration) {
         let threshold = self.threshold();
         for Alarm { node, kind } in self.certain_alarms(now, threshold) {
-            // A departure opened a moment ago may include this node.
+            // A departure opened earlier in this loop may already include the node.
             if self
                 .nodes
                 .get(&node)
@@ -36,7 +36,7 @@
         }
     }
 
-    /// The alarms of nodes whose evidence has been above the threshold for long enough.
+    /// The alarms of nodes whose evidence has stayed above the threshold for [`CONFIRMATION_DELAY`].
     fn certain_alarms(&mut self, now: Duration, threshold: f64) -> Vec<Alarm> {
         let mut certain = Vec::new();
         for (&node, watched) in &mut self.nodes {
@@ -51,14 +51,15 @@
         certain
     }
 
-    /// Whether the fleet as a whole is above the threshold and no departure of this kind is open anywhere.
+    /// Whether the evidence of the fleet is above the threshold and no departure of this kind is open. Load is
+    /// excluded.
     fn fleet_is_certain(&self, kind: DepartureKind, threshold: f64) -> bool {
         let is_open = self.open_departures.values().any(|open| open.kind == kind);
         kind != DepartureKind::Load && !is_open && self.fleet.any_reaches(kind, threshold)
     }
 
-    /// Opens a departure of the fleet if most active nodes show more bad observations now than the fleet's limit;
-    /// compared with each other they may look alike.
+    /// Opens a departure of the fleet if the recent share of bad observations of most active nodes exceeds the fleet's
+    /// limit. Comparing the nodes with each other may not show such a departure, since all may have changed alike.
     fn confirm_in_fleet(&mut self, now: Duration, kind: DepartureKind) {
         let limit = self.fleet_limit(now, kind, ALL_CLASSES).unwrap_or(1.0);
         let active = self.active_nodes(now);
@@ -77,7 +78,7 @@
         }
     }
 
-    /// Whether a node's recent share of bad observations is above `limit`.
+    /// Whether the share of bad observations in a node's recent window is above `limit`.
     fn recently_exceeds(&self, now: Duration, node: u32, kind: DepartureKind, limit: f64) -> bool {
         let Some(watched) = self.nodes.get(&node) else {
             return false;
@@ -88,7 +89,7 @@
         recent.sum > limit * recent.weight
     }
 
-    /// The nodes that gave an observation a short while ago.
+    /// The nodes whose last observation is less than [`RECOVERY_DURATION`] old.
     pub(super) fn active_nodes(&self, now: Duration) -> Vec<u32> {
         let is_active = |watched: &WatchedNode| watched.last_observed + RECOVERY_DURATION > now;
         let active = self.nodes.iter().filter(|(_, watched)| is_active(watched));
@@ -96,7 +97,7 @@
     }
 }
 
-/// Notes which signals of a kind are above the threshold. Returns since when the first of them has been.
+/// Updates since when each signal of a kind has been above the threshold. Returns the earliest of these times.
 fn update_alarms(
     watched: &mut WatchedNode,
     now: Duration,
--- a/crates/timeline/src/monitor/departures.rs
+++ b/crates/timeline/src/monitor/departures.rs
@@ -1,4 +1,4 @@
-//! Keeps the open departures: opens and ends them, and reports both.
+//! Opens and ends departures, and reports both.
 use std::time::Duration;
 
 use super::FleetMonitor;
@@ -6,16 +6,16 @@
 use super::signals::Signals;
 use crate::entry::{Departure, DepartureKind, DepartureScope, ReleaseStage};
 
-/// A departure that was confirmed or has ended.
+/// Reports that a departure was confirmed or has ended.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DepartureReport {
-    /// The departure as it was then.
+    /// The departure as it was when the report was made.
     pub departure: Departure,
-    /// Whether it was confirmed; if not, it has ended.
+    /// `true` if the departure was confirmed, `false` if it has ended.
     pub began: bool,
 }
 
-/// The stage of a build that began last.
+/// The latest stage of a build, and when it began.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct StageStart {
     pub(super) release: ReleaseStage,
@@ -23,7 +23,7 @@
 }
 
 impl StageStart {
-    /// Whether a departure that began at `onset` may be named together with this stage.
+    /// Whether a departure with this onset is reported together with this stage.
     fn is_near(&self, now: Duration, onset: Duration) -> bool {
         let begun = self.since <= now;
         let not_before = onset + STAGE_ONSET_TOLERANCE >= self.since;
@@ -32,10 +32,10 @@
     }
 }
 
-/// The figures a departure is reported with.
+/// The measured values of a departure.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Figures {
-    /// When it seems to have begun.
+    /// The estimated instant at which it began.
     pub(super) onset: Duration,
     /// The share of bad observations in the baseline.
     pub(super) baseline: f64,
@@ -43,18 +43,18 @@
     pub(super) observed: f64,
 }
 
-/// What is found out about a departure before it gets its number.
+/// A detected departure without its number and times of confirmation and end.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Finding {
     pub(super) scope: DepartureScope,
     pub(super) kind: DepartureKind,
-    /// The request class, where it shows in one class alone.
+    /// The request class, if the departure shows in one class only.
     pub(super) class: Option<u8>,
     pub(super) figures: Figures,
 }
 
 impl FleetMonitor {
-    /// The figures of a signal of a node or of the fleet.
+    /// The onset, baseline and observed share of a signal of a node or of the fleet.
     pub(super) fn figures(
         &self,
         signals: &Signals,
@@ -74,7 +74,7 @@
         }
     }
 
-    /// A departure with the next number; it is neither opened nor reported here.
+    /// Creates a departure with the next number, without opening or reporting it.
     pub(super) fn new_departure(&mut self, now: Duration, finding: Finding) -> Departure {
         let number = self.next_number;
         self.next_number += 1;
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Opens and reports a departure.
+    /// Opens and reports a departure with these nodes as members.
     pub(super) fn open_departure(&mut self, now: Duration, finding: Finding, members: &[u32]) {
         let departure = self.new_departure(now, finding);
         for member in members {
@@ -112,7 +112,7 @@
         self.open_departures.insert(departure.number, departure);
     }
 
-    /// Ends and reports a departure; the tests of its kind start anew at its members and for the fleet.
+    /// Ends and reports a departure, and resets the tests of its kind at its members and for the fleet.
     pub(super) fn end_departure(&mut self, now: Duration, number: u32) {
         let Some(mut departure) = self.open_departures.remove(&number) else {
             return;
@@ -136,7 +136,7 @@
         self.reports.push(DepartureReport { departure, began });
     }
 
-    /// Ends the departures that concern this node alone.
+    /// Ends the departures whose scope is this node.
     pub(super) fn end_departures_of(&mut self, now: Duration, node: u32) {
         let Some(watched) = self.nodes.get(&node) else {
             return;
--- a/crates/timeline/src/monitor/learning.rs
+++ b/crates/timeline/src/monitor/learning.rs
@@ -1,4 +1,4 @@
-//! Takes what was observed into the baselines, except where a departure lasts or is suspected.
+//! Updates the baselines with pending observations, except where a departure is open or suspected.
 use std::collections::BTreeSet;
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 use crate::entry::{DepartureKind, DepartureScope};
 
 impl FleetMonitor {
-    /// Learns what has waited long enough.
+    /// Updates all baselines with the observations whose learning delay has passed.
     pub(super) fn learn(&mut self, now: Duration) {
         self.send_rate.learn(now, false);
         for baseline in &mut self.answer_seconds {
@@ -22,12 +22,12 @@
         self.learn_fleet(now);
     }
 
-    /// The evidence from which on a signal is suspected, though not yet confirmed.
+    /// The evidence from which on a departure is suspected; below the threshold of an alarm.
     fn suspicion_threshold(&self) -> f64 {
         self.threshold().sqrt()
     }
 
-    /// Drops builds that no longer run. Of the others only recent observations are used, so nothing is learned.
+    /// Drops builds that no longer run. For the others only recent observations are used, so learning is suspended.
     fn learn_builds(&mut self, now: Duration) {
         let running: BTreeSet<u16> = self.nodes.values().map(|watched| watched.build).collect();
         self.builds.retain(|build, _| running.contains(build));
--- a/crates/timeline/src/monitor/limits.rs
+++ b/crates/timeline/src/monitor/limits.rs
@@ -1,6 +1,6 @@
-//! Derives from the baselines the limit each test rests on: how likely a bad observation is at most while nothing is
-//! wrong. The limit is half as much again as the node's baseline, or as what the other nodes show now, whichever is
-//! more, plus a margin by kind.
+//! Derives the limit of each test from the baselines: the highest probability of a bad observation under the null
+//! hypothesis. The limit is the node's baseline with its uncertainty, or the recent share of the other nodes, whichever
+//! is greater, multiplied by `RISE_FACTOR`, plus a margin by kind.
 use std::time::Duration;
 
 use super::FleetMonitor;
@@ -12,7 +12,8 @@
 use crate::sequential_test::Bets;
 
 impl FleetMonitor {
-    /// The limit of a signal of the fleet; `None` while too little is known to test.
+    /// The limit of a signal of the fleet; `None` while there are too few observations, or while a jump of the send
+    /// rate explains bad ones.
     pub(super) fn fleet_limit(
         &self,
         now: Duration,
@@ -24,7 +25,7 @@
         testable.then(|| tolerated_share(self.fleet_share(kind, index), kind))
     }
 
-    /// The limit of a signal of a node; `None` while too little is known to test.
+    /// The limit of a signal of a node; `None` while the fleet has no limit for the signal.
     fn node_limit(
         &self,
         now: Duration,
@@ -48,7 +49,8 @@
         self.fleet.of_kind(kind)[index].baseline.mean(0.0, 1.0)
     }
 
-    /// The recent share of bad observations at the nodes of other builds, or at all other nodes if those gave too few.
+    /// The recent share of bad observations at the nodes of other builds, or at all other nodes if other builds have
+    /// fewer than [`MIN_RECENT`] observations; 0 if all others have too few.
     fn recent_share_of_others(
         &self,
         now: Duration,
@@ -72,7 +74,7 @@
         }
     }
 
-    /// Whether a jump of the send rate explains bad observations of this kind.
+    /// Whether queues after a jump of the send rate explain bad observations of this kind.
     fn is_explained_by_rate_jump(&self, now: Duration, kind: DepartureKind) -> bool {
         let from_queues = matches!(
             kind,
@@ -84,7 +86,7 @@
                 .is_some_and(|at| now < at + QUEUE_DRAIN_DURATION)
     }
 
-    /// Computes the bets for observations until the next tick, from what came before.
+    /// Computes the bets for the observations until the next tick from the earlier observations only.
     pub(super) fn update_bets(&mut self, now: Duration) {
         let nodes: Vec<u32> = self.nodes.keys().copied().collect();
         for kind in TESTED_KINDS {
@@ -106,7 +108,7 @@
     }
 }
 
-/// A share of bad observations, raised by what ordinary days vary.
+/// The share of bad observations that ordinary variation above a baseline `share` may reach.
 pub(super) fn tolerated_share(share: f64, kind: DepartureKind) -> f64 {
     share * RISE_FACTOR + margin(kind)
 }
--- a/crates/timeline/src/monitor/membership.rs
+++ b/crates/timeline/src/monitor/membership.rs
@@ -1,4 +1,4 @@
-//! Keeps the watched nodes in step with the endpoint list, and notes restarts and the stages of builds.
+//! Synchronizes the watched nodes with the endpoint list, and records restarts and the stages of builds.
 use std::time::Duration;
 
 use super::FleetMonitor;
@@ -7,8 +7,9 @@
 use crate::entry::{Departure, DepartureKind, DepartureScope, ReleaseStage};
 
 impl FleetMonitor {
-    /// A node is listed, or its entry has changed. Another start time or build means another process: a new build is a
-    /// release, and the same build again is a restart, which is reported unless a departure was open there.
+    /// Records that a node is listed or that its entry has changed. A different start time or build means a new
+    /// process: a different build is a release, and the same build is a restart. A restart is reported unless the node
+    /// was a member of an open departure.
     pub fn node_listed(&mut self, now: Duration, node: u32, build: u16, started: Option<Duration>) {
         let Some(known) = self.nodes.get(&node) else {
             self.insert_node(now, node, build, started);
@@ -49,13 +50,13 @@
         self.report(departure, true);
     }
 
-    /// A node is no longer listed.
+    /// Removes a node that is no longer listed, and ends its departures.
     pub fn node_removed(&mut self, now: Duration, node: u32) {
         self.end_departures_of(now, node);
         self.nodes.remove(&node);
     }
 
-    /// A stage of a build began at `since`.
+    /// Records that a stage of a build began at `since`. A repeated report of the latest stage is ignored.
     pub fn stage_started(&mut self, build: u16, stage: u8, since: Duration) {
         let release = ReleaseStage { build, stage };
         if self
--- a/crates/timeline/src/monitor/node.rs
+++ b/crates/timeline/src/monitor/node.rs
@@ -1,4 +1,4 @@
-//! What a monitor knows of one node.
+//! The monitor's state of one node.
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -8,31 +8,31 @@
 use crate::baseline::Baseline;
 use crate::entry::DepartureKind;
 
-/// A node that is listed.
+/// The state of a listed node.
 #[derive(Debug)]
 pub(super) struct WatchedNode {
     pub(super) build: u16,
-    /// When its process started, if that is known.
+    /// When the node's process started, if known.
     pub(super) started: Option<Duration>,
     pub(super) signals: Signals,
-    /// Its answer times as multiples of the baseline of the request class.
+    /// The node's answer times as multiples of the baseline of the request class.
     pub(super) relative_latency: Baseline,
     /// When each outstanding attempt was sent.
     pub(super) outstanding: BTreeMap<AttemptId, Duration>,
-    /// How many attempts are outstanding in the mean.
+    /// The mean number of outstanding attempts.
     pub(super) mean_outstanding: Baseline,
-    /// When an answer or a connection error was last received from it.
+    /// When an answer or a connection error was last received from the node.
     pub(super) last_received: Duration,
-    /// When it last gave an observation.
+    /// When the node was last observed.
     pub(super) last_observed: Duration,
-    /// The numbers of the open departures it is a member of, by kind.
+    /// The numbers of the open departures of which the node is a member, by kind.
     pub(super) open_departures: BTreeMap<DepartureKind, u32>,
-    /// Since when an open departure it stands for has been back to the baseline.
+    /// Since when a departure has been back to its baseline. It is kept at the first member of the departure.
     pub(super) recovered_since: Option<Duration>,
 }
 
 impl WatchedNode {
-    /// A node of which nothing is known but its build and start.
+    /// A node without observations.
     pub(super) fn new(
         now: Duration,
         build: u16,
@@ -53,29 +53,30 @@
         }
     }
 
-    /// Its mean answer time as a multiple of the baseline of the request class.
+    /// The node's mean answer time as a multiple of the baseline of the request class.
     pub(super) fn baseline_relative_latency(&self) -> f64 {
         self.relative_latency.mean(1.0, LATENCY_PRIOR_WEIGHT)
     }
 
-    /// Whether an attempt sent at `sent` falls into the time after its start in which it may be slow, with a margin of an
-    /// eighth.
+    /// Whether the node was still warming up when an attempt was sent at `sent`. The slow start counts with a margin of
+    /// an eighth.
     pub(super) fn is_warming_up(&self, sent: Duration, slow_start: Duration) -> bool {
         self.started
             .is_some_and(|started| sent < started + slow_start * 9 / 8)
     }
 
-    /// Whether anything was received from it a short while ago.
+    /// Whether an answer or a connection error was received from the node within [`RECEIVE_WINDOW`].
     pub(super) fn received_recently(&self, now: Duration) -> bool {
         self.last_received + RECEIVE_WINDOW > now
     }
 
-    /// Whether it is a member of the departure `number` of this kind.
+    /// Whether the node is a member of the departure with this kind and number.
     pub(super) fn is_member(&self, kind: DepartureKind, number: u32) -> bool {
         self.open_departures.get(&kind) == Some(&number)
     }
 
-    /// Whether a departure of this kind would be reported: none is open, nor one that explains it.
+    /// Whether a departure of this kind may be reported: the node is a member neither of an open one of this kind nor
+    /// of one that explains it.
     pub(super) fn is_reportable(&self, kind: DepartureKind) -> bool {
         let explained = explaining_kinds(kind)
             .iter()
@@ -84,8 +85,8 @@
     }
 }
 
-/// The kinds that explain another kind at the same node: a silent node also has a high load, for instance, and at a
-/// slow one attempts pile up.
+/// The kinds that explain another kind at the same node. For instance, attempts accumulate at a silent or slow node, so
+/// silence and latency explain a high load.
 fn explaining_kinds(kind: DepartureKind) -> &'static [DepartureKind] {
     match kind {
         DepartureKind::Load => &[
--- a/crates/timeline/src/monitor/outstanding.rs
+++ b/crates/timeline/src/monitor/outstanding.rs
@@ -1,5 +1,5 @@
-//! Looks at the outstanding attempts of each node at every tick: whether an answer is overdue at a silent node, and
-//! whether a node has more outstanding than its share.
+//! Checks the outstanding attempts of each node at every tick: whether an answer of a silent node is overdue, and
+//! whether a node has more outstanding attempts than its baseline or the other nodes explain.
 use std::time::Duration;
 
 use super::FleetMonitor;
@@ -9,16 +9,16 @@
 use crate::baseline::WeightedSum;
 use crate::entry::DepartureKind;
 
-/// Fewer outstanding attempts than this are never too many.
+/// The minimum number of outstanding attempts that can count as a high load.
 const MIN_HIGH_LOAD: usize = 4;
-/// More outstanding attempts than this multiple of the baseline are too many.
+/// More outstanding attempts than this multiple of the baseline count as a high load.
 const HIGH_LOAD_FACTOR: f64 = 3.0;
-/// Until more is known, a node counts as having one attempt outstanding; the weight of that.
+/// The prior weight of the mean number of outstanding attempts, whose prior mean is 1.
 const OUTSTANDING_PRIOR_WEIGHT: f64 = 4.0;
 
 impl FleetMonitor {
-    /// Observes load and silence at each node. After a pause only the mean numbers are noted, since nothing could be
-    /// received meanwhile.
+    /// Observes load and silence at each node. After a pause of the agent only the mean numbers of outstanding attempts
+    /// are updated, since nothing could be received during the pause.
     pub(super) fn check_outstanding(&mut self, now: Duration, after_pause: bool) {
         let baseline_seconds = self.longest_baseline_answer();
         let total: usize = self
@@ -33,7 +33,7 @@
             if let Some(high) = observe_load(watched, now, others_mean) {
                 observed.push((node, observation(DepartureKind::Load, high)));
             }
-            // Answers are the good observations of silence; while nothing is overdue there is nothing to observe.
+            // The good observations of silence come from answers, so a tick without an overdue answer adds none.
             if is_overdue(watched, now, self.resumed_at, baseline_seconds) {
                 observed.push((node, observation(DepartureKind::Silence, true)));
             }
@@ -46,7 +46,7 @@
         }
     }
 
-    /// The mean time to an answer of the request class that takes longest, in seconds.
+    /// The highest mean answer time of all request classes, in seconds.
     fn longest_baseline_answer(&self) -> f64 {
         self.answer_seconds
             .iter()
@@ -63,7 +63,8 @@
     }
 }
 
-/// Notes how many attempts are outstanding. Returns whether they are too many; `None` if there are none.
+/// Adds the number of outstanding attempts to the node's mean. Returns whether the load is high; `None` if no attempt
+/// is outstanding.
 fn observe_load(watched: &mut WatchedNode, now: Duration, others_mean: f64) -> Option<bool> {
     let outstanding = watched.outstanding.len();
     let own_mean = watched.mean_outstanding.mean(1.0, OUTSTANDING_PRIOR_WEIGHT);
@@ -74,8 +75,8 @@
     (outstanding > 0).then_some(high)
 }
 
-/// Whether nothing was received from a node since its oldest outstanding attempt was sent, for longer than the baseline
-/// allows.
+/// Whether nothing has been received from a node since its oldest outstanding attempt was sent, and the time since then
+/// (or since the agent resumed) exceeds what the baseline allows.
 fn is_overdue(
     watched: &WatchedNode,
     now: Duration,
--- a/crates/timeline/src/monitor/recovery.rs
+++ b/crates/timeline/src/monitor/recovery.rs
@@ -1,4 +1,4 @@
-//! Ends departures whose nodes are back to the baseline.
+//! Ends departures whose members have recovered, that is, are back to their baselines.
 use std::time::Duration;
 
 use super::FleetMonitor;
@@ -7,7 +7,7 @@
 use super::signals::{ALL_CLASSES, Signal};
 use crate::entry::DepartureKind;
 
-/// An open departure, and whether its members are back to the baseline at this tick.
+/// An open departure, and whether most of its members have recovered at this tick.
 struct RecoveryState {
     number: u32,
     kind: DepartureKind,
@@ -15,7 +15,7 @@
 }
 
 impl FleetMonitor {
-    /// Ends the departures that have been back to the baseline for long enough.
+    /// Ends the departures that have been recovered for [`RECOVERY_DURATION`].
     pub(super) fn end_recovered(&mut self, now: Duration) {
         let recoveries: Vec<RecoveryState> = self
             .open_departures
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Whether most members of a departure are back to the baseline.
+    /// Whether most members of a departure have recovered.
     fn is_recovered(&self, now: Duration, number: u32, kind: DepartureKind) -> bool {
         let member_nodes = self
             .nodes
@@ -50,8 +50,8 @@
         recovered as f64 >= MAJORITY_SHARE * members.len() as f64
     }
 
-    /// Notes at the first member since when the departure has been back to the baseline. Returns whether that is long
-    /// enough, or whether no member is left.
+    /// Updates, at the first member, since when the departure has been recovered. Returns whether it is to end: it has
+    /// been recovered for [`RECOVERY_DURATION`], or has no members left.
     fn update_recovery(&mut self, now: Duration, recovery: &RecoveryState) -> bool {
         let (kind, number) = (recovery.kind, recovery.number);
         let first = self
@@ -69,7 +69,7 @@
             .is_some_and(|since| now >= since + RECOVERY_DURATION)
     }
 
-    /// Whether a node shows no more bad observations of a kind now than in its baseline.
+    /// Whether the recent share of bad observations of a kind at a node is within its baseline.
     fn node_is_recovered(&self, now: Duration, node: u32, kind: DepartureKind) -> bool {
         let Some(watched) = self.nodes.get(&node) else {
             return true;
@@ -84,8 +84,9 @@
             .all(|(index, signal)| self.signal_is_recovered(now, signal, kind, index))
     }
 
-    /// Whether a signal's recent observations are as in its baseline. Without any, that of one request class is calm,
-    /// and that of all classes is not: nothing shows that the node is back.
+    /// Whether the recent observations of a signal are within its baseline. Without recent observations, the signal of
+    /// a single request class counts as recovered, but the one over all classes does not, since nothing shows that the
+    /// node has recovered.
     fn signal_is_recovered(
         &self,
         now: Duration,
--- a/crates/timeline/src/monitor/signals.rs
+++ b/crates/timeline/src/monitor/signals.rs
@@ -1,12 +1,12 @@
-//! The signals of a node, a build or the fleet: for each kind of departure a sequential test and a baseline, and the
-//! observations that feed them.
+//! The signals of a node, a build or the fleet: a sequential test and a baseline for each kind of departure, and the
+//! observations that update them.
 use std::time::Duration;
 
 use crate::baseline::Baseline;
 use crate::entry::DepartureKind;
 use crate::sequential_test::{Bets, SequentialTest};
 
-/// The kinds that are tested for; a restart follows from the endpoint list.
+/// The kinds of departure that have a test. Restarts are detected in the endpoint list instead.
 pub(super) const TESTED_KINDS: [DepartureKind; 5] = [
     DepartureKind::Silence,
     DepartureKind::Links,
@@ -15,22 +15,22 @@
     DepartureKind::Load,
 ];
 
-/// The place of the signal over all request classes; class `n` has place `n + 1`.
+/// The index of the signal over all request classes; class `n` has index `n + 1`.
 pub(super) const ALL_CLASSES: usize = 0;
 
-/// The most observations one attempt gives.
+/// The maximum number of observations that one attempt gives.
 const MAX_OBSERVATIONS_PER_ATTEMPT: usize = 6;
 
-/// One outcome, good or bad, for one signal.
+/// A good or bad observation of one signal.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Observation {
     pub(super) kind: DepartureKind,
-    /// The signal among those of its kind: [`ALL_CLASSES`], or that of one class.
+    /// The index of the signal among those of its kind: [`ALL_CLASSES`], or that of one class.
     pub(super) index: usize,
     pub(super) bad: bool,
 }
 
-/// The observations that one attempt gives, kept without an allocation.
+/// The observations that one attempt gives, in an array to avoid an allocation per attempt.
 pub(super) struct Observations {
     list: [Observation; MAX_OBSERVATIONS_PER_ATTEMPT],
     count: usize,
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Adds an observation; there is room for as many as one attempt gives.
+    /// Adds an observation. More than [`MAX_OBSERVATIONS_PER_ATTEMPT`] would be out of bounds.
     pub(super) fn push(&mut self, kind: DepartureKind, index: usize, bad: bool) {
         self.list[self.count] = Observation { kind, index, bad };
         self.count += 1;
@@ -60,19 +60,19 @@
     }
 }
 
-/// One signal: its test and its baseline.
+/// A signal with its test and its baseline.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Signal {
     pub(super) test: SequentialTest,
     pub(super) baseline: Baseline,
     /// Since when the evidence has been above the threshold.
     pub(super) alarming_since: Option<Duration>,
-    /// The bets for observations until the next tick; none while too little is known to test.
+    /// The bets for observations until the next tick; `None` while the signal is not tested.
     pub(super) bets: Option<Bets>,
 }
 
 impl Signal {
-    /// Takes an observation into the baseline and, if there are bets, into the test.
+    /// Adds an observation to the baseline and, if there are bets, to the test.
     pub(super) fn observe(&mut self, now: Duration, bad: bool) {
         self.baseline.observe(now, bad);
         if let Some(bets) = &self.bets {
@@ -85,7 +85,7 @@
         self.test.evidence() >= threshold
     }
 
-    /// Notes whether the evidence is above the threshold, and since when.
+    /// Updates since when the evidence has been at or above the threshold.
     pub(super) fn update_alarm(&mut self, now: Duration, threshold: f64) {
         let alarming = self.reaches(threshold);
         self.alarming_since = if alarming {
@@ -95,14 +95,15 @@
         };
     }
 
-    /// Starts the test anew; the baseline stays.
+    /// Resets the test and keeps the baseline.
     pub(super) fn reset_test(&mut self) {
         self.test = SequentialTest::default();
         self.alarming_since = None;
     }
 }
 
-/// All signals of a node, a build or the fleet. Errors and latency have one over all request classes and one for each.
+/// All signals of a node, a build or the fleet. Errors and latency have one signal over all request classes and one per
+/// class.
 #[derive(Clone, Debug)]
 pub(super) struct Signals {
     errors: Vec<Signal>,
@@ -124,7 +125,7 @@
         }
     }
 
-    /// The signals of a kind: the one over all request classes first, then by class.
+    /// The signals of a kind: first the one over all request classes, then those of the classes.
     pub(super) fn of_kind(&self, kind: DepartureKind) -> &[Signal] {
         match kind {
             DepartureKind::Errors => &self.errors,
@@ -135,7 +136,7 @@
         }
     }
 
-    /// As [`Signals::of_kind`], to be changed.
+    /// The mutable form of [`Signals::of_kind`].
     pub(super) fn of_kind_mut(&mut self, kind: DepartureKind) -> &mut [Signal] {
         match kind {
             DepartureKind::Errors => &mut self.errors,
@@ -153,21 +154,21 @@
             .any(|signal| signal.reaches(threshold))
     }
 
-    /// Lets the baselines of a kind learn; while `suspended`, what they would learn is dropped.
+    /// Updates the baselines of a kind with pending observations; while `suspended`, these are dropped instead.
     pub(super) fn learn(&mut self, now: Duration, kind: DepartureKind, suspended: bool) {
         for signal in self.of_kind_mut(kind) {
             signal.baseline.learn(now, suspended);
         }
     }
 
-    /// Starts the tests of a kind anew.
+    /// Resets the tests of a kind.
     pub(super) fn reset_tests(&mut self, kind: DepartureKind) {
         for signal in self.of_kind_mut(kind) {
             signal.reset_test();
         }
     }
 
-    /// How many signals there are.
+    /// The number of signals over all tested kinds.
     pub(super) fn count(&self) -> usize {
         TESTED_KINDS
             .iter()
--- a/crates/timeline/src/node_timeline.rs
+++ b/crates/timeline/src/node_timeline.rs
@@ -1,14 +1,14 @@
-//! One timeline: its entries in the order in which they happened, and its steps. The number of entries is bounded; what
-//! is dropped for that is counted.
+//! One timeline: its entries in the order in which they happened, and its steps. The number of entries is bounded, and
+//! entries dropped to stay within the bound are counted.
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use crate::entry::Entry;
 use crate::step_history::StepHistory;
 
-/// The most entries of a timeline.
+/// The maximum number of entries of a timeline.
 pub const MAX_ENTRIES: usize = 256;
-/// An estimate of the memory that an entry takes with its texts, in bytes.
+/// An estimate of the memory of an entry with its texts, in bytes.
 const ENTRY_BYTES: usize = 256;
 
 /// The timeline of a node, or of the agent itself.
@@ -21,7 +21,7 @@
 }
 
 impl NodeTimeline {
-    /// An empty timeline that begins at `now`.
+    /// An empty timeline that starts at `now`.
     pub fn new(now: Duration) -> Self {
         NodeTimeline {
             entries: VecDeque::new(),
@@ -31,8 +31,8 @@
         }
     }
 
-    /// Inserts an entry by when it happened, so that late ones come between earlier ones. Beyond [`MAX_ENTRIES`] the
-    /// first is dropped.
+    /// Inserts an entry at its position by the time it happened, even if the agent learned of it late. Beyond
+    /// [`MAX_ENTRIES`], the entry that happened first is dropped.
     pub fn insert(&mut self, entry: Entry) {
         self.last_change = self.last_change.max(entry.known);
         let index = self
@@ -45,14 +45,14 @@
         }
     }
 
-    /// The entries that the agent knew of at `known`, in the order in which they happened.
+    /// The entries that the agent had learned of by `known`, in the order in which they happened.
     pub fn as_of(&self, known: Duration) -> impl Iterator<Item = &Entry> {
         self.entries
             .iter()
             .filter(move |entry| entry.known <= known)
     }
 
-    /// The counts over time.
+    /// The node's counts and latencies over time.
     pub fn steps(&self) -> &StepHistory {
         &self.steps
     }
@@ -61,12 +61,12 @@
         &mut self.steps
     }
 
-    /// How many entries were dropped.
+    /// The number of entries dropped beyond [`MAX_ENTRIES`].
     pub fn dropped(&self) -> u64 {
         self.dropped
     }
 
-    /// When an entry or a step was added last.
+    /// The last time at which an entry or a step was added.
     pub fn last_change(&self) -> Duration {
         self.last_change
     }
@@ -75,7 +75,7 @@
         self.last_change = now;
     }
 
-    /// An estimate of the memory it takes, in bytes.
+    /// An estimate of the memory of the timeline, in bytes.
     pub fn memory_bytes(&self) -> usize {
         self.steps.memory_bytes() + self.entries.len() * ENTRY_BYTES
     }
--- a/crates/timeline/src/sequential_test.rs
+++ b/crates/timeline/src/sequential_test.rs
@@ -1,25 +1,27 @@
-//! A sequential test that tells a departure from chance: an e-detector (Shin, Ramdas, Rinaldo) of Shiryaev-Roberts form
-//! on good or bad observations, weighted by time.
+//! A sequential test that distinguishes a departure from chance: an e-detector (Shin, Ramdas, Rinaldo) of
+//! Shiryaev-Roberts form on good or bad observations, weighted by time.
 //!
-//! The premise is that an observation is bad with probability `p0` at most, whatever came before. Each observation x
-//! multiplies the statistic `M` by a bet L(x): p1/p0 if it is bad, (1-p1)/(1-p0) if it is good. The mean of L is at most
-//! 1 under the premise. Before that, `M` gains the time in seconds since the last observation. So `M` less the time
-//! passed is a supermartingale, and the expected time until `M` first reaches `c` is `c` seconds at least, however many
-//! observations that takes, and whenever one stops to look. Several bets are mixed in equal parts, which keeps this.
+//! The null hypothesis is that an observation is bad with probability at most `p0`, whatever the earlier observations
+//! were. At each observation x, the time in seconds since the last one is added to the statistic `M`, and the sum is
+//! multiplied by a bet L(x): p1/p0 if x is bad, (1-p1)/(1-p0) if it is good. Under the null hypothesis the mean of L is
+//! at most 1. Hence `M` minus the elapsed time is a supermartingale, and the expected time until `M` first reaches `c`
+//! is at least `c` seconds, for any number of observations and any stopping rule. The mean of several bets keeps this
+//! property.
 use std::time::Duration;
 
-/// The probabilities bet on, as shares of the way from `p0` to 1: small rises and large ones.
+/// The alternatives p1 of the bets, from small rises to large ones: each as a share of the distance from `p0` to 1.
 const BET_RISES: [f64; 3] = [0.15, 0.45, 0.9];
-/// The bet by which the beginning of a change is estimated.
+/// The index in [`BET_RISES`] of the bet that estimates the onset of a change.
 const MIDDLE_BET: usize = 1;
-/// `p0` is taken to be within these bounds.
+/// The lower bound of `p0`, which keeps the factors finite.
 const MIN_P0: f64 = 1e-4;
+/// The upper bound of `p0`, which leaves room for a rise.
 const MAX_P0: f64 = 0.95;
-/// Keeps the statistic finite; far above any threshold.
+/// Upper bound that keeps the statistic finite; far above any threshold.
 const MAX_STATISTIC_SECONDS: f64 = 1e30;
 
-/// The factors for a given `p0`, computed once for many observations. The first of a pair is for a good observation,
-/// the second for a bad one.
+/// The factors for a given `p0`, computed once for many observations. Index 0 of each array is for a good observation,
+/// index 1 for a bad one.
 #[derive(Clone, Copy, Debug)]
 pub struct Bets {
     factors: [[f64; BET_RISES.len()]; 2],
@@ -28,7 +30,7 @@
 }
 
 impl Bets {
-    /// Bets against the premise that an observation is bad with probability `p0` at most.
+    /// Bets against the null hypothesis that an observation is bad with probability at most `p0`.
     pub fn new(p0: f64) -> Self {
         let p0 = p0.clamp(MIN_P0, MAX_P0);
         let p1 = BET_RISES.map(|rise| p0 + rise * (1.0 - p0));
@@ -41,12 +43,12 @@
     }
 }
 
-/// Where a change seems to have begun.
+/// The estimated onset of a change, and the share of bad observations since then.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ChangeEstimate {
-    /// When it seems to have begun.
+    /// When the change is estimated to have begun.
     pub onset: Duration,
-    /// The share of bad observations since then.
+    /// The share of bad observations since the onset, from 0 to 1.
     pub bad_share: f64,
 }
 
@@ -57,12 +59,12 @@
     bad: u32,
 }
 
-/// A running test.
+/// The state of a running test.
 #[derive(Clone, Debug, Default)]
 pub struct SequentialTest {
     /// The statistic of each bet, in seconds.
     statistics: [f64; BET_RISES.len()],
-    /// The sum of the middle bet's logarithms. A change seems to have begun when that was last at its lowest.
+    /// The sum of the logarithms of the middle bet's factors. The estimated onset is the time of its last minimum.
     log_sum: f64,
     lowest_log_sum: f64,
     onset: Duration,
@@ -71,7 +73,7 @@
 }
 
 impl SequentialTest {
-    /// Takes an observation.
+    /// Updates the statistics and the estimated onset with an observation.
     pub fn observe(&mut self, now: Duration, bets: &Bets, bad: bool) {
         let outcome = usize::from(bad);
         let elapsed = self
@@ -89,17 +91,17 @@
         }
         self.since_onset.observations = self.since_onset.observations.saturating_add(1);
         self.since_onset.bad += u32::from(bad);
-        // Only differences count: kept near 0, so that no precision is lost with age.
+        // Only the difference matters, so both are shifted towards 0 to keep floating-point precision in a long run.
         self.log_sum -= self.lowest_log_sum;
         self.lowest_log_sum = 0.0;
     }
 
-    /// The evidence, in seconds: reaching `c` by chance takes `c` seconds at least in the mean.
+    /// The evidence, in seconds: by chance alone, the mean time until it reaches `c` is at least `c` seconds.
     pub fn evidence(&self) -> f64 {
         self.statistics.iter().sum::<f64>() / BET_RISES.len() as f64
     }
 
-    /// Where a change seems to have begun.
+    /// The estimated onset of a change, whether or not the evidence suffices to report it.
     pub fn change_estimate(&self) -> ChangeEstimate {
         let SinceOnset { observations, bad } = self.since_onset;
         ChangeEstimate {
--- a/crates/timeline/src/step_history.rs
+++ b/crates/timeline/src/step_history.rs
@@ -1,5 +1,6 @@
-//! The counts of a node over time, at several levels: fine steps for the last minutes, coarser ones for the last hour
-//! and day. Steps are folded into coarser ones as they complete; the number of steps of each level is bounded.
+//! The counts of a node over time at several levels of detail: fine steps for the last two minutes, coarser ones for
+//! the last hour and day. Completed steps are downsampled into coarser ones; the number of steps at each level is
+//! bounded.
 use std::collections::VecDeque;
 use std::fmt;
 use std::time::Duration;
@@ -9,16 +10,16 @@
 use crate::entry::AttemptCounts;
 use crate::latency_sketch::{LatencySketch, MAX_BINS, empty_sketch};
 
-/// A level of detail.
+/// A level of detail, with the duration of its steps and the number of them that are kept.
 #[derive(Clone, Copy, Debug)]
 pub struct Level {
-    /// How long a step is, in whole seconds.
+    /// The duration of a step; a whole number of seconds.
     pub step_duration: Duration,
-    /// How many steps are kept.
+    /// The maximum number of steps kept; beyond it the oldest is dropped.
     pub capacity: usize,
 }
 
-/// Two minutes by the second, an hour by fifteen seconds, a day by five minutes.
+/// Two minutes in steps of 1 s, an hour in steps of 15 s, and a day in steps of 5 min.
 pub const LEVELS: [Level; 3] = [
     Level {
         step_duration: Duration::from_secs(1),
@@ -37,35 +38,35 @@
 /// The counts and latencies of a time span.
 #[derive(Clone, Debug)]
 pub struct Step {
-    /// When the span begins, since 1970.
+    /// The start of the span, since the Unix epoch.
     pub from: Duration,
-    /// Its attempts.
+    /// The attempts of the span, counted by outcome.
     pub counts: AttemptCounts,
-    /// The latencies of its successful attempts.
+    /// The latencies of the successful attempts of the span.
     pub latency: LatencySketch,
 }
 
-/// A step and how long it is.
+/// A step with its duration, which depends on the level it comes from.
 #[derive(Clone, Debug)]
 pub struct TimedStep {
-    /// How long the step is.
+    /// The duration of the step: that of its level.
     pub duration: Duration,
-    /// The step.
+    /// The counts and latencies.
     pub step: Step,
 }
 
-/// The step that is being filled.
+/// The step to which counts are added now.
 struct CurrentStep {
     from: Duration,
     counts: AttemptCounts,
     latency: DDSketch,
 }
 
-/// A node's counts over time.
+/// A node's counts over time at all [`LEVELS`].
 pub struct StepHistory {
     current: CurrentStep,
     levels: [VecDeque<Step>; LEVELS.len()],
-    /// The steps of each level that are to be folded into the next one.
+    /// The completed steps of each level that are not yet downsampled into the next level.
     to_downsample: [Vec<Step>; LEVELS.len() - 1],
 }
 
@@ -79,14 +80,14 @@
     }
 }
 
-/// The beginning of the step of this duration in which `at` lies.
+/// The start of the step of this duration that contains `at`.
 fn step_start(at: Duration, step_duration: Duration) -> Duration {
     let step_seconds = step_duration.as_secs().max(1);
     Duration::from_secs(at.as_secs() / step_seconds * step_seconds)
 }
 
 impl StepHistory {
-    /// An empty history; its first step is the one in which `now` lies.
+    /// An empty history, whose first step is the one that contains `now`.
     pub fn new(now: Duration) -> Self {
         let current = CurrentStep {
             from: step_start(now, LEVELS[0].step_duration),
@@ -100,8 +101,8 @@
         }
     }
 
-    /// The counts of the step in which `now` lies. If the step before has ended and is not empty, `on_completed` gets
-    /// it.
+    /// The counts of the step that contains `now`. If the previous step has ended and is not empty, `on_completed` is
+    /// called with it.
     pub fn current(
         &mut self,
         now: Duration,
@@ -118,7 +119,7 @@
         &mut self.current.counts
     }
 
-    /// Begins a step, and returns the one before.
+    /// Starts a new step and returns the previous one.
     fn begin_step(&mut self, from: Duration) -> Step {
         let step = Step {
             from: self.current.from,
@@ -137,7 +138,8 @@
         self.current.latency.add(latency.as_secs_f64());
     }
 
-    /// Adds a step to a level, and folds the steps before it into the next level if they fill a step there.
+    /// Adds a step to a level. If it starts a new step of the next level, the steps before it are downsampled into that
+    /// level.
     fn push_step(&mut self, level: usize, step: Step) {
         if let Some(coarser) = LEVELS.get(level + 1) {
             let coarse_start = |step: &Step| step_start(step.from, coarser.step_duration);
@@ -161,7 +163,8 @@
         }
     }
 
-    /// The completed steps from an instant on, in their order: coarse ones where finer ones are dropped already.
+    /// The completed steps that start at `from` or later, in order of time: coarse ones where the finer ones have been
+    /// dropped.
     pub fn since(&self, from: Duration) -> Vec<TimedStep> {
         let mut found = Vec::new();
         let mut until = Duration::MAX;
@@ -178,7 +181,7 @@
         found
     }
 
-    /// An estimate of the memory it takes, in bytes.
+    /// An estimate of the memory of the history, in bytes.
     pub fn memory_bytes(&self) -> usize {
         let step_bytes = |step: &Step| size_of::<Step>() + step.latency.memory_bytes();
         let kept: usize = self
@@ -193,7 +196,7 @@
     }
 }
 
-/// The step that begins at `from` and holds all of `steps`.
+/// Merges `steps` into one step that starts at `from`.
 fn downsample(from: Duration, steps: &[Step]) -> Step {
     let mut counts = AttemptCounts::default();
     for step in steps {
--- a/crates/timeline/tests/departures.rs
+++ b/crates/timeline/tests/departures.rs
@@ -1,5 +1,5 @@
-//! Departures in virtual time, each with a known cause: what is reported, for which node, build or fleet, how soon, and
-//! that nothing else is reported.
+//! Injects faults into a fleet in virtual time, and checks that each departure is reported with the right kind and
+//! scope and in time, and that nothing else is reported.
 use std::time::Duration;
 
 use lilacgate_test_bed::virtual_time::{
@@ -8,14 +8,14 @@
 use lilacgate_timeline::entry::{DepartureKind, DepartureScope, ReleaseStage};
 use rstest::rstest;
 
-/// When the fault begins.
+/// When the fault begins, after the start of the run.
 const FAULT_START: Duration = Duration::from_secs(60);
 
 fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
 }
 
-/// A day with one fault that lasts `fault_ms`.
+/// A fleet of ten nodes with one fault that lasts `fault_ms`.
 fn fleet_with_fault(fault: Fault, fault_ms: u64) -> VirtualFleet {
     let events = vec![ScheduledFault {
         at: FAULT_START,
@@ -32,17 +32,17 @@
     }
 }
 
-/// A departure that was reported.
+/// The parts of a reported departure that the tests compare.
 #[derive(Clone, Debug, PartialEq)]
 struct Reported {
     scope: DepartureScope,
     kind: DepartureKind,
     class: Option<u8>,
-    /// How long after the beginning of the fault, in seconds.
+    /// The time from the beginning of the fault to the report, in seconds.
     delay_seconds: f64,
 }
 
-/// The departures that a day shows.
+/// Runs the fleet and returns the departures reported as begun.
 fn reported(fleet: &VirtualFleet) -> Vec<Reported> {
     let mut timeline = new_book(0.5);
     let all = run(fleet, &mut timeline, &mut |_| {});
@@ -178,7 +178,7 @@
     else {
         panic!("{reported:?}")
     };
-    // It is twice as slow after 15 s, and late by the monitor's measure after 22 s.
+    // The node is twice as slow after 15 s; its answers count as late after 22 s.
     assert!((10.0..30.0).contains(&delay_seconds), "{reported:?}");
 }
 
@@ -232,11 +232,12 @@
     let after = ended.as_secs_f64() - (EPOCH + FAULT_START + ms(20_000)).as_secs_f64();
     assert!(
         (0.0..12.0).contains(&after) && over.number == begun.number,
-        "{after} {over:?}"
+        "ended {after} s after the end of the fault: {over:?}"
     );
 }
 
-/// A build that slows old and new nodes alike: one departure of the fleet, with its stage as a hint.
+/// A build that slows nodes of the old and the new build alike must give one departure of the fleet, which names the
+/// stage of the new build as a hint.
 #[test]
 fn a_build_that_slows_all_is_a_departure_of_the_fleet() {
     let mut fleet = fleet_with_fault(Fault::AllSlow { factor: 3.5 }, 15_000);
--- a/crates/timeline/tests/fleet_timeline.rs
+++ b/crates/timeline/tests/fleet_timeline.rs
@@ -1,5 +1,5 @@
-//! What a timeline keeps: two times on each entry, steps that fold without losing a count, and bounds that hold whatever
-//! ids come and go.
+//! Checks that a timeline keeps both times of each entry, downsamples steps without losing counts, and stays within its
+//! memory bounds for any sequence of node ids.
 use std::time::Duration;
 
 use lilacgate_decision::{
@@ -13,7 +13,7 @@
 use lilacgate_timeline::step_history::{LEVELS, StepHistory};
 use proptest::prelude::*;
 
-/// An instant, in seconds after the beginning.
+/// The instant this many seconds after the start of the run.
 fn secs(seconds: f64) -> Duration {
     EPOCH + Duration::from_secs_f64(seconds)
 }
@@ -37,18 +37,18 @@
     }
 }
 
-/// An entry about the endpoint list.
+/// A recorded change of a node's state in the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 struct ListedState {
-    /// When it happened, in whole seconds after the beginning.
+    /// When it happened, in whole seconds after the start of the run.
     second: u64,
     build: u16,
     state: String,
 }
 
-/// The entries about node 1 in the endpoint list that were known at `known`, in the order in which they happened.
+/// The states of node 1 in the endpoint list that were known at `known`, in the order in which they happened.
 fn listed_states(timeline: &FleetTimeline, known: Duration) -> Vec<ListedState> {
-    let node = timeline.node(1).expect("a timeline");
+    let node = timeline.node(1).expect("node 1 has a timeline");
     let listed = node.as_of(known).filter_map(|entry| match &entry.event {
         Event::Listed { state, build, .. } => Some(ListedState {
             second: (entry.happened - EPOCH).as_secs(),
@@ -60,7 +60,7 @@
     listed.collect()
 }
 
-/// Updates that come late are inserted where they happened, and what was known earlier stays as it was known.
+/// Late updates are inserted by the time they happened, and a query for an earlier instant returns what was known then.
 #[test]
 fn late_updates_are_inserted_where_they_happened() {
     let mut timeline = timeline(1 << 20, 0);
@@ -74,7 +74,8 @@
             ..entry(1, 1.0)
         }],
     );
-    // It came back at 15 with another build, which is received only now; then the list goes back a version, and on.
+    // The node restarted at 15 with another build, which is only received at 25. Then the list reverts to the previous
+    // version, and returns to the new one.
     timeline.apply_list_update(secs(25.0), ListUpdate::Delta, &[entry(2, 15.0)]);
     timeline.apply_list_update(secs(26.0), ListUpdate::Delta, &[entry(1, 1.0)]);
     timeline.apply_list_update(secs(27.0), ListUpdate::Delta, &[entry(2, 15.0)]);
@@ -122,7 +123,7 @@
     assert_eq!(listed_states(&timeline, Duration::MAX).len(), 3);
 }
 
-/// 5,000 ids within an hour: memory holds, and what was dropped is counted.
+/// With 5,000 node ids within an hour, memory stays within its limit, and dropped entries and timelines are counted.
 #[test]
 fn memory_is_bounded_whatever_ids_come() {
     let limit = 8 << 20;
@@ -156,7 +157,7 @@
         timeline.advance(now);
         assert!(
             timeline.memory_bytes() < limit + (1 << 20),
-            "{} at {id}",
+            "{} bytes after node {id}",
             timeline.memory_bytes()
         );
     }
@@ -185,7 +186,7 @@
         .filter(|record| matches!(record, Record::Entry(entry) if matches!(entry.event, Event::Vote { .. })))
         .count();
     assert_eq!((kept.len(), votes), (50, 40));
-    // What was dropped is recorded as soon as there is room.
+    // The number of dropped records is queued as soon as there is room.
     timeline.record_vote(secs(300.0), Build(2), Stage(0), Vote::Advance);
     assert!(matches!(timeline.take_records()[0], Record::Dropped { count, .. } if count > 60));
 }
@@ -193,7 +194,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 64, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Folding loses no count as long as a level reaches back, and latencies read back within their error.
+    /// Downsampling loses no count as long as the finest level reaches back, and quantiles stay within the sketch's
+    /// error.
     #[test]
     fn downsampling_keeps_counts(gaps in prop::collection::vec((0u64..40, 1u32..30, 1u64..2000), 1..300)) {
         let mut steps = StepHistory::new(EPOCH);
@@ -211,13 +213,13 @@
         steps.current(now + Duration::from_secs(1), &mut |_| {});
         let found = steps.since(Duration::ZERO);
         let succeeded: u32 = found.iter().map(|timed| timed.step.counts.succeeded).sum();
-        // What is folding still is not in a coarse level yet; it stands in the fine one as far as that reaches.
+        // Steps that are not downsampled yet are missing in the coarse levels, but the finest level still holds them.
         let reach: Duration = LEVELS[0].step_duration * LEVELS[0].capacity as u32;
         if now - EPOCH < reach {
             prop_assert_eq!(succeeded, all);
             let merged = LatencySketch::merged(found.iter().map(|timed| &timed.step.latency));
-            let top = merged.quantile(1.0).expect("some").as_secs_f64() * 1e3;
-            prop_assert!((top / slowest_ms as f64 - 1.0).abs() < 0.05, "{} {}", top, slowest_ms);
+            let top = merged.quantile(1.0).expect("the merged sketch holds latencies").as_secs_f64() * 1e3;
+            prop_assert!((top / slowest_ms as f64 - 1.0).abs() < 0.05, "highest quantile {} ms, slowest latency {} ms", top, slowest_ms);
         }
         prop_assert!(succeeded <= all && found.len() <= LEVELS.iter().map(|level| level.capacity).sum());
     }
