--- a/crates/timeline/src/monitor/attempts.rs
+++ b/crates/timeline/src/monitor/attempts.rs
@@ -52,7 +52,7 @@
 struct AnswerTime {
     late: bool,
     /// Whether it counts as an observation of the node's latency: the baseline is known and the node is not warming up.
-    counts: bool,
+    counts_as_observation: bool,
 }
 
 impl FleetMonitor {
@@ -148,7 +148,7 @@
         let Some(answer) = self.compare_answer_time(now, attempt, sent) else {
             return false;
         };
-        if answer.counts {
+        if answer.counts_as_observation {
             observations.push(DepartureKind::Latency, ALL_CLASSES, answer.late);
             observations.push(DepartureKind::Latency, index, answer.late);
         }
@@ -173,8 +173,11 @@
         watched
             .relative_latency
             .add(now, WeightedSum::single(ratio));
-        let counts = known && !watched.is_warming_up(sent, self.config.slow_start);
-        Some(AnswerTime { late, counts })
+        let counts_as_observation = known && !watched.is_warming_up(sent, self.config.slow_start);
+        Some(AnswerTime {
+            late,
+            counts_as_observation,
+        })
     }
 
     /// Adds observations of a node to its signals, to the baselines of its build, and to the signals of the fleet.
--- a/crates/timeline/src/monitor/confirm.rs
+++ b/crates/timeline/src/monitor/confirm.rs
@@ -65,8 +65,8 @@
         let active = self.active_nodes(now);
         let exceeds = |node: &u32| self.recently_exceeds(now, *node, kind, limit);
         let members: Vec<u32> = active.iter().copied().filter(exceeds).collect();
-        let most = members.len() as f64 >= MAJORITY_SHARE * active.len() as f64;
-        if active.len() >= MIN_FLEET_NODES && most {
+        let is_majority = members.len() as f64 >= MAJORITY_SHARE * active.len() as f64;
+        if active.len() >= MIN_FLEET_NODES && is_majority {
             let figures = self.figures(&self.fleet, kind, ALL_CLASSES, now);
             let finding = Finding {
                 scope: DepartureScope::Fleet,
--- a/crates/timeline/src/monitor/departures.rs
+++ b/crates/timeline/src/monitor/departures.rs
@@ -25,10 +25,10 @@
 impl StageStart {
     /// Whether a departure with this onset is reported together with this stage.
     fn is_near(&self, now: Duration, onset: Duration) -> bool {
-        let begun = self.since <= now;
+        let has_begun = self.since <= now;
         let not_before = onset + STAGE_ONSET_TOLERANCE >= self.since;
         let soon_after = onset <= self.since + STAGE_WINDOW;
-        begun && not_before && soon_after
+        has_begun && not_before && soon_after
     }
 }
 
--- a/crates/timeline/src/monitor/membership.rs
+++ b/crates/timeline/src/monitor/membership.rs
@@ -50,7 +50,7 @@
         self.report(departure, true);
     }
 
-    /// Removes a node that is no longer listed, and ends its departures.
+    /// Removes a node that is no longer listed, and ends the departures whose scope is this node.
     pub fn node_removed(&mut self, now: Duration, node: u32) {
         self.end_departures_of(now, node);
         self.nodes.remove(&node);
