--- a/crates/agent/tests/arrival.rs
+++ b/crates/agent/tests/arrival.rs
@@ -1,11 +1,12 @@
-//! Laws of the earliest time at which input may have arrived, by the phase in which the event loop learned of it.
+//! Tests the estimate of the earliest time at which input may have arrived, by the phase of the event loop in which it
+//! was reported.
 use std::time::{Duration, Instant};
 
 use lilacgate_agent::loop_monitor::{HoldUp, LoopPhase};
 use proptest::prelude::{Strategy, proptest};
 use rstest::rstest;
 
-/// A phase whose previous pass, wait and pass began at these milliseconds after `zero`.
+/// Creates a phase whose previous pass, wait and pass started at these milliseconds after `zero`.
 fn phase(zero: Instant, starts: [u64; 3], is_pass_running: bool) -> LoopPhase {
     let [previous_pass_started, wait_started, pass_started] =
         starts.map(|start| zero + Duration::from_millis(start));
@@ -18,11 +19,12 @@
     }
 }
 
-/// After a hold-up that ended at 900, behind a look at 100, a thread reports late what came meanwhile.
+/// The loop polled at 100 ms and was then held up until 900 ms. Input that arrived during the hold-up may be reported
+/// up to 200 ms after it, and is dated by the poll.
 #[rstest]
-#[case::amid_the_next_wait(950, 100)]
-#[case::within_the_time_for_late_reports(1_100, 100)]
-#[case::later(1_101, 1_101)]
+#[case::during_the_next_wait(950, 100)]
+#[case::at_the_end_of_late_reports(1_100, 100)]
+#[case::after_late_reports(1_101, 1_101)]
 fn reports_after_a_hold_up(#[case] reported: u64, #[case] expected: u64) {
     let zero = Instant::now();
     let after = |milliseconds| zero + Duration::from_millis(milliseconds);
@@ -38,18 +40,18 @@
 }
 
 #[rstest]
-// A wait that was over at once: the input came while the pass before it ran.
+// A wait that ended at once: the input arrived during the pass before it.
 #[case::during_a_long_pass([0, 700, 100], false, 700, 100)]
-// Amid a wait that the heartbeat had not ended yet.
+// During a wait that is no longer than the heartbeat allows.
 #[case::during_a_wait([0, 150, 100], false, 200, 200)]
-// The heartbeat should have ended the wait: the process did not run, and the input may have come at its beginning.
+// The heartbeat should have ended the wait: the process did not run, and the input may have arrived at its start.
 #[case::while_stopped([0, 101, 100], false, 900, 100)]
-// Reported while a pass runs, by the look for events that began it: what holds for the wait before it.
-#[case::beside_the_pass_after_a_stop([100, 101, 900], true, 901, 100)]
-#[case::beside_the_pass_after_a_wait([100, 101, 160], true, 161, 161)]
-// Reported later in a pass: it came after the look that began the pass.
+// Reported at the start of a pass, by the poll before it: the same holds as for the wait before the pass.
+#[case::start_of_a_pass_after_a_stop([100, 101, 900], true, 901, 100)]
+#[case::start_of_a_pass_after_a_wait([100, 101, 160], true, 161, 161)]
+// Reported later in a pass: the input arrived after the poll before the pass.
 #[case::late_in_a_pass([100, 101, 160], true, 400, 160)]
-fn the_earliest_arrival(
+fn earliest_arrival_by_phase(
     #[case] starts: [u64; 3],
     #[case] is_pass_running: bool,
     #[case] reported: u64,
@@ -61,7 +63,8 @@
     assert_eq!(earliest - zero, after(expected) - zero);
 }
 
-/// A pass, the wait behind it, and when input came after the pass began: all in milliseconds.
+/// Generates the length of a pass, the length of the wait after it, and the time from the start of the pass to the
+/// arrival of input, all in milliseconds.
 fn pass_wait_and_arrival() -> impl Strategy<Value = (u64, u64, u64)> {
     (0_u64..2_000, 0_u64..2_000).prop_flat_map(|(pass, wait)| {
         let arrivals = 0..=pass + wait;
@@ -70,16 +73,17 @@
 }
 
 proptest! {
-    /// Input that came while a pass or a wait was held up is never taken for much younger than it is.
+    /// Input that arrived during a long pass or wait is never dated later than its arrival by more than a wait lasts.
     #[test]
-    fn input_is_never_taken_for_much_younger((pass, wait, arrival) in pass_wait_and_arrival()) {
-        const HEARTBEAT: u64 = 125;
+    fn input_is_never_dated_much_too_late((pass, wait, arrival) in pass_wait_and_arrival()) {
+        // A wait lasts at most for the heartbeat, 100 ms, and the scheduling slack, 25 ms.
+        const MAX_WAIT_MS: u64 = 125;
         let zero = Instant::now();
-        // What came during the pass ends the wait at once; so does the heartbeat, unless the process is stopped.
+        // Input that arrives during the pass ends the wait at once. A long wait stands for a stopped process.
         let wait = if arrival <= pass { 0 } else { wait };
         let phase = phase(zero, [0, pass, 0], false);
         let earliest = phase.earliest_arrival(zero + Duration::from_millis(pass + wait));
-        let latest_true_arrival = zero + Duration::from_millis(arrival + HEARTBEAT);
-        assert!(earliest <= latest_true_arrival, "{earliest:?} {latest_true_arrival:?}");
+        let latest_allowed = zero + Duration::from_millis(arrival + MAX_WAIT_MS);
+        assert!(earliest <= latest_allowed, "dated {earliest:?}, at most {latest_allowed:?}");
     }
 }
--- a/crates/agent/tests/graceful_shutdown.rs
+++ b/crates/agent/tests/graceful_shutdown.rs
@@ -1,6 +1,6 @@
-//! Planned restarts on loopback: SIGTERM under traffic on connections that are never idle, with new ones coming and an
-//! endpoint that takes requests and does not answer. Whatever was accepted gets one complete answer in time, and the
-//! agent exits by itself before it may be killed.
+//! Planned restarts on loopback: SIGTERM while clients send requests without pause, new connections arrive and an
+//! endpoint accepts requests without answering. Every accepted request must get one complete answer in time, and the
+//! agent must exit by itself before it may be killed.
 use std::path::Path;
 use std::time::Duration;
 
@@ -11,16 +11,16 @@
 use lilacgate_test_bed::test_bed::{AgentTermination, TestBed};
 use rstest::rstest;
 
-/// The longest deadline of the test bed's settings, and what the platform allows beside it.
+/// When a planned restart may kill the agent: the longest deadline of the test bed's settings, and 700 ms more.
 const KILL_TIMEOUT: Duration = Duration::from_millis(1000 + 700);
-/// How much later a loaded machine may be.
+/// How much later events may happen on a loaded machine.
 const SLACK: Duration = Duration::from_millis(500);
 
 #[rstest]
 #[case::busy(24, 0, false)]
-#[case::a_node_hangs(24, 0, true)]
+#[case::an_endpoint_hangs(24, 0, true)]
 #[case::with_pauses(40, 40, true)]
-fn nothing_taken_is_lost_at_a_restart(
+fn no_accepted_request_is_lost_at_a_restart(
     #[case] clients: usize,
     #[case] pause: u64,
     #[case] hangs: bool,
@@ -52,7 +52,7 @@
     }
     bed.wait(Duration::from_millis(300));
     bed.shut_down();
-    // On a loaded machine an answer may come up to half a second after its deadline.
+    // On a loaded machine an answer may arrive up to `SLACK` after its deadline.
     let report = check(
         &bed.event_log.events(),
         &CheckLimits {
--- a/crates/agent/tests/input_reader.rs
+++ b/crates/agent/tests/input_reader.rs
@@ -1,4 +1,4 @@
-//! The reader of a connection's input against a real socket.
+//! Tests the input reader of a connection against a real socket.
 use std::io::Write as _;
 use std::net::{TcpListener, TcpStream};
 use std::sync::Arc;
@@ -9,7 +9,7 @@
 use lilacgate_agent::transport::{InputReader, Parse};
 use rstest::rstest;
 
-/// A parser that wants its item whole, and consumes nothing of it before.
+/// A parser that consumes an item only when all of its bytes are buffered.
 struct WholeItem {
     length: usize,
 }
@@ -29,7 +29,8 @@
     }
 }
 
-/// A buffer that is filled to its limit without an item in it is no end of the stream.
+/// A buffer that is full before an item is complete must fail as too long. Without the check, the read into a buffer
+/// without room would return 0 and look like the end of the stream.
 #[rstest]
 #[case::fits(64, 64, Ok(Some(vec![b'x'; 64])))]
 #[case::larger_than_the_limit(65, 64, Err(ConnectionEnd::TooLong))]
@@ -41,10 +42,12 @@
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let mut client =
         TcpStream::connect(listener.local_addr().expect("its address")).expect("a connection");
-    client.write_all(&[b'x'; 80]).expect("it is written");
+    client
+        .write_all(&[b'x'; 80])
+        .expect("the bytes are written");
     let stream = Arc::new(listener.accept().expect("a connection").0);
     let result = async_io::block_on(async {
-        let stream = Async::new(stream).expect("it is watched");
+        let stream = Async::new(stream).expect("the stream is registered");
         let mut reader = InputReader::new(WholeItem { length }, limit, Duration::from_secs(20));
         reader.next(&stream).await
     });
--- a/crates/agent/tests/parsers.rs
+++ b/crates/agent/tests/parsers.rs
@@ -1,5 +1,6 @@
-//! Incremental parsers. Fed as a whole, byte by byte and cut at every place, they must find the same: a line of their
-//! scenarios is `KIND BYTES => ITEM | ITEM !ERROR`, with \r \n \xHH and <COUNT*BYTES> in the bytes.
+//! Tests the incremental parsers. They must return the same items and errors however the input is split: as a whole,
+//! byte by byte, and in two pieces at any position. A line of the files in `tests/parsers` is
+//! `KIND BYTES => ITEM | ITEM !ERROR`, with \r \n \xHH and <COUNT*BYTES> in the bytes.
 use std::path::PathBuf;
 
 use lilacgate_agent::http_response::{HttpResponse, ValuesAndHeartbeats};
@@ -9,7 +10,7 @@
 use lilacgate_test_bed::scenario_text::unescape;
 use rstest::rstest;
 
-/// What a parser finds in these pieces, as a text.
+/// Feeds the pieces to a parser, and returns its items and its error as text.
 fn parse_pieces<P: Parse>(
     mut parser: P,
     pieces: &[&[u8]],
@@ -32,7 +33,7 @@
     items.join(" | ")
 }
 
-/// What a parser finds in a text, however that is cut.
+/// Returns what a parser finds in a text, and checks that it finds the same however the text is split.
 fn parse_in_all_ways<P: Parse>(
     make_parser: impl Fn() -> P,
     text: &[u8],
@@ -45,7 +46,7 @@
         whole,
         "byte by byte"
     );
-    // Every place of a short text, and some of a long one.
+    // Every position of a short text, and about 500 positions of a long one.
     for cut in (0..text.len()).step_by(1 + text.len() / 500) {
         let (head, tail) = text.split_at(cut);
         assert_eq!(
@@ -94,8 +95,8 @@
         .lines()
         .filter(|line| !line.is_empty() && !line.starts_with('#'))
     {
-        let (input, expected) = line.split_once(" =>").expect("what it finds");
-        let (kind, input) = input.split_once(' ').expect("a kind");
+        let (input, expected) = line.split_once(" =>").expect("expected items after =>");
+        let (kind, input) = input.split_once(' ').expect("a kind of parser");
         let input = unescape(input);
         let found = match kind {
             "commands" => parse_in_all_ways(resp::CommandParser::default, &input, show_command),
@@ -104,21 +105,21 @@
             "lines" => parse_in_all_ways(|| JsonParser::lines(100), &input, show_json),
             "indented" => parse_in_all_ways(|| JsonParser::indented(100), &input, show_json),
             "http" => parse_in_all_ways(|| HttpResponse::new(100), &input, show_json),
-            other => panic!("no parser of {other}"),
+            other => panic!("unknown kind of parser {other}"),
         };
         assert_eq!(found, expected.trim(), "{line:.300}");
     }
 }
 
-/// An empty line between lists is a sign of life; what comes within one is none, so that one which was cut is not
-/// waited for without end.
+/// An empty line between two lists is a heartbeat of the watch. Bytes within a list are not, so that the rest of a list
+/// that was cut off is not awaited for ever.
 #[rstest]
-fn only_between_lists_is_a_watch_alive() {
+fn only_an_empty_line_between_lists_is_a_heartbeat() {
     let mut watch = ValuesAndHeartbeats(HttpResponse::new(100));
     let mut receive = |text: &str| {
         watch
             .take(text.as_bytes())
-            .expect("it can be read")
+            .expect("a valid response")
             .1
             .map(|list| list.is_some())
     };
--- a/crates/agent/tests/upstream.rs
+++ b/crates/agent/tests/upstream.rs
@@ -1,4 +1,4 @@
-//! The upstream pool against a listener of the test's own: how attempts and health checks end.
+//! Tests the upstream pool against a scripted listener: how attempts and health checks end.
 mod support;
 
 use std::io::{Read, Write};
@@ -29,7 +29,7 @@
 };
 const TIMEOUT: Duration = Duration::from_secs(9);
 
-/// Records how attempts and health checks end, and says whether an attempt may still be sent.
+/// Records how attempts and health checks end, and answers whether an attempt may still be sent.
 #[derive(Default)]
 struct RecordingHandler {
     may_send: bool,
@@ -68,7 +68,7 @@
 }
 
 impl RecordingHandler {
-    /// Runs the event loop up to the first outcome.
+    /// Runs the event loop until the first outcome, and returns it.
     fn wait_for_outcome(&mut self, event_loop: &EventLoop) -> Option<Outcome> {
         async_io::block_on(event_loop.run(async {
             while self.outcome.is_none() {
@@ -85,7 +85,7 @@
     }
 }
 
-/// A pool of so many connections, and the listener of its one endpoint.
+/// Creates a pool of at most `max_connections` connections with one endpoint, and that endpoint's listener.
 fn pool_with_endpoint(max_connections: usize) -> (Rc<EventLoop>, Rc<UpstreamPool>, TcpListener) {
     let event_loop = EventLoop::new(Duration::ZERO);
     let settings = Settings::from_lines(SETTINGS);
@@ -106,7 +106,7 @@
     (event_loop, pool, listener)
 }
 
-/// Sends an attempt whose request is the word `hello`.
+/// Sends an attempt whose encoded request is `hello`.
 fn send_hello(event_loop: &EventLoop, pool: Rc<UpstreamPool>, endpoint: EndpointId) {
     let now = event_loop.clock.now();
     let encoded_request: EncodedRequest = Rc::new(|_| b"hello".to_vec());
@@ -119,15 +119,15 @@
     });
 }
 
-/// An attempt that had to wait for its connection goes out only if the decision engine still wants it; else it ends as
-/// not sent, with no byte out. A lack of connections of this agent's own, and an endpoint without an address, are not
-/// sent either: they say nothing of the endpoint.
+/// An attempt that had to wait for its connection is sent only if the decision engine still wants it; otherwise it ends
+/// as not sent, and no byte is written. An attempt for which the agent has no connection left, or whose endpoint has no
+/// address, ends as not sent too, because this is no failure of the endpoint.
 #[rstest]
-#[case::goes(true, 9, 1, Outcome::Rejected)]
-#[case::may_not(false, 9, 1, Outcome::NotSent)]
-#[case::no_link_left(true, 0, 1, Outcome::NotSent)]
+#[case::still_wanted(true, 9, 1, Outcome::Rejected)]
+#[case::no_longer_wanted(false, 9, 1, Outcome::NotSent)]
+#[case::no_connection_left(true, 0, 1, Outcome::NotSent)]
 #[case::no_address(true, 9, 2, Outcome::NotSent)]
-fn asked_before_the_first_byte(
+fn attempt_on_a_new_connection_is_confirmed_first(
     #[case] may_send: bool,
     #[case] max_connections: usize,
     #[case] endpoint: u32,
@@ -149,16 +149,19 @@
     assert_eq!(handler.wait_for_outcome(&event_loop), Some(expected));
     if max_connections > 0 && EndpointId(endpoint) == ENDPOINT {
         drop((event_loop, pool));
-        assert_eq!(received.join().expect("it ends") > 0, may_send);
+        assert_eq!(
+            received.join().expect("the endpoint's thread ends") > 0,
+            may_send
+        );
     }
 }
 
-/// An attempt whose answer breaks off at any byte may have run; a complete answer counts, though its connection ends
-/// or is reset at the same instant. Nothing ends as not sent once the last byte is out.
+/// An attempt whose answer is cut off at any byte may have run, so it never ends as not sent. A complete answer counts
+/// even if its connection is closed or reset at the same instant.
 #[rstest]
-#[case::served("*3\r\n$5\r\nvalue\r\n$-1\r\n$3\r\nu=1\r\n", Outcome::Succeeded)]
+#[case::succeeded("*3\r\n$5\r\nvalue\r\n$-1\r\n$3\r\nu=1\r\n", Outcome::Succeeded)]
 #[case::failed("-ERR failed util=0.5\r\n", Outcome::Failed)]
-#[case::turned_away("-BUSY\r\n", Outcome::Rejected)]
+#[case::rejected("-BUSY\r\n", Outcome::Rejected)]
 fn an_answer_cut_at_each_byte(
     #[case] answer: &'static str,
     #[case] complete: Outcome,
@@ -168,13 +171,13 @@
         let (event_loop, pool, listener) = pool_with_endpoint(9);
         std::thread::spawn(move || {
             let mut connection = listener.accept().expect("a connection").0;
-            // What stands unread at the close resets the connection.
+            // Closing a socket with an unread byte resets the connection.
             connection
                 .read_exact(&mut [0; 5][usize::from(reset)..])
                 .expect("the command");
             connection
                 .write_all(&answer.as_bytes()[..cut])
-                .expect("it is written");
+                .expect("the answer is written");
         });
         send_hello(&event_loop, pool, ENDPOINT);
         let mut handler = RecordingHandler {
@@ -191,16 +194,20 @@
     }
 }
 
-/// The outcome of a health check, and the fields of its report in the decision engine's order, whatever else the
-/// report holds.
+/// A health check ends with the right outcome, and the decision engine gets the fields of the load report in its own
+/// order, without any other fields that the report has.
 #[rstest]
 #[case::report("$28\r\nutil=0.61,queue=2,lat_ms=3.5\r\n", Outcome::Succeeded, &[3.5, 0.61])]
-#[case::none("$-1\r\n", Outcome::Succeeded, &[])]
-#[case::nonsense("$9\r\nlat_ms=??\r\n", Outcome::Succeeded, &[])]
+#[case::no_report("$-1\r\n", Outcome::Succeeded, &[])]
+#[case::unreadable_field("$9\r\nlat_ms=??\r\n", Outcome::Succeeded, &[])]
 #[case::error("-NOPERM\r\n", Outcome::Failed, &[])]
-#[case::wrong("*x\r\n", Outcome::Malformed, &[])]
-#[case::odd(":3\r\n", Outcome::Malformed, &[])]
-fn probes(#[case] answer: &'static str, #[case] expected: Outcome, #[case] loads: &[f32]) {
+#[case::malformed("*x\r\n", Outcome::Malformed, &[])]
+#[case::wrong_type(":3\r\n", Outcome::Malformed, &[])]
+fn health_check_outcomes(
+    #[case] answer: &'static str,
+    #[case] expected: Outcome,
+    #[case] loads: &[f32],
+) {
     let (event_loop, pool, listener) = pool_with_endpoint(9);
     std::thread::spawn(move || {
         let mut connection = listener.accept().expect("a connection").0;
