--- a/crates/agent/tests/scenario_player/agent_process.rs
+++ b/crates/agent/tests/scenario_player/agent_process.rs
@@ -1,4 +1,4 @@
-//! Steps that concern the agent's process: its files, its start and end, its signals, its log.
+//! Steps of the agent's process: its files, start, exit, signals, counters and log.
 use std::io::{BufReader, Write};
 use std::net::{Ipv4Addr, TcpStream};
 use std::path::{Path, PathBuf};
@@ -14,21 +14,24 @@
 
 use super::{Scenario, Words};
 
-/// The command that asks whether the agent is there.
+/// The command that checks whether the agent serves.
 const PING: &[u8] = b"*1\r\n$4\r\nPING\r\n";
-/// How long the agent may take to write its counters before it is asked again.
+/// How long to wait for the agent to write its counters before asking again.
 const COUNTER_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Seeds the draws of injected faults.
+/// The seed of the random choice of calls that fail.
 const FAULT_SEED: u64 = 39;
 
-/// Asks whether the agent is there.
+/// Checks that the agent answers PING.
 pub(super) fn ping(connection: &mut BufReader<TcpStream>) {
-    connection.get_ref().write_all(PING).expect("it is written");
+    connection
+        .get_ref()
+        .write_all(PING)
+        .expect("PING is written");
     assert_eq!(
         read_resp(connection).as_deref(),
         Some("+PONG"),
-        "it stands still"
+        "the agent does not answer PING"
     );
 }
 
@@ -42,18 +45,18 @@
             "start-file" => self.replace_start_file(words.rest),
             "file-limit" => self.file_limit = Some(words.number()),
             "start" => self.start(),
-            "refuses" => self.refuses(words.rest),
+            "start-fails" => self.expect_start_failure(words.rest),
             "faults" => self.set_faults(words.rest),
-            "injected" => self.await_faults(words.number()),
+            "injected-at-least" => self.wait_for_faults(words.number()),
             "signal" => self.agent().signal(words.rest),
             "counter" => self.counter(Words::of(words.rest)),
             "unread-log" => self.unread_log(words.number()),
             "log" => assert!(wait_for_log(&self.log, words.rest), "{}", self.log_text()),
-            "ends" => {
+            "exits" => {
                 let code = self.agent.take().expect("an agent").wait_for_exit();
                 assert_eq!(code.to_string(), words.rest);
             }
-            other => panic!("no step {other}"),
+            other => panic!("unknown step {other}"),
         }
     }
 
@@ -66,7 +69,7 @@
                     .expect("the start file");
             }
             "nothing" => std::fs::remove_file(self.start_file_path()).expect("the start file"),
-            other => panic!("no step start-file {other}"),
+            other => panic!("unknown step start-file {other}"),
         }
     }
 
@@ -78,8 +81,8 @@
         });
     }
 
-    /// Waits until each rule has hit so many calls.
-    fn await_faults(&self, least: u64) {
+    /// Waits until each rule has hit at least this many calls.
+    fn wait_for_faults(&self, least: u64) {
         let script = self.fault_script.as_ref().expect("a script of faults");
         let counts = || lilacgate_fault_script::counts::read(&script.counts).expect("the counts");
         let tries = MAX_WAIT.as_millis() / COUNTER_INTERVAL.as_millis();
@@ -87,7 +90,11 @@
             thread::sleep(COUNTER_INTERVAL);
             counts().iter().all(|count| *count >= least)
         });
-        assert!(is_reached, "only {:?} calls were hit", counts());
+        assert!(
+            is_reached,
+            "the rules hit {:?} calls, expected at least {least} each",
+            counts()
+        );
     }
 
     fn spawn(&mut self) {
@@ -118,7 +125,7 @@
         self.platform.await_watch();
     }
 
-    fn refuses(&mut self, text: &str) {
+    fn expect_start_failure(&mut self, text: &str) {
         self.spawn();
         let exit = self.agent.take().expect("an agent").wait_for_exit();
         assert_eq!(exit.to_string(), "1");
@@ -140,14 +147,17 @@
         });
         let log = self.log_text();
         let last_line = log.lines().last().unwrap_or_default();
-        assert!(is_shown, "no{expected}in {last_line}");
+        assert!(
+            is_shown,
+            "expected{expected}in the counters, got {last_line}"
+        );
     }
 
-    /// Asks for the counters so many times while nobody reads the log.
+    /// Asks for the counters this many times while nobody reads the log.
     fn unread_log(&self, times: u32) {
         let mut connection = self.connect();
         let reading = self.agent().log_reader_gate.clone();
-        let held = reading.lock().expect("a lock");
+        let held = reading.lock().expect("the lock");
         for _ in 0..times {
             self.agent().signal("USR1");
             ping(&mut connection);
@@ -163,9 +173,9 @@
         self.folder.path().join("operator.xml")
     }
 
-    /// Writes the start file, and the operator's file where there is one.
+    /// Writes the start file, and the operator's file if there is one.
     pub(super) fn write_files(&self) {
-        let peer = self.peers[0].local_addr().expect("its address");
+        let peer = self.peers[0].local_addr().expect("the peer's address");
         let values = [
             ("LISTEN", self.listen.to_string()),
             ("DISCOVERY", self.discovery.address.to_string()),
--- a/crates/agent/tests/scenario_player/clients.rs
+++ b/crates/agent/tests/scenario_player/clients.rs
@@ -11,7 +11,8 @@
 use super::agent_process::ping;
 use super::{Scenario, Words};
 
-/// A client whose connection finds the backlog full gets an answer only to its next try, a second later.
+/// The timeout of a connection without a second try. If the backlog is full, the kernel drops the first SYN, and the
+/// connection is established only after its retransmission a second later.
 const BACKLOG_TIMEOUT: Duration = Duration::from_millis(900);
 /// The first bytes of a command.
 const PARTIAL_COMMAND: &[u8] = b"*4\r\n$9\r\nSVC";
@@ -27,38 +28,39 @@
                 for _ in 0..words.number() {
                     let mut connection = self.connect();
                     ping(&mut connection);
-                    self.other_clients.push(connection);
+                    self.unnamed_clients.push(connection);
                 }
             }
-            "open-partial" => {
+            "open-with-partial-command" => {
                 for _ in 0..words.number() {
                     let connection = self.connect();
                     connection
                         .get_ref()
                         .write_all(PARTIAL_COMMAND)
-                        .expect("it is written");
-                    self.other_clients.push(connection);
+                        .expect("the bytes are written");
+                    self.unnamed_clients.push(connection);
                 }
             }
-            "backlog" => {
+            "connect" => {
                 for client in 0..words.number() {
-                    self.connect_at_once(client);
+                    self.connect_without_retry(client);
                 }
             }
-            "close-all" => self.other_clients.clear(),
-            other => panic!("no step {other}"),
+            "close-all" => self.unnamed_clients.clear(),
+            other => panic!("unknown step {other}"),
         }
     }
 
-    /// Connects without a second try.
-    fn connect_at_once(&mut self, client: u32) {
+    /// Connects a client, and fails if the backlog is full.
+    fn connect_without_retry(&mut self, client: u32) {
         let connection = TcpStream::connect_timeout(&self.listen, BACKLOG_TIMEOUT);
-        let connection = connection
-            .unwrap_or_else(|error| panic!("client {client} finds no place in line: {error}"));
+        let connection = connection.unwrap_or_else(|error| {
+            panic!("client {client} finds no place in the backlog: {error}")
+        });
         connection
             .set_read_timeout(Some(MAX_WAIT))
             .expect("a time-out");
-        self.other_clients.push(BufReader::new(connection));
+        self.unnamed_clients.push(BufReader::new(connection));
     }
 
     fn named_client_step(&mut self, name: &str, what: &str) {
@@ -69,29 +71,32 @@
         let connection = self.clients.get_mut(name).expect("a client");
         let words = Words::of(what);
         match words.first {
-            "opens" => {}
+            "connects" => {}
             "leaves" => drop(self.clients.remove(name)),
             "raw" => connection
                 .get_ref()
                 .write_all(&unescape(words.rest))
-                .expect("it is written"),
+                .expect("the bytes are written"),
             "reads" => {
-                let answer = read_resp(connection).unwrap_or_else(|| "the end".into());
+                let answer = read_resp(connection).unwrap_or_else(|| "end-of-connection".into());
                 assert!(
                     matches_pattern(words.rest, &answer),
                     "client {name} reads {answer:.200}"
                 );
             }
-            "stops" => connection
+            "shuts-down-sending" => connection
                 .get_ref()
                 .shutdown(Shutdown::Write)
-                .expect("its side ends"),
-            "reset" => assert!(is_reset(connection), "client {name}'s command was read"),
-            "closed" => {
+                .expect("the sending side is closed"),
+            "reset" => assert!(
+                is_reset(connection),
+                "client {name}'s connection is not reset: its command was read"
+            ),
+            "end-of-stream" => {
                 let length = connection.read(&mut [0]).expect("no reset");
                 assert_eq!(length, 0, "client {name} is still served");
             }
-            "ended" => {
+            "disconnected" => {
                 let timeout = words.rest.parse().map_or(MAX_WAIT, Duration::from_millis);
                 assert!(
                     ends_within(connection, timeout),
@@ -99,7 +104,7 @@
                 );
             }
             "answered-within" => {
-                let answer = read_resp(connection).unwrap_or_else(|| "the end".into());
+                let answer = read_resp(connection).unwrap_or_else(|| "end-of-connection".into());
                 let elapsed = self.commands_sent[name].elapsed();
                 assert!(
                     elapsed <= Duration::from_millis(words.number()),
@@ -114,7 +119,7 @@
     }
 }
 
-/// Whether the agent's side is reset: behind its end, that shows in what is written next.
+/// Whether the agent has reset the connection. After the end of the stream, this shows only in later writes.
 fn is_reset(connection: &BufReader<TcpStream>) -> bool {
     (0..100).any(|_| {
         thread::sleep(Duration::from_millis(10));
@@ -122,7 +127,7 @@
     })
 }
 
-/// Whether the connection ends within this time.
+/// Whether the connection ends, or is reset, within this time.
 fn ends_within(connection: &mut BufReader<TcpStream>, timeout: Duration) -> bool {
     connection
         .get_ref()
@@ -134,7 +139,7 @@
     }
 }
 
-/// Sends a command; `,d` without a value stands for a deadline of 30 seconds.
+/// Sends a command. `,d` without a value stands for a deadline of 30 seconds.
 fn send_command(connection: &BufReader<TcpStream>, command_text: &str) {
     let text = if command_text.contains(",d=") {
         command_text.to_owned()
@@ -145,5 +150,5 @@
     connection
         .get_ref()
         .write_all(encode_command(&parts).as_bytes())
-        .expect("it is written");
+        .expect("the bytes are written");
 }
--- a/crates/agent/tests/scenario_player/control.rs
+++ b/crates/agent/tests/scenario_player/control.rs
@@ -9,7 +9,7 @@
 
 use super::{ControlPlane, Scenario, Words};
 
-/// The places that an operator's file names.
+/// The content of <places> in the operator's file.
 const PLACES: &str = r#"<places><zone name="x"/><firm name="f"/><firm name="g"/><product name="read"/>
 <product name="post"/><product name="book"/><agent name="n0" firm="f"/></places>"#;
 
@@ -19,7 +19,7 @@
             self.discovery = match words.rest {
                 "moves silent" => silent_discovery_server(),
                 "moves" => discovery_server(),
-                other => panic!("no step discovery {other}"),
+                other => panic!("unknown step discovery {other}"),
             };
             return self.write_files();
         }
@@ -29,14 +29,18 @@
             "requested" if list.rest == CONNECTION_END => self.discovery.expect_connection_end(),
             "requested" => {
                 let request = self.discovery.next_message();
-                assert!(request.contains(list.rest), "requested {request}");
+                assert!(
+                    request.contains(list.rest),
+                    "expected a request with {}, got {request}",
+                    list.rest
+                );
             }
-            "drops" => self.discovery.close_current(),
+            "closes" => self.discovery.close_current(),
             _ => self.send_list_changes(words.rest),
         }
     }
 
-    /// Sends changes to the list, each as `NAME[@WHERE]:STATE[:BUILD]`.
+    /// Sends changes of the endpoint list, each written as `NAME[@WHERE]:STATE[:BUILD]`.
     fn send_list_changes(&mut self, changes: &str) {
         self.list_version += 1;
         let entries: Vec<String> = changes
@@ -72,7 +76,7 @@
             ("release", _) => {
                 let [build, stage, state, cap] = words.rest.split(' ').collect::<Vec<_>>()[..]
                 else {
-                    panic!("no step release {}", words.rest)
+                    panic!("unknown step release {}", words.rest)
                 };
                 let update = rollout_notification(&release_update(build, stage, state, cap));
                 self.platform.send(update.as_bytes());
@@ -85,8 +89,8 @@
                 );
             }
             ("vote", "answers") => self.platform.server.write(&unescape(what.rest)),
-            ("vote", "ends") => self.platform.server.close_current(),
-            (first, _) => panic!("no step {first} {}", words.rest),
+            ("vote", "closes") => self.platform.server.close_current(),
+            (first, _) => panic!("unknown step {first} {}", words.rest),
         }
     }
 
@@ -99,14 +103,14 @@
         let service = self.services.get_mut(what.first).expect("a control plane");
         match what.rest.split(' ').collect::<Vec<_>>()[..] {
             ["requested"] => service.await_watch(),
-            ["dies"] => service.server.close(service.last_watch),
-            ["vanishes"] => service.server.shut_down(),
+            ["closes"] => service.server.close(service.last_watch),
+            ["stops-listening"] => service.server.shut_down(),
             ["raw", ..] => service.send(&unescape(Words::of(what.rest).rest)),
             [build, stage, state] => {
                 let update = rollout_notification(&release_update(build, stage, state, "1"));
                 service.send(update.as_bytes());
             }
-            _ => panic!("no step service {}", words.rest),
+            _ => panic!("unknown step service {}", words.rest),
         }
     }
 
@@ -120,13 +124,13 @@
         }
         let text = self.operator_file.take().expect("an operator's file");
         self.operator_file = Some(match words.first {
-            "another" => text.replace("n0", "n7"),
+            "operator-names-other-agent" => text.replace("n0", "n7"),
             _ => text.replace("</operator>", &format!("<timeline {rest}/></operator>")),
         });
     }
 
     pub(super) fn peer_step(&mut self, words: Words) {
-        let sender = &self.peers[usize::from(words.first == "stranger")];
+        let sender = &self.peers[usize::from(words.first == "unknown-peer")];
         let payload = unescape(Words::of(words.rest).rest);
         let text = &self.start_file.text;
         let receiver = text
@@ -134,7 +138,10 @@
             .nth(1)
             .and_then(|rest| rest.split('"').next());
         sender
-            .send_to(&payload, receiver.expect("where peers listen"))
-            .expect("it is sent");
+            .send_to(
+                &payload,
+                receiver.expect("the address that peers listen on"),
+            )
+            .expect("the datagram is sent");
     }
 }
--- a/crates/agent/tests/scenario_player/endpoints.rs
+++ b/crates/agent/tests/scenario_player/endpoints.rs
@@ -9,22 +9,22 @@
 use lilacgate_test_bed::start_file::EndpointEntry;
 use socket2::{Domain, Socket, Type};
 
-use super::{FullEndpoint, Scenario, Words};
+use super::{FullBacklogEndpoint, Scenario, Words};
 
-/// The build of an endpoint that is given none.
+/// The build of an endpoint whose step names none.
 const FIRST_BUILD: &str = "1";
-/// The most connections that fill a backlog of one.
+/// The largest number of connections that it takes to fill a backlog of 1.
 const MAX_FILLING: usize = 16;
-/// How long a connection to a full backlog is tried.
+/// The connect timeout by which a full backlog is recognised.
 const FILLING_TIMEOUT: Duration = Duration::from_millis(200);
 
 impl Scenario {
     pub(super) fn endpoint_step(&mut self, words: Words) {
         match words.first {
             "endpoint" => self.add_endpoint(Words::of(words.rest)),
-            "full" => self.add_full_endpoint(words.rest),
-            name if self.full_endpoints.contains_key(name) => {
-                self.full_endpoint_step(name, words.rest);
+            "full-backlog" => self.add_full_backlog_endpoint(words.rest),
+            name if self.full_backlog_endpoints.contains_key(name) => {
+                self.full_backlog_endpoint_step(name, words.rest);
             }
             name => self.named_endpoint_step(name, Words::of(words.rest)),
         }
@@ -43,43 +43,60 @@
         self.endpoints.insert(name.into(), server);
     }
 
-    fn add_full_endpoint(&mut self, name: &str) {
+    fn add_full_backlog_endpoint(&mut self, name: &str) {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
         let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
         socket.bind(&any_port.into()).expect("a free port");
-        socket.listen(1).expect("it listens");
+        socket.listen(1).expect("a listening socket");
         let listener = TcpListener::from(socket);
-        let address = listener.local_addr().expect("its address");
+        let address = listener.local_addr().expect("a local address");
         let connect = || TcpStream::connect_timeout(&address, FILLING_TIMEOUT).ok();
         let connections: Vec<TcpStream> = std::iter::from_fn(connect).take(MAX_FILLING).collect();
-        assert!(connections.len() < MAX_FILLING, "its backlog is never full");
+        assert!(
+            connections.len() < MAX_FILLING,
+            "the backlog is not full after {MAX_FILLING} connections"
+        );
         let listed = EndpointEntry::new(name, address, "x", "ready", FIRST_BUILD).to_json();
         self.saved_list.push(listed);
-        let full_endpoint = FullEndpoint {
+        let full_backlog_endpoint = FullBacklogEndpoint {
             listener,
             connections,
         };
-        self.full_endpoints.insert(name.into(), full_endpoint);
+        self.full_backlog_endpoints
+            .insert(name.into(), full_backlog_endpoint);
     }
 
-    fn full_endpoint_step(&mut self, name: &str, what: &str) {
-        let endpoint = self.full_endpoints.get_mut(name).expect("a full endpoint");
+    fn full_backlog_endpoint_step(&mut self, name: &str, what: &str) {
+        let endpoint = self
+            .full_backlog_endpoints
+            .get_mut(name)
+            .expect("a full endpoint");
         match what {
-            "takes" => {
+            "accepts" => {
                 for _ in endpoint.connections.drain(..) {
-                    endpoint.listener.accept().expect("it waits in line");
+                    endpoint.listener.accept().expect("a filling connection");
                 }
-                // The agent's own comes last.
-                let agents = endpoint.listener.accept().expect("the agent's").0;
+                // The agent's connection is the last one in the backlog.
+                let agents = endpoint
+                    .listener
+                    .accept()
+                    .expect("the agent's connection")
+                    .0;
                 endpoint.connections.push(agents);
             }
-            "untouched" => {
+            "receives-nothing" => {
                 let connection = &endpoint.connections[0];
-                connection.set_nonblocking(true).expect("it does not wait");
+                connection
+                    .set_nonblocking(true)
+                    .expect("non-blocking mode is set");
                 let read = connection.peek(&mut [0]).map_err(|error| error.kind());
-                assert_eq!(read, Err(ErrorKind::WouldBlock), "it was sent on");
+                assert_eq!(
+                    read,
+                    Err(ErrorKind::WouldBlock),
+                    "{name} received bytes on the agent's connection"
+                );
             }
-            other => panic!("no step {name} {other}"),
+            other => panic!("unknown step {name} {other}"),
         }
     }
 
@@ -87,7 +104,7 @@
         let server = self
             .endpoints
             .get_mut(name)
-            .unwrap_or_else(|| panic!("no step {name} {}", words.first));
+            .unwrap_or_else(|| panic!("unknown step or endpoint: {name} {}", words.first));
         match words.first {
             "gets" if words.rest == CONNECTION_END => server.expect_connection_end(),
             "gets" => {
@@ -97,30 +114,30 @@
                     "{name} gets {command:.200}"
                 );
             }
-            "told-at-most" => {
-                let told = server.last_message().and_then(time_told);
+            "deadline-at-most" => {
+                let deadline = server.last_message().and_then(deadline_of);
                 let most = words.number();
                 assert!(
-                    told.is_some_and(|told| told <= most),
-                    "{name} is told {told:?}"
+                    deadline.is_some_and(|deadline| deadline <= most),
+                    "{name} has {deadline:?} ms left, expected at most {most}"
                 );
             }
             "answers" => server.write(&unescape(words.rest)),
-            "ends" => server.close_current(),
-            "vanishes" => server.shut_down(),
-            "waits" => assert!(server.is_idle(), "{name} got something"),
-            "turns" => server.select_connection_of(words.rest),
-            "links" => {
-                let connections = server.connections.lock().expect("a lock").len();
+            "closes" => server.close_current(),
+            "stops-listening" => server.shut_down(),
+            "idle" => assert!(server.is_idle(), "{name} got an unexpected message"),
+            "selects" => server.select_connection_of(words.rest),
+            "connections" => {
+                let connections = server.connections.lock().expect("the lock").len();
                 assert_eq!(connections.to_string(), words.rest);
             }
-            other => panic!("no step {name} {other}"),
+            other => panic!("unknown step {name} {other}"),
         }
     }
 }
 
-/// The time in milliseconds that a command tells its endpoint.
-fn time_told(command: &str) -> Option<u64> {
+/// Returns the deadline in a command to an endpoint, in milliseconds.
+fn deadline_of(command: &str) -> Option<u64> {
     let (_, value) = command.split_once(",d=")?;
     let end = value.find(|letter: char| !letter.is_ascii_digit());
     value[..end.unwrap_or(value.len())].parse().ok()
--- a/crates/agent/tests/scenario_player/mod.rs
+++ b/crates/agent/tests/scenario_player/mod.rs
@@ -1,4 +1,4 @@
-//! The state of a scenario, and the way of each step to whom it concerns.
+//! Plays scenarios: holds the state of a scenario, and passes each step to the part that carries it out.
 mod agent_process;
 mod clients;
 mod control;
@@ -20,10 +20,10 @@
 };
 use lilacgate_test_bed::start_file::StartFileTemplate;
 
-/// The version of the list that the agent starts with.
+/// The version of the endpoint list that the agent starts with.
 const FIRST_LIST_VERSION: u64 = 5;
 
-/// A step or a part of one: its first word, and the rest.
+/// A step or a part of one, split into its first word and the rest.
 #[derive(Clone, Copy)]
 struct Words<'a> {
     first: &'a str,
@@ -41,7 +41,7 @@
     }
 }
 
-/// A scripted release control plane, and the connection of its last watch.
+/// A scripted release control plane, with the connection of its last watch.
 struct ControlPlane {
     server: ScriptedServer,
     watches: Receiver<Received>,
@@ -73,38 +73,38 @@
     }
 }
 
-/// An endpoint whose backlog is full, and the connections that fill it.
-struct FullEndpoint {
+/// An endpoint whose backlog is full, with the connections that fill it.
+struct FullBacklogEndpoint {
     listener: TcpListener,
     connections: Vec<TcpStream>,
 }
 
-/// A scenario as far as it has been played.
+/// The state of a scenario that is being played.
 pub(crate) struct Scenario {
     start_file: StartFileTemplate,
-    /// The entries of the list in the start file.
+    /// The entries of the endpoint list in the start file.
     saved_list: Vec<String>,
     endpoints: HashMap<String, ScriptedServer>,
-    full_endpoints: HashMap<String, FullEndpoint>,
+    full_backlog_endpoints: HashMap<String, FullBacklogEndpoint>,
     discovery: ScriptedServer,
     list_version: u64,
     platform: ControlPlane,
     /// The release control planes of other services.
     services: HashMap<String, ControlPlane>,
-    /// A peer that the agent knows, and one that it does not.
+    /// A peer that the start file names, and one that it does not name.
     peers: [UdpSocket; 2],
     clients: HashMap<String, BufReader<TcpStream>>,
-    /// When each of them sent its last command.
+    /// When each client sent its last command.
     commands_sent: HashMap<String, Instant>,
-    /// Clients without a name, which only stay connected.
-    other_clients: Vec<BufReader<TcpStream>>,
-    /// How many files the agent may open, if that is bounded.
+    /// Clients without a name, which only keep their connections open.
+    unnamed_clients: Vec<BufReader<TcpStream>>,
+    /// The limit on the files that the agent may open, if there is one.
     file_limit: Option<u32>,
-    /// Which of its system calls fail, if any do.
+    /// The rules by which the agent's system calls fail, if any do.
     fault_script: Option<Script>,
-    /// The operator's file, where there is one.
+    /// The text of the operator's file, if there is one.
     operator_file: Option<String>,
-    /// Where the agent listens for clients.
+    /// The address that the agent listens on for clients.
     listen: SocketAddr,
     folder: tempfile::TempDir,
     agent: Option<AgentProcess>,
@@ -119,7 +119,7 @@
             start_file: StartFileTemplate::default(),
             saved_list: Vec::new(),
             endpoints: HashMap::new(),
-            full_endpoints: HashMap::new(),
+            full_backlog_endpoints: HashMap::new(),
             discovery: discovery_server(),
             list_version: FIRST_LIST_VERSION,
             platform: ControlPlane::new(),
@@ -127,7 +127,7 @@
             peers: [socket(), socket()],
             clients: HashMap::new(),
             commands_sent: HashMap::new(),
-            other_clients: Vec::new(),
+            unnamed_clients: Vec::new(),
             file_limit: None,
             fault_script: None,
             operator_file: None,
@@ -142,20 +142,24 @@
     pub(crate) fn play(&mut self, step: &str) {
         let words = Words::of(step);
         match words.first {
-            "later" => thread::sleep(Duration::from_millis(words.number())),
-            "set" | "start" | "refuses" | "signal" | "counter" | "ends" | "log" | "file-limit"
-            | "unread-log" | "start-file" | "faults" | "injected" => self.agent_step(words),
-            "client" | "open" | "close-all" | "backlog" | "open-partial" => self.client_step(words),
+            "wait" => thread::sleep(Duration::from_millis(words.number())),
+            "set" | "start" | "start-fails" | "signal" | "counter" | "exits" | "log"
+            | "file-limit" | "unread-log" | "start-file" | "faults" | "injected-at-least" => {
+                self.agent_step(words)
+            }
+            "client" | "open" | "close-all" | "connect" | "open-with-partial-command" => {
+                self.client_step(words)
+            }
             "list" | "discovery" => self.discovery_step(words),
             "release" | "vote" | "platform" => self.platform_step(words),
             "control-plane" | "service" => self.service_step(words),
-            "operator" | "timeline" | "another" => self.operator_step(words),
-            "peer" | "stranger" => self.peer_step(words),
+            "operator" | "timeline" | "operator-names-other-agent" => self.operator_step(words),
+            "peer" | "unknown-peer" => self.peer_step(words),
             _ => self.endpoint_step(words),
         }
     }
 
-    /// Opens a connection to the agent, and tries again until it listens.
+    /// Opens a connection to the agent, and retries until the agent listens.
     fn connect(&self) -> BufReader<TcpStream> {
         for _ in 0..MAX_WAIT.as_millis() / 10 {
             if let Ok(connection) = TcpStream::connect(self.listen) {
@@ -174,11 +178,11 @@
     }
 
     fn log_text(&self) -> String {
-        self.log.lock().expect("a lock").clone()
+        self.log.lock().expect("the lock").clone()
     }
 }
 
-/// A scenario that fails shows what its agent has logged, after the steps played so far.
+/// If the scenario fails, prints the agent's log after the steps played so far.
 impl Drop for Scenario {
     fn drop(&mut self) {
         if thread::panicking() {
--- a/crates/test-bed/src/scripted_server.rs
+++ b/crates/test-bed/src/scripted_server.rs
@@ -18,7 +18,7 @@
 pub const MAX_WAIT: Duration = Duration::from_secs(20);
 
 /// The message that stands for the end of a connection.
-pub const CONNECTION_END: &str = "the end";
+pub const CONNECTION_END: &str = "end-of-connection";
 
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 
