--- a/crates/agent/tests/agent.rs
+++ b/crates/agent/tests/agent.rs
@@ -1,6 +1,7 @@
 //! Plays every scenario in `tests/scenarios` against the agent, which runs as a process of its own, with scripted
 //! servers on free loopback ports. Each line of a scenario is a step. NAME is a name that an `endpoint` or
-//! `full-backlog` step has given to an endpoint. In a PATTERN, `*` stands for any text.
+//! `full-backlog` step has given to an endpoint. In a PATTERN, `*` stands for any text. Lines that start with
+//! `#` are comments; those at the head say which failure the scenario guards against.
 //!
 //!     endpoint NAME [BUILD]        an endpoint listens, and is in the list that the agent starts with
 //!     full-backlog NAME            an endpoint in that list whose backlog is full: connections are established only
