--- a/crates/agent/src/clients/admission.rs
+++ b/crates/agent/src/clients/admission.rs
@@ -13,7 +13,7 @@
 use crate::unanswered::FinalAnswer;
 
 /// One in this many connections gets no request slot: it is there only to have its requests rejected.
-const CONNECTIONS_PER_UNSLOTTED: usize = 5;
+const CONNECTIONS_PER_ONE_WITHOUT_SLOT: usize = 5;
 
 impl Clients {
     /// Executes a command, or passes its request on to the event loop.
@@ -117,8 +117,10 @@
                 connection.has_request_slot.get() && connection.end_reason.get().is_none()
             })
             .count();
-        let unslotted = self.max_connections.div_ceil(CONNECTIONS_PER_UNSLOTTED);
-        used < self.max_connections - unslotted
+        let without_slot = self
+            .max_connections
+            .div_ceil(CONNECTIONS_PER_ONE_WITHOUT_SLOT);
+        used < self.max_connections - without_slot
     }
 }
 
--- a/crates/agent/src/clients/connection.rs
+++ b/crates/agent/src/clients/connection.rs
@@ -33,7 +33,7 @@
     /// Whether the last command was not complete within its time limit.
     has_command_timed_out: Cell<bool>,
     /// Whether a partly read command has been answered with `-BUSY`; no further command is executed then.
-    is_partial_command_refused: Cell<bool>,
+    is_command_refused: Cell<bool>,
     /// When a command last arrived or a reply was last written.
     pub(super) last_activity: Cell<Duration>,
 }
@@ -53,7 +53,7 @@
             has_partial_command,
             end_reason: Cell::default(),
             has_command_timed_out: Cell::default(),
-            is_partial_command_refused: Cell::default(),
+            is_command_refused: Cell::default(),
             last_activity: Cell::new(opened),
         }
     }
@@ -72,11 +72,11 @@
                 .upgrade()
                 .is_none_or(|stream| has_no_input(&stream))
         };
-        if self.is_partial_command_refused.get() || !self.has_partial_command.get() && is_empty() {
+        if self.is_command_refused.get() || !self.has_partial_command.get() && is_empty() {
             return;
         }
         count(Count::RequestsRefused);
-        self.is_partial_command_refused.set(true);
+        self.is_command_refused.set(true);
         self.replies.push_line("-BUSY");
     }
 
@@ -108,7 +108,7 @@
                 ConnectionEnd::Malformed | ConnectionEnd::TooLong | ConnectionEnd::TooManyMessages
             )
         );
-        is_unreadable || self.has_command_timed_out.get() || self.is_partial_command_refused.get()
+        is_unreadable || self.has_command_timed_out.get() || self.is_command_refused.get()
     }
 
     /// Returns what is done with input that follows the last executed command.
@@ -117,7 +117,7 @@
             ConnectionEnd::Malformed | ConnectionEnd::TooLong | ConnectionEnd::TooManyMessages => {
                 TrailingInput::Discarded
             }
-            _ if self.is_partial_command_refused.get() => TrailingInput::Discarded,
+            _ if self.is_command_refused.get() => TrailingInput::Discarded,
             _ => TrailingInput::Unread,
         }
     }
@@ -240,9 +240,7 @@
                 }
             };
             match next {
-                Some(Ok(_)) if connection.is_partial_command_refused.get() => {
-                    break ConnectionEnd::Evicted;
-                }
+                Some(Ok(_)) if connection.is_command_refused.get() => break ConnectionEnd::Evicted,
                 Some(Ok((arrived, command))) => {
                     // An attempt for a client that has left would be wasted work for the endpoint.
                     if arrived.elapsed() >= LATE_READ_THRESHOLD
--- a/crates/agent/src/clients/eviction.rs
+++ b/crates/agent/src/clients/eviction.rs
@@ -30,7 +30,7 @@
     pub(super) fn evict_idle(&self, eviction: Eviction) -> bool {
         let now = self.event_loop.clock.now();
         let is_at_bound = self.connections.borrow().len() >= self.max_connections;
-        let idle_time = if is_at_bound {
+        let min_idle_time = if is_at_bound {
             Duration::ZERO
         } else {
             self.connect_timeout
@@ -41,7 +41,7 @@
             }
             let is_used = connection.has_received_command.get();
             let grace = if is_used {
-                idle_time
+                min_idle_time
             } else {
                 FIRST_COMMAND_GRACE
             };
@@ -49,7 +49,7 @@
             connection.last_activity.get() + grace <= now
                 && (is_unused_and_open || connection.is_idle())
         };
-        let order = |connection: &&Rc<ConnectionState>| {
+        let eviction_order = |connection: &&Rc<ConnectionState>| {
             (
                 connection.has_received_command.get(),
                 connection.last_activity.get(),
@@ -60,7 +60,7 @@
             .borrow()
             .values()
             .filter(is_evictable)
-            .min_by_key(order)
+            .min_by_key(eviction_order)
             .cloned();
         longest_idle
             .inspect(|connection| {
--- a/crates/agent/src/event_loop.rs
+++ b/crates/agent/src/event_loop.rs
@@ -24,7 +24,7 @@
 use crate::transport::Notifier;
 use crate::unanswered::{FinalAnswer, UnansweredRequests};
 
-/// An event for the decision engine, or for the release gate beside it.
+/// An event for the decision engine or the release gate.
 pub(crate) type Event = Box<dyn FnOnce(&mut EventRouter)>;
 
 /// The result of an attempt that has ended.
--- a/crates/agent/tests/agent.rs
+++ b/crates/agent/tests/agent.rs
@@ -37,7 +37,7 @@
 //!     list closes                  discovery closes the watch
 //!     release BUILD STAGE STATE CAP   the platform sends a release update
 //!     release raw BYTES            the platform sends bytes
-//!     release requested            a new watch of the platform has come
+//!     release requested            a new watch of the platform has arrived
 //!     vote gets PATTERN            the next request with a vote matches
 //!     vote answers BYTES           the platform answers the vote
 //!     vote closes                  the platform closes the connection for votes
@@ -53,7 +53,7 @@
 //!     operator-names-other-agent   the operator's file does not name this agent
 //!     timeline ATTRIBUTES          the operator's file has a <timeline> with these; FOLDER is the scenario's folder
 //!     control-plane NAME           a release control plane of another service listens
-//!     service NAME requested       a new watch of that release control plane has come
+//!     service NAME requested       a new watch of that release control plane has arrived
 //!     service NAME closes          it closes the watch
 //!     service NAME stops-listening    it stops listening and closes all connections
 //!     service NAME raw BYTES       it sends bytes
