--- a/crates/timeline/src/monitor/attempts.rs
+++ b/crates/timeline/src/monitor/attempts.rs
@@ -1,4 +1,4 @@
-//! Turns the ends of attempts into observations of the node they were sent to.
+//! Turns ended attempts into observations of the nodes they were sent to.
 use std::time::Duration;
 
 use super::FleetMonitor;
@@ -7,19 +7,19 @@
 use crate::baseline::WeightedSum;
 use crate::entry::DepartureKind;
 
-/// What names an attempt.
+/// Identifies an attempt by its request and its number within the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId {
-    /// The number of its request.
+    /// The number of the request.
     pub request: u32,
-    /// Its number among the request's attempts.
+    /// The number of the attempt within the request, from 0.
     pub attempt: u8,
 }
 
-/// How an attempt ended, as far as a monitor is concerned.
+/// The outcome of an attempt, in the categories that the monitor distinguishes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptResult {
-    /// The node did what was requested.
+    /// The node answered with success.
     Succeeded,
     /// The node answered with an error, or with a malformed answer.
     Failed,
@@ -33,30 +33,30 @@
     NotSent,
 }
 
-/// An attempt that has ended.
+/// An ended attempt, as the monitor takes it.
 #[derive(Clone, Copy, Debug)]
 pub struct EndedAttempt {
-    /// Which attempt.
+    /// The id that was passed to [`FleetMonitor::attempt_sent`].
     pub id: AttemptId,
     /// The node it was sent to.
     pub node: u32,
-    /// The class of its request.
+    /// The request class, numbered from 0.
     pub class: u8,
-    /// How it ended.
+    /// The outcome.
     pub result: AttemptResult,
-    /// How long it took since it was sent.
+    /// The time from sending the attempt to its end.
     pub duration: Duration,
 }
 
-/// An answer time compared with the baseline.
+/// The comparison of an answer time with the baseline.
 struct AnswerTime {
     late: bool,
-    /// Whether it counts as an observation of the node's latency.
-    counts: bool,
+    /// Whether it counts as an observation of the node's latency: the baseline is known and the node is not warming up.
+    counts_as_observation: bool,
 }
 
 impl FleetMonitor {
-    /// An attempt was sent to a node.
+    /// Records that an attempt was sent to a node.
     pub fn attempt_sent(&mut self, now: Duration, node: u32, id: AttemptId) {
         self.sent_since_tick += 1.0;
         if let Some(watched) = self.nodes.get_mut(&node) {
@@ -64,7 +64,7 @@
         }
     }
 
-    /// An attempt ended. Returns whether its answer was late.
+    /// Turns an ended attempt into observations of its node. Returns whether the answer was late.
     pub fn attempt_ended(&mut self, now: Duration, attempt: &EndedAttempt) -> bool {
         let Some(watched) = self.nodes.get_mut(&attempt.node) else {
             return false;
@@ -86,13 +86,13 @@
         late
     }
 
-    /// The place of a class's own signals, if the class is known.
-    fn place_of(&self, class: u8) -> Option<usize> {
+    /// The index of the class's own signals; `None` if the class is unknown.
+    fn class_signal_index(&self, class: u8) -> Option<usize> {
         let class = usize::from(class);
         (class < self.config.classes).then_some(class + 1)
     }
 
-    /// Adds what the end of an attempt says about connections, silence and errors.
+    /// Adds the observations of connections, silence and errors that an ended attempt gives.
     fn observe_result(
         &self,
         attempt: &EndedAttempt,
@@ -109,8 +109,8 @@
                 let failed = attempt.result == AttemptResult::Failed;
                 observations.push(DepartureKind::Silence, ALL_CLASSES, false);
                 observations.push(DepartureKind::Errors, ALL_CLASSES, failed);
-                if let Some(place) = self.place_of(attempt.class) {
-                    observations.push(DepartureKind::Errors, place, failed);
+                if let Some(index) = self.class_signal_index(attempt.class) {
+                    observations.push(DepartureKind::Errors, index, failed);
                 }
             }
             AttemptResult::Unanswered if self.shows_silence(attempt.node, sent) => {
@@ -120,7 +120,8 @@
         }
     }
 
-    /// Whether nothing was received from the node since an attempt was sent, and the agent was not paused meanwhile.
+    /// Whether nothing has been received from the node since the attempt was sent, without a pause of the agent in
+    /// between.
     fn shows_silence(&self, node: u32, sent: Duration) -> bool {
         let nothing_received = self
             .nodes
@@ -129,7 +130,7 @@
         nothing_received && sent >= self.resumed_at
     }
 
-    /// Adds what the time to an answer says about latency. Returns whether the answer was late.
+    /// Adds the observations of latency that a successful answer gives. Returns whether the answer was late.
     fn observe_answer_time(
         &mut self,
         now: Duration,
@@ -137,24 +138,24 @@
         sent: Duration,
         observations: &mut Observations,
     ) -> bool {
-        // While the agent was paused, the time to an answer was not the node's.
+        // The measured time includes the agent's own pause, so it says nothing about the node.
         if attempt.result != AttemptResult::Succeeded || sent < self.resumed_at {
             return false;
         }
-        let Some(place) = self.place_of(attempt.class) else {
+        let Some(index) = self.class_signal_index(attempt.class) else {
             return false;
         };
         let Some(answer) = self.compare_answer_time(now, attempt, sent) else {
             return false;
         };
-        if answer.counts {
+        if answer.counts_as_observation {
             observations.push(DepartureKind::Latency, ALL_CLASSES, answer.late);
-            observations.push(DepartureKind::Latency, place, answer.late);
+            observations.push(DepartureKind::Latency, index, answer.late);
         }
         answer.late
     }
 
-    /// Compares an answer time with the baseline, and takes it into the baseline.
+    /// Compares an answer time with the baseline, then adds it to the baseline.
     fn compare_answer_time(
         &mut self,
         now: Duration,
@@ -166,15 +167,20 @@
         let seconds = attempt.duration.as_secs_f64();
         let baseline_seconds = baseline.mean(seconds, 1.0);
         let known = baseline.weight() >= LATENCY_PRIOR_WEIGHT;
-        baseline.add(now, WeightedSum::of(seconds));
+        baseline.add(now, WeightedSum::single(seconds));
         let ratio = seconds / baseline_seconds.max(MIN_BASELINE_SECONDS);
         let late = known && ratio > LATE_FACTOR * watched.baseline_relative_latency();
-        watched.relative_latency.add(now, WeightedSum::of(ratio));
-        let counts = known && !watched.is_warming_up(sent, self.config.slow_start);
-        Some(AnswerTime { late, counts })
+        watched
+            .relative_latency
+            .add(now, WeightedSum::single(ratio));
+        let counts_as_observation = known && !watched.is_warming_up(sent, self.config.slow_start);
+        Some(AnswerTime {
+            late,
+            counts_as_observation,
+        })
     }
 
-    /// Takes observations of a node into its signals, and into those of its build and of the fleet.
+    /// Adds observations of a node to its signals, to the baselines of its build, and to the signals of the fleet.
     pub(super) fn observe(&mut self, now: Duration, node: u32, observations: &[Observation]) {
         let Some(watched) = self.nodes.get_mut(&node) else {
             return;
@@ -185,10 +191,10 @@
             .builds
             .entry(watched.build)
             .or_insert_with(|| Signals::new(classes));
-        for &Observation { kind, place, bad } in observations {
-            build.of_mut(kind)[place].baseline.observe(now, bad);
-            watched.signals.of_mut(kind)[place].observe(now, bad);
-            self.fleet.of_mut(kind)[place].observe(now, bad);
+        for &Observation { kind, index, bad } in observations {
+            build.of_kind_mut(kind)[index].baseline.observe(now, bad);
+            watched.signals.of_kind_mut(kind)[index].observe(now, bad);
+            self.fleet.of_kind_mut(kind)[index].observe(now, bad);
         }
     }
 }
