--- a/crates/decision/src/engine/attempts.rs
+++ b/crates/decision/src/engine/attempts.rs
@@ -106,7 +106,7 @@
     }
 
     /// Sends an attempt if there is an endpoint for it, and gives the request up if the operator's rules permit none.
-    /// Otherwise returns when to try again, with the subset and the odds refreshed.
+    /// Otherwise returns when to try again, with the subset and the selection weights refreshed.
     fn try_attempt(&mut self, id: RequestId, actions: &mut dyn Actions) -> Option<Duration> {
         if let Some(endpoint) = self.choose_endpoint(id) {
             self.send_attempt(id, endpoint, actions);
--- a/crates/decision/src/engine/mod.rs
+++ b/crates/decision/src/engine/mod.rs
@@ -30,7 +30,7 @@
 use crate::state::pending_requests::PendingRequests;
 use crate::state::schedule::Schedule;
 
-/// The load estimate, the subset and the odds are refreshed after this many ticks at the latest. They are refreshed
+/// The load estimate, the subset and the selection weights are refreshed after this many ticks at the latest, and
 /// earlier after more events than there are endpoint records.
 const REFRESH_TICKS: u32 = 20;
 /// A round that begins more than this many ticks after its wake-up was due shows that the agent itself stalled. What
--- a/crates/decision/src/engine/refresh.rs
+++ b/crates/decision/src/engine/refresh.rs
@@ -1,12 +1,12 @@
 //! The periodic refresh, which serves many events: the load estimate, the ejection of silent endpoints, the subset, and
-//! the odds.
+//! the selection weights.
 use std::time::Duration;
 
 use super::{DecisionEngine, REFRESH_TICKS};
 use crate::model::PerArm;
-use crate::policy::endpoint_odds::OddsInputs;
 use crate::policy::load_balancing::recent_pace;
 use crate::policy::outlier_ejection::{self, eject_silent, max_silence};
+use crate::policy::selection_weights::SelectionWeightInputs;
 use crate::policy::subsetting::{SubsetSelection, assigned_count};
 use crate::state::evidence::WorkSums;
 use crate::state::half_lives::{BASELINE_HALF_LIFE, RECENT_HALF_LIFE};
@@ -62,7 +62,8 @@
         );
     }
 
-    /// Chooses the subset if the list is long, then computes the odds of all candidates and the work that is due.
+    /// Chooses the subset if the list is long, then computes the selection weights of all candidates and the work that
+    /// is due.
     fn refresh_candidates(&mut self) {
         let assigned_count = assigned_count(&self.load);
         let mut first_assigned = PerArm::default();
@@ -78,7 +79,7 @@
         } else {
             self.subset.is_sufficient = false;
         }
-        let inputs = OddsInputs {
+        let inputs = SelectionWeightInputs {
             now: self.now,
             fleet_position: self.fleet_position,
             load: &self.load,
--- a/crates/decision/src/policy/load_balancing.rs
+++ b/crates/decision/src/policy/load_balancing.rs
@@ -1,5 +1,5 @@
-//! Load balancing: which endpoint a request goes to. The arm is drawn first, then two endpoints of it by their odds
-//! (power of two choices); the request goes to the one where it is expected to wait less.
+//! Load balancing: which endpoint a request goes to. The arm is drawn first, then two endpoints of it by their
+//! selection weights (power of two choices); the request goes to the one where it is expected to wait less.
 use std::time::Duration;
 
 use rand::RngExt;
@@ -21,9 +21,9 @@
 /// Weighted draws before the whole arm is searched: a few mostly find an endpoint that the request may go to, unless
 /// hardly any is.
 const MAX_DRAWS: usize = 4;
-/// In the search of the whole arm, the odds of an endpoint that the request has already been sent to are divided by
-/// this: it is used only where there is hardly another.
-const REPEATED_ENDPOINT_ODDS_DIVISOR: f64 = 100.0;
+/// In the search of the whole arm, the selection weight of an endpoint that the request has already been sent to is
+/// divided by this: it is used only where there is hardly another.
+const REPEATED_ENDPOINT_WEIGHT_DIVISOR: f64 = 100.0;
 /// Cost of an endpoint in another zone, as a multiple of that of one in the agent's own zone.
 const REMOTE_ZONE_COST_MULTIPLE: f64 = 2.0;
 /// Weight of an endpoint's failure share in its cost: one that fails everything costs 1 / (1 - 0.9), ten times as much.
@@ -77,8 +77,8 @@
 
 impl EndpointSelection<'_> {
     /// Chooses an endpoint: the canary's arm with a probability of the canary's share of the listed weight, then the
-    /// cheaper one of two endpoints of that arm, drawn by their odds. If the arm has none that the request may go to,
-    /// the other arm is tried.
+    /// cheaper one of two endpoints of that arm, drawn by their selection weights. If the arm has none that the request
+    /// may go to, the other arm is tried.
     pub(crate) fn choose(&self, request: &PendingRequest, random: &mut Pcg64Mcg) -> Choice {
         // A request that was sent to a canary and needs another attempt goes to an earlier build: the canary may fail
         // it again.
@@ -113,7 +113,7 @@
     /// Draws an endpoint that the request may go to and has not been sent to; `None` if a few draws find none.
     ///
     /// # Errors
-    /// No candidate has odds above zero.
+    /// No candidate has a selection weight above zero.
     fn draw(
         &self,
         request: &PendingRequest,
@@ -121,7 +121,8 @@
         random: &mut Pcg64Mcg,
     ) -> Result<Option<EndpointId>, WeightError> {
         for _ in 0..MAX_DRAWS {
-            let drawn = candidates.choose_weighted(random, |candidate| candidate.odds)?;
+            let drawn =
+                candidates.choose_weighted(random, |candidate| candidate.selection_weight)?;
             let endpoint = drawn.endpoint;
             if self.permits(request, endpoint) && !request.was_sent_to(endpoint) {
                 return Ok(Some(endpoint));
@@ -146,15 +147,15 @@
             .iter()
             .filter(|candidate| self.permits(request, candidate.endpoint))
             .collect();
-        let odds = |candidate: &&Candidate| {
+        let selection_weight = |candidate: &&Candidate| {
             if request.was_sent_to(candidate.endpoint) {
-                candidate.odds / REPEATED_ENDPOINT_ODDS_DIVISOR
+                candidate.selection_weight / REPEATED_ENDPOINT_WEIGHT_DIVISOR
             } else {
-                candidate.odds
+                candidate.selection_weight
             }
         };
         permitted
-            .choose_weighted(random, odds)
+            .choose_weighted(random, selection_weight)
             .ok()
             .map(|candidate| candidate.endpoint)
     }
@@ -191,8 +192,8 @@
     }
 
     /// The wait that a request may expect at an endpoint, in relation to the wait that is usual there; without unit.
-    /// The endpoint's speed and weight are left out, since the odds contain them: when they counted twice, the fastest
-    /// endpoints were overcrowded.
+    /// The endpoint's speed and weight are left out, since the selection weight contains them: when they counted twice,
+    /// the fastest endpoints were overcrowded.
     fn cost(&self, endpoint: EndpointId) -> f64 {
         let Some(record) = self.endpoints.records.get(&endpoint) else {
             return f64::MAX;
--- a/crates/decision/src/policy/mod.rs
+++ b/crates/decision/src/policy/mod.rs
@@ -1,6 +1,5 @@
 //! All decisions, one concern in each module. A constant is in the module of the policy that uses it.
 pub(crate) mod admission;
-pub(crate) mod endpoint_odds;
 pub(crate) mod exposure;
 pub(crate) mod idle_connections;
 pub(crate) mod list_polling;
@@ -9,6 +8,7 @@
 pub(crate) mod outlier_ejection;
 pub(crate) mod release_analysis;
 pub(crate) mod retry;
+pub(crate) mod selection_weights;
 pub(crate) mod sequential_test;
 pub(crate) mod slow_start;
 pub(crate) mod subsetting;
--- a/crates/decision/src/policy/endpoint_odds.rs
+++ b/crates/decision/src/policy/selection_weights.rs
@@ -1,5 +1,5 @@
-//! The odds with which endpoints are drawn for requests, and the share of requests that the canary gets. They are
-//! computed at each refresh.
+//! The selection weights by which endpoints are drawn for requests, and the share of requests that the canary gets.
+//! They are computed at each refresh.
 use std::time::Duration;
 
 use super::exposure::Exposure;
@@ -12,16 +12,16 @@
 use crate::state::endpoint_table::EndpointTable;
 use crate::state::load_estimate::LoadEstimate;
 
-/// The odds of an endpoint that is not assigned to the agent are multiplied by this, so that it is used only when no
-/// assigned one can be.
-const UNASSIGNED_ODDS_FACTOR: f64 = 1e-3;
+/// The selection weight of an endpoint that is not assigned to the agent is multiplied by this, so that it is used only
+/// when no assigned one can be.
+const UNASSIGNED_WEIGHT_FACTOR: f64 = 1e-3;
 /// The canary gets no share of requests while, in relation to its weight, more than this many times as many attempts
 /// are outstanding at it as at the earlier builds.
 const QUEUE_IMBALANCE: f64 = 1.5;
 
-/// What the odds of endpoints are computed from.
+/// What the selection weights of endpoints are computed from.
 #[derive(Clone, Copy)]
-pub(crate) struct OddsInputs<'a> {
+pub(crate) struct SelectionWeightInputs<'a> {
     pub(crate) now: Duration,
     pub(crate) fleet_position: FleetPosition,
     pub(crate) load: &'a LoadEstimate,
@@ -34,18 +34,19 @@
     pub(crate) first_assigned: PerArm<usize>,
 }
 
-/// The candidates of one arm, and the sums of their weights, outstanding attempts and odds.
+/// The candidates of one arm, and the sums of their listed weights, outstanding attempts and selection weights.
 #[derive(Debug, Default)]
 struct ArmCandidates {
     candidates: Vec<Candidate>,
     weight: f64,
     outstanding: f64,
-    odds: f64,
+    selection_weight: f64,
 }
 
-impl OddsInputs<'_> {
-    /// Lists the endpoints that requests choose from, with their odds and the canary's share of requests. Also records
-    /// in the table which share of the agent's requests each endpoint would get by its odds, for slow start.
+impl SelectionWeightInputs<'_> {
+    /// Lists the endpoints that requests choose from, with their selection weights and the canary's share of requests.
+    /// Also records in the table which share of the agent's requests each endpoint would get by its selection weight,
+    /// for slow start.
     pub(crate) fn candidates(&self, endpoints: &mut EndpointTable) -> Candidates {
         let mut arms = self.collect(endpoints);
         let listed_weight = if endpoints.has_subset {
@@ -66,7 +67,7 @@
         // baseline endpoints is computed as if all requests went to the baseline.
         for (arm, share) in [(Arm::Baseline, 1.0), (Arm::Canary, listed_share)] {
             let listed = listed_weight[arm];
-            self.assign_odds(arm, share, listed, &mut arms[arm], endpoints);
+            self.assign_selection_weights(arm, share, listed, &mut arms[arm], endpoints);
         }
         Candidates {
             by_arm: PerArm {
@@ -83,7 +84,8 @@
         }
     }
 
-    /// Collects the endpoints of each arm that may get requests, with odds by weight, slow start and long-run pace.
+    /// Collects the endpoints of each arm that may get requests, with selection weights by listed weight, slow start
+    /// and long-run pace.
     fn collect(&self, endpoints: &EndpointTable) -> PerArm<ArmCandidates> {
         let mut arms = PerArm::<ArmCandidates>::default();
         let is_candidate = |record: &&EndpointRecord| {
@@ -97,14 +99,14 @@
         for record in endpoints.ready().filter(is_candidate) {
             let capacity_share = self.slow_start.capacity_share(record.age(self.now));
             let weight = record.weight() * capacity_share;
-            let odds = weight / baseline_pace(record, self.now, self.load);
+            let selection_weight = weight / baseline_pace(record, self.now, self.load);
             let arm = &mut arms[self.exposure.arm(record.endpoint.build)];
             arm.weight += weight;
             arm.outstanding += record.outstanding.len() as f64;
-            arm.odds += odds;
+            arm.selection_weight += selection_weight;
             arm.candidates.push(Candidate {
                 endpoint: record.id(),
-                odds,
+                selection_weight,
                 rank: record.rank,
             });
         }
@@ -125,8 +127,8 @@
     }
 
     /// Records which share of the agent's requests each endpoint of an arm would get if the arm got `share` of them,
-    /// then lowers the odds of the endpoints that are not assigned to the agent.
-    fn assign_odds(
+    /// then lowers the selection weights of the endpoints that are not assigned to the agent.
+    fn assign_selection_weights(
         &self,
         arm: Arm,
         share: f64,
@@ -152,14 +154,15 @@
         };
         for (index, candidate) in members.candidates.iter_mut().enumerate() {
             if let Some(record) = endpoints.records.get_mut(&candidate.endpoint) {
-                record.traffic_share = share * candidate.odds / members.odds * part_of_listed;
+                record.traffic_share =
+                    share * candidate.selection_weight / members.selection_weight * part_of_listed;
             }
             let distance = (index as f64 / count - assigned_start).rem_euclid(1.0) * count;
             let is_assigned = distance < self.assigned_count;
-            candidate.odds *= if is_assigned {
+            candidate.selection_weight *= if is_assigned {
                 1.0
             } else {
-                UNASSIGNED_ODDS_FACTOR
+                UNASSIGNED_WEIGHT_FACTOR
             };
         }
     }
--- a/crates/decision/src/state/candidates.rs
+++ b/crates/decision/src/state/candidates.rs
@@ -6,7 +6,7 @@
 pub(crate) struct Candidate {
     pub(crate) endpoint: EndpointId,
     /// Relative probability that load balancing draws it; not normalised.
-    pub(crate) odds: f64,
+    pub(crate) selection_weight: f64,
     /// Rank in the subset by distance from the agent on the hash ring, from 0; `None` outside the subset.
     pub(crate) rank: Option<usize>,
 }
