--- a/crates/decision/src/engine/outcomes.rs
+++ b/crates/decision/src/engine/outcomes.rs
@@ -112,7 +112,7 @@
             && !attempt.was_warming_up
             && self.overload().wait_share(policy.latency_objective) < QUEUE_WAIT_SHARE;
         let record = self.endpoints.records.get(&ended.endpoint);
-        let model_paces = &self.analysis.evidence.model_paces;
+        let model_latency_ratios = &self.analysis.evidence.model_latency_ratios;
         let observed = ObservedOutcome {
             attempt,
             policy: &policy,
@@ -120,8 +120,11 @@
             took: ended.took,
             is_endpoint_alive,
             is_timing_comparable,
-            model_pace: record
-                .and_then(|record| model_paces.get(&record.endpoint.machine_model).copied()),
+            model_latency_ratio: record.and_then(|record| {
+                model_latency_ratios
+                    .get(&record.endpoint.machine_model)
+                    .copied()
+            }),
             mean_work: self.load.mean_work,
         };
         if let Some(counts) = observed.counts() {
--- a/crates/decision/src/engine/refresh.rs
+++ b/crates/decision/src/engine/refresh.rs
@@ -4,7 +4,7 @@
 
 use super::{DecisionEngine, REFRESH_TICKS};
 use crate::model::PerArm;
-use crate::policy::load_balancing::recent_pace;
+use crate::policy::load_balancing::recent_latency_ratio;
 use crate::policy::outlier_ejection::{self, eject_silent, max_silence};
 use crate::policy::selection_weights::SelectionWeightInputs;
 use crate::policy::subsetting::{SubsetSelection, assigned_count};
@@ -26,13 +26,16 @@
         let sample_period = Duration::from_secs_f64(FEW_REQUESTS / self.load.served_rate.max(1.0));
         self.load.sample_period = sample_period.clamp(RECENT_HALF_LIFE, BASELINE_HALF_LIFE);
         if let Some(status) = self.exposure.release_status {
-            let paces = self.endpoints.paces_before(self.now, status.build);
-            self.analysis.evidence.model_paces.extend(paces);
+            let latency_ratios = self.endpoints.latency_ratios_before(self.now, status.build);
+            self.analysis
+                .evidence
+                .model_latency_ratios
+                .extend(latency_ratios);
             self.load.lost_share = self.analysis.lost_share(self.now, status, &self.load);
         }
     }
 
-    /// Accounts for the time that has passed, then updates the load estimate and the median pace.
+    /// Accounts for the time that has passed, then updates the load estimate and the median latency ratio.
     fn refresh_load(&mut self) {
         let now = self.now;
         let elapsed = std::mem::take(&mut self.schedule.elapsed);
@@ -46,12 +49,12 @@
         self.load.refresh(now, &self.endpoints, &self.demand);
         let median = self
             .endpoints
-            .median(|record| recent_pace(record, now, &self.load));
-        self.load.median_pace = median.unwrap_or(self.load.baseline_pace);
+            .median(|record| recent_latency_ratio(record, now, &self.load));
+        self.load.median_latency_ratio = median.unwrap_or(self.load.baseline_latency_ratio);
     }
 
     fn eject_silent_endpoints(&mut self) {
-        let max_silence = max_silence(self.load.median_pace, self.load.mean_work);
+        let max_silence = max_silence(self.load.median_latency_ratio, self.load.mean_work);
         let resumed_at = self.schedule.resumed_at;
         eject_silent(
             &mut self.endpoints,
--- a/crates/decision/src/policy/load_balancing.rs
+++ b/crates/decision/src/policy/load_balancing.rs
@@ -28,24 +28,39 @@
 const REMOTE_ZONE_COST_MULTIPLE: f64 = 2.0;
 /// Weight of an endpoint's failure share in its cost: one that fails everything costs 1 / (1 - 0.9), ten times as much.
 const FAILURE_COST_WEIGHT: f64 = 0.9;
-/// Weight of the long-run pace in an endpoint's recent pace, in mean requests: with as much recent work the two count
-/// alike, with less the long-run pace prevails.
-const PACE_PRIOR_REQUESTS: f64 = 2.0;
-/// Lower bound of an endpoint's long-run pace, which other values are divided by.
-const MIN_PACE: f64 = 1e-3;
+/// Weight of the long-run latency ratio in an endpoint's recent latency ratio, in mean requests: with as much recent
+/// work the two count alike, with less the long-run latency ratio prevails.
+const LATENCY_RATIO_PRIOR_REQUESTS: f64 = 2.0;
+/// Lower bound of an endpoint's long-run latency ratio, which other values are divided by.
+const MIN_LATENCY_RATIO: f64 = 1e-3;
 
-/// An endpoint's long-run pace: time taken for each second of estimated work. While little work of it is known, the
+/// An endpoint's long-run latency ratio: time taken divided by estimated work. While little work of it is known, the
 /// value is close to the mean of all endpoints.
-pub(crate) fn baseline_pace(record: &EndpointRecord, now: Duration, load: &LoadEstimate) -> f64 {
-    let own = record.health.baseline_pace.read(now, BASELINE_HALF_LIFE);
-    ((own.numerator + load.baseline_pace) / (own.denominator + 1.0)).max(MIN_PACE)
+pub(crate) fn baseline_latency_ratio(
+    record: &EndpointRecord,
+    now: Duration,
+    load: &LoadEstimate,
+) -> f64 {
+    let own = record
+        .health
+        .baseline_latency_ratio
+        .read(now, BASELINE_HALF_LIFE);
+    ((own.numerator + load.baseline_latency_ratio) / (own.denominator + 1.0)).max(MIN_LATENCY_RATIO)
 }
 
-/// An endpoint's recent pace. While little recent work of it is known, the value is close to its long-run pace.
-pub(crate) fn recent_pace(record: &EndpointRecord, now: Duration, load: &LoadEstimate) -> f64 {
-    let own = record.health.recent_pace.read(now, RECENT_HALF_LIFE);
-    let prior = PACE_PRIOR_REQUESTS * load.mean_work;
-    (own.numerator + prior * baseline_pace(record, now, load)) / (own.denominator + prior)
+/// An endpoint's recent latency ratio. While little recent work of it is known, the value is close to its long-run
+/// latency ratio.
+pub(crate) fn recent_latency_ratio(
+    record: &EndpointRecord,
+    now: Duration,
+    load: &LoadEstimate,
+) -> f64 {
+    let own = record
+        .health
+        .recent_latency_ratio
+        .read(now, RECENT_HALF_LIFE);
+    let prior = LATENCY_RATIO_PRIOR_REQUESTS * load.mean_work;
+    (own.numerator + prior * baseline_latency_ratio(record, now, load)) / (own.denominator + prior)
 }
 
 /// The result of choosing an endpoint for a request.
@@ -203,8 +218,8 @@
         } else {
             REMOTE_ZONE_COST_MULTIPLE
         };
-        let slowdown =
-            recent_pace(record, self.now, self.load) / baseline_pace(record, self.now, self.load);
+        let slowdown = recent_latency_ratio(record, self.now, self.load)
+            / baseline_latency_ratio(record, self.now, self.load);
         let outstanding =
             record.outstanding.len() as f64 * self.load.mean_weight / record.weight().max(1e-3);
         zone_cost * (1.0 + outstanding) * slowdown
--- a/crates/decision/src/policy/outcome_scoring.rs
+++ b/crates/decision/src/policy/outcome_scoring.rs
@@ -26,9 +26,9 @@
     pub(crate) is_endpoint_alive: bool,
     /// The time taken is evidence about the build: both arms answer, the endpoint had warmed up, and there is no queue.
     pub(crate) is_timing_comparable: bool,
-    /// The usual pace of the endpoint's model at earlier builds, in seconds taken for each second of estimated work;
+    /// The usual latency ratio of the endpoint's model at earlier builds: time taken divided by estimated work;
     /// `None` if no such endpoint was observed.
-    pub(crate) model_pace: Option<f64>,
+    pub(crate) model_latency_ratio: Option<f64>,
     /// Mean work of a request, in seconds.
     pub(crate) mean_work: f64,
 }
@@ -39,14 +39,14 @@
     /// other than the build: queues fill up, and machines die, freeze or are cut off.
     pub(crate) fn counts(&self) -> Option<OutcomeCounts> {
         let is_failure = self.is_failure()?;
-        let model_pace = self
-            .model_pace
+        let model_latency_ratio = self
+            .model_latency_ratio
             .filter(|_| self.is_timing_comparable && self.outcome == Outcome::Succeeded);
         Some(OutcomeCounts {
             outcomes: 1,
             failures: u8::from(is_failure),
-            timed: u8::from(model_pace.is_some()),
-            slow: u8::from(model_pace.is_some_and(|pace| self.is_slow(pace))),
+            timed: u8::from(model_latency_ratio.is_some()),
+            slow: u8::from(model_latency_ratio.is_some_and(|ratio| self.is_slow(ratio))),
         })
     }
 
@@ -66,8 +66,8 @@
 
     /// Whether the answer took far longer than the model usually takes. The work of the request is taken as halfway
     /// between its own estimate, which is rough, and the mean of all requests.
-    fn is_slow(&self, model_pace: f64) -> bool {
+    fn is_slow(&self, model_latency_ratio: f64) -> bool {
         let typical_work = self.attempt.work + self.mean_work;
-        self.took.as_secs_f64() > SLOW_MULTIPLE * model_pace * typical_work / 2.0
+        self.took.as_secs_f64() > SLOW_MULTIPLE * model_latency_ratio * typical_work / 2.0
     }
 }
--- a/crates/decision/src/policy/outlier_ejection.rs
+++ b/crates/decision/src/policy/outlier_ejection.rs
@@ -84,8 +84,8 @@
 }
 
 /// How long an endpoint may be silent before it is ejected, in seconds.
-pub(crate) fn max_silence(median_pace: f64, mean_work: f64) -> f64 {
-    SILENCE_MULTIPLE * median_pace * mean_work
+pub(crate) fn max_silence(median_latency_ratio: f64, mean_work: f64) -> f64 {
+    SILENCE_MULTIPLE * median_latency_ratio * mean_work
 }
 
 /// Readmits an endpoint that has served a request, if its ejection time is over.
--- a/crates/decision/src/policy/retry.rs
+++ b/crates/decision/src/policy/retry.rs
@@ -24,7 +24,7 @@
 /// The time and the attempts that a request has left.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RemainingBudget {
-    /// How long an attempt is expected to take, by the median pace of all endpoints.
+    /// How long an attempt is expected to take, by the median latency ratio of all endpoints.
     pub(crate) expected_time: Duration,
     /// What is left of the latency objective; zero once it has passed.
     pub(crate) objective_left: Duration,
@@ -41,7 +41,7 @@
         limits: AttemptLimits<'_>,
         load: &LoadEstimate,
     ) -> Self {
-        let expected_time = load.median_pace * request.work.max(load.mean_work);
+        let expected_time = load.median_latency_ratio * request.work.max(load.mean_work);
         let expected_time = Duration::from_secs_f64(expected_time.min(MAX_EXPECTED_SECONDS));
         // While the agent shuts down, no attempt begins that is not expected to end before the shutdown does.
         let deadline = request.request.deadline;
--- a/crates/decision/src/policy/selection_weights.rs
+++ b/crates/decision/src/policy/selection_weights.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::exposure::Exposure;
-use super::load_balancing::baseline_pace;
+use super::load_balancing::baseline_latency_ratio;
 use super::outlier_ejection::is_excluded;
 use super::slow_start::SlowStart;
 use crate::model::{Arm, FleetPosition, PerArm};
@@ -85,7 +85,7 @@
     }
 
     /// Collects the endpoints of each arm that may get requests, with selection weights by listed weight, slow start
-    /// and long-run pace.
+    /// and long-run latency ratio.
     fn collect(&self, endpoints: &EndpointTable) -> PerArm<ArmCandidates> {
         let mut arms = PerArm::<ArmCandidates>::default();
         let is_candidate = |record: &&EndpointRecord| {
@@ -99,7 +99,7 @@
         for record in endpoints.ready().filter(is_candidate) {
             let capacity_share = self.slow_start.capacity_share(record.age(self.now));
             let weight = record.weight() * capacity_share;
-            let selection_weight = weight / baseline_pace(record, self.now, self.load);
+            let selection_weight = weight / baseline_latency_ratio(record, self.now, self.load);
             let arm = &mut arms[self.exposure.arm(record.endpoint.build)];
             arm.weight += weight;
             arm.outstanding += record.outstanding.len() as f64;
--- a/crates/decision/src/state/endpoint_record.rs
+++ b/crates/decision/src/state/endpoint_record.rs
@@ -27,15 +27,15 @@
     pub(crate) was_ejected: bool,
 }
 
-/// Health and pace of an endpoint. A pace is the time taken for a unit of estimated work.
+/// Health and latency ratios of an endpoint. A latency ratio is the time taken divided by the estimated work.
 #[derive(Debug, Default)]
 pub(crate) struct EndpointHealth {
     /// Attempts that did not succeed, over all that ended, without cancelled and unsent ones.
     pub(crate) failures: DecayingRatio,
     /// Time taken over estimated work, of attempts served recently.
-    pub(crate) recent_pace: DecayingRatio,
+    pub(crate) recent_latency_ratio: DecayingRatio,
     /// Time taken over estimated work, of attempts served in the longer term.
-    pub(crate) baseline_pace: DecayingRatio,
+    pub(crate) baseline_latency_ratio: DecayingRatio,
     /// When it last showed by an outcome that its process runs.
     pub(crate) last_response: Duration,
     /// The latest send time of all attempts that it has answered.
@@ -74,8 +74,10 @@
     /// Records how long a served attempt took, and its estimated work in seconds.
     pub(crate) fn on_served(&mut self, now: Duration, took: Duration, work: f64) {
         let took = took.as_secs_f64();
-        self.recent_pace.add(now, RECENT_HALF_LIFE, took, work);
-        self.baseline_pace.add(now, BASELINE_HALF_LIFE, took, work);
+        self.recent_latency_ratio
+            .add(now, RECENT_HALF_LIFE, took, work);
+        self.baseline_latency_ratio
+            .add(now, BASELINE_HALF_LIFE, took, work);
     }
 
     /// Recent share of attempts that did not succeed.
--- a/crates/decision/src/state/endpoint_table.rs
+++ b/crates/decision/src/state/endpoint_table.rs
@@ -250,14 +250,21 @@
         })
     }
 
-    /// Baseline pace of each machine model on ready endpoints with builds earlier than this one.
-    pub(crate) fn paces_before(&self, now: Duration, build: Build) -> BTreeMap<MachineModel, f64> {
+    /// Baseline latency ratio of each machine model on ready endpoints with builds earlier than this one.
+    pub(crate) fn latency_ratios_before(
+        &self,
+        now: Duration,
+        build: Build,
+    ) -> BTreeMap<MachineModel, f64> {
         let mut sums = BTreeMap::<MachineModel, RatioSums>::new();
         let earlier = self.ready().filter(|record| record.endpoint.build < build);
         for record in earlier {
-            let pace = record.health.baseline_pace.read(now, BASELINE_HALF_LIFE);
+            let latency_ratio = record
+                .health
+                .baseline_latency_ratio
+                .read(now, BASELINE_HALF_LIFE);
             let sum = sums.entry(record.endpoint.machine_model).or_default();
-            *sum = RatioSums::sum([*sum, pace].into_iter());
+            *sum = RatioSums::sum([*sum, latency_ratio].into_iter());
         }
         sums.into_iter()
             .filter(|(_, sum)| sum.denominator > 0.0)
@@ -273,12 +280,15 @@
             .sum()
     }
 
-    /// Baseline pace over all ready endpoints together; `None` before any attempt was served.
-    pub(crate) fn mean_pace(&self, now: Duration) -> Option<f64> {
-        let paces = self
-            .ready()
-            .map(|record| record.health.baseline_pace.read(now, BASELINE_HALF_LIFE));
-        let sums = RatioSums::sum(paces);
+    /// Baseline latency ratio over all ready endpoints together; `None` before any attempt was served.
+    pub(crate) fn mean_latency_ratio(&self, now: Duration) -> Option<f64> {
+        let latency_ratios = self.ready().map(|record| {
+            record
+                .health
+                .baseline_latency_ratio
+                .read(now, BASELINE_HALF_LIFE)
+        });
+        let sums = RatioSums::sum(latency_ratios);
         (sums.denominator > 0.0).then(|| sums.numerator / sums.denominator)
     }
 }
--- a/crates/decision/src/state/evidence.rs
+++ b/crates/decision/src/state/evidence.rs
@@ -213,18 +213,18 @@
 pub(crate) struct Evidence {
     /// When each arm last had an outcome.
     pub(crate) last_outcome: PerArm<Option<Duration>>,
-    /// Baseline pace of each machine model on earlier builds.
-    pub(crate) model_paces: BTreeMap<MachineModel, f64>,
+    /// Baseline latency ratio of each machine model on earlier builds.
+    pub(crate) model_latency_ratios: BTreeMap<MachineModel, f64>,
     pub(crate) served_work: ServedWork,
 }
 
 impl Evidence {
     /// Speed of a machine model relative to the mean over all models, 1 at most; 1 for an unknown model.
     pub(crate) fn relative_speed(&self, model: MachineModel) -> f64 {
-        let count = self.model_paces.len().max(1) as f64;
-        let mean = self.model_paces.values().sum::<f64>() / count;
-        self.model_paces
+        let count = self.model_latency_ratios.len().max(1) as f64;
+        let mean = self.model_latency_ratios.values().sum::<f64>() / count;
+        self.model_latency_ratios
             .get(&model)
-            .map_or(1.0, |pace| (mean / pace).min(1.0))
+            .map_or(1.0, |ratio| (mean / ratio).min(1.0))
     }
 }
--- a/crates/decision/src/state/load_estimate.rs
+++ b/crates/decision/src/state/load_estimate.rs
@@ -10,7 +10,7 @@
 /// Lower bound of the mean work of a request, in seconds.
 const MIN_MEAN_WORK: f64 = 1e-4;
 
-/// Capacity of the endpoints and demand on them. A pace is the time taken for a unit of estimated work.
+/// Capacity of the endpoints and demand on them. A latency ratio is the time taken divided by the estimated work.
 #[derive(Debug)]
 pub(crate) struct LoadEstimate {
     /// Served work in seconds per second and unit of listed weight.
@@ -19,10 +19,10 @@
     pub(crate) mean_weight: f64,
     /// Work, in seconds, of pending requests and of those expected within the overload window.
     pub(crate) work_due: f64,
-    /// Baseline pace over all ready endpoints.
-    pub(crate) baseline_pace: f64,
-    /// Median over the endpoints of their recent pace.
-    pub(crate) median_pace: f64,
+    /// Baseline latency ratio over all ready endpoints.
+    pub(crate) baseline_latency_ratio: f64,
+    /// Median over the endpoints of their recent latency ratio.
+    pub(crate) median_latency_ratio: f64,
     /// Mean estimated work of a request, in seconds.
     pub(crate) mean_work: f64,
     /// Time in which a few of the agent's requests are served, within the half-lives of recent values and of
@@ -43,8 +43,8 @@
             capacity_per_weight: 0.0,
             mean_weight: 0.0,
             work_due: 0.0,
-            baseline_pace: 1.0,
-            median_pace: 1.0,
+            baseline_latency_ratio: 1.0,
+            median_latency_ratio: 1.0,
             mean_work: INITIAL_WORK,
             sample_period: Duration::ZERO,
             request_rate: 0.0,
@@ -59,7 +59,7 @@
     pub(crate) fn refresh(&mut self, now: Duration, endpoints: &EndpointTable, demand: &Demand) {
         let catalog = &endpoints.catalog;
         self.mean_weight = catalog.weight() / catalog.ready_count().max(1) as f64;
-        self.baseline_pace = endpoints.mean_pace(now).unwrap_or(1.0);
+        self.baseline_latency_ratio = endpoints.mean_latency_ratio(now).unwrap_or(1.0);
         let mean_work = demand.mean_work(now, |_| true);
         self.mean_work = mean_work.unwrap_or(INITIAL_WORK).max(MIN_MEAN_WORK);
         self.served_rate = demand.served_rate(now);
@@ -69,6 +69,6 @@
 
     /// Expected number of the agent's outstanding requests (Little's law).
     pub(crate) fn mean_outstanding(&self) -> f64 {
-        self.request_rate * self.median_pace * self.mean_work
+        self.request_rate * self.median_latency_ratio * self.mean_work
     }
 }
