--- a/crates/decision/src/engine/mod.rs
+++ b/crates/decision/src/engine/mod.rs
@@ -103,7 +103,7 @@
     ) {
         self.begin_round(now);
         events(self);
-        if self.list_polling.take_due(now) {
+        if self.list_polling.begin_request_if_due(now) {
             actions.watch_endpoints(true);
         }
         if now >= self.schedule.refresh_at || self.schedule.events > self.endpoints.records.len() {
--- a/crates/decision/src/engine/refresh.rs
+++ b/crates/decision/src/engine/refresh.rs
@@ -11,8 +11,8 @@
 use crate::state::evidence::WorkSums;
 use crate::state::half_lives::{BASELINE_HALF_LIFE, RECENT_HALF_LIFE};
 
-/// The load estimate's `few_requests` is the time that the agent takes to be served this many requests.
-const FEW_REQUESTS: f64 = 5.0;
+/// The load estimate's `sample_period` is the time that the agent takes to be served this many requests.
+const SAMPLE_REQUESTS: f64 = 5.0;
 
 impl DecisionEngine {
     /// Walks over the endpoints that the agent works with, and updates everything that decisions about requests depend
@@ -23,7 +23,8 @@
         self.refresh_load();
         self.eject_silent_endpoints();
         self.refresh_candidates();
-        let sample_period = Duration::from_secs_f64(FEW_REQUESTS / self.load.served_rate.max(1.0));
+        let sample_period =
+            Duration::from_secs_f64(SAMPLE_REQUESTS / self.load.served_rate.max(1.0));
         self.load.sample_period = sample_period.clamp(RECENT_HALF_LIFE, BASELINE_HALF_LIFE);
         if let Some(status) = self.exposure.release_status {
             let latency_ratios = self.endpoints.latency_ratios_before(self.now, status.build);
@@ -65,8 +66,8 @@
         );
     }
 
-    /// Chooses the subset if the list is long, then computes the selection weights of all candidates and the work that
-    /// is due.
+    /// Chooses the subset if the list is long, then computes the selection weights of all candidates and the
+    /// expected work.
     fn refresh_candidates(&mut self) {
         let assigned_count = assigned_count(&self.load);
         let mut first_assigned = PerArm::default();
@@ -93,12 +94,12 @@
             first_assigned,
         };
         self.candidates = inputs.candidates(&mut self.endpoints);
-        self.load.work_due = self.work_due();
+        self.load.expected_work = self.expected_work();
     }
 
     /// Work of the pending requests and of those received or expected in the window over which overload is measured, in
     /// seconds.
-    fn work_due(&self) -> f64 {
+    fn expected_work(&self) -> f64 {
         let window = self.slow_start.settings.overload_window;
         let window_start = self.now.saturating_sub(window);
         let received = self.exposure.windows.all_received_since(window_start) as f64;
--- a/crates/decision/src/policy/list_polling.rs
+++ b/crates/decision/src/policy/list_polling.rs
@@ -44,8 +44,9 @@
         }
     }
 
-    /// Whether the list is to be requested now. Answers `true` only once for each due time.
-    pub(crate) fn take_due(&mut self, now: Duration) -> bool {
+    /// Whether the list is to be requested now. If so, the request counts as open: each due time gives `true` only
+    /// once.
+    pub(crate) fn begin_request_if_due(&mut self, now: Duration) -> bool {
         self.next_request_at.take_if(|at| *at <= now).is_some()
     }
 
--- a/crates/decision/src/policy/load_balancing.rs
+++ b/crates/decision/src/policy/load_balancing.rs
@@ -185,12 +185,12 @@
         };
         // A listed weight does not include the speed of the endpoint's model: the load that a mean model carries can
         // overload a slow one.
-        let full_rate = self.load.capacity_per_weight
+        let full_capacity = self.load.capacity_per_weight
             * record.weight()
             * self.evidence.relative_speed(record.endpoint.machine_model);
         let load = SlowStartLoad {
-            full_rate,
-            work_due: self.load.work_due,
+            full_capacity,
+            expected_work: self.load.expected_work,
         };
         // An ejected endpoint is not tried with a request that must not run twice, nor with a retry while the subset
         // has others.
--- a/crates/decision/src/policy/release_analysis.rs
+++ b/crates/decision/src/policy/release_analysis.rs
@@ -144,7 +144,7 @@
         self.build.is_some_and(|analysed| build >= analysed)
     }
 
-    /// Records that an arm has answered. Returns whether both arms have answered within `few_requests`: outcomes of
+    /// Records that an arm has answered. Returns whether both arms have answered within `sample_period`: outcomes of
     /// different times are not comparable.
     pub(crate) fn on_arm_answered(
         &mut self,
--- a/crates/decision/src/policy/slow_start.rs
+++ b/crates/decision/src/policy/slow_start.rs
@@ -19,9 +19,9 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SlowStartLoad {
     /// Work in seconds that the endpoint would carry in a second for this agent once it has warmed up.
-    pub(crate) full_rate: f64,
-    /// Work of all requests of this agent that is due in the window over which overload is measured, in seconds.
-    pub(crate) work_due: f64,
+    pub(crate) full_capacity: f64,
+    /// Work, in seconds, of this agent's pending requests and of those expected within the overload window.
+    pub(crate) expected_work: f64,
 }
 
 /// Keeps endpoints that are warming up from being overloaded.
@@ -53,7 +53,7 @@
     /// follows from what the agent would send to an endpoint of the same weight that has warmed up, so that the parts
     /// of all agents add up to what such an endpoint carries. Where the part is less than one request, it becomes the
     /// probability of one: the request's random draw, renewed each window, must be below the budget divided by the work
-    /// that would go there: the endpoint's share of all work due, times the two choices of each request.
+    /// that would go there: the endpoint's share of all expected work, times the two choices of each request.
     /// Without that draw, the first requests of hundreds of agents would overload the endpoint together.
     pub(crate) fn permits(
         &self,
@@ -68,12 +68,12 @@
         let budget = OVERLOAD_BUDGET_SHARE
             * self.settings.overload_multiple
             * capacity_share
-            * load.full_rate
+            * load.full_capacity
             * window.as_secs_f64();
         let draw = request.slow_start_draw.value;
         let may_be_first = || {
             record.outstanding.is_empty()
-                && draw * CHOICES_PER_REQUEST * record.traffic_share * load.work_due < budget
+                && draw * CHOICES_PER_REQUEST * record.traffic_share * load.expected_work < budget
                 && sent_work() == 0.0
         };
         capacity_share >= 1.0 || sent_work() + request.work <= budget || may_be_first()
--- a/crates/decision/src/state/load_estimate.rs
+++ b/crates/decision/src/state/load_estimate.rs
@@ -18,7 +18,7 @@
     /// Mean listed weight of a ready endpoint.
     pub(crate) mean_weight: f64,
     /// Work, in seconds, of pending requests and of those expected within the overload window.
-    pub(crate) work_due: f64,
+    pub(crate) expected_work: f64,
     /// Baseline latency ratio over all ready endpoints.
     pub(crate) baseline_latency_ratio: f64,
     /// Median over the endpoints of their recent latency ratio.
@@ -42,7 +42,7 @@
         LoadEstimate {
             capacity_per_weight: 0.0,
             mean_weight: 0.0,
-            work_due: 0.0,
+            expected_work: 0.0,
             baseline_latency_ratio: 1.0,
             median_latency_ratio: 1.0,
             mean_work: INITIAL_WORK,
