--- a/crates/decision/src/engine/refresh.rs
+++ b/crates/decision/src/engine/refresh.rs
@@ -40,7 +40,7 @@
     fn refresh_load(&mut self) {
         let now = self.now;
         let elapsed = std::mem::take(&mut self.schedule.elapsed);
-        let listed_weight = self.endpoints.catalog.weight();
+        let listed_weight = self.endpoints.catalog.listed_weight();
         let weight_seconds = self.demand.on_elapsed(now, elapsed, listed_weight);
         let served_work = &mut self.analysis.evidence.served_work;
         served_work.add(WorkSums {
--- a/crates/decision/src/policy/load_balancing.rs
+++ b/crates/decision/src/policy/load_balancing.rs
@@ -186,7 +186,7 @@
         // A listed weight does not include the speed of the endpoint's model: the load that a mean model carries can
         // overload a slow one.
         let full_capacity = self.load.capacity_per_weight
-            * record.weight()
+            * record.listed_weight()
             * self.evidence.relative_speed(record.endpoint.machine_model);
         let load = SlowStartLoad {
             full_capacity,
@@ -220,8 +220,8 @@
         };
         let slowdown = recent_latency_ratio(record, self.now, self.load)
             / baseline_latency_ratio(record, self.now, self.load);
-        let outstanding =
-            record.outstanding.len() as f64 * self.load.mean_weight / record.weight().max(1e-3);
+        let outstanding = record.outstanding.len() as f64 * self.load.mean_listed_weight
+            / record.listed_weight().max(1e-3);
         zone_cost * (1.0 + outstanding) * slowdown
             / (1.0 - FAILURE_COST_WEIGHT * record.health.failure_share(self.now))
     }
--- a/crates/decision/src/policy/selection_weights.rs
+++ b/crates/decision/src/policy/selection_weights.rs
@@ -38,7 +38,7 @@
 #[derive(Debug, Default)]
 struct ArmCandidates {
     candidates: Vec<Candidate>,
-    weight: f64,
+    listed_weight: f64,
     outstanding: f64,
     selection_weight: f64,
 }
@@ -52,7 +52,7 @@
         let listed_weight = if endpoints.has_subset {
             self.listed_weight(endpoints)
         } else {
-            PerArm::from_fn(|arm| arms[arm].weight)
+            PerArm::from_fn(|arm| arms[arm].listed_weight)
         };
         let total_weight = listed_weight.baseline + listed_weight.canary;
         let listed_share = listed_weight.canary / total_weight.max(1e-9);
@@ -98,10 +98,11 @@
         };
         for record in endpoints.ready().filter(is_candidate) {
             let capacity_share = self.slow_start.capacity_share(record.age(self.now));
-            let weight = record.weight() * capacity_share;
-            let selection_weight = weight / baseline_latency_ratio(record, self.now, self.load);
+            let listed_weight = record.listed_weight() * capacity_share;
+            let selection_weight =
+                listed_weight / baseline_latency_ratio(record, self.now, self.load);
             let arm = &mut arms[self.exposure.arm(record.endpoint.build)];
-            arm.weight += weight;
+            arm.listed_weight += listed_weight;
             arm.outstanding += record.outstanding.len() as f64;
             arm.selection_weight += selection_weight;
             arm.candidates.push(Candidate {
@@ -146,7 +147,7 @@
             let first = members
                 .candidates
                 .partition_point(|candidate| candidate.rank < first_rank);
-            let part = members.weight / listed_weight.max(members.weight);
+            let part = members.listed_weight / listed_weight.max(members.listed_weight);
             ((first as f64 - 0.5) / count, part)
         } else {
             let agent_count = f64::from(self.fleet_position.agent_count.max(1));
--- a/crates/decision/src/policy/slow_start.rs
+++ b/crates/decision/src/policy/slow_start.rs
@@ -97,13 +97,13 @@
             let missing = warming_up.map(|start| {
                 endpoints.catalog.count_visits(1);
                 let age = now.saturating_sub(start.at);
-                start.weight() * (1.0 - self.capacity_share(Some(age)))
+                start.listed_weight() * (1.0 - self.capacity_share(Some(age)))
             });
-            weights[arm] += pool.weight() - missing.sum::<f64>();
+            weights[arm] += pool.listed_weight() - missing.sum::<f64>();
         }
         for record in endpoints.ready().filter(|record| is_excluded(record)) {
             if let Some(arm) = arm_of(record.endpoint.build, record.endpoint.zone) {
-                weights[arm] -= record.weight() * self.capacity_share(record.age(now));
+                weights[arm] -= record.listed_weight() * self.capacity_share(record.age(now));
             }
         }
         PerArm::from_fn(|arm| weights[arm].max(0.0))
--- a/crates/decision/src/state/endpoint_catalog.rs
+++ b/crates/decision/src/state/endpoint_catalog.rs
@@ -26,7 +26,7 @@
     /// Ready endpoints, ordered by cell and id.
     cells: Vec<(Cell, EndpointId)>,
     /// Listed weight of all ready endpoints.
-    weight: f64,
+    listed_weight: f64,
     /// Rows and records of the endpoint table that were examined since the start: a measure of the cost.
     visited: Counter<u64>,
 }
@@ -49,8 +49,8 @@
     }
 
     /// Listed weight of all ready endpoints.
-    pub(crate) fn weight(&self) -> f64 {
-        self.weight
+    pub(crate) fn listed_weight(&self) -> f64 {
+        self.listed_weight
     }
 
     pub(crate) fn ready_count(&self) -> usize {
@@ -217,7 +217,7 @@
             .or_default()
             .insert(endpoint);
         insert_sorted(&mut self.cells, (endpoint.cell, endpoint.id));
-        self.weight += f64::from(endpoint.weight);
+        self.listed_weight += f64::from(endpoint.weight);
     }
 
     fn remove_ready(&mut self, endpoint: &Endpoint) {
@@ -232,7 +232,7 @@
             }
         }
         remove_sorted(&mut self.cells, &(endpoint.cell, endpoint.id));
-        self.weight -= f64::from(endpoint.weight);
+        self.listed_weight -= f64::from(endpoint.weight);
     }
 
     /// Applies many changes, ordered by id, and rebuilds the indexes.
@@ -257,7 +257,7 @@
     fn rebuild_indexes(&mut self) {
         self.pools.clear();
         self.cells.clear();
-        self.weight = 0.0;
+        self.listed_weight = 0.0;
         let ready = self
             .rows
             .iter()
@@ -268,7 +268,7 @@
                 .or_default()
                 .push(endpoint);
             self.cells.push((endpoint.cell, endpoint.id));
-            self.weight += f64::from(endpoint.weight);
+            self.listed_weight += f64::from(endpoint.weight);
         }
         self.pools.values_mut().for_each(EndpointPool::sort);
         self.cells.sort_unstable();
--- a/crates/decision/src/state/endpoint_pool.rs
+++ b/crates/decision/src/state/endpoint_pool.rs
@@ -9,12 +9,12 @@
 pub(crate) struct EndpointStart {
     pub(crate) at: Duration,
     endpoint: EndpointId,
-    weight: f32,
+    listed_weight: f32,
 }
 
 impl EndpointStart {
-    pub(crate) fn weight(&self) -> f64 {
-        f64::from(self.weight)
+    pub(crate) fn listed_weight(&self) -> f64 {
+        f64::from(self.listed_weight)
     }
 
     fn key(&self) -> (Duration, EndpointId) {
@@ -26,7 +26,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct EndpointPool {
     ring: Vec<(Position, EndpointId)>,
-    weight: f64,
+    listed_weight: f64,
     /// Endpoints whose start is known, the latest last.
     starts: Vec<EndpointStart>,
 }
@@ -37,8 +37,8 @@
     }
 
     /// Sum of the listed weights.
-    pub(crate) fn weight(&self) -> f64 {
-        self.weight
+    pub(crate) fn listed_weight(&self) -> f64 {
+        self.listed_weight
     }
 
     /// When the most recently started of the endpoints started; `None` if no start is known.
@@ -56,7 +56,7 @@
     pub(super) fn push(&mut self, endpoint: &Endpoint) {
         self.ring
             .push((Position::of_endpoint(endpoint.id), endpoint.id));
-        self.weight += f64::from(endpoint.weight);
+        self.listed_weight += f64::from(endpoint.weight);
         self.starts.extend(start_of(endpoint));
     }
 
@@ -70,7 +70,7 @@
     pub(super) fn insert(&mut self, endpoint: &Endpoint) {
         let entry = (Position::of_endpoint(endpoint.id), endpoint.id);
         insert_sorted(&mut self.ring, entry);
-        self.weight += f64::from(endpoint.weight);
+        self.listed_weight += f64::from(endpoint.weight);
         if let Some(start) = start_of(endpoint) {
             let index = self
                 .starts
@@ -82,7 +82,7 @@
     pub(super) fn remove(&mut self, endpoint: &Endpoint) {
         let entry = (Position::of_endpoint(endpoint.id), endpoint.id);
         remove_sorted(&mut self.ring, &entry);
-        self.weight -= f64::from(endpoint.weight);
+        self.listed_weight -= f64::from(endpoint.weight);
         if let Some(start) = start_of(endpoint) {
             let found = self
                 .starts
@@ -98,7 +98,7 @@
     endpoint.started.map(|at| EndpointStart {
         at,
         endpoint: endpoint.id,
-        weight: endpoint.weight,
+        listed_weight: endpoint.weight,
     })
 }
 
--- a/crates/decision/src/state/endpoint_record.rs
+++ b/crates/decision/src/state/endpoint_record.rs
@@ -187,7 +187,7 @@
         oldest.filter(|&oldest| self.outstanding.len() > 1 && self.health.last_response < oldest)
     }
 
-    pub(crate) fn weight(&self) -> f64 {
+    pub(crate) fn listed_weight(&self) -> f64 {
         f64::from(self.endpoint.weight)
     }
 }
--- a/crates/decision/src/state/load_estimate.rs
+++ b/crates/decision/src/state/load_estimate.rs
@@ -16,7 +16,7 @@
     /// Served work in seconds per second and unit of listed weight.
     pub(crate) capacity_per_weight: f64,
     /// Mean listed weight of a ready endpoint.
-    pub(crate) mean_weight: f64,
+    pub(crate) mean_listed_weight: f64,
     /// Work, in seconds, of pending requests and of those expected within the overload window.
     pub(crate) expected_work: f64,
     /// Baseline latency ratio over all ready endpoints.
@@ -41,7 +41,7 @@
     fn default() -> Self {
         LoadEstimate {
             capacity_per_weight: 0.0,
-            mean_weight: 0.0,
+            mean_listed_weight: 0.0,
             expected_work: 0.0,
             baseline_latency_ratio: 1.0,
             median_latency_ratio: 1.0,
@@ -58,7 +58,7 @@
     /// Updates the values that follow from endpoints and demand alone.
     pub(crate) fn refresh(&mut self, now: Duration, endpoints: &EndpointTable, demand: &Demand) {
         let catalog = &endpoints.catalog;
-        self.mean_weight = catalog.weight() / catalog.ready_count().max(1) as f64;
+        self.mean_listed_weight = catalog.listed_weight() / catalog.ready_count().max(1) as f64;
         self.baseline_latency_ratio = endpoints.mean_latency_ratio(now).unwrap_or(1.0);
         let mean_work = demand.mean_work(now, |_| true);
         self.mean_work = mean_work.unwrap_or(INITIAL_WORK).max(MIN_MEAN_WORK);
