--- a/crates/decision/src/engine/mod.rs
+++ b/crates/decision/src/engine/mod.rs
@@ -236,7 +236,7 @@
     pub fn members(&self) -> impl Iterator<Item = EndpointId> {
         let records = self.endpoints.records.iter();
         records
-            .filter(|(_, record)| record.rank.is_some())
+            .filter(|(_, record)| record.subset_rank.is_some())
             .map(|(&id, _)| id)
     }
 
--- a/crates/decision/src/policy/selection_weights.rs
+++ b/crates/decision/src/policy/selection_weights.rs
@@ -91,7 +91,7 @@
         let is_candidate = |record: &&EndpointRecord| {
             let endpoint = record.endpoint;
             !is_excluded(record, self.now, self.is_panic)
-                && record.rank.is_some()
+                && record.subset_rank.is_some()
                 && self
                     .exposure
                     .operator_permits_any(endpoint.build, endpoint.zone)
@@ -108,7 +108,7 @@
             arm.candidates.push(Candidate {
                 endpoint: record.id(),
                 selection_weight,
-                rank: record.rank,
+                subset_rank: record.subset_rank,
             });
         }
         arms
@@ -138,7 +138,9 @@
         endpoints: &mut EndpointTable,
     ) {
         let count = members.candidates.len() as f64;
-        members.candidates.sort_by_key(|candidate| candidate.rank);
+        members
+            .candidates
+            .sort_by_key(|candidate| candidate.subset_rank);
         // Where the assigned endpoints begin, as a fraction of the candidates, and the part of the listed weight that
         // the candidates stand for. With a subset, they begin at a rank of it; without one, agents divide the list
         // evenly.
@@ -146,7 +148,7 @@
             let first_rank = Some(self.first_assigned[arm]);
             let first = members
                 .candidates
-                .partition_point(|candidate| candidate.rank < first_rank);
+                .partition_point(|candidate| candidate.subset_rank < first_rank);
             let part = members.listed_weight / listed_weight.max(members.listed_weight);
             ((first as f64 - 0.5) / count, part)
         } else {
--- a/crates/decision/src/state/candidates.rs
+++ b/crates/decision/src/state/candidates.rs
@@ -8,7 +8,7 @@
     /// Relative probability that load balancing draws it; not normalised.
     pub(crate) selection_weight: f64,
     /// Rank in the subset by distance from the agent on the hash ring, from 0; `None` outside the subset.
-    pub(crate) rank: Option<usize>,
+    pub(crate) subset_rank: Option<usize>,
 }
 
 /// The endpoints that requests may be sent to, and the canary's share of them.
--- a/crates/decision/src/state/endpoint_record.rs
+++ b/crates/decision/src/state/endpoint_record.rs
@@ -111,11 +111,11 @@
     /// Whether a connection to it may be open.
     pub(crate) may_be_connected: bool,
     /// Rank in the subset, from 0; `None` outside the subset. Without a subset all endpoints have rank 0.
-    pub(crate) rank: Option<usize>,
+    pub(crate) subset_rank: Option<usize>,
 }
 
 impl EndpointRecord {
-    pub(crate) fn new(endpoint: Endpoint, rank: Option<usize>) -> Self {
+    pub(crate) fn new(endpoint: Endpoint, subset_rank: Option<usize>) -> Self {
         EndpointRecord {
             endpoint,
             health: EndpointHealth::default(),
@@ -123,7 +123,7 @@
             sent_work: VecDeque::new(),
             traffic_share: 0.0,
             may_be_connected: false,
-            rank,
+            subset_rank,
         }
     }
 
--- a/crates/decision/src/state/endpoint_table.rs
+++ b/crates/decision/src/state/endpoint_table.rs
@@ -106,7 +106,7 @@
                     .records
                     .entry(endpoint.id)
                     .or_insert_with(|| EndpointRecord::new(*endpoint, None));
-                record.rank = Some(0);
+                record.subset_rank = Some(0);
             }
         }
     }
@@ -120,7 +120,7 @@
     ) -> Vec<EndpointId> {
         self.records
             .values_mut()
-            .for_each(|record| record.rank = None);
+            .for_each(|record| record.subset_rank = None);
         let ranked = members.iter().flat_map(|arm| arm.iter().enumerate());
         for (rank, id) in ranked {
             if let Some(endpoint) = self.catalog.get(*id) {
@@ -128,12 +128,12 @@
                     .records
                     .entry(*id)
                     .or_insert_with(|| EndpointRecord::new(*endpoint, None));
-                record.rank = Some(rank);
+                record.subset_rank = Some(rank);
             }
         }
         let mut removed = Vec::new();
         self.records.retain(|id, record| {
-            let is_kept = record.rank.is_some() || keep(record);
+            let is_kept = record.subset_rank.is_some() || keep(record);
             removed.extend((!is_kept && record.may_be_connected).then_some(*id));
             is_kept
         });
@@ -177,7 +177,7 @@
         let is_member = |endpoint: &&Endpoint| {
             self.records
                 .get(&endpoint.id)
-                .is_some_and(|record| record.rank.is_some())
+                .is_some_and(|record| record.subset_rank.is_some())
         };
         if let Some(cell) = cell {
             let endpoints = self
