--- a/crates/decision/src/engine/event_handling.rs
+++ b/crates/decision/src/engine/event_handling.rs
@@ -29,7 +29,7 @@
         };
         let exposure_class = self.exposure.exposure_class(request.class);
         self.exposure.windows.on_request(exposure_class, now);
-        self.schedule.events += 1;
+        self.schedule.events_since_refresh += 1;
         let work = self
             .demand
             .on_request(now, &request)
--- a/crates/decision/src/engine/mod.rs
+++ b/crates/decision/src/engine/mod.rs
@@ -106,12 +106,15 @@
         if self.list_polling.begin_request_if_due(now) {
             actions.watch_endpoints(true);
         }
-        if now >= self.schedule.refresh_at || self.schedule.events > self.endpoints.records.len() {
+        if now >= self.schedule.refresh_at
+            || self.schedule.events_since_refresh > self.endpoints.records.len()
+        {
             self.refresh();
             self.close_idle_connections(actions);
         }
         let check_at = self.process_requests(actions);
-        let mut has_more_work = !self.requests.by_id.is_empty() || self.schedule.events > 0;
+        let mut has_more_work =
+            !self.requests.by_id.is_empty() || self.schedule.events_since_refresh > 0;
         has_more_work |= self.process_release(actions);
         self.diagnostics
             .drain(..)
@@ -130,7 +133,7 @@
         if previous >= started_at && now > latest_wake_up {
             self.schedule.resumed_at = now;
         }
-        self.schedule.elapsed += now.saturating_sub(previous.max(started_at));
+        self.schedule.time_since_refresh += now.saturating_sub(previous.max(started_at));
         self.exposure.trim(now);
     }
 
--- a/crates/decision/src/engine/outcomes.rs
+++ b/crates/decision/src/engine/outcomes.rs
@@ -56,7 +56,7 @@
             self.diagnostics
                 .extend(outlier_ejection::eject_outlier(record, now, outcome, peers));
         }
-        self.schedule.events += 1;
+        self.schedule.events_since_refresh += 1;
         if !spans_stall {
             self.record_evidence(ended, is_endpoint_alive);
         }
--- a/crates/decision/src/engine/refresh.rs
+++ b/crates/decision/src/engine/refresh.rs
@@ -19,7 +19,7 @@
     /// on.
     pub(super) fn refresh(&mut self) {
         self.schedule.refresh_at = self.now + self.tick * REFRESH_TICKS;
-        self.schedule.events = 0;
+        self.schedule.events_since_refresh = 0;
         self.refresh_load();
         self.eject_silent_endpoints();
         self.refresh_candidates();
@@ -39,7 +39,7 @@
     /// Accounts for the time that has passed, then updates the load estimate and the median latency ratio.
     fn refresh_load(&mut self) {
         let now = self.now;
-        let elapsed = std::mem::take(&mut self.schedule.elapsed);
+        let elapsed = std::mem::take(&mut self.schedule.time_since_refresh);
         let listed_weight = self.endpoints.catalog.listed_weight();
         let weight_seconds = self.demand.on_elapsed(now, elapsed, listed_weight);
         let served_work = &mut self.analysis.evidence.served_work;
--- a/crates/decision/src/state/schedule.rs
+++ b/crates/decision/src/state/schedule.rs
@@ -11,7 +11,7 @@
     /// When the load estimate is next refreshed.
     pub(crate) refresh_at: Duration,
     /// Number of events since the last refresh.
-    pub(crate) events: usize,
+    pub(crate) events_since_refresh: usize,
     /// Time since the last refresh.
-    pub(crate) elapsed: Duration,
+    pub(crate) time_since_refresh: Duration,
 }
