--- a/crates/decision/src/engine/outcomes.rs
+++ b/crates/decision/src/engine/outcomes.rs
@@ -7,7 +7,7 @@
 use crate::policy::outlier_ejection;
 use crate::state::demand::EndedAttempt;
 use crate::state::endpoint_record::{AttemptId, EndpointRecord, OutstandingAttempt};
-use crate::state::endpoint_table::PeerFailures;
+use crate::state::endpoint_table::SameBuildFailures;
 use crate::state::evidence::WorkSums;
 
 /// An attempt that has ended, and how.
@@ -27,11 +27,12 @@
         let Some(record) = self.endpoints.records.get(&ended.endpoint) else {
             return;
         };
-        let peers = if is_served {
-            PeerFailures::default()
+        let same_build = if is_served {
+            SameBuildFailures::default()
         } else {
             let build = record.endpoint.build;
-            self.endpoints.peer_failures(now, ended.endpoint, build)
+            self.endpoints
+                .same_build_failures(now, ended.endpoint, build)
         };
         let is_endpoint_alive = record.health.last_response > ended.attempt.sent_at;
         // The time that an attempt took is no evidence if the agent itself stalled meanwhile.
@@ -53,8 +54,9 @@
                 self.diagnostics
                     .extend(outlier_ejection::readmit(record, now));
             }
-            self.diagnostics
-                .extend(outlier_ejection::eject_outlier(record, now, outcome, peers));
+            self.diagnostics.extend(outlier_ejection::eject_outlier(
+                record, now, outcome, same_build,
+            ));
         }
         self.schedule.events_since_refresh += 1;
         if !spans_stall {
--- a/crates/decision/src/policy/outlier_ejection.rs
+++ b/crates/decision/src/policy/outlier_ejection.rs
@@ -5,7 +5,7 @@
 use crate::actions::{Diagnostic, EjectionReason};
 use crate::model::{EndpointId, Outcome};
 use crate::state::endpoint_record::{EndpointHealth, EndpointRecord};
-use crate::state::endpoint_table::{EndpointTable, PeerFailures};
+use crate::state::endpoint_table::{EndpointTable, SameBuildFailures};
 
 /// The first ejection of an endpoint lasts this long, each further one in a row twice as long as the one before.
 const MIN_EJECTION_TIME: Duration = Duration::from_secs(1);
@@ -100,12 +100,13 @@
 
 /// Ejects an endpoint after an attempt has ended if it fails far more than the others of its build, or if the
 /// connection could not be opened or broke. Failure shares are compared within a build, so that a build is not ejected
-/// as a whole: its failures are the evidence of the release analysis. `peers` are the other endpoints of the build.
+/// as a whole: its failures are the evidence of the release analysis. `same_build` covers the other endpoints of the
+/// build.
 pub(crate) fn eject_outlier(
     record: &mut EndpointRecord,
     now: Duration,
     outcome: Outcome,
-    peers: PeerFailures,
+    same_build: SameBuildFailures,
 ) -> Option<Diagnostic> {
     let excess = if outcome == Outcome::Malformed {
         EXCESS_FAILURE_SHARE_MALFORMED
@@ -113,8 +114,8 @@
         EXCESS_FAILURE_SHARE
     };
     let failure_share = record.health.failure_share(now);
-    let fails_more = peers.peer_count > 0.0
-        && failure_share > peers.failure_share_sum / peers.peer_count + excess;
+    let fails_more = same_build.endpoint_count > 0.0
+        && failure_share > same_build.failure_share_sum / same_build.endpoint_count + excess;
     let lost_connection = matches!(outcome, Outcome::ConnectFailed | Outcome::ConnectionLost);
     let reason = if fails_more {
         EjectionReason::FailureRate
--- a/crates/decision/src/state/endpoint_table.rs
+++ b/crates/decision/src/state/endpoint_table.rs
@@ -17,10 +17,10 @@
 /// At most this many endpoints are examined for each one that is wanted outside the subset.
 const EXAMINED_PER_WANTED: usize = 4;
 
-/// Failure shares of an endpoint's peers, which are the other ready endpoints of its build.
+/// Failure shares of the other ready endpoints of the build that an endpoint runs.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct PeerFailures {
-    pub(crate) peer_count: f64,
+pub(crate) struct SameBuildFailures {
+    pub(crate) endpoint_count: f64,
     pub(crate) failure_share_sum: f64,
 }
 
@@ -235,18 +235,20 @@
     }
 
     /// Failure shares of the other ready endpoints that run a build.
-    pub(crate) fn peer_failures(
+    pub(crate) fn same_build_failures(
         &self,
         now: Duration,
         endpoint: EndpointId,
         build: Build,
-    ) -> PeerFailures {
-        let peers = self
+    ) -> SameBuildFailures {
+        let others = self
             .ready()
             .filter(|record| record.id() != endpoint && record.endpoint.build == build);
-        peers.fold(PeerFailures::default(), |sums, record| PeerFailures {
-            peer_count: sums.peer_count + 1.0,
-            failure_share_sum: sums.failure_share_sum + record.health.failure_share(now),
+        others.fold(SameBuildFailures::default(), |sums, record| {
+            SameBuildFailures {
+                endpoint_count: sums.endpoint_count + 1.0,
+                failure_share_sum: sums.failure_share_sum + record.health.failure_share(now),
+            }
         })
     }
 
