--- a/crates/decision/src/engine/attempts.rs
+++ b/crates/decision/src/engine/attempts.rs
@@ -95,7 +95,7 @@
         if !is_first_or_was_rejected {
             return gives_up_retrying.then_some(GiveUpReason::RetriesFail);
         }
-        let probability = self.overload().rejection_probability(
+        let probability = self.admission_control().rejection_probability(
             &self.demand,
             &self.requests.settings.classes,
             &policy,
--- a/crates/decision/src/engine/mod.rs
+++ b/crates/decision/src/engine/mod.rs
@@ -14,7 +14,7 @@
 use crate::actions::{Actions, Diagnostic};
 use crate::events::EventHandler;
 use crate::model::{EndpointId, EngineSettings, FleetPosition, RequestId, TimerId, Zone};
-use crate::policy::admission::Overload;
+use crate::policy::admission::AdmissionControl;
 use crate::policy::exposure::Exposure;
 use crate::policy::idle_connections;
 use crate::policy::list_polling::ListPolling;
@@ -209,9 +209,9 @@
         }
     }
 
-    /// What admission control decides on, as of this round.
-    fn overload(&self) -> Overload<'_> {
-        Overload {
+    /// Admission control, with what it decides on as of this round.
+    fn admission_control(&self) -> AdmissionControl<'_> {
+        AdmissionControl {
             now: self.now,
             started_at: self.exposure.windows.started_at,
             endpoints: &self.endpoints,
--- a/crates/decision/src/engine/outcomes.rs
+++ b/crates/decision/src/engine/outcomes.rs
@@ -112,7 +112,10 @@
         }
         let is_timing_comparable = is_comparable
             && !attempt.was_warming_up
-            && self.overload().wait_share(policy.latency_objective) < QUEUE_WAIT_SHARE;
+            && self
+                .admission_control()
+                .wait_share(policy.latency_objective)
+                < QUEUE_WAIT_SHARE;
         let record = self.endpoints.records.get(&ended.endpoint);
         let model_latency_ratios = &self.analysis.evidence.model_latency_ratios;
         let observed = ObservedOutcome {
--- a/crates/decision/src/policy/admission.rs
+++ b/crates/decision/src/policy/admission.rs
@@ -23,9 +23,9 @@
 /// the few requests of an agent with little traffic would look like a queue.
 const PRIOR_REQUESTS: f64 = 4.0;
 
-/// What the agent knows about overload.
+/// Admission control, with what it decides on as of one round.
 #[derive(Clone, Copy)]
-pub(crate) struct Overload<'a> {
+pub(crate) struct AdmissionControl<'a> {
     pub(crate) now: Duration,
     /// When the agent's first round began; `None` before it.
     pub(crate) started_at: Option<Duration>,
@@ -33,7 +33,7 @@
     pub(crate) load: &'a LoadEstimate,
 }
 
-impl Overload<'_> {
+impl AdmissionControl<'_> {
     /// The time that a request is expected to wait beyond its own work, as a share of `time`: the outstanding attempts
     /// divided by the rate at which attempts are served. Zero in the first second after the agent's start.
     pub(crate) fn wait_share(&self, time: Duration) -> f64 {
