--- a/crates/decision/src/policy/release_analysis.rs
+++ b/crates/decision/src/policy/release_analysis.rs
@@ -228,11 +228,11 @@
             return;
         }
         // Work that was not served in time because this agent itself stalled is not evidence against the build.
-        let mut work = self.evidence.served_work.take_whole();
+        let mut work = self.evidence.served_work.take_unreported();
         if now < resumed_at + REPORTED_HALF_LIFE {
             work = WorkSums::default();
         }
-        self.evidence.served_work.pool(now, work);
+        self.evidence.served_work.add_reported(now, work);
         self.reporter
             .send(now, status.build, work, direct_pause, actions);
     }
@@ -269,7 +269,7 @@
             return;
         }
         self.reporter.on_received(from, header.version);
-        self.evidence.served_work.pool(now, header.work);
+        self.evidence.served_work.add_reported(now, header.work);
         entries.for_each(|entry| self.observe(entry));
     }
 
--- a/crates/decision/src/state/evidence.rs
+++ b/crates/decision/src/state/evidence.rs
@@ -124,11 +124,11 @@
     /// Served work in seconds per second and unit of listed weight when the canary was first seen; 0 if unknown.
     pub(crate) baseline_capacity: f64,
     /// The agent's own sums that are not reported yet, in hundredths of a second.
-    own: WorkSums<f64>,
+    unreported: WorkSums<f64>,
     /// Reported work in time over baseline work, pooled over all agents that report.
-    against_baseline: DecayingRatio,
+    in_time_over_baseline: DecayingRatio,
     /// Reported work in time over requested work, pooled over all agents that report.
-    against_requested: DecayingRatio,
+    in_time_over_requested: DecayingRatio,
     /// The shares at the end of the previous stage; `None` if too little work was requested then.
     previous_stage: Option<ServedShares>,
     /// The current stage.
@@ -147,32 +147,32 @@
     /// Adds the agent's own work, in seconds; without a baseline capacity to compare it with, does nothing.
     pub(crate) fn add(&mut self, work: WorkSums<f64>) {
         if self.baseline_capacity > 0.0 {
-            self.own.in_time += UNITS_PER_SECOND * work.in_time;
-            self.own.baseline += UNITS_PER_SECOND * work.baseline;
-            self.own.requested += UNITS_PER_SECOND * work.requested;
+            self.unreported.in_time += UNITS_PER_SECOND * work.in_time;
+            self.unreported.baseline += UNITS_PER_SECOND * work.baseline;
+            self.unreported.requested += UNITS_PER_SECOND * work.requested;
         }
     }
 
     /// Takes the agent's own sums, in whole hundredths of a second; the remainder is left for the next report.
-    pub(crate) fn take_whole(&mut self) -> WorkSums<u16> {
+    pub(crate) fn take_unreported(&mut self) -> WorkSums<u16> {
         let take = |sum: &mut f64| {
             let whole = sum.floor().clamp(0.0, f64::from(u16::MAX));
             *sum -= whole;
             whole as u16
         };
         WorkSums {
-            in_time: take(&mut self.own.in_time),
-            baseline: take(&mut self.own.baseline),
-            requested: take(&mut self.own.requested),
+            in_time: take(&mut self.unreported.in_time),
+            baseline: take(&mut self.unreported.baseline),
+            requested: take(&mut self.unreported.requested),
         }
     }
 
     /// Adds reported sums to those of all agents.
-    pub(crate) fn pool(&mut self, now: Duration, reported: WorkSums<u16>) {
+    pub(crate) fn add_reported(&mut self, now: Duration, reported: WorkSums<u16>) {
         let sums = reported.map(f64::from);
-        self.against_baseline
+        self.in_time_over_baseline
             .add(now, REPORTED_HALF_LIFE, sums.in_time, sums.baseline);
-        self.against_requested
+        self.in_time_over_requested
             .add(now, REPORTED_HALF_LIFE, sums.in_time, sums.requested);
     }
 
@@ -185,9 +185,9 @@
         stage: Stage,
         minimum_requested: f64,
     ) -> Option<f64> {
-        let baseline = self.against_baseline.read(now, REPORTED_HALF_LIFE);
+        let baseline = self.in_time_over_baseline.read(now, REPORTED_HALF_LIFE);
         let requested = self
-            .against_requested
+            .in_time_over_requested
             .read(now, REPORTED_HALF_LIFE)
             .denominator;
         let in_time = baseline.numerator;
