--- a/crates/decision/src/engine/event_handling.rs
+++ b/crates/decision/src/engine/event_handling.rs
@@ -118,7 +118,7 @@
         match known {
             Some(known) if build < known.build => return,
             Some(known) if build == known.build => {}
-            _ => self.exposure.windows.answered.clear(),
+            _ => self.exposure.windows.answered_keys.clear(),
         }
         if phase == ReleasePhase::Canary && self.analysis.build != Some(build) {
             let started_at = self.exposure.windows.started_at.unwrap_or_default();
--- a/crates/decision/src/policy/exposure.rs
+++ b/crates/decision/src/policy/exposure.rs
@@ -63,12 +63,12 @@
     /// The limits on a build; `None` if it is not a canary, that is, if it is released or older than the newest build.
     /// A build that the release status does not cover yet counts as a canary at its first stage with the initial cap.
     pub(crate) fn canary_limit(&self, build: Build) -> Option<CanaryLimit> {
-        let is_done = |status: ReleaseStatus| {
+        let is_released_or_older = |status: ReleaseStatus| {
             let is_released = status.phase == ReleasePhase::Released;
             build < status.build || (build == status.build && is_released)
         };
         match self.release_status {
-            Some(status) if is_done(status) => None,
+            Some(status) if is_released_or_older(status) => None,
             Some(status) if build == status.build => Some(CanaryLimit {
                 stage: status.stage,
                 cap: status.cap,
@@ -131,7 +131,7 @@
         let was_answered = request
             .request
             .idempotency_key
-            .is_some_and(|key| self.windows.answered.contains(&key));
+            .is_some_and(|key| self.windows.answered_keys.contains(&key));
         was_answered
             && self.release_status.is_some_and(|status| {
                 build < status.build
@@ -141,7 +141,7 @@
 
     /// Whether a request may go to an endpoint now: its build is permitted, and a canary that gets one more request
     /// stays within its free requests and its share of the requests received, in the sliding window.
-    pub(crate) fn permits_now(
+    pub(crate) fn permits_within_cap(
         &self,
         now: Duration,
         Endpoint { build, zone, .. }: Endpoint,
@@ -184,7 +184,7 @@
             .is_some_and(|status| build == status.build);
         if self.settings.forward_only && is_newest {
             let key = request.and_then(|request| request.request.idempotency_key);
-            self.windows.answered.extend(key);
+            self.windows.answered_keys.extend(key);
         }
     }
 }
--- a/crates/decision/src/policy/load_balancing.rs
+++ b/crates/decision/src/policy/load_balancing.rs
@@ -203,7 +203,7 @@
             && self.slow_start.permits(self.now, record, request, load)
             && self
                 .exposure
-                .permits_now(self.now, record.endpoint, request)
+                .permits_within_cap(self.now, record.endpoint, request)
     }
 
     /// The wait that a request may expect at an endpoint, in relation to the wait that is usual there; without unit.
--- a/crates/decision/src/state/exposure_windows.rs
+++ b/crates/decision/src/state/exposure_windows.rs
@@ -16,7 +16,7 @@
     received: BTreeMap<ExposureClass, VecDeque<Duration>>,
     sent: BTreeMap<(ExposureClass, Build), VecDeque<Duration>>,
     /// Idempotency keys of the requests that the canary has answered.
-    pub(crate) answered: BTreeSet<IdempotencyKey>,
+    pub(crate) answered_keys: BTreeSet<IdempotencyKey>,
 }
 
 impl ExposureWindows {
