--- a/crates/decision/src/policy/subsetting.rs
+++ b/crates/decision/src/policy/subsetting.rs
@@ -64,7 +64,7 @@
     members: Vec<EndpointId>,
     extent: SubsetExtent,
     /// How many of the members can serve now.
-    serving: usize,
+    serving_count: usize,
     /// Number of ready endpoints of the arm in the whole list.
     arm_size: usize,
     /// The agent's own rank, relative to the first member: agents divide the ranks of the arm evenly, whereas the
@@ -112,7 +112,7 @@
                 before: before.ids.len(),
                 after: after.ids.len(),
             },
-            serving: before.serving + after.serving,
+            serving_count: before.serving_count + after.serving_count,
             arm_size,
             own_rank: before.ids.len() as f64 + offset,
             members: before.ids.into_iter().rev().chain(after.ids).collect(),
@@ -152,12 +152,13 @@
         endpoints: &mut EndpointTable,
     ) -> PerArm<usize> {
         self.resize(subset);
-        let half = (subset.target_size / 2.0) as usize;
-        let segments =
-            PerArm::from_fn(|arm| self.segment(arm, half, subset.extent[arm], endpoints));
+        let half_target_size = (subset.target_size / 2.0) as usize;
+        let segments = PerArm::from_fn(|arm| {
+            self.segment(arm, half_target_size, subset.extent[arm], endpoints)
+        });
         subset.extent = PerArm::from_fn(|arm| segments[arm].extent);
-        let serving: usize = segments.iter().map(|segment| segment.serving).sum();
-        subset.is_sufficient = serving >= half;
+        let serving_count: usize = segments.iter().map(|segment| segment.serving_count).sum();
+        subset.is_sufficient = serving_count >= half_target_size;
         let members = PerArm::from_fn(|arm| segments[arm].members.as_slice());
         subset.removed = endpoints.set_members(members, |record| self.keeps_record(record));
         PerArm::from_fn(|arm| segments[arm].first_assigned(self.assigned_count))
@@ -179,12 +180,12 @@
         }
     }
 
-    /// Takes the segment of an arm, which is to have `half` endpoints that can serve on each side. `extent` is its
-    /// extent at the last refresh.
+    /// Takes the segment of an arm, which is to have `half_target_size` endpoints that can serve on each side. `extent`
+    /// is its extent at the last refresh.
     fn segment(
         &self,
         arm: Arm,
-        half: usize,
+        half_target_size: usize,
         extent: SubsetExtent,
         endpoints: &EndpointTable,
     ) -> Segment {
@@ -205,8 +206,11 @@
                 },
                 // Where hardly any endpoint can serve, the whole list is not searched here: `add_from_outside` looks
                 // for others for a request that needs one.
-                is_enough: |taken, serving| serving >= half || taken >= MAX_WALK_MULTIPLE * half,
-                max_size_taken_whole: 2 * half,
+                is_enough: |taken, serving_count| {
+                    serving_count >= half_target_size
+                        || taken >= MAX_WALK_MULTIPLE * half_target_size
+                },
+                max_size_taken_whole: 2 * half_target_size,
                 minimum: SubsetExtent {
                     before: narrowed(extent.before),
                     after: narrowed(extent.after),
@@ -252,7 +256,7 @@
     } = search;
     let permits = |build, zone| exposure.permits(build, zone, request);
     let from = Position(random.random());
-    let found = endpoints.outside_subset(
+    let found = endpoints.find_outside_subset(
         request.routing_constraint(),
         from,
         MIN_ASSIGNED_ENDPOINTS as usize,
--- a/crates/decision/src/state/endpoint_catalog.rs
+++ b/crates/decision/src/state/endpoint_catalog.rs
@@ -14,7 +14,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct WalkedEndpoints {
     pub(crate) ids: Vec<EndpointId>,
-    pub(crate) serving: usize,
+    pub(crate) serving_count: usize,
 }
 
 /// All listed endpoints, with indexes over the ready ones.
@@ -124,10 +124,10 @@
     ) -> WalkedEndpoints {
         let mut walked = WalkedEndpoints::default();
         for id in ids {
-            if walked.ids.len() >= minimum && enough(walked.ids.len(), walked.serving) {
+            if walked.ids.len() >= minimum && enough(walked.ids.len(), walked.serving_count) {
                 break;
             }
-            walked.serving += usize::from(can_serve(id));
+            walked.serving_count += usize::from(can_serve(id));
             walked.ids.push(id);
         }
         self.count_visits(walked.ids.len());
--- a/crates/decision/src/state/endpoint_table.rs
+++ b/crates/decision/src/state/endpoint_table.rs
@@ -161,14 +161,14 @@
         values.get(values.len() / 2).copied()
     }
 
-    /// Up to `wanted` ready endpoints outside the subset that satisfy the constraint and run an admitted build in
+    /// Up to `wanted` ready endpoints outside the subset that satisfy the constraint and run a permitted build in
     /// their zone, beginning at the ring position `from`.
-    pub(crate) fn outside_subset(
+    pub(crate) fn find_outside_subset(
         &self,
         routing_constraint: RoutingConstraint,
         from: Position,
         wanted: usize,
-        admits: impl Fn(Build, Zone) -> bool,
+        permits: impl Fn(Build, Zone) -> bool,
     ) -> Vec<Endpoint> {
         if !self.has_subset {
             return Vec::new();
@@ -185,11 +185,11 @@
                 .in_cell(cell, from.0 as usize)
                 .take(wanted * EXAMINED_PER_WANTED);
             let others = endpoints
-                .filter(|endpoint| !is_member(endpoint) && admits(endpoint.build, endpoint.zone));
+                .filter(|endpoint| !is_member(endpoint) && permits(endpoint.build, endpoint.zone));
             return others.take(wanted).copied().collect();
         }
         let fits = |build: Build, other: Zone| {
-            zone.is_none_or(|zone| zone == other) && admits(build, other)
+            zone.is_none_or(|zone| zone == other) && permits(build, other)
         };
         let rings = self
             .catalog
