--- a/crates/decision/src/engine/refresh.rs
+++ b/crates/decision/src/engine/refresh.rs
@@ -70,7 +70,7 @@
     /// expected work.
     fn refresh_candidates(&mut self) {
         let assigned_count = assigned_count(&self.load);
-        let mut first_assigned = PerArm::default();
+        let mut first_assigned_rank = PerArm::default();
         if self.endpoints.has_subset {
             let selection = SubsetSelection {
                 now: self.now,
@@ -79,7 +79,7 @@
                 exposure: &self.exposure,
                 assigned_count,
             };
-            first_assigned = selection.choose(&mut self.subset, &mut self.endpoints);
+            first_assigned_rank = selection.choose(&mut self.subset, &mut self.endpoints);
         } else {
             self.subset.is_sufficient = false;
         }
@@ -91,7 +91,7 @@
             exposure: &self.exposure,
             is_panic: outlier_ejection::is_panic(&self.endpoints, self.subset.is_sufficient),
             assigned_count,
-            first_assigned,
+            first_assigned_rank,
         };
         self.candidates = inputs.candidates(&mut self.endpoints);
         self.load.expected_work = self.expected_work();
--- a/crates/decision/src/policy/release_analysis.rs
+++ b/crates/decision/src/policy/release_analysis.rs
@@ -316,7 +316,8 @@
                 .and_then(|endpoint| endpoint.started)
                 .is_some_and(|started| started + minimum_stage_time < newest_start)
         };
-        let oldest = test.worst_first(|id| is_of_earlier_stage(id) && !endpoints.is_ejected(id));
+        let oldest = test
+            .by_descending_failure_rate(|id| is_of_earlier_stage(id) && !endpoints.is_ejected(id));
         let all_but_worst = oldest.iter().skip((oldest.len() + 1) / 3);
         let limit = test.baseline_rate() + OLDEST_EXCESS_FAILURE_RATE;
         let failures = all_but_worst
@@ -334,11 +335,11 @@
     if test.canary_outcomes() < MIN_CANARY_OUTCOMES || !test.is_worse() {
         return false;
     }
-    let trials = test.worst_first(|_| true);
+    let trials = test.by_descending_failure_rate(|_| true);
     let mut all_but_worst = Trials::default();
-    for one in trials.iter().skip(trials.len().div_ceil(4)) {
-        all_but_worst.outcomes += one.outcomes;
-        all_but_worst.failures += one.failures;
+    for endpoint_trials in trials.iter().skip(trials.len().div_ceil(4)) {
+        all_but_worst.outcomes += endpoint_trials.outcomes;
+        all_but_worst.failures += endpoint_trials.failures;
     }
     let rate = all_but_worst.failures / all_but_worst.outcomes;
     all_but_worst.outcomes * 2.0 >= MIN_CANARY_OUTCOMES
--- a/crates/decision/src/policy/selection_weights.rs
+++ b/crates/decision/src/policy/selection_weights.rs
@@ -17,7 +17,7 @@
 const UNASSIGNED_WEIGHT_FACTOR: f64 = 1e-3;
 /// The canary gets no share of requests while, in relation to its weight, more than this many times as many attempts
 /// are outstanding at it as at the earlier builds.
-const QUEUE_IMBALANCE: f64 = 1.5;
+const MAX_QUEUE_IMBALANCE: f64 = 1.5;
 
 /// What the selection weights of endpoints are computed from.
 #[derive(Clone, Copy)]
@@ -31,7 +31,7 @@
     /// How many endpoints of an arm the agent mostly uses: its assigned endpoints.
     pub(crate) assigned_count: f64,
     /// The rank at which they begin, where there is a subset.
-    pub(crate) first_assigned: PerArm<usize>,
+    pub(crate) first_assigned_rank: PerArm<usize>,
 }
 
 /// The candidates of one arm, and the sums of their listed weights, outstanding attempts and selection weights.
@@ -60,7 +60,7 @@
         // against a canary on a few slow machines whose queue makes the build look slow: with unequal load the two
         // arms are not comparable.
         let is_canary_congested = arms.canary.outstanding * listed_weight.baseline
-            > QUEUE_IMBALANCE * (arms.baseline.outstanding + 1.0) * listed_weight.canary
+            > MAX_QUEUE_IMBALANCE * (arms.baseline.outstanding + 1.0) * listed_weight.canary
             && listed_weight.baseline > 0.0;
         // A cap or a full window can keep the canary from its share, so that all requests go to the earlier builds;
         // and where a build is rolled back, few of these are left, and they are warming up. So the traffic share of
@@ -145,7 +145,7 @@
         // the candidates stand for. With a subset, they begin at a rank of it; without one, agents divide the list
         // evenly.
         let (assigned_start, part_of_listed) = if endpoints.has_subset {
-            let first_rank = Some(self.first_assigned[arm]);
+            let first_rank = Some(self.first_assigned_rank[arm]);
             let first = members
                 .candidates
                 .partition_point(|candidate| candidate.subset_rank < first_rank);
--- a/crates/decision/src/policy/sequential_test.rs
+++ b/crates/decision/src/policy/sequential_test.rs
@@ -160,7 +160,10 @@
     }
 
     /// The outcomes of each of the canary's endpoints that the filter accepts, the highest failure rate first.
-    pub(crate) fn worst_first(&self, accepts: impl Fn(EndpointId) -> bool) -> Vec<Trials> {
+    pub(crate) fn by_descending_failure_rate(
+        &self,
+        accepts: impl Fn(EndpointId) -> bool,
+    ) -> Vec<Trials> {
         let mut trials: Vec<Trials> = self
             .by_canary_endpoint
             .iter()
--- a/crates/decision/src/policy/slow_start.rs
+++ b/crates/decision/src/policy/slow_start.rs
@@ -96,7 +96,7 @@
             let warming_up = pool.started_after(now.saturating_sub(self.settings.ramp));
             let missing = warming_up.map(|start| {
                 endpoints.catalog.count_visits(1);
-                let age = now.saturating_sub(start.at);
+                let age = now.saturating_sub(start.started_at);
                 start.listed_weight() * (1.0 - self.capacity_share(Some(age)))
             });
             weights[arm] += pool.listed_weight() - missing.sum::<f64>();
--- a/crates/decision/src/policy/subsetting.rs
+++ b/crates/decision/src/policy/subsetting.rs
@@ -121,7 +121,7 @@
 
     /// The rank among the members at which the assigned endpoints begin: the agent's own, moved as far as needed for
     /// the segment to hold them all.
-    fn first_assigned(&self, assigned_count: f64) -> usize {
+    fn first_assigned_rank(&self, assigned_count: f64) -> usize {
         let count = self.members.len() as f64;
         if self.members.len() == self.arm_size {
             return self.own_rank.rem_euclid(count.max(1.0)).ceil() as usize;
@@ -161,7 +161,7 @@
         subset.is_sufficient = serving_count >= half_target_size;
         let members = PerArm::from_fn(|arm| segments[arm].members.as_slice());
         subset.removed = endpoints.set_members(members, |record| self.keeps_record(record));
-        PerArm::from_fn(|arm| segments[arm].first_assigned(self.assigned_count))
+        PerArm::from_fn(|arm| segments[arm].first_assigned_rank(self.assigned_count))
     }
 
     /// Doubles or halves the target size of the subset where it does not fit the number of assigned endpoints.
--- a/crates/decision/src/policy/voting.rs
+++ b/crates/decision/src/policy/voting.rs
@@ -63,7 +63,7 @@
     ) -> bool {
         let status = inputs.status;
         if inputs.lost_share <= MAX_LOST_SHARE {
-            self.voting.last_tolerable_loss = inputs.now;
+            self.voting.loss_last_tolerable_at = inputs.now;
         }
         self.warn_peers(inputs, endpoints, actions);
         let Some(vote) = self.choose_vote(inputs, endpoints) else {
@@ -187,7 +187,7 @@
             .iter()
             .take(rollback_test_count)
             .any(proves_regression)
-            || inputs.now > self.voting.last_tolerable_loss + min_loss_time
+            || inputs.now > self.voting.loss_last_tolerable_at + min_loss_time
     }
 
     /// Whether it is time to vote to advance: the stage is listed and has lasted for its minimum time, the operator
--- a/crates/decision/src/state/endpoint_pool.rs
+++ b/crates/decision/src/state/endpoint_pool.rs
@@ -7,7 +7,7 @@
 /// The start time of an endpoint whose start is known, and its listed weight.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct EndpointStart {
-    pub(crate) at: Duration,
+    pub(crate) started_at: Duration,
     endpoint: EndpointId,
     listed_weight: f32,
 }
@@ -18,7 +18,7 @@
     }
 
     fn key(&self) -> (Duration, EndpointId) {
-        (self.at, self.endpoint)
+        (self.started_at, self.endpoint)
     }
 }
 
@@ -43,12 +43,14 @@
 
     /// When the most recently started of the endpoints started; `None` if no start is known.
     pub(crate) fn latest_start(&self) -> Option<Duration> {
-        self.starts.last().map(|start| start.at)
+        self.starts.last().map(|start| start.started_at)
     }
 
     /// The endpoints that are known to have started after this time, the latest last.
     pub(crate) fn started_after(&self, after: Duration) -> impl Iterator<Item = &EndpointStart> {
-        let from = self.starts.partition_point(|start| start.at <= after);
+        let from = self
+            .starts
+            .partition_point(|start| start.started_at <= after);
         self.starts[from..].iter()
     }
 
@@ -95,8 +97,8 @@
 }
 
 fn start_of(endpoint: &Endpoint) -> Option<EndpointStart> {
-    endpoint.started.map(|at| EndpointStart {
-        at,
+    endpoint.started.map(|started_at| EndpointStart {
+        started_at,
         endpoint: endpoint.id,
         listed_weight: endpoint.weight,
     })
--- a/crates/decision/src/state/endpoint_table.rs
+++ b/crates/decision/src/state/endpoint_table.rs
@@ -15,7 +15,7 @@
 };
 
 /// At most this many endpoints are examined for each one that is wanted outside the subset.
-const EXAMINED_PER_WANTED: usize = 4;
+const MAX_EXAMINED_PER_WANTED: usize = 4;
 
 /// Failure shares of the other ready endpoints of the build that an endpoint runs.
 #[derive(Clone, Copy, Debug, Default)]
@@ -183,7 +183,7 @@
             let endpoints = self
                 .catalog
                 .in_cell(cell, from.0 as usize)
-                .take(wanted * EXAMINED_PER_WANTED);
+                .take(wanted * MAX_EXAMINED_PER_WANTED);
             let others = endpoints
                 .filter(|endpoint| !is_member(endpoint) && permits(endpoint.build, endpoint.zone));
             return others.take(wanted).copied().collect();
@@ -196,7 +196,7 @@
             .pools()
             .filter(|(build, zone, _)| fits(*build, *zone))
             .map(|(.., pool)| pool.ring());
-        let ids = nearest(rings, from, Side::After).take(wanted * EXAMINED_PER_WANTED);
+        let ids = nearest(rings, from, Side::After).take(wanted * MAX_EXAMINED_PER_WANTED);
         let endpoints = ids
             .inspect(|_| self.catalog.count_visits(1))
             .filter_map(|id| self.catalog.get(id));
--- a/crates/decision/src/state/hash_ring.rs
+++ b/crates/decision/src/state/hash_ring.rs
@@ -50,7 +50,7 @@
     side: Side,
 ) -> impl Iterator<Item = EndpointId> {
     let mut rings: Vec<_> = rings
-        .map(|ring| full_turn(ring, from, side).peekable())
+        .map(|ring| walk_ring(ring, from, side).peekable())
         .collect();
     std::iter::from_fn(move || {
         let heads = rings.iter_mut().enumerate().filter_map(|(index, ring)| {
@@ -68,7 +68,7 @@
 }
 
 /// All endpoints of one ring in one direction, beginning next to a position.
-fn full_turn(
+fn walk_ring(
     ring: &Ring,
     from: Position,
     side: Side,
--- a/crates/decision/src/state/votes.rs
+++ b/crates/decision/src/state/votes.rs
@@ -32,5 +32,5 @@
     /// agents do not all vote at once if the aggregators did not.
     pub(crate) backup_vote_draw: f64,
     /// When the lost share of capacity was last within its limit.
-    pub(crate) last_tolerable_loss: Duration,
+    pub(crate) loss_last_tolerable_at: Duration,
 }
