--- a/crates/decision/src/state/demand.rs
+++ b/crates/decision/src/state/demand.rs
@@ -29,23 +29,23 @@
 #[derive(Debug, Default)]
 pub(crate) struct Demand {
     /// Estimated work in seconds and number of requests, by class.
-    estimates: BTreeMap<RequestClass, DecayingRatio>,
+    work_estimates: BTreeMap<RequestClass, DecayingRatio>,
     /// Served work in seconds over listed weight times seconds: the capacity of a unit of weight.
     capacity_per_weight: DecayingRatio,
     /// Attempts served recently.
     recently_served: DecayingSum,
     /// Attempts that lacked a connection (see [`EndedAttempt::lacked_connection`]), over all that ended.
-    connection_shortage: DecayingRatio,
+    connection_shortage_ratio: DecayingRatio,
     /// Attempts that an endpoint rejected, over all that ended.
-    rejections: DecayingRatio,
+    rejection_ratio: DecayingRatio,
     /// Attempts answered after the latency objective or timed out, over all that were answered or timed out.
-    late_answers: DecayingRatio,
+    late_ratio: DecayingRatio,
     /// Attempts served, over requests received.
     served_and_received: DecayingRatio,
     /// Seconds that the agent has been up, decaying like `served_and_received`.
     uptime: DecayingSum,
     /// Retries served, over all retries that succeeded or failed.
-    retries: DecayingRatio,
+    retry_success_ratio: DecayingRatio,
 }
 
 impl Demand {
@@ -56,7 +56,10 @@
         now: Duration,
         accepts: impl Fn(RequestClass) -> bool,
     ) -> Option<f64> {
-        let accepted = self.estimates.iter().filter(|(class, _)| accepts(**class));
+        let accepted = self
+            .work_estimates
+            .iter()
+            .filter(|(class, _)| accepts(**class));
         let sums =
             RatioSums::sum(accepted.map(|(_, estimates)| estimates.read(now, BASELINE_HALF_LIFE)));
         (sums.denominator > 0.0).then(|| sums.numerator / sums.denominator)
@@ -66,7 +69,7 @@
     pub(crate) fn on_request(&mut self, now: Duration, request: &Request) -> Option<f64> {
         self.served_and_received.add(now, RATE_HALF_LIFE, 0.0, 1.0);
         if let Some(estimate) = request.estimated_work {
-            self.estimates.entry(request.class).or_default().add(
+            self.work_estimates.entry(request.class).or_default().add(
                 now,
                 BASELINE_HALF_LIFE,
                 estimate.as_secs_f64(),
@@ -90,9 +93,9 @@
         let count = |applies: bool| f64::from(u8::from(applies));
         let is_served = attempt.outcome == Outcome::Succeeded;
         let is_rejected = attempt.outcome == Outcome::Rejected;
-        self.rejections
+        self.rejection_ratio
             .add(now, RECENT_HALF_LIFE, count(is_rejected), 1.0);
-        self.connection_shortage.add(
+        self.connection_shortage_ratio.add(
             now,
             BASELINE_HALF_LIFE,
             count(attempt.lacked_connection),
@@ -100,12 +103,12 @@
         );
         if is_served || attempt.outcome == Outcome::TimedOut {
             let is_late = !is_served || attempt.is_late;
-            self.late_answers
-                .add(now, sample_period, count(is_late), 1.0);
+            self.late_ratio.add(now, sample_period, count(is_late), 1.0);
         }
         let is_answered = matches!(attempt.outcome, Outcome::Succeeded | Outcome::Failed);
         if attempt.number.0 > 0 && is_answered {
-            self.retries.add(now, sample_period, count(is_served), 1.0);
+            self.retry_success_ratio
+                .add(now, sample_period, count(is_served), 1.0);
         }
     }
 
@@ -154,22 +157,23 @@
 
     /// Share of attempts that lacked a connection (see [`EndedAttempt::lacked_connection`]).
     pub(crate) fn connection_shortage(&self, now: Duration) -> f64 {
-        self.connection_shortage
+        self.connection_shortage_ratio
             .share(now, BASELINE_HALF_LIFE, PRIOR_ATTEMPTS)
     }
 
     /// Recent share of attempts that an endpoint rejected.
     pub(crate) fn rejected_share(&self, now: Duration) -> f64 {
-        self.rejections.share(now, RECENT_HALF_LIFE, 1.0)
+        self.rejection_ratio.share(now, RECENT_HALF_LIFE, 1.0)
     }
 
     /// Share of attempts that were answered after the latency objective or timed out.
     pub(crate) fn late_share(&self, now: Duration, sample_period: Duration) -> f64 {
-        self.late_answers.share(now, sample_period, PRIOR_ATTEMPTS)
+        self.late_ratio.share(now, sample_period, PRIOR_ATTEMPTS)
     }
 
     /// Share of retries that were served; 1 without any.
     pub(crate) fn retry_success(&self, now: Duration, sample_period: Duration) -> f64 {
-        self.retries.optimistic_share(now, sample_period)
+        self.retry_success_ratio
+            .optimistic_share(now, sample_period)
     }
 }
--- a/crates/decision/src/state/endpoint_record.rs
+++ b/crates/decision/src/state/endpoint_record.rs
@@ -31,7 +31,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct EndpointHealth {
     /// Attempts that did not succeed, over all that ended, without cancelled and unsent ones.
-    pub(crate) failures: DecayingRatio,
+    pub(crate) failure_ratio: DecayingRatio,
     /// Time taken over estimated work, of attempts served recently.
     pub(crate) recent_latency_ratio: DecayingRatio,
     /// Time taken over estimated work, of attempts served in the longer term.
@@ -67,7 +67,7 @@
         }
         if !matches!(outcome, Outcome::Cancelled | Outcome::NotSent) {
             let failed = f64::from(u8::from(outcome != Outcome::Succeeded));
-            self.failures.add(now, RECENT_HALF_LIFE, failed, 1.0);
+            self.failure_ratio.add(now, RECENT_HALF_LIFE, failed, 1.0);
         }
     }
 
@@ -82,7 +82,7 @@
 
     /// Recent share of attempts that did not succeed.
     pub(crate) fn failure_share(&self, now: Duration) -> f64 {
-        self.failures.share(now, RECENT_HALF_LIFE, 1.0)
+        self.failure_ratio.share(now, RECENT_HALF_LIFE, 1.0)
     }
 
     pub(crate) fn is_ejected(&self) -> bool {
