--- a/crates/decision/src/engine/mod.rs
+++ b/crates/decision/src/engine/mod.rs
@@ -193,7 +193,7 @@
         let is_idle = !has_more_work
             && self
                 .endpoints
-                .walk()
+                .visit_records()
                 .all(|record| record.outstanding.is_empty());
         let next = if is_idle {
             self.list_polling.next_request_at
--- a/crates/decision/src/engine/outcomes.rs
+++ b/crates/decision/src/engine/outcomes.rs
@@ -21,10 +21,10 @@
 
 impl DecisionEngine {
     /// Records the outcome of an attempt wherever something depends on it, and ejects or readmits its endpoint.
-    pub(super) fn on_outcome(&mut self, ended: &AttemptResult<'_>) {
+    pub(super) fn on_outcome(&mut self, result: &AttemptResult<'_>) {
         let now = self.now;
-        let is_served = ended.outcome == Outcome::Succeeded;
-        let Some(record) = self.endpoints.records.get(&ended.endpoint) else {
+        let is_served = result.outcome == Outcome::Succeeded;
+        let Some(record) = self.endpoints.records.get(&result.endpoint) else {
             return;
         };
         let same_build = if is_served {
@@ -32,23 +32,25 @@
         } else {
             let build = record.endpoint.build;
             self.endpoints
-                .same_build_failures(now, ended.endpoint, build)
+                .same_build_failures(now, result.endpoint, build)
         };
-        let is_endpoint_alive = record.health.last_response > ended.attempt.sent_at;
+        let is_endpoint_alive = record.health.last_response > result.attempt.sent_at;
         // The time that an attempt took is no evidence if the agent itself stalled meanwhile.
-        let spans_stall = ended.attempt.sent_at < self.schedule.resumed_at;
+        let spans_stall = result.attempt.sent_at < self.schedule.resumed_at;
         let ended_attempt = EndedAttempt {
-            number: ended.id.number,
-            outcome: ended.outcome,
-            is_late: self.is_late(ended),
-            lacked_connection: lacked_connection(record, ended.outcome, now),
+            number: result.id.number,
+            outcome: result.outcome,
+            is_late: self.is_late(result),
+            lacked_connection: lacked_connection(record, result.outcome, now),
         };
-        self.record_demand(ended_attempt, ended.attempt.work);
-        if let Some(record) = self.endpoints.records.get_mut(&ended.endpoint) {
-            let (outcome, sent_at) = (ended.outcome, ended.attempt.sent_at);
+        self.record_demand(ended_attempt, result.attempt.work);
+        if let Some(record) = self.endpoints.records.get_mut(&result.endpoint) {
+            let (outcome, sent_at) = (result.outcome, result.attempt.sent_at);
             record.health.on_attempt_ended(now, outcome, sent_at);
             if is_served && !spans_stall {
-                record.health.on_served(now, ended.took, ended.attempt.work);
+                record
+                    .health
+                    .on_served(now, result.took, result.attempt.work);
             }
             if is_served {
                 self.diagnostics
@@ -60,19 +62,19 @@
         }
         self.schedule.events_since_refresh += 1;
         if !spans_stall {
-            self.record_evidence(ended, is_endpoint_alive);
+            self.record_evidence(result, is_endpoint_alive);
         }
         if is_served {
-            let request = self.requests.by_id.get(&ended.id.request);
-            self.exposure.on_served(ended.attempt.build, request);
+            let request = self.requests.by_id.get(&result.id.request);
+            self.exposure.on_served(result.attempt.build, request);
         }
     }
 
     /// Whether an attempt took longer than the latency objective of its class.
-    fn is_late(&self, ended: &AttemptResult<'_>) -> bool {
+    fn is_late(&self, result: &AttemptResult<'_>) -> bool {
         self.requests
-            .policy(ended.attempt.class)
-            .is_some_and(|policy| ended.took > policy.latency_objective)
+            .policy(result.attempt.class)
+            .is_some_and(|policy| result.took > policy.latency_objective)
     }
 
     /// Records an outcome, and the work if it was served, in the demand and in the work that is reported to peers.
@@ -92,8 +94,8 @@
     /// queue, while both arms answer, and at endpoints that had warmed up: one that is warming up is slow, but fails no
     /// more than others. Guards against taking bursts, slow starts, dead machines and shared slowdowns for faults of
     /// the build.
-    fn record_evidence(&mut self, ended: &AttemptResult<'_>, is_endpoint_alive: bool) {
-        let attempt = ended.attempt;
+    fn record_evidence(&mut self, result: &AttemptResult<'_>, is_endpoint_alive: bool) {
+        let attempt = result.attempt;
         let Some(&policy) = self.requests.policy(attempt.class) else {
             return;
         };
@@ -116,13 +118,13 @@
                 .admission_control()
                 .wait_share(policy.latency_objective)
                 < QUEUE_WAIT_SHARE;
-        let record = self.endpoints.records.get(&ended.endpoint);
+        let record = self.endpoints.records.get(&result.endpoint);
         let model_latency_ratios = &self.analysis.evidence.model_latency_ratios;
         let observed = ObservedOutcome {
             attempt,
             policy: &policy,
-            outcome: ended.outcome,
-            took: ended.took,
+            outcome: result.outcome,
+            took: result.took,
             is_endpoint_alive,
             is_timing_comparable,
             model_latency_ratio: record.and_then(|record| {
@@ -134,7 +136,7 @@
         };
         if let Some(counts) = observed.counts() {
             self.analysis
-                .on_outcome(ended.endpoint, attempt.build, attempt.class, counts);
+                .on_outcome(result.endpoint, attempt.build, attempt.class, counts);
         }
     }
 }
--- a/crates/decision/src/policy/outlier_ejection.rs
+++ b/crates/decision/src/policy/outlier_ejection.rs
@@ -31,10 +31,10 @@
 /// holds enough other endpoints that can serve.
 pub(crate) fn is_panic(endpoints: &EndpointTable, subset_is_sufficient: bool) -> bool {
     let ejected = endpoints
-        .ready()
+        .ready_records()
         .filter(|record| record.is_ejected())
         .count();
-    2 * ejected > endpoints.ready().count() && !subset_is_sufficient
+    2 * ejected > endpoints.ready_records().count() && !subset_is_sufficient
 }
 
 /// Ejects an endpoint, for twice as long as the last time if it is still ejected. Does nothing, and returns `None`,
--- a/crates/decision/src/policy/selection_weights.rs
+++ b/crates/decision/src/policy/selection_weights.rs
@@ -96,7 +96,7 @@
                     .exposure
                     .operator_permits_any(endpoint.build, endpoint.zone)
         };
-        for record in endpoints.ready().filter(is_candidate) {
+        for record in endpoints.ready_records().filter(is_candidate) {
             let capacity_share = self.slow_start.capacity_share(record.age(self.now));
             let listed_weight = record.listed_weight() * capacity_share;
             let selection_weight =
--- a/crates/decision/src/policy/slow_start.rs
+++ b/crates/decision/src/policy/slow_start.rs
@@ -101,7 +101,10 @@
             });
             weights[arm] += pool.listed_weight() - missing.sum::<f64>();
         }
-        for record in endpoints.ready().filter(|record| is_excluded(record)) {
+        for record in endpoints
+            .ready_records()
+            .filter(|record| is_excluded(record))
+        {
             if let Some(arm) = arm_of(record.endpoint.build, record.endpoint.zone) {
                 weights[arm] -= record.listed_weight() * self.capacity_share(record.age(now));
             }
--- a/crates/decision/src/state/endpoint_table.rs
+++ b/crates/decision/src/state/endpoint_table.rs
@@ -156,7 +156,7 @@
 
     /// Median of a value over the records of ready endpoints, the upper one of two; `None` without a record.
     pub(crate) fn median(&self, value: impl Fn(&EndpointRecord) -> f64) -> Option<f64> {
-        let mut values: Vec<f64> = self.ready().map(value).collect();
+        let mut values: Vec<f64> = self.ready_records().map(value).collect();
         values.sort_by(f64::total_cmp);
         values.get(values.len() / 2).copied()
     }
@@ -223,14 +223,14 @@
     }
 
     /// All records, counted as visited.
-    pub(crate) fn walk(&self) -> impl Iterator<Item = &EndpointRecord> {
+    pub(crate) fn visit_records(&self) -> impl Iterator<Item = &EndpointRecord> {
         self.catalog.count_visits(self.records.len());
         self.records.values()
     }
 
     /// The records of ready endpoints.
-    pub(crate) fn ready(&self) -> impl Iterator<Item = &EndpointRecord> {
-        self.walk()
+    pub(crate) fn ready_records(&self) -> impl Iterator<Item = &EndpointRecord> {
+        self.visit_records()
             .filter(|record| record.endpoint.status == EndpointStatus::Ready)
     }
 
@@ -242,7 +242,7 @@
         build: Build,
     ) -> SameBuildFailures {
         let others = self
-            .ready()
+            .ready_records()
             .filter(|record| record.id() != endpoint && record.endpoint.build == build);
         others.fold(SameBuildFailures::default(), |sums, record| {
             SameBuildFailures {
@@ -259,7 +259,9 @@
         build: Build,
     ) -> BTreeMap<MachineModel, f64> {
         let mut sums = BTreeMap::<MachineModel, RatioSums>::new();
-        let earlier = self.ready().filter(|record| record.endpoint.build < build);
+        let earlier = self
+            .ready_records()
+            .filter(|record| record.endpoint.build < build);
         for record in earlier {
             let latency_ratio = record
                 .health
@@ -276,7 +278,7 @@
 
     /// Number of outstanding attempts, without those at ejected endpoints.
     pub(crate) fn outstanding_count(&self) -> usize {
-        self.walk()
+        self.visit_records()
             .filter(|record| !record.is_ejected())
             .map(|record| record.outstanding.len())
             .sum()
@@ -284,7 +286,7 @@
 
     /// Baseline latency ratio over all ready endpoints together; `None` before any attempt was served.
     pub(crate) fn mean_latency_ratio(&self, now: Duration) -> Option<f64> {
-        let latency_ratios = self.ready().map(|record| {
+        let latency_ratios = self.ready_records().map(|record| {
             record
                 .health
                 .baseline_latency_ratio
