--- a/crates/decision/src/policy/outlier_ejection.rs
+++ b/crates/decision/src/policy/outlier_ejection.rs
@@ -27,8 +27,8 @@
 }
 
 /// Whether the agent is in panic mode: more than half of the endpoints that it works with are ejected, so that the
-/// fault is hardly theirs and ejections are ignored. Never while the subset is sufficient: then it
-/// holds enough other endpoints that can serve.
+/// fault is hardly theirs and ejections are ignored. Never while the subset is sufficient: then it holds
+/// enough other endpoints that can serve.
 pub(crate) fn is_panic(endpoints: &EndpointTable, subset_is_sufficient: bool) -> bool {
     let ejected = endpoints
         .ready_records()
--- a/crates/decision/src/policy/selection_weights.rs
+++ b/crates/decision/src/policy/selection_weights.rs
@@ -15,8 +15,8 @@
 /// The selection weight of an endpoint that is not assigned to the agent is multiplied by this, so that it is used only
 /// when no assigned one can be.
 const UNASSIGNED_WEIGHT_FACTOR: f64 = 1e-3;
-/// The canary gets no share of requests while, in relation to its weight, more than this many times as many attempts
-/// are outstanding at it as at the earlier builds.
+/// The canary gets no share of requests while, in relation to its listed weight, more than this many times as many
+/// attempts are outstanding at it as at the earlier builds.
 const MAX_QUEUE_IMBALANCE: f64 = 1.5;
 
 /// What the selection weights of endpoints are computed from.
@@ -28,9 +28,9 @@
     pub(crate) slow_start: &'a SlowStart,
     pub(crate) exposure: &'a Exposure,
     pub(crate) is_panic: bool,
-    /// How many endpoints of an arm the agent mostly uses: its assigned endpoints.
+    /// Number of assigned endpoints of an arm: those that the agent mostly uses.
     pub(crate) assigned_count: f64,
-    /// The rank at which they begin, where there is a subset.
+    /// For each arm, the rank in the subset at which its assigned endpoints begin; unused without a subset.
     pub(crate) first_assigned_rank: PerArm<usize>,
 }
 
@@ -38,6 +38,7 @@
 #[derive(Debug, Default)]
 struct ArmCandidates {
     candidates: Vec<Candidate>,
+    /// Reduced for endpoints that are warming up.
     listed_weight: f64,
     outstanding: f64,
     selection_weight: f64,
@@ -56,9 +57,9 @@
         };
         let total_weight = listed_weight.baseline + listed_weight.canary;
         let listed_share = listed_weight.canary / total_weight.max(1e-9);
-        // While the canary has more attempts outstanding for its weight than the baseline, it gets no share. Guards
-        // against a canary on a few slow machines whose queue makes the build look slow: with unequal load the two
-        // arms are not comparable.
+        // While the canary has more attempts outstanding for its listed weight than the baseline, it gets no share.
+        // Guards against a canary on a few slow machines whose queue makes the build look slow: with unequal load the
+        // two arms are not comparable.
         let is_canary_congested = arms.canary.outstanding * listed_weight.baseline
             > MAX_QUEUE_IMBALANCE * (arms.baseline.outstanding + 1.0) * listed_weight.canary
             && listed_weight.baseline > 0.0;
