--- a/crates/decision/src/engine/refresh.rs
+++ b/crates/decision/src/engine/refresh.rs
@@ -9,7 +9,7 @@
 use crate::policy::selection_weights::SelectionWeightInputs;
 use crate::policy::subsetting::{SubsetSelection, assigned_count};
 use crate::state::evidence::WorkSums;
-use crate::state::half_lives::{BASELINE_HALF_LIFE, RECENT_HALF_LIFE};
+use crate::state::half_lives::{LONG_RUN_HALF_LIFE, RECENT_HALF_LIFE};
 
 /// The load estimate's `sample_period` is the time that the agent takes to be served this many requests.
 const SAMPLE_REQUESTS: f64 = 5.0;
@@ -25,7 +25,7 @@
         self.refresh_candidates();
         let sample_period =
             Duration::from_secs_f64(SAMPLE_REQUESTS / self.load.served_rate.max(1.0));
-        self.load.sample_period = sample_period.clamp(RECENT_HALF_LIFE, BASELINE_HALF_LIFE);
+        self.load.sample_period = sample_period.clamp(RECENT_HALF_LIFE, LONG_RUN_HALF_LIFE);
         if let Some(status) = self.exposure.release_status {
             let latency_ratios = self.endpoints.latency_ratios_before(self.now, status.build);
             self.analysis
@@ -51,7 +51,7 @@
         let median = self
             .endpoints
             .median(|record| recent_latency_ratio(record, now, &self.load));
-        self.load.median_latency_ratio = median.unwrap_or(self.load.baseline_latency_ratio);
+        self.load.median_latency_ratio = median.unwrap_or(self.load.long_run_latency_ratio);
     }
 
     fn eject_silent_endpoints(&mut self) {
--- a/crates/decision/src/policy/load_balancing.rs
+++ b/crates/decision/src/policy/load_balancing.rs
@@ -14,7 +14,7 @@
 use crate::state::endpoint_record::EndpointRecord;
 use crate::state::endpoint_table::EndpointTable;
 use crate::state::evidence::Evidence;
-use crate::state::half_lives::{BASELINE_HALF_LIFE, RECENT_HALF_LIFE};
+use crate::state::half_lives::{LONG_RUN_HALF_LIFE, RECENT_HALF_LIFE};
 use crate::state::load_estimate::LoadEstimate;
 use crate::state::pending_requests::PendingRequest;
 
@@ -36,16 +36,16 @@
 
 /// An endpoint's long-run latency ratio: time taken divided by estimated work. While little work of it is known, the
 /// value is close to the mean of all endpoints.
-pub(crate) fn baseline_latency_ratio(
+pub(crate) fn long_run_latency_ratio(
     record: &EndpointRecord,
     now: Duration,
     load: &LoadEstimate,
 ) -> f64 {
     let own = record
         .health
-        .baseline_latency_ratio
-        .read(now, BASELINE_HALF_LIFE);
-    ((own.numerator + load.baseline_latency_ratio) / (own.denominator + 1.0)).max(MIN_LATENCY_RATIO)
+        .long_run_latency_ratio
+        .read(now, LONG_RUN_HALF_LIFE);
+    ((own.numerator + load.long_run_latency_ratio) / (own.denominator + 1.0)).max(MIN_LATENCY_RATIO)
 }
 
 /// An endpoint's recent latency ratio. While little recent work of it is known, the value is close to its long-run
@@ -60,7 +60,7 @@
         .recent_latency_ratio
         .read(now, RECENT_HALF_LIFE);
     let prior = LATENCY_RATIO_PRIOR_REQUESTS * load.mean_work;
-    (own.numerator + prior * baseline_latency_ratio(record, now, load)) / (own.denominator + prior)
+    (own.numerator + prior * long_run_latency_ratio(record, now, load)) / (own.denominator + prior)
 }
 
 /// The result of choosing an endpoint for a request.
@@ -219,7 +219,7 @@
             REMOTE_ZONE_COST_MULTIPLE
         };
         let slowdown = recent_latency_ratio(record, self.now, self.load)
-            / baseline_latency_ratio(record, self.now, self.load);
+            / long_run_latency_ratio(record, self.now, self.load);
         let outstanding = record.outstanding.len() as f64 * self.load.mean_listed_weight
             / record.listed_weight().max(1e-3);
         zone_cost * (1.0 + outstanding) * slowdown
--- a/crates/decision/src/policy/selection_weights.rs
+++ b/crates/decision/src/policy/selection_weights.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::exposure::Exposure;
-use super::load_balancing::baseline_latency_ratio;
+use super::load_balancing::long_run_latency_ratio;
 use super::outlier_ejection::is_excluded;
 use super::slow_start::SlowStart;
 use crate::model::{Arm, FleetPosition, PerArm};
@@ -101,7 +101,7 @@
             let capacity_share = self.slow_start.capacity_share(record.age(self.now));
             let listed_weight = record.listed_weight() * capacity_share;
             let selection_weight =
-                listed_weight / baseline_latency_ratio(record, self.now, self.load);
+                listed_weight / long_run_latency_ratio(record, self.now, self.load);
             let arm = &mut arms[self.exposure.arm(record.endpoint.build)];
             arm.listed_weight += listed_weight;
             arm.outstanding += record.outstanding.len() as f64;
--- a/crates/decision/src/state/demand.rs
+++ b/crates/decision/src/state/demand.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::decaying_sum::{DecayingRatio, DecayingSum, RatioSums, decayed_duration};
-use super::half_lives::{BASELINE_HALF_LIFE, RECENT_HALF_LIFE};
+use super::half_lives::{LONG_RUN_HALF_LIFE, RECENT_HALF_LIFE};
 use crate::model::{AttemptNumber, Outcome, Request, RequestClass};
 
 /// Half-life of the rates of requests and attempts served.
@@ -61,7 +61,7 @@
             .iter()
             .filter(|(class, _)| accepts(**class));
         let sums =
-            RatioSums::sum(accepted.map(|(_, estimates)| estimates.read(now, BASELINE_HALF_LIFE)));
+            RatioSums::sum(accepted.map(|(_, estimates)| estimates.read(now, LONG_RUN_HALF_LIFE)));
         (sums.denominator > 0.0).then(|| sums.numerator / sums.denominator)
     }
 
@@ -71,7 +71,7 @@
         if let Some(estimate) = request.estimated_work {
             self.work_estimates.entry(request.class).or_default().add(
                 now,
-                BASELINE_HALF_LIFE,
+                LONG_RUN_HALF_LIFE,
                 estimate.as_secs_f64(),
                 1.0,
             );
@@ -97,7 +97,7 @@
             .add(now, RECENT_HALF_LIFE, count(is_rejected), 1.0);
         self.connection_shortage_ratio.add(
             now,
-            BASELINE_HALF_LIFE,
+            LONG_RUN_HALF_LIFE,
             count(attempt.lacked_connection),
             1.0,
         );
@@ -113,16 +113,16 @@
     }
 
     /// Records that `elapsed` time has passed at this listed weight; returns their product in weight times seconds,
-    /// decayed with the half-life of baselines.
+    /// decayed with the half-life of long-run values.
     pub(crate) fn on_elapsed(
         &mut self,
         now: Duration,
         elapsed: Duration,
         listed_weight: f64,
     ) -> f64 {
-        let weight_seconds = decayed_duration(elapsed, BASELINE_HALF_LIFE) * listed_weight;
+        let weight_seconds = decayed_duration(elapsed, LONG_RUN_HALF_LIFE) * listed_weight;
         self.capacity_per_weight
-            .add(now, BASELINE_HALF_LIFE, 0.0, weight_seconds);
+            .add(now, LONG_RUN_HALF_LIFE, 0.0, weight_seconds);
         let uptime = decayed_duration(elapsed, RATE_HALF_LIFE);
         self.uptime.add(now, RATE_HALF_LIFE, uptime);
         weight_seconds
@@ -132,13 +132,13 @@
     pub(crate) fn on_served(&mut self, now: Duration, work: f64) {
         self.recently_served.add(now, RECENT_HALF_LIFE, 1.0);
         self.capacity_per_weight
-            .add(now, BASELINE_HALF_LIFE, work, 0.0);
+            .add(now, LONG_RUN_HALF_LIFE, work, 0.0);
         self.served_and_received.add(now, RATE_HALF_LIFE, 1.0, 0.0);
     }
 
     /// Capacity of a unit of listed weight, as served work in seconds per second.
     pub(crate) fn capacity_per_weight(&self, now: Duration) -> f64 {
-        let capacity = self.capacity_per_weight.read(now, BASELINE_HALF_LIFE);
+        let capacity = self.capacity_per_weight.read(now, LONG_RUN_HALF_LIFE);
         capacity.numerator / capacity.denominator.max(1e-9)
     }
 
@@ -158,7 +158,7 @@
     /// Share of attempts that lacked a connection (see [`EndedAttempt::lacked_connection`]).
     pub(crate) fn connection_shortage(&self, now: Duration) -> f64 {
         self.connection_shortage_ratio
-            .share(now, BASELINE_HALF_LIFE, PRIOR_ATTEMPTS)
+            .share(now, LONG_RUN_HALF_LIFE, PRIOR_ATTEMPTS)
     }
 
     /// Recent share of attempts that an endpoint rejected.
--- a/crates/decision/src/state/endpoint_record.rs
+++ b/crates/decision/src/state/endpoint_record.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::decaying_sum::DecayingRatio;
-use super::half_lives::{BASELINE_HALF_LIFE, RECENT_HALF_LIFE};
+use super::half_lives::{LONG_RUN_HALF_LIFE, RECENT_HALF_LIFE};
 use crate::model::{AttemptNumber, Build, Endpoint, EndpointId, Outcome, RequestClass, RequestId};
 
 /// Identifies an attempt.
@@ -34,8 +34,8 @@
     pub(crate) failure_ratio: DecayingRatio,
     /// Time taken over estimated work, of attempts served recently.
     pub(crate) recent_latency_ratio: DecayingRatio,
-    /// Time taken over estimated work, of attempts served in the longer term.
-    pub(crate) baseline_latency_ratio: DecayingRatio,
+    /// Time taken over estimated work, of attempts served in the long run.
+    pub(crate) long_run_latency_ratio: DecayingRatio,
     /// When it last showed by an outcome that its process runs.
     pub(crate) last_response: Duration,
     /// The latest send time of all attempts that it has answered.
@@ -76,8 +76,8 @@
         let took = took.as_secs_f64();
         self.recent_latency_ratio
             .add(now, RECENT_HALF_LIFE, took, work);
-        self.baseline_latency_ratio
-            .add(now, BASELINE_HALF_LIFE, took, work);
+        self.long_run_latency_ratio
+            .add(now, LONG_RUN_HALF_LIFE, took, work);
     }
 
     /// Recent share of attempts that did not succeed.
--- a/crates/decision/src/state/endpoint_table.rs
+++ b/crates/decision/src/state/endpoint_table.rs
@@ -7,7 +7,7 @@
 use super::decaying_sum::RatioSums;
 use super::endpoint_catalog::EndpointCatalog;
 use super::endpoint_record::EndpointRecord;
-use super::half_lives::BASELINE_HALF_LIFE;
+use super::half_lives::LONG_RUN_HALF_LIFE;
 use super::hash_ring::{Position, Side, nearest};
 use crate::model::{
     Build, Endpoint, EndpointId, EndpointStatus, ListUpdate, MachineModel, PerArm,
@@ -252,7 +252,7 @@
         })
     }
 
-    /// Baseline latency ratio of each machine model on ready endpoints with builds earlier than this one.
+    /// Long-run latency ratio of each machine model on ready endpoints with builds earlier than this one.
     pub(crate) fn latency_ratios_before(
         &self,
         now: Duration,
@@ -265,8 +265,8 @@
         for record in earlier {
             let latency_ratio = record
                 .health
-                .baseline_latency_ratio
-                .read(now, BASELINE_HALF_LIFE);
+                .long_run_latency_ratio
+                .read(now, LONG_RUN_HALF_LIFE);
             let sum = sums.entry(record.endpoint.machine_model).or_default();
             *sum = RatioSums::sum([*sum, latency_ratio].into_iter());
         }
@@ -284,13 +284,13 @@
             .sum()
     }
 
-    /// Baseline latency ratio over all ready endpoints together; `None` before any attempt was served.
+    /// Long-run latency ratio over all ready endpoints together; `None` before any attempt was served.
     pub(crate) fn mean_latency_ratio(&self, now: Duration) -> Option<f64> {
         let latency_ratios = self.ready_records().map(|record| {
             record
                 .health
-                .baseline_latency_ratio
-                .read(now, BASELINE_HALF_LIFE)
+                .long_run_latency_ratio
+                .read(now, LONG_RUN_HALF_LIFE)
         });
         let sums = RatioSums::sum(latency_ratios);
         (sums.denominator > 0.0).then(|| sums.numerator / sums.denominator)
--- a/crates/decision/src/state/evidence.rs
+++ b/crates/decision/src/state/evidence.rs
@@ -213,7 +213,7 @@
 pub(crate) struct Evidence {
     /// When each arm last had an outcome.
     pub(crate) last_outcome: PerArm<Option<Duration>>,
-    /// Baseline latency ratio of each machine model on earlier builds.
+    /// Long-run latency ratio of each machine model on earlier builds.
     pub(crate) model_latency_ratios: BTreeMap<MachineModel, f64>,
     pub(crate) served_work: ServedWork,
 }
--- a/crates/decision/src/state/load_estimate.rs
+++ b/crates/decision/src/state/load_estimate.rs
@@ -19,14 +19,14 @@
     pub(crate) mean_listed_weight: f64,
     /// Work, in seconds, of pending requests and of those expected within the overload window.
     pub(crate) expected_work: f64,
-    /// Baseline latency ratio over all ready endpoints.
-    pub(crate) baseline_latency_ratio: f64,
+    /// Long-run latency ratio over all ready endpoints.
+    pub(crate) long_run_latency_ratio: f64,
     /// Median over the endpoints of their recent latency ratio.
     pub(crate) median_latency_ratio: f64,
     /// Mean estimated work of a request, in seconds.
     pub(crate) mean_work: f64,
-    /// Time in which a few of the agent's requests are served, within the half-lives of recent values and of
-    /// baselines. Half-life of shares that have to react to a few answers.
+    /// Time in which a few of the agent's requests are served, within the half-lives of recent and of
+    /// long-run values. Half-life of shares that have to react to a few answers.
     pub(crate) sample_period: Duration,
     /// Requests received per second.
     pub(crate) request_rate: f64,
@@ -43,7 +43,7 @@
             capacity_per_weight: 0.0,
             mean_listed_weight: 0.0,
             expected_work: 0.0,
-            baseline_latency_ratio: 1.0,
+            long_run_latency_ratio: 1.0,
             median_latency_ratio: 1.0,
             mean_work: INITIAL_WORK,
             sample_period: Duration::ZERO,
@@ -59,7 +59,7 @@
     pub(crate) fn refresh(&mut self, now: Duration, endpoints: &EndpointTable, demand: &Demand) {
         let catalog = &endpoints.catalog;
         self.mean_listed_weight = catalog.listed_weight() / catalog.ready_count().max(1) as f64;
-        self.baseline_latency_ratio = endpoints.mean_latency_ratio(now).unwrap_or(1.0);
+        self.long_run_latency_ratio = endpoints.mean_latency_ratio(now).unwrap_or(1.0);
         let mean_work = demand.mean_work(now, |_| true);
         self.mean_work = mean_work.unwrap_or(INITIAL_WORK).max(MIN_MEAN_WORK);
         self.served_rate = demand.served_rate(now);
