--- a/crates/decision/src/engine/mod.rs
+++ b/crates/decision/src/engine/mod.rs
@@ -14,7 +14,7 @@
 use crate::actions::{Actions, Diagnostic};
 use crate::events::EventHandler;
 use crate::model::{EndpointId, EngineSettings, FleetPosition, RequestId, TimerId, Zone};
-use crate::policy::admission::Overload;
+use crate::policy::admission::AdmissionControl;
 use crate::policy::exposure::Exposure;
 use crate::policy::idle_connections;
 use crate::policy::list_polling::ListPolling;
@@ -30,7 +30,7 @@
 use crate::state::pending_requests::PendingRequests;
 use crate::state::schedule::Schedule;
 
-/// The load estimate, the subset and the odds are refreshed after this many ticks at the latest. They are refreshed
+/// The load estimate, the subset and the selection weights are refreshed after this many ticks at the latest, and
 /// earlier after more events than there are endpoint records.
 const REFRESH_TICKS: u32 = 20;
 /// A round that begins more than this many ticks after its wake-up was due shows that the agent itself stalled. What
@@ -103,15 +103,18 @@
     ) {
         self.begin_round(now);
         events(self);
-        if self.list_polling.take_due(now) {
+        if self.list_polling.begin_request_if_due(now) {
             actions.watch_endpoints(true);
         }
-        if now >= self.schedule.refresh_at || self.schedule.events > self.endpoints.records.len() {
+        if now >= self.schedule.refresh_at
+            || self.schedule.events_since_refresh > self.endpoints.records.len()
+        {
             self.refresh();
             self.close_idle_connections(actions);
         }
         let check_at = self.process_requests(actions);
-        let mut has_more_work = !self.requests.by_id.is_empty() || self.schedule.events > 0;
+        let mut has_more_work =
+            !self.requests.by_id.is_empty() || self.schedule.events_since_refresh > 0;
         has_more_work |= self.process_release(actions);
         self.diagnostics
             .drain(..)
@@ -130,7 +133,7 @@
         if previous >= started_at && now > latest_wake_up {
             self.schedule.resumed_at = now;
         }
-        self.schedule.elapsed += now.saturating_sub(previous.max(started_at));
+        self.schedule.time_since_refresh += now.saturating_sub(previous.max(started_at));
         self.exposure.trim(now);
     }
 
@@ -190,7 +193,7 @@
         let is_idle = !has_more_work
             && self
                 .endpoints
-                .walk()
+                .visit_records()
                 .all(|record| record.outstanding.is_empty());
         let next = if is_idle {
             self.list_polling.next_request_at
@@ -206,9 +209,9 @@
         }
     }
 
-    /// What admission control decides on, as of this round.
-    fn overload(&self) -> Overload<'_> {
-        Overload {
+    /// Admission control, with what it decides on as of this round.
+    fn admission_control(&self) -> AdmissionControl<'_> {
+        AdmissionControl {
             now: self.now,
             started_at: self.exposure.windows.started_at,
             endpoints: &self.endpoints,
@@ -236,7 +239,7 @@
     pub fn members(&self) -> impl Iterator<Item = EndpointId> {
         let records = self.endpoints.records.iter();
         records
-            .filter(|(_, record)| record.rank.is_some())
+            .filter(|(_, record)| record.subset_rank.is_some())
             .map(|(&id, _)| id)
     }
 
--- a/crates/decision/src/policy/outlier_ejection.rs
+++ b/crates/decision/src/policy/outlier_ejection.rs
@@ -5,7 +5,7 @@
 use crate::actions::{Diagnostic, EjectionReason};
 use crate::model::{EndpointId, Outcome};
 use crate::state::endpoint_record::{EndpointHealth, EndpointRecord};
-use crate::state::endpoint_table::{EndpointTable, PeerFailures};
+use crate::state::endpoint_table::{EndpointTable, SameBuildFailures};
 
 /// The first ejection of an endpoint lasts this long, each further one in a row twice as long as the one before.
 const MIN_EJECTION_TIME: Duration = Duration::from_secs(1);
@@ -27,13 +27,14 @@
 }
 
 /// Whether the agent is in panic mode: more than half of the endpoints that it works with are ejected, so that the
-/// fault is hardly theirs and ejections are ignored. Never with a full subset, which has found other endpoints instead.
+/// fault is hardly theirs and ejections are ignored. Never while the subset is sufficient: then it holds
+/// enough other endpoints that can serve.
 pub(crate) fn is_panic(endpoints: &EndpointTable, subset_is_sufficient: bool) -> bool {
     let ejected = endpoints
-        .ready()
+        .ready_records()
         .filter(|record| record.is_ejected())
         .count();
-    2 * ejected > endpoints.ready().count() && !subset_is_sufficient
+    2 * ejected > endpoints.ready_records().count() && !subset_is_sufficient
 }
 
 /// Ejects an endpoint, for twice as long as the last time if it is still ejected. Does nothing, and returns `None`,
@@ -84,8 +85,8 @@
 }
 
 /// How long an endpoint may be silent before it is ejected, in seconds.
-pub(crate) fn max_silence(median_pace: f64, mean_work: f64) -> f64 {
-    SILENCE_MULTIPLE * median_pace * mean_work
+pub(crate) fn max_silence(median_latency_ratio: f64, mean_work: f64) -> f64 {
+    SILENCE_MULTIPLE * median_latency_ratio * mean_work
 }
 
 /// Readmits an endpoint that has served a request, if its ejection time is over.
@@ -99,12 +100,13 @@
 
 /// Ejects an endpoint after an attempt has ended if it fails far more than the others of its build, or if the
 /// connection could not be opened or broke. Failure shares are compared within a build, so that a build is not ejected
-/// as a whole: its failures are the evidence of the release analysis. `peers` are the other endpoints of the build.
+/// as a whole: its failures are the evidence of the release analysis. `same_build` covers the other endpoints of the
+/// build.
 pub(crate) fn eject_outlier(
     record: &mut EndpointRecord,
     now: Duration,
     outcome: Outcome,
-    peers: PeerFailures,
+    same_build: SameBuildFailures,
 ) -> Option<Diagnostic> {
     let excess = if outcome == Outcome::Malformed {
         EXCESS_FAILURE_SHARE_MALFORMED
@@ -112,8 +114,8 @@
         EXCESS_FAILURE_SHARE
     };
     let failure_share = record.health.failure_share(now);
-    let fails_more = peers.peer_count > 0.0
-        && failure_share > peers.failure_share_sum / peers.peer_count + excess;
+    let fails_more = same_build.endpoint_count > 0.0
+        && failure_share > same_build.failure_share_sum / same_build.endpoint_count + excess;
     let lost_connection = matches!(outcome, Outcome::ConnectFailed | Outcome::ConnectionLost);
     let reason = if fails_more {
         EjectionReason::FailureRate
--- a/crates/decision/src/state/candidates.rs
+++ b/crates/decision/src/state/candidates.rs
@@ -6,9 +6,9 @@
 pub(crate) struct Candidate {
     pub(crate) endpoint: EndpointId,
     /// Relative probability that load balancing draws it; not normalised.
-    pub(crate) odds: f64,
+    pub(crate) selection_weight: f64,
     /// Rank in the subset by distance from the agent on the hash ring, from 0; `None` outside the subset.
-    pub(crate) rank: Option<usize>,
+    pub(crate) subset_rank: Option<usize>,
 }
 
 /// The endpoints that requests may be sent to, and the canary's share of them.
