--- a/crates/agent/src/discovery.rs
+++ b/crates/agent/src/discovery.rs
@@ -119,7 +119,7 @@
         let event_loop = &self.event_loop;
         let mut on_new_endpoint = |id: EndpointId, name: &str| {
             let name = name.to_owned();
-            event_loop.enqueue(move |router| router.recorder.endpoint_named(id, &name));
+            event_loop.enqueue(move |router| router.recorder.add_endpoint_name(id, &name));
         };
         let now = event_loop.clock.now();
         let provenance = match origin {
--- a/crates/agent/src/dispatcher.rs
+++ b/crates/agent/src/dispatcher.rs
@@ -135,7 +135,7 @@
     fn cancel(&mut self, id: RequestId, attempt: AttemptNumber) {
         self.dispatcher
             .recorder
-            .update(|book| book.attempt_cancelled(self.now, id, attempt));
+            .update_timeline(|timeline| timeline.attempt_cancelled(self.now, id, attempt));
         self.dispatcher.upstream.cancel(AttemptId {
             request: id,
             number: attempt,
@@ -163,7 +163,7 @@
     fn log(&mut self, text: &str) {
         self.dispatcher
             .recorder
-            .update(|book| book.set_vote_figures(text));
+            .update_timeline(|timeline| timeline.set_vote_figures(text));
         info!("{text}");
     }
 
@@ -178,7 +178,7 @@
     fn vote(&mut self, build: Build, stage: Stage, vote: Vote) {
         self.dispatcher
             .recorder
-            .update(|book| book.record_vote(self.now, build, stage, vote));
+            .update_timeline(|timeline| timeline.record_vote(self.now, build, stage, vote));
         self.dispatcher
             .platform
             .clone()
@@ -188,6 +188,6 @@
     fn note(&mut self, note: Note) {
         self.dispatcher
             .recorder
-            .update(|book| book.record_note(self.now, note));
+            .update_timeline(|timeline| timeline.record_note(self.now, note));
     }
 }
--- a/crates/agent/src/engine_host.rs
+++ b/crates/agent/src/engine_host.rs
@@ -44,7 +44,7 @@
             self.count_round(expired.first(), now);
             self.dispatcher.recorder.advance(now);
             // The recorder's own timer is no reason for a round.
-            let gate_is_due = self.gate_host.next().is_some_and(|next| next <= now);
+            let gate_is_due = self.gate_host.next_change().is_some_and(|next| next <= now);
             if first_event.is_some() || !expired.is_empty() || gate_is_due {
                 self.round(now, first_event, &expired);
             }
@@ -57,8 +57,8 @@
         let clock = self.dispatcher.event_loop.clock;
         let next = [
             self.dispatcher.wake_ups.next(),
-            self.gate_host.next(),
-            self.dispatcher.recorder.next(),
+            self.gate_host.next_change(),
+            self.dispatcher.recorder.next_tick(),
         ];
         let next = next.into_iter().flatten().min();
         let timer = async {
--- a/crates/agent/src/file_writer.rs
+++ b/crates/agent/src/file_writer.rs
@@ -14,14 +14,14 @@
 use crate::log::{Quoted, info};
 
 /// Requests that may wait for the thread.
-const MAX_WAITING: usize = 16;
+const MAX_QUEUED_REQUESTS: usize = 16;
 /// The pause before files are tried again that could not be written.
 const RETRY_PAUSE: Duration = Duration::from_secs(1);
 
 /// What a file is to hold.
 struct Replacement {
     /// What log lines call the file.
-    kind: &'static str,
+    file_kind: &'static str,
     path: PathBuf,
     bytes: Vec<u8>,
     /// Whether a failure to write it has been logged.
@@ -32,15 +32,15 @@
 ///
 /// The file is replaced by rename, so that a reader finds either the old or the new one whole, also after a loss of
 /// power. If it cannot be written it is tried again until it is, or until it is replaced once more.
-pub(crate) fn replace_file(kind: &'static str, path: PathBuf, bytes: Vec<u8>) {
+pub(crate) fn replace_file(file_kind: &'static str, path: PathBuf, bytes: Vec<u8>) {
     let replacement = Replacement {
-        kind,
+        file_kind,
         path,
         bytes,
         has_failed: false,
     };
     if let Err(error) = queue().try_send(replacement) {
-        info!("file_write_failed file={kind} error={}", Quoted(error));
+        info!("file_write_failed file={file_kind} error={}", Quoted(error));
     }
 }
 
@@ -48,7 +48,7 @@
 fn queue() -> &'static SyncSender<Replacement> {
     static QUEUE: OnceLock<SyncSender<Replacement>> = OnceLock::new();
     QUEUE.get_or_init(|| {
-        let (sender, receiver) = sync_channel(MAX_WAITING);
+        let (sender, receiver) = sync_channel(MAX_QUEUED_REQUESTS);
         // Without a thread the receiver is dropped, and each request is logged as failed.
         thread::Builder::new()
             .spawn(move || write_files(&receiver))
@@ -72,24 +72,24 @@
             Err(RecvTimeoutError::Timeout) => {}
             Err(RecvTimeoutError::Disconnected) => return,
         }
-        pending.retain(|_, replacement| !replacement.is_written());
+        pending.retain(|_, replacement| !replacement.try_write());
     }
 }
 
 impl Replacement {
     /// Writes the file; returns whether that has succeeded.
-    fn is_written(&mut self) -> bool {
+    fn try_write(&mut self) -> bool {
         let path = Quoted(self.path.display());
         match write_and_rename(&self.path, &self.bytes) {
             Ok(()) => {
-                info!("file_written file={} path={path}", self.kind);
+                info!("file_written file={} path={path}", self.file_kind);
                 true
             }
             Err(error) => {
                 if !std::mem::replace(&mut self.has_failed, true) {
-                    let kind = self.kind;
+                    let file_kind = self.file_kind;
                     let error = Quoted(error);
-                    info!("file_write_failed file={kind} path={path} error={error}");
+                    info!("file_write_failed file={file_kind} path={path} error={error}");
                 }
                 false
             }
--- a/crates/agent/src/lifecycle.rs
+++ b/crates/agent/src/lifecycle.rs
@@ -35,7 +35,7 @@
     /// The path of the start file.
     pub(crate) path: String,
     /// The start file as it was at the start.
-    pub(crate) first_file: Json,
+    pub(crate) initial_file: Json,
     pub(crate) discovery: Rc<Discovery>,
     pub(crate) platform: Rc<Platform>,
     pub(crate) operator_file: OperatorFile,
@@ -47,13 +47,13 @@
     /// At the first signal to stop the agent serves on for as long as it may, then answers everything that it has
     /// accepted. A second one makes it accept nothing more, a third one ends it at once.
     pub(crate) async fn run(mut self, clients: Rc<Clients>) {
-        self.until_stop().await;
+        self.handle_until_stop().await;
         info!("shutdown_started");
         let stopped_again = async {
-            self.until_stop().await;
+            self.handle_until_stop().await;
             info!("shutdown_expedited");
             clients.drain();
-            self.until_stop().await;
+            self.handle_until_stop().await;
         };
         clients.shut_down().or(stopped_again).await;
         // Room for the last line first, should others still wait.
@@ -63,10 +63,10 @@
     }
 
     /// Handles signals up to the next one to stop.
-    async fn until_stop(&mut self) {
+    async fn handle_until_stop(&mut self) {
         loop {
             match self.signals.next().await {
-                Command::ShowState => {
+                Command::WriteState => {
                     write_counters();
                     self.operator_file.write_state();
                 }
@@ -86,7 +86,7 @@
             Ok(config) => config,
             Err(error) => return info!("reload_failed file=start error={}", Quoted(error)),
         };
-        let ignored = start_config::differences(&self.first_file, &config.file);
+        let ignored = start_config::differences(&self.initial_file, &config.file);
         if !ignored.is_empty() {
             info!(
                 "reload_requires_restart fields={}",
--- a/crates/agent/src/log/writer.rs
+++ b/crates/agent/src/log/writer.rs
@@ -14,10 +14,10 @@
 const MAX_LINES_PER_SECOND: u64 = 20;
 
 /// How many lines may wait for the reader.
-const MAX_WAITING_LINES: usize = 256;
+const MAX_QUEUED_LINES: usize = 256;
 
 /// How many times a flush tries to get into a full queue.
-const FLUSH_TRIES: u32 = 1000;
+const MAX_FLUSH_ATTEMPTS: u32 = 1000;
 
 /// A place in the code that writes log lines, and the bound on its rate.
 #[derive(Debug, Default)]
@@ -25,9 +25,9 @@
     /// The second in which it last tried to write, since the Unix epoch.
     second: AtomicU64,
     /// The lines that it tried to write in this second.
-    tried: AtomicU64,
+    attempted: AtomicU64,
     /// The lines that it has left out since its last one.
-    left_out: AtomicU64,
+    suppressed: AtomicU64,
 }
 
 impl CallSite {
@@ -35,20 +35,20 @@
     pub const fn new() -> Self {
         CallSite {
             second: AtomicU64::new(0),
-            tried: AtomicU64::new(0),
-            left_out: AtomicU64::new(0),
+            attempted: AtomicU64::new(0),
+            suppressed: AtomicU64::new(0),
         }
     }
 
     /// Whether a line may be written in this second; if so, how many were left out before it.
     pub fn may_write(&self, second: u64) -> Option<u64> {
         if self.second.swap(second, Relaxed) != second {
-            self.tried.store(0, Relaxed);
+            self.attempted.store(0, Relaxed);
         }
-        if self.tried.fetch_add(1, Relaxed) < MAX_LINES_PER_SECOND {
-            Some(self.left_out.swap(0, Relaxed))
+        if self.attempted.fetch_add(1, Relaxed) < MAX_LINES_PER_SECOND {
+            Some(self.suppressed.swap(0, Relaxed))
         } else {
-            self.left_out.fetch_add(1, Relaxed);
+            self.suppressed.fetch_add(1, Relaxed);
             None
         }
     }
@@ -61,8 +61,8 @@
         let time = now.as_secs_f64();
         match self.may_write(now.as_secs()) {
             Some(0) => write(format!("{time:.3} {line}")),
-            Some(left_out) => {
-                write(format!("{time:.3} {line} suppressed_lines={left_out}"));
+            Some(suppressed) => {
+                write(format!("{time:.3} {line} suppressed_lines={suppressed}"));
             }
             None => {}
         }
@@ -81,10 +81,10 @@
 /// The way to the writing thread, which is started at the first use.
 fn queue() -> &'static SyncSender<Message> {
     QUEUE.get_or_init(|| {
-        let (sender, receiver) = sync_channel(MAX_WAITING_LINES);
+        let (sender, receiver) = sync_channel(MAX_QUEUED_LINES);
         // Without a thread the receiver is dropped, and lines are written where they come from.
         thread::Builder::new()
-            .spawn(move || write_all(receiver))
+            .spawn(move || write_messages(receiver))
             .ok();
         sender
     })
@@ -97,7 +97,7 @@
     }
 }
 
-fn write_all(messages: Receiver<Message>) {
+fn write_messages(messages: Receiver<Message>) {
     for message in messages {
         match message {
             Message::Line(line) => write_line(&line),
@@ -125,7 +125,7 @@
             return;
         }
         message = returned;
-        thread::sleep(timeout / FLUSH_TRIES);
+        thread::sleep(timeout / MAX_FLUSH_ATTEMPTS);
     }
     let left = deadline.saturating_duration_since(Instant::now());
     receiver.recv_timeout(left).ok();
--- a/crates/agent/src/operator_file.rs
+++ b/crates/agent/src/operator_file.rs
@@ -156,7 +156,9 @@
         let releases = settings.releases().cloned();
         self.event_loop.enqueue(move |router| {
             router.apply_rules(settings.rules);
-            router.recorder.apply(router.now, settings.timeline);
+            router
+                .recorder
+                .apply_settings(router.now, settings.timeline);
         });
         self.apply_releases(releases.as_ref());
     }
--- a/crates/agent/src/platform.rs
+++ b/crates/agent/src/platform.rs
@@ -24,13 +24,13 @@
 use crate::transport::{InputReader, TcpSocket, connect, with_timeout};
 
 /// The id of the request to listen, on the watch's connection; votes are numbered from the next one.
-const FIRST_REQUEST_ID: u64 = 1;
+const LISTEN_REQUEST_ID: u64 = 1;
 
 /// A connection that votes are sent on.
 struct VoteConnection {
     address: SocketAddr,
     stream: TcpSocket,
-    intake: InputReader<JsonParser>,
+    reader: InputReader<JsonParser>,
 }
 
 /// The client of the platform.
@@ -107,12 +107,12 @@
             connect_timeout,
             answer_timeout,
             idle_connection: RefCell::default(),
-            last_request_id: Cell::new(FIRST_REQUEST_ID),
+            last_request_id: Cell::new(LISTEN_REQUEST_ID),
         }))
     }
 
     /// Sends a vote and waits for its answer; returns how it ended.
-    async fn deliver(&self, params: &str) -> Outcome {
+    async fn deliver_vote(&self, params: &str) -> Outcome {
         let is_written = Cell::new(false);
         let call = self.call(params, &is_written);
         match with_timeout(self.answer_timeout, call).await {
@@ -145,7 +145,7 @@
         request.flush(&connection.stream).await?;
         is_written.set(true);
         let answer = connection
-            .intake
+            .reader
             .next(&connection.stream)
             .await?
             .ok_or(ConnectionEnd::Closed)?;
@@ -163,7 +163,7 @@
         if connection.address != address {
             return None;
         }
-        if connection.intake.is_open_and_empty(&connection.stream) {
+        if connection.reader.is_open_and_empty(&connection.stream) {
             return Some(connection);
         }
         info!(
@@ -179,7 +179,7 @@
         Ok(VoteConnection {
             address,
             stream,
-            intake: InputReader::new(parser, MAX_LINE_BYTES, self.answer_timeout),
+            reader: InputReader::new(parser, MAX_LINE_BYTES, self.answer_timeout),
         })
     }
 
@@ -206,7 +206,7 @@
         let params = encode_vote(build, stage, vote);
         let platform = self.clone();
         self.event_loop.spawn(async move {
-            let outcome = platform.deliver(&params).await;
+            let outcome = platform.deliver_vote(&params).await;
             platform
                 .event_loop
                 .enqueue(move |router| router.on_vote_answered(outcome));
--- a/crates/agent/src/recorder.rs
+++ b/crates/agent/src/recorder.rs
@@ -24,9 +24,9 @@
 use crate::recorder::store::StoreQueue;
 
 /// How many records may wait for the disk, and how many names of endpoints are kept.
-const MAX_WAITING_RECORDS: usize = 4096;
+const MAX_QUEUED_RECORDS: usize = 4096;
 
-/// How many events of requests are buffered before they are passed to the book.
+/// How many events of requests are buffered before they are passed to the timeline.
 const MAX_BUFFERED_EVENTS: usize = 4096;
 
 /// What happens to a request.
@@ -79,38 +79,38 @@
 
 /// What does not change while the agent runs.
 #[derive(Debug)]
-struct AgentFacts {
+struct AgentInfo {
     agent: String,
     /// The names of the request classes, in their order.
     class_names: Vec<String>,
     /// How long an endpoint may take to warm up.
-    ramp: Duration,
+    slow_start: Duration,
 }
 
 /// A book that is being written, and what it is written by.
-struct OpenBook {
-    book: FleetTimeline,
+struct OpenTimeline {
+    timeline: FleetTimeline,
     settings: Timeline,
     store: StoreQueue,
 }
 
 /// Keeps the time lines, if the operator's file wants them.
 pub struct Recorder {
-    facts: AgentFacts,
-    open: RefCell<Option<OpenBook>>,
+    agent_info: AgentInfo,
+    open: RefCell<Option<OpenTimeline>>,
     buffer: RefCell<Vec<TimedEvent>>,
-    /// Whether there is a book.
-    is_on: Cell<bool>,
-    /// The names of endpoints: they outlast the book.
-    names: RefCell<Vec<EndpointName>>,
+    /// Whether there is a timeline.
+    is_recording: Cell<bool>,
+    /// The names of endpoints: they outlast the timeline.
+    endpoint_names: RefCell<Vec<EndpointName>>,
 }
 
 impl std::fmt::Debug for Recorder {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         formatter
             .debug_struct("Recorder")
-            .field("facts", &self.facts)
-            .field("is_on", &self.is_on)
+            .field("agent_info", &self.agent_info)
+            .field("is_recording", &self.is_recording)
             .finish_non_exhaustive()
     }
 }
@@ -126,53 +126,53 @@
         timeline: Option<Timeline>,
         now: Duration,
     ) -> Result<Recorder, SettingsError> {
-        let facts = AgentFacts {
+        let agent_info = AgentInfo {
             agent: agent.to_owned(),
             class_names: class_names(settings)?,
-            ramp: settings.duration("rules.ramp-time")?,
+            slow_start: settings.duration("rules.ramp-time")?,
         };
         let recorder = Recorder {
-            facts,
+            agent_info,
             open: RefCell::default(),
             buffer: RefCell::default(),
-            is_on: Cell::new(false),
-            names: RefCell::default(),
+            is_recording: Cell::new(false),
+            endpoint_names: RefCell::default(),
         };
-        recorder.apply(now, timeline);
+        recorder.apply_settings(now, timeline);
         Ok(recorder)
     }
 
     /// Takes over what the operator's file sets now; a book whose settings are the same goes on.
-    pub fn apply(&self, now: Duration, settings: Option<Timeline>) {
+    pub fn apply_settings(&self, now: Duration, settings: Option<Timeline>) {
         let mut open = self.open.borrow_mut();
         if open.as_ref().map(|open| &open.settings) == settings.as_ref() {
             return;
         }
-        self.is_on.set(settings.is_some());
+        self.is_recording.set(settings.is_some());
         self.buffer.borrow_mut().clear();
-        *open = settings.map(|settings| self.open_book(now, settings));
+        *open = settings.map(|settings| self.open_timeline(now, settings));
     }
 
-    fn open_book(&self, now: Duration, settings: Timeline) -> OpenBook {
-        let aims = MonitorConfig {
+    fn open_timeline(&self, now: Duration, settings: Timeline) -> OpenTimeline {
+        let monitor_config = MonitorConfig {
             false_alarms_per_hour: settings.false_per_hour,
-            slow_start: self.facts.ramp,
-            classes: self.facts.class_names.len(),
+            slow_start: self.agent_info.slow_start,
+            classes: self.agent_info.class_names.len(),
         };
-        let room = MemoryLimits {
+        let limits = MemoryLimits {
             timeline_bytes: settings.memory,
             queued_records: match settings.store {
-                Some(_) => MAX_WAITING_RECORDS,
+                Some(_) => MAX_QUEUED_RECORDS,
                 None => 0,
             },
         };
-        let book = FleetTimeline::new(now, aims, room);
+        let timeline = FleetTimeline::new(now, monitor_config, limits);
         let mut store = StoreQueue::open(now, settings.store.as_ref());
         if store.is_open() {
             store.push_all(self.first_records(now));
         }
-        OpenBook {
-            book,
+        OpenTimeline {
+            timeline,
             settings,
             store,
         }
@@ -181,24 +181,24 @@
     /// The records that come before all others: the agent's start, and the names of the endpoints.
     fn first_records(&self, time: Duration) -> Vec<Record> {
         let start = Record::Start {
-            agent: self.facts.agent.clone(),
+            agent: self.agent_info.agent.clone(),
             at: time,
-            classes: self.facts.class_names.clone(),
+            classes: self.agent_info.class_names.clone(),
         };
-        let names = self.names.borrow();
+        let names = self.endpoint_names.borrow();
         std::iter::once(start)
             .chain(names.iter().map(EndpointName::record))
             .collect()
     }
 
     /// Keeps the name of an endpoint.
-    pub fn endpoint_named(&self, id: EndpointId, name: &str) {
-        let mut names = self.names.borrow_mut();
+    pub fn add_endpoint_name(&self, id: EndpointId, name: &str) {
+        let mut names = self.endpoint_names.borrow_mut();
         if names.iter().any(|known| known.id == id) {
             return;
         }
         // As many names as a list may hold; what has been gone for long is not needed.
-        if names.len() >= MAX_WAITING_RECORDS {
+        if names.len() >= MAX_QUEUED_RECORDS {
             names.remove(0);
         }
         let name = EndpointName {
@@ -213,31 +213,31 @@
         names.push(name);
     }
 
-    /// Buffers what happens to a request, if there is a book.
+    /// Buffers what happens to a request, if there is a timeline.
     pub fn record(&self, time: Duration, event: RequestEvent) {
-        if !self.is_on.get() {
+        if !self.is_recording.get() {
             return;
         }
         self.buffer.borrow_mut().push(TimedEvent { time, event });
         if self.buffer.borrow().len() >= MAX_BUFFERED_EVENTS {
-            self.update(|_| {});
+            self.update_timeline(|_| {});
         }
     }
 
-    /// Changes the book, if there is one, after all that is buffered.
-    pub fn update(&self, change: impl FnOnce(&mut FleetTimeline)) {
+    /// Changes the timeline, if there is one, after all that is buffered.
+    pub fn update_timeline(&self, change: impl FnOnce(&mut FleetTimeline)) {
         if let Some(open) = self.open.borrow_mut().as_mut() {
-            self.flush_buffer(&mut open.book);
-            change(&mut open.book);
+            self.flush_buffer(&mut open.timeline);
+            change(&mut open.timeline);
         }
     }
 
-    fn flush_buffer(&self, book: &mut FleetTimeline) {
+    fn flush_buffer(&self, timeline: &mut FleetTimeline) {
         for TimedEvent { time, event } in self.buffer.borrow_mut().drain(..) {
             match event {
-                RequestEvent::Received { id, class } => book.request_started(id, class),
+                RequestEvent::Received { id, class } => timeline.request_started(id, class),
                 RequestEvent::AttemptSent { id, endpoint } => {
-                    book.attempt_started(time, id.request, id.number, endpoint);
+                    timeline.attempt_started(time, id.request, id.number, endpoint);
                 }
                 RequestEvent::AttemptEnded {
                     id,
@@ -254,30 +254,30 @@
                         duration: took,
                         request_closed: closed,
                     };
-                    book.attempt_ended(time, &end);
+                    timeline.attempt_ended(time, &end);
                 }
-                RequestEvent::Closed(id) => book.request_closed(id),
+                RequestEvent::Closed(id) => timeline.request_closed(id),
             }
         }
     }
 
     /// When [`Recorder::advance`] has something to do.
-    pub fn next(&self) -> Option<Duration> {
+    pub fn next_tick(&self) -> Option<Duration> {
         self.open
             .borrow()
             .as_ref()
-            .map(|open| open.book.next_tick())
+            .map(|open| open.timeline.next_tick())
     }
 
     /// Takes note that time has passed: departures go to the log, records to the store.
     pub fn advance(&self, now: Duration) {
         let mut open = self.open.borrow_mut();
         let Some(open) = open.as_mut() else { return };
-        if now >= open.book.next_tick() {
-            self.flush_buffer(&mut open.book);
+        if now >= open.timeline.next_tick() {
+            self.flush_buffer(&mut open.timeline);
         }
-        open.book.advance(now);
-        for report in open.book.take_reports() {
+        open.timeline.advance(now);
+        for report in open.timeline.take_reports() {
             if report.began {
                 count(Count::Departures);
                 self.log_departure(&report.departure);
@@ -285,7 +285,7 @@
                 info!("departure_ended number={}", report.departure.number);
             }
         }
-        open.store.hand_over_if_due(now, &mut open.book);
+        open.store.submit_if_due(now, &mut open.timeline);
     }
 
     fn log_departure(&self, departure: &Departure) {
@@ -298,18 +298,18 @@
         };
         let class = departure
             .class
-            .and_then(|class| self.facts.class_names.get(usize::from(class)))
+            .and_then(|class| self.agent_info.class_names.get(usize::from(class)))
             .map(|name| format!(" class={}", Quoted(name)))
             .unwrap_or_default();
         let (number, kind) = (departure.number, kind_name(departure.kind));
-        let (baseline, seen) = (departure.baseline, departure.observed);
+        let (baseline, observed) = (departure.baseline, departure.observed);
         info!(
-            "departure_began number={number} scope={scope} kind={kind}{class} observed={seen:.2} baseline={baseline:.2}"
+            "departure_began number={number} scope={scope} kind={kind}{class} observed={observed:.2} baseline={baseline:.2}"
         );
     }
 
     fn name_of(&self, id: EndpointId) -> String {
-        let names = self.names.borrow();
+        let names = self.endpoint_names.borrow();
         let known = names.iter().find(|known| known.id == id);
         known.map_or_else(|| "?".to_owned(), |known| known.name.clone())
     }
@@ -323,8 +323,8 @@
             .and_then(|open| open.settings.dump.clone());
         let Some(path) = path else { return };
         let open = self.open.borrow();
-        let book = open.as_ref().map(|open| &open.book);
-        let bytes = snapshot::segment(now, self.first_records(now), book);
+        let timeline = open.as_ref().map(|open| &open.timeline);
+        let bytes = snapshot::segment(now, self.first_records(now), timeline);
         replace_file("timeline", path, bytes);
     }
 }
--- a/crates/agent/src/recorder/snapshot.rs
+++ b/crates/agent/src/recorder/snapshot.rs
@@ -10,11 +10,11 @@
 pub(super) fn segment(
     now: Duration,
     first_records: Vec<Record>,
-    book: Option<&FleetTimeline>,
+    fleet: Option<&FleetTimeline>,
 ) -> Vec<u8> {
     let mut records = first_records;
-    if let Some(book) = book {
-        add_lines(&mut records, book);
+    if let Some(fleet) = fleet {
+        add_timelines(&mut records, fleet);
     }
     let mut bytes = segment_format::header(now.as_secs()).to_vec();
     for record in &records {
@@ -24,16 +24,16 @@
 }
 
 /// Adds the agent's own time line, then that of each endpoint with its steps.
-fn add_lines(records: &mut Vec<Record>, book: &FleetTimeline) {
-    let own = book.agent().as_of(Duration::MAX).cloned();
-    records.extend(own.map(Record::Entry));
-    for node in book.nodes() {
-        let Some(line) = book.node(node) else {
+fn add_timelines(records: &mut Vec<Record>, fleet: &FleetTimeline) {
+    let agent_entries = fleet.agent().as_of(Duration::MAX).cloned();
+    records.extend(agent_entries.map(Record::Entry));
+    for node in fleet.nodes() {
+        let Some(timeline) = fleet.node(node) else {
             continue;
         };
-        let entries = line.as_of(Duration::MAX).cloned();
+        let entries = timeline.as_of(Duration::MAX).cloned();
         records.extend(entries.map(Record::Entry));
-        let steps = line.steps().since(Duration::ZERO).into_iter();
+        let steps = timeline.steps().since(Duration::ZERO).into_iter();
         records.extend(steps.map(|timed| step_record(node, timed)));
     }
 }
--- a/crates/agent/src/recorder/store.rs
+++ b/crates/agent/src/recorder/store.rs
@@ -12,7 +12,7 @@
 use lilacgate_timeline::fleet_timeline::FleetTimeline;
 
 use crate::log::{Count, Quoted, add, info};
-use crate::recorder::MAX_WAITING_RECORDS;
+use crate::recorder::MAX_QUEUED_RECORDS;
 
 /// The time between two batches.
 const BATCH_INTERVAL: Duration = Duration::from_secs(1);
@@ -20,74 +20,76 @@
 /// The records that wait for the disk, and the way to the thread that writes them.
 pub(super) struct StoreQueue {
     /// None if there is no store.
-    pump: Option<BackgroundWriter>,
+    writer: Option<BackgroundWriter>,
     /// The folder of the store, for log lines.
     folder: String,
     /// What is handed over first, the oldest first.
-    waiting: Vec<Record>,
+    pending: Vec<Record>,
     /// When the next batch is handed over.
-    next_batch: Duration,
+    next_batch_time: Duration,
 }
 
 impl StoreQueue {
     /// Opens a store, if there is one. A folder that cannot be used is logged, and tried again.
     pub(super) fn open(now: Duration, store: Option<&Store>) -> Self {
         StoreQueue {
-            pump: store.map(open_pump),
+            writer: store.map(start_writer),
             folder: store.map_or(String::new(), |store| store.folder.display().to_string()),
-            waiting: Vec::new(),
-            next_batch: now + BATCH_INTERVAL,
+            pending: Vec::new(),
+            next_batch_time: now + BATCH_INTERVAL,
         }
     }
 
     /// Whether records are written to disk.
     pub(super) fn is_open(&self) -> bool {
-        self.pump.is_some()
+        self.writer.is_some()
     }
 
     /// Adds a record to the next batch.
     pub(super) fn push(&mut self, record: Record) {
-        self.waiting.push(record);
+        self.pending.push(record);
     }
 
     /// Adds records to the next batch.
     pub(super) fn push_all(&mut self, records: Vec<Record>) {
-        self.waiting.extend(records);
+        self.pending.extend(records);
     }
 
     /// Hands over what waits and what the book has for the store, once a batch is due.
-    pub(super) fn hand_over_if_due(&mut self, now: Duration, book: &mut FleetTimeline) {
-        if now < self.next_batch {
+    pub(super) fn submit_if_due(&mut self, now: Duration, timeline: &mut FleetTimeline) {
+        if now < self.next_batch_time {
             return;
         }
-        self.next_batch = now + BATCH_INTERVAL;
-        let Some(pump) = &mut self.pump else { return };
-        for change in pump.take_status_changes() {
+        self.next_batch_time = now + BATCH_INTERVAL;
+        let Some(writer) = &mut self.writer else {
+            return;
+        };
+        for change in writer.take_status_changes() {
             log_status_change(&self.folder, change);
         }
-        let mut batch = std::mem::take(&mut self.waiting);
-        batch.extend(book.take_records());
+        let mut batch = std::mem::take(&mut self.pending);
+        batch.extend(timeline.take_records());
         if batch.is_empty() {
             return;
         }
-        match pump.submit(now, batch) {
+        match writer.submit(now, batch) {
             Submitted::Accepted => {}
-            Submitted::QueueFull(batch) => self.waiting = shortened(now, batch),
+            Submitted::QueueFull(batch) => self.pending = truncate_batch(now, batch),
             Submitted::Closed => {
-                self.pump = None;
+                self.writer = None;
                 info!("timeline_store_closed folder={}", Quoted(&self.folder));
             }
         }
     }
 }
 
-fn open_pump(store: &Store) -> BackgroundWriter {
-    let bounds = Retention {
+fn start_writer(store: &Store) -> BackgroundWriter {
+    let retention = Retention {
         max_bytes: store.keep,
         max_age: store.age,
     };
     let folder = store.folder.clone();
-    BackgroundWriter::new(move || StoreWriter::new(&folder, bounds, Box::new(FileSystem)))
+    BackgroundWriter::new(move || StoreWriter::new(&folder, retention, Box::new(FileSystem)))
 }
 
 fn log_status_change(folder: &str, change: StatusChange) {
@@ -106,13 +108,13 @@
 }
 
 /// A batch that came back, cut to the bound: the finest detail goes first, and one record says how many were left out.
-fn shortened(now: Duration, mut batch: Vec<Record>) -> Vec<Record> {
+fn truncate_batch(now: Duration, mut batch: Vec<Record>) -> Vec<Record> {
     let before = batch.len();
-    if before <= MAX_WAITING_RECORDS {
+    if before <= MAX_QUEUED_RECORDS {
         return batch;
     }
     batch.retain(|record| !matches!(record, Record::Step(_)));
-    batch.truncate(MAX_WAITING_RECORDS);
+    batch.truncate(MAX_QUEUED_RECORDS);
     let count = (before - batch.len()) as u64;
     add(Count::TimelineRecordsDropped, count);
     batch.push(Record::Dropped { at: now, count });
--- a/crates/agent/src/release_gate.rs
+++ b/crates/agent/src/release_gate.rs
@@ -74,7 +74,7 @@
     }
 
     /// When something changes by time alone.
-    pub fn next(&self) -> Option<Duration> {
+    pub fn next_change(&self) -> Option<Duration> {
         self.next_change
     }
 }
@@ -111,15 +111,20 @@
         self.gate_host.next_change = gate.next_change();
         let TakenEvents {
             events,
-            dropped: left_out,
+            dropped: dropped_count,
         } = gate.take_events();
-        if left_out > 0 {
-            info!("release_events_dropped count={left_out}");
+        if dropped_count > 0 {
+            info!("release_events_dropped count={dropped_count}");
         }
         events.iter().for_each(log_gate_event);
         let permissions = gate.permissions();
-        let unchanged = |known: &Arc<ReleasePermissions>| Arc::ptr_eq(known, &permissions);
-        if !self.gate_host.permissions.as_ref().is_some_and(unchanged) {
+        let is_unchanged = |current: &Arc<ReleasePermissions>| Arc::ptr_eq(current, &permissions);
+        if !self
+            .gate_host
+            .permissions
+            .as_ref()
+            .is_some_and(is_unchanged)
+        {
             count(Count::PermissionChanges);
             self.gate_host.permissions = Some(permissions.clone());
             self.engine.on_release_permissions(Some(permissions));
@@ -128,7 +133,11 @@
 
     /// Takes note that time has passed.
     pub fn advance(&mut self) {
-        if self.gate_host.next().is_some_and(|next| next <= self.now) {
+        if self
+            .gate_host
+            .next_change()
+            .is_some_and(|next| next <= self.now)
+        {
             self.update_gate(Gate::advance);
         }
     }
@@ -221,7 +230,7 @@
         let endpoints: Vec<Endpoint> = endpoints.collect();
         self.track_builds(update, &endpoints);
         self.recorder
-            .update(|book| book.apply_list_update(self.now, update, &endpoints));
+            .update_timeline(|timeline| timeline.apply_list_update(self.now, update, &endpoints));
         let builds: Vec<Build> = self.gate_host.builds.values().copied().collect();
         self.update_gate(|gate, now| gate.set_listed_builds(now, builds.into_iter()));
         self.engine.on_endpoints(update, &mut endpoints.into_iter());
@@ -243,7 +252,7 @@
         };
         self.gate_host.own_status = Some(status);
         self.recorder
-            .update(|book| book.record_stage(self.now, build, stage, phase, age));
+            .update_timeline(|timeline| timeline.record_stage(self.now, build, stage, phase, age));
         self.update_gate(|gate, now| gate.on_release_status(now, gate.rules().own_service, status));
         self.engine.on_release_status(build, stage, phase, cap, age);
     }
--- a/crates/agent/src/release_watch.rs
+++ b/crates/agent/src/release_watch.rs
@@ -200,7 +200,7 @@
                 messages_in_window = 0;
             }
             messages_in_window += 1;
-            if matches!(self.limit, MessageLimit::PerSecond(most) if messages_in_window > most) {
+            if matches!(self.limit, MessageLimit::PerSecond(limit) if messages_in_window > limit) {
                 return Err(ConnectionEnd::TooManyMessages);
             }
             // What cannot be read is lost; a new connection begins with the present state.
--- a/crates/agent/src/signals.rs
+++ b/crates/agent/src/signals.rs
@@ -20,7 +20,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Command {
     /// SIGUSR1: show the counters, and write state files.
-    ShowState,
+    WriteState,
     /// SIGHUP: read the files again.
     Reload,
     /// SIGTERM and SIGINT: shut down.
@@ -71,7 +71,7 @@
     /// The handlers cannot be installed.
     pub(crate) fn new() -> io::Result<Self> {
         Ok(SignalStream([
-            SignalPipe::new(Command::ShowState, &[SIGUSR1])?,
+            SignalPipe::new(Command::WriteState, &[SIGUSR1])?,
             SignalPipe::new(Command::Reload, &[SIGHUP])?,
             SignalPipe::new(Command::Stop, &[SIGTERM, SIGINT])?,
         ]))
@@ -79,7 +79,7 @@
 
     /// Waits for the next signal.
     pub(crate) async fn next(&self) -> Command {
-        let [show_state, reload, stop] = &self.0;
-        future::or(show_state.next(), future::or(reload.next(), stop.next())).await
+        let [write_state, reload, stop] = &self.0;
+        future::or(write_state.next(), future::or(reload.next(), stop.next())).await
     }
 }
--- a/crates/agent/src/start_config.rs
+++ b/crates/agent/src/start_config.rs
@@ -11,14 +11,14 @@
 use crate::peers::PeerAddresses;
 
 /// What a running agent takes over from a start file that was replaced.
-const RELOADABLE: [&str; 2] = ["discovery", "pipeline.address"];
+const RELOADABLE_PATHS: [&str; 2] = ["discovery", "pipeline.address"];
 
 /// The path of the platform's last release update.
-pub(crate) const RELEASE_UPDATE: &str = "pipeline.news";
+pub(crate) const RELEASE_UPDATE_PATH: &str = "pipeline.news";
 /// The path of the saved list of endpoints.
-pub(crate) const SAVED_LIST: &str = "known";
+pub(crate) const SAVED_LIST_PATH: &str = "known";
 /// The path of the bound on file descriptors.
-pub(crate) const MAX_DESCRIPTORS: &str = "limits.sockets";
+pub(crate) const MAX_DESCRIPTORS_PATH: &str = "limits.sockets";
 
 /// A start file that has been read.
 pub struct StartConfig {
@@ -116,15 +116,15 @@
     required(&file, "settings", Some)?.flatten("", &mut |path, value| {
         settings.push((path, value));
     });
-    required(&file, RELEASE_UPDATE, |_| Some(()))?;
-    required(&file, SAVED_LIST, |_| Some(()))?;
+    required(&file, RELEASE_UPDATE_PATH, |_| Some(()))?;
+    required(&file, SAVED_LIST_PATH, |_| Some(()))?;
     Ok(StartConfig {
         name: required(&file, "name", |value| value.as_str().map(str::to_owned))?,
         seed: required(&file, "seed", hexadecimal)?,
         listen: required(&file, "listen", address)?,
         discovery: required(&file, "discovery", address)?,
         memory: required(&file, "limits.memory_mb", mebibytes)?,
-        max_descriptors: required(&file, MAX_DESCRIPTORS, number)?,
+        max_descriptors: required(&file, MAX_DESCRIPTORS_PATH, number)?,
         peers: read_peers(&file)?,
         platform: required(&file, "pipeline.address", address)?,
         settings: settings.into_iter().collect(),
@@ -143,7 +143,7 @@
 pub fn differences(old: &Json, new: &Json) -> Vec<String> {
     let mut found = Vec::new();
     add_differences(old, new, "", &mut found);
-    found.retain(|path| !RELOADABLE.contains(&path.as_str()));
+    found.retain(|path| !RELOADABLE_PATHS.contains(&path.as_str()));
     found
 }
 
--- a/crates/agent/src/startup.rs
+++ b/crates/agent/src/startup.rs
@@ -29,7 +29,9 @@
 use crate::release_gate::ReleaseGateHost;
 use crate::release_watch::ReleaseUpdate;
 use crate::signals::SignalStream;
-use crate::start_config::{self, MAX_DESCRIPTORS, RELEASE_UPDATE, SAVED_LIST, StartConfig};
+use crate::start_config::{
+    self, MAX_DESCRIPTORS_PATH, RELEASE_UPDATE_PATH, SAVED_LIST_PATH, StartConfig,
+};
 use crate::transport::at_start;
 use crate::upstream::UpstreamPool;
 
@@ -96,19 +98,19 @@
         platform,
         peers,
     };
-    components.queue_first_events(&config.file)?;
+    components.queue_initial_events(&config.file)?;
     let listening_since = Instant::now();
     let listener = listen_for_clients(&config, max_connections)?;
     components.spawn_control_tasks();
     let now = components.event_loop.clock.now();
     let recorder = Recorder::new(&config.name, &config.settings, timeline, now)?;
-    let host = components.engine_host(engine, gate, recorder);
-    components.event_loop.spawn(host.run());
+    let engine_host = components.engine_host(engine, gate, recorder);
+    components.event_loop.spawn(engine_host.run());
     components.spawn_client_tasks(listener, listening_since);
     let lifecycle = Lifecycle {
         signals,
         path,
-        first_file: config.file,
+        initial_file: config.file,
         discovery: components.discovery,
         platform: components.platform,
         operator_file,
@@ -123,7 +125,7 @@
 fn max_connections(config: &StartConfig) -> Result<usize, StartError> {
     let max_connections = config.max_descriptors.saturating_sub(RESERVED_DESCRIPTORS) / 2;
     if max_connections < MIN_CONNECTIONS {
-        return Err(unusable(MAX_DESCRIPTORS));
+        return Err(unusable_field(MAX_DESCRIPTORS_PATH));
     }
     Ok(max_connections)
 }
@@ -145,21 +147,21 @@
     Ok((upstream, clients))
 }
 
-fn unusable(path: &str) -> StartError {
+fn unusable_field(path: &str) -> StartError {
     StartError::StartFile(StartFileError::Unusable(path.to_owned()))
 }
 
 impl Components {
     /// Queues what the start file says of the release and of the endpoints.
-    fn queue_first_events(&self, file: &Json) -> Result<(), StartError> {
+    fn queue_initial_events(&self, file: &Json) -> Result<(), StartError> {
         let field = |path| start_config::field(file, path).unwrap_or(&Json::Null);
         // The release update comes first: the list is read by it.
-        let update = ReleaseUpdate::from_json(field(RELEASE_UPDATE))
-            .ok_or_else(|| unusable(RELEASE_UPDATE))?;
+        let update = ReleaseUpdate::from_json(field(RELEASE_UPDATE_PATH))
+            .ok_or_else(|| unusable_field(RELEASE_UPDATE_PATH))?;
         self.event_loop.enqueue(release_event(update));
         self.discovery
-            .receive(field(SAVED_LIST), ListOrigin::StartFile)
-            .ok_or_else(|| unusable(SAVED_LIST))
+            .receive(field(SAVED_LIST_PATH), ListOrigin::StartFile)
+            .ok_or_else(|| unusable_field(SAVED_LIST_PATH))
     }
 
     /// Spawns the tasks that talk with discovery, the platform, the peers and the endpoints.
--- a/crates/agent/src/watched_services.rs
+++ b/crates/agent/src/watched_services.rs
@@ -79,7 +79,7 @@
         }
     }
 
-    fn start(&self, name: &str, service: ServiceId, endpoint: SocketAddr) -> ServiceWatch {
+    fn start(&self, name: &str, service: ServiceId, address: SocketAddr) -> ServiceWatch {
         let service = Rc::new(Cell::new(service));
         let listener = Rc::new(ServiceListener {
             event_loop: self.event_loop.clone(),
@@ -87,7 +87,7 @@
         });
         let watch = ReleaseWatch::new(
             WatchedControlPlane::Service(name.to_owned()),
-            endpoint,
+            address,
             self.connect_timeout,
             MessageLimit::PerSecond(MAX_MESSAGES_PER_SECOND),
             listener,
--- a/crates/agent/tests/log.rs
+++ b/crates/agent/tests/log.rs
@@ -12,7 +12,7 @@
             .collect::<Vec<_>>()
     };
     let first = written(7);
-    assert!(first.len() < 100 && first.iter().all(|left_out| *left_out == 0));
+    assert!(first.len() < 100 && first.iter().all(|suppressed| *suppressed == 0));
     assert_eq!(written(8)[0], 100 - first.len() as u64);
 }
 
