--- a/crates/agent/src/discovery.rs
+++ b/crates/agent/src/discovery.rs
@@ -1,7 +1,7 @@
-//! Owns the connection to discovery: the list of endpoints, fetched once or watched for changes, over HTTP.
+//! The client of discovery: fetches the endpoint list over HTTP, or watches it for changes.
 //!
-//! A message is passed on whole or not at all, and a bad one never replaces the last good list. A watch that ends is
-//! followed by another one, at a bounded pace; a watch is given up when no heartbeat comes in time.
+//! Each message is applied whole or not at all, so a malformed one never replaces the last good list. When a watch
+//! ends, a new one is opened at a bounded rate; a watch on which no heartbeat arrives in time is closed.
 use std::cell::{Cell, RefCell};
 use std::convert::Infallible;
 use std::fmt;
@@ -26,29 +26,29 @@
 use crate::transport::{InputReader, RingBuffer, ServiceAddress, connect, items, with_timeout};
 use crate::upstream::UpstreamPool;
 
-/// A watch without changes sends an empty line this often.
+/// While nothing changes, discovery sends an empty line on a watch this often.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
-/// A watch on which nothing arrives for so long is given up.
+/// A watch on which nothing arrives for this long is closed.
 const HEARTBEAT_TIMEOUT: Duration = HEARTBEAT_INTERVAL.saturating_mul(5).checked_div(4).unwrap();
-/// The path of the endpoint list.
+/// The HTTP path of the endpoint list.
 const LIST_PATH: &str = "/catalog/members";
 
-/// Where a list of endpoints comes from.
+/// Where an endpoint list comes from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListOrigin {
-    /// Saved in the start file.
+    /// The list was saved in the start file.
     StartFile,
-    /// Received from discovery.
+    /// The list was received from discovery.
     Discovery,
 }
 
-/// A message or a heartbeat, with the time at which its first byte arrived.
+/// A message, or `None` for a heartbeat, with the time at which its first byte arrived.
 type MessageOrHeartbeat = Result<(Instant, Option<Json>), ConnectionEnd>;
 
-/// How one watch ended.
+/// How a watch ended.
 struct WatchEnd {
     end: ConnectionEnd,
-    /// How long to wait before the next one.
+    /// How long to wait before the next watch.
     pause: Duration,
 }
 
@@ -56,17 +56,17 @@
 pub struct Discovery {
     event_loop: Rc<EventLoop>,
     upstream: Rc<UpstreamPool>,
-    /// Where discovery listens.
+    /// Where discovery listens; a reload of the start file can change it.
     pub address: ServiceAddress,
     connect_timeout: Duration,
-    /// Whether the decision engine asks for the list; otherwise it is always watched.
+    /// Whether the decision engine requests the list and its watches; otherwise the list is watched all the time.
     is_requested_by_engine: bool,
-    /// The longest message, in bytes.
+    /// The longest message that is accepted, in bytes.
     max_message_bytes: usize,
     endpoint_list: RefCell<EndpointListReader>,
-    /// When it last sent anything: the end of what it may have told before.
+    /// When discovery last sent anything; it had announced what had changed by then.
     last_contact: Cell<Option<Duration>>,
-    /// Whether the decision engine wants the list to be watched.
+    /// Carries whether the decision engine wants the list to be watched.
     watch_sender: Sender<bool>,
     watch_receiver: Receiver<bool>,
     pacing: RefCell<Pacing>,
@@ -83,10 +83,10 @@
 }
 
 impl Discovery {
-    /// A client of the discovery that listens at `address`, for messages of at most `max_message_bytes`.
+    /// Creates a client of the discovery that listens at `address`, for messages of at most `max_message_bytes`.
     ///
     /// # Errors
-    /// A setting that cannot be used.
+    /// Fails if a setting is missing or cannot be used.
     pub fn new(
         event_loop: Rc<EventLoop>,
         upstream: Rc<UpstreamPool>,
@@ -108,13 +108,13 @@
             last_contact: Cell::default(),
             watch_sender,
             watch_receiver,
-            // Whoever answers at all goes on within the time in which a connection comes up.
+            // A server that has begun a message is expected to go on sending it within the time allowed for connecting.
             pacing: RefCell::new(Pacing::new(connect_timeout, HEARTBEAT_TIMEOUT)),
         }))
     }
 
-    /// Passes a list or its changes on to the connections and the decision engine; none if a part of it cannot be
-    /// read, in which case nothing is passed on.
+    /// Passes a full list or changes on to the connection pool and the decision engine. Returns `None`, and passes
+    /// nothing on, if any part of the message cannot be read.
     pub fn receive(&self, message: &Json, origin: ListOrigin) -> Option<()> {
         let event_loop = &self.event_loop;
         let mut on_new_endpoint = |id: EndpointId, name: &str| {
@@ -167,7 +167,7 @@
         }
     }
 
-    /// Watches the list for as long as the agent runs: always, or while the decision engine wants it.
+    /// Watches the list until the agent ends: all the time, or only while the decision engine wants it.
     pub async fn run(self: Rc<Self>) {
         let mut is_wanted = !self.is_requested_by_engine;
         loop {
@@ -181,20 +181,20 @@
                 has_address_changed = is_wanted && self.address_changes_within(pause).await;
             }
             if has_address_changed {
-                // Another discovery may count its versions otherwise: the full list is fetched at once.
+                // Another discovery server may number its versions differently, so the full list is requested at once.
                 self.endpoint_list.borrow_mut().forget_version();
                 self.pacing.borrow_mut().reset();
             }
         }
     }
 
-    /// Waits so long, or until discovery has moved; returns whether it has.
+    /// Waits for `pause`, or until the address of discovery changes; returns whether it has changed.
     async fn address_changes_within(&self, pause: Duration) -> bool {
         with_timeout(pause, self.address.changed::<()>()).await
             == Err(ConnectionEnd::AddressChanged)
     }
 
-    /// One watch, up to its end.
+    /// Opens one watch and receives on it until it ends.
     async fn watch_until_closed(&self) -> WatchEnd {
         let address = self.address.get();
         let has_received = Cell::new(false);
@@ -224,7 +224,7 @@
         WatchEnd { end, pause }
     }
 
-    /// Receives messages until the connection ends.
+    /// Receives and applies messages until the connection ends.
     async fn watch_list(
         &self,
         path: &str,
@@ -239,7 +239,7 @@
         }
     }
 
-    /// Receives one message.
+    /// Fetches the full list once.
     async fn fetch_list(&self) -> Result<(), ConnectionEnd> {
         let messages = self.call(LIST_PATH).await?;
         pin!(messages);
@@ -247,14 +247,14 @@
         self.receive_from_discovery(&message)
     }
 
-    /// Notes that a watch is alive: what has changed by now has been told on it.
+    /// Records that a watch is alive: everything that has changed by now has been announced on it.
     fn note_contact(&self) {
         if self.last_contact.get().is_some() {
             self.last_contact.set(Some(self.event_loop.clock.now()));
         }
     }
 
-    /// Sends a request; returns the messages of the response, and its heartbeats.
+    /// Sends a request; returns the messages and heartbeats of the response.
     async fn call(
         &self,
         path: &str,
@@ -282,13 +282,13 @@
         if received.is_some() {
             return Ok(());
         }
-        // What was missed here cannot be known: the full list is fetched next time.
+        // The changes in this message are lost, so the next watch requests the full list.
         self.endpoint_list.borrow_mut().forget_version();
         Err(ConnectionEnd::Malformed)
     }
 }
 
-/// The next message; heartbeats only show that there is still someone, which `on_heartbeat` is called for.
+/// Returns the next message, and calls `on_heartbeat` for each heartbeat that arrives before it.
 async fn next_message(
     messages: &mut (impl Stream<Item = MessageOrHeartbeat> + Unpin),
     on_heartbeat: impl Fn(),
--- a/crates/agent/src/endpoint_ids.rs
+++ b/crates/agent/src/endpoint_ids.rs
@@ -1,7 +1,7 @@
 //! Assigns numeric ids to the endpoints that discovery lists by name.
 //!
-//! An id is a hash of the name, so that agents which mention an endpoint to each other mean the same one. A name whose
-//! hash belongs to another listed name gets the next free number.
+//! An id is a hash of the name, so that all agents use the same id when they mention an endpoint to each other. If the
+//! hash collides with the id of another listed name, the next free id is assigned.
 use std::collections::{HashMap, HashSet};
 
 use lilacgate_decision::EndpointId;
@@ -11,11 +11,11 @@
 /// The prime of the 32-bit FNV-1a hash.
 const FNV_PRIME: u32 = 0x0100_0193;
 
-/// The ids of the names that are listed now.
+/// The ids of the currently listed names.
 #[derive(Debug, Default)]
 pub struct EndpointIds {
     by_name: HashMap<String, EndpointId>,
-    /// The same ids once more, so that a new name costs the same however many there are.
+    /// The ids in `by_name`, so that finding a free id does not take longer as names are added.
     assigned: HashSet<EndpointId>,
 }
 
@@ -25,7 +25,7 @@
         self.by_name.get(name).copied()
     }
 
-    /// Assigns an id to a name; a name that has one keeps it.
+    /// Assigns an id to a name; a name that already has an id keeps it.
     pub fn assign(&mut self, name: &str) -> EndpointId {
         if let Some(id) = self.get(name) {
             return id;
@@ -38,7 +38,7 @@
         id
     }
 
-    /// Forgets all names but those whose id is to be kept.
+    /// Forgets all names except those whose id is to be kept.
     pub fn retain(&mut self, is_kept: impl Fn(EndpointId) -> bool) {
         self.by_name.retain(|_, id| is_kept(*id));
         self.assigned.retain(|id| is_kept(*id));
--- a/crates/agent/src/endpoint_list.rs
+++ b/crates/agent/src/endpoint_list.rs
@@ -1,6 +1,6 @@
-//! Reads messages of discovery, a full list of endpoints or changes to one.
+//! Reads the messages of discovery: a full list of endpoints, or changes to the last list.
 //!
-//! It does no input or output, and reads a message whole or not at all.
+//! A message is read whole or not at all. This module performs no I/O.
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,33 +12,33 @@
 use crate::endpoint_start_times::{ListProvenance, StartTimes};
 use crate::json::{self, Json};
 
-/// An endpoint in a message of discovery.
+/// An endpoint as a message of discovery lists it.
 #[derive(Clone, Debug)]
 pub struct ListedEndpoint {
-    /// Its entry.
+    /// The endpoint as the decision engine sees it, with its start time on the agent's clock.
     pub endpoint: Endpoint,
-    /// Where it listens.
+    /// Where the endpoint listens.
     pub address: SocketAddr,
 }
 
 /// A message of discovery that has been read.
 #[derive(Debug)]
 pub struct EndpointListUpdate {
-    /// Whether it is a full list; otherwise it holds changes.
+    /// Whether the message is a full list; otherwise it holds only changes.
     pub is_full: bool,
-    /// Its endpoints, in their order.
+    /// The listed endpoints, in the order of the message.
     pub endpoints: Vec<ListedEndpoint>,
-    /// The status of each endpoint that it names.
+    /// The status of each endpoint in the message.
     statuses: BTreeMap<EndpointId, EndpointStatus>,
 }
 
 impl EndpointListUpdate {
-    /// Whether it names an endpoint.
+    /// Whether the message lists this endpoint, whatever its status.
     pub fn contains(&self, id: EndpointId) -> bool {
         self.statuses.contains_key(&id)
     }
 
-    /// Whether an endpoint that was listed before is still listed after it.
+    /// Whether an endpoint that was listed before is still listed after this message.
     fn still_lists(&self, id: EndpointId) -> bool {
         match self.statuses.get(&id) {
             Some(status) => *status != EndpointStatus::Removed,
@@ -47,29 +47,31 @@
     }
 }
 
-/// Reads the messages of discovery. It holds the version of the last one, and the ids of the endpoints on the list.
+/// Reads the messages of discovery. Keeps the version of the last message, and the ids and start times of the endpoints
+/// on the list.
 #[derive(Debug)]
 pub struct EndpointListReader {
     zones: Vec<String>,
     models: Vec<String>,
     version: u64,
-    /// The id of each endpoint by its name, the same at every agent and over its restarts.
+    /// The id of each endpoint by its name: the same at every agent, and after a restart of the agent.
     endpoint_ids: EndpointIds,
-    /// When the process of each endpoint started.
+    /// When the process of each endpoint started, on the agent's clock.
     start_times: StartTimes,
 }
 
-/// When and in which circumstances a message was received.
+/// When a message was received, and where its list came from.
 #[derive(Clone, Copy, Debug)]
 pub struct ListReceipt {
-    /// The time, on the agent's clock.
+    /// When it was received, on the agent's clock.
     pub now: Duration,
-    /// Whether and how discovery sent it.
+    /// Where its list came from.
     pub provenance: ListProvenance,
 }
 
 impl ListReceipt {
-    /// The receipt of a message whose stamps are of the very clock that its reader goes by, as in virtual time.
+    /// A receipt for messages whose timestamps come from the reader's own clock, as in simulations in virtual time:
+    /// start times are taken as they are listed.
     pub const COMMON_CLOCK: ListReceipt = ListReceipt {
         now: Duration::MAX,
         provenance: ListProvenance::Saved,
@@ -77,10 +79,10 @@
 }
 
 impl EndpointListReader {
-    /// A reader that knows the zones and machine models of the start settings.
+    /// Creates a reader that knows the zones and machine models of the start settings.
     ///
     /// # Errors
-    /// A setting that is missing.
+    /// Fails if a setting is missing.
     pub fn new(settings: &Settings) -> Result<Self, SettingsError> {
         Ok(EndpointListReader {
             zones: settings.names("zones")?,
@@ -91,18 +93,18 @@
         })
     }
 
-    /// The version of the last message, 0 before any.
+    /// The version of the last message; 0 before the first one.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Forgets the version: the next list is taken whatever its own.
+    /// Forgets the version, so that the next message is accepted whatever its version.
     pub fn forget_version(&mut self) {
         self.version = 0;
     }
 
-    /// Reads a message; none if a part of it cannot be read, or if it is older than the last one. `on_new_endpoint` is called
-    /// with each endpoint that gets an id.
+    /// Reads a message. Returns `None` if a part of it cannot be read, or if it holds changes of an older version than
+    /// that of the last message. Calls `on_new_endpoint` for each endpoint that is assigned an id.
     pub fn read(
         &mut self,
         message: &Json,
@@ -121,7 +123,7 @@
         if !is_full && version < self.version {
             return None;
         }
-        // Only now: a message that is not taken must not count as seen.
+        // Start times are recorded only now: a rejected message must not mark its endpoints as listed before.
         for listed in &mut endpoints {
             self.correct_start(&mut listed.endpoint, receipt);
         }
@@ -135,13 +137,14 @@
             endpoints,
             statuses,
         };
-        // The names of removed endpoints are forgotten: one that returns gets the same id.
+        // The names of removed endpoints are forgotten: one that returns gets the same id, which is derived from its
+        // name.
         self.endpoint_ids.retain(|id| update.still_lists(id));
         self.start_times.retain(|id| update.still_lists(id));
         Some(update)
     }
 
-    /// Replaces the start that the list shows by that on the agent's clock.
+    /// Replaces the listed start time by the start time on the agent's clock.
     fn correct_start(&mut self, endpoint: &mut Endpoint, receipt: ListReceipt) {
         let ListReceipt { now, provenance } = receipt;
         endpoint.started =
@@ -199,7 +202,7 @@
     }
 }
 
-/// The place of a name in a list of the start settings.
+/// The index of a name in a list of the start settings.
 fn index_of(names: &[String], name: &str) -> Option<u8> {
     let name = json::settings_name(name);
     let index = names.iter().position(|known| *known == name)?;
--- a/crates/agent/src/endpoint_start_times.rs
+++ b/crates/agent/src/endpoint_start_times.rs
@@ -1,58 +1,63 @@
-//! Works out when the process of each endpoint started, on the agent's own clock.
+//! Estimates when the process of each endpoint started, on the agent's own clock.
 //!
-//! The list holds the wall clock of another machine, which may have been stepped, as may this one's have been before the
-//! agent started. What was observed bounds what the timestamp says: a process that discovery lists for the first time has
-//! started since discovery was last in contact, but for the time that news take. A timestamp that says otherwise shows that
-//! the clocks are apart; the shortest delay then shows how far, and in doubt a process is taken for younger, which costs
-//! it a part of its traffic for as long as it would warm up. A clock that is fast by less than news may take cannot be
-//! told from slow news. Nothing here does input or output.
+//!
+//! The list holds start times by the wall clock of another machine. That clock may have been stepped, and so may this
+//! machine's clock before the agent started. Each timestamp is therefore checked against what was observed: a process
+//! that discovery lists for the first time started after the last contact with discovery, apart from the delay of the
+//! announcement. A timestamp that contradicts this shows that the clocks differ; the shortest delay seen then gives
+//! their offset.
+//!
+//! In doubt a process is taken to be younger than it may be, which costs it a part of its traffic for as long as it
+//! would warm up. A clock that is ahead by less than the longest announcement delay cannot be told from a late
+//! announcement. This module performs no I/O.
 use std::collections::HashMap;
 use std::time::Duration;
 
 use lilacgate_decision::EndpointId;
 
-/// News of a start come so late at the most, beyond a silence of discovery; a longer delay shows that a clock was stepped.
+/// The longest delay from the start of a process to its first listing, beyond the time without contact to discovery. A
+/// longer delay shows that a clock was stepped.
 const MAX_ANNOUNCEMENT_DELAY: Duration = Duration::from_secs(60);
-/// An agent is away for this long at most, in a restart that matters to how cold endpoints are.
+/// The longest time that an agent is assumed to be down in a restart that matters to how cold endpoints are.
 const MAX_AGENT_RESTART: Duration = Duration::from_secs(60);
-/// How many processes are remembered, those that are listed no more included.
+/// How many processes are remembered, including those that are no longer listed.
 const MAX_REMEMBERED_PROCESSES: usize = 8192;
 
-/// The circumstances in which a list was received.
+/// Where a list came from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListProvenance {
-    /// It was kept from before the agent started.
+    /// It was saved before the agent started.
     Saved,
-    /// Discovery sent it.
+    /// Discovery sent it to this agent.
     Discovery {
-        /// How long discovery had not sent anything before that; none if it had never been.
+        /// The time since discovery last sent anything; `None` if this is its first message.
         since_last_contact: Option<Duration>,
     },
 }
 
-/// A process that has been seen.
+/// A process that has been listed.
 #[derive(Clone, Copy, Debug)]
 struct KnownProcess {
-    /// The start that the list shows.
+    /// The start time in the list.
     timestamp: Duration,
-    /// When it started, on the agent's clock.
+    /// The estimated start time, on the agent's clock.
     started: Duration,
 }
 
-/// The start times of the processes that have been listed. All times are spans since 1970.
+/// The start times of the processes that have been listed. All times are durations since the Unix epoch.
 #[derive(Debug, Default)]
 pub struct StartTimes {
     processes: HashMap<EndpointId, KnownProcess>,
-    /// How far the agent's clock is ahead of that of the timestamps, by the shortest delay between a start and its news;
-    /// none while all delays are such as clocks that agree bring about.
+    /// How far the agent's clock is ahead of the clock of the timestamps: the shortest delay between a start and its
+    /// announcement. `None` while all delays are plausible for clocks that agree.
     clock_offset: Option<SignedDuration>,
-    /// The latest start by its timestamp in the saved list; none without such a list.
+    /// The latest start time in the saved list; `None` without a saved list.
     latest_saved_start: Option<Duration>,
 }
 
 impl StartTimes {
-    /// When the process of an endpoint started that is on a list which came `now`; none for one that has run for long,
-    /// which has no timestamp.
+    /// Returns when the process of an endpoint started that is on a list received at `now`. Returns `None` for a
+    /// process without a timestamp, which has been running for a long time.
     pub fn start_time(
         &mut self,
         id: EndpointId,
@@ -85,7 +90,7 @@
             ListProvenance::Discovery {
                 since_last_contact: Some(since_last_contact),
             } => self.start_of_new_process(timestamp, since_last_contact, now),
-            // Later than all that was saved: it has started since.
+            // Later than every start in the saved list: the process started after that list was saved.
             ListProvenance::Discovery {
                 since_last_contact: None,
             } if self
@@ -104,14 +109,15 @@
         started
     }
 
-    /// Forgets processes that are listed no more, where too many are remembered.
+    /// Forgets processes that are no longer listed, once too many are remembered.
     pub fn retain(&mut self, is_listed: impl Fn(EndpointId) -> bool) {
         if self.processes.len() > MAX_REMEMBERED_PROCESSES {
             self.processes.retain(|id, _| is_listed(*id));
         }
     }
 
-    /// When a process started that discovery lists for the first time, after a silence of so long.
+    /// Estimates when a process started that discovery lists for the first time, `since_last_contact` after it last
+    /// sent anything.
     fn start_of_new_process(
         &mut self,
         timestamp: Duration,
@@ -131,7 +137,7 @@
                 self.clock_offset = Some(offset);
                 now.saturating_sub(age)
             }
-            // The clocks are further apart than was known.
+            // The clocks differ by more than the offset known so far.
             None => {
                 self.clock_offset = Some(delay);
                 now
@@ -140,7 +146,7 @@
     }
 }
 
-/// A span that may be negative.
+/// A duration that may be negative.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct SignedDuration {
     nanoseconds: i128,
@@ -154,7 +160,7 @@
         }
     }
 
-    /// By how much it is longer than another one; none if it is shorter.
+    /// By how much this duration exceeds another one; `None` if it is shorter.
     fn excess_over(self, other: SignedDuration) -> Option<Duration> {
         let nanoseconds = u64::try_from(self.nanoseconds - other.nanoseconds).ok()?;
         Some(Duration::from_nanos(nanoseconds))
--- a/crates/agent/src/http_response.rs
+++ b/crates/agent/src/http_response.rs
@@ -1,51 +1,51 @@
-//! Parses one HTTP/1.1 response as its bytes arrive, and the JSON values in its body.
+//! An incremental parser of one HTTP/1.1 response and of the JSON values in its body.
 //!
-//! The head is bounded in the length and number of its lines, each value of the body in its length. A body that ends
-//! amid a value is malformed. Only status 200 is accepted.
+//! The number and length of the head's lines and the length of each JSON value are bounded. A body that ends within a
+//! value is malformed. Only status 200 is accepted.
 use crate::json::{Json, JsonParser};
 use crate::log::ConnectionEnd;
 use crate::transport::Parse;
 
-/// The longest line of a head, in bytes.
+/// The longest line of a response head, in bytes.
 pub(crate) const MAX_LINE_BYTES: usize = 8 << 10;
-/// The most lines of a head.
+/// The largest number of lines in a response head.
 const MAX_HEAD_LINES: usize = 100;
 
-/// How the length of the body is known.
+/// How the end of the body is determined.
 #[derive(Clone, Copy, Debug)]
 enum BodyLength {
     Chunked,
-    /// So many bytes.
+    /// By its length in bytes.
     Counted(u64),
-    /// It lasts as long as its connection.
+    /// By the end of the connection.
     UntilClose,
 }
 
-/// What comes next.
+/// The part of the response that is read next.
 #[derive(Debug)]
 enum State {
     StatusLine,
-    /// A line of the head, after `lines` of them; the body's length as far as the head has shown.
+    /// A line of the head, after `lines` lines; `body` is what these lines say about the length of the body.
     Head {
         lines: usize,
         body: BodyLength,
     },
     ChunkSize,
-    /// So many bytes of a chunk.
+    /// A chunk, of which this many bytes are left.
     Chunk(u64),
-    /// The line end after a chunk.
+    /// The line break after a chunk.
     ChunkEnd,
-    /// So many bytes of a body of known length.
+    /// A body of known length, of which this many bytes are left.
     CountedBody(u64),
-    /// A body that lasts as long as its connection.
+    /// A body that lasts until the connection ends.
     BodyUntilClose,
-    /// The lines after the last chunk.
+    /// The trailer lines after the last chunk.
     Trailer,
-    /// Nothing: the body has ended.
+    /// Nothing, since the body has ended.
     Finished,
 }
 
-/// A parser of one HTTP/1.1 response, and of the JSON values in its body.
+/// A parser of one HTTP/1.1 response and of the JSON values in its body.
 #[derive(Debug)]
 pub struct HttpResponseParser {
     state: State,
@@ -55,7 +55,7 @@
 }
 
 impl HttpResponseParser {
-    /// A parser of values of at most so many bytes.
+    /// Creates a parser that accepts JSON values of at most `max_value_bytes`.
     pub fn new(max_value_bytes: usize) -> Self {
         HttpResponseParser {
             state: State::StatusLine,
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Takes bytes up to the end of a line; returns how many.
+    /// Reads up to the end of a line; returns the number of bytes read.
     fn take_line(&mut self, bytes: &[u8]) -> Result<usize, ConnectionEnd> {
         let line_end = bytes.iter().position(|&byte| byte == b'\n');
         let taken = line_end.map_or(bytes.len(), |index| index + 1);
@@ -80,7 +80,7 @@
         Ok(taken)
     }
 
-    /// What comes after a line.
+    /// The state after a complete line.
     fn state_after(&self, line: &str) -> Result<State, ConnectionEnd> {
         match self.state {
             State::StatusLine => after_status_line(line),
@@ -98,7 +98,7 @@
         }
     }
 
-    /// How many bytes of the body may come before anything else; none where a line comes next.
+    /// How many bytes of the body can be read next; `None` if a line comes next.
     fn body_bytes_left(&self) -> Result<Option<u64>, ConnectionEnd> {
         match self.state {
             State::Finished => Err(ConnectionEnd::Malformed),
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Takes note that so many bytes of the body have been read.
+    /// Records that `taken` bytes of the body have been read.
     fn consume_body(&mut self, taken: u64) {
         match &mut self.state {
             State::Chunk(left) | State::CountedBody(left) => *left -= taken,
@@ -123,7 +123,7 @@
 }
 
 impl BodyLength {
-    /// What comes after the head.
+    /// The state after the head.
     fn first_state(self) -> State {
         match self {
             BodyLength::Chunked => State::ChunkSize,
@@ -133,7 +133,7 @@
         }
     }
 
-    /// The length as known after one more field of the head.
+    /// The body length as known after one more header field.
     fn after_field(self, line: &str) -> Result<BodyLength, ConnectionEnd> {
         let (name, value) = line.split_once(':').ok_or(ConnectionEnd::Malformed)?;
         let value = value.trim();
@@ -166,7 +166,7 @@
 
 fn after_chunk_size(line: &str) -> Result<State, ConnectionEnd> {
     let size = line.split(';').next().unwrap_or_default().trim();
-    // The parser of numbers would also take a sign.
+    // `from_str_radix` also accepts a sign.
     let is_hexadecimal = size.bytes().all(|byte| byte.is_ascii_hexdigit());
     match u64::from_str_radix(size, 16) {
         Ok(0) => Ok(State::Trailer),
@@ -198,7 +198,7 @@
                 return Ok((taken, value));
             }
         }
-        // A body that ends amid a value was cut.
+        // A body that ends within a value was truncated.
         if matches!(self.state, State::Finished) && !self.values.is_between() {
             return Err(ConnectionEnd::Malformed);
         }
@@ -206,8 +206,9 @@
     }
 }
 
-/// A parser of the same response for which anything that comes between two values is an item too, without a value: a
-/// heartbeat. What comes amid a value is none, so that a value that was cut is not waited for without end.
+/// A parser of the same response that also yields heartbeats: anything that arrives between two values is an item
+/// without a value. What arrives within a value is not a heartbeat, so that the rest of a truncated value is not
+/// awaited forever.
 #[derive(Debug)]
 pub struct WatchResponseParser(pub HttpResponseParser);
 
--- a/crates/agent/src/pacing.rs
+++ b/crates/agent/src/pacing.rs
@@ -1,24 +1,24 @@
-//! Decides when the next call to discovery may begin, and how long the rest of a message that has begun is waited for.
-//! It does no input or output; how long a call lasted is passed in.
+//! Decides when the next call to discovery may begin, and how long to wait for the rest of a message that has begun.
+//! This module performs no I/O; the duration of each call is passed in.
 use std::time::Duration;
 
-/// How far apart two calls begin at least, however the first one ended.
+/// The shortest time between the starts of two calls, however the first one ended.
 pub const MIN_CALL_INTERVAL: Duration = Duration::from_millis(50);
-/// How far apart calls that bring nothing begin at most, unless one of them lasts longer by itself.
+/// The longest time between the starts of two calls that bring nothing, unless the first one itself lasts longer.
 pub const MAX_CALL_INTERVAL: Duration = Duration::from_millis(500);
 
 /// How a call to discovery went.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallEnd {
-    /// It brought at least one list, or changes to one.
+    /// It brought at least one full list or message of changes.
     Answered,
     /// It brought nothing.
     Unanswered,
-    /// It brought nothing whole: its first message began, and the rest of it did not come in time.
+    /// It brought nothing complete: its first message began, but the rest of it did not arrive in time.
     Stalled,
 }
 
-/// The pace of calls to discovery, over their ends.
+/// The pace of calls to discovery, which depends on how earlier calls ended.
 #[derive(Clone, Debug)]
 pub struct Pacing {
     interval: Duration,
@@ -28,8 +28,8 @@
 }
 
 impl Pacing {
-    /// `initial_stall_timeout` is how long the rest of a message is waited for at first, `max_stall_timeout` the most that this
-    /// grows to while messages go on stopping short.
+    /// `initial_stall_timeout` is how long to wait for the rest of a message at first. The timeout doubles with each
+    /// call that stalls, up to `max_stall_timeout`.
     pub fn new(initial_stall_timeout: Duration, max_stall_timeout: Duration) -> Self {
         let initial_stall_timeout = initial_stall_timeout.min(max_stall_timeout);
         Pacing {
@@ -45,8 +45,8 @@
         self.stall_timeout
     }
 
-    /// Notes how a call ended that lasted so long; returns the pause before the next one may begin. A call that was
-    /// waited for longer than the gap between two is followed at once: the wait has spaced them already.
+    /// Records how a call ended and how long it lasted; returns the pause before the next call. A call that lasted
+    /// longer than the interval is followed at once, since its duration has already spaced the two calls.
     pub fn pause_after(&mut self, end: CallEnd, lasted: Duration) -> Duration {
         self.interval = match end {
             CallEnd::Answered => MIN_CALL_INTERVAL,
@@ -60,7 +60,8 @@
         self.interval.saturating_sub(lasted)
     }
 
-    /// Discovery has moved: what is known of the earlier one says nothing of it.
+    /// Starts anew after discovery has moved: how the server at the earlier address answered says nothing about the new
+    /// one.
     pub fn reset(&mut self) {
         self.interval = MIN_CALL_INTERVAL;
         self.stall_timeout = self.initial_stall_timeout;
--- a/crates/agent/src/peers.rs
+++ b/crates/agent/src/peers.rs
@@ -1,5 +1,5 @@
-//! Owns the datagrams between agents. None is sent or received that is longer than the bound, and none from an
-//! unknown sender is passed on; what is lost is not sent again.
+//! Sends and receives the datagrams between agents. Datagrams above the length limit are neither sent nor accepted,
+//! those from unknown senders are dropped, and lost ones are not sent again.
 use std::fmt;
 use std::net::{SocketAddr, UdpSocket};
 use std::rc::Rc;
@@ -14,23 +14,23 @@
 use crate::outbound::PeerSender;
 use crate::transport::{at_start, uninterrupted};
 
-/// The longest datagram, in bytes.
+/// The longest datagram that is sent or accepted, in bytes.
 const MAX_DATAGRAM_BYTES: usize = 256;
-/// How long to wait after a datagram could not be received.
+/// The pause after a failed receive call.
 const RECEIVE_PAUSE: Duration = Duration::from_millis(10);
 
-/// The addresses by which agents reach each other.
+/// The addresses at which agents reach each other.
 #[derive(Clone, Debug)]
 pub struct PeerAddresses {
-    /// Where this agent receives.
+    /// Where this agent receives datagrams.
     pub listen: SocketAddr,
-    /// Every agent, this one among them, by its number.
+    /// The addresses of all agents, this one included, by agent number.
     pub peers: Vec<SocketAddr>,
-    /// Where a datagram for all of them goes.
+    /// Where a datagram to all agents is sent.
     pub all: Option<SocketAddr>,
 }
 
-/// The socket on which agents reach each other.
+/// The socket for datagrams between agents.
 pub struct Peers {
     event_loop: Rc<EventLoop>,
     socket: Async<UdpSocket>,
@@ -50,7 +50,7 @@
     /// Opens the socket.
     ///
     /// # Errors
-    /// The address cannot be listened at.
+    /// Fails if the socket cannot be bound to the address.
     pub fn new(
         event_loop: Rc<EventLoop>,
         addresses: PeerAddresses,
@@ -68,9 +68,9 @@
         }))
     }
 
-    /// Receives datagrams for as long as the agent runs.
+    /// Receives datagrams until the agent ends.
     pub async fn run(self: Rc<Self>) {
-        // One byte more, to notice a datagram that is too long.
+        // One extra byte, to detect a datagram that is too long.
         let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
             let receive = |socket: &UdpSocket| uninterrupted(|| socket.recv_from(&mut buffer));
@@ -90,7 +90,7 @@
     fn receive(&self, payload: &[u8], sender: SocketAddr) {
         let peers = &self.addresses.peers;
         match peers.iter().position(|peer| *peer == sender) {
-            // A datagram to all may come back to its sender.
+            // A datagram to all agents may also reach its sender, which ignores it.
             Some(peer) if peers[peer] == self.addresses.listen => {}
             Some(peer) if (1..=MAX_DATAGRAM_BYTES).contains(&payload.len()) => {
                 count(Count::DatagramsReceived);
--- a/crates/agent/src/platform.rs
+++ b/crates/agent/src/platform.rs
@@ -1,8 +1,8 @@
-//! Owns the connections to the platform that rolls builds out: a watch on its release updates, and votes on another
-//! connection, as JSON-RPC lines.
+//! The client of the platform, which rolls builds out: watches its release updates on one connection and sends votes on
+//! another, as JSON-RPC messages of one line each.
 //!
-//! A vote is never sent twice from here, and one that may have been carried out is never reported as not sent. The
-//! protocol of another platform would stand beside this module, behind the same traits.
+//! No vote is sent twice, and a vote that may have been carried out is never reported as not sent. The protocol of
+//! another platform would be a module beside this one that implements the same traits.
 use std::cell::{Cell, RefCell};
 use std::fmt;
 use std::net::SocketAddr;
@@ -23,10 +23,10 @@
 };
 use crate::transport::{InputReader, TcpSocket, connect, with_timeout};
 
-/// The id of the request to listen, on the watch's connection; votes are numbered from the next one.
+/// The id of the `listen` request on the connection of the watch. Votes are numbered from the next id.
 const LISTEN_REQUEST_ID: u64 = 1;
 
-/// A connection that votes are sent on.
+/// A connection for votes.
 struct VoteConnection {
     address: SocketAddr,
     stream: TcpSocket,
@@ -37,11 +37,11 @@
 pub struct Platform {
     event_loop: Rc<EventLoop>,
     listener: Rc<PlatformListener>,
-    /// Receives its release updates; it takes votes at the same place.
+    /// The watch on the platform's release updates. Votes go to the same address.
     pub release_watch: Rc<ReleaseWatch>,
     connect_timeout: Duration,
     answer_timeout: Duration,
-    /// The connection of the last vote, for the next one.
+    /// The connection of the last vote, which the next vote reuses.
     idle_connection: RefCell<Option<VoteConnection>>,
     last_request_id: Cell<u64>,
 }
@@ -56,7 +56,7 @@
     }
 }
 
-/// A release update as an event for the decision engine.
+/// Converts a release update to an event for the decision engine.
 pub(crate) fn release_event(update: ReleaseUpdate) -> impl FnOnce(&mut EventRouter) + 'static {
     move |router| {
         let ReleaseUpdate {
@@ -70,7 +70,7 @@
     }
 }
 
-/// Passes the platform's release updates on.
+/// Queues the platform's release updates for the decision engine.
 struct PlatformListener(Rc<EventLoop>);
 
 impl ReleaseWatchListener for PlatformListener {
@@ -81,10 +81,10 @@
 }
 
 impl Platform {
-    /// A client of the platform that listens at `address`.
+    /// Creates a client of the platform that listens at `address`.
     ///
     /// # Errors
-    /// A setting that cannot be used.
+    /// Fails if a setting is missing or cannot be used.
     pub fn new(
         event_loop: Rc<EventLoop>,
         address: SocketAddr,
@@ -111,7 +111,7 @@
         }))
     }
 
-    /// Sends a vote and waits for its answer; returns how it ended.
+    /// Sends a vote and waits for the answer; returns the outcome.
     async fn deliver_vote(&self, params: &str) -> Outcome {
         let is_written = Cell::new(false);
         let call = self.call(params, &is_written);
@@ -122,7 +122,7 @@
                     "connection_closed peer=platform address={} purpose=vote reason={end}",
                     self.release_watch.address.get()
                 );
-                // Once it was written, it may have been carried out.
+                // A vote that was written may have been carried out.
                 if is_written.get() {
                     Outcome::TimedOut
                 } else {
@@ -132,7 +132,7 @@
         }
     }
 
-    /// One call on the idle connection, if it can still be used, or on a new one.
+    /// Makes one call, on the idle connection if it can still be used and on a new one otherwise.
     async fn call(&self, params: &str, is_written: &Cell<bool>) -> Result<Outcome, ConnectionEnd> {
         let address = self.release_watch.address.get();
         let mut connection = match self.take_idle_connection(address) {
@@ -157,7 +157,7 @@
         Ok(outcome)
     }
 
-    /// The idle connection, if it leads to this address and can still be used.
+    /// Takes the idle connection, if it leads to this address and can still be used.
     fn take_idle_connection(&self, address: SocketAddr) -> Option<VoteConnection> {
         let mut connection = self.idle_connection.take()?;
         if connection.address != address {
@@ -183,8 +183,8 @@
         })
     }
 
-    /// How a vote ended by its answer; none if a part of the answer cannot be read. The state that comes with a
-    /// success is passed on like any release update.
+    /// Returns the outcome of a vote by its answer, or `None` if the answer cannot be read. The release state in the
+    /// answer to a successful vote is passed on like any release update.
     fn read_answer(&self, answer: &Json) -> Option<Outcome> {
         if let Some(state) = answer.get("result") {
             let update = ReleaseUpdate::from_json(state)?;
@@ -214,7 +214,7 @@
     }
 }
 
-/// The field of a JSON-RPC request that holds a vote.
+/// Encodes a vote as the `params` field of a JSON-RPC request.
 fn encode_vote(build: Build, stage: Stage, vote: Vote) -> String {
     let decision = match vote {
         Vote::Retract => "abstain",
--- a/crates/agent/src/release_gate.rs
+++ b/crates/agent/src/release_gate.rs
@@ -1,8 +1,8 @@
-//! Owns the release gate beside the decision engine, and routes every event past it and the recorder to the engine.
+//! Hosts the release gate beside the decision engine, and routes every event to the recorder, the gate and the engine.
 //!
-//! The gate narrows what the engine may do by the operator's rules; it never permits anything by itself. What it
-//! permits is passed on in the same round as the event that changed it, so the engine never decides by outdated
-//! permissions. Nothing here does input or output.
+//! The gate restricts what the engine may do to what the operator's rules permit; it never starts anything by itself. A
+//! change of permissions is passed on in the same round as the event that caused it, so the engine never decides by
+//! outdated permissions. This module performs no I/O.
 use std::collections::BTreeMap;
 use std::fmt;
 use std::sync::Arc;
@@ -23,10 +23,10 @@
 use crate::outbound::AttemptId;
 use crate::recorder::{Recorder, RequestEvent};
 
-/// What an operator's file says of releases, and the tenant whose requests this agent routes.
+/// The release rules of an operator's file, and the tenant whose requests this agent routes.
 #[derive(Clone)]
 pub struct ReleaseRules {
-    /// The rules, and the services that they depend on.
+    /// The rules, and the release control planes of the services that they depend on.
     pub releases: Releases,
     /// The tenant whose requests this agent routes.
     pub tenant: Tenant,
@@ -41,15 +41,16 @@
     }
 }
 
-/// The gate and what it goes by. Without an operator's file there is no gate, and nothing is narrowed.
+/// The release gate and its inputs. Without release rules in an operator's file there is no gate, and nothing is
+/// restricted.
 #[derive(Default)]
 pub struct ReleaseGateHost {
     gate: Option<Gate>,
-    /// The permissions that the engine has now.
+    /// The permissions that were last passed to the engine.
     permissions: Option<Arc<ReleasePermissions>>,
     /// The builds of the listed endpoints.
     builds: BTreeMap<EndpointId, Build>,
-    /// Where the newest build of the own service stands.
+    /// The release status of the newest build of the agent's own service.
     own_status: Option<ReleaseStatus>,
     next_change: Option<Duration>,
 }
@@ -65,7 +66,7 @@
 }
 
 impl ReleaseGateHost {
-    /// A host for this gate.
+    /// Creates a host for this gate.
     pub fn new(gate: Option<Gate>) -> Self {
         ReleaseGateHost {
             gate,
@@ -73,7 +74,7 @@
         }
     }
 
-    /// When something changes by time alone.
+    /// When the gate next changes by the passing of time alone.
     pub fn next_change(&self) -> Option<Duration> {
         self.next_change
     }
@@ -81,11 +82,11 @@
 
 /// Passes the events of one round to the recorder, the gate and the decision engine.
 pub struct EventRouter<'a> {
-    /// The decision engine, or what stands in for it.
+    /// The decision engine, or a substitute for it in tests.
     pub engine: &'a mut dyn EventHandler,
-    /// The gate beside it.
+    /// The release gate.
     pub gate_host: &'a mut ReleaseGateHost,
-    /// Takes what belongs in the time lines.
+    /// Records events in the timelines.
     pub recorder: &'a Recorder,
     /// The time of the round.
     pub now: Duration,
@@ -102,7 +103,8 @@
 }
 
 impl EventRouter<'_> {
-    /// Changes the gate, if there is one, and passes on what follows from it.
+    /// Applies a change to the gate, if there is one; logs the resulting events and passes changed permissions to the
+    /// engine.
     fn update_gate(&mut self, change: impl FnOnce(&mut Gate, Duration)) {
         let Some(gate) = &mut self.gate_host.gate else {
             return;
@@ -131,7 +133,7 @@
         }
     }
 
-    /// Takes note that time has passed.
+    /// Updates the gate if a change by time alone is due.
     pub fn advance(&mut self) {
         if self
             .gate_host
@@ -142,25 +144,25 @@
         }
     }
 
-    /// The newest build of another service stands so.
+    /// Handles a release update of another service.
     pub fn on_service_status(&mut self, service: ServiceId, status: ReleaseStatus) {
         count(Count::DependencyUpdates);
         self.update_gate(|gate, now| gate.on_release_status(now, service, status));
     }
 
-    /// The release control plane of another service has sent a heartbeat.
+    /// Handles a heartbeat from the release control plane of another service.
     pub fn on_service_heartbeat(&mut self, service: ServiceId) {
         self.update_gate(|gate, now| gate.on_heartbeat(now, service));
     }
 
-    /// Takes over the rules of an operator's file that was read again; without any, the gate goes.
+    /// Applies the release rules of a reloaded operator's file; without rules, the gate is removed.
     pub fn apply_rules(&mut self, rules: Option<ReleaseRules>) {
         let Some(ReleaseRules { releases, tenant }) = rules else {
             return self.remove_gate();
         };
         let rules = releases.rules;
         if self.gate_host.gate.is_some() {
-            // The reader has refused rules that cannot be used.
+            // The result is ignored: rules that cannot be used were rejected when the file was read.
             self.update_gate(|gate, now| drop(gate.replace_rules(now, rules, Some(tenant))));
             return;
         }
@@ -185,13 +187,13 @@
         }
     }
 
-    /// The gate's state as JSON, if there is a gate.
+    /// Returns the gate's state as JSON, if there is a gate.
     pub fn gate_state(&self, agent: &str) -> Option<String> {
         let gate = self.gate_host.gate.as_ref()?;
         serde_json::to_string(&gate.state(agent, Vec::new())).ok()
     }
 
-    /// Keeps the builds of the listed endpoints up to date.
+    /// Updates the builds of the listed endpoints.
     fn track_builds(&mut self, update: ListUpdate, endpoints: &[Endpoint]) {
         let builds = &mut self.gate_host.builds;
         if matches!(update, ListUpdate::Full | ListUpdate::Cached) {
--- a/crates/agent/src/release_watch.rs
+++ b/crates/agent/src/release_watch.rs
@@ -1,7 +1,8 @@
-//! Owns one connection to a release control plane: its updates and heartbeats, as JSON-RPC lines, with back-off.
+//! Watches one release control plane for release updates and heartbeats, as JSON-RPC messages of one line each, and
+//! reconnects with back-off.
 //!
-//! The agent's own platform is watched through it, and so are the release control planes of other services. A line is
-//! handled whole or not at all; its length and the number of messages a second are bounded.
+//! Both the agent's own platform and the release control planes of other services are watched this way. A line is
+//! handled whole or not at all. The length of a line is bounded, and so can be the number of messages per second.
 use std::cell::Cell;
 use std::convert::Infallible;
 use std::fmt;
@@ -16,35 +17,35 @@
 use crate::log::{ConnectionEnd, Quoted, info};
 use crate::transport::{InputReader, RingBuffer, ServiceAddress, connect, items, with_timeout};
 
-/// The longest line, in bytes; a longer one ends the connection.
+/// The longest line, in bytes. A longer line ends the connection.
 pub const MAX_LINE_BYTES: usize = 8 << 10;
 /// A release control plane sends a heartbeat this often.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
-/// A connection on which nothing arrives for so long is given up.
+/// A connection on which nothing arrives for this long is closed.
 const HEARTBEAT_TIMEOUT: Duration = HEARTBEAT_INTERVAL.saturating_mul(3);
-/// The pause before the next connection, at first and at most.
+/// The shortest pause before the next connection; it doubles with each failure, up to `MAX_PAUSE`.
 const MIN_PAUSE: Duration = HEARTBEAT_INTERVAL.checked_div(20).unwrap();
 const MAX_PAUSE: Duration = HEARTBEAT_INTERVAL;
-/// The time over which messages are counted.
+/// The period over which messages are counted for the limit.
 const LIMIT_WINDOW: Duration = HEARTBEAT_INTERVAL;
 
-/// Where the newest build of a service stands.
+/// The release status of the newest build of a service.
 #[derive(Clone, Copy, Debug)]
 pub struct ReleaseUpdate {
-    /// The build.
+    /// The newest build.
     pub build: Build,
-    /// Its stage.
+    /// The stage that the build has reached.
     pub stage: Stage,
-    /// Its phase.
+    /// The release phase of the build.
     pub phase: ReleasePhase,
-    /// The share of requests that may go to it.
+    /// The largest share of requests that may go to the build.
     pub cap: f64,
-    /// How long it has stood so.
+    /// How long the build has had this status.
     pub age: Duration,
 }
 
 impl ReleaseUpdate {
-    /// Reads an update; none unless all its fields can be read.
+    /// Reads an update. Returns `None` unless every field is present and valid.
     pub fn from_json(state: &Json) -> Option<ReleaseUpdate> {
         let number = |field| state.get(field).and_then(Json::as_u64);
         let build = Build(u16::try_from(number("Revision")?).ok()?);
@@ -71,7 +72,7 @@
     }
 }
 
-/// A JSON-RPC request as a line. `params` is empty, or a further field behind a comma.
+/// Encodes a JSON-RPC request as a line. `params` is empty, or a comma and a further field.
 pub(crate) fn encode_request(id: u64, method: &str, params: &str) -> RingBuffer {
     let mut ring = RingBuffer::new(MAX_LINE_BYTES);
     ring.append(
@@ -82,28 +83,28 @@
 
 /// Receives what a release control plane sends.
 pub trait ReleaseWatchListener {
-    /// The newest build stands so.
+    /// Called with each release update.
     fn on_release_update(&self, update: ReleaseUpdate);
 
-    /// A heartbeat has come.
+    /// Called for each heartbeat.
     fn on_heartbeat(&self) {}
 }
 
 /// How many messages a release control plane may send.
 #[derive(Clone, Copy, Debug)]
 pub enum MessageLimit {
-    /// Any number.
+    /// Any number of messages.
     Unlimited,
-    /// So many in a second; more of them end the connection.
+    /// At most this many messages per second; more of them end the connection.
     PerSecond(u32),
 }
 
-/// Whose release control plane is watched.
+/// Which release control plane is watched.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WatchedControlPlane {
-    /// The agent's own platform.
+    /// That of the agent's own platform.
     Platform,
-    /// That of another service, by its name.
+    /// That of another service, given by name.
     Service(String),
 }
 
@@ -121,7 +122,7 @@
 /// A watch on a release control plane.
 pub struct ReleaseWatch {
     control_plane: WatchedControlPlane,
-    /// Where it listens.
+    /// Where the release control plane listens.
     pub address: ServiceAddress,
     connect_timeout: Duration,
     limit: MessageLimit,
@@ -139,7 +140,7 @@
 }
 
 impl ReleaseWatch {
-    /// A watch on the release control plane that listens at `address`.
+    /// Creates a watch on the release control plane that listens at `address`.
     pub fn new(
         control_plane: WatchedControlPlane,
         address: SocketAddr,
@@ -156,7 +157,7 @@
         })
     }
 
-    /// Watches for as long as the agent runs.
+    /// Watches until the agent ends.
     pub async fn run(self: Rc<Self>) {
         let mut pause = MIN_PAUSE;
         loop {
@@ -175,7 +176,7 @@
         }
     }
 
-    /// One connection, up to its end.
+    /// Opens one connection and watches on it until it ends.
     async fn watch_once(
         &self,
         address: SocketAddr,
@@ -203,13 +204,13 @@
             if matches!(self.limit, MessageLimit::PerSecond(limit) if messages_in_window > limit) {
                 return Err(ConnectionEnd::TooManyMessages);
             }
-            // What cannot be read is lost; a new connection begins with the present state.
+            // A message that cannot be read is lost, but a new connection begins with the current state.
             self.handle(&message).ok_or(ConnectionEnd::Malformed)?;
             has_received.set(true);
         }
     }
 
-    /// Handles a message; none if it cannot be read.
+    /// Handles a message. Returns `None` if it cannot be read.
     fn handle(&self, message: &Json) -> Option<()> {
         let method = message.get("method").and_then(Json::as_str);
         match (method, message.get("params")) {
@@ -222,14 +223,15 @@
                 self.listener.on_heartbeat();
                 Some(())
             }
-            // The response to the request to listen.
+            // The response to the `listen` request.
             (None, _) if message.get("result") == Some(&Json::Bool(true)) => Some(()),
             _ => None,
         }
     }
 }
 
-/// The pause after a connection has ended. One that sends only what cannot be used is not asked again at once.
+/// The pause after a connection has ended. A release control plane that sends unusable messages, or too many of them,
+/// gets the longer pauses even if other messages were received before.
 fn next_pause(pause: Duration, end: ConnectionEnd, has_received: bool) -> Duration {
     let is_misbehaving = matches!(
         end,
--- a/crates/agent/src/watched_services.rs
+++ b/crates/agent/src/watched_services.rs
@@ -1,7 +1,7 @@
-//! Owns the watches on the release control planes of other services that the operator's file names.
+//! Watches the release control planes of the other services that the operator's file names.
 //!
-//! Each watch is a task and a connection of its own, so that trouble with one does not reach another. The messages
-//! that each may send are bounded.
+//! Each watch has its own task and connection, so that a fault of one release control plane does not affect the watches
+//! on others. The rate of messages from each is bounded.
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::fmt;
@@ -20,11 +20,11 @@
     MessageLimit, ReleaseUpdate, ReleaseWatch, ReleaseWatchListener, WatchedControlPlane,
 };
 
-/// How many messages a service's release control plane may send in a second. One heartbeat a second is due, and a
-/// message for each change.
+/// How many messages per second the release control plane of a service may send. One heartbeat per second and a message
+/// for each change are expected.
 const MAX_MESSAGES_PER_SECOND: u32 = 64;
 
-/// The watches on other services, by the name of the service.
+/// The watches on other services, by service name.
 pub(crate) struct WatchedServices {
     event_loop: Rc<EventLoop>,
     connect_timeout: Duration,
@@ -40,17 +40,17 @@
     }
 }
 
-/// A watch on one service.
+/// The watch on one service.
 struct ServiceWatch {
-    /// The number that the operator's file gives the service now.
+    /// The id of the service by the current operator's file; a reload can change it.
     service: Rc<Cell<ServiceId>>,
     watch: Rc<ReleaseWatch>,
-    /// Dropping it stops the watch.
+    /// Dropping this sender stops the watch.
     _stop: Sender<()>,
 }
 
 impl WatchedServices {
-    /// No watches yet.
+    /// Creates an empty set of watches.
     pub(crate) fn new(event_loop: Rc<EventLoop>, connect_timeout: Duration) -> Self {
         WatchedServices {
             event_loop,
@@ -59,8 +59,8 @@
         }
     }
 
-    /// Watches the services that an operator's file names, and no others. A service that is watched already keeps its
-    /// watch.
+    /// Starts and stops watches so that exactly the services in the operator's file are watched. A service that is
+    /// already watched keeps its watch.
     pub(crate) fn apply(&self, releases: Option<&Releases>) {
         let wanted = releases.map(services_by_name).unwrap_or_default();
         let mut watches = self.watches.borrow_mut();
@@ -108,7 +108,7 @@
     }
 }
 
-/// The services whose release control plane an operator's file names.
+/// The services whose release control planes the operator's file names, by service name.
 fn services_by_name(releases: &Releases) -> HashMap<String, ControlPlane> {
     let mut services = HashMap::new();
     for control_plane in &releases.control_planes {
@@ -118,7 +118,7 @@
     services
 }
 
-/// Passes on what the release control plane of another service sends.
+/// Queues the release updates and heartbeats of another service for the release gate.
 struct ServiceListener {
     event_loop: Rc<EventLoop>,
     service: Rc<Cell<ServiceId>>,
