--- a/crates/agent/src/error.rs
+++ b/crates/agent/src/error.rs
@@ -1,4 +1,4 @@
-//! What keeps the agent from starting, or from taking over a replaced file.
+//! Errors that prevent the agent from starting, or from reloading a file.
 use std::io;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -13,20 +13,20 @@
 #[derive(Debug, Error)]
 pub enum StartFileError {
     /// The file cannot be read.
-    #[error("the start file {path}: {error}")]
+    #[error("the start file {path} cannot be read: {error}")]
     Unreadable {
         /// The file's path.
         path: String,
         /// Why it cannot be read.
         error: io::Error,
     },
-    /// The file holds something else than one JSON value.
-    #[error("the start file is no JSON object: {0}")]
+    /// The file does not hold exactly one valid JSON value.
+    #[error("the start file is not one valid JSON value: {0}")]
     NotJson(ConnectionEnd),
-    /// A field that is needed is not there.
-    #[error("the start file lacks {0}")]
+    /// A required field is missing.
+    #[error("the start file lacks the required field {0}")]
     Missing(String),
-    /// A field has a value that cannot be used.
+    /// The value of a field cannot be used.
     #[error("the start file's {0} cannot be used")]
     Unusable(String),
 }
@@ -34,12 +34,12 @@
 /// Why an operator's file cannot be used.
 #[derive(Debug, Error)]
 pub enum OperatorFileError {
-    /// The file has faults.
+    /// The file cannot be read, or its content is invalid.
     #[error("the operator's file {}: {} faults", path.display(), faults.len())]
     Faults {
         /// The file's path.
         path: PathBuf,
-        /// All faults, in the order of their places.
+        /// All faults, in the order of their positions in the file.
         faults: Vec<Fault>,
     },
     /// The file does not name this agent.
@@ -50,13 +50,13 @@
         /// This agent's name.
         agent: String,
     },
-    /// The services that stages depend on depend on each other.
-    #[error("the operator's file: needs go in a circle")]
+    /// Services depend on each other's releases in a cycle.
+    #[error("the operator's file: the <needs> elements form a cycle of dependencies")]
     CircularDependency,
 }
 
 impl OperatorFileError {
-    /// A line for each fault.
+    /// One message for each fault.
     pub fn messages(&self) -> Vec<String> {
         match self {
             OperatorFileError::Faults { path, faults } => faults
@@ -71,11 +71,11 @@
 /// Why the agent does not start.
 #[derive(Debug, Error)]
 pub enum StartError {
-    /// The environment does not say where the start file is.
-    #[error("RELAY_CONFIG names no start file")]
+    /// The environment variable with the path of the start file is not set.
+    #[error("RELAY_CONFIG must be set to the path of the start file")]
     NoStartFile,
-    /// The signals cannot be handled.
-    #[error("signals: {0}")]
+    /// The signal handlers cannot be installed.
+    #[error("cannot install the signal handlers: {0}")]
     Signals(io::Error),
     /// The start file cannot be used.
     #[error(transparent)]
@@ -86,26 +86,26 @@
     /// The operator's file cannot be used.
     #[error(transparent)]
     OperatorFile(#[from] OperatorFileError),
-    /// Clients cannot be listened for.
-    #[error("listen {address}: {error}")]
+    /// The socket for clients cannot be opened.
+    #[error("cannot listen for clients at {address}, the address in `listen`: {error}")]
     Listen {
-        /// Where the agent is to listen.
+        /// The address in the start file.
         address: SocketAddr,
-        /// Why it cannot.
+        /// Why the socket cannot be opened.
         error: io::Error,
     },
-    /// Datagrams cannot be listened for.
-    #[error("peer_listen {address}: {error}")]
+    /// The socket for datagrams between agents cannot be opened.
+    #[error("cannot receive datagrams at {address}, the address in `peer_listen`: {error}")]
     PeerListen {
-        /// Where the agent is to listen.
+        /// The address in the start file.
         address: SocketAddr,
-        /// Why it cannot.
+        /// Why the socket cannot be opened.
         error: io::Error,
     },
 }
 
 impl StartError {
-    /// What is shown of it: a line for each fault.
+    /// The messages for the operator, one for each fault.
     pub fn messages(&self) -> Vec<String> {
         match self {
             StartError::OperatorFile(error) => error.messages(),
