--- a/crates/agent/src/clock.rs
+++ b/crates/agent/src/clock.rs
@@ -1,15 +1,15 @@
-//! The agent's clock: durations since the Unix epoch that only go forward.
+//! The agent's clock: monotonic time, as a duration since the Unix epoch.
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use async_io::Timer;
 
 /// A monotonic clock whose zero point is the Unix epoch, so that events from before the agent's start have a time too.
 ///
-/// The system time is read once, at the start; later changes of the system time have no effect.
+/// The system time is read once, at the start; later steps of the system clock have no effect.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     started: Instant,
-    /// The system time at `started`.
+    /// The system time at `started`, as a duration since the Unix epoch.
     offset: Duration,
 }
 
@@ -30,12 +30,12 @@
         self.time_of(Instant::now())
     }
 
-    /// The time of an instant; that of the start for an earlier one.
+    /// The time of an instant. An instant before the start is given the time of the start.
     pub fn time_of(&self, instant: Instant) -> Duration {
         self.offset + instant.saturating_duration_since(self.started)
     }
 
-    /// Waits until the clock shows this time.
+    /// Waits until the clock reaches this time.
     pub async fn sleep_until(&self, time: Duration) {
         Timer::at(self.started + time.saturating_sub(self.offset)).await;
     }
--- a/crates/agent/src/discovery.rs
+++ b/crates/agent/src/discovery.rs
@@ -64,7 +64,7 @@
     /// The longest message that is accepted, in bytes.
     max_message_bytes: usize,
     endpoint_list: RefCell<EndpointListReader>,
-    /// When discovery last sent anything; it had announced what had changed by then.
+    /// When discovery last sent anything. It had announced everything that had changed by then.
     last_contact: Cell<Option<Duration>>,
     /// Carries whether the decision engine wants the list to be watched.
     watch_sender: Sender<bool>,
--- a/crates/agent/src/endpoint_start_times.rs
+++ b/crates/agent/src/endpoint_start_times.rs
@@ -8,8 +8,8 @@
 //! their offset.
 //!
 //! In doubt a process is taken to be younger than it may be, which costs it a part of its traffic for as long as it
-//! would warm up. A clock that is ahead by less than the longest announcement delay cannot be told from a late
-//! announcement. This module performs no I/O.
+//! would warm up. If the agent's clock is ahead by less than the longest announcement delay, this cannot be told from a
+//! late announcement. This module performs no I/O.
 use std::collections::HashMap;
 use std::time::Duration;
 
--- a/crates/agent/src/file_writer.rs
+++ b/crates/agent/src/file_writer.rs
@@ -1,7 +1,7 @@
-//! Replaces files that the agent writes on request, without holding up the event loop.
+//! Replaces files that the agent writes on request, without blocking the event loop.
 //!
-//! One thread writes them all, one after another, so that two writes of a file never meet. What a disk refuses is tried
-//! again until it is written, or until a later request replaces it.
+//! One thread writes all files, one after another, so that two writes of the same file never overlap. A write that
+//! fails is retried until it succeeds, or until a later request for the same file replaces it.
 use std::collections::BTreeMap;
 use std::fs::{self, File};
 use std::io::{self, Write as _};
@@ -13,25 +13,25 @@
 
 use crate::log::{Quoted, info};
 
-/// Requests that may wait for the thread.
+/// How many requests may wait for the thread.
 const MAX_QUEUED_REQUESTS: usize = 16;
-/// The pause before files are tried again that could not be written.
+/// The pause before failed writes are retried.
 const RETRY_PAUSE: Duration = Duration::from_secs(1);
 
-/// What a file is to hold.
+/// A request to replace a file.
 struct Replacement {
-    /// What log lines call the file.
+    /// The name of the file in log lines.
     file_kind: &'static str,
     path: PathBuf,
     bytes: Vec<u8>,
-    /// Whether a failure to write it has been logged.
+    /// Whether a failed write has been logged; only the first failure is.
     has_failed: bool,
 }
 
-/// Replaces a file on a thread of its own, and logs the result. `kind` is what log lines call the file.
+/// Replaces a file on the writer thread and logs the result. `file_kind` is the name of the file in log lines.
 ///
-/// The file is replaced by rename, so that a reader finds either the old or the new one whole, also after a loss of
-/// power. If it cannot be written it is tried again until it is, or until it is replaced once more.
+/// The file is replaced by a rename, so that a reader finds either the complete old or the complete new content, even
+/// after a power failure. A failed write is retried until it succeeds or another replacement is requested.
 pub(crate) fn replace_file(file_kind: &'static str, path: PathBuf, bytes: Vec<u8>) {
     let replacement = Replacement {
         file_kind,
@@ -44,12 +44,12 @@
     }
 }
 
-/// The way to the writing thread, which is started at the first use.
+/// The queue of the writer thread, which is started on first use.
 fn queue() -> &'static SyncSender<Replacement> {
     static QUEUE: OnceLock<SyncSender<Replacement>> = OnceLock::new();
     QUEUE.get_or_init(|| {
         let (sender, receiver) = sync_channel(MAX_QUEUED_REQUESTS);
-        // Without a thread the receiver is dropped, and each request is logged as failed.
+        // If the thread cannot be started, the receiver is dropped and each request is logged as failed.
         thread::Builder::new()
             .spawn(move || write_files(&receiver))
             .ok();
@@ -77,7 +77,7 @@
 }
 
 impl Replacement {
-    /// Writes the file; returns whether that has succeeded.
+    /// Tries to write the file; returns whether that succeeded.
     fn try_write(&mut self) -> bool {
         let path = Quoted(self.path.display());
         match write_and_rename(&self.path, &self.bytes) {
@@ -101,7 +101,7 @@
     let new_path = path.with_extension("new");
     let mut file = File::create(&new_path)?;
     file.write_all(bytes)?;
-    // Before the rename: else a loss of power may leave the name on an empty file.
+    // The sync comes before the rename: otherwise a power failure may leave an empty file under the final name.
     file.sync_all()?;
     fs::rename(&new_path, path)?;
     let folder = path
--- a/crates/agent/src/json.rs
+++ b/crates/agent/src/json.rs
@@ -1,31 +1,32 @@
-//! JSON values as this agent uses them, and the reading of them as their bytes arrive.
+//! JSON values, and an incremental parser of them.
 //!
-//! It knows no message. The parser bounds the length and the depth of what it reads; numbers keep their own text.
+//! The parser limits the length and the depth of values. Numbers keep their text, so that each use can parse them as
+//! the type that it needs.
 mod parser;
 
 use std::fmt::Write;
 
 pub use parser::JsonParser;
 
-/// A JSON value. A number keeps its own text, to be read as what it is needed for.
+/// A JSON value. A number is kept as text, to be parsed as the type that is needed.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Json {
     /// `null`.
     Null,
     /// `true` or `false`.
     Bool(bool),
-    /// A number, as it was written.
+    /// A number, in its original text.
     Number(String),
     /// A string.
     String(String),
     /// An array.
     Array(Vec<Json>),
-    /// An object, its fields in their order.
+    /// An object, with its fields in their original order.
     Object(Vec<(String, Json)>),
 }
 
 impl Json {
-    /// The first field of an object that has this name.
+    /// The value of the first field with this name, if this is an object.
     pub fn get(&self, name: &str) -> Option<&Json> {
         let Json::Object(fields) = self else {
             return None;
@@ -34,7 +35,7 @@
         field.map(|(_, value)| value)
     }
 
-    /// The text of a string.
+    /// The text, if this is a string.
     pub fn as_str(&self) -> Option<&str> {
         match self {
             Json::String(text) => Some(text),
@@ -42,7 +43,7 @@
         }
     }
 
-    /// The items of an array.
+    /// The items, if this is an array.
     pub fn as_array(&self) -> Option<&[Json]> {
         match self {
             Json::Array(items) => Some(items),
@@ -50,7 +51,7 @@
         }
     }
 
-    /// A finite number.
+    /// The value, if this is a finite number.
     pub fn as_f64(&self) -> Option<f64> {
         let Json::Number(text) = self else {
             return None;
@@ -58,7 +59,7 @@
         text.parse().ok().filter(|number: &f64| number.is_finite())
     }
 
-    /// A whole number that is not negative, however it is written.
+    /// The value, if this is a non-negative integer in any notation, such as `5.0`.
     pub fn as_u64(&self) -> Option<u64> {
         let Json::Number(text) = self else {
             return None;
@@ -70,8 +71,8 @@
         self.as_f64().filter(is_whole).map(|number| number as u64)
     }
 
-    /// Passes the value on as the flat start settings have it, as path and value: objects in arrays by number, with
-    /// their count, arrays of plain values joined by commas.
+    /// Calls `put` with the path and text of each plain value, in the form of the flat start settings: objects in an
+    /// array are numbered and their count is added, and the plain values of an array are joined by commas.
     pub fn flatten(&self, path: &str, put: &mut dyn FnMut(String, String)) {
         match self {
             Json::Object(fields) => {
@@ -93,11 +94,11 @@
         }
     }
 
-    /// A plain value as the flat start settings have it.
+    /// A plain value in the form of the flat start settings.
     fn plain(&self) -> String {
         match self {
             Json::Bool(value) => value.to_string(),
-            // A whole number may have been written with a fraction.
+            // An integer may be written with a fraction, such as `5.0`.
             Json::Number(text) => text.strip_suffix(".0").unwrap_or(text).to_owned(),
             Json::String(text) => settings_name(text),
             _ => String::new(),
@@ -105,7 +106,7 @@
     }
 }
 
-/// The path of a field of the value at `path`.
+/// The path of the field `name` of the value at `path`.
 pub(crate) fn child_path(path: &str, name: &str) -> String {
     if path.is_empty() {
         name.to_owned()
@@ -114,12 +115,12 @@
     }
 }
 
-/// A name as the flat start settings have it.
+/// A name in the form of the flat start settings, in which names contain no spaces or commas.
 pub fn settings_name(text: &str) -> String {
     text.replace([' ', ','], "_")
 }
 
-/// A text as a JSON string, quotes included.
+/// Encodes a text as a JSON string, with quotes.
 pub fn quote(text: &str) -> String {
     let mut quoted = String::from("\"");
     for character in text.chars() {
--- a/crates/agent/src/json/parser.rs
+++ b/crates/agent/src/json/parser.rs
@@ -1,18 +1,19 @@
-//! An incremental parser of JSON values: bytes in, in pieces of any size, values out.
+//! An incremental parser that reads JSON values from bytes in pieces of any size.
 //!
-//! It never holds more than the bound on a value's length, and never nests deeper than [`MAX_DEPTH`].
+//! It buffers no more than the maximum length of a value, and accepts no nesting deeper than [`MAX_DEPTH`].
 use crate::json::Json;
 use crate::log::ConnectionEnd;
 use crate::transport::Parse;
 
-/// How deep values may be nested; no message that the agent receives is deeper.
+/// The deepest accepted nesting; no valid message is nested more deeply.
 const MAX_DEPTH: usize = 16;
 
-/// The characters behind a backslash in a string, but for `u`, and what they stand for, in the same order.
+/// The characters that may follow a backslash in a string, except `u`, and the characters that they stand for, in the
+/// same order.
 const ESCAPES: &[u8] = b"\"\\/bfnrt";
 const ESCAPED: &[u8] = b"\"\\/\x08\x0c\n\r\t";
 
-/// The code units of a surrogate pair.
+/// The ranges of the two code units of a surrogate pair.
 const HIGH_SURROGATES: std::ops::RangeInclusive<u32> = 0xD800..=0xDBFF;
 const LOW_SURROGATES: std::ops::RangeInclusive<u32> = 0xDC00..=0xDFFF;
 
@@ -27,63 +28,63 @@
     },
 }
 
-/// What comes next.
+/// What the parser expects next.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum State {
     Value,
     /// A value, or the end of an empty array.
     FirstItem,
-    /// A name, or the end of an empty object.
+    /// A field name, or the end of an empty object.
     FirstName,
     Name,
     Colon,
     /// A comma, or the end of the array or object.
     AfterValue,
-    /// A character of a string.
+    /// A character of a string, or its end.
     Text,
-    /// The character behind a backslash.
+    /// The character after a backslash.
     Escape,
-    /// So many digits of an escaped character.
+    /// This many more hexadecimal digits of an escaped character.
     HexDigits(u8),
-    /// A character of a number, of `null`, `true` or `false`.
+    /// A character of a number, `null`, `true` or `false`.
     Bare,
 }
 
-/// What shows that a value was cut.
+/// How the parser detects that a value was truncated.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum CutRule {
     Never,
-    /// A line that ends amid it: each value stands on a line of its own.
+    /// By a line break within the value, where each value is on a line of its own.
     AtLineEnd,
-    /// An empty line amid it: a value may be indented, over many lines.
+    /// By an empty line within the value, where values may be indented over several lines.
     AtEmptyLine {
-        /// Characters of the present line so far, without white space.
+        /// The number of characters other than white space on the current line so far.
         line_length: usize,
     },
 }
 
-/// A parser that reads one value after another; white space may stand between them.
+/// A parser that reads one value after another, optionally separated by white space.
 #[derive(Debug)]
 pub struct JsonParser {
     max_bytes: usize,
     cut_rule: CutRule,
-    /// Bytes of the present value that have been read.
+    /// How many bytes of the current value have been read.
     length: usize,
-    /// The arrays and objects that the next value stands in, the outermost first.
+    /// The arrays and objects that contain the next value, outermost first.
     open: Vec<OpenValue>,
     state: State,
-    /// Whether the string that is being read names a field.
+    /// Whether the string that is being read is a field name.
     is_name: bool,
-    /// The string or bare word that is being read.
+    /// The string, number or literal that is being read.
     word: Vec<u8>,
-    /// The escaped character that is being read.
+    /// The code unit of the escape that is being read.
     hex: u32,
     /// The first half of a surrogate pair.
     high_surrogate: Option<u32>,
 }
 
 impl JsonParser {
-    /// A parser of values of at most so many bytes.
+    /// Creates a parser of values of at most `max_bytes`.
     pub fn new(max_bytes: usize) -> Self {
         JsonParser {
             max_bytes,
@@ -98,7 +99,7 @@
         }
     }
 
-    /// A parser of values that each stand on one line.
+    /// Creates a parser of values that are each on one line.
     pub fn lines(max_bytes: usize) -> Self {
         JsonParser {
             cut_rule: CutRule::AtLineEnd,
@@ -106,7 +107,7 @@
         }
     }
 
-    /// A parser of values that each stand on any number of lines, none of them empty.
+    /// Creates a parser of values that may extend over several lines, none of which is empty.
     pub fn indented(max_bytes: usize) -> Self {
         JsonParser {
             cut_rule: CutRule::AtEmptyLine { line_length: 0 },
@@ -114,16 +115,16 @@
         }
     }
 
-    /// Reads a text that holds one value and nothing else.
+    /// Parses a text that consists of exactly one value.
     ///
     /// # Errors
-    /// The text is no JSON value, or nests too deep.
+    /// Fails if the text is not one JSON value, or is nested too deeply.
     pub fn parse(text: &[u8]) -> Result<Json, ConnectionEnd> {
         let mut parser = JsonParser::new(text.len() + 1);
         let (taken, value) = parser.take(text)?;
         let value = match value {
             Some(value) => Some(value),
-            // The space ends a number.
+            // A number at the end of the text is completed only by the byte after it.
             None => parser.take(b" ")?.1,
         };
         let rest = text.get(taken..).unwrap_or_default();
@@ -132,7 +133,7 @@
             .ok_or(ConnectionEnd::Malformed)
     }
 
-    /// Whether a byte amid a value shows that the value was cut.
+    /// Whether a byte within a value shows that the value was truncated.
     fn is_cut(&mut self, byte: u8) -> bool {
         match &mut self.cut_rule {
             CutRule::Never => false,
@@ -147,7 +148,7 @@
         }
     }
 
-    /// Reads a byte; returns the value that it completes.
+    /// Reads a byte; returns the value, if the byte completes it.
     fn take_byte(&mut self, byte: u8) -> Result<Option<Json>, ConnectionEnd> {
         match self.state {
             State::Text => self.take_text(byte),
@@ -210,12 +211,12 @@
         match self.add(value) {
             Some(value) if byte.is_ascii_whitespace() => Ok(Some(value)),
             Some(_) => Err(ConnectionEnd::Malformed),
-            // Within an array or object, the byte that ends the value has a meaning of its own.
+            // Within an array or object, the byte after the value is part of the structure.
             None => self.take_byte(byte),
         }
     }
 
-    /// Reads a byte outside of strings and bare words that is no white space.
+    /// Reads a byte outside of strings, numbers and literals that is not white space.
     fn take_structure(&mut self, byte: u8) -> Result<Option<Json>, ConnectionEnd> {
         match (self.state, byte) {
             (State::FirstItem | State::AfterValue, b']')
@@ -262,7 +263,7 @@
         self.state = State::Text;
     }
 
-    /// Fails if the first half of a surrogate pair stands alone.
+    /// Fails if the first half of a surrogate pair is not followed by the second.
     fn expect_no_surrogate(&self) -> Result<(), ConnectionEnd> {
         match self.high_surrogate {
             Some(_) => Err(ConnectionEnd::Malformed),
@@ -270,7 +271,7 @@
         }
     }
 
-    /// Adds an escaped character, or the half of one that takes two escapes.
+    /// Adds an escaped character, or keeps the first half of a surrogate pair until the second is read.
     fn push_code_unit(&mut self, code: u32) -> Result<(), ConnectionEnd> {
         let code = match self.high_surrogate.take() {
             Some(high) if LOW_SURROGATES.contains(&code) => {
@@ -304,7 +305,7 @@
         Ok(None)
     }
 
-    /// Adds a value to the array or object that it stands in; returns it if it stands in none.
+    /// Adds a value to the innermost open array or object; returns the value if none is open.
     fn add(&mut self, value: Json) -> Option<Json> {
         self.state = State::AfterValue;
         match self.open.last_mut() {
@@ -319,7 +320,7 @@
         None
     }
 
-    /// Ends the innermost array or object by this bracket.
+    /// Closes the innermost array or object with this bracket.
     fn close(&mut self, bracket: u8) -> Result<Option<Json>, ConnectionEnd> {
         match self.open.pop() {
             Some(OpenValue::Array(items)) if bracket == b']' => Ok(self.add(Json::Array(items))),
@@ -331,7 +332,7 @@
     }
 }
 
-/// Reads a value that has no quotes or brackets.
+/// Parses a number, `null`, `true` or `false`.
 fn read_bare(word: Vec<u8>) -> Result<Json, ConnectionEnd> {
     match word.as_slice() {
         b"null" => return Ok(Json::Null),
@@ -340,7 +341,7 @@
         _ => {}
     }
     let text = String::from_utf8(word).map_err(|_| ConnectionEnd::Malformed)?;
-    // The parser of numbers would also take words such as `inf`, and a plus sign.
+    // `f64::from_str` also accepts words such as `inf`, and a plus sign.
     let is_number = text.starts_with(['-', '0', '1', '2', '3', '4', '5', '6', '7', '8', '9']);
     if is_number && text.parse::<f64>().is_ok() {
         Ok(Json::Number(text))
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -1,8 +1,8 @@
-//! The lilacgate agent: a program that hosts the decision engine on real sockets.
+//! The lilacgate agent: a program that runs the decision engine on real sockets.
 //!
-//! The start is [`startup`]'s, the signals up to the shutdown are [`lifecycle`]'s. Everything runs on one thread, in
-//! [`event_loop`]; beside it there is a thread that writes the log, and one that writes time lines to disk.
-//! `main.rs` only calls [`run`], so that tests can reach every part.
+//! [`startup`] starts the agent; [`lifecycle`] handles signals until the shutdown. Everything runs on one thread, in
+//! [`event_loop`], except for the threads that write the log, the timeline store and the files that are written on
+//! request. `main.rs` only calls [`run`], so that tests can reach every module.
 
 pub mod clients;
 pub mod clock;
@@ -44,9 +44,9 @@
 
 use crate::command_line::Arguments;
 
-/// Runs the agent, as its command line and its environment say, up to its end.
+/// Runs the agent, configured by its command line and environment, until it ends.
 ///
-/// What keeps it from starting is shown on standard error, a line for each fault, and makes it fail.
+/// An error at the start is written to standard error, one line for each fault, and makes the program fail.
 pub fn run() -> ExitCode {
     match startup::start(Arguments::parse()) {
         Ok(()) => ExitCode::SUCCESS,
--- a/crates/agent/src/lifecycle.rs
+++ b/crates/agent/src/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Handles the signals of a running agent: counters on request, reload, and shutdown.
+//! Handles the signals that a running agent receives: write counters and state, reload, and shut down.
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -14,13 +14,13 @@
 use crate::signals::{Command, SignalStream};
 use crate::start_config::{self, StartConfig};
 
-/// How long the reader of the log may take for the last lines, once everything else has ended.
+/// How long to wait at the end for the reader of the log to take the last lines.
 const LOG_FLUSH_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Reads the start file at a path.
 ///
 /// # Errors
-/// The file cannot be read, or cannot be used.
+/// Fails if the file cannot be read or cannot be used.
 pub(crate) fn read_start_file(path: &str) -> Result<StartConfig, StartFileError> {
     let text = std::fs::read(path).map_err(|error| StartFileError::Unreadable {
         path: path.to_owned(),
@@ -29,12 +29,12 @@
     start_config::read(&text)
 }
 
-/// What the signals act on.
+/// The components that signals act on.
 pub(crate) struct Lifecycle {
     pub(crate) signals: SignalStream,
     /// The path of the start file.
     pub(crate) path: String,
-    /// The start file as it was at the start.
+    /// The start file as it was when the agent started.
     pub(crate) initial_file: Json,
     pub(crate) discovery: Rc<Discovery>,
     pub(crate) platform: Rc<Platform>,
@@ -42,10 +42,10 @@
 }
 
 impl Lifecycle {
-    /// Handles signals up to the end of the agent.
+    /// Handles signals until the agent ends.
     ///
-    /// At the first signal to stop the agent serves on for as long as it may, then answers everything that it has
-    /// accepted. A second one makes it accept nothing more, a third one ends it at once.
+    /// After the first signal to stop, the agent goes on serving for as long as it may, then answers every request that
+    /// it has accepted. A second one makes it stop accepting at once, and a third one ends it immediately.
     pub(crate) async fn run(mut self, clients: Rc<Clients>) {
         self.handle_until_stop().await;
         info!("shutdown_started");
@@ -56,13 +56,13 @@
             self.handle_until_stop().await;
         };
         clients.shut_down().or(stopped_again).await;
-        // Room for the last line first, should others still wait.
+        // Empties the queue first, so that there is room for the line of the counters.
         log::flush(LOG_FLUSH_TIMEOUT);
         write_counters();
         log::flush(LOG_FLUSH_TIMEOUT);
     }
 
-    /// Handles signals up to the next one to stop.
+    /// Handles signals until the next one to stop.
     async fn handle_until_stop(&mut self) {
         loop {
             match self.signals.next().await {
@@ -79,8 +79,8 @@
         }
     }
 
-    /// Takes over from the start file where discovery and the platform listen, and nothing else; a file that cannot be
-    /// used changes nothing.
+    /// Reloads the start file: takes over the addresses of discovery and the platform, and nothing else. A file that
+    /// cannot be used changes nothing.
     fn reload(&self) {
         let config = match read_start_file(&self.path) {
             Ok(config) => config,
--- a/crates/agent/src/log.rs
+++ b/crates/agent/src/log.rs
@@ -1,8 +1,9 @@
-//! What operators see: log lines at a bounded rate, the codes of how connections end, and the counters.
+//! Output for operators: rate-limited log lines, the reason codes of ended connections, and counters.
 //!
-//! A line is `event_name key=value key="text with spaces"`, with Unix time in front. `docs/on-call.md` lists the events.
+//! A line has the form `event_name key=value key="text with spaces"`, after a Unix time. `docs/on-call.md` lists the
+//! events.
 //!
-//! Nothing here blocks, and nothing may be decided by what it holds.
+//! Logging and counting never block, and no decision may depend on the counters.
 mod connection_end;
 mod counters;
 mod quoted;
--- a/crates/agent/src/log/connection_end.rs
+++ b/crates/agent/src/log/connection_end.rs
@@ -1,52 +1,52 @@
-//! Why connections end, and the code of each reason in log lines.
+//! The reasons for which connections end, and the code of each in log lines.
 use std::fmt;
 use std::io;
 
 use crate::transport::is_shortage;
 
-/// Why a connection ended. What each code means, and what to do, is in `docs/on-call.md`.
+/// Why a connection ended. `docs/on-call.md` explains each code and what to do about it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionEnd {
-    /// The other side closed it.
+    /// The other side closed the connection.
     Closed,
-    /// The other side reset it.
+    /// The other side reset the connection.
     Reset,
-    /// It was refused.
+    /// The other side refused the connection, or answered that it refuses the request.
     Refused,
-    /// The other side cannot be reached.
+    /// The other side could not be reached.
     Unreachable,
     /// Nothing arrived in time.
     TimedOut,
-    /// A message began, and the rest of it did not arrive in time.
+    /// A message began, but the rest of it did not arrive in time.
     Stalled,
-    /// Something arrived that cannot be read.
+    /// A message arrived that cannot be parsed.
     Malformed,
-    /// Something arrived that is longer than its bound.
+    /// A message arrived that is longer than its limit.
     TooLong,
-    /// More messages arrived than may.
+    /// More messages arrived than are allowed.
     TooManyMessages,
-    /// This agent has no more use for it.
+    /// The agent no longer needs the connection.
     Cancelled,
-    /// It carried nothing for too long.
+    /// The connection was idle for too long.
     Idle,
-    /// It made room for another one.
+    /// The connection was closed to make room for another one.
     Evicted,
-    /// The other side closed it, or sent something on it, while it was idle.
+    /// The other side closed the connection, or sent something on it, while it was idle.
     Stale,
-    /// The endpoint is not listed any more, or takes no requests.
+    /// The endpoint is no longer listed, or no longer takes requests.
     EndpointRemoved,
-    /// The service listens elsewhere now.
+    /// The address of the service has changed.
     AddressChanged,
-    /// A limit of this machine or process was reached.
+    /// A resource limit of this machine or process was reached.
     ResourceLimit,
-    /// The agent shuts down.
+    /// The agent is shutting down.
     ShuttingDown,
-    /// It ended in another way.
+    /// The connection ended for another reason.
     Failed,
 }
 
 impl ConnectionEnd {
-    /// The code in log lines.
+    /// The code of the reason in log lines.
     pub const fn code(self) -> &'static str {
         match self {
             ConnectionEnd::Closed => "closed",
@@ -89,7 +89,7 @@
             io::ErrorKind::TimedOut
             | io::ErrorKind::HostUnreachable
             | io::ErrorKind::NetworkUnreachable => ConnectionEnd::Unreachable,
-            // No port, memory or descriptor is free.
+            // No port, memory or file descriptor is free.
             _ if is_shortage(&error) => ConnectionEnd::ResourceLimit,
             _ => ConnectionEnd::Failed,
         }
--- a/crates/agent/src/log/counters.rs
+++ b/crates/agent/src/log/counters.rs
@@ -1,11 +1,11 @@
-//! Counters of what has happened since the agent's start. They are shown on request, and decide nothing.
+//! Counters of events since the agent's start. They are logged on request; no decision depends on them.
 use std::fmt::Write;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 
-/// Declares the counters: the name of each in the code, and in the line that shows them.
+/// Declares the counters: the name of each in the code and in the log line.
 macro_rules! counters {
     ($($(#[$doc:meta])* $counter:ident $name:literal)*) => {
-        /// What is counted since the start. Counters are shown in this order.
+        /// A counter. All of them start at zero and are logged in this order.
         #[derive(Clone, Copy, Debug)]
         pub enum Count { $($(#[$doc])* $counter),* }
 
@@ -14,51 +14,51 @@
 }
 
 counters! {
-    /// Connections of clients that were accepted.
+    /// Client connections that were accepted.
     ClientsAccepted "clients_accepted"
-    /// Calls that failed to accept one.
+    /// Failed calls to accept a client connection.
     AcceptsFailed "accepts_failed"
-    /// Connections of clients that have ended.
+    /// Client connections that have ended.
     ClientsDisconnected "clients_disconnected"
     /// Requests that were passed to the decision engine.
     RequestsAccepted "requests_accepted"
-    /// Commands that were refused for their form.
+    /// Commands that were refused because they are malformed.
     CommandsRefused "commands_refused"
     /// Requests that succeeded.
     RequestsSucceeded "requests_succeeded"
     /// Requests that the decision engine rejected.
     RequestsRejected "requests_rejected"
-    /// Requests that were refused for a bound, before the decision engine knew of them.
+    /// Requests that were refused because of a limit, before they reached the decision engine.
     RequestsRefused "requests_refused"
     /// Requests that failed.
     RequestsFailed "requests_failed"
-    /// Requests whose client left before its answer.
+    /// Requests whose client left before the answer.
     RequestsAbandoned "requests_abandoned"
     /// Attempts that were sent.
     Attempts "attempts"
     /// Attempts that succeeded.
     AttemptsSucceeded "attempts_succeeded"
-    /// Attempts that the endpoint answered as failed.
+    /// Attempts to which the endpoint answered that they failed.
     AttemptsFailed "attempts_failed"
     /// Attempts that the endpoint rejected.
     AttemptsRejected "attempts_rejected"
-    /// Attempts without an answer in time.
+    /// Attempts that were not answered in time.
     AttemptsTimedOut "attempts_timed_out"
-    /// Attempts whose connection did not come up, or broke before the request was written.
+    /// Attempts whose connection could not be opened, or broke before the request was written.
     AttemptsConnectFailed "attempts_connect_failed"
     /// Attempts whose connection broke after the request was written.
     AttemptsConnectionLost "attempts_connection_lost"
-    /// Attempts whose answer could not be read.
+    /// Attempts whose answer could not be parsed.
     AttemptsMalformed "attempts_malformed"
     /// Attempts that the decision engine cancelled.
     AttemptsCancelled "attempts_cancelled"
     /// Attempts that were never sent.
     AttemptsNotSent "attempts_not_sent"
-    /// Connections to endpoints that came up.
+    /// Connections to endpoints that were opened.
     ConnectionsOpened "connections_opened"
     /// Connections to endpoints that have ended.
     ConnectionsClosed "connections_closed"
-    /// Health checks that were begun.
+    /// Health checks that were started.
     HealthChecks "health_checks"
     /// Updates of the endpoint list.
     EndpointListUpdates "endpoint_list_updates"
@@ -68,23 +68,23 @@
     Votes "votes"
     /// Release updates of other services.
     DependencyUpdates "dependency_updates"
-    /// Changes of what the operator's rules permit.
+    /// Changes of the permissions by the operator's rules.
     PermissionChanges "permission_changes"
-    /// Departures from the baseline that were found in the time lines.
+    /// Departures from the baseline that were detected in the timelines.
     Departures "departures"
-    /// Records of the time lines that were left out since the disk was behind.
+    /// Timeline records that were dropped because the disk was too slow or failed.
     TimelineRecordsDropped "timeline_records_dropped"
     /// Datagrams to peers that were sent.
     DatagramsSent "datagrams_sent"
-    /// Datagrams of peers that were received.
+    /// Datagrams from peers that were received.
     DatagramsReceived "datagrams_received"
-    /// Datagrams that were dropped.
+    /// Received datagrams that were dropped.
     DatagramsDropped "datagrams_dropped"
     /// Rounds of the decision engine.
     Rounds "rounds"
-    /// Events that were queued for it.
+    /// Events that were queued for the decision engine.
     EventsQueued "events_queued"
-    /// Rounds that began later than they should.
+    /// Rounds that began too long after their earliest timer had expired.
     LateRounds "late_rounds"
     /// How often the event loop was held up for 25 ms or more.
     HoldUps "hold_ups"
@@ -92,11 +92,11 @@
     HoldUpsOver100Ms "hold_ups_over_100_ms"
     /// How often it was held up for 500 ms or more.
     HoldUpsOver500Ms "hold_ups_over_500_ms"
-    /// The longest time for which it was held up, in milliseconds.
+    /// The longest time for which the event loop was held up, in milliseconds.
     LongestHoldUpMs "longest_hold_up_ms"
-    /// Requests that were read 100 ms or more after they may have arrived.
+    /// Requests that may have arrived 100 ms or more before they were read.
     RequestsReadLate "requests_read_late"
-    /// Log lines that were lost as nobody read them.
+    /// Log lines that were lost because the reader was too slow or the write failed.
     LogLinesLost "log_lines_lost"
 }
 
@@ -112,12 +112,12 @@
     COUNTS[counter as usize].fetch_add(amount, Relaxed);
 }
 
-/// Raises a counter that shows a greatest value.
+/// Raises a counter of a maximum to at least `value`.
 pub fn raise_to(counter: Count, value: u64) {
     COUNTS[counter as usize].fetch_max(value, Relaxed);
 }
 
-/// All counters on one line: ` name=value` for each.
+/// All counters on one line, each as ` name=value`.
 pub fn counters() -> String {
     let mut line = String::new();
     for (name, count) in NAMES.iter().zip(&COUNTS) {
--- a/crates/agent/src/log/quoted.rs
+++ b/crates/agent/src/log/quoted.rs
@@ -1,8 +1,8 @@
-//! Values in log lines that may hold spaces.
+//! Quoting of values in log lines that may contain spaces.
 use std::fmt::{self, Display, Write};
 
-/// A value between double quotes. Quotes, backslashes and control characters in it are escaped, so that it stays one
-/// value on one line. Allocates nothing.
+/// Displays a value between double quotes. Quotes, backslashes and control characters are escaped, so that it remains
+/// one value on one line. Does not allocate.
 #[derive(Debug)]
 pub struct Quoted<T>(pub T);
 
@@ -14,7 +14,7 @@
     }
 }
 
-/// Escapes what is written through it.
+/// Escapes the text that is written through it.
 struct Escaper<'a, 'b>(&'a mut fmt::Formatter<'b>);
 
 impl Write for Escaper<'_, '_> {
--- a/crates/agent/src/log/writer.rs
+++ b/crates/agent/src/log/writer.rs
@@ -1,5 +1,5 @@
-//! Writes log lines to standard error on a thread of its own, so that a reader which stands still holds up nothing
-//! else. The rate of each call site is bounded, and so are the lines that wait for the reader.
+//! Writes log lines to standard error on a separate thread, so that a stalled reader blocks nothing else. The rate of
+//! each call site and the number of queued lines are limited.
 use std::fmt::Display;
 use std::io::{self, Write as _};
 use std::sync::OnceLock;
@@ -10,28 +10,29 @@
 
 use crate::log::counters::{Count, count};
 
-/// How many lines a call site may write in a second; the rest is counted, and the next line says how many they were.
+/// How many lines a call site may write per second. Further lines are suppressed, and the next line that is written
+/// says how many.
 const MAX_LINES_PER_SECOND: u64 = 20;
 
-/// How many lines may wait for the reader.
+/// How many lines may wait for the writer thread.
 const MAX_QUEUED_LINES: usize = 256;
 
-/// How many times a flush tries to get into a full queue.
+/// How often a flush tries to enter a full queue before its timeout ends.
 const MAX_FLUSH_ATTEMPTS: u32 = 1000;
 
-/// A place in the code that writes log lines, and the bound on its rate.
+/// A place in the code that writes log lines, with its rate limit.
 #[derive(Debug, Default)]
 pub struct CallSite {
-    /// The second in which it last tried to write, since the Unix epoch.
+    /// The second of the last attempt to write, since the Unix epoch.
     second: AtomicU64,
-    /// The lines that it tried to write in this second.
+    /// How many lines it has attempted to write in this second.
     attempted: AtomicU64,
-    /// The lines that it has left out since its last one.
+    /// How many lines were suppressed since the last line that was written.
     suppressed: AtomicU64,
 }
 
 impl CallSite {
-    /// A call site that has written nothing yet.
+    /// Creates a call site that has written nothing yet.
     pub const fn new() -> Self {
         CallSite {
             second: AtomicU64::new(0),
@@ -40,7 +41,8 @@
         }
     }
 
-    /// Whether a line may be written in this second; if so, how many were left out before it.
+    /// Counts an attempt to write in this second. Returns the number of lines suppressed before this one, or `None` if
+    /// this line is to be suppressed too.
     pub fn may_write(&self, second: u64) -> Option<u64> {
         if self.second.swap(second, Relaxed) != second {
             self.attempted.store(0, Relaxed);
@@ -53,7 +55,7 @@
         }
     }
 
-    /// Writes a line with the present time before it, unless too many have been written in this second.
+    /// Writes a line after the current time, unless too many have been written in this second.
     pub fn write(&self, line: impl Display) {
         let now = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -69,20 +71,20 @@
     }
 }
 
-/// What the writing thread is sent.
+/// A message to the writer thread.
 enum Message {
     Line(String),
-    /// Answered once all lines before it are out.
+    /// Answered once all lines before it have been written.
     Flush(SyncSender<()>),
 }
 
 static QUEUE: OnceLock<SyncSender<Message>> = OnceLock::new();
 
-/// The way to the writing thread, which is started at the first use.
+/// The queue of the writer thread, which is started on first use.
 fn queue() -> &'static SyncSender<Message> {
     QUEUE.get_or_init(|| {
         let (sender, receiver) = sync_channel(MAX_QUEUED_LINES);
-        // Without a thread the receiver is dropped, and lines are written where they come from.
+        // If the thread cannot be started, the receiver is dropped and lines are written by their callers.
         thread::Builder::new()
             .spawn(move || write_messages(receiver))
             .ok();
@@ -90,7 +92,8 @@
     })
 }
 
-/// Writes a line to standard error. One that cannot be written is lost: a full disk behind it must end nothing.
+/// Writes a line to standard error. A line that cannot be written is counted as lost: a full disk behind standard error
+/// must not end the agent.
 fn write_line(line: &str) {
     if writeln!(io::stderr().lock(), "{line}").is_err() {
         count(Count::LogLinesLost);
@@ -106,7 +109,7 @@
     }
 }
 
-/// Writes a line as soon as the log's reader takes it. It is left out and counted if too many lines wait already.
+/// Queues a line for the writer thread. If the queue is full, the line is dropped and counted as lost.
 pub fn write(line: String) {
     match queue().try_send(Message::Line(line)) {
         Err(TrySendError::Disconnected(Message::Line(line))) => write_line(&line),
@@ -115,7 +118,7 @@
     }
 }
 
-/// Waits until all lines are out, for `timeout` at most.
+/// Waits until all queued lines have been written, for at most `timeout`.
 pub fn flush(timeout: Duration) {
     let deadline = Instant::now() + timeout;
     let (sender, receiver) = sync_channel(1);
@@ -131,7 +134,7 @@
     receiver.recv_timeout(left).ok();
 }
 
-/// Writes a log line, unless its call site has written too many in this second.
+/// Writes a log line, unless the call site has written too many in this second.
 macro_rules! info {
     ($($what:tt)*) => {{
         static CALL_SITE: $crate::log::CallSite = $crate::log::CallSite::new();
--- a/crates/agent/src/operator_file.rs
+++ b/crates/agent/src/operator_file.rs
@@ -1,8 +1,8 @@
-//! Owns the operator's file in a running agent: reads it at the start and at each reload, and hands its parts to the
-//! release gate, the recorder and the watches on other services.
+//! Reads the operator's file at the start and at each reload, and passes its parts to the release gate, the recorder
+//! and the watches on other services.
 //!
-//! A file that cannot be used changes nothing: it is never taken over in part. What the file permits is the gate's to
-//! decide.
+//! A file is applied whole or not at all; one that cannot be used changes nothing. What the rules permit is decided by
+//! the gate, not here.
 use std::cell::RefCell;
 use std::fmt;
 use std::path::{Path, PathBuf};
@@ -20,7 +20,7 @@
 use crate::release_gate::ReleaseRules;
 use crate::watched_services::WatchedServices;
 
-/// What an operator's file sets for this agent; nothing where there is no file.
+/// What an operator's file sets for this agent; empty without a file.
 #[derive(Default)]
 struct OperatorSettings {
     rules: Option<ReleaseRules>,
@@ -33,25 +33,25 @@
     }
 }
 
-/// What the operator's file sets at the start of the agent.
+/// What the operator's file provides at the start of the agent.
 pub(crate) struct OperatorStart {
-    /// The file, for reloads.
+    /// The file, which is read again at each reload.
     pub(crate) file: OperatorFile,
-    /// The release gate by its rules; none without rules.
+    /// The release gate with the rules in the file; `None` without rules.
     pub(crate) gate: Option<Gate>,
-    /// Which time lines are kept.
+    /// Which timelines are recorded; `None` without a `<timeline>` in the file.
     pub(crate) timeline: Option<Timeline>,
 }
 
 /// The operator's file of a running agent.
 pub(crate) struct OperatorFile {
     path: Option<PathBuf>,
-    /// This agent's name.
+    /// The name of this agent.
     agent: String,
-    /// The zones and request classes of the start settings.
+    /// The zones and request classes of the start settings, which the file may refer to.
     known: Known,
     event_loop: Rc<EventLoop>,
-    /// Where the gate's state is written on request.
+    /// The file to which the gate's state is written on request.
     state_path: RefCell<Option<PathBuf>>,
     services: WatchedServices,
 }
@@ -67,10 +67,10 @@
 }
 
 impl OperatorFile {
-    /// Reads the file, if there is one, and starts the watches on the services that it names.
+    /// Reads the file, if there is one, and starts the watches on the services in it.
     ///
     /// # Errors
-    /// A start setting or a file that cannot be used.
+    /// Fails if a start setting or the file cannot be used.
     pub(crate) fn open(
         path: Option<PathBuf>,
         agent: &str,
@@ -106,7 +106,7 @@
             .map_err(|_| OperatorFileError::CircularDependency)
     }
 
-    /// Reads what the file sets for this agent.
+    /// Reads the settings for this agent; without a file there are none.
     fn read(&self) -> Result<OperatorSettings, OperatorFileError> {
         match &self.path {
             Some(path) => self.read_from(path),
@@ -139,7 +139,7 @@
         Ok(OperatorSettings { rules, timeline })
     }
 
-    /// Reads the file again; one that cannot be used changes nothing.
+    /// Reads the file again and applies it; one that cannot be used is logged and changes nothing.
     pub(crate) fn reload(&self) {
         let settings = match self.read() {
             Ok(settings) => settings,
@@ -163,14 +163,15 @@
         self.apply_releases(releases.as_ref());
     }
 
-    /// Takes over which services are watched, and where the gate's state is written.
+    /// Applies which services are watched and where the gate's state is written.
     fn apply_releases(&self, releases: Option<&Releases>) {
         let state_path = releases.and_then(|releases| releases.state.clone());
         self.state_path.replace(state_path);
         self.services.apply(releases);
     }
 
-    /// Writes the time lines and the gate's state where the file wants them, off the event loop.
+    /// Writes the timelines and the gate's state to the files that the operator's file names, without holding up the
+    /// event loop.
     pub(crate) fn write_state(&self) {
         self.event_loop
             .enqueue(|router| router.recorder.dump(router.now));
@@ -186,7 +187,7 @@
     }
 }
 
-/// The names that an operator's file may use for zones and request classes, with their numbers.
+/// The zones and request classes to which an operator's file may refer, in the order of their indexes.
 fn known_names(settings: &Settings) -> Result<Known, SettingsError> {
     let products = class_names(settings)?;
     Ok(Known {
--- a/crates/agent/src/recorder.rs
+++ b/crates/agent/src/recorder.rs
@@ -1,9 +1,9 @@
-//! Owns the agent's time lines: what is received and decided goes into a book beside the decision engine, and from
-//! there, off the path of the requests, to the store that the operator's file names.
+//! Records the agent's timelines: events and decisions go into a fleet timeline in memory, and from there, off the
+//! request path, to the store that the operator's file names.
 //!
-//! It never changes a decision, never waits for a disk and never costs a request: what the disk is too slow for is
-//! left out and counted. The events of requests are buffered, up to a bound, and passed to the book many at a time,
-//! which costs a third of passing them one by one.
+//! Recording never changes a decision, never waits for a disk and never makes a request fail: records for which the
+//! disk is too slow are dropped and counted. Request events are buffered, up to a limit, and passed to the timeline in
+//! batches, which costs a third of passing them one by one.
 mod snapshot;
 mod store;
 
@@ -23,85 +23,85 @@
 use crate::outbound::AttemptId;
 use crate::recorder::store::StoreQueue;
 
-/// How many records may wait for the disk, and how many names of endpoints are kept.
+/// How many records may wait for the disk, and how many endpoint names are kept.
 const MAX_QUEUED_RECORDS: usize = 4096;
 
-/// How many events of requests are buffered before they are passed to the timeline.
+/// How many request events are buffered before they are passed to the timeline.
 const MAX_BUFFERED_EVENTS: usize = 4096;
 
-/// What happens to a request.
+/// An event in the life of a request.
 #[derive(Clone, Copy, Debug)]
 pub enum RequestEvent {
-    /// It has arrived.
+    /// The request has arrived.
     Received {
-        /// The request.
+        /// Which request.
         id: RequestId,
-        /// Its class.
+        /// The class of the request.
         class: RequestClass,
     },
-    /// An attempt of it has been sent.
+    /// An attempt has been sent.
     AttemptSent {
         /// Which attempt.
         id: AttemptId,
-        /// Where it was sent.
+        /// The endpoint to which the attempt was sent.
         endpoint: EndpointId,
     },
-    /// An attempt of it has ended.
+    /// An attempt has ended.
     AttemptEnded {
         /// Which attempt.
         id: AttemptId,
         /// Where it was sent.
         endpoint: EndpointId,
-        /// How it ended.
+        /// The outcome of the attempt.
         outcome: Outcome,
-        /// How long it took.
+        /// How long the attempt took.
         took: Duration,
-        /// Whether the request has had its answer by then.
+        /// Whether the request had been answered before the attempt ended.
         closed: bool,
     },
-    /// It has had its answer, or its client has left.
+    /// The request has been answered, or its client has left.
     Closed(RequestId),
 }
 
-/// A buffered event.
+/// A buffered event, with its time on the agent's clock.
 #[derive(Debug)]
 struct TimedEvent {
     time: Duration,
     event: RequestEvent,
 }
 
-/// The name of an endpoint.
+/// The name of an endpoint by its id.
 #[derive(Debug)]
 struct EndpointName {
     id: EndpointId,
     name: String,
 }
 
-/// What does not change while the agent runs.
+/// Facts about the agent that do not change while it runs.
 #[derive(Debug)]
 struct AgentInfo {
     agent: String,
-    /// The names of the request classes, in their order.
+    /// The names of the request classes, in the order of their indexes.
     class_names: Vec<String>,
-    /// How long an endpoint may take to warm up.
+    /// The slow start of an endpoint: how long it may take to warm up.
     slow_start: Duration,
 }
 
-/// A book that is being written, and what it is written by.
+/// A timeline that is being recorded, with its settings and its store.
 struct OpenTimeline {
     timeline: FleetTimeline,
     settings: Timeline,
     store: StoreQueue,
 }
 
-/// Keeps the time lines, if the operator's file wants them.
+/// Records the timelines, if the operator's file configures them.
 pub struct Recorder {
     agent_info: AgentInfo,
     open: RefCell<Option<OpenTimeline>>,
     buffer: RefCell<Vec<TimedEvent>>,
-    /// Whether there is a timeline.
+    /// Whether a timeline is being recorded, i.e. whether `open` holds one.
     is_recording: Cell<bool>,
-    /// The names of endpoints: they outlast the timeline.
+    /// The names of endpoints, kept from one timeline to the next.
     endpoint_names: RefCell<Vec<EndpointName>>,
 }
 
@@ -116,10 +116,10 @@
 }
 
 impl Recorder {
-    /// A recorder for an agent with these start settings, which records what `timeline` says.
+    /// Creates a recorder for an agent with these start settings; without `timeline` settings it records nothing.
     ///
     /// # Errors
-    /// A setting that cannot be used.
+    /// Fails if a setting is missing or cannot be used.
     pub fn new(
         agent: &str,
         settings: &Settings,
@@ -142,7 +142,7 @@
         Ok(recorder)
     }
 
-    /// Takes over what the operator's file sets now; a book whose settings are the same goes on.
+    /// Applies the settings of a reloaded operator's file. If they have not changed, the open timeline is continued.
     pub fn apply_settings(&self, now: Duration, settings: Option<Timeline>) {
         let mut open = self.open.borrow_mut();
         if open.as_ref().map(|open| &open.settings) == settings.as_ref() {
@@ -178,7 +178,7 @@
         }
     }
 
-    /// The records that come before all others: the agent's start, and the names of the endpoints.
+    /// The records at the start of a store or dump: the agent's start and the endpoint names.
     fn first_records(&self, time: Duration) -> Vec<Record> {
         let start = Record::Start {
             agent: self.agent_info.agent.clone(),
@@ -191,13 +191,13 @@
             .collect()
     }
 
-    /// Keeps the name of an endpoint.
+    /// Records the name of an endpoint, unless it is known already.
     pub fn add_endpoint_name(&self, id: EndpointId, name: &str) {
         let mut names = self.endpoint_names.borrow_mut();
         if names.iter().any(|known| known.id == id) {
             return;
         }
-        // As many names as a list may hold; what has been gone for long is not needed.
+        // The limit is as large as an endpoint list may be; the oldest names belong to endpoints that are long gone.
         if names.len() >= MAX_QUEUED_RECORDS {
             names.remove(0);
         }
@@ -213,7 +213,7 @@
         names.push(name);
     }
 
-    /// Buffers what happens to a request, if there is a timeline.
+    /// Buffers a request event, if a timeline is being recorded.
     pub fn record(&self, time: Duration, event: RequestEvent) {
         if !self.is_recording.get() {
             return;
@@ -224,7 +224,7 @@
         }
     }
 
-    /// Changes the timeline, if there is one, after all that is buffered.
+    /// Passes the buffered events to the timeline, if there is one, and then changes it.
     pub fn update_timeline(&self, change: impl FnOnce(&mut FleetTimeline)) {
         if let Some(open) = self.open.borrow_mut().as_mut() {
             self.flush_buffer(&mut open.timeline);
@@ -261,7 +261,7 @@
         }
     }
 
-    /// When [`Recorder::advance`] has something to do.
+    /// When [`Recorder::advance`] is next due; `None` if nothing is being recorded.
     pub fn next_tick(&self) -> Option<Duration> {
         self.open
             .borrow()
@@ -269,7 +269,7 @@
             .map(|open| open.timeline.next_tick())
     }
 
-    /// Takes note that time has passed: departures go to the log, records to the store.
+    /// Advances the timeline to `now`: logs departures and submits records to the store.
     pub fn advance(&self, now: Duration) {
         let mut open = self.open.borrow_mut();
         let Some(open) = open.as_mut() else { return };
@@ -314,7 +314,7 @@
         known.map_or_else(|| "?".to_owned(), |known| known.name.clone())
     }
 
-    /// Writes all time lines to the file that the operator's file names, off the event loop.
+    /// Writes all timelines to the dump file that the operator's file names, on another thread.
     pub fn dump(&self, now: Duration) {
         let path: Option<PathBuf> = self
             .open
@@ -329,7 +329,7 @@
     }
 }
 
-/// The name of a departure's kind in log lines.
+/// The name of a departure kind in log lines.
 const fn kind_name(kind: DepartureKind) -> &'static str {
     match kind {
         DepartureKind::Errors => "errors",
@@ -350,10 +350,10 @@
     }
 }
 
-/// The names of the request classes, in their order.
+/// Reads the names of the request classes, in the order of their indexes.
 ///
 /// # Errors
-/// A setting that is missing or cannot be read.
+/// Fails if a setting is missing or cannot be read.
 pub(crate) fn class_names(settings: &Settings) -> Result<Vec<String>, SettingsError> {
     let classes: u8 = settings.number("profiles.count")?;
     let mut names = Vec::new();
--- a/crates/agent/src/recorder/snapshot.rs
+++ b/crates/agent/src/recorder/snapshot.rs
@@ -1,4 +1,4 @@
-//! Encodes all time lines as one segment of the store, for a dump on request.
+//! Encodes all timelines as one segment of the store, for a dump on request.
 use std::time::Duration;
 
 use lilacgate_store::segment_format;
@@ -6,7 +6,7 @@
 use lilacgate_timeline::fleet_timeline::FleetTimeline;
 use lilacgate_timeline::step_history::TimedStep;
 
-/// All time lines of a book as one segment, behind the records that come before all others.
+/// Encodes `first_records` and then all timelines of the fleet as one segment.
 pub(super) fn segment(
     now: Duration,
     first_records: Vec<Record>,
@@ -23,7 +23,7 @@
     bytes
 }
 
-/// Adds the agent's own time line, then that of each endpoint with its steps.
+/// Adds the agent's own timeline, then the timeline of each endpoint with its steps.
 fn add_timelines(records: &mut Vec<Record>, fleet: &FleetTimeline) {
     let agent_entries = fleet.agent().as_of(Duration::MAX).cloned();
     records.extend(agent_entries.map(Record::Entry));
--- a/crates/agent/src/recorder/store.rs
+++ b/crates/agent/src/recorder/store.rs
@@ -1,7 +1,7 @@
-//! Hands the records of the time lines over to the thread that writes them to disk.
+//! Submits the records of the timelines to the thread that writes them to disk.
 //!
-//! Handing over never waits: records that the disk is too slow for, or that it refuses for a while, wait here, up to a
-//! bound, from which the finest detail goes first. A disk that fails is tried again for as long as the agent runs.
+//! Submitting never blocks: while the disk is too slow or fails, records wait here, up to a limit above which the
+//! finest detail is dropped first. A disk that fails is retried for as long as the agent runs.
 use std::time::Duration;
 
 use lilacgate_operator_config::Store;
@@ -14,23 +14,23 @@
 use crate::log::{Count, Quoted, add, info};
 use crate::recorder::MAX_QUEUED_RECORDS;
 
-/// The time between two batches.
+/// The interval at which batches are submitted.
 const BATCH_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The records that wait for the disk, and the way to the thread that writes them.
+/// The records that wait for the disk, and the writer thread that takes them.
 pub(super) struct StoreQueue {
-    /// None if there is no store.
+    /// `None` without a store, or once the writer thread has ended.
     writer: Option<BackgroundWriter>,
-    /// The folder of the store, for log lines.
+    /// The folder of the store, as shown in log lines.
     folder: String,
-    /// What is handed over first, the oldest first.
+    /// Records that go into the next batch before those of the timeline, oldest first.
     pending: Vec<Record>,
-    /// When the next batch is handed over.
+    /// When the next batch is submitted.
     next_batch_time: Duration,
 }
 
 impl StoreQueue {
-    /// Opens a store, if there is one. A folder that cannot be used is logged, and tried again.
+    /// Opens the store, if one is configured. A folder that cannot be used is logged and retried.
     pub(super) fn open(now: Duration, store: Option<&Store>) -> Self {
         StoreQueue {
             writer: store.map(start_writer),
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Whether records are written to disk.
+    /// Whether there is a store to which records are written.
     pub(super) fn is_open(&self) -> bool {
         self.writer.is_some()
     }
@@ -55,7 +55,7 @@
         self.pending.extend(records);
     }
 
-    /// Hands over what waits and what the book has for the store, once a batch is due.
+    /// Submits the pending records and those of the timeline, once a batch is due.
     pub(super) fn submit_if_due(&mut self, now: Duration, timeline: &mut FleetTimeline) {
         if now < self.next_batch_time {
             return;
@@ -107,7 +107,8 @@
     }
 }
 
-/// A batch that came back, cut to the bound: the finest detail goes first, and one record says how many were left out.
+/// Shortens a returned batch to the limit: steps, the finest detail, are dropped first, and a record with the number of
+/// dropped records is added.
 fn truncate_batch(now: Duration, mut batch: Vec<Record>) -> Vec<Record> {
     let before = batch.len();
     if before <= MAX_QUEUED_RECORDS {
--- a/crates/agent/src/signals.rs
+++ b/crates/agent/src/signals.rs
@@ -1,7 +1,7 @@
 //! The signals that the agent handles, as a stream.
 //!
-//! Each kind of signal has a pipe of its own and sends one byte on it, so that no read can tear one. A read that fails
-//! is no signal: it is made again.
+//! Each command has its own pipe, on which each of its signals writes one byte, so that a read cannot return part of a
+//! signal. A failed read is not a signal: it is retried after a pause.
 use std::io::{self, Read};
 use std::os::unix::net::UnixStream;
 use std::time::Duration;
@@ -13,21 +13,21 @@
 use crate::log::{Quoted, info};
 use crate::transport::uninterrupted;
 
-/// How long to wait after a pipe could not be read.
+/// The pause after a failed read.
 const READ_PAUSE: Duration = Duration::from_millis(100);
 
-/// What a signal asks for.
+/// The command that a signal stands for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Command {
-    /// SIGUSR1: show the counters, and write state files.
+    /// SIGUSR1: write the counters to the log, and the state files.
     WriteState,
-    /// SIGHUP: read the files again.
+    /// SIGHUP: reload the start file and the operator's file.
     Reload,
     /// SIGTERM and SIGINT: shut down.
     Stop,
 }
 
-/// The pipe of the signals that ask for one command.
+/// The pipe of the signals that stand for one command.
 #[derive(Debug)]
 struct SignalPipe {
     command: Command,
@@ -46,7 +46,7 @@
         })
     }
 
-    /// Waits for the next of these signals.
+    /// Waits for the next signal on this pipe.
     async fn next(&self) -> Command {
         loop {
             let read = |mut pipe: &UnixStream| uninterrupted(|| pipe.read(&mut [0]));
@@ -65,10 +65,10 @@
 pub(crate) struct SignalStream([SignalPipe; 3]);
 
 impl SignalStream {
-    /// Takes over the handling of the signals.
+    /// Installs the signal handlers.
     ///
     /// # Errors
-    /// The handlers cannot be installed.
+    /// Fails if a pipe cannot be opened or a handler cannot be installed.
     pub(crate) fn new() -> io::Result<Self> {
         Ok(SignalStream([
             SignalPipe::new(Command::WriteState, &[SIGUSR1])?,
--- a/crates/agent/src/start_config.rs
+++ b/crates/agent/src/start_config.rs
@@ -1,6 +1,6 @@
-//! Reads the start file: the agent's addresses, its bounds, and the start settings of the decision engine.
+//! Reads the start file: the agent's addresses and limits, and the start settings of the decision engine.
 //!
-//! Nothing is guessed: a field that is missing or cannot be used is an error that names it.
+//! Required fields have no defaults: one that is missing or cannot be used is an error that names the field.
 use std::fmt;
 use std::net::SocketAddr;
 
@@ -10,37 +10,37 @@
 use crate::json::{self, Json, JsonParser};
 use crate::peers::PeerAddresses;
 
-/// What a running agent takes over from a start file that was replaced.
+/// The paths of the fields that a running agent takes over when the start file is reloaded.
 const RELOADABLE_PATHS: [&str; 2] = ["discovery", "pipeline.address"];
 
-/// The path of the platform's last release update.
+/// The path of the last release update of the platform.
 pub(crate) const RELEASE_UPDATE_PATH: &str = "pipeline.news";
 /// The path of the saved list of endpoints.
 pub(crate) const SAVED_LIST_PATH: &str = "known";
-/// The path of the bound on file descriptors.
+/// The path of the limit on open file descriptors.
 pub(crate) const MAX_DESCRIPTORS_PATH: &str = "limits.sockets";
 
 /// A start file that has been read.
 pub struct StartConfig {
-    /// This agent's name.
+    /// The name of this agent.
     pub name: String,
     /// The seed of the decision engine's random numbers.
     pub seed: u64,
-    /// Where clients connect.
+    /// The address at which clients connect.
     pub listen: SocketAddr,
-    /// Where discovery listens.
+    /// The address of discovery.
     pub discovery: SocketAddr,
-    /// The bytes of memory that the agent may use.
+    /// The memory that the agent may use, in bytes.
     pub memory: usize,
-    /// The file descriptors that the agent may have open.
+    /// How many file descriptors the agent may have open.
     pub max_descriptors: usize,
-    /// How agents reach each other; none where there are no peers.
+    /// The addresses for datagrams between agents; `None` without peers.
     pub peers: Option<PeerAddresses>,
-    /// Where the platform listens.
+    /// The address of the platform.
     pub platform: SocketAddr,
-    /// The start settings, as path and value.
+    /// The start settings of the decision engine, as pairs of path and value.
     pub settings: Settings,
-    /// The whole file.
+    /// The whole file, for comparison at a reload.
     pub file: Json,
 }
 
@@ -57,7 +57,7 @@
     }
 }
 
-/// The field at a path such as `limits.sockets`; none if it is missing or null.
+/// Returns the field at a path such as `limits.sockets`, or `None` if it is missing or null.
 pub fn field<'a>(file: &'a Json, path: &str) -> Option<&'a Json> {
     path.split('.')
         .try_fold(file, |value, name| value.get(name))
@@ -96,12 +96,12 @@
     value.as_u64()?.try_into().ok()
 }
 
-/// A number of mebibytes, in bytes.
+/// Reads a number of mebibytes; returns it in bytes.
 fn mebibytes(value: &Json) -> Option<usize> {
     usize::try_from(value.as_u64()? << 20).ok()
 }
 
-/// A number in hexadecimal digits.
+/// Reads a string of hexadecimal digits.
 fn hexadecimal(value: &Json) -> Option<u64> {
     u64::from_str_radix(value.as_str()?, 16).ok()
 }
@@ -109,7 +109,7 @@
 /// Reads a start file.
 ///
 /// # Errors
-/// The first field that is missing or cannot be used.
+/// Fails if the text is not JSON, or for the first field that is missing or cannot be used.
 pub fn read(text: &[u8]) -> Result<StartConfig, StartFileError> {
     let file = JsonParser::parse(text).map_err(StartFileError::NotJson)?;
     let mut settings = Vec::new();
@@ -139,7 +139,7 @@
     Ok(listen.map(|listen| PeerAddresses { listen, peers, all }))
 }
 
-/// The paths at which two start files differ, but for those that a running agent takes over.
+/// The paths at which two start files differ, except those that a running agent takes over.
 pub fn differences(old: &Json, new: &Json) -> Vec<String> {
     let mut found = Vec::new();
     add_differences(old, new, "", &mut found);
--- a/crates/agent/src/startup.rs
+++ b/crates/agent/src/startup.rs
@@ -1,6 +1,6 @@
-//! Starts the agent: reads its settings, creates its parts and connects them with each other.
+//! Starts the agent: reads its settings, creates its components and connects them to each other.
 //!
-//! The agent never starts in part: either everything that it was given can be used, or it says what cannot.
+//! The agent either starts as a whole or reports which part of its configuration cannot be used.
 use std::io;
 use std::net::{SocketAddr, TcpListener};
 use std::rc::Rc;
@@ -35,16 +35,17 @@
 use crate::transport::at_start;
 use crate::upstream::UpstreamPool;
 
-/// File descriptors for everything but clients and endpoints: log, reactor, signals, listeners, discovery, platform.
+/// File descriptors reserved for everything except connections to clients and endpoints: log, reactor, signals,
+/// listeners, discovery and platform.
 const RESERVED_DESCRIPTORS: usize = 32;
-/// The fewest connections of each kind that the agent can work with.
+/// The smallest number of connections to clients, and to endpoints, with which the agent can work.
 const MIN_CONNECTIONS: usize = 2;
-/// Clients' requests and answers may hold this part of the memory.
+/// Requests and answers of clients may use the memory limit divided by this.
 const CLIENT_MEMORY_DIVISOR: usize = 4;
-/// A message of discovery may hold this part of the memory.
+/// A message of discovery may use the memory limit divided by this.
 const LIST_MEMORY_DIVISOR: usize = 16;
 
-/// The parts of the agent that have tasks of their own.
+/// The components of the agent that run tasks of their own.
 struct Components {
     event_loop: Rc<EventLoop>,
     upstream: Rc<UpstreamPool>,
@@ -54,13 +55,13 @@
     peers: Option<Rc<Peers>>,
 }
 
-/// Starts the agent and runs it up to its end.
+/// Starts the agent and runs it until it ends.
 ///
 /// # Errors
-/// Something that the agent was given cannot be used.
+/// Fails if a part of the agent's configuration cannot be used, or a socket or signal handler cannot be set up.
 pub(crate) fn start(arguments: Arguments) -> Result<(), StartError> {
     let path = command_line::start_file_path()?;
-    // First of all: before that a signal may end the agent.
+    // Signals come first: until they are handled, one of them may kill the process.
     let signals = at_start(SignalStream::new).map_err(StartError::Signals)?;
     let mut config = read_start_file(&path)?;
     let settings = &config.settings;
@@ -120,8 +121,8 @@
     Ok(())
 }
 
-/// How many connections there may be to clients, and how many to endpoints: what the agent itself needs comes first,
-/// and each kind has half of the rest.
+/// The largest number of connections to clients, and of connections to endpoints. Each kind gets half of the file
+/// descriptors that are left after the reserved ones.
 fn max_connections(config: &StartConfig) -> Result<usize, StartError> {
     let max_connections = config.max_descriptors.saturating_sub(RESERVED_DESCRIPTORS) / 2;
     if max_connections < MIN_CONNECTIONS {
@@ -130,7 +131,7 @@
     Ok(max_connections)
 }
 
-/// What carries requests: the connections to endpoints, and those to clients.
+/// Creates the components that carry requests: the connections to endpoints and to clients.
 fn create_data_path(
     event_loop: &Rc<EventLoop>,
     config: &StartConfig,
@@ -152,10 +153,10 @@
 }
 
 impl Components {
-    /// Queues what the start file says of the release and of the endpoints.
+    /// Queues the release update and the endpoint list in the start file as the first events.
     fn queue_initial_events(&self, file: &Json) -> Result<(), StartError> {
         let field = |path| start_config::field(file, path).unwrap_or(&Json::Null);
-        // The release update comes first: the list is read by it.
+        // The release update comes first, since the decision engine needs it to interpret the list.
         let update = ReleaseUpdate::from_json(field(RELEASE_UPDATE_PATH))
             .ok_or_else(|| unusable_field(RELEASE_UPDATE_PATH))?;
         self.event_loop.enqueue(release_event(update));
@@ -164,7 +165,7 @@
             .ok_or_else(|| unusable_field(SAVED_LIST_PATH))
     }
 
-    /// Spawns the tasks that talk with discovery, the platform, the peers and the endpoints.
+    /// Spawns the tasks that communicate with discovery, the platform, the peers and the endpoints.
     fn spawn_control_tasks(&self) {
         self.event_loop.spawn(self.discovery.clone().run());
         let release_watch = self.platform.release_watch.clone();
@@ -184,7 +185,7 @@
         self.event_loop.spawn(accept);
     }
 
-    /// Connects the decision engine with the parts that carry its decisions out.
+    /// Connects the decision engine to the components that carry out its decisions.
     fn engine_host(
         &self,
         engine: DecisionEngine,
@@ -209,7 +210,7 @@
     }
 }
 
-/// Listens where the start file says.
+/// Listens for clients at the address in the start file.
 fn listen_for_clients(
     config: &StartConfig,
     backlog: usize,
@@ -227,8 +228,8 @@
     Ok(listener)
 }
 
-/// Listens for clients. `backlog` is how many of them may wait in line while the agent is busy: one that finds the
-/// line full tries again only a second later.
+/// Opens a listening socket. `backlog` is how many connections may wait to be accepted while the agent is busy; a
+/// client that finds the backlog full retries only after a second.
 fn listen(address: SocketAddr, backlog: usize) -> io::Result<Async<TcpListener>> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
