--- a/crates/agent/tests/days.rs
+++ b/crates/agent/tests/days.rs
@@ -1,6 +1,6 @@
-//! One scripted day of releases of each kind, on loopback against the agent itself: no build gets an attempt that the
-//! operator's rules forbid, no request is lost, doubled or wrongly closed. The same days without the operator's file
-//! show that the check can tell.
+//! Runs one scripted day of releases of each kind on loopback, with the agent as a process: no build gets an attempt
+//! that the operator's rules forbid, and no request is lost, duplicated or closed wrongly. The same days without the
+//! operator's file show that the check detects forbidden attempts.
 use std::path::Path;
 
 use lilacgate_test_bed::check::CheckReport;
@@ -9,12 +9,12 @@
 fn days(with_operator: bool) -> CheckReport {
     let program = Path::new(env!("CARGO_BIN_EXE_lilacgate-agent"));
     let mut all = CheckReport::default();
-    // A few at a time: each has some thirty threads.
-    for few in ReleaseScenario::ALL.chunks(4) {
+    // Only a few days run at a time, since each has about thirty threads.
+    for batch in ReleaseScenario::ALL.chunks(4) {
         let day = |kind: ReleaseScenario| {
             std::thread::spawn(move || (kind, kind.run(7, program, with_operator)))
         };
-        for day in few.iter().map(|kind| day(*kind)).collect::<Vec<_>>() {
+        for day in batch.iter().map(|kind| day(*kind)).collect::<Vec<_>>() {
             let (kind, report) = day.join().expect("a day");
             let report = report.unwrap_or_else(|fault| panic!("{kind:?}: {fault}"));
             println!("{kind:?}: {report:?}");
@@ -27,11 +27,11 @@
 }
 
 #[test]
-fn nothing_forbidden_lost_or_doubled() {
+fn no_forbidden_attempt_and_no_lost_or_duplicated_request() {
     assert!(days(true).is_clean());
 }
 
 #[test]
-fn the_days_can_tell() {
+fn forbidden_attempts_are_detected_without_rules() {
     assert!(days(false).forbidden_attempts > 1000);
 }
--- a/crates/agent/tests/endpoint_ids.rs
+++ b/crates/agent/tests/endpoint_ids.rs
@@ -1,5 +1,5 @@
-//! The ids of endpoints: the same for the same order of names as by a plain search through all ids, and at a cost that
-//! does not grow with how many there are.
+//! Ids of endpoints are the same as those of a linear search through all ids, for the same order of names, but the cost
+//! of assigning one does not grow with the number of names.
 use std::collections::HashMap;
 use std::time::Duration;
 
@@ -8,12 +8,12 @@
 use proptest::prelude::*;
 use rstest::rstest;
 
-/// Two pairs of names with one hash each.
-const ONE_HASH: [&str; 2] = ["s-000179bb", "s-00054848"];
-const ANOTHER_HASH: [&str; 2] = ["s-000179bc", "s-00054849"];
+/// Two pairs of names; the names of a pair have the same hash.
+const SAME_HASH: [&str; 2] = ["s-000179bb", "s-00054848"];
+const OTHER_SAME_HASH: [&str; 2] = ["s-000179bc", "s-00054849"];
 const FIRST_ID: u32 = 588_264_878;
 
-/// The rule without a shortcut: the hash, or the next id that no listed name has.
+/// The same rule by linear search: the hash of the name, or the next id that no listed name has.
 #[derive(Default)]
 struct Reference(HashMap<String, u32>);
 
@@ -33,30 +33,30 @@
 }
 
 #[rstest]
-fn names_with_one_hash_are_numbered_in_their_order() {
+fn names_with_the_same_hash_get_consecutive_ids() {
     let mut endpoint_ids = EndpointIds::default();
     assert_eq!(
-        ONE_HASH.map(|name| endpoint_ids.assign(name).0),
+        SAME_HASH.map(|name| endpoint_ids.assign(name).0),
         [FIRST_ID, FIRST_ID + 1]
     );
-    assert_eq!(endpoint_ids.assign(ONE_HASH[0]).0, FIRST_ID);
-    // The first is gone: the second keeps its id, and the first gets its own again.
+    assert_eq!(endpoint_ids.assign(SAME_HASH[0]).0, FIRST_ID);
+    // After the first name is removed, the second keeps its id, and the first gets its old id when it returns.
     endpoint_ids.retain(|id| id != EndpointId(FIRST_ID));
-    assert_eq!(endpoint_ids.get(ONE_HASH[0]), None);
-    assert_eq!(endpoint_ids.assign(ONE_HASH[1]).0, FIRST_ID + 1);
-    assert_eq!(endpoint_ids.assign(ONE_HASH[0]).0, FIRST_ID);
+    assert_eq!(endpoint_ids.get(SAME_HASH[0]), None);
+    assert_eq!(endpoint_ids.assign(SAME_HASH[1]).0, FIRST_ID + 1);
+    assert_eq!(endpoint_ids.assign(SAME_HASH[0]).0, FIRST_ID);
 }
 
 #[derive(Clone, Debug)]
 enum Step {
     Assign(String),
-    /// Only ids with this remainder are kept.
+    /// Keeps only the ids with this remainder modulo 2.
     Retain(u32),
 }
 
 fn step() -> impl Strategy<Value = Step> {
     let name = prop_oneof![
-        prop::sample::select([ONE_HASH, ANOTHER_HASH].concat()).prop_map(str::to_owned),
+        prop::sample::select([SAME_HASH, OTHER_SAME_HASH].concat()).prop_map(str::to_owned),
         (0..40u32).prop_map(|index| format!("s-{index:08x}")),
     ];
     prop_oneof![9 => name.prop_map(Step::Assign), 1 => (0..2u32).prop_map(Step::Retain)]
@@ -64,7 +64,7 @@
 
 proptest! {
     #[test]
-    fn numbers_are_as_by_the_plain_search(steps in prop::collection::vec(step(), 1..120)) {
+    fn ids_are_the_same_as_by_linear_search(steps in prop::collection::vec(step(), 1..120)) {
         let (mut endpoint_ids, mut reference) = (EndpointIds::default(), Reference::default());
         for step in steps {
             match step {
@@ -78,7 +78,7 @@
     }
 }
 
-/// Processor time of this thread so far.
+/// The processor time that this thread has used so far.
 fn processor_time() -> Duration {
     let text =
         std::fs::read_to_string("/proc/thread-self/schedstat").expect("the scheduler's figures");
@@ -86,9 +86,9 @@
     Duration::from_nanos(nanoseconds.expect("a number of nanoseconds"))
 }
 
-/// The plain search takes five thousand million steps here.
+/// A linear search would take five thousand million steps here.
 #[rstest]
-fn a_hundred_thousand_names_take_no_time() {
+fn a_hundred_thousand_names_take_less_than_a_second() {
     let names: Vec<String> = (0..100_000).map(|index| format!("s-{index:08x}")).collect();
     let started = processor_time();
     let mut endpoint_ids = EndpointIds::default();
--- a/crates/agent/tests/fleet.rs
+++ b/crates/agent/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Several agents as processes of their own, against the stand-ins of the measurement on loopback: what they are sent
-//! is what is counted, and lists of any size and in any pieces are taken.
+//! Runs agents as processes against the simulated servers of the loopback measurement: the counts match what the agents
+//! are sent, and the agents accept lists of thousands of endpoints, in pieces of any size.
 use std::io::{self, Write};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -17,7 +17,8 @@
 use lilacgate_loopback::{LoopbackError, Plan, run};
 use rstest::rstest;
 
-/// Bytes of a chunk beside its line: the line's end, and the ends of the size's line and the chunk.
+/// The bytes of a chunk besides its line and size: the line feed of the line, and the CRLF after the size and after the
+/// chunk.
 const CHUNK_ENDS: usize = 5;
 
 fn plan(agents: usize, listed: usize) -> Plan {
@@ -47,7 +48,7 @@
 }
 
 #[rstest]
-fn two_agents_are_sent_what_is_counted() {
+fn counts_match_what_two_agents_are_sent() {
     let mut plan = plan(2, 50);
     plan.request_rates = vec![0.0, 40.0];
     plan.restart = true;
@@ -97,13 +98,13 @@
 #[case::in_pieces(Delivery { piece: Some(16), ..Delivery::default() }, 1)]
 #[case::broken_off(Delivery { first_list_cut_at: Some(500_000), ..Delivery::default() }, 1)]
 #[case::twice(Delivery { is_doubled: true, ..Delivery::default() }, 2)]
-fn a_list_of_thousands_is_taken(#[case] delivery: Delivery, #[case] lists: u64) {
+fn a_list_of_thousands_is_accepted(#[case] delivery: Delivery, #[case] lists: u64) {
     let mut plan = plan(1, 7_400);
     plan.delivery = delivery;
     let mut output = Vec::new();
     let summary = run(&plan, &mut output).expect("a whole run");
     let control = summary.startup.control.lists;
-    // The second copy may still be on its way when the agent is ready.
+    // The second copy may still be in transit when the agent is ready.
     assert!(
         (1..=lists).contains(&control.messages_out),
         "{} lists",
@@ -112,13 +113,13 @@
     let later = summary.windows[0].control.lists.messages_out;
     assert!(
         control.messages_out + later <= lists,
-        "the list was asked for again"
+        "the list was requested again"
     );
 }
 
-/// The reading of a list does not depend on where its bytes are cut: here after each of them.
+/// How a list is parsed does not depend on how its bytes are split; here each byte arrives on its own.
 #[rstest]
-fn a_list_of_thousands_in_pieces_of_a_byte_reads_the_same() {
+fn a_list_of_thousands_is_parsed_byte_by_byte() {
     let address = SocketAddr::from(([127, 0, 0, 1], 6379));
     let line = Membership::new(7_400, &[address], 0.0, 1).whole();
     let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -141,9 +142,10 @@
     );
 }
 
-/// All appliances but those of the first listener drain, in one message of ten thousand changes, some of them twice.
+/// One message of ten thousand changes, some of them duplicates, drains all endpoints except those of the first
+/// listener.
 #[rstest]
-fn ten_thousand_changes_in_one_message_are_taken() {
+fn ten_thousand_changes_in_one_message_are_applied() {
     runtime().expect("threads").block_on(async {
         let mut fleet = Fleet::new(plan(1, 9_000), Interrupt::never())
             .await
@@ -157,18 +159,18 @@
                 .take(10_000)
                 .for_each(|index| list.set_draining(index, true));
         });
-        let elsewhere = |fleet: &Fleet| -> u64 {
+        let drained_requests = |fleet: &Fleet| -> u64 {
             fleet.appliances()[1..]
                 .iter()
                 .map(|appliance| appliance.requests())
                 .sum()
         };
-        // Requests go elsewhere until the changes are in force, and never afterwards.
+        // The drained endpoints get requests until the changes are in force, and none afterwards.
         let mut is_in_force = false;
         for _ in 0..10 {
-            let asked = elsewhere(&fleet);
+            let before_window = drained_requests(&fleet);
             let window = fleet.measure(50.0).await.expect("a window");
-            is_in_force = elsewhere(&fleet) == asked && window.requests.served > 0;
+            is_in_force = drained_requests(&fleet) == before_window && window.requests.served > 0;
             if is_in_force {
                 break;
             }
@@ -183,7 +185,7 @@
 }
 
 #[rstest]
-fn an_agent_that_ends_fails_the_run_and_the_others_end() {
+fn an_agent_that_ends_fails_the_run_and_ends_the_others() {
     runtime().expect("threads").block_on(async {
         let mut fleet = Fleet::new(plan(2, 10), Interrupt::never())
             .await
@@ -204,7 +206,7 @@
     });
 }
 
-/// Takes what a run writes, and interrupts it at the first of it.
+/// Keeps the output of a run, and interrupts the run at the first write.
 struct InterruptingOutput {
     text: Vec<u8>,
     trigger: Trigger,
@@ -222,7 +224,7 @@
 }
 
 #[rstest]
-fn an_interrupted_run_keeps_what_it_has_and_marks_it() {
+fn an_interrupted_run_keeps_its_samples_and_marks_them() {
     let (trigger, interrupt) = Interrupt::by_trigger();
     let mut plan = plan(1, 10);
     plan.request_rates = vec![0.0, 0.0];
--- a/crates/agent/tests/large_fleets.rs
+++ b/crates/agent/tests/large_fleets.rs
@@ -1,4 +1,4 @@
-//! The largest fleets that an agent has to cope with, on the smallest memory that is given.
+//! The largest fleets that an agent must support, within the smallest memory limit.
 mod support;
 
 use std::net::SocketAddr;
@@ -25,14 +25,14 @@
 
 /// The smallest memory that an agent may be given, in megabytes.
 const MEMORY_MB: &str = "32";
-/// A network packet's payload, in bytes.
+/// The payload of a network packet, in bytes.
 const PACKET: usize = 1400;
 const REQUESTS: u32 = 10;
 
-/// A fleet of this size goes through the start file, a list that comes indented and in pieces, and the decision
-/// engine; each request finds its endpoint.
+/// A fleet of this size passes through the start file, a list that arrives indented and in pieces, and the decision
+/// engine, which makes an attempt for each request.
 #[rstest]
-fn large_fleets_fit(
+fn large_fleets_are_supported(
     #[values(1, 350, 1024)] agents: usize,
     #[values(1, 300, 1024)] endpoints: usize,
 ) {
@@ -56,7 +56,7 @@
     discovery
         .receive(known, ListOrigin::StartFile)
         .expect("it can be used");
-    // The same list again, under another build.
+    // The same list again, with another build.
     let lists = receive_list(&entries(endpoints, "2"), max_message);
     discovery
         .receive(&lists[0], ListOrigin::Discovery)
@@ -95,7 +95,7 @@
     start_config::read(text.as_bytes()).expect("a start file")
 }
 
-/// A full list as discovery sends it: with each field on a line of its own, in pieces.
+/// Parses a full list that arrives in packets, with each field on a line of its own.
 fn receive_list(entries: &str, max_message: usize) -> Vec<Json> {
     let list =
         format!("{{\"version\":9,\"full\":true,\"servers\":[{entries}]}}").replace(',', ",\n    ");
@@ -114,7 +114,7 @@
     lists
 }
 
-/// How many attempts a decision engine makes of ten requests, once it has all events of the queue.
+/// How many attempts the decision engine makes for ten requests, after it has handled all queued events.
 fn attempts(engine: &mut DecisionEngine, event_loop: &Rc<EventLoop>) -> usize {
     let mut decided = RecordedActions::default();
     let now = event_loop.clock.now();
--- a/crates/agent/tests/log.rs
+++ b/crates/agent/tests/log.rs
@@ -1,8 +1,8 @@
-//! The bound on log lines, and the form of their values.
+//! The rate limit of log lines, and the quoting of their values.
 use lilacgate_agent::log::{CallSite, Quoted};
 use rstest::rstest;
 
-/// One place in the code writes so many lines a second, and says later how many it left out.
+/// A call site writes a limited number of lines per second, and reports later how many it suppressed.
 #[rstest]
 fn log_lines_are_bounded() {
     let call_site = CallSite::new();
@@ -16,7 +16,7 @@
     assert_eq!(written(8)[0], 100 - first.len() as u64);
 }
 
-/// A value with spaces, quotes or line ends stays one value on one line.
+/// A value with spaces, quotes or line breaks remains one value on one line.
 #[rstest]
 #[case::spaces("no such file", r#""no such file""#)]
 #[case::quotes(r#"service "a" and \b"#, r#""service \"a\" and \\b""#)]
--- a/crates/agent/tests/pacing.rs
+++ b/crates/agent/tests/pacing.rs
@@ -1,4 +1,4 @@
-//! Properties of the pace of calls to discovery, over any order of their ends.
+//! Properties of the pace of calls to discovery, for any sequence of call results.
 use std::time::Duration;
 
 use lilacgate_agent::pacing::{CallEnd, MAX_CALL_INTERVAL, MIN_CALL_INTERVAL, Pacing};
@@ -21,19 +21,19 @@
 }
 
 proptest! {
-    /// Two calls begin no sooner than the shortest gap after each other, however fast they fail.
+    /// Two calls begin at least the shortest interval apart, however fast they fail.
     #[test]
-    fn calls_never_come_in_a_rush(calls in any_calls()) {
+    fn calls_are_spaced_by_the_shortest_interval(calls in any_calls()) {
         let mut pacing = Pacing::new(INITIAL_STALL_TIMEOUT, MAX_STALL_TIMEOUT);
         for (end, lasted) in calls {
             prop_assert!(lasted + pacing.pause_after(end, lasted) >= MIN_CALL_INTERVAL);
         }
     }
 
-    /// A call that was waited for long is followed at once, and no pause is longer than the longest gap: whatever
-    /// failed before, a call begins within that time of the end of the one before it.
+    /// A call that lasted long is followed at once, and no pause is longer than the longest interval: whatever failed
+    /// before, a call begins within that time after the end of the call before it.
     #[test]
-    fn a_long_wait_is_followed_at_once(calls in any_calls()) {
+    fn a_long_call_is_followed_at_once(calls in any_calls()) {
         let mut pacing = Pacing::new(INITIAL_STALL_TIMEOUT, MAX_STALL_TIMEOUT);
         for (end, lasted) in calls {
             let pause = pacing.pause_after(end, lasted);
@@ -42,10 +42,10 @@
         }
     }
 
-    /// The wait for the rest of a message grows only while messages stop short, up to its bound, and is back at its
-    /// start after the first list that came whole.
+    /// The timeout for the rest of a message grows only while messages stall, up to its limit, and returns to its
+    /// initial value after the first complete list.
     #[test]
-    fn the_stall_is_bounded(calls in any_calls()) {
+    fn the_stall_timeout_is_bounded(calls in any_calls()) {
         let mut pacing = Pacing::new(INITIAL_STALL_TIMEOUT, MAX_STALL_TIMEOUT);
         for (end, lasted) in calls {
             let before = pacing.stall_timeout();
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn after_a_move_the_pace_is_that_of_a_start() {
+fn reset_restores_the_initial_pace() {
     let mut pacing = Pacing::new(INITIAL_STALL_TIMEOUT, MAX_STALL_TIMEOUT);
     for _ in 0..10 {
         pacing.pause_after(CallEnd::Stalled, Duration::ZERO);
--- a/crates/agent/tests/soak.rs
+++ b/crates/agent/tests/soak.rs
@@ -1,4 +1,4 @@
-//! A short soak: as many runs as fit into a minute, always with the same seeds. The long one is started by hand, with
+//! A short soak: as many runs as fit into a minute, always with the same seeds. The long soak is started by hand with
 //! `make soak`.
 use std::path::Path;
 use std::time::Duration;
--- a/crates/agent/tests/start_times.rs
+++ b/crates/agent/tests/start_times.rs
@@ -1,5 +1,5 @@
-//! When endpoints started, by the agent's clock: timestamps of clocks that were stepped make no endpoint that has just
-//! started look like one that has warmed up.
+//! Start times of endpoints on the agent's clock. Timestamps of a stepped clock must not make an endpoint that has just
+//! started look as if it had warmed up.
 use std::time::Duration;
 
 use lilacgate_agent::endpoint_start_times::{ListProvenance, StartTimes};
@@ -21,7 +21,7 @@
     Duration::from_millis(milliseconds)
 }
 
-/// What is taken for the start of an endpoint with a timestamp.
+/// The estimated start time of an endpoint with a timestamp.
 fn start_time(
     starts: &mut StartTimes,
     number: u32,
@@ -33,7 +33,7 @@
     started.expect("a timestamp")
 }
 
-/// The timestamp of an instant by a clock that is off by so many seconds.
+/// The timestamp of an instant by a clock that is `off_seconds` ahead.
 fn timestamp(time: Duration, off_seconds: i64) -> Duration {
     let off = Duration::from_secs(off_seconds.unsigned_abs());
     if off_seconds < 0 {
@@ -43,8 +43,9 @@
     }
 }
 
-/// Endpoints whose starts are listed at once, by clocks that are off by so many seconds: none is taken for older than it
-/// is. A clock that is fast by less than news may take cannot be noticed.
+/// Endpoints that are listed right after their start are never taken to be older than they are, although the clock of
+/// their timestamps is off by `off_seconds`. An agent's clock that is ahead of it by less than the longest announcement
+/// delay is left out, since it cannot be told from a late announcement.
 #[rstest]
 #[case::right(0)]
 #[case::an_hour_slow(-3600)]
@@ -52,7 +53,7 @@
 #[case::two_minutes_slow(-120)]
 #[case::two_minutes_fast(120)]
 #[case::five_seconds_fast(5)]
-fn a_start_that_is_listed_at_once_is_never_taken_for_older(#[case] off_seconds: i64) {
+fn a_start_that_is_listed_at_once_is_never_taken_to_be_older(#[case] off_seconds: i64) {
     let mut starts = StartTimes::default();
     for (number, delay) in [(1, 300), (2, 120), (3, 900), (4, 120), (5, 700), (6, 100)] {
         let now = NOW + Duration::from_secs(u64::from(number) * 20);
@@ -65,7 +66,7 @@
             now - start
         );
         let again = start_time(&mut starts, number, listed, RECENT_CONTACT, now + HOUR);
-        assert_eq!(again, start, "a start does not move");
+        assert_eq!(again, start, "the start time changed");
     }
 }
 
@@ -73,7 +74,7 @@
 #[case::forward(3600)]
 #[case::back(-3600)]
 #[case::back_by_minutes(-120)]
-fn a_step_in_service_makes_nothing_look_older(#[case] off_seconds: i64) {
+fn a_clock_step_makes_no_endpoint_look_older(#[case] off_seconds: i64) {
     let mut starts = StartTimes::default();
     for number in 0..4 {
         starts.start_time(EndpointId(number), Some(NOW - ms(200)), RECENT_CONTACT, NOW);
@@ -90,9 +91,9 @@
     assert!(started <= start && start <= now, "{:?}", now - start);
 }
 
-/// While the clocks agree, timestamps stand as they are, whatever the news take.
+/// While the clocks agree, timestamps are used as they are, whatever the announcement delay.
 #[test]
-fn stamps_stand_while_the_clocks_agree() {
+fn timestamps_are_kept_while_the_clocks_agree() {
     let mut starts = StartTimes::default();
     for (number, delay) in [(1, 5_900), (2, 3_000), (3, 30_000), (4, 100), (5, 60_000)] {
         let now = NOW + Duration::from_secs(u64::from(number) * 20);
@@ -105,7 +106,7 @@
 }
 
 #[test]
-fn what_happened_while_discovery_was_silent_may_be_as_old_as_that() {
+fn a_start_during_an_outage_of_discovery_may_be_as_old_as_the_outage() {
     let mut starts = StartTimes::default();
     start_time(&mut starts, 1, NOW - ms(100), RECENT_CONTACT, NOW);
     let after_outage = ListProvenance::Discovery {
@@ -123,7 +124,7 @@
 }
 
 #[test]
-fn a_saved_list_is_believed_but_for_starts_to_come() {
+fn a_saved_list_is_trusted_except_for_starts_in_the_future() {
     let mut starts = StartTimes::default();
     assert_eq!(
         start_time(&mut starts, 1, NOW - HOUR, ListProvenance::Saved, NOW),
@@ -136,7 +137,7 @@
 }
 
 #[test]
-fn the_first_list_is_believed_where_nothing_was_saved() {
+fn the_first_list_is_trusted_without_a_saved_list() {
     let mut starts = StartTimes::default();
     for (number, age) in [(1, HOUR), (2, ms(10)), (3, ms(700_000))] {
         let timestamp = NOW - age;
@@ -148,7 +149,7 @@
 }
 
 #[test]
-fn what_started_since_the_list_was_saved_is_taken_for_young() {
+fn starts_after_the_saved_list_are_taken_to_be_recent() {
     let mut starts = StartTimes::default();
     assert_eq!(
         starts.start_time(EndpointId(1), None, ListProvenance::Saved, NOW),
@@ -159,7 +160,7 @@
         start_time(&mut starts, 2, saved, ListProvenance::Saved, NOW),
         saved
     );
-    // The agent's clock is an hour fast, and these have just started.
+    // The agent's clock is an hour ahead, and these endpoints have just started.
     let young = NOW - HOUR - ms(900);
     assert_eq!(start_time(&mut starts, 3, young, FIRST_LIST, NOW), NOW);
     let older = young - ms(500);
@@ -176,18 +177,19 @@
 }
 
 proptest! {
-    /// Whatever the clocks show, no start is in the future, nor older than the timestamp and the silence allow.
+    /// Whatever the clocks show, no start is in the future or further back than the last contact and the announcement
+    /// delay allow.
     #[test]
-    fn no_start_is_in_the_future(listings in listings(), silent in any::<bool>()) {
+    fn no_start_is_in_the_future(listings in listings(), is_first_contact in any::<bool>()) {
         let mut starts = StartTimes::default();
-        let provenance = ListProvenance::Discovery { since_last_contact: (!silent).then_some(ms(500)) };
+        let provenance = ListProvenance::Discovery { since_last_contact: (!is_first_contact).then_some(ms(500)) };
         let mut now = NOW;
         for (number, (pause, delay, off_seconds)) in listings.into_iter().enumerate() {
             now += Duration::from_secs(pause);
             let listed = timestamp(now - ms(delay), off_seconds);
             let start = start_time(&mut starts, number as u32, listed, provenance, now);
             assert!(start <= now);
-            if !silent {
+            if !is_first_contact {
                 assert!(now - start <= ms(500 + 60_000), "{:?}", now - start);
             }
         }
