--- a/crates/agent/src/json/parser.rs
+++ b/crates/agent/src/json/parser.rs
@@ -47,12 +47,12 @@
     /// This many more hexadecimal digits of an escaped character.
     HexDigits(u8),
     /// A character of a number, `null`, `true` or `false`.
-    Bare,
+    Unquoted,
 }
 
 /// How the parser detects that a value was truncated.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum CutRule {
+enum TruncationRule {
     Never,
     /// By a line break within the value, where each value is on a line of its own.
     AtLineEnd,
@@ -67,7 +67,7 @@
 #[derive(Debug)]
 pub struct JsonParser {
     max_bytes: usize,
-    cut_rule: CutRule,
+    truncation_rule: TruncationRule,
     /// How many bytes of the current value have been read.
     length: usize,
     /// The arrays and objects that contain the next value, outermost first.
@@ -76,9 +76,9 @@
     /// Whether the string that is being read is a field name.
     is_name: bool,
     /// The string, number or literal that is being read.
-    word: Vec<u8>,
+    text: Vec<u8>,
     /// The code unit of the escape that is being read.
-    hex: u32,
+    code_unit: u32,
     /// The first half of a surrogate pair.
     high_surrogate: Option<u32>,
 }
@@ -88,13 +88,13 @@
     pub fn new(max_bytes: usize) -> Self {
         JsonParser {
             max_bytes,
-            cut_rule: CutRule::Never,
+            truncation_rule: TruncationRule::Never,
             length: 0,
             open: Vec::new(),
             state: State::Value,
             is_name: false,
-            word: Vec::new(),
-            hex: 0,
+            text: Vec::new(),
+            code_unit: 0,
             high_surrogate: None,
         }
     }
@@ -102,7 +102,7 @@
     /// Creates a parser of values that are each on one line.
     pub fn lines(max_bytes: usize) -> Self {
         JsonParser {
-            cut_rule: CutRule::AtLineEnd,
+            truncation_rule: TruncationRule::AtLineEnd,
             ..JsonParser::new(max_bytes)
         }
     }
@@ -110,7 +110,7 @@
     /// Creates a parser of values that may extend over several lines, none of which is empty.
     pub fn indented(max_bytes: usize) -> Self {
         JsonParser {
-            cut_rule: CutRule::AtEmptyLine { line_length: 0 },
+            truncation_rule: TruncationRule::AtEmptyLine { line_length: 0 },
             ..JsonParser::new(max_bytes)
         }
     }
@@ -134,14 +134,14 @@
     }
 
     /// Whether a byte within a value shows that the value was truncated.
-    fn is_cut(&mut self, byte: u8) -> bool {
-        match &mut self.cut_rule {
-            CutRule::Never => false,
-            CutRule::AtLineEnd => byte == b'\n',
-            CutRule::AtEmptyLine { line_length } if byte == b'\n' => {
+    fn shows_truncation(&mut self, byte: u8) -> bool {
+        match &mut self.truncation_rule {
+            TruncationRule::Never => false,
+            TruncationRule::AtLineEnd => byte == b'\n',
+            TruncationRule::AtEmptyLine { line_length } if byte == b'\n' => {
                 std::mem::take(line_length) == 0
             }
-            CutRule::AtEmptyLine { line_length } => {
+            TruncationRule::AtEmptyLine { line_length } => {
                 *line_length += usize::from(!byte.is_ascii_whitespace());
                 false
             }
@@ -154,7 +154,7 @@
             State::Text => self.take_text(byte),
             State::Escape => self.take_escape(byte).map(|()| None),
             State::HexDigits(left) => self.take_hex_digit(byte, left).map(|()| None),
-            State::Bare => self.take_bare(byte),
+            State::Unquoted => self.take_unquoted(byte),
             _ if byte.is_ascii_whitespace() => Ok(None),
             _ => self.take_structure(byte),
         }
@@ -166,7 +166,7 @@
             b'\\' => self.state = State::Escape,
             byte if byte >= b' ' => {
                 self.expect_no_surrogate()?;
-                self.word.push(byte);
+                self.text.push(byte);
             }
             _ => return Err(ConnectionEnd::Malformed),
         }
@@ -175,7 +175,7 @@
 
     fn take_escape(&mut self, byte: u8) -> Result<(), ConnectionEnd> {
         if byte == b'u' {
-            self.hex = 0;
+            self.code_unit = 0;
             self.state = State::HexDigits(4);
             return Ok(());
         }
@@ -184,7 +184,7 @@
             .iter()
             .position(|&escape| escape == byte)
             .ok_or(ConnectionEnd::Malformed)?;
-        self.word.push(ESCAPED[index]);
+        self.text.push(ESCAPED[index]);
         self.state = State::Text;
         Ok(())
     }
@@ -193,21 +193,21 @@
         let digit = char::from(byte)
             .to_digit(16)
             .ok_or(ConnectionEnd::Malformed)?;
-        self.hex = self.hex * 16 + digit;
+        self.code_unit = self.code_unit * 16 + digit;
         if left > 1 {
             self.state = State::HexDigits(left - 1);
             return Ok(());
         }
         self.state = State::Text;
-        self.push_code_unit(self.hex)
+        self.push_code_unit(self.code_unit)
     }
 
-    fn take_bare(&mut self, byte: u8) -> Result<Option<Json>, ConnectionEnd> {
+    fn take_unquoted(&mut self, byte: u8) -> Result<Option<Json>, ConnectionEnd> {
         if byte.is_ascii_alphanumeric() || b"+-.".contains(&byte) {
-            self.word.push(byte);
+            self.text.push(byte);
             return Ok(None);
         }
-        let value = read_bare(std::mem::take(&mut self.word))?;
+        let value = parse_unquoted(std::mem::take(&mut self.text))?;
         match self.add(value) {
             Some(value) if byte.is_ascii_whitespace() => Ok(Some(value)),
             Some(_) => Err(ConnectionEnd::Malformed),
@@ -234,8 +234,8 @@
             (State::Value | State::FirstItem, b'"') => self.begin_text(false),
             (State::FirstName | State::Name, b'"') => self.begin_text(true),
             (State::Value | State::FirstItem, b'-' | b'0'..=b'9' | b'a'..=b'z') => {
-                self.word.push(byte);
-                self.state = State::Bare;
+                self.text.push(byte);
+                self.state = State::Unquoted;
             }
             (State::Colon, b':') => self.state = State::Value,
             (State::AfterValue, b',') => {
@@ -287,13 +287,13 @@
         let character = char::from_u32(code).ok_or(ConnectionEnd::Malformed)?;
         let mut buffer = [0; 4];
         let encoded = character.encode_utf8(&mut buffer);
-        self.word.extend_from_slice(encoded.as_bytes());
+        self.text.extend_from_slice(encoded.as_bytes());
         Ok(())
     }
 
     fn end_text(&mut self) -> Result<Option<Json>, ConnectionEnd> {
         self.expect_no_surrogate()?;
-        let text = String::from_utf8(std::mem::take(&mut self.word))
+        let text = String::from_utf8(std::mem::take(&mut self.text))
             .map_err(|_| ConnectionEnd::Malformed)?;
         if !self.is_name {
             return Ok(self.add(Json::String(text)));
@@ -333,14 +333,14 @@
 }
 
 /// Parses a number, `null`, `true` or `false`.
-fn read_bare(word: Vec<u8>) -> Result<Json, ConnectionEnd> {
-    match word.as_slice() {
+fn parse_unquoted(bytes: Vec<u8>) -> Result<Json, ConnectionEnd> {
+    match bytes.as_slice() {
         b"null" => return Ok(Json::Null),
         b"true" => return Ok(Json::Bool(true)),
         b"false" => return Ok(Json::Bool(false)),
         _ => {}
     }
-    let text = String::from_utf8(word).map_err(|_| ConnectionEnd::Malformed)?;
+    let text = String::from_utf8(bytes).map_err(|_| ConnectionEnd::Malformed)?;
     // `f64::from_str` also accepts words such as `inf`, and a plus sign.
     let is_number = text.starts_with(['-', '0', '1', '2', '3', '4', '5', '6', '7', '8', '9']);
     if is_number && text.parse::<f64>().is_ok() {
@@ -368,7 +368,7 @@
             if let Some(value) = self.take_byte(byte)? {
                 return Ok((index + 1, Some(value)));
             }
-            if !is_skipped && self.is_cut(byte) {
+            if !is_skipped && self.shows_truncation(byte) {
                 return Err(ConnectionEnd::Malformed);
             }
         }
--- a/crates/agent/src/recorder.rs
+++ b/crates/agent/src/recorder.rs
@@ -50,7 +50,7 @@
     AttemptEnded {
         /// Which attempt.
         id: AttemptId,
-        /// Where it was sent.
+        /// The endpoint to which the attempt was sent.
         endpoint: EndpointId,
         /// The outcome of the attempt.
         outcome: Outcome,
