--- a/crates/agent/src/clients/listener.rs
+++ b/crates/agent/src/clients/listener.rs
@@ -1,5 +1,7 @@
-//! Accepting connections. What the machine has accepted counts as taken: no failure of a call leaves a client that waits
-//! without an answer for longer than it lasts.
+//! Accepts client connections.
+//!
+//! A connection that the kernel has put in the backlog counts as accepted. If a system call fails, its client waits no
+//! longer than the failure lasts.
 use std::cell::Cell;
 use std::io;
 use std::net::{TcpListener, TcpStream};
@@ -15,44 +17,44 @@
 use crate::log::{ConnectionEnd, Count, Quoted, count, info};
 use crate::loop_monitor::LoopPhases;
 use crate::transport::{
-    ArrivalTracker, TcpSocket, is_of_one_connection, uninterrupted, with_timeout,
+    ArrivalTracker, TcpSocket, is_per_connection_error, retry_interrupted, with_timeout,
 };
 
-/// A connection of a client that has been accepted.
+/// An accepted connection.
 struct Accepted {
     stream: TcpStream,
-    /// What it brings came no earlier than this.
+    /// The earliest time at which input on this connection may have arrived.
     earliest_arrival: Instant,
 }
 
-/// What a look at the backlog brought.
-enum BacklogLook {
-    /// A connection.
+/// The result of one non-blocking accept.
+enum AcceptResult {
+    /// A connection was taken from the backlog.
     Accepted(TcpStream),
-    /// Nobody waits.
+    /// No connection is waiting.
     Empty,
-    /// This machine lacks the means to accept those who wait.
-    Shortage(io::Error),
+    /// The machine or process lacks the memory or descriptors to accept a waiting connection.
+    OutOfResources(io::Error),
 }
 
-/// Looks at the backlog once, without waiting. A connection that broke while it waited is passed over.
-fn look_at_backlog(listener: &TcpListener) -> BacklogLook {
+/// Accepts a connection without waiting. Connections that broke while they were in the backlog are skipped.
+fn try_accept(listener: &TcpListener) -> AcceptResult {
     loop {
-        match uninterrupted(|| listener.accept()) {
-            Ok((stream, _)) => return BacklogLook::Accepted(stream),
-            Err(error) if error.kind() == io::ErrorKind::WouldBlock => return BacklogLook::Empty,
-            Err(error) if is_of_one_connection(&error) => count(Count::AcceptsFailed),
+        match retry_interrupted(|| listener.accept()) {
+            Ok((stream, _)) => return AcceptResult::Accepted(stream),
+            Err(error) if error.kind() == io::ErrorKind::WouldBlock => return AcceptResult::Empty,
+            Err(error) if is_per_connection_error(&error) => count(Count::AcceptsFailed),
             Err(error) => {
                 count(Count::AcceptsFailed);
-                return BacklogLook::Shortage(error);
+                return AcceptResult::OutOfResources(error);
             }
         }
     }
 }
 
 impl Clients {
-    /// Accepts connections until the agent drains. Clients that still wait in the backlog then are let in, to have their
-    /// requests rejected. `listening_since` is a time before any client could connect.
+    /// Accepts connections until the agent drains. Clients that are still in the backlog then are accepted too, so that
+    /// their requests are rejected. `listening_since` is a time before any client could connect.
     pub async fn accept(self: Rc<Self>, listener: Async<TcpListener>, listening_since: Instant) {
         let phases = self.event_loop.monitor.phases();
         let mut arrivals = ArrivalTracker::new(phases.clone(), listening_since);
@@ -61,16 +63,16 @@
         let draining = self.draining.notified();
         pin!(draining);
         while !self.draining.is_notified() {
-            match look_at_backlog(listener.get_ref()) {
-                BacklogLook::Accepted(stream) => {
+            match try_accept(listener.get_ref()) {
+                AcceptResult::Accepted(stream) => {
                     spawn(Accepted {
                         stream,
-                        earliest_arrival: arrivals.earliest(),
+                        earliest_arrival: arrivals.earliest_arrival(),
                     });
                     future::yield_now().await;
                 }
-                BacklogLook::Empty => {
-                    arrivals.emptied();
+                AcceptResult::Empty => {
+                    arrivals.note_empty();
                     let readable = async {
                         if let Err(error) = arrivals.readable(&listener).await {
                             info!("accept_failed error={}", Quoted(error));
@@ -79,43 +81,44 @@
                     };
                     readable.or(&mut draining).await;
                 }
-                BacklogLook::Shortage(error) => self.relieve_shortage(error).await,
+                AcceptResult::OutOfResources(error) => self.relieve_resource_shortage(error).await,
             }
             self.wait_for_room(&listener).await;
         }
-        self.take_over_backlog(listener, arrivals.earliest(), spawn)
+        self.accept_backlog(listener, arrivals.earliest_arrival(), spawn)
             .await;
         self.listener_closed.notify();
     }
 
-    /// Accepts all who wait, and closes the listener.
-    async fn take_over_backlog(
+    /// Accepts all connections in the backlog, and closes the listener.
+    async fn accept_backlog(
         &self,
         listener: Async<TcpListener>,
         earliest_arrival: Instant,
         spawn: impl Fn(Accepted),
     ) {
-        // No await may stand between the last look at the backlog and the close.
+        // There must be no await between the accept that finds the backlog empty and the close of the listener:
+        // a connection that came in between would be reset.
         loop {
-            match look_at_backlog(listener.get_ref()) {
-                BacklogLook::Accepted(stream) => spawn(Accepted {
+            match try_accept(listener.get_ref()) {
+                AcceptResult::Accepted(stream) => spawn(Accepted {
                     stream,
                     earliest_arrival,
                 }),
-                BacklogLook::Empty => break,
-                BacklogLook::Shortage(error) => {
+                AcceptResult::Empty => break,
+                AcceptResult::OutOfResources(error) => {
                     if self.event_loop.clock.now() >= self.linger_deadline.get() {
                         info!("backlog_lost error={}", ConnectionEnd::from(error));
                         break;
                     }
-                    self.relieve_shortage(error).await;
+                    self.relieve_resource_shortage(error).await;
                 }
             }
         }
     }
 
-    /// Makes room for another connection, or waits for some.
-    async fn relieve_shortage(&self, error: io::Error) {
+    /// Evicts an idle connection to free its resources, and waits for a connection to end.
+    async fn relieve_resource_shortage(&self, error: io::Error) {
         info!("accept_failed error={}", ConnectionEnd::from(error));
         self.evict_idle(Eviction::ForConnection);
         self.wait_for_connection_end().await;
@@ -139,9 +142,11 @@
         });
     }
 
-    /// Has the event loop watch a connection. It is kept until that succeeds: its client may have sent a request.
+    /// Registers a connection with the event loop. Failures are retried until one try succeeds, because the client may
+    /// have sent a request already.
     async fn register(&self, stream: Arc<TcpStream>) -> TcpSocket {
-        self.unwatched.set(self.unwatched.get() + 1);
+        self.unregistered_connections
+            .set(self.unregistered_connections.get() + 1);
         let socket = loop {
             match Async::new(stream.clone()) {
                 Ok(socket) => break socket,
@@ -151,11 +156,13 @@
                 }
             }
         };
-        self.unwatched.set(self.unwatched.get() - 1);
+        self.unregistered_connections
+            .set(self.unregistered_connections.get() - 1);
         socket
     }
 
-    /// Waits until another connection may be open. At the bound, a connection is evicted only once another one waits.
+    /// Waits until another connection may be accepted. At the bound, a connection is evicted only when another one is
+    /// waiting in the backlog.
     async fn wait_for_room(&self, listener: &Async<TcpListener>) {
         while self.is_at_connection_bound() && !self.draining.is_notified() {
             let backlog = async { listener.readable().await.map_err(ConnectionEnd::from) };
@@ -171,7 +178,7 @@
         self.connections.borrow().len() >= self.max_connections
     }
 
-    /// Waits until a connection has ended, or for [`POLL_INTERVAL`].
+    /// Waits until a connection has ended, for at most [`POLL_INTERVAL`].
     pub(super) async fn wait_for_connection_end(&self) {
         let ended = async {
             self.connection_ended.wait().await;
--- a/crates/agent/src/operator_file.rs
+++ b/crates/agent/src/operator_file.rs
@@ -8,7 +8,7 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 
-use lilacgate_operator_config::{Known, OperatorConfig, Releases, Timeline};
+use lilacgate_operator_config::{KnownNames, OperatorConfig, Releases, Timeline};
 use lilacgate_releases::gate::Gate;
 use lilacgate_start_settings::{Settings, SettingsError};
 
@@ -49,7 +49,7 @@
     /// The name of this agent.
     agent: String,
     /// The zones and request classes of the start settings, which the file may refer to.
-    known: Known,
+    known: KnownNames,
     event_loop: Rc<EventLoop>,
     /// The file to which the gate's state is written on request.
     state_path: RefCell<Option<PathBuf>>,
@@ -188,9 +188,9 @@
 }
 
 /// The zones and request classes to which an operator's file may refer, in the order of their indexes.
-fn known_names(settings: &Settings) -> Result<Known, SettingsError> {
+fn known_names(settings: &Settings) -> Result<KnownNames, SettingsError> {
     let products = class_names(settings)?;
-    Ok(Known {
+    Ok(KnownNames {
         zones: settings.names("zones")?,
         products,
     })
--- a/crates/agent/src/recorder/store.rs
+++ b/crates/agent/src/recorder/store.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use lilacgate_operator_config::Store;
-use lilacgate_store::background_writer::{BackgroundWriter, StatusChange, Submitted};
+use lilacgate_store::background_writer::{BackgroundWriter, StatusChange, SubmitResult};
 use lilacgate_store::storage::FileSystem;
 use lilacgate_store::writer::{Retention, StoreWriter};
 use lilacgate_timeline::entry::Record;
@@ -73,9 +73,9 @@
             return;
         }
         match writer.submit(now, batch) {
-            Submitted::Accepted => {}
-            Submitted::QueueFull(batch) => self.pending = truncate_batch(now, batch),
-            Submitted::Closed => {
+            SubmitResult::Accepted => {}
+            SubmitResult::QueueFull(batch) => self.pending = truncate_batch(now, batch),
+            SubmitResult::Closed => {
                 self.writer = None;
                 info!("timeline_store_closed folder={}", Quoted(&self.folder));
             }
--- a/crates/agent/src/startup.rs
+++ b/crates/agent/src/startup.rs
@@ -32,7 +32,7 @@
 use crate::start_config::{
     self, MAX_DESCRIPTORS_PATH, RELEASE_UPDATE_PATH, SAVED_LIST_PATH, StartConfig,
 };
-use crate::transport::at_start;
+use crate::transport::retry_at_startup;
 use crate::upstream::UpstreamPool;
 
 /// File descriptors reserved for everything except connections to clients and endpoints: log, reactor, signals,
@@ -62,10 +62,10 @@
 pub(crate) fn start(arguments: Arguments) -> Result<(), StartError> {
     let path = command_line::start_file_path()?;
     // Signals come first: until they are handled, one of them may kill the process.
-    let signals = at_start(SignalStream::new).map_err(StartError::Signals)?;
+    let signals = retry_at_startup(SignalStream::new).map_err(StartError::Signals)?;
     let mut config = read_start_file(&path)?;
     let settings = &config.settings;
-    let engine = lilacgate_start_settings::instance(config.seed, settings)?.engine;
+    let engine = lilacgate_start_settings::build_instance(config.seed, settings)?.engine;
     let event_loop = EventLoop::new(settings.duration("rules.answer-slack")?);
     let max_connections = max_connections(&config)?;
     let (upstream, clients) = create_data_path(&event_loop, &config, max_connections)?;
@@ -215,11 +215,12 @@
     config: &StartConfig,
     backlog: usize,
 ) -> Result<Async<TcpListener>, StartError> {
-    let listener =
-        at_start(|| listen(config.listen, backlog)).map_err(|error| StartError::Listen {
+    let listener = retry_at_startup(|| listen(config.listen, backlog)).map_err(|error| {
+        StartError::Listen {
             address: config.listen,
             error,
-        })?;
+        }
+    })?;
     info!(
         "listening agent={} address={}",
         Quoted(&config.name),
--- a/crates/agent/src/transport/mod.rs
+++ b/crates/agent/src/transport/mod.rs
@@ -1,8 +1,8 @@
-//! Byte transport that every protocol of the agent shares: buffers between a socket and a parser, timeouts,
-//! notifications between tasks, and the addresses of services that may move.
+//! Byte transport that all protocols of the agent share: buffers between a socket and a parser, timeouts, notifications
+//! between tasks, and the addresses of services that may change.
 //!
-//! Nothing in here knows a protocol. A connection costs one [`RingBuffer`] for each direction; it starts small, grows
-//! up to its bound, and is given back while the connection is idle.
+//! This module is independent of any protocol. A connection has one [`RingBuffer`] for each direction, which starts
+//! small, grows up to its limit, and is freed while the connection is idle.
 use std::net::TcpStream;
 use std::sync::Arc;
 
@@ -23,8 +23,10 @@
 pub use ring_buffer::RingBuffer;
 pub use service_address::ServiceAddress;
 pub use system_call::{
-    at_start, has_no_input, is_of_one_connection, is_shortage, peek, uninterrupted,
+    has_no_input, is_per_connection_error, is_resource_shortage, peek, retry_at_startup,
+    retry_interrupted,
 };
 
-/// A TCP connection that the event loop watches. The stream is shared, so that it outlives a failed attempt to watch it.
+/// A TCP connection that is registered with the event loop. The stream is shared so that it survives a failed
+/// registration.
 pub type TcpSocket = Async<Arc<TcpStream>>;
--- a/crates/agent/tests/large_fleets.rs
+++ b/crates/agent/tests/large_fleets.rs
@@ -38,7 +38,7 @@
 ) {
     let config = read_start_file(agents, endpoints);
     assert_eq!(config.peers.as_ref().expect("peers").peers.len(), agents);
-    let mut engine = lilacgate_start_settings::instance(config.seed, &config.settings)
+    let mut engine = lilacgate_start_settings::build_instance(config.seed, &config.settings)
         .expect("a decision engine")
         .engine;
     let event_loop = EventLoop::new(Duration::ZERO);
@@ -132,7 +132,7 @@
         now,
         |module| {
             let (gate_host, recorder) = (&mut ReleaseGateHost::default(), &empty_recorder());
-            event_loop.drain(&mut EventRouter {
+            event_loop.handle_queued_events(&mut EventRouter {
                 engine: module,
                 gate_host,
                 recorder,
--- a/crates/agent/tests/upstream.rs
+++ b/crates/agent/tests/upstream.rs
@@ -72,7 +72,7 @@
     fn wait_for_outcome(&mut self, event_loop: &EventLoop) -> Option<Outcome> {
         async_io::block_on(event_loop.run(async {
             while self.outcome.is_none() {
-                event_loop.drain(&mut EventRouter {
+                event_loop.handle_queued_events(&mut EventRouter {
                     engine: self,
                     gate_host: &mut ReleaseGateHost::default(),
                     recorder: &empty_recorder(),
@@ -91,11 +91,11 @@
     let settings = Settings::from_lines(SETTINGS);
     let pool = UpstreamPool::new(event_loop.clone(), &settings, max_connections).expect("a pool");
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let (model, build, cell, zone) = Default::default();
+    let (machine_model, build, cell, zone) = Default::default();
     let entry = Endpoint {
         id: ENDPOINT,
         status: EndpointStatus::Ready,
-        model,
+        machine_model,
         weight: 1.0,
         started: None,
         build,
@@ -114,8 +114,8 @@
         id: ATTEMPT,
         endpoint,
         encoded_request,
-        began: now,
-        until: now + TIMEOUT,
+        started: now,
+        deadline: now + TIMEOUT,
     });
 }
 
