--- a/crates/agent/src/recorder.rs
+++ b/crates/agent/src/recorder.rs
@@ -1,9 +1,9 @@
-//! Owns the agent's time lines: what is received and decided goes into a book beside the decision engine, and from
-//! there, off the path of the requests, to the store that the operator's file names.
+//! Records the agent's timelines: events and decisions go into a fleet timeline in memory, and from there, off the
+//! request path, to the store that the operator's file names.
 //!
-//! It never changes a decision, never waits for a disk and never costs a request: what the disk is too slow for is
-//! left out and counted. The events of requests are buffered, up to a bound, and passed to the book many at a time,
-//! which costs a third of passing them one by one.
+//! Recording never changes a decision, never waits for a disk and never makes a request fail: records for which the
+//! disk is too slow are dropped and counted. Request events are buffered, up to a limit, and passed to the timeline in
+//! batches, which costs a third of passing them one by one.
 mod snapshot;
 mod store;
 
@@ -23,182 +23,182 @@
 use crate::outbound::AttemptId;
 use crate::recorder::store::StoreQueue;
 
-/// How many records may wait for the disk, and how many names of endpoints are kept.
-const MAX_WAITING_RECORDS: usize = 4096;
+/// How many records may wait for the disk, and how many endpoint names are kept.
+const MAX_QUEUED_RECORDS: usize = 4096;
 
-/// How many events of requests are buffered before they are passed to the book.
+/// How many request events are buffered before they are passed to the timeline.
 const MAX_BUFFERED_EVENTS: usize = 4096;
 
-/// What happens to a request.
+/// An event in the life of a request.
 #[derive(Clone, Copy, Debug)]
 pub enum RequestEvent {
-    /// It has arrived.
+    /// The request has arrived.
     Received {
-        /// The request.
+        /// Which request.
         id: RequestId,
-        /// Its class.
+        /// The class of the request.
         class: RequestClass,
     },
-    /// An attempt of it has been sent.
+    /// An attempt has been sent.
     AttemptSent {
         /// Which attempt.
         id: AttemptId,
-        /// Where it was sent.
+        /// The endpoint to which the attempt was sent.
         endpoint: EndpointId,
     },
-    /// An attempt of it has ended.
+    /// An attempt has ended.
     AttemptEnded {
         /// Which attempt.
         id: AttemptId,
-        /// Where it was sent.
+        /// The endpoint to which the attempt was sent.
         endpoint: EndpointId,
-        /// How it ended.
+        /// The outcome of the attempt.
         outcome: Outcome,
-        /// How long it took.
+        /// How long the attempt took.
         took: Duration,
-        /// Whether the request has had its answer by then.
+        /// Whether the request had been answered before the attempt ended.
         closed: bool,
     },
-    /// It has had its answer, or its client has left.
+    /// The request has been answered, or its client has left.
     Closed(RequestId),
 }
 
-/// A buffered event.
+/// A buffered event, with its time on the agent's clock.
 #[derive(Debug)]
 struct TimedEvent {
     time: Duration,
     event: RequestEvent,
 }
 
-/// The name of an endpoint.
+/// The name of an endpoint by its id.
 #[derive(Debug)]
 struct EndpointName {
     id: EndpointId,
     name: String,
 }
 
-/// What does not change while the agent runs.
+/// Facts about the agent that do not change while it runs.
 #[derive(Debug)]
-struct AgentFacts {
+struct AgentInfo {
     agent: String,
-    /// The names of the request classes, in their order.
+    /// The names of the request classes, in the order of their indexes.
     class_names: Vec<String>,
-    /// How long an endpoint may take to warm up.
-    ramp: Duration,
+    /// The slow start of an endpoint: how long it may take to warm up.
+    slow_start: Duration,
 }
 
-/// A book that is being written, and what it is written by.
-struct OpenBook {
-    book: FleetTimeline,
+/// A timeline that is being recorded, with its settings and its store.
+struct OpenTimeline {
+    timeline: FleetTimeline,
     settings: Timeline,
     store: StoreQueue,
 }
 
-/// Keeps the time lines, if the operator's file wants them.
+/// Records the timelines, if the operator's file configures them.
 pub struct Recorder {
-    facts: AgentFacts,
-    open: RefCell<Option<OpenBook>>,
+    agent_info: AgentInfo,
+    open: RefCell<Option<OpenTimeline>>,
     buffer: RefCell<Vec<TimedEvent>>,
-    /// Whether there is a book.
-    is_on: Cell<bool>,
-    /// The names of endpoints: they outlast the book.
-    names: RefCell<Vec<EndpointName>>,
+    /// Whether a timeline is being recorded, i.e. whether `open` holds one.
+    is_recording: Cell<bool>,
+    /// The names of endpoints, kept from one timeline to the next.
+    endpoint_names: RefCell<Vec<EndpointName>>,
 }
 
 impl std::fmt::Debug for Recorder {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         formatter
             .debug_struct("Recorder")
-            .field("facts", &self.facts)
-            .field("is_on", &self.is_on)
+            .field("agent_info", &self.agent_info)
+            .field("is_recording", &self.is_recording)
             .finish_non_exhaustive()
     }
 }
 
 impl Recorder {
-    /// A recorder for an agent with these start settings, which records what `timeline` says.
+    /// Creates a recorder for an agent with these start settings; without `timeline` settings it records nothing.
     ///
     /// # Errors
-    /// A setting that cannot be used.
+    /// Fails if a setting is missing or cannot be used.
     pub fn new(
         agent: &str,
         settings: &Settings,
         timeline: Option<Timeline>,
         now: Duration,
     ) -> Result<Recorder, SettingsError> {
-        let facts = AgentFacts {
+        let agent_info = AgentInfo {
             agent: agent.to_owned(),
             class_names: class_names(settings)?,
-            ramp: settings.duration("rules.ramp-time")?,
+            slow_start: settings.duration("rules.ramp-time")?,
         };
         let recorder = Recorder {
-            facts,
+            agent_info,
             open: RefCell::default(),
             buffer: RefCell::default(),
-            is_on: Cell::new(false),
-            names: RefCell::default(),
+            is_recording: Cell::new(false),
+            endpoint_names: RefCell::default(),
         };
-        recorder.apply(now, timeline);
+        recorder.apply_settings(now, timeline);
         Ok(recorder)
     }
 
-    /// Takes over what the operator's file sets now; a book whose settings are the same goes on.
-    pub fn apply(&self, now: Duration, settings: Option<Timeline>) {
+    /// Applies the settings of a reloaded operator's file. If they have not changed, the open timeline is continued.
+    pub fn apply_settings(&self, now: Duration, settings: Option<Timeline>) {
         let mut open = self.open.borrow_mut();
         if open.as_ref().map(|open| &open.settings) == settings.as_ref() {
             return;
         }
-        self.is_on.set(settings.is_some());
+        self.is_recording.set(settings.is_some());
         self.buffer.borrow_mut().clear();
-        *open = settings.map(|settings| self.open_book(now, settings));
+        *open = settings.map(|settings| self.open_timeline(now, settings));
     }
 
-    fn open_book(&self, now: Duration, settings: Timeline) -> OpenBook {
-        let aims = MonitorConfig {
+    fn open_timeline(&self, now: Duration, settings: Timeline) -> OpenTimeline {
+        let monitor_config = MonitorConfig {
             false_alarms_per_hour: settings.max_false_events_per_hour,
-            slow_start: self.facts.ramp,
-            classes: self.facts.class_names.len(),
+            slow_start: self.agent_info.slow_start,
+            classes: self.agent_info.class_names.len(),
         };
-        let room = MemoryLimits {
+        let limits = MemoryLimits {
             timeline_bytes: settings.memory_bytes,
             queued_records: match settings.store {
-                Some(_) => MAX_WAITING_RECORDS,
+                Some(_) => MAX_QUEUED_RECORDS,
                 None => 0,
             },
         };
-        let book = FleetTimeline::new(now, aims, room);
+        let timeline = FleetTimeline::new(now, monitor_config, limits);
         let mut store = StoreQueue::open(now, settings.store.as_ref());
         if store.is_open() {
             store.push_all(self.first_records(now));
         }
-        OpenBook {
-            book,
+        OpenTimeline {
+            timeline,
             settings,
             store,
         }
     }
 
-    /// The records that come before all others: the agent's start, and the names of the endpoints.
+    /// The records at the start of a store or dump: the agent's start and the endpoint names.
     fn first_records(&self, time: Duration) -> Vec<Record> {
         let start = Record::Start {
-            agent: self.facts.agent.clone(),
+            agent: self.agent_info.agent.clone(),
             at: time,
-            classes: self.facts.class_names.clone(),
+            classes: self.agent_info.class_names.clone(),
         };
-        let names = self.names.borrow();
+        let names = self.endpoint_names.borrow();
         std::iter::once(start)
             .chain(names.iter().map(EndpointName::record))
             .collect()
     }
 
-    /// Keeps the name of an endpoint.
-    pub fn endpoint_named(&self, id: EndpointId, name: &str) {
-        let mut names = self.names.borrow_mut();
+    /// Records the name of an endpoint, unless it is known already.
+    pub fn add_endpoint_name(&self, id: EndpointId, name: &str) {
+        let mut names = self.endpoint_names.borrow_mut();
         if names.iter().any(|known| known.id == id) {
             return;
         }
-        // As many names as a list may hold; what has been gone for long is not needed.
-        if names.len() >= MAX_WAITING_RECORDS {
+        // The limit is as large as an endpoint list may be; the oldest names belong to endpoints that are long gone.
+        if names.len() >= MAX_QUEUED_RECORDS {
             names.remove(0);
         }
         let name = EndpointName {
@@ -213,31 +213,31 @@
         names.push(name);
     }
 
-    /// Buffers what happens to a request, if there is a book.
+    /// Buffers a request event, if a timeline is being recorded.
     pub fn record(&self, time: Duration, event: RequestEvent) {
-        if !self.is_on.get() {
+        if !self.is_recording.get() {
             return;
         }
         self.buffer.borrow_mut().push(TimedEvent { time, event });
         if self.buffer.borrow().len() >= MAX_BUFFERED_EVENTS {
-            self.update(|_| {});
+            self.update_timeline(|_| {});
         }
     }
 
-    /// Changes the book, if there is one, after all that is buffered.
-    pub fn update(&self, change: impl FnOnce(&mut FleetTimeline)) {
+    /// Passes the buffered events to the timeline, if there is one, and then changes it.
+    pub fn update_timeline(&self, change: impl FnOnce(&mut FleetTimeline)) {
         if let Some(open) = self.open.borrow_mut().as_mut() {
-            self.flush_buffer(&mut open.book);
-            change(&mut open.book);
+            self.flush_buffer(&mut open.timeline);
+            change(&mut open.timeline);
         }
     }
 
-    fn flush_buffer(&self, book: &mut FleetTimeline) {
+    fn flush_buffer(&self, timeline: &mut FleetTimeline) {
         for TimedEvent { time, event } in self.buffer.borrow_mut().drain(..) {
             match event {
-                RequestEvent::Received { id, class } => book.request_started(id, class),
+                RequestEvent::Received { id, class } => timeline.request_started(id, class),
                 RequestEvent::AttemptSent { id, endpoint } => {
-                    book.attempt_started(time, id.request, id.number, endpoint);
+                    timeline.attempt_started(time, id.request, id.number, endpoint);
                 }
                 RequestEvent::AttemptEnded {
                     id,
@@ -254,30 +254,30 @@
                         duration: took,
                         request_closed: closed,
                     };
-                    book.attempt_ended(time, &end);
+                    timeline.attempt_ended(time, &end);
                 }
-                RequestEvent::Closed(id) => book.request_closed(id),
+                RequestEvent::Closed(id) => timeline.request_closed(id),
             }
         }
     }
 
-    /// When [`Recorder::advance`] has something to do.
-    pub fn next(&self) -> Option<Duration> {
+    /// When [`Recorder::advance`] is next due; `None` if nothing is being recorded.
+    pub fn next_tick(&self) -> Option<Duration> {
         self.open
             .borrow()
             .as_ref()
-            .map(|open| open.book.next_tick())
+            .map(|open| open.timeline.next_tick())
     }
 
-    /// Takes note that time has passed: departures go to the log, records to the store.
+    /// Advances the timeline to `now`: logs departures and submits records to the store.
     pub fn advance(&self, now: Duration) {
         let mut open = self.open.borrow_mut();
         let Some(open) = open.as_mut() else { return };
-        if now >= open.book.next_tick() {
-            self.flush_buffer(&mut open.book);
+        if now >= open.timeline.next_tick() {
+            self.flush_buffer(&mut open.timeline);
         }
-        open.book.advance(now);
-        for report in open.book.take_reports() {
+        open.timeline.advance(now);
+        for report in open.timeline.take_reports() {
             if report.began {
                 count(Count::Departures);
                 self.log_departure(&report.departure);
@@ -285,7 +285,7 @@
                 info!("departure_ended number={}", report.departure.number);
             }
         }
-        open.store.hand_over_if_due(now, &mut open.book);
+        open.store.submit_if_due(now, &mut open.timeline);
     }
 
     fn log_departure(&self, departure: &Departure) {
@@ -298,23 +298,23 @@
         };
         let class = departure
             .class
-            .and_then(|class| self.facts.class_names.get(usize::from(class)))
+            .and_then(|class| self.agent_info.class_names.get(usize::from(class)))
             .map(|name| format!(" class={}", Quoted(name)))
             .unwrap_or_default();
         let (number, kind) = (departure.number, kind_name(departure.kind));
-        let (baseline, seen) = (departure.baseline, departure.observed);
+        let (baseline, observed) = (departure.baseline, departure.observed);
         info!(
-            "departure_began number={number} scope={scope} kind={kind}{class} observed={seen:.2} baseline={baseline:.2}"
+            "departure_began number={number} scope={scope} kind={kind}{class} observed={observed:.2} baseline={baseline:.2}"
         );
     }
 
     fn name_of(&self, id: EndpointId) -> String {
-        let names = self.names.borrow();
+        let names = self.endpoint_names.borrow();
         let known = names.iter().find(|known| known.id == id);
         known.map_or_else(|| "?".to_owned(), |known| known.name.clone())
     }
 
-    /// Writes all time lines to the file that the operator's file names, off the event loop.
+    /// Writes all timelines to the dump file that the operator's file names, on another thread.
     pub fn dump(&self, now: Duration) {
         let path: Option<PathBuf> = self
             .open
@@ -323,13 +323,13 @@
             .and_then(|open| open.settings.dump.clone());
         let Some(path) = path else { return };
         let open = self.open.borrow();
-        let book = open.as_ref().map(|open| &open.book);
-        let bytes = snapshot::segment(now, self.first_records(now), book);
+        let timeline = open.as_ref().map(|open| &open.timeline);
+        let bytes = snapshot::segment(now, self.first_records(now), timeline);
         replace_file("timeline", path, bytes);
     }
 }
 
-/// The name of a departure's kind in log lines.
+/// The name of a departure kind in log lines.
 const fn kind_name(kind: DepartureKind) -> &'static str {
     match kind {
         DepartureKind::Errors => "errors",
@@ -350,10 +350,10 @@
     }
 }
 
-/// The names of the request classes, in their order.
+/// Reads the names of the request classes, in the order of their indexes.
 ///
 /// # Errors
-/// A setting that is missing or cannot be read.
+/// Fails if a setting is missing or cannot be read.
 pub(crate) fn class_names(settings: &Settings) -> Result<Vec<String>, SettingsError> {
     let classes: u8 = settings.value("profiles.count")?;
     let mut names = Vec::new();
