--- a/crates/ctl/src/check.rs
+++ b/crates/ctl/src/check.rs
@@ -16,12 +16,12 @@
 
 impl CheckArguments {
     pub(crate) fn run(self, as_json: bool) -> Answer {
-        let mut all_fine = true;
+        let mut all_valid = true;
         let mut reports = Vec::new();
         for file in &self.files {
             tracing::debug!(file = %file.display(), "reading");
             let faults = load(file, &KnownNames::default()).err().unwrap_or_default();
-            all_fine &= faults.is_empty();
+            all_valid &= faults.is_empty();
             if as_json {
                 reports.push(report(file, &faults));
             } else {
@@ -31,7 +31,7 @@
         if as_json {
             println!("{}", json!(reports));
         }
-        Answer::yes_if(all_fine)
+        Answer::yes_if(all_valid)
     }
 }
 
--- a/crates/ctl/src/error.rs
+++ b/crates/ctl/src/error.rs
@@ -19,7 +19,7 @@
         source: Box<dyn Error + Send + Sync>,
     },
     /// An operator's file has faults.
-    #[error("{}: {}", path.display(), joined(faults))]
+    #[error("{}: {}", path.display(), join_faults(faults))]
     OperatorFile {
         /// The file.
         path: PathBuf,
@@ -48,10 +48,10 @@
     },
     /// An argument is not a service and a build.
     #[error("{0:?} is no SERVICE:BUILD of the file")]
-    ServiceBuild(String),
+    InvalidServiceBuild(String),
     /// A part of a wished build is not one of its times.
     #[error("{0:?} is neither from=TIME nor by=TIME")]
-    GoalTime(String),
+    InvalidGoalTime(String),
     /// Nothing was recorded of a node.
     #[error("no node {0:?} in this span")]
     UnknownNode(String),
@@ -67,7 +67,7 @@
     }
 }
 
-fn joined(faults: &[Fault]) -> String {
+fn join_faults(faults: &[Fault]) -> String {
     let faults: Vec<String> = faults.iter().map(ToString::to_string).collect();
     faults.join("; ")
 }
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -20,9 +20,9 @@
 use crate::error::CommandError;
 
 /// The exit code of the answer no.
-const EXIT_NO: u8 = 1;
+const EXIT_NEGATIVE: u8 = 1;
 /// The exit code when a file cannot be read, written or used.
-const EXIT_UNUSABLE: u8 = 3;
+const EXIT_ERROR: u8 = 3;
 
 /// The operators' command line of lilacgate
 ///
@@ -104,10 +104,10 @@
     };
     match result {
         Ok(Answer::Yes) => ExitCode::SUCCESS,
-        Ok(Answer::No) => ExitCode::from(EXIT_NO),
+        Ok(Answer::No) => ExitCode::from(EXIT_NEGATIVE),
         Err(error) => {
             tracing::error!("{error}");
-            ExitCode::from(EXIT_UNUSABLE)
+            ExitCode::from(EXIT_ERROR)
         }
     }
 }
--- a/crates/ctl/src/releases/chart.rs
+++ b/crates/ctl/src/releases/chart.rs
@@ -20,12 +20,12 @@
 const ROW_HEIGHT: u32 = 46;
 const WIDTH: u32 = 1000;
 /// The height of all beside the rows.
-const FRAME_HEIGHT: u32 = 110;
+const NON_ROW_HEIGHT: u32 = 110;
 /// Where a build's bar begins and ends in its row, of 1.
 const BAR_BOTTOM: f64 = 0.85;
 const BAR_TOP: f64 = 0.15;
 /// The axis is this much longer than the plan.
-const AXIS_MARGIN: f64 = 1.02;
+const AXIS_LENGTH_FACTOR: f64 = 1.02;
 /// The shades of the rings, from the first to the last.
 const RING_COLORS: [RGBColor; 5] = [
     RGBColor(198, 184, 224),
@@ -37,10 +37,10 @@
 const CRITICAL_COLOR: RGBColor = RGBColor(196, 60, 60);
 const FREEZE_COLOR: RGBColor = RGBColor(206, 224, 240);
 /// The most windows of a freeze that are drawn.
-const MAX_WINDOWS: usize = 400;
-const DAY: f64 = 86_400.0;
-const HOUR: f64 = 3600.0;
-const MINUTE: f64 = 60.0;
+const MAX_FREEZE_CHANGES: usize = 400;
+const DAY_SECONDS: f64 = 86_400.0;
+const HOUR_SECONDS: f64 = 3600.0;
+const MINUTE_SECONDS: f64 = 60.0;
 const LEGEND: &str =
     "shades: rings from first to last; light blue: freezes; red: what the end rests on";
 
@@ -71,28 +71,28 @@
 impl Axis {
     fn of(chart: &Chart<'_>) -> Self {
         let end = chart.plan.steps.last().map_or(chart.start, |last| last.at);
-        let length = (end - chart.start).as_secs_f64().max(MINUTE);
-        let mut units = [DAY, HOUR, MINUTE].into_iter();
+        let length = (end - chart.start).as_secs_f64().max(MINUTE_SECONDS);
+        let mut units = [DAY_SECONDS, HOUR_SECONDS, MINUTE_SECONDS].into_iter();
         let unit = units.find(|unit| length > 5.0 * unit);
         Axis {
             start: chart.start,
             end,
             length,
-            unit: unit.unwrap_or(MINUTE),
+            unit: unit.unwrap_or(MINUTE_SECONDS),
         }
     }
 
     /// The place of a time, in units.
     fn position(self, at: Duration) -> f64 {
         let seconds = at.saturating_sub(self.start).as_secs_f64();
-        seconds.min(self.length * AXIS_MARGIN) / self.unit
+        seconds.min(self.length * AXIS_LENGTH_FACTOR) / self.unit
     }
 
     /// The text of a tick: the day where the plan takes days, the time where it takes hours.
     fn tick(self, position: f64, zone: &TimeZone) -> String {
         let at = self.start + Duration::from_secs_f64(position.max(0.0));
         let text = time::show(at, zone);
-        let part = if self.length > 3.0 * DAY {
+        let part = if self.length > 3.0 * DAY_SECONDS {
             &text[5..16]
         } else {
             &text[11..19]
@@ -139,7 +139,7 @@
 pub(super) fn draw(file: &Path, chart: &Chart<'_>) -> Result<(), DrawError> {
     let rows = rows(chart.plan);
     let axis = Axis::of(chart);
-    let height = FRAME_HEIGHT + ROW_HEIGHT * rows.len() as u32;
+    let height = NON_ROW_HEIGHT + ROW_HEIGHT * rows.len() as u32;
     let root = SVGBackend::new(file, (WIDTH, height)).into_drawing_area();
     root.fill(&WHITE)?;
     let mut context = ChartBuilder::on(&root)
@@ -152,7 +152,7 @@
         .x_label_area_size(40)
         .y_label_area_size(150)
         .build_cartesian_2d(
-            0.0..axis.length * AXIS_MARGIN / axis.unit,
+            0.0..axis.length * AXIS_LENGTH_FACTOR / axis.unit,
             0.0..rows.len() as f64,
         )?;
     let tick = |position: &f64| axis.tick(*position, chart.zone);
@@ -218,7 +218,7 @@
     row: Row,
 ) -> Result<(), DrawError> {
     let mut at = axis.start;
-    for _ in 0..MAX_WINDOWS {
+    for _ in 0..MAX_FREEZE_CHANGES {
         if at > axis.end {
             break;
         }
--- a/crates/ctl/src/releases/explain.rs
+++ b/crates/ctl/src/releases/explain.rs
@@ -16,7 +16,7 @@
 use crate::{Answer, CommandResult, output, time};
 
 /// How far ahead it is searched for when a build opens.
-const SEARCH_AHEAD: Duration = Duration::from_secs(400 * 24 * 3600);
+const MAX_SEARCH_AHEAD: Duration = Duration::from_secs(400 * 24 * 3600);
 /// The most changes that the search goes through.
 const MAX_CHANGES: usize = 2000;
 
@@ -46,7 +46,7 @@
 
 /// What a request would ask for.
 #[derive(Clone, Copy)]
-struct Place {
+struct AdmissionQuery {
     build: Build,
     zone: Zone,
     tenant: Tenant,
@@ -131,7 +131,7 @@
 }
 
 /// The indices of all names, or of the one that is asked for.
-fn wanted(
+fn matching_indices(
     names: &[String],
     kind: &'static str,
     name: Option<&String>,
@@ -151,10 +151,10 @@
         let zone = calendar::parse_time_zone(&self.zone_of_reader)?;
         let at = self.at.as_ref().map(|at| time::read(at, &zone));
         let gate = self.gate(at.transpose()?)?;
-        let places = self.places(&gate)?;
-        let admissions = places
+        let queries = self.queries(&gate)?;
+        let admissions = queries
             .into_iter()
-            .map(|place| self.admission(&gate, place))
+            .map(|query| self.admission(&gate, query))
             .collect::<Result<Vec<Admission>, CommandError>>()?;
         let advance = Advance::of(&gate, &zone);
         let now = time::show(gate.now(), &zone);
@@ -188,11 +188,11 @@
     }
 
     /// The places that are asked for.
-    fn places(&self, gate: &Gate) -> Result<Vec<Place>, CommandError> {
+    fn queries(&self, gate: &Gate) -> Result<Vec<AdmissionQuery>, CommandError> {
         let rules = gate.rules();
-        let zones = wanted(&rules.zones, "zone", self.zone.as_ref())?;
-        let tenants = wanted(&rules.tenants, "firm", self.tenant.as_ref())?;
-        let classes = wanted(
+        let zones = matching_indices(&rules.zones, "zone", self.zone.as_ref())?;
+        let tenants = matching_indices(&rules.tenants, "firm", self.tenant.as_ref())?;
+        let classes = matching_indices(
             &rules.request_classes,
             "product",
             self.request_class.as_ref(),
@@ -201,12 +201,12 @@
             Some(build) => vec![Build(build)],
             None => gate.builds().collect(),
         };
-        let mut places = Vec::new();
+        let mut queries = Vec::new();
         for build in builds {
             for zone in &zones {
                 for tenant in &tenants {
                     for class in &classes {
-                        places.push(Place {
+                        queries.push(AdmissionQuery {
                             build,
                             zone: Zone(*zone as u8),
                             tenant: Tenant(*tenant as u16),
@@ -216,16 +216,16 @@
                 }
             }
         }
-        Ok(places)
+        Ok(queries)
     }
 
-    fn admission(&self, gate: &Gate, place: Place) -> Result<Admission, CommandError> {
-        let Place {
+    fn admission(&self, gate: &Gate, query: AdmissionQuery) -> Result<Admission, CommandError> {
+        let AdmissionQuery {
             build,
             zone,
             tenant,
             class,
-        } = place;
+        } = query;
         let rules = gate.rules();
         let admits = gate.admits(build, zone, tenant, class);
         let retained = gate
@@ -242,7 +242,7 @@
             explanation
         };
         let opens_at = if admits.is_err() {
-            self.opens_at(gate.now(), place)?
+            self.opens_at(gate.now(), query)?
         } else {
             None
         };
@@ -260,15 +260,19 @@
     }
 
     /// When a place opens by time alone, if it does.
-    fn opens_at(&self, from: Duration, place: Place) -> Result<Option<Duration>, CommandError> {
+    fn opens_at(
+        &self,
+        from: Duration,
+        query: AdmissionQuery,
+    ) -> Result<Option<Duration>, CommandError> {
         let mut gate = self.gate(Some(from))?;
         for _ in 0..MAX_CHANGES {
             let next = gate.next_scheduled_change();
-            let Some(next) = next.filter(|next| *next < from + SEARCH_AHEAD) else {
+            let Some(next) = next.filter(|next| *next < from + MAX_SEARCH_AHEAD) else {
                 return Ok(None);
             };
             gate.advance_assuming_heartbeats(next);
-            let admits = gate.admits(place.build, place.zone, place.tenant, place.class);
+            let admits = gate.admits(query.build, query.zone, query.tenant, query.class);
             if admits.is_ok() {
                 return Ok(Some(next));
             }
--- a/crates/ctl/src/releases/plan.rs
+++ b/crates/ctl/src/releases/plan.rs
@@ -114,7 +114,7 @@
 
 /// Reads `SERVICE:BUILD`.
 fn read_service_build(rules: &Rules, text: &str) -> Result<(ServiceId, Build), CommandError> {
-    let error = || CommandError::ServiceBuild(text.to_owned());
+    let error = || CommandError::InvalidServiceBuild(text.to_owned());
     let (name, build) = text.split_once(':').ok_or_else(error)?;
     let service = service_named(rules, name).ok_or_else(error)?;
     let build = build.parse().map_err(|_| error())?;
@@ -135,7 +135,7 @@
         match part.split_once('=') {
             Some(("from", text)) => goal.not_before = Some(time::read(text, zone)?),
             Some(("by", text)) => goal.deadline = Some(time::read(text, zone)?),
-            _ => return Err(CommandError::GoalTime(part.to_owned())),
+            _ => return Err(CommandError::InvalidGoalTime(part.to_owned())),
         }
     }
     Ok(goal)
--- a/crates/ctl/src/time.rs
+++ b/crates/ctl/src/time.rs
@@ -18,7 +18,7 @@
     Before1970(String),
     /// It has another form.
     #[error("{0:?} is no time such as 2026-12-28T00:00Z, 2026-12-28T00:00 or now")]
-    NoTime(String),
+    UnknownFormat(String),
 }
 
 /// Reads a time since 1970: `now`, `2026-12-28T00:00Z`, or without a zone as a clock in the reader's zone shows it.
@@ -34,7 +34,7 @@
     }
     let civil = text
         .parse::<DateTime>()
-        .map_err(|_| TimeError::NoTime(text.to_owned()))?;
+        .map_err(|_| TimeError::UnknownFormat(text.to_owned()))?;
     Ok(calendar::earliest_instant(zone, civil))
 }
 
--- a/crates/ctl/src/timeline/plot.rs
+++ b/crates/ctl/src/timeline/plot.rs
@@ -39,13 +39,13 @@
 /// The most bars across the width.
 const MAX_BARS: u32 = 150;
 /// The heights of the tallest bar and of the highest latency, of 1.
-const TALLEST_BAR: f64 = 0.85;
-const HIGHEST_LATENCY: f64 = 0.95;
+const MAX_BAR_HEIGHT: f64 = 0.85;
+const MAX_LATENCY_HEIGHT: f64 = 0.95;
 /// Departures are drawn from here to the top, and no narrower than this part of the width.
 const DEPARTURE_BOTTOM: f64 = 0.93;
-const NARROWEST_DEPARTURE: f64 = 400.0;
+const MIN_DEPARTURE_DIVISOR: f64 = 400.0;
 /// The recorded state of an endpoint that has left the list.
-const REMOVED: &str = "gone";
+const REMOVED_STATE: &str = "gone";
 
 type DrawError = DrawingAreaErrorKind<std::io::Error>;
 type Context<'a, 'b> =
@@ -70,7 +70,7 @@
 
 /// A node that is listed with a build from a time on, in seconds since the begin of the span.
 #[derive(Clone, Copy)]
-struct Listed {
+struct ListedBuild {
     from: f64,
     build: u16,
 }
@@ -83,9 +83,9 @@
     /// The seconds that a bar covers.
     bar_length: f64,
     /// The requests of the tallest bar.
-    most_requests: f64,
+    max_attempts: f64,
     /// The highest 95th percentile, in seconds.
-    highest_latency: f64,
+    max_latency: f64,
 }
 
 impl Scale<'_> {
@@ -128,7 +128,7 @@
 }
 
 /// The highest value of all bars; above 0.
-fn highest(nodes: &[Node], value: fn(&Bar) -> f64) -> f64 {
+fn max_value(nodes: &[Node], value: fn(&Bar) -> f64) -> f64 {
     let bars = nodes.iter().flat_map(|node| &node.bars);
     bars.map(value).fold(0.0, f64::max).max(1e-6)
 }
@@ -149,8 +149,8 @@
         timelines,
         length,
         bar_length,
-        most_requests: highest(&nodes, |bar| f64::from(bar.counts.attempts)),
-        highest_latency: highest(&nodes, |bar| bar.p95.unwrap_or(0.0)),
+        max_attempts: max_value(&nodes, |bar| f64::from(bar.counts.attempts)),
+        max_latency: max_value(&nodes, |bar| bar.p95.unwrap_or(0.0)),
     };
     let height = TITLE_HEIGHT + LEGEND_HEIGHT + ROW_HEIGHT * nodes.len() as u32;
     let root = SVGBackend::new(file, (WIDTH, height)).into_drawing_area();
@@ -179,8 +179,8 @@
         "bars: requests in {:.0} s (red: bad, amber: late; the tallest {:.0}); line: 95th percentile (highest {:.0} ms); \
          red on top: departures, thin red: when they were sure; green: stages and votes; triangles: left alone; bands: builds",
         scale.bar_length,
-        scale.most_requests,
-        scale.highest_latency * 1e3
+        scale.max_attempts,
+        scale.max_latency * 1e3
     );
     let place = (12, height as i32 - 22);
     root.draw(&Text::new(legend, place, ("sans-serif", 11)))
@@ -211,7 +211,7 @@
     draw_bars(&mut context, scale, &node.bars)?;
     draw_latency(&mut context, scale, &node.bars)?;
     for departure in scale.timelines.departures() {
-        if concerns(departure.scope, node.number, &listed) {
+        if includes_node(departure.scope, node.number, &listed) {
             draw_departure(&mut context, scale, &departure)?;
         }
     }
@@ -229,12 +229,12 @@
 }
 
 /// The builds that a node was listed with, in order.
-fn listed_builds(scale: &Scale<'_>, node: u32) -> Vec<Listed> {
+fn listed_builds(scale: &Scale<'_>, node: u32) -> Vec<ListedBuild> {
     let entries = scale.timelines.entries.iter();
     entries
         .filter(|entry| entry.node == Some(node))
         .filter_map(|entry| match &entry.event {
-            Event::Listed { state, build, .. } if state != REMOVED => Some(Listed {
+            Event::Listed { state, build, .. } if state != REMOVED_STATE => Some(ListedBuild {
                 from: scale.position(entry.happened),
                 build: *build,
             }),
@@ -244,8 +244,8 @@
 }
 
 /// Whether a departure concerns a node.
-fn concerns(whom: DepartureScope, node: u32, listed: &[Listed]) -> bool {
-    match whom {
+fn includes_node(scope: DepartureScope, node: u32, listed: &[ListedBuild]) -> bool {
+    match scope {
         DepartureScope::Node(concerned) => concerned == node,
         DepartureScope::Build(build) => listed.iter().any(|listed| listed.build == build),
         DepartureScope::Fleet => true,
@@ -255,9 +255,9 @@
 fn draw_builds(
     context: &mut Context<'_, '_>,
     scale: &Scale<'_>,
-    listed: &[Listed],
+    listed: &[ListedBuild],
 ) -> Result<(), DrawError> {
-    for (index, Listed { from, build }) in listed.iter().enumerate() {
+    for (index, ListedBuild { from, build }) in listed.iter().enumerate() {
         let next = listed.get(index + 1);
         let to = next.map_or(scale.length, |next| next.from);
         let color = BUILD_COLORS[usize::from(*build) % BUILD_COLORS.len()];
@@ -303,7 +303,7 @@
         ];
         let mut low = 0.0;
         for (requests, color) in parts {
-            let height = f64::from(requests) / scale.most_requests * TALLEST_BAR;
+            let height = f64::from(requests) / scale.max_attempts * MAX_BAR_HEIGHT;
             let part = [(*from, low), (*to, (low + height).min(1.0))];
             context.draw_series([Rectangle::new(part, color.filled())])?;
             low += height;
@@ -318,7 +318,7 @@
     bars: &[Bar],
 ) -> Result<(), DrawError> {
     let points = bars.iter().filter_map(|bar| {
-        let height = bar.p95? / scale.highest_latency * HIGHEST_LATENCY;
+        let height = bar.p95? / scale.max_latency * MAX_LATENCY_HEIGHT;
         Some(((bar.from + bar.to) / 2.0, height))
     });
     context.draw_series(LineSeries::new(points, LATENCY_COLOR.stroke_width(2)))?;
@@ -334,7 +334,7 @@
     let to = departure
         .ended
         .map_or(scale.length, |at| scale.position(at))
-        .max(from + scale.length / NARROWEST_DEPARTURE);
+        .max(from + scale.length / MIN_DEPARTURE_DIVISOR);
     let span = [(from, DEPARTURE_BOTTOM), (to, 1.0)];
     context.draw_series([Rectangle::new(span, FAILED_COLOR.filled())])?;
     let confirmed = scale.position(departure.confirmed);
--- a/crates/ctl/src/timeline/read.rs
+++ b/crates/ctl/src/timeline/read.rs
@@ -47,7 +47,7 @@
     /// In the order of time.
     pub(super) steps: Vec<StepRecord>,
     /// The number of records that the agent had to leave out.
-    left_out: u64,
+    dropped_records: u64,
 }
 
 /// When something happened, and when the agent knew it.
@@ -71,7 +71,7 @@
 }
 
 /// Reads a time, or a span before the end.
-fn read_moment(text: &str, end: Duration, zone: &TimeZone) -> Result<Duration, CommandError> {
+fn read_span_bound(text: &str, end: Duration, zone: &TimeZone) -> Result<Duration, CommandError> {
     match text.strip_prefix('-') {
         Some(span) => Ok(end.saturating_sub(calendar::parse_span(span)?)),
         None => Ok(time::read(text, zone)?),
@@ -88,11 +88,11 @@
             known().min().unwrap_or_default(),
             known().max().unwrap_or_default(),
         );
-        let moment = |text: &Option<String>, default| match text {
-            Some(text) => read_moment(text, end, &zone),
+        let bound = |text: &Option<String>, default| match text {
+            Some(text) => read_span_bound(text, end, &zone),
             None => Ok(default),
         };
-        let (from, to) = (moment(&self.from, begin)?, moment(&self.to, end)?);
+        let (from, to) = (bound(&self.from, begin)?, bound(&self.to, end)?);
         let mut timelines = Timelines::new(zone, from, to);
         for record in records {
             timelines.add(record);
@@ -126,7 +126,7 @@
             names: BTreeMap::new(),
             entries: Vec::new(),
             steps: Vec::new(),
-            left_out: 0,
+            dropped_records: 0,
         }
     }
 
@@ -146,16 +146,16 @@
             Record::Name { node, name } => drop(self.names.insert(node, name)),
             Record::Entry(entry) if within => self.entries.push(entry),
             Record::Step(step) if within => self.steps.push(step),
-            Record::Dropped { count: many, .. } if within => self.left_out += many,
+            Record::Dropped { count: many, .. } if within => self.dropped_records += many,
             _ => {}
         }
     }
 
     fn finish(&mut self) {
-        if self.left_out > 0 {
+        if self.dropped_records > 0 {
             tracing::warn!(
                 "{} records were left out by the agent: its disk was behind",
-                self.left_out
+                self.dropped_records
             );
         }
         self.entries.sort_by_key(|entry| entry.happened);
--- a/crates/ctl/src/timeline/report.rs
+++ b/crates/ctl/src/timeline/report.rs
@@ -12,11 +12,11 @@
 use crate::{Answer, CommandResult, output, time};
 
 /// The recorded name of the phase of a canary.
-const CANARY: &str = "on-trial";
+const CANARY_PHASE: &str = "on-trial";
 /// What happens within this time after the end belongs to the stage, too.
-const AFTER_END: Duration = Duration::from_secs(1);
+const GRACE_AFTER_END: Duration = Duration::from_secs(1);
 /// The least length of the span before the stage that it is compared with.
-const MIN_BEFORE: Duration = Duration::from_secs(10);
+const MIN_COMPARISON_LENGTH: Duration = Duration::from_secs(10);
 
 #[derive(Args)]
 pub(crate) struct ReportArguments {
@@ -40,7 +40,7 @@
 impl StageSpan {
     /// The end of what belongs to the stage.
     fn until(&self) -> Duration {
-        self.to + AFTER_END
+        self.to + GRACE_AFTER_END
     }
 }
 
@@ -124,7 +124,7 @@
                 continue;
             };
             let is_wanted = *build == self.build
-                && course == CANARY
+                && course == CANARY_PHASE
                 && self.stage.is_none_or(|wanted| wanted == *stage);
             match &mut found {
                 None if is_wanted => {
@@ -170,7 +170,7 @@
 
 /// All nodes with any counts before or during the stage.
 fn nodes(timelines: &Timelines, span: &StageSpan) -> Vec<NodeReport> {
-    let length = span.to.saturating_sub(span.from).max(MIN_BEFORE);
+    let length = span.to.saturating_sub(span.from).max(MIN_COMPARISON_LENGTH);
     let before = span.from.saturating_sub(length);
     let report = |node| NodeReport {
         node,
@@ -279,17 +279,17 @@
     }
 
     fn print_summary(&self) {
-        let count = |concerns: fn(DepartureScope) -> bool| {
+        let count = |in_scope: fn(DepartureScope) -> bool| {
             let departures = self.departures.iter();
             departures
-                .filter(|departure| concerns(departure.scope))
+                .filter(|departure| in_scope(departure.scope))
                 .count()
         };
         println!(
             "\nIn short: {} departures of nodes, {} of builds, {} of the fleet; then: {}.",
-            count(|whom| matches!(whom, DepartureScope::Node(_))),
-            count(|whom| matches!(whom, DepartureScope::Build(_))),
-            count(|whom| whom == DepartureScope::Fleet),
+            count(|scope| matches!(scope, DepartureScope::Node(_))),
+            count(|scope| matches!(scope, DepartureScope::Build(_))),
+            count(|scope| scope == DepartureScope::Fleet),
             self.span.next.as_deref().unwrap_or("it goes on")
         );
     }
--- a/crates/ctl/src/timeline/show.rs
+++ b/crates/ctl/src/timeline/show.rs
@@ -11,9 +11,9 @@
 use crate::{Answer, CommandResult, output, time};
 
 /// An entry that the agent knew within this time counts as known at once.
-const KNOWN_AT_ONCE: Duration = Duration::from_millis(50);
+const MIN_SHOWN_DELAY: Duration = Duration::from_millis(50);
 /// The number of spans that a node's counts are shown for.
-const SPANS: u32 = 12;
+const COUNT_SPANS: u32 = 12;
 
 #[derive(Args)]
 pub(crate) struct ShowArguments {
@@ -60,7 +60,7 @@
     let mut table = output::table(["happened", "known after", "what"]);
     for entry in entries {
         let delay = entry.known.saturating_sub(entry.happened);
-        let delay = if delay < KNOWN_AT_ONCE {
+        let delay = if delay < MIN_SHOWN_DELAY {
             String::new()
         } else {
             format!("{:.1} s", delay.as_secs_f64())
@@ -78,8 +78,8 @@
 fn print_counts(timelines: &Timelines, node: u32) {
     let mut table = output::table(["from", "attempts", "served", "failed", "late", "p50", "p95"]);
     let whole = timelines.to.saturating_sub(timelines.from);
-    let length = (whole / SPANS).max(Duration::from_secs(1));
-    for index in 0..SPANS {
+    let length = (whole / COUNT_SPANS).max(Duration::from_secs(1));
+    for index in 0..COUNT_SPANS {
         let from = timelines.from + length * index;
         let totals = Totals::of_span(timelines, node, from..from + length);
         if totals.is_empty() {
--- a/crates/ctl/src/timeline/text.rs
+++ b/crates/ctl/src/timeline/text.rs
@@ -21,8 +21,8 @@
         format!("{time_of_day}.{}", at.subsec_millis() / 100)
     }
 
-    fn whom(&self, whom: DepartureScope) -> String {
-        match whom {
+    fn describe_scope(&self, scope: DepartureScope) -> String {
+        match scope {
             DepartureScope::Node(node) => format!("node {}", self.name(node)),
             DepartureScope::Build(build) => format!("build {build}"),
             DepartureScope::Fleet => "the fleet".into(),
@@ -31,32 +31,34 @@
 
     /// A departure, without its times.
     pub(super) fn describe_departure(&self, departure: &Departure) -> String {
-        let whom = self.whom(departure.scope);
+        let scope = self.describe_scope(departure.scope);
         let class = departure
             .class
             .map(|class| format!(" of {}", self.request_class(class)))
             .unwrap_or_default();
-        let (seen, usual) = (departure.observed * 100.0, departure.baseline * 100.0);
+        let (observed, baseline) = (departure.observed * 100.0, departure.baseline * 100.0);
         let text = match departure.kind {
             DepartureKind::Errors => {
-                format!("{whom} failed {seen:.0}%{class}, where {usual:.0}% are usual")
+                format!("{scope} failed {observed:.0}%{class}, where {baseline:.0}% are usual")
             }
             DepartureKind::Latency => {
-                format!("{whom} was late with {seen:.0}%{class}, where {usual:.0}% are usual")
+                format!(
+                    "{scope} was late with {observed:.0}%{class}, where {baseline:.0}% are usual"
+                )
             }
-            DepartureKind::Silence => format!("{whom} owed answers and said nothing"),
-            DepartureKind::Links => format!("{whom} refused or broke {seen:.0}% of its links"),
-            DepartureKind::Load => format!("{whom} held far more than its share"),
+            DepartureKind::Silence => format!("{scope} owed answers and said nothing"),
+            DepartureKind::Links => format!("{scope} refused or broke {observed:.0}% of its links"),
+            DepartureKind::Load => format!("{scope} held far more than its share"),
             DepartureKind::Restart => {
-                format!("{whom} came back as another process of the same build")
+                format!("{scope} came back as another process of the same build")
             }
         };
-        let beside = departure
+        let stage_note = departure
             .concurrent_stage
             .map(|ReleaseStage { build, stage }| {
                 format!("; stage {stage} of build {build} had begun shortly before")
             });
-        text + &beside.unwrap_or_default()
+        text + &stage_note.unwrap_or_default()
     }
 
     /// What an entry records.
@@ -72,33 +74,30 @@
                     .unwrap_or_default();
                 format!("listed {state} with build {build}{since}")
             }
-            Event::Ejected { reason: why, until } => {
-                format!("left alone until {}: {why}", self.clock(*until))
+            Event::Ejected { reason, until } => {
+                format!("left alone until {}: {reason}", self.clock(*until))
             }
             Event::Probed => "tried with a request".into(),
             Event::Readmitted => "taken in again".into(),
-            Event::Cancelled { class: product } => {
-                format!("an attempt of {} called off", self.request_class(*product))
+            Event::Cancelled { class } => {
+                format!("an attempt of {} called off", self.request_class(*class))
             }
-            Event::GivenUp {
-                reason: why,
-                count: many,
-            } => format!("{many} requests given up: {why}"),
+            Event::GivenUp { reason, count } => format!("{count} requests given up: {reason}"),
             Event::Stage {
                 build,
                 stage,
-                phase: course,
-            } => format!("build {build} is {course} in stage {stage}"),
+                phase,
+            } => format!("build {build} is {phase} in stage {stage}"),
             Event::Vote {
                 build,
                 stage,
-                vote: verdict,
+                vote,
                 figures,
             } => {
-                format!("voted {verdict} on build {build} in stage {stage}: {figures}")
+                format!("voted {vote} on build {build} in stage {stage}: {figures}")
             }
-            Event::Paused { duration: long } => {
-                format!("this agent stood still for {:.1} s", long.as_secs_f64())
+            Event::Paused { duration } => {
+                format!("this agent stood still for {:.1} s", duration.as_secs_f64())
             }
             Event::DepartureBegan(departure) => {
                 let text = self.describe_departure(departure);
