--- a/crates/ctl/src/check.rs
+++ b/crates/ctl/src/check.rs
@@ -1,4 +1,4 @@
-//! `lgctl check`: an operator's file, read as the agent reads it.
+//! `lgctl check`: validates operator files with the parser that the agent uses.
 use std::path::{Path, PathBuf};
 
 use clap::Args;
@@ -9,7 +9,7 @@
 
 #[derive(Args)]
 pub(crate) struct CheckArguments {
-    /// The files
+    /// The operator files to validate
     #[arg(required = true)]
     files: Vec<PathBuf>,
 }
--- a/crates/ctl/src/error.rs
+++ b/crates/ctl/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a command has no answer: a file cannot be read, written or used, or an argument does not fit it.
+//! The errors that end a command without an answer: an unusable file, or an argument that does not match the file.
 use std::error::Error;
 use std::path::{Path, PathBuf};
 
@@ -7,58 +7,60 @@
 
 use crate::time::TimeError;
 
-/// Why there is no answer.
+/// The reason that a command ended without an answer.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum CommandError {
-    /// A file cannot be read, written or used.
+    /// A file cannot be read or written, or its content is not valid.
     #[error("{}: {source}", path.display())]
     File {
-        /// The file.
+        /// The path as given on the command line.
         path: PathBuf,
-        /// What failed.
+        /// The underlying error.
         source: Box<dyn Error + Send + Sync>,
     },
-    /// An operator's file has faults.
+    /// An operator file failed validation.
     #[error("{}: {}", path.display(), join_faults(faults))]
     OperatorFile {
-        /// The file.
+        /// The path as given on the command line.
         path: PathBuf,
-        /// All its faults.
+        /// All validation errors of the file, in the order of the parser.
         faults: Vec<Fault>,
     },
-    /// An operator's file has no rules for releases.
-    #[error("{}: no <releases>", .0.display())]
+    /// An operator file has no release rules.
+    #[error("{}: the operator file has no <releases> element", .0.display())]
     NoReleases(PathBuf),
-    /// Nothing of a store can be read.
-    #[error("{}: nothing can be read", .0.display())]
+    /// A store has damaged files and no readable record.
+    #[error("{}: damaged files, and no readable record", .0.display())]
     UnreadableStore(PathBuf),
-    /// A time cannot be used.
+    /// A time argument is not valid.
     #[error(transparent)]
     Time(#[from] TimeError),
-    /// A span of time or a time zone cannot be used.
+    /// A duration or time zone argument is not valid.
     #[error(transparent)]
     TimeText(#[from] TimeTextError),
-    /// The operator's file has no such name.
-    #[error("{kind} {name:?} is not in the file")]
+    /// The operator file does not define a name, or defines no name of that kind.
+    #[error("the operator file defines no {kind}{}", named(name.as_deref()))]
     NotInFile {
-        /// The kind of name.
+        /// The element of the operator file that would define the name.
         kind: &'static str,
-        /// The name, if one was given.
+        /// The name that was asked for; `None` if all names were.
         name: Option<String>,
     },
-    /// An argument is not a service and a build.
-    #[error("{0:?} is no SERVICE:BUILD of the file")]
+    /// An argument is not a known service and a build number.
+    #[error(
+        "{0:?} is not SERVICE:BUILD with a service of the operator file and a build number of 0 to 65535"
+    )]
     InvalidServiceBuild(String),
-    /// A part of a wished build is not one of its times.
-    #[error("{0:?} is neither from=TIME nor by=TIME")]
+    /// An option of a `--bring` argument is not one of its times.
+    #[error("--bring: unknown option {0:?}; expected from=TIME or by=TIME")]
     InvalidGoalTime(String),
-    /// Nothing was recorded of a node.
-    #[error("no node {0:?} in this span")]
+    /// The span has no record of a node.
+    #[error("no records of node {0:?} between --from and --to")]
     UnknownNode(String),
 }
 
 impl CommandError {
-    /// A file cannot be read, written or used.
+    /// Wraps an error of reading, writing or parsing the file at `path`.
     pub(crate) fn file(path: &Path, source: impl Into<Box<dyn Error + Send + Sync>>) -> Self {
         CommandError::File {
             path: path.to_owned(),
@@ -67,6 +69,11 @@
     }
 }
 
+fn named(name: Option<&str>) -> String {
+    name.map(|name| format!(" named {name:?}"))
+        .unwrap_or_default()
+}
+
 fn join_faults(faults: &[Fault]) -> String {
     let faults: Vec<String> = faults.iter().map(ToString::to_string).collect();
     faults.join("; ")
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -1,9 +1,9 @@
-//! `lgctl`, the operators' command line. This file owns the arguments, the log and the exit codes; each subject has a
-//! module of its own. The program reads files and prints; it talks with no other program, and changes nothing but the
-//! files that it is asked to write.
+//! `lgctl`, the operators' command line. This file defines the global arguments, logging and the exit codes; each
+//! command has a module of its own. The program reads files and prints; it does not communicate with other processes,
+//! and writes only the files named in its arguments.
 //!
-//! Exit codes: 0 fine; 1 the answer is no (faults in a file, not admitted, no plan); 2 the arguments cannot be used;
-//! 3 a file cannot be read, written or used.
+//! Exit codes: 0 success; 1 negative answer (invalid operator file, not admitted, no plan, no records); 2 invalid
+//! command line; 3 a file or an argument value cannot be used.
 
 mod check;
 mod error;
@@ -19,24 +19,24 @@
 
 use crate::error::CommandError;
 
-/// The exit code of the answer no.
+/// The command ran and its answer is negative.
 const EXIT_NEGATIVE: u8 = 1;
-/// The exit code when a file cannot be read, written or used.
+/// A file cannot be read or written, or its content or an argument value is not valid.
 const EXIT_ERROR: u8 = 3;
 
 /// The operators' command line of lilacgate
 ///
-/// Exit codes: 0 fine; 1 the answer is no; 2 unusable arguments; 3 a file cannot be read, written or used.
+/// Exit codes: 0 success; 1 negative answer; 2 invalid command line; 3 a file or an argument value cannot be used.
 #[derive(Parser)]
 #[command(name = "lgctl", version)]
 struct Arguments {
-    /// Answers as JSON, on standard output
+    /// Print the answer as JSON on standard output
     #[arg(long, global = true)]
     json: bool,
-    /// How log lines look, on standard error
+    /// Format of the log lines on standard error
     #[arg(long, global = true, value_enum, default_value = "text")]
     log: LogFormat,
-    /// More log lines
+    /// Also log debug messages
     #[arg(short, long, global = true)]
     verbose: bool,
     #[command(subcommand)]
@@ -51,17 +51,17 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Reads operator's files and names every fault
+    /// Validate operator files and list every fault
     Check(check::CheckArguments),
-    /// Where builds may be used, why not, from when, and when they can come out
+    /// Explain where builds are admitted, and plan releases
     #[command(subcommand)]
     Releases(releases::ReleasesCommand),
-    /// What happened at each desk node, from an agent's store or dump
+    /// Show what happened on each endpoint, from an agent's store or dump
     #[command(subcommand)]
     Timeline(timeline::TimelineCommand),
 }
 
-/// The answer of a command, for the exit code.
+/// The answer of a command that ran to its end; determines the exit code.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Answer {
     Yes,
@@ -69,13 +69,12 @@
 }
 
 impl Answer {
-    /// Yes, if this holds.
     fn yes_if(holds: bool) -> Self {
         if holds { Answer::Yes } else { Answer::No }
     }
 }
 
-/// What a command ends with.
+/// The answer of a command, or the error that prevented one.
 type CommandResult = Result<Answer, CommandError>;
 
 fn start_log(format: LogFormat, verbose: bool) {
--- a/crates/ctl/src/releases/chart.rs
+++ b/crates/ctl/src/releases/chart.rs
@@ -1,4 +1,5 @@
-//! The chart of a plan: for each build a bar from its first ring to its release, in steps, over the windows of freezes.
+//! Draws a plan as an SVG chart: for each build a row with a bar from its first ring to its release, divided at the
+//! steps of the plan, over the windows of freezes.
 use std::path::Path;
 use std::time::Duration;
 
@@ -16,17 +17,17 @@
 
 use crate::time;
 
-/// The height of a build's row, and the width of the chart, in pixels.
+/// Sizes in pixels.
 const ROW_HEIGHT: u32 = 46;
 const WIDTH: u32 = 1000;
-/// The height of all beside the rows.
+/// The height of the caption, the axis and the legend, in pixels.
 const NON_ROW_HEIGHT: u32 = 110;
-/// Where a build's bar begins and ends in its row, of 1.
+/// The edges of a build's bar, as distances from the top of its row in units of the row height.
 const BAR_BOTTOM: f64 = 0.85;
 const BAR_TOP: f64 = 0.15;
-/// The axis is this much longer than the plan.
+/// The length of the axis relative to the length of the plan.
 const AXIS_LENGTH_FACTOR: f64 = 1.02;
-/// The shades of the rings, from the first to the last.
+/// The bar colors from the first ring on; later rings share the last color.
 const RING_COLORS: [RGBColor; 5] = [
     RGBColor(198, 184, 224),
     RGBColor(170, 148, 209),
@@ -36,7 +37,7 @@
 ];
 const CRITICAL_COLOR: RGBColor = RGBColor(196, 60, 60);
 const FREEZE_COLOR: RGBColor = RGBColor(206, 224, 240);
-/// The most windows of a freeze that are drawn.
+/// Limit on the schedule changes of a freeze that are examined for drawing.
 const MAX_FREEZE_CHANGES: usize = 400;
 const DAY_SECONDS: f64 = 86_400.0;
 const HOUR_SECONDS: f64 = 3600.0;
@@ -48,23 +49,23 @@
 type Context<'a, 'b> =
     ChartContext<'a, SVGBackend<'b>, Cartesian2d<RangedCoordf64, RangedCoordf64>>;
 
-/// What is drawn.
+/// The plan to draw, with the rules and the time zone for its labels.
 pub(super) struct Chart<'a> {
     pub(super) rules: &'a Rules,
     pub(super) plan: &'a Plan,
-    /// When the plan begins, since 1970.
+    /// The start of the plan, since the Unix epoch.
     pub(super) start: Duration,
     pub(super) zone: &'a TimeZone,
 }
 
-/// The axis of time, from the start of the plan.
+/// The time axis, which begins at the start of the plan.
 #[derive(Clone, Copy)]
 struct Axis {
     start: Duration,
     end: Duration,
-    /// The length of the plan in seconds; never 0.
+    /// The length of the plan in seconds, at least one minute.
     length: f64,
-    /// The seconds of a unit; ticks stand at whole units.
+    /// The length of an axis unit in seconds: a day, an hour or a minute, so that ticks fall on whole units.
     unit: f64,
 }
 
@@ -82,13 +83,13 @@
         }
     }
 
-    /// The place of a time, in units.
+    /// Converts a time to a position on the axis, in axis units.
     fn position(self, at: Duration) -> f64 {
         let seconds = at.saturating_sub(self.start).as_secs_f64();
         seconds.min(self.length * AXIS_LENGTH_FACTOR) / self.unit
     }
 
-    /// The text of a tick: the day where the plan takes days, the time where it takes hours.
+    /// Formats the label of a tick: date and time if the plan takes more than three days, else the time of day.
     fn tick(self, position: f64, zone: &TimeZone) -> String {
         let at = self.start + Duration::from_secs_f64(position.max(0.0));
         let text = time::show(at, zone);
@@ -101,7 +102,7 @@
     }
 }
 
-/// A build's row, from the bottom to the top of its bar.
+/// The row of a build, with the lower and upper edge of its bar in rows from the bottom of the chart.
 #[derive(Clone, Copy)]
 struct Row {
     service: ServiceId,
@@ -116,7 +117,7 @@
     }
 }
 
-/// The rows of the builds, in the order of their first steps.
+/// Returns the rows of the builds, in the order of their first steps.
 fn rows(plan: &Plan) -> Vec<Row> {
     let mut builds: Vec<(ServiceId, Build)> = Vec::new();
     for planned in &plan.steps {
@@ -201,7 +202,7 @@
     for planned in &steps {
         draw_step(context, chart.plan, planned, axis.position(planned.at), row)?;
     }
-    // A build without rings has no bar.
+    // A build without rings has a single step and therefore no bar; a dot marks it.
     if let [only] = steps[..] {
         let center = (axis.position(only.at), f64::midpoint(row.low, row.high));
         let dot = Circle::new(center, 5, RING_COLORS[RING_COLORS.len() - 1].filled());
@@ -210,7 +211,7 @@
     Ok(())
 }
 
-/// Draws each window of a freeze that touches the plan.
+/// Draws each window of a freeze that overlaps the plan.
 fn draw_windows<'a>(
     context: &mut Context<'_, 'a>,
     freeze: &Freeze,
--- a/crates/ctl/src/releases/describe.rs
+++ b/crates/ctl/src/releases/describe.rs
@@ -1,8 +1,8 @@
-//! Steps, causes and statements of a plan in plain words.
+//! Steps, causes and statements of a plan as text.
 use lilacgate_releases::model::Rules;
 use lilacgate_releases::planner::{Cause, Goal, Statement, Step};
 
-/// A step.
+/// Describes a step.
 pub(super) fn step(rules: &Rules, step: Step) -> String {
     match step {
         Step::Ring(service, build, ring) => {
@@ -22,7 +22,7 @@
     }
 }
 
-/// What determined a step's time.
+/// Describes what determined the time of a step.
 pub(super) fn cause(rules: &Rules, cause: Cause) -> String {
     match cause {
         Cause::Start => "may begin".into(),
@@ -35,7 +35,7 @@
     }
 }
 
-/// A statement that is in conflict with others.
+/// Describes a statement that conflicts with others.
 pub(super) fn statement(rules: &Rules, goals: &[Goal], statement: Statement) -> String {
     let goal = |index: usize| {
         let Goal { service, build, .. } = goals[index];
--- a/crates/ctl/src/releases/explain.rs
+++ b/crates/ctl/src/releases/explain.rs
@@ -1,4 +1,4 @@
-//! `lgctl releases explain`: what a release gate admits, why not, and from when.
+//! `lgctl releases explain`: explains what a release gate admits, what it rejects and why, and from when it admits.
 use std::path::PathBuf;
 use std::time::Duration;
 
@@ -15,36 +15,41 @@
 use crate::error::CommandError;
 use crate::{Answer, CommandResult, output, time};
 
-/// How far ahead it is searched for when a build opens.
+/// Limit on how far ahead to search for the time at which a build is admitted.
 const MAX_SEARCH_AHEAD: Duration = Duration::from_secs(400 * 24 * 3600);
-/// The most changes that the search goes through.
+/// Limit on the number of scheduled changes that the search evaluates.
 const MAX_CHANGES: usize = 2000;
 
 #[derive(Args)]
 pub(crate) struct ExplainArguments {
-    /// The operator's file
+    /// The operator file
     #[arg(long)]
     file: PathBuf,
-    /// An agent's state, which it writes at SIGUSR1 where the file says
+    /// The stored state of an agent, which it writes on SIGUSR1 to the path that the operator file sets
     #[arg(long)]
     state: PathBuf,
-    /// At which time: as in 2026-12-28T00:00Z; the state's own, if left out. Later on, what was heard is taken to last
+    /// Time to evaluate, such as 2026-12-28T00:00Z; by default the time of the state. For a later time the last
+    /// reported statuses are assumed to persist
     #[arg(long)]
     at: Option<String>,
-    /// The reader's time zone
+    /// Time zone of local times in arguments and output
     #[arg(long, default_value = "UTC")]
     zone_of_reader: String,
+    /// Restrict the answer to this build
     #[arg(long)]
     build: Option<u16>,
+    /// Restrict the answer to this zone
     #[arg(long)]
     zone: Option<String>,
+    /// Restrict the answer to this tenant
     #[arg(long = "firm", value_name = "FIRM")]
     tenant: Option<String>,
+    /// Restrict the answer to this request class
     #[arg(long = "product", value_name = "PRODUCT")]
     request_class: Option<String>,
 }
 
-/// What a request would ask for.
+/// The properties of a request that decide its admission.
 #[derive(Clone, Copy)]
 struct AdmissionQuery {
     build: Build,
@@ -53,7 +58,7 @@
     class: RequestClass,
 }
 
-/// Whether requests to a place are admitted.
+/// Whether requests with the given properties are admitted.
 #[derive(Serialize)]
 struct Admission {
     build: u16,
@@ -63,18 +68,18 @@
     #[serde(rename = "product")]
     request_class: String,
     open: bool,
-    /// Whether it is open only because the tenant has the build already.
+    /// Whether the requests are admitted only because the tenant uses the build already.
     #[serde(rename = "kept")]
     retained: bool,
     code: &'static str,
     #[serde(rename = "why")]
     explanation: String,
-    /// When it opens by time alone, in milliseconds since 1970.
+    /// The time from which the requests are admitted if no status changes, in milliseconds since the Unix epoch.
     #[serde(rename = "from_ms")]
     opens_at_ms: Option<u64>,
 }
 
-/// Whether the canary may advance.
+/// Whether the agents may vote to advance the canary.
 #[derive(Serialize)]
 #[serde(untagged)]
 enum Advance {
@@ -130,7 +135,7 @@
     }
 }
 
-/// The indices of all names, or of the one that is asked for.
+/// Returns the indices of all names, or of `name` if it is given.
 fn matching_indices(
     names: &[String],
     kind: &'static str,
@@ -172,7 +177,7 @@
         Ok(Answer::yes_if(all_open))
     }
 
-    /// The gate of the file and the state, at the state's time or a later one.
+    /// Restores the gate from the operator file and the state, and advances it to `at` if that is later.
     fn gate(&self, at: Option<Duration>) -> Result<Gate, CommandError> {
         let rules = read_rules(&self.file)?;
         let state = read_state(&self.state)?;
@@ -180,14 +185,16 @@
             .map_err(|error| CommandError::file(&self.state, error))?;
         if let Some(at) = at {
             if at < gate.now() {
-                tracing::warn!("the state is of a later time; it is explained as it is");
+                tracing::warn!(
+                    "--at is before the time of the state; the gate is explained at the time of the state"
+                );
             }
             gate.advance_assuming_heartbeats(at);
         }
         Ok(gate)
     }
 
-    /// The places that are asked for.
+    /// Returns all combinations of builds, zones, tenants and request classes that the arguments select.
     fn queries(&self, gate: &Gate) -> Result<Vec<AdmissionQuery>, CommandError> {
         let rules = gate.rules();
         let zones = matching_indices(&rules.zones, "zone", self.zone.as_ref())?;
@@ -259,7 +266,7 @@
         })
     }
 
-    /// When a place opens by time alone, if it does.
+    /// Returns the time from which the requests are admitted if no status changes, or `None` if the search finds none.
     fn opens_at(
         &self,
         from: Duration,
--- a/crates/ctl/src/releases/mod.rs
+++ b/crates/ctl/src/releases/mod.rs
@@ -1,5 +1,5 @@
-//! `lgctl releases`: what a release gate with a file and a state answers, from when, and the earliest plan. All rules
-//! are those of `lilacgate-releases`; nothing is decided here.
+//! `lgctl releases`: explains what a release gate admits for an operator file and a stored state, and plans releases.
+//! All rules are evaluated by `lilacgate-releases`; this module only reads arguments and prints results.
 mod chart;
 mod describe;
 mod explain;
@@ -17,9 +17,9 @@
 
 #[derive(Subcommand)]
 pub(crate) enum ReleasesCommand {
-    /// Why a build may be used or not, and from when
+    /// Explain why builds are admitted or not, and from when
     Explain(explain::ExplainArguments),
-    /// The earliest times for builds to come out, or the statements that contradict each other
+    /// Compute the earliest release times of builds, or the statements that conflict
     Plan(plan::PlanArguments),
 }
 
@@ -32,7 +32,7 @@
     }
 }
 
-/// Reads the rules for releases of an operator's file.
+/// Reads the release rules of an operator file.
 fn read_rules(file: &Path) -> Result<Rules, CommandError> {
     let operator =
         load(file, &KnownNames::default()).map_err(|faults| CommandError::OperatorFile {
@@ -45,7 +45,7 @@
     Ok(releases.rules)
 }
 
-/// Reads the state of an agent's release gate.
+/// Reads the stored state of an agent's release gate.
 fn read_state(file: &Path) -> Result<StoredState, CommandError> {
     let text = std::fs::read_to_string(file).map_err(|error| CommandError::file(file, error))?;
     serde_json::from_str(&text).map_err(|error| CommandError::file(file, error))
--- a/crates/ctl/src/releases/plan.rs
+++ b/crates/ctl/src/releases/plan.rs
@@ -1,4 +1,4 @@
-//! `lgctl releases plan`: the earliest times for builds to be released.
+//! `lgctl releases plan`: computes the earliest release times of builds.
 use std::path::PathBuf;
 
 use clap::Args;
@@ -17,35 +17,35 @@
 
 #[derive(Args)]
 pub(crate) struct PlanArguments {
-    /// The operator's file
+    /// The operator file
     #[arg(long)]
     file: PathBuf,
-    /// An agent's state: what is released already
+    /// The stored state of an agent, which lists the builds that are released already
     #[arg(long)]
     state: Option<PathBuf>,
-    /// The builds to bring out.
+    /// The builds to release.
     #[arg(
         long = "bring",
         required = true,
         value_name = "WISH",
-        help = "A build to bring out, as SERVICE:BUILD[,from=TIME][,by=TIME]"
+        help = "Build to release, as SERVICE:BUILD[,from=TIME][,by=TIME]"
     )]
     goals: Vec<String>,
-    /// A build that is released already, as SERVICE:BUILD
+    /// Build that is released already, as SERVICE:BUILD
     #[arg(long, value_name = "SERVICE:BUILD")]
     released: Vec<String>,
-    /// When it may begin
+    /// Earliest time of the first step
     #[arg(long, default_value = "now")]
     from: String,
-    /// The reader's time zone
+    /// Time zone of local times in arguments and output
     #[arg(long, default_value = "UTC")]
     zone_of_reader: String,
-    /// Draws the plan into this file
+    /// Draw the plan as an SVG image into this file
     #[arg(long, value_name = "FILE")]
     svg: Option<PathBuf>,
 }
 
-/// A step of the plan.
+/// A step of the plan, as printed.
 #[derive(Serialize)]
 struct StepReport {
     at: String,
@@ -88,7 +88,7 @@
         }
     }
 
-    /// The builds that are released already, by the arguments and the state.
+    /// Returns the builds that are released already according to the arguments and the state.
     fn released_builds(&self, rules: &Rules) -> Result<ReleasedBuilds, CommandError> {
         let mut released = ReleasedBuilds::new();
         for text in &self.released {
@@ -112,7 +112,7 @@
         .find(|id| rules.service_name(*id) == name)
 }
 
-/// Reads `SERVICE:BUILD`.
+/// Parses `SERVICE:BUILD`.
 fn read_service_build(rules: &Rules, text: &str) -> Result<(ServiceId, Build), CommandError> {
     let error = || CommandError::InvalidServiceBuild(text.to_owned());
     let (name, build) = text.split_once(':').ok_or_else(error)?;
@@ -121,7 +121,7 @@
     Ok((service, Build(build)))
 }
 
-/// Reads `SERVICE:BUILD[,from=TIME][,by=TIME]`.
+/// Parses `SERVICE:BUILD[,from=TIME][,by=TIME]`.
 fn read_goal(rules: &Rules, text: &str, zone: &TimeZone) -> Result<Goal, CommandError> {
     let mut parts = text.split(',');
     let (service, build) = read_service_build(rules, parts.next().unwrap_or_default())?;
--- a/crates/ctl/src/time.rs
+++ b/crates/ctl/src/time.rs
@@ -1,4 +1,4 @@
-//! How times are read and shown: instants in the form of RFC 3339, or as a clock in a time zone shows them.
+//! Parsing and formatting of times: RFC 3339 instants, or local times of a time zone.
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use jiff::Timestamp;
@@ -7,21 +7,24 @@
 use lilacgate_releases::calendar;
 use thiserror::Error;
 
-/// The text for the present time.
+/// The argument that stands for the current time.
 const NOW: &str = "now";
 
-/// Why a time cannot be used.
+/// The reason that a time argument is not valid.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub(crate) enum TimeError {
-    /// It is before 1970.
-    #[error("{0:?} is before 1970")]
+    /// The instant is before the Unix epoch.
+    #[error("time {0:?} is before 1970-01-01T00:00Z")]
     Before1970(String),
-    /// It has another form.
-    #[error("{0:?} is no time such as 2026-12-28T00:00Z, 2026-12-28T00:00 or now")]
+    /// The text is neither an instant, nor a local time, nor `now`.
+    #[error(
+        "{0:?} is not a time; expected a form such as 2026-12-28T00:00Z, 2026-12-28T00:00 or now"
+    )]
     UnknownFormat(String),
 }
 
-/// Reads a time since 1970: `now`, `2026-12-28T00:00Z`, or without a zone as a clock in the reader's zone shows it.
+/// Parses a time and returns it as the time since the Unix epoch: `now`, an instant such as `2026-12-28T00:00Z`, or a
+/// local time of `zone` such as `2026-12-28T00:00`.
 pub(crate) fn read(text: &str, zone: &TimeZone) -> Result<Duration, TimeError> {
     if text == NOW {
         let since_1970 = SystemTime::now().duration_since(UNIX_EPOCH);
@@ -38,7 +41,7 @@
     Ok(calendar::earliest_instant(zone, civil))
 }
 
-/// Shows a time to the second, in a zone.
+/// Formats a time since the Unix epoch as local time of `zone`, to the second.
 pub(crate) fn show(at: Duration, zone: &TimeZone) -> String {
     calendar::timestamp(at)
         .to_zoned(zone.clone())
@@ -46,7 +49,7 @@
         .to_string()
 }
 
-/// A time in milliseconds since 1970.
+/// Converts a time to whole milliseconds.
 pub(crate) fn millis(at: Duration) -> u64 {
     at.as_millis() as u64
 }
--- a/crates/ctl/src/timeline/events.rs
+++ b/crates/ctl/src/timeline/events.rs
@@ -1,10 +1,10 @@
-//! `lgctl timeline events`: departures from the baseline.
+//! `lgctl timeline events`: lists the departures of nodes, builds and the fleet from their baselines.
 use serde_json::json;
 
 use super::read::Timelines;
 use crate::{Answer, output};
 
-/// Prints all departures of the span.
+/// Prints all departures of the span; the answer is negative if there are none.
 pub(super) fn run(timelines: &Timelines, as_json: bool) -> Answer {
     let departures = timelines.departures();
     if as_json {
--- a/crates/ctl/src/timeline/export.rs
+++ b/crates/ctl/src/timeline/export.rs
@@ -1,4 +1,4 @@
-//! `lgctl timeline export`: all entries and steps as JSON Lines.
+//! `lgctl timeline export`: prints all entries and steps as JSON Lines.
 use lilacgate_timeline::entry::{AttemptCounts, Entry, StepRecord};
 use lilacgate_timeline::latency_sketch::LatencySketch;
 use serde::Serialize;
@@ -26,7 +26,7 @@
     p99_ms: Option<f64>,
 }
 
-/// Prints all entries and steps of the span.
+/// Prints all entries and steps of the span; the answer is negative if there are none.
 pub(super) fn run(timelines: &Timelines) -> Answer {
     for entry in &timelines.entries {
         let node = entry.node.map(|node| timelines.name(node));
--- a/crates/ctl/src/timeline/mod.rs
+++ b/crates/ctl/src/timeline/mod.rs
@@ -1,4 +1,4 @@
-//! `lgctl timeline`: a node's timeline as text, departures, the report of a stage, an export, a picture.
+//! `lgctl timeline`: prints, exports and plots the timelines that an agent recorded.
 mod events;
 mod export;
 mod plot;
@@ -18,15 +18,15 @@
 
 #[derive(Subcommand)]
 pub(crate) enum TimelineCommand {
-    /// One node's line, or the agent's own
+    /// Show the timeline of one node, or the entries of the agent itself
     Show(show::ShowArguments),
-    /// Departures from what is usual; exit code 1 if there are none
+    /// List the departures from the baseline; exit code 1 if there are none
     Events(ReadOnlyArguments),
-    /// One build's stage: all nodes, departures, votes and their causes, in plain words
+    /// Report on the stages of a build: nodes, departures, votes and their figures
     Story(report::ReportArguments),
-    /// Everything as JSON Lines
+    /// Print all entries and steps as JSON Lines
     Export(ReadOnlyArguments),
-    /// Small pictures, one a node
+    /// Draw a chart for each node
     Plot(PlotArguments),
 }
 
@@ -40,7 +40,7 @@
 pub(crate) struct PlotArguments {
     #[command(flatten)]
     read: ReadArguments,
-    /// Draws into this file
+    /// Draw the charts as an SVG image into this file
     #[arg(long)]
     svg: PathBuf,
 }
--- a/crates/ctl/src/timeline/plot.rs
+++ b/crates/ctl/src/timeline/plot.rs
@@ -1,6 +1,6 @@
-//! The picture of timelines: a small chart for each node, one below another on one axis of time. Builds are bands,
-//! requests are bars, in which failed and late ones are darker, the 95th percentile of latency is a line, departures
-//! and decisions are marks.
+//! Draws timelines as an SVG image: a chart for each node, one below the other, on a common time axis. Background bands
+//! show the build, bars the requests with failed and late ones in colors of their own, a line the 95th percentile of
+//! latency; departures, ejections, stages and votes are marked.
 use std::path::Path;
 use std::time::Duration;
 
@@ -21,9 +21,9 @@
 const ROW_HEIGHT: u32 = 96;
 const TITLE_HEIGHT: u32 = 46;
 const LEGEND_HEIGHT: u32 = 66;
-/// The height of the axis, below the last chart alone.
+/// The height of the time axis, which only the last chart has.
 const AXIS_HEIGHT: u32 = 24;
-/// The colors of builds, in turn.
+/// The background colors of builds, selected by build number modulo their count.
 const BUILD_COLORS: [RGBColor; 4] = [
     RGBColor(242, 240, 247),
     RGBColor(226, 236, 246),
@@ -36,15 +36,16 @@
 const LATENCY_COLOR: RGBColor = RGBColor(60, 60, 90);
 const DECISION_COLOR: RGBColor = RGBColor(90, 130, 90);
 const AXIS_COLOR: RGBColor = RGBColor(200, 200, 205);
-/// The most bars across the width.
+/// Limit on the number of bars across the width of a chart.
 const MAX_BARS: u32 = 150;
-/// The heights of the tallest bar and of the highest latency, of 1.
+/// The heights of the bar with the most requests and of the highest latency, relative to the chart.
 const MAX_BAR_HEIGHT: f64 = 0.85;
 const MAX_LATENCY_HEIGHT: f64 = 0.95;
-/// Departures are drawn from here to the top, and no narrower than this part of the width.
+/// The lower edge of a departure's rectangle, relative to the chart, and the divisor of the span that gives its least
+/// width, so that short departures stay visible.
 const DEPARTURE_BOTTOM: f64 = 0.93;
 const MIN_DEPARTURE_DIVISOR: f64 = 400.0;
-/// The recorded state of an endpoint that has left the list.
+/// The recorded state of an endpoint that was removed from the endpoint list.
 const REMOVED_STATE: &str = "gone";
 
 type DrawError = DrawingAreaErrorKind<std::io::Error>;
@@ -52,57 +53,58 @@
     ChartContext<'a, SVGBackend<'b>, Cartesian2d<RangedCoordf64, RangedCoordf64>>;
 type Root<'a> = DrawingArea<SVGBackend<'a>, Shift>;
 
-/// What the steps of a node add up to over the time of a bar.
+/// The totals of the steps of a node within the time of one bar.
 struct Bar {
-    /// Seconds since the begin of the span.
+    /// The start of the bar, in seconds since the start of the span.
     from: f64,
+    /// The end of the bar, in seconds since the start of the span.
     to: f64,
     counts: AttemptCounts,
     /// The 95th percentile of latency, in seconds.
     p95: Option<f64>,
 }
 
-/// A node's bars.
+/// A node with the bars of its chart.
 struct Node {
     number: u32,
     bars: Vec<Bar>,
 }
 
-/// A node that is listed with a build from a time on, in seconds since the begin of the span.
+/// The build that a node is listed with from a time on, in seconds since the start of the span.
 #[derive(Clone, Copy)]
 struct ListedBuild {
     from: f64,
     build: u16,
 }
 
-/// What is the same for the charts of all nodes.
+/// The scales that the charts of all nodes share.
 struct Scale<'a> {
     timelines: &'a Timelines,
     /// The length of the span in seconds; at least 1.
     length: f64,
-    /// The seconds that a bar covers.
+    /// The length of a bar in seconds.
     bar_length: f64,
-    /// The requests of the tallest bar.
+    /// The attempts in the bar with the most attempts.
     max_attempts: f64,
-    /// The highest 95th percentile, in seconds.
+    /// The highest 95th percentile of latency, in seconds.
     max_latency: f64,
 }
 
 impl Scale<'_> {
-    /// The place of a time, in seconds since the begin of the span.
+    /// Converts a time to seconds since the start of the span, limited to the span.
     fn position(&self, at: Duration) -> f64 {
         let since = at.saturating_sub(self.timelines.from);
         since.as_secs_f64().clamp(0.0, self.length)
     }
 }
 
-/// The length of the span in seconds; at least 1.
+/// Returns the length of the span in seconds, at least 1.
 fn span_length(timelines: &Timelines) -> f64 {
     let length = timelines.to.saturating_sub(timelines.from);
     length.as_secs_f64().max(1.0)
 }
 
-/// The bars of a node, without empty ones.
+/// Returns the bars of a node, without those that have no counts.
 fn bars(timelines: &Timelines, node: u32, bar_length: f64) -> Vec<Bar> {
     let count = (span_length(timelines) / bar_length).ceil() as usize;
     let bar = |index: usize| {
@@ -127,7 +129,7 @@
     bars.filter(|bar| !bar.counts.is_empty()).collect()
 }
 
-/// The highest value of all bars; above 0.
+/// Returns the highest value of all bars, at least 1e-6 because it is used as a divisor.
 fn max_value(nodes: &[Node], value: fn(&Bar) -> f64) -> f64 {
     let bars = nodes.iter().flat_map(|node| &node.bars);
     bars.map(value).fold(0.0, f64::max).max(1e-6)
@@ -186,7 +188,7 @@
     root.draw(&Text::new(legend, place, ("sans-serif", 11)))
 }
 
-/// Draws the chart of a node, with its name beside it. The last one has the axis of time.
+/// Draws the chart of a node with its name and build beside it; the last chart gets the time axis.
 fn draw_node(
     root: &Root<'_>,
     scale: &Scale<'_>,
@@ -228,7 +230,7 @@
     root.draw(&Text::new(last_build, (12, build_top), ("sans-serif", 12)))
 }
 
-/// The builds that a node was listed with, in order.
+/// Returns the builds that a node was listed with, in the order of time.
 fn listed_builds(scale: &Scale<'_>, node: u32) -> Vec<ListedBuild> {
     let entries = scale.timelines.entries.iter();
     entries
@@ -243,7 +245,7 @@
         .collect()
 }
 
-/// Whether a departure concerns a node.
+/// Returns whether the scope of a departure includes a node.
 fn includes_node(scope: DepartureScope, node: u32, listed: &[ListedBuild]) -> bool {
     match scope {
         DepartureScope::Node(concerned) => concerned == node,
@@ -283,7 +285,7 @@
         .draw()
 }
 
-/// Draws failed and late requests at the foot of their bars, so that they show.
+/// Draws the bars, with failed and late requests at the bottom so that small shares are visible.
 fn draw_bars(
     context: &mut Context<'_, '_>,
     scale: &Scale<'_>,
@@ -341,7 +343,7 @@
     draw_line(context, confirmed, FAILED_COLOR)
 }
 
-/// Draws an ejection of this node, or a stage or vote.
+/// Draws a mark for an entry that is an ejection of this node, or a stage or vote of the agent.
 fn draw_mark(
     context: &mut Context<'_, '_>,
     scale: &Scale<'_>,
@@ -362,7 +364,7 @@
     }
 }
 
-/// Draws a thin line from the bottom to the top.
+/// Draws a vertical line over the height of the chart.
 fn draw_line(
     context: &mut Context<'_, '_>,
     position: f64,
--- a/crates/ctl/src/timeline/read.rs
+++ b/crates/ctl/src/timeline/read.rs
@@ -1,4 +1,4 @@
-//! Timelines as they are read back: from a store's folder or one file, for a span of time, with the nodes' names.
+//! Reads the timelines of a span of time from a store's folder or from a dump file.
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::PathBuf;
 use std::time::Duration;
@@ -15,42 +15,42 @@
 // A doc comment here would become part of the commands' help.
 #[derive(Args)]
 pub(crate) struct ReadArguments {
-    /// A store's folder, or an agent's dump
+    /// Folder of a store, or dump file of an agent
     path: PathBuf,
-    /// From when on: a time, or a span before the end such as -5m
+    /// Start of the span: a time, or a duration before the last record such as -5m; by default the first record
     #[arg(long, allow_hyphen_values = true)]
     from: Option<String>,
-    /// Until when
+    /// End of the span, in the same forms; by default the last record
     #[arg(long, allow_hyphen_values = true)]
     to: Option<String>,
-    /// The reader's time zone
+    /// Time zone of local times in arguments and output
     #[arg(long, default_value = "UTC")]
     zone_of_reader: String,
 }
 
-/// All that was read of a span.
+/// All records of a span.
 pub(super) struct Timelines {
-    /// The reader's time zone.
+    /// The time zone of the output.
     pub(super) zone: TimeZone,
-    /// The begin of the span, since 1970.
+    /// The start of the span, since the Unix epoch.
     pub(super) from: Duration,
-    /// The end of the span, since 1970.
+    /// The end of the span, since the Unix epoch.
     pub(super) to: Duration,
     /// The agents that wrote the records.
     pub(super) agents: Vec<String>,
-    /// The names of the request classes.
+    /// The names of the request classes, by class number.
     request_classes: Vec<String>,
-    /// The names of the nodes.
+    /// The names of the nodes, by node number.
     names: BTreeMap<u32, String>,
-    /// In the order in which they happened.
+    /// The entries of the span, in the order in which they happened.
     pub(super) entries: Vec<Entry>,
-    /// In the order of time.
+    /// The steps of the span, in the order of their start.
     pub(super) steps: Vec<StepRecord>,
-    /// The number of records that the agent had to leave out.
+    /// The number of records that the agent dropped because its disk was too slow.
     dropped_records: u64,
 }
 
-/// When something happened, and when the agent knew it.
+/// When something happened, and when the agent learned of it.
 #[derive(Clone, Copy)]
 struct RecordTime {
     happened: Duration,
@@ -58,7 +58,7 @@
 }
 
 impl RecordTime {
-    /// The time of a record, if it has one.
+    /// Returns the times of a record; a node name has none.
     fn of(record: &Record) -> Option<Self> {
         let (happened, known) = match record {
             Record::Entry(entry) => (entry.happened, entry.known),
@@ -70,7 +70,7 @@
     }
 }
 
-/// Reads a time, or a span before the end.
+/// Parses a time, or a duration before the last record such as `-5m`.
 fn read_span_bound(text: &str, end: Duration, zone: &TimeZone) -> Result<Duration, CommandError> {
     match text.strip_prefix('-') {
         Some(span) => Ok(end.saturating_sub(calendar::parse_span(span)?)),
@@ -79,7 +79,7 @@
 }
 
 impl ReadArguments {
-    /// Reads all records of the span.
+    /// Reads the timelines of the span that the arguments select.
     pub(super) fn read(&self) -> Result<Timelines, CommandError> {
         let zone = calendar::parse_time_zone(&self.zone_of_reader)?;
         let records = self.records()?;
@@ -101,7 +101,8 @@
         Ok(timelines)
     }
 
-    /// All records; files that are damaged are only warned of, as long as anything can be read.
+    /// Reads all records of the path. Damaged files are logged as warnings, or are an error if no record is
+    /// readable.
     fn records(&self) -> Result<Vec<Record>, CommandError> {
         let read =
             reader::read(&self.path).map_err(|error| CommandError::file(&self.path, error))?;
@@ -130,23 +131,19 @@
         }
     }
 
-    /// Adds a record. Entries and steps outside the span are left out.
+    /// Adds a record. Entries, steps and counts of dropped records outside the span are ignored.
     fn add(&mut self, record: Record) {
         let within = RecordTime::of(&record)
             .is_none_or(|at| at.happened <= self.to && at.known >= self.from);
         match record {
-            Record::Start {
-                agent,
-                classes: products,
-                ..
-            } => {
+            Record::Start { agent, classes, .. } => {
                 self.agents.push(agent);
-                self.request_classes = products;
+                self.request_classes = classes;
             }
             Record::Name { node, name } => drop(self.names.insert(node, name)),
             Record::Entry(entry) if within => self.entries.push(entry),
             Record::Step(step) if within => self.steps.push(step),
-            Record::Dropped { count: many, .. } if within => self.dropped_records += many,
+            Record::Dropped { count, .. } if within => self.dropped_records += count,
             _ => {}
         }
     }
@@ -154,7 +151,7 @@
     fn finish(&mut self) {
         if self.dropped_records > 0 {
             tracing::warn!(
-                "{} records were left out by the agent: its disk was behind",
+                "the agent dropped {} records in this span because its disk was too slow",
                 self.dropped_records
             );
         }
@@ -162,13 +159,13 @@
         self.steps.sort_by_key(|step| (step.from, step.node));
     }
 
-    /// A node's name, or its number.
+    /// Returns a node's name, or its number in hexadecimal if no name was recorded.
     pub(super) fn name(&self, node: u32) -> String {
         let name = self.names.get(&node).cloned();
         name.unwrap_or_else(|| format!("{node:08x}"))
     }
 
-    /// A node by its name, or by its number.
+    /// Finds a node by its name, or by its hexadecimal number if the span has records of it.
     pub(super) fn node(&self, name: &str) -> Option<u32> {
         let mut names = self.names.iter();
         let named = names.find(|(_, other)| *other == name);
@@ -179,7 +176,7 @@
         self.nodes().contains(&number).then_some(number)
     }
 
-    /// All nodes with anything in the span, by name; short names first, so that d2 stands before d10.
+    /// Returns all nodes with records in the span, sorted by name; shorter names first, so that d2 precedes d10.
     pub(super) fn nodes(&self) -> Vec<u32> {
         let of_entries = self.entries.iter().filter_map(|entry| entry.node);
         let of_steps = self.steps.iter().map(|step| step.node);
@@ -189,13 +186,13 @@
         nodes
     }
 
-    /// The name of a request class, or its number.
+    /// Returns the name of a request class, or its number if no name was recorded.
     pub(super) fn request_class(&self, class: u8) -> String {
         let name = self.request_classes.get(usize::from(class)).cloned();
         name.unwrap_or_else(|| format!("product {class}"))
     }
 
-    /// All departures, each once: with its end, if that came in the span.
+    /// Returns each departure once, with its end if the span has it, in the order of confirmation.
     pub(super) fn departures(&self) -> Vec<Departure> {
         let mut found: BTreeMap<(u32, Duration), Departure> = BTreeMap::new();
         for entry in &self.entries {
--- a/crates/ctl/src/timeline/report.rs
+++ b/crates/ctl/src/timeline/report.rs
@@ -1,5 +1,5 @@
-//! `lgctl timeline story`: the report of a build's stage: what happened, how its nodes did before and during it, and
-//! what came after.
+//! `lgctl timeline story`: reports on the stages of a build: events and departures, the counts of each node before and
+//! during the stages, and what followed.
 use std::time::Duration;
 
 use clap::Args;
@@ -11,40 +11,41 @@
 use super::totals::Totals;
 use crate::{Answer, CommandResult, output, time};
 
-/// The recorded name of the phase of a canary.
+/// The recorded name of the phase of a canary build.
 const CANARY_PHASE: &str = "on-trial";
-/// What happens within this time after the end belongs to the stage, too.
+/// Events within this time after the end still count towards the stage.
 const GRACE_AFTER_END: Duration = Duration::from_secs(1);
-/// The least length of the span before the stage that it is compared with.
+/// The least length of the span before the stage that the stage is compared with.
 const MIN_COMPARISON_LENGTH: Duration = Duration::from_secs(10);
 
 #[derive(Args)]
 pub(crate) struct ReportArguments {
     #[command(flatten)]
     read: ReadArguments,
+    /// Build to report on
     #[arg(long)]
     build: u16,
-    /// One stage alone
+    /// Restrict the report to this stage
     #[arg(long)]
     stage: Option<u8>,
 }
 
-/// The span of a stage, or of all of a build's stages.
+/// The span of one stage, or of all stages of a build.
 struct StageSpan {
     from: Duration,
     to: Duration,
-    /// What came after.
+    /// The stage entry that ended the span; `None` if the stage has not ended.
     next: Option<String>,
 }
 
 impl StageSpan {
-    /// The end of what belongs to the stage.
+    /// The time up to which events count towards the stage.
     fn until(&self) -> Duration {
         self.to + GRACE_AFTER_END
     }
 }
 
-/// How a node did before and during the stage.
+/// The totals of a node before and during the stage.
 struct NodeReport {
     node: u32,
     build: Option<u16>,
@@ -111,20 +112,20 @@
         Ok(Answer::Yes)
     }
 
-    /// The span of the stage, or of all stages of the build.
+    /// Returns the span of the selected stage, or of all stages of the build; `None` if there is none.
     fn span(&self, timelines: &Timelines) -> Option<StageSpan> {
         let mut found: Option<StageSpan> = None;
         for entry in &timelines.entries {
             let Event::Stage {
                 build,
                 stage,
-                phase: course,
+                phase,
             } = &entry.event
             else {
                 continue;
             };
             let is_wanted = *build == self.build
-                && course == CANARY_PHASE
+                && phase == CANARY_PHASE
                 && self.stage.is_none_or(|wanted| wanted == *stage);
             match &mut found {
                 None if is_wanted => {
@@ -145,7 +146,7 @@
     }
 }
 
-/// The departures that touch the stage.
+/// Returns the departures that overlap the stage.
 fn departures(timelines: &Timelines, span: &StageSpan) -> Vec<Departure> {
     let touches = |departure: &Departure| {
         departure.onset <= span.until() && departure.ended.is_none_or(|at| at >= span.from)
@@ -155,7 +156,7 @@
     departures
 }
 
-/// The agent's own entries about stages, votes and its standstills.
+/// Returns the entries of the agent itself about stages, votes and pauses of its process.
 fn events<'a>(timelines: &'a Timelines, span: &StageSpan) -> Vec<&'a Entry> {
     let is_reported = |entry: &&Entry| {
         let kind = matches!(
@@ -168,7 +169,7 @@
     timelines.entries.iter().filter(is_reported).collect()
 }
 
-/// All nodes with any counts before or during the stage.
+/// Returns the totals of all nodes that have counts before or during the stage.
 fn nodes(timelines: &Timelines, span: &StageSpan) -> Vec<NodeReport> {
     let length = span.to.saturating_sub(span.from).max(MIN_COMPARISON_LENGTH);
     let before = span.from.saturating_sub(length);
@@ -183,7 +184,7 @@
     reports
 }
 
-/// The build that a node was last listed with.
+/// Returns the build that a node was last listed with up to a time.
 fn last_listed_build(timelines: &Timelines, node: u32, until: Duration) -> Option<u16> {
     let mut entries = timelines.entries.iter().rev();
     entries.find_map(|entry| match entry.event {
@@ -295,7 +296,7 @@
     }
 }
 
-/// Requests, failed and late ones, and the 95th percentile of the latency.
+/// Formats the attempts, the shares of failed and late ones, and the 95th percentile of latency.
 fn totals_cells(totals: &Totals) -> [String; 4] {
     let ended = f64::from(totals.counts.ended().max(1));
     let share = |part: u32| format!("{:.0}%", f64::from(part) / ended * 100.0);
--- a/crates/ctl/src/timeline/show.rs
+++ b/crates/ctl/src/timeline/show.rs
@@ -1,4 +1,4 @@
-//! `lgctl timeline show`: one node's timeline, or the agent's own.
+//! `lgctl timeline show`: prints the timeline of one node, or the entries of the agent itself.
 use std::time::Duration;
 
 use clap::Args;
@@ -10,19 +10,19 @@
 use crate::error::CommandError;
 use crate::{Answer, CommandResult, output, time};
 
-/// An entry that the agent knew within this time counts as known at once.
+/// The delay between an event and the agent learning of it is shown only from this length on.
 const MIN_SHOWN_DELAY: Duration = Duration::from_millis(50);
-/// The number of spans that a node's counts are shown for.
+/// The number of equal spans that a node's counts are divided into.
 const COUNT_SPANS: u32 = 12;
 
 #[derive(Args)]
 pub(crate) struct ShowArguments {
     #[command(flatten)]
     read: ReadArguments,
-    /// The node's name; the agent's own line, if left out
+    /// Name of the node; by default the entries of the agent itself
     #[arg(long)]
     node: Option<String>,
-    /// What the agent knew then
+    /// Show only what the agent knew at this time
     #[arg(long)]
     as_of: Option<String>,
 }
@@ -74,7 +74,7 @@
     println!("{}", output::render(&table));
 }
 
-/// Prints what a node's steps add up to, in equal spans.
+/// Prints the totals of a node in equal spans, without empty ones.
 fn print_counts(timelines: &Timelines, node: u32) {
     let mut table = output::table(["from", "attempts", "served", "failed", "late", "p50", "p95"]);
     let whole = timelines.to.saturating_sub(timelines.from);
--- a/crates/ctl/src/timeline/text.rs
+++ b/crates/ctl/src/timeline/text.rs
@@ -1,4 +1,4 @@
-//! Entries and departures in plain words.
+//! Entries and departures as text.
 use std::time::Duration;
 
 use lilacgate_timeline::entry::{
@@ -9,12 +9,12 @@
 use crate::time;
 
 impl Timelines {
-    /// A time to the second, in the reader's time zone.
+    /// Formats a time as local time of the reader's time zone, to the second.
     pub(super) fn show(&self, at: Duration) -> String {
         time::show(at, &self.zone)
     }
 
-    /// The time of day, to the tenth of a second.
+    /// Formats the local time of day, to a tenth of a second.
     pub(super) fn clock(&self, at: Duration) -> String {
         let text = self.show(at);
         let time_of_day = text.get(11..19).unwrap_or(&text);
@@ -29,7 +29,7 @@
         }
     }
 
-    /// A departure, without its times.
+    /// Describes a departure, without its times.
     pub(super) fn describe_departure(&self, departure: &Departure) -> String {
         let scope = self.describe_scope(departure.scope);
         let class = departure
@@ -61,7 +61,7 @@
         text + &stage_note.unwrap_or_default()
     }
 
-    /// What an entry records.
+    /// Describes the event of an entry.
     pub(super) fn describe_entry(&self, entry: &Entry) -> String {
         match &entry.event {
             Event::Listed {
--- a/crates/ctl/src/timeline/totals.rs
+++ b/crates/ctl/src/timeline/totals.rs
@@ -1,4 +1,4 @@
-//! What the steps of a node add up to over a span.
+//! Totals of the steps of a node over a span.
 use std::ops::Range;
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 
 use super::read::Timelines;
 
-/// All that a node's steps hold of a span, added up.
+/// The summed counts and the merged latency sketches of some steps.
 pub(super) struct Totals {
     pub(super) counts: AttemptCounts,
     pub(super) latency: LatencySketch,
@@ -29,7 +29,7 @@
         }
     }
 
-    /// The totals of a node over the steps that begin in a span.
+    /// Sums the steps of a node that begin in a span.
     pub(super) fn of_span(timelines: &Timelines, node: u32, span: Range<Duration>) -> Self {
         let steps = timelines.steps.iter();
         let in_span: Vec<&StepRecord> = steps
@@ -42,7 +42,7 @@
         self.counts.is_empty()
     }
 
-    /// A quantile of the latencies, in milliseconds.
+    /// Formats a quantile of the latencies in milliseconds; "-" if there are none.
     pub(super) fn latency_text(&self, quantile: f64) -> String {
         let latency = self.latency.quantile(quantile);
         latency.map_or_else(
--- a/crates/ctl/tests/commands.rs
+++ b/crates/ctl/tests/commands.rs
@@ -1,4 +1,4 @@
-//! `lgctl` as its users run it: its output and its exit code.
+//! Runs the `lgctl` program and checks its output and its exit code.
 use std::path::PathBuf;
 use std::process::{Command, Output};
 
@@ -20,12 +20,12 @@
 "heard_ms":1796086799000,"odd":null,"released":[5],"climbs":[]}],
 "builds":[{"build":1,"had":["1","1"]},{"build":2,"had":["1","0"]}],"events":[]}"#;
 
-/// A folder with an operator's file and a state, in which `lgctl` runs.
+/// A temporary folder with an operator file and a state, in which `lgctl` runs.
 struct Workspace(tempfile::TempDir);
 
 impl Workspace {
     fn new() -> Workspace {
-        let workspace = Workspace(tempfile::tempdir().expect("a folder"));
+        let workspace = Workspace(tempfile::tempdir().expect("a temporary folder"));
         workspace.write("file.xml", FILE);
         workspace.write("state.json", STATE);
         workspace
@@ -33,12 +33,12 @@
 
     fn write(&self, name: &str, text: &str) -> PathBuf {
         let path = self.0.path().join(name);
-        std::fs::write(&path, text).expect("it is written");
+        std::fs::write(&path, text).expect("the file is written");
         path
     }
 
     fn run(&self, line: &str) -> (i32, String, String) {
-        let call = Command::new(env!("CARGO_BIN_EXE_lgctl"))
+        let output = Command::new(env!("CARGO_BIN_EXE_lgctl"))
             .args(line.split(' '))
             .current_dir(self.0.path())
             .output();
@@ -46,9 +46,13 @@
             status,
             stdout,
             stderr,
-        } = call.expect("it runs");
-        let text = |bytes| String::from_utf8(bytes).expect("text");
-        (status.code().expect("a code"), text(stdout), text(stderr))
+        } = output.expect("lgctl runs");
+        let text = |bytes| String::from_utf8(bytes).expect("UTF-8 output");
+        (
+            status.code().expect("an exit code"),
+            text(stdout),
+            text(stderr),
+        )
     }
 }
 
@@ -107,8 +111,8 @@
     "nobody new have it 2026-12-02 06:00:00 JST"
 )]
 #[case("{E} --build 9", 1, "not-listed")]
-#[case("{E} --zone c", 3, "zone Some(\"c\") is not in the file")]
-#[case("{E} --at soon", 3, "\"soon\" is no time such as")]
+#[case("{E} --zone c", 3, "the operator file defines no zone named \"c\"")]
+#[case("{E} --at soon", 3, "\"soon\" is not a time; expected a form such as")]
 #[case("releases explain --file gone.xml --state state.json", 3, "gone.xml")]
 #[case(
     "releases explain --file file.xml --state bad.xml",
@@ -136,21 +140,25 @@
     0,
     r#""determines_end":true"#
 )]
-#[case("{P} --bring x:2", 3, "\"x:2\" is no SERVICE:BUILD of the file")]
-fn calls(#[case] line: &str, #[case] code: i32, #[case] expected: &str) {
+#[case(
+    "{P} --bring x:2",
+    3,
+    "\"x:2\" is not SERVICE:BUILD with a service of the operator file"
+)]
+fn commands_print_and_exit(#[case] line: &str, #[case] code: i32, #[case] expected: &str) {
     let workspace = Workspace::new();
     workspace.write("bad.xml", "<x/>");
     let (exit_code, output, log) =
         workspace.run(&line.replace("{E}", EXPLAIN).replace("{P}", PLAN));
     assert_eq!(exit_code, code, "{output}{log}");
-    let squeezed = |text: &str| text.split_whitespace().collect::<Vec<_>>().join(" ");
+    let normalized = |text: &str| text.split_whitespace().collect::<Vec<_>>().join(" ");
     assert!(
-        squeezed(&format!("{output}{log}")).contains(&squeezed(expected)),
+        normalized(&format!("{output}{log}")).contains(&normalized(expected)),
         "{output}{log}"
     );
 }
 
-/// The output of each form, to the byte, as earlier versions wrote it.
+/// The output of each format stays byte for byte what earlier versions printed.
 #[rstest]
 #[case("{E} --json", include_str!("fixtures/explain.json"))]
 #[case(
@@ -163,7 +171,7 @@
 #[case("{P} --bring s:2 --json", include_str!("fixtures/conflict.json"))]
 #[case("{P} --bring s:2", include_str!("fixtures/conflict.txt"))]
 #[case("check bad.xml --json", include_str!("fixtures/faults.json"))]
-fn output_keeps_its_form(#[case] line: &str, #[case] expected: &str) {
+fn output_format_is_unchanged(#[case] line: &str, #[case] expected: &str) {
     let workspace = Workspace::new();
     workspace.write("bad.xml", "<x/>");
     let contradicted = r#""odd":"came-back","released":[5]"#;
@@ -181,11 +189,12 @@
 }
 
 #[test]
-fn a_chart_is_drawn() {
+fn plan_is_drawn_as_svg() {
     let workspace = Workspace::new();
     let line = format!("{PLAN} --bring d:5 --bring s:2 --svg plan.svg");
     assert_eq!(workspace.run(&line).0, 0);
-    let svg = std::fs::read_to_string(workspace.0.path().join("plan.svg")).expect("it is drawn");
+    let svg =
+        std::fs::read_to_string(workspace.0.path().join("plan.svg")).expect("the chart is written");
     assert!(
         svg.contains("s 2")
             && svg.contains("d 5")
--- a/crates/ctl/tests/timeline.rs
+++ b/crates/ctl/tests/timeline.rs
@@ -1,4 +1,4 @@
-//! `lgctl timeline` over a store filled by a simulated day: a bad build comes to three of ten nodes.
+//! Runs `lgctl timeline` on the store of a simulated fleet in which a failing build is deployed to three of ten nodes.
 use std::path::Path;
 use std::process::Command;
 use std::time::Duration;
@@ -10,21 +10,21 @@
 use lilacgate_timeline::fleet_timeline::{FleetTimeline, MemoryLimits};
 use rstest::{fixture, rstest};
 
-fn secs(many: u64) -> Duration {
-    Duration::from_secs(many)
+fn secs(count: u64) -> Duration {
+    Duration::from_secs(count)
 }
 
 #[fixture]
 #[once]
 fn store() -> tempfile::TempDir {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("a temporary folder");
     let at = secs(60);
-    let start = |node| ScheduledFault {
+    let replace = |node| ScheduledFault {
         at,
         duration: secs(1),
         fault: Fault::Replace { node, build: 2 },
     };
-    let mut events = vec![ScheduledFault {
+    let mut faults = vec![ScheduledFault {
         at,
         duration: secs(40),
         fault: Fault::BadBuild {
@@ -32,16 +32,16 @@
             share: 0.5,
         },
     }];
-    events.extend([1, 4, 8].map(start));
-    let day = VirtualFleet {
+    faults.extend([1, 4, 8].map(replace));
+    let fleet = VirtualFleet {
         nodes: 10,
         request_rate: 100.0,
         duration: secs(90),
-        faults: events,
+        faults,
         list_delay: secs(1),
         seed: 7,
     };
-    let mut book = FleetTimeline::new(
+    let mut timeline = FleetTimeline::new(
         EPOCH,
         aims(0.5),
         MemoryLimits {
@@ -49,41 +49,41 @@
             queued_records: 1 << 20,
         },
     );
-    run(&day, &mut book, &mut |_| {});
-    let products = ["read", "post", "book"].map(str::to_owned).to_vec();
+    run(&fleet, &mut timeline, &mut |_| {});
+    let request_classes = ["read", "post", "book"].map(str::to_owned).to_vec();
     let mut records = vec![Record::Start {
         agent: "n0".into(),
         at: EPOCH,
-        classes: products,
+        classes: request_classes,
     }];
     records.extend((0..10).map(|node| Record::Name {
         node,
         name: format!("d{node}"),
     }));
-    records.extend(book.take_records());
-    let bounds = Retention {
+    records.extend(timeline.take_records());
+    let retention = Retention {
         max_bytes: 1 << 24,
         max_age: secs(1 << 20),
     };
     let mut writer =
-        StoreWriter::new(folder.path(), bounds, Box::new(FileSystem)).expect("a writer");
+        StoreWriter::new(folder.path(), retention, Box::new(FileSystem)).expect("a store writer");
     records
         .chunks(50)
-        .for_each(|batch| writer.append(EPOCH, batch).expect("it is kept"));
+        .for_each(|batch| writer.append(EPOCH, batch).expect("the records are stored"));
     folder
 }
 
-fn call(folder: &Path, line: &str) -> (i32, String, String) {
+fn run_command(folder: &Path, line: &str) -> (i32, String, String) {
     let store = folder.display().to_string();
-    let call = Command::new(env!("CARGO_BIN_EXE_lgctl"))
+    let output = Command::new(env!("CARGO_BIN_EXE_lgctl"))
         .args(line.split(' ').map(|word| word.replace("STORE", &store)))
         .output();
-    let call = call.expect("it runs");
-    let text = |bytes| String::from_utf8(bytes).expect("text");
+    let output = output.expect("lgctl runs");
+    let text = |bytes| String::from_utf8(bytes).expect("UTF-8 output");
     (
-        call.status.code().expect("a code"),
-        text(call.stdout),
-        text(call.stderr),
+        output.status.code().expect("an exit code"),
+        text(output.stdout),
+        text(output.stderr),
     )
 }
 
@@ -102,7 +102,11 @@
     0,
     "listed ready with build 1"
 )]
-#[case("show STORE --node d77", 3, "no node \"d77\" in this span")]
+#[case(
+    "show STORE --node d77",
+    3,
+    "no records of node \"d77\" between --from and --to"
+)]
 #[case("show STORE --zone-of-reader Asia/Tokyo", 0, "2026-12-01 09:01:00 JST")]
 #[case(
     "story STORE --build 2",
@@ -113,36 +117,41 @@
 #[case("story STORE --build 2 --json", 0, r#""build":2"#)]
 #[case("export STORE --from -5s", 0, r#""p95_ms""#)]
 #[case("events STORE/gone", 3, "gone")]
-#[case("events STORE --from soon", 3, "\"soon\" is no time")]
-fn calls(store: &tempfile::TempDir, #[case] line: &str, #[case] code: i32, #[case] says: &str) {
-    let (got, out, log) = call(store.path(), &format!("timeline {line}"));
+#[case("events STORE --from soon", 3, "\"soon\" is not a time")]
+fn commands_print_and_exit(
+    store: &tempfile::TempDir,
+    #[case] line: &str,
+    #[case] code: i32,
+    #[case] expected: &str,
+) {
+    let (exit_code, output, log) = run_command(store.path(), &format!("timeline {line}"));
     assert!(
-        got == code && format!("{out}{log}").contains(says),
-        "{got}: {out}{log}"
+        exit_code == code && format!("{output}{log}").contains(expected),
+        "{exit_code}: {output}{log}"
     );
 }
 
 #[rstest]
-fn what_was_not_known_is_not_shown(store: &tempfile::TempDir) {
-    let (_, out, _) = call(
+fn as_of_hides_what_the_agent_did_not_know_yet(store: &tempfile::TempDir) {
+    let (_, output, _) = run_command(
         store.path(),
         "timeline show STORE --node d4 --as-of 2026-12-01T00:01:00.5Z",
     );
-    assert!(!out.contains("build 2"), "{out}");
+    assert!(!output.contains("build 2"), "{output}");
 }
 
 #[rstest]
-fn a_picture_is_drawn(store: &tempfile::TempDir) {
-    let folder = tempfile::tempdir().expect("a folder");
+fn timelines_are_drawn_as_svg(store: &tempfile::TempDir) {
+    let folder = tempfile::tempdir().expect("a temporary folder");
     let file = folder.path().join("lines.svg");
     assert_eq!(
-        call(
+        run_command(
             store.path(),
             &format!("timeline plot STORE --svg {}", file.display())
         )
         .0,
         0
     );
-    let svg = std::fs::read_to_string(file).expect("it is drawn");
+    let svg = std::fs::read_to_string(file).expect("the charts are written");
     assert!(svg.contains("d9") && svg.contains("build 2") && svg.matches("<rect").count() > 500);
 }
