--- a/crates/fault-injection/src/injector.rs
+++ b/crates/fault-injection/src/injector.rs
@@ -29,10 +29,10 @@
     let injector = Injector {
         started_ms,
         counts,
-        draws: Mutex::new(Draws {
+        state: Mutex::new(InjectorState {
             random: Pcg64Mcg::seed_from_u64(script.seed),
             hits: vec![0; script.rules.len()],
-            files: HashSet::new(),
+            open_files: HashSet::new(),
         }),
         rules: script.rules,
     };
@@ -41,12 +41,12 @@
 
 /// What changes from call to call.
 #[derive(Debug)]
-struct Draws {
+struct InjectorState {
     random: Pcg64Mcg,
     /// How many calls each rule has hit.
     hits: Vec<u64>,
     /// Open files, with the rules whose path they have.
-    files: HashSet<(i32, usize)>,
+    open_files: HashSet<(i32, usize)>,
 }
 
 /// Decides by the rules of a script.
@@ -55,14 +55,14 @@
     started_ms: u64,
     rules: Vec<Rule>,
     counts: Option<File>,
-    draws: Mutex<Draws>,
+    state: Mutex<InjectorState>,
 }
 
 /// What a call is about.
 #[derive(Clone, Copy, Debug)]
-pub(crate) enum Subject<'a> {
+pub(crate) enum CallTarget<'a> {
     /// Nothing that a rule could tell apart.
-    Any,
+    Other,
     /// A file by its path.
     Path(&'a str),
     /// An open file.
@@ -76,20 +76,25 @@
     }
 
     /// What happens to a call at a time, if a rule hits it.
-    pub(crate) fn draw(&self, call: Call, subject: Subject<'_>, now_ms: u64) -> Option<Fault> {
+    pub(crate) fn choose_fault(
+        &self,
+        call: Call,
+        target: CallTarget<'_>,
+        now_ms: u64,
+    ) -> Option<Fault> {
         let elapsed = now_ms.saturating_sub(self.started_ms);
-        let is_concerned = |rule: &&Rule| rule.call == call && rule.holds_at(elapsed);
-        self.rules.iter().find(is_concerned)?;
-        let mut draws = self.draws.lock().unwrap_or_else(PoisonError::into_inner);
+        let applies = |rule: &&Rule| rule.call == call && rule.is_active_at(elapsed);
+        self.rules.iter().find(applies)?;
+        let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         let (index, rule) = self.rules.iter().enumerate().find(|(index, rule)| {
-            is_concerned(rule)
-                && rule.at_most.is_none_or(|most| draws.hits[*index] < most)
-                && is_about(rule, *index, subject, &draws.files)
-                && (rule.share >= 1.0 || draws.random.random::<f64>() < rule.share)
+            applies(rule)
+                && rule.at_most.is_none_or(|limit| state.hits[*index] < limit)
+                && matches_target(rule, *index, target, &state.open_files)
+                && (rule.share >= 1.0 || state.random.random::<f64>() < rule.share)
         })?;
-        draws.hits[index] += 1;
+        state.hits[index] += 1;
         if let Some(file) = &self.counts {
-            counts::write(file, index, draws.hits[index]);
+            counts::write(file, index, state.hits[index]);
         }
         Some(rule.fault)
     }
@@ -97,7 +102,7 @@
     /// How far the wall clock is off, in milliseconds: the last rule that holds decides.
     pub(crate) fn clock_step(&self, now_ms: u64) -> i64 {
         let elapsed = now_ms.saturating_sub(self.started_ms);
-        let steps = self.rules.iter().filter(|rule| rule.holds_at(elapsed));
+        let steps = self.rules.iter().filter(|rule| rule.is_active_at(elapsed));
         steps
             .filter_map(|rule| match rule.fault {
                 Fault::StepMs(step) => Some(step),
@@ -109,26 +114,26 @@
 
     /// Notes that a file was opened.
     pub(crate) fn opened(&self, path: &str, file: i32) {
-        let mut draws = self.draws.lock().unwrap_or_else(PoisonError::into_inner);
-        draws.files.retain(|(known, _)| *known != file);
+        let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
+        state.open_files.retain(|(known, _)| *known != file);
         for (index, rule) in self.rules.iter().enumerate() {
             if rule.path.as_ref().is_some_and(|part| path.contains(part)) {
-                draws.files.insert((file, index));
+                state.open_files.insert((file, index));
             }
         }
     }
 }
 
-fn is_about(
+fn matches_target(
     rule: &Rule,
     index: usize,
-    subject: Subject<'_>,
-    files: &HashSet<(i32, usize)>,
+    target: CallTarget<'_>,
+    open_files: &HashSet<(i32, usize)>,
 ) -> bool {
     let Some(part) = &rule.path else { return true };
-    match subject {
-        Subject::Any => false,
-        Subject::Path(path) => path.contains(part),
-        Subject::File(file) => files.contains(&(file, index)),
+    match target {
+        CallTarget::Other => false,
+        CallTarget::Path(path) => path.contains(part),
+        CallTarget::File(file) => open_files.contains(&(file, index)),
     }
 }
--- a/crates/fault-injection/src/interpose.rs
+++ b/crates/fault-injection/src/interpose.rs
@@ -10,7 +10,7 @@
 
 use libc::{clockid_t, mode_t, size_t, sockaddr, socklen_t, ssize_t, timespec};
 
-use crate::injector::{self, Injector, Subject};
+use crate::injector::{self, CallTarget, Injector};
 use lilacgate_fault_script::script::{Call, Fault};
 
 const MILLISECONDS_PER_SECOND: i64 = 1_000;
@@ -19,21 +19,21 @@
 /// Runs when the library is loaded, before the program itself.
 #[used]
 #[unsafe(link_section = ".init_array")]
-static AT_LOAD: extern "C" fn() = at_load;
+static ON_LOAD: extern "C" fn() = on_load;
 
-extern "C" fn at_load() {
+extern "C" fn on_load() {
     injector::start(monotonic_ms());
 }
 
 /// A function of the C library, found at its first use.
-struct Real {
+struct RealFunction {
     name: &'static CStr,
     address: AtomicPtr<c_void>,
 }
 
-impl Real {
-    const fn new(name: &'static CStr) -> Real {
-        Real {
+impl RealFunction {
+    const fn new(name: &'static CStr) -> RealFunction {
+        RealFunction {
             name,
             address: AtomicPtr::new(std::ptr::null_mut()),
         }
@@ -55,7 +55,7 @@
 }
 
 type ClockGetTime = unsafe extern "C" fn(clockid_t, *mut timespec) -> c_int;
-static REAL_CLOCK_GETTIME: Real = Real::new(c"clock_gettime");
+static REAL_CLOCK_GETTIME: RealFunction = RealFunction::new(c"clock_gettime");
 
 fn monotonic_ms() -> u64 {
     let mut time = timespec {
@@ -67,8 +67,8 @@
 }
 
 /// What the injector has for a call; a delay is carried out here.
-fn fault(call: Call, subject: Subject<'_>) -> Option<Fault> {
-    let fault = Injector::get()?.draw(call, subject, monotonic_ms())?;
+fn injected_fault(call: Call, target: CallTarget<'_>) -> Option<Fault> {
+    let fault = Injector::get()?.choose_fault(call, target, monotonic_ms())?;
     if let Fault::DelayMs(delay) = fault {
         std::thread::sleep(std::time::Duration::from_millis(delay));
         return None;
@@ -77,13 +77,13 @@
 }
 
 /// Fails a call with an error number.
-fn fail(error: i32) {
+fn set_errno(error: i32) {
     unsafe { *libc::__errno_location() = error };
 }
 
 /// How many bytes a call may transfer, or the error number that it fails with.
-fn length_or_error(call: Call, subject: Subject<'_>, length: size_t) -> Result<size_t, i32> {
-    match fault(call, subject) {
+fn length_or_error(call: Call, target: CallTarget<'_>, length: size_t) -> Result<size_t, i32> {
+    match injected_fault(call, target) {
         Some(Fault::Error(error)) => Err(error),
         Some(Fault::Short) => Ok(length.min(1)),
         _ => Ok(length),
@@ -91,25 +91,25 @@
 }
 
 /// The error number that a call fails with, if it does.
-fn error(call: Call, subject: Subject<'_>) -> Option<i32> {
-    match fault(call, subject) {
+fn injected_error(call: Call, target: CallTarget<'_>) -> Option<i32> {
+    match injected_fault(call, target) {
         Some(Fault::Error(error)) => Some(error),
         _ => None,
     }
 }
 
 /// Defines a function that stands in for one of the same name: it fails where `$error` says so, and is passed on else.
-macro_rules! stand_in {
+macro_rules! interpose {
     ($real:ident, $name:ident($($argument:ident: $kind:ty),*) -> $result:ty, $error:expr) => {
-        static $real: Real = match CStr::from_bytes_with_nul(concat!(stringify!($name), "\0").as_bytes()) {
-            Ok(name) => Real::new(name),
+        static $real: RealFunction = match CStr::from_bytes_with_nul(concat!(stringify!($name), "\0").as_bytes()) {
+            Ok(name) => RealFunction::new(name),
             Err(_) => panic!("no name"),
         };
 
         #[unsafe(no_mangle)]
         unsafe extern "C" fn $name($($argument: $kind),*) -> $result {
             if let Some(error) = $error {
-                fail(error);
+                set_errno(error);
                 return -1;
             }
             unsafe { $real.get::<unsafe extern "C" fn($($kind),*) -> $result>()($($argument),*) }
@@ -118,23 +118,23 @@
 }
 
 /// Defines a function that stands in for one which transfers bytes; it may come short too.
-macro_rules! stand_in_for_transfer {
-    ($real:ident, $name:ident($file:ident, $buffer:ident: $pointer:ty, $length:ident $(, $more:ident: $kind:ty)*), $call:expr, $subject:expr) => {
-        static $real: Real = match CStr::from_bytes_with_nul(concat!(stringify!($name), "\0").as_bytes()) {
-            Ok(name) => Real::new(name),
+macro_rules! interpose_transfer {
+    ($real:ident, $name:ident($file:ident, $buffer:ident: $pointer:ty, $length:ident $(, $more:ident: $kind:ty)*), $call:expr, $target:expr) => {
+        static $real: RealFunction = match CStr::from_bytes_with_nul(concat!(stringify!($name), "\0").as_bytes()) {
+            Ok(name) => RealFunction::new(name),
             Err(_) => panic!("no name"),
         };
 
         #[unsafe(no_mangle)]
         unsafe extern "C" fn $name($file: c_int, $buffer: $pointer, $length: size_t $(, $more: $kind)*) -> ssize_t {
-            match length_or_error($call, $subject, $length) {
+            match length_or_error($call, $target, $length) {
                 Ok(length) => unsafe {
                     $real.get::<unsafe extern "C" fn(c_int, $pointer, size_t $(, $kind)*) -> ssize_t>()(
                         $file, $buffer, length $(, $more)*
                     )
                 },
                 Err(error) => {
-                    fail(error);
+                    set_errno(error);
                     -1
                 }
             }
@@ -142,20 +142,21 @@
     };
 }
 
-stand_in!(REAL_ACCEPT4, accept4(file: c_int, address: *mut sockaddr, length: *mut socklen_t, flags: c_int) -> c_int,
-    error(Call::Accept, Subject::Any));
-stand_in!(REAL_SOCKET, socket(domain: c_int, kind: c_int, protocol: c_int) -> c_int, error(Call::Socket, Subject::Any));
-stand_in!(REAL_CONNECT, connect(file: c_int, address: *const sockaddr, length: socklen_t) -> c_int,
-    error(Call::Connect, Subject::Any));
-stand_in!(REAL_FSYNC, fsync(file: c_int) -> c_int, error(Call::Sync, Subject::File(file)));
-stand_in!(REAL_FDATASYNC, fdatasync(file: c_int) -> c_int, error(Call::Sync, Subject::File(file)));
-stand_in!(REAL_RENAME, rename(from: *const c_char, to: *const c_char) -> c_int,
-    error(Call::Rename, Subject::Path(unsafe { text(to) })));
-
-stand_in_for_transfer!(REAL_RECV, recv(file, buffer: *mut c_void, length, flags: c_int), Call::Receive, Subject::Any);
-stand_in_for_transfer!(REAL_WRITE, write(file, buffer: *const c_void, length), Call::Write, Subject::File(file));
-
-static REAL_SEND: Real = Real::new(c"send");
+interpose!(REAL_ACCEPT4, accept4(file: c_int, address: *mut sockaddr, length: *mut socklen_t, flags: c_int) -> c_int,
+    injected_error(Call::Accept, CallTarget::Other));
+interpose!(REAL_SOCKET, socket(domain: c_int, kind: c_int, protocol: c_int) -> c_int,
+    injected_error(Call::Socket, CallTarget::Other));
+interpose!(REAL_CONNECT, connect(file: c_int, address: *const sockaddr, length: socklen_t) -> c_int,
+    injected_error(Call::Connect, CallTarget::Other));
+interpose!(REAL_FSYNC, fsync(file: c_int) -> c_int, injected_error(Call::Sync, CallTarget::File(file)));
+interpose!(REAL_FDATASYNC, fdatasync(file: c_int) -> c_int, injected_error(Call::Sync, CallTarget::File(file)));
+interpose!(REAL_RENAME, rename(from: *const c_char, to: *const c_char) -> c_int,
+    injected_error(Call::Rename, CallTarget::Path(unsafe { text(to) })));
+
+interpose_transfer!(REAL_RECV, recv(file, buffer: *mut c_void, length, flags: c_int), Call::Receive, CallTarget::Other);
+interpose_transfer!(REAL_WRITE, write(file, buffer: *const c_void, length), Call::Write, CallTarget::File(file));
+
+static REAL_SEND: RealFunction = RealFunction::new(c"send");
 type Send = unsafe extern "C" fn(c_int, *const c_void, size_t, c_int) -> ssize_t;
 
 /// Stands in for a transfer. What may not wait is passed on: it is what signal handlers send with, where nothing may be
@@ -168,14 +169,14 @@
     flags: c_int,
 ) -> ssize_t {
     let allowed = if flags & libc::MSG_DONTWAIT == 0 {
-        length_or_error(Call::Send, Subject::Any, length)
+        length_or_error(Call::Send, CallTarget::Other, length)
     } else {
         Ok(length)
     };
     match allowed {
         Ok(length) => unsafe { REAL_SEND.get::<Send>()(file, buffer, length, flags) },
         Err(error) => {
-            fail(error);
+            set_errno(error);
             -1
         }
     }
@@ -187,15 +188,15 @@
 }
 
 type Open = unsafe extern "C" fn(*const c_char, c_int, mode_t) -> c_int;
-static REAL_OPEN64: Real = Real::new(c"open64");
+static REAL_OPEN64: RealFunction = RealFunction::new(c"open64");
 
 /// Stands in for a function with a variable list of arguments: the third one has its place in any case, and counts only
 /// where the flags ask for it.
 #[unsafe(no_mangle)]
 unsafe extern "C" fn open64(path: *const c_char, flags: c_int, mode: mode_t) -> c_int {
     let path_text = unsafe { text(path) };
-    if let Some(error) = error(Call::Open, Subject::Path(path_text)) {
-        fail(error);
+    if let Some(error) = injected_error(Call::Open, CallTarget::Path(path_text)) {
+        set_errno(error);
         return -1;
     }
     let file = unsafe { REAL_OPEN64.get::<Open>()(path, flags, mode) };
--- a/crates/fault-script/src/script.rs
+++ b/crates/fault-script/src/script.rs
@@ -114,7 +114,7 @@
 
     /// Whether it holds so many milliseconds after the start of the process.
     #[must_use]
-    pub fn holds_at(&self, elapsed_ms: u64) -> bool {
+    pub fn is_active_at(&self, elapsed_ms: u64) -> bool {
         self.from_ms <= elapsed_ms && self.until_ms.is_none_or(|until| elapsed_ms < until)
     }
 }
