--- a/crates/fault-injection/src/injector.rs
+++ b/crates/fault-injection/src/injector.rs
@@ -1,4 +1,4 @@
-//! Decides for each call what happens to it.
+//! Decides which fault each call gets.
 use std::collections::HashSet;
 use std::fs::{File, OpenOptions};
 use std::path::Path;
@@ -10,10 +10,11 @@
 use lilacgate_fault_script::script::{Call, Fault, Rule, Script};
 use lilacgate_fault_script::{SCRIPT_VARIABLE, counts};
 
-/// The injector of this process, once its script has been read; none in a process without one.
+/// The injector of this process; unset until the script has been read, and in processes without a script.
 static INJECTOR: OnceLock<Injector> = OnceLock::new();
 
-/// Takes the script of this process over. Calls before that are passed on, also those of this function itself.
+/// Reads the script of this process and starts injecting. Calls before that, including those of this function, are
+/// passed to the C library.
 pub(crate) fn start(started_ms: u64) {
     let Some(path) = std::env::var_os(SCRIPT_VARIABLE) else {
         return;
@@ -21,7 +22,10 @@
     let script = match Script::load(Path::new(&path)) {
         Ok(script) => script,
         Err(error) => {
-            eprintln!("fault injection: {}: {error}", path.display());
+            eprintln!(
+                "fault injection: cannot load the script {}: {error}",
+                path.display()
+            );
             std::process::abort();
         }
     };
@@ -39,17 +43,17 @@
     INJECTOR.set(injector).ok();
 }
 
-/// What changes from call to call.
+/// The state that changes from call to call.
 #[derive(Debug)]
 struct InjectorState {
     random: Pcg64Mcg,
-    /// How many calls each rule has hit.
+    /// The number of faults that each rule has injected.
     hits: Vec<u64>,
-    /// Open files, with the rules whose path they have.
+    /// Pairs of an open file descriptor and the index of a rule whose path text its path contains.
     open_files: HashSet<(i32, usize)>,
 }
 
-/// Decides by the rules of a script.
+/// Evaluates the rules of a script.
 #[derive(Debug)]
 pub(crate) struct Injector {
     started_ms: u64,
@@ -58,24 +62,24 @@
     state: Mutex<InjectorState>,
 }
 
-/// What a call is about.
+/// The object of a call, as far as rules can tell objects apart.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum CallTarget<'a> {
-    /// Nothing that a rule could tell apart.
+    /// An object without a path, such as a socket; rules that name a path do not match it.
     Other,
     /// A file by its path.
     Path(&'a str),
-    /// An open file.
+    /// An open file by its descriptor.
     File(i32),
 }
 
 impl Injector {
-    /// The injector of this process.
+    /// Returns the injector of this process; `None` before the script has been read or without one.
     pub(crate) fn get() -> Option<&'static Injector> {
         INJECTOR.get()
     }
 
-    /// What happens to a call at a time, if a rule hits it.
+    /// Chooses the fault for a call at a time on the monotonic clock, and counts it.
     pub(crate) fn choose_fault(
         &self,
         call: Call,
@@ -99,7 +103,7 @@
         Some(rule.fault)
     }
 
-    /// How far the wall clock is off, in milliseconds: the last rule that holds decides.
+    /// Returns the shift of the wall clock in milliseconds; the last active rule with a shift applies.
     pub(crate) fn clock_step(&self, now_ms: u64) -> i64 {
         let elapsed = now_ms.saturating_sub(self.started_ms);
         let steps = self.rules.iter().filter(|rule| rule.is_active_at(elapsed));
@@ -112,7 +116,8 @@
             .unwrap_or(0)
     }
 
-    /// Notes that a file was opened.
+    /// Records the rules whose path text matches a file that was opened. A closed descriptor may be reused, so earlier
+    /// records of it are removed.
     pub(crate) fn opened(&self, path: &str, file: i32) {
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         state.open_files.retain(|(known, _)| *known != file);
--- a/crates/fault-injection/src/interpose.rs
+++ b/crates/fault-injection/src/interpose.rs
@@ -1,9 +1,10 @@
-//! The functions that stand in for the C library's. Each asks the injector, and calls the real one.
+//! Functions that replace those of the C library by symbol interposition. Each asks the injector for a fault, and calls
+//! the real function if there is none.
 //!
 //! # Safety
-//! All of this is unsafe by nature: a function that stands in for one of the C library has that one's contract, raw
-//! pointers included, and finds the real one by its name. Pointers are passed on unchanged; paths alone are read, which
-//! the C library's own contract requires to be valid strings.
+//! Each function has the contract of the C library function that it replaces, including raw pointers, and looks up the
+//! real function by its name. Pointers are passed on unchanged. Only paths are read, which the contract of the C
+//! library requires to be valid strings, and only the time that the real `clock_gettime` has filled in is written.
 use std::ffi::{CStr, c_char, c_int, c_void};
 use std::mem::transmute_copy;
 use std::sync::atomic::{AtomicPtr, Ordering::Relaxed};
@@ -25,7 +26,7 @@
     injector::start(monotonic_ms());
 }
 
-/// A function of the C library, found at its first use.
+/// A function of the C library, looked up at its first use.
 struct RealFunction {
     name: &'static CStr,
     address: AtomicPtr<c_void>,
@@ -39,13 +40,13 @@
         }
     }
 
-    /// The function. `F` has to be its type.
+    /// Returns the function. `F` must be its type.
     unsafe fn get<F: Copy>(&self) -> F {
         let mut address = self.address.load(Relaxed);
         if address.is_null() {
             address = unsafe { libc::dlsym(libc::RTLD_NEXT, self.name.as_ptr()) };
             if address.is_null() {
-                // Without the real function nothing can go on.
+                // The call cannot be executed without the real function.
                 std::process::abort();
             }
             self.address.store(address, Relaxed);
@@ -66,7 +67,7 @@
     (time.tv_sec * MILLISECONDS_PER_SECOND + time.tv_nsec / NANOSECONDS_PER_MILLISECOND) as u64
 }
 
-/// What the injector has for a call; a delay is carried out here.
+/// Asks the injector for the fault of a call. A delay is executed here, and the call then has no other fault.
 fn injected_fault(call: Call, target: CallTarget<'_>) -> Option<Fault> {
     let fault = Injector::get()?.choose_fault(call, target, monotonic_ms())?;
     if let Fault::DelayMs(delay) = fault {
@@ -76,12 +77,12 @@
     Some(fault)
 }
 
-/// Fails a call with an error number.
+/// Sets `errno` for a failed call.
 fn set_errno(error: i32) {
     unsafe { *libc::__errno_location() = error };
 }
 
-/// How many bytes a call may transfer, or the error number that it fails with.
+/// Returns the number of bytes that a call may transfer, or the `errno` value that it fails with.
 fn length_or_error(call: Call, target: CallTarget<'_>, length: size_t) -> Result<size_t, i32> {
     match injected_fault(call, target) {
         Some(Fault::Error(error)) => Err(error),
@@ -90,7 +91,7 @@
     }
 }
 
-/// The error number that a call fails with, if it does.
+/// Returns the `errno` value that a call fails with; `None` if it does not fail.
 fn injected_error(call: Call, target: CallTarget<'_>) -> Option<i32> {
     match injected_fault(call, target) {
         Some(Fault::Error(error)) => Some(error),
@@ -98,12 +99,13 @@
     }
 }
 
-/// Defines a function that stands in for one of the same name: it fails where `$error` says so, and is passed on else.
+/// Defines a function that replaces the C library function of the same name. It fails if `$error` is an `errno` value,
+/// and calls the real function otherwise.
 macro_rules! interpose {
     ($real:ident, $name:ident($($argument:ident: $kind:ty),*) -> $result:ty, $error:expr) => {
         static $real: RealFunction = match CStr::from_bytes_with_nul(concat!(stringify!($name), "\0").as_bytes()) {
             Ok(name) => RealFunction::new(name),
-            Err(_) => panic!("no name"),
+            Err(_) => panic!("the function name contains a NUL byte"),
         };
 
         #[unsafe(no_mangle)]
@@ -117,12 +119,12 @@
     };
 }
 
-/// Defines a function that stands in for one which transfers bytes; it may come short too.
+/// Defines a function that replaces one that transfers bytes; the transfer may also be shortened.
 macro_rules! interpose_transfer {
     ($real:ident, $name:ident($file:ident, $buffer:ident: $pointer:ty, $length:ident $(, $more:ident: $kind:ty)*), $call:expr, $target:expr) => {
         static $real: RealFunction = match CStr::from_bytes_with_nul(concat!(stringify!($name), "\0").as_bytes()) {
             Ok(name) => RealFunction::new(name),
-            Err(_) => panic!("no name"),
+            Err(_) => panic!("the function name contains a NUL byte"),
         };
 
         #[unsafe(no_mangle)]
@@ -159,8 +161,8 @@
 static REAL_SEND: RealFunction = RealFunction::new(c"send");
 type Send = unsafe extern "C" fn(c_int, *const c_void, size_t, c_int) -> ssize_t;
 
-/// Stands in for a transfer. What may not wait is passed on: it is what signal handlers send with, where nothing may be
-/// locked.
+/// Replaces `send`. Sends with `MSG_DONTWAIT` are passed on without a fault: signal handlers use them, and the lock of
+/// the injector must not be taken in a signal handler.
 #[unsafe(no_mangle)]
 unsafe extern "C" fn send(
     file: c_int,
@@ -182,7 +184,7 @@
     }
 }
 
-/// A path as text; empty if it is none.
+/// Returns a path as text; empty if it is not valid UTF-8.
 unsafe fn text<'a>(path: *const c_char) -> &'a str {
     unsafe { CStr::from_ptr(path) }.to_str().unwrap_or_default()
 }
@@ -190,8 +192,8 @@
 type Open = unsafe extern "C" fn(*const c_char, c_int, mode_t) -> c_int;
 static REAL_OPEN64: RealFunction = RealFunction::new(c"open64");
 
-/// Stands in for a function with a variable list of arguments: the third one has its place in any case, and counts only
-/// where the flags ask for it.
+/// Replaces `open64`, which is variadic: the third argument is always declared here, and is used only if the flags
+/// require a mode.
 #[unsafe(no_mangle)]
 unsafe extern "C" fn open64(path: *const c_char, flags: c_int, mode: mode_t) -> c_int {
     let path_text = unsafe { text(path) };
--- a/crates/fault-script/src/counts.rs
+++ b/crates/fault-script/src/counts.rs
@@ -1,10 +1,11 @@
-//! How often each rule has hit a call, in a file that outlives the process: one number of 8 bytes a rule.
+//! The file with the number of faults that each rule has injected: one little-endian `u64` per rule. The file outlives
+//! the process under test.
 use std::fs::File;
 use std::io;
 use std::os::unix::fs::FileExt;
 use std::path::Path;
 
-/// The size of a count in the file.
+/// The size of one count in the file, in bytes.
 const COUNT_BYTES: usize = size_of::<u64>();
 
 /// Reads the counts, in the order of the rules.
@@ -20,9 +21,9 @@
         .collect())
 }
 
-/// Writes the count of a rule.
+/// Writes the count of the rule with this index.
 pub fn write(file: &File, rule: usize, count: u64) {
     let offset = (rule * COUNT_BYTES) as u64;
-    // A count that cannot be written must not disturb the process under test.
+    // A failed write is ignored so that it does not affect the process under test.
     file.write_at(&count.to_le_bytes(), offset).ok();
 }
--- a/crates/fault-script/src/lib.rs
+++ b/crates/fault-script/src/lib.rs
@@ -1,17 +1,17 @@
-//! Tests only: scripts of failing system calls, for the library of `lilacgate-fault-injection`.
+//! Tests only: fault scripts for system calls, which are executed by the library of `lilacgate-fault-injection`.
 //!
-//! - [`script`]: what is to fail, as tests write it;
-//! - [`counts`]: how often it did.
+//! - [`script`]: the rules that select calls and faults;
+//! - [`counts`]: the number of faults that each rule has injected.
 pub mod counts;
 pub mod script;
 
 use std::path::PathBuf;
 
-/// The environment variable that names the file with the script.
+/// The environment variable that holds the path of the script file.
 pub const SCRIPT_VARIABLE: &str = "LILACGATE_FAULT_SCRIPT";
 
-/// The file of the library, to be loaded by `LD_PRELOAD`: the build puts it beside the tests' programs, or one folder
-/// above them.
+/// Returns the path of the fault injection library, to be loaded by `LD_PRELOAD`; `None` if it was not built. Cargo
+/// places it in the folder of the test programs or in the parent folder.
 #[must_use]
 pub fn library_path() -> Option<PathBuf> {
     let program = std::env::current_exe().ok()?;
--- a/crates/fault-script/src/script.rs
+++ b/crates/fault-script/src/script.rs
@@ -1,10 +1,10 @@
-//! The script of a run: which calls fail, how, how often and when. Tests write it as JSON.
+//! The fault script of a test run: which calls get which faults, how often and when. It is stored as JSON.
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// A function of the C library that can be made to fail.
+/// A kind of C library call into which faults can be injected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Call {
@@ -12,7 +12,7 @@
     Accept,
     /// Opening a socket.
     Socket,
-    /// Opening a connection.
+    /// Connecting a socket.
     Connect,
     /// Reading from a socket.
     Receive,
@@ -26,44 +26,45 @@
     Sync,
     /// Renaming a file.
     Rename,
-    /// Reading the wall clock.
+    /// Reading the wall clock (`CLOCK_REALTIME`).
     WallClock,
 }
 
-/// What happens to a call.
+/// The effect of a rule on a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Fault {
-    /// It fails with this error number, and does nothing.
+    /// The call fails with this `errno` value and is not executed.
     Error(i32),
-    /// It reads or writes one byte at most.
+    /// The call transfers one byte at most.
     Short,
-    /// It is carried out so many milliseconds later.
+    /// The call is delayed by this many milliseconds.
     DelayMs(u64),
-    /// The wall clock is off by so many milliseconds.
+    /// The wall clock is shifted by this many milliseconds.
     StepMs(i64),
 }
 
-/// A rule: the first one that concerns a call, and whose draw hits, decides.
+/// A rule that injects a fault into calls. The first rule that matches a call, and is chosen at random by its share,
+/// applies.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Rule {
-    /// The calls that it concerns.
+    /// The kind of call that the rule matches.
     pub call: Call,
-    /// What happens to them.
+    /// The fault that is injected.
     pub fault: Fault,
-    /// The share of the calls that it hits, 0 to 1.
+    /// The probability that a matching call gets the fault, 0 to 1.
     #[serde(default = "every_call")]
     pub share: f64,
-    /// From when on, in milliseconds since the process started.
+    /// The start of the rule's active time, in milliseconds since the process started.
     #[serde(default)]
     pub from_ms: u64,
-    /// Until when; for good if there is none.
+    /// The end of the active time, in milliseconds since the process started; `None` for no end.
     #[serde(default)]
     pub until_ms: Option<u64>,
-    /// How many calls it hits at most.
+    /// The number of faults after which the rule stops matching; `None` for no limit.
     #[serde(default)]
     pub at_most: Option<u64>,
-    /// For files: only those whose path contains this.
+    /// Restricts the rule to calls on files whose path contains this text.
     #[serde(default)]
     pub path: Option<String>,
 }
@@ -73,7 +74,7 @@
 }
 
 impl Rule {
-    /// A rule for every call, at any time.
+    /// Creates a rule for every call of a kind, at any time.
     #[must_use]
     pub fn new(call: Call, fault: Fault) -> Rule {
         Rule {
@@ -87,13 +88,13 @@
         }
     }
 
-    /// For this share of the calls.
+    /// Injects the fault with this probability, 0 to 1.
     #[must_use]
     pub fn with_share(self, share: f64) -> Rule {
         Rule { share, ..self }
     }
 
-    /// From and until these times after the start of the process.
+    /// Limits the rule to a time span after the start of the process.
     #[must_use]
     pub fn between(self, from: Duration, until: Duration) -> Rule {
         Rule {
@@ -103,7 +104,7 @@
         }
     }
 
-    /// For files whose path contains a text.
+    /// Restricts the rule to calls on files whose path contains this text.
     #[must_use]
     pub fn on_path(self, path: &str) -> Rule {
         Rule {
@@ -112,26 +113,26 @@
         }
     }
 
-    /// Whether it holds so many milliseconds after the start of the process.
+    /// Returns whether the rule is active this many milliseconds after the start of the process.
     #[must_use]
     pub fn is_active_at(&self, elapsed_ms: u64) -> bool {
         self.from_ms <= elapsed_ms && self.until_ms.is_none_or(|until| elapsed_ms < until)
     }
 }
 
-/// What is to fail in a run.
+/// The faults to inject in a test run.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Script {
-    /// Seeds the draws.
+    /// The seed of the random choice of calls.
     pub seed: u64,
-    /// Where the counts are kept, by the rules' order.
+    /// The file with the counts of injected faults, in the order of the rules.
     pub counts: PathBuf,
-    /// The rules; earlier ones go first.
+    /// The rules; earlier ones take precedence, except that the last active clock shift applies.
     pub rules: Vec<Rule>,
 }
 
 impl Script {
-    /// Writes the script to a file that [`crate::SCRIPT_VARIABLE`] can name, and empties its counts.
+    /// Writes the script to the file that [`crate::SCRIPT_VARIABLE`] is to hold, and resets the counts to 0.
     ///
     /// # Errors
     /// A file cannot be written.
@@ -140,10 +141,10 @@
         std::fs::write(path, serde_json::to_vec(self)?)
     }
 
-    /// Reads a script.
+    /// Reads a script file.
     ///
     /// # Errors
-    /// The file cannot be read, or is no script.
+    /// The file cannot be read, or is not valid JSON of a script.
     pub fn load(path: &Path) -> std::io::Result<Script> {
         Ok(serde_json::from_slice(&std::fs::read(path)?)?)
     }
