--- a/crates/decision/src/engine/event_handling.rs
+++ b/crates/decision/src/engine/event_handling.rs
@@ -29,7 +29,7 @@
         };
         let exposure_class = self.exposure.exposure_class(request.class);
         self.exposure.windows.on_request(exposure_class, now);
-        self.schedule.events += 1;
+        self.schedule.events_since_refresh += 1;
         let work = self
             .demand
             .on_request(now, &request)
@@ -118,7 +118,7 @@
         match known {
             Some(known) if build < known.build => return,
             Some(known) if build == known.build => {}
-            _ => self.exposure.windows.answered.clear(),
+            _ => self.exposure.windows.answered_keys.clear(),
         }
         if phase == ReleasePhase::Canary && self.analysis.build != Some(build) {
             let started_at = self.exposure.windows.started_at.unwrap_or_default();
--- a/crates/decision/src/policy/load_balancing.rs
+++ b/crates/decision/src/policy/load_balancing.rs
@@ -1,5 +1,5 @@
-//! Load balancing: which endpoint a request goes to. The arm is drawn first, then two endpoints of it by their odds
-//! (power of two choices); the request goes to the one where it is expected to wait less.
+//! Load balancing: which endpoint a request goes to. The arm is drawn first, then two endpoints of it by their
+//! selection weights (power of two choices); the request goes to the one where it is expected to wait less.
 use std::time::Duration;
 
 use rand::RngExt;
@@ -14,38 +14,53 @@
 use crate::state::endpoint_record::EndpointRecord;
 use crate::state::endpoint_table::EndpointTable;
 use crate::state::evidence::Evidence;
-use crate::state::half_lives::{BASELINE_HALF_LIFE, RECENT_HALF_LIFE};
+use crate::state::half_lives::{LONG_RUN_HALF_LIFE, RECENT_HALF_LIFE};
 use crate::state::load_estimate::LoadEstimate;
 use crate::state::pending_requests::PendingRequest;
 
 /// Weighted draws before the whole arm is searched: a few mostly find an endpoint that the request may go to, unless
 /// hardly any is.
 const MAX_DRAWS: usize = 4;
-/// In the search of the whole arm, the odds of an endpoint that the request has already been sent to are divided by
-/// this: it is used only where there is hardly another.
-const REPEATED_ENDPOINT_ODDS_DIVISOR: f64 = 100.0;
+/// In the search of the whole arm, the selection weight of an endpoint that the request has already been sent to is
+/// divided by this: it is used only where there is hardly another.
+const REPEATED_ENDPOINT_WEIGHT_DIVISOR: f64 = 100.0;
 /// Cost of an endpoint in another zone, as a multiple of that of one in the agent's own zone.
 const REMOTE_ZONE_COST_MULTIPLE: f64 = 2.0;
 /// Weight of an endpoint's failure share in its cost: one that fails everything costs 1 / (1 - 0.9), ten times as much.
 const FAILURE_COST_WEIGHT: f64 = 0.9;
-/// Weight of the long-run pace in an endpoint's recent pace, in mean requests: with as much recent work the two count
-/// alike, with less the long-run pace prevails.
-const PACE_PRIOR_REQUESTS: f64 = 2.0;
-/// Lower bound of an endpoint's long-run pace, which other values are divided by.
-const MIN_PACE: f64 = 1e-3;
+/// Weight of the long-run latency ratio in an endpoint's recent latency ratio, in mean requests: with as much recent
+/// work the two count alike, with less the long-run latency ratio prevails.
+const LATENCY_RATIO_PRIOR_REQUESTS: f64 = 2.0;
+/// Lower bound of an endpoint's long-run latency ratio, which other values are divided by.
+const MIN_LATENCY_RATIO: f64 = 1e-3;
 
-/// An endpoint's long-run pace: time taken for each second of estimated work. While little work of it is known, the
+/// An endpoint's long-run latency ratio: time taken divided by estimated work. While little work of it is known, the
 /// value is close to the mean of all endpoints.
-pub(crate) fn baseline_pace(record: &EndpointRecord, now: Duration, load: &LoadEstimate) -> f64 {
-    let own = record.health.baseline_pace.read(now, BASELINE_HALF_LIFE);
-    ((own.numerator + load.baseline_pace) / (own.denominator + 1.0)).max(MIN_PACE)
+pub(crate) fn long_run_latency_ratio(
+    record: &EndpointRecord,
+    now: Duration,
+    load: &LoadEstimate,
+) -> f64 {
+    let own = record
+        .health
+        .long_run_latency_ratio
+        .read(now, LONG_RUN_HALF_LIFE);
+    ((own.numerator + load.long_run_latency_ratio) / (own.denominator + 1.0)).max(MIN_LATENCY_RATIO)
 }
 
-/// An endpoint's recent pace. While little recent work of it is known, the value is close to its long-run pace.
-pub(crate) fn recent_pace(record: &EndpointRecord, now: Duration, load: &LoadEstimate) -> f64 {
-    let own = record.health.recent_pace.read(now, RECENT_HALF_LIFE);
-    let prior = PACE_PRIOR_REQUESTS * load.mean_work;
-    (own.numerator + prior * baseline_pace(record, now, load)) / (own.denominator + prior)
+/// An endpoint's recent latency ratio. While little recent work of it is known, the value is close to its long-run
+/// latency ratio.
+pub(crate) fn recent_latency_ratio(
+    record: &EndpointRecord,
+    now: Duration,
+    load: &LoadEstimate,
+) -> f64 {
+    let own = record
+        .health
+        .recent_latency_ratio
+        .read(now, RECENT_HALF_LIFE);
+    let prior = LATENCY_RATIO_PRIOR_REQUESTS * load.mean_work;
+    (own.numerator + prior * long_run_latency_ratio(record, now, load)) / (own.denominator + prior)
 }
 
 /// The result of choosing an endpoint for a request.
@@ -77,8 +92,8 @@
 
 impl EndpointSelection<'_> {
     /// Chooses an endpoint: the canary's arm with a probability of the canary's share of the listed weight, then the
-    /// cheaper one of two endpoints of that arm, drawn by their odds. If the arm has none that the request may go to,
-    /// the other arm is tried.
+    /// cheaper one of two endpoints of that arm, drawn by their selection weights. If the arm has none that the request
+    /// may go to, the other arm is tried.
     pub(crate) fn choose(&self, request: &PendingRequest, random: &mut Pcg64Mcg) -> Choice {
         // A request that was sent to a canary and needs another attempt goes to an earlier build: the canary may fail
         // it again.
@@ -113,7 +128,7 @@
     /// Draws an endpoint that the request may go to and has not been sent to; `None` if a few draws find none.
     ///
     /// # Errors
-    /// No candidate has odds above zero.
+    /// No candidate has a selection weight above zero.
     fn draw(
         &self,
         request: &PendingRequest,
@@ -121,7 +136,8 @@
         random: &mut Pcg64Mcg,
     ) -> Result<Option<EndpointId>, WeightError> {
         for _ in 0..MAX_DRAWS {
-            let drawn = candidates.choose_weighted(random, |candidate| candidate.odds)?;
+            let drawn =
+                candidates.choose_weighted(random, |candidate| candidate.selection_weight)?;
             let endpoint = drawn.endpoint;
             if self.permits(request, endpoint) && !request.was_sent_to(endpoint) {
                 return Ok(Some(endpoint));
@@ -146,15 +162,15 @@
             .iter()
             .filter(|candidate| self.permits(request, candidate.endpoint))
             .collect();
-        let odds = |candidate: &&Candidate| {
+        let selection_weight = |candidate: &&Candidate| {
             if request.was_sent_to(candidate.endpoint) {
-                candidate.odds / REPEATED_ENDPOINT_ODDS_DIVISOR
+                candidate.selection_weight / REPEATED_ENDPOINT_WEIGHT_DIVISOR
             } else {
-                candidate.odds
+                candidate.selection_weight
             }
         };
         permitted
-            .choose_weighted(random, odds)
+            .choose_weighted(random, selection_weight)
             .ok()
             .map(|candidate| candidate.endpoint)
     }
@@ -169,12 +185,12 @@
         };
         // A listed weight does not include the speed of the endpoint's model: the load that a mean model carries can
         // overload a slow one.
-        let full_rate = self.load.capacity_per_weight
-            * record.weight()
+        let full_capacity = self.load.capacity_per_weight
+            * record.listed_weight()
             * self.evidence.relative_speed(record.endpoint.machine_model);
         let load = SlowStartLoad {
-            full_rate,
-            work_due: self.load.work_due,
+            full_capacity,
+            expected_work: self.load.expected_work,
         };
         // An ejected endpoint is not tried with a request that must not run twice, nor with a retry while the subset
         // has others.
@@ -187,12 +203,12 @@
             && self.slow_start.permits(self.now, record, request, load)
             && self
                 .exposure
-                .permits_now(self.now, record.endpoint, request)
+                .permits_within_cap(self.now, record.endpoint, request)
     }
 
     /// The wait that a request may expect at an endpoint, in relation to the wait that is usual there; without unit.
-    /// The endpoint's speed and weight are left out, since the odds contain them: when they counted twice, the fastest
-    /// endpoints were overcrowded.
+    /// The endpoint's speed and weight are left out, since the selection weight contains them: when they counted twice,
+    /// the fastest endpoints were overcrowded.
     fn cost(&self, endpoint: EndpointId) -> f64 {
         let Some(record) = self.endpoints.records.get(&endpoint) else {
             return f64::MAX;
@@ -202,10 +218,10 @@
         } else {
             REMOTE_ZONE_COST_MULTIPLE
         };
-        let slowdown =
-            recent_pace(record, self.now, self.load) / baseline_pace(record, self.now, self.load);
-        let outstanding =
-            record.outstanding.len() as f64 * self.load.mean_weight / record.weight().max(1e-3);
+        let slowdown = recent_latency_ratio(record, self.now, self.load)
+            / long_run_latency_ratio(record, self.now, self.load);
+        let outstanding = record.outstanding.len() as f64 * self.load.mean_listed_weight
+            / record.listed_weight().max(1e-3);
         zone_cost * (1.0 + outstanding) * slowdown
             / (1.0 - FAILURE_COST_WEIGHT * record.health.failure_share(self.now))
     }
--- a/crates/decision/src/state/endpoint_pool.rs
+++ b/crates/decision/src/state/endpoint_pool.rs
@@ -7,18 +7,18 @@
 /// The start time of an endpoint whose start is known, and its listed weight.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct EndpointStart {
-    pub(crate) at: Duration,
+    pub(crate) started_at: Duration,
     endpoint: EndpointId,
-    weight: f32,
+    listed_weight: f32,
 }
 
 impl EndpointStart {
-    pub(crate) fn weight(&self) -> f64 {
-        f64::from(self.weight)
+    pub(crate) fn listed_weight(&self) -> f64 {
+        f64::from(self.listed_weight)
     }
 
     fn key(&self) -> (Duration, EndpointId) {
-        (self.at, self.endpoint)
+        (self.started_at, self.endpoint)
     }
 }
 
@@ -26,7 +26,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct EndpointPool {
     ring: Vec<(Position, EndpointId)>,
-    weight: f64,
+    listed_weight: f64,
     /// Endpoints whose start is known, the latest last.
     starts: Vec<EndpointStart>,
 }
@@ -37,18 +37,20 @@
     }
 
     /// Sum of the listed weights.
-    pub(crate) fn weight(&self) -> f64 {
-        self.weight
+    pub(crate) fn listed_weight(&self) -> f64 {
+        self.listed_weight
     }
 
     /// When the most recently started of the endpoints started; `None` if no start is known.
     pub(crate) fn latest_start(&self) -> Option<Duration> {
-        self.starts.last().map(|start| start.at)
+        self.starts.last().map(|start| start.started_at)
     }
 
     /// The endpoints that are known to have started after this time, the latest last.
     pub(crate) fn started_after(&self, after: Duration) -> impl Iterator<Item = &EndpointStart> {
-        let from = self.starts.partition_point(|start| start.at <= after);
+        let from = self
+            .starts
+            .partition_point(|start| start.started_at <= after);
         self.starts[from..].iter()
     }
 
@@ -56,7 +58,7 @@
     pub(super) fn push(&mut self, endpoint: &Endpoint) {
         self.ring
             .push((Position::of_endpoint(endpoint.id), endpoint.id));
-        self.weight += f64::from(endpoint.weight);
+        self.listed_weight += f64::from(endpoint.weight);
         self.starts.extend(start_of(endpoint));
     }
 
@@ -70,7 +72,7 @@
     pub(super) fn insert(&mut self, endpoint: &Endpoint) {
         let entry = (Position::of_endpoint(endpoint.id), endpoint.id);
         insert_sorted(&mut self.ring, entry);
-        self.weight += f64::from(endpoint.weight);
+        self.listed_weight += f64::from(endpoint.weight);
         if let Some(start) = start_of(endpoint) {
             let index = self
                 .starts
@@ -82,7 +84,7 @@
     pub(super) fn remove(&mut self, endpoint: &Endpoint) {
         let entry = (Position::of_endpoint(endpoint.id), endpoint.id);
         remove_sorted(&mut self.ring, &entry);
-        self.weight -= f64::from(endpoint.weight);
+        self.listed_weight -= f64::from(endpoint.weight);
         if let Some(start) = start_of(endpoint) {
             let found = self
                 .starts
@@ -95,10 +97,10 @@
 }
 
 fn start_of(endpoint: &Endpoint) -> Option<EndpointStart> {
-    endpoint.started.map(|at| EndpointStart {
-        at,
+    endpoint.started.map(|started_at| EndpointStart {
+        started_at,
         endpoint: endpoint.id,
-        weight: endpoint.weight,
+        listed_weight: endpoint.weight,
     })
 }
 
--- a/crates/decision/src/state/endpoint_record.rs
+++ b/crates/decision/src/state/endpoint_record.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::decaying_sum::DecayingRatio;
-use super::half_lives::{BASELINE_HALF_LIFE, RECENT_HALF_LIFE};
+use super::half_lives::{LONG_RUN_HALF_LIFE, RECENT_HALF_LIFE};
 use crate::model::{AttemptNumber, Build, Endpoint, EndpointId, Outcome, RequestClass, RequestId};
 
 /// Identifies an attempt.
@@ -27,15 +27,15 @@
     pub(crate) was_ejected: bool,
 }
 
-/// Health and pace of an endpoint. A pace is the time taken for a unit of estimated work.
+/// Health and latency ratios of an endpoint. A latency ratio is the time taken divided by the estimated work.
 #[derive(Debug, Default)]
 pub(crate) struct EndpointHealth {
     /// Attempts that did not succeed, over all that ended, without cancelled and unsent ones.
-    pub(crate) failures: DecayingRatio,
+    pub(crate) failure_ratio: DecayingRatio,
     /// Time taken over estimated work, of attempts served recently.
-    pub(crate) recent_pace: DecayingRatio,
-    /// Time taken over estimated work, of attempts served in the longer term.
-    pub(crate) baseline_pace: DecayingRatio,
+    pub(crate) recent_latency_ratio: DecayingRatio,
+    /// Time taken over estimated work, of attempts served in the long run.
+    pub(crate) long_run_latency_ratio: DecayingRatio,
     /// When it last showed by an outcome that its process runs.
     pub(crate) last_response: Duration,
     /// The latest send time of all attempts that it has answered.
@@ -67,20 +67,22 @@
         }
         if !matches!(outcome, Outcome::Cancelled | Outcome::NotSent) {
             let failed = f64::from(u8::from(outcome != Outcome::Succeeded));
-            self.failures.add(now, RECENT_HALF_LIFE, failed, 1.0);
+            self.failure_ratio.add(now, RECENT_HALF_LIFE, failed, 1.0);
         }
     }
 
     /// Records how long a served attempt took, and its estimated work in seconds.
     pub(crate) fn on_served(&mut self, now: Duration, took: Duration, work: f64) {
         let took = took.as_secs_f64();
-        self.recent_pace.add(now, RECENT_HALF_LIFE, took, work);
-        self.baseline_pace.add(now, BASELINE_HALF_LIFE, took, work);
+        self.recent_latency_ratio
+            .add(now, RECENT_HALF_LIFE, took, work);
+        self.long_run_latency_ratio
+            .add(now, LONG_RUN_HALF_LIFE, took, work);
     }
 
     /// Recent share of attempts that did not succeed.
     pub(crate) fn failure_share(&self, now: Duration) -> f64 {
-        self.failures.share(now, RECENT_HALF_LIFE, 1.0)
+        self.failure_ratio.share(now, RECENT_HALF_LIFE, 1.0)
     }
 
     pub(crate) fn is_ejected(&self) -> bool {
@@ -109,11 +111,11 @@
     /// Whether a connection to it may be open.
     pub(crate) may_be_connected: bool,
     /// Rank in the subset, from 0; `None` outside the subset. Without a subset all endpoints have rank 0.
-    pub(crate) rank: Option<usize>,
+    pub(crate) subset_rank: Option<usize>,
 }
 
 impl EndpointRecord {
-    pub(crate) fn new(endpoint: Endpoint, rank: Option<usize>) -> Self {
+    pub(crate) fn new(endpoint: Endpoint, subset_rank: Option<usize>) -> Self {
         EndpointRecord {
             endpoint,
             health: EndpointHealth::default(),
@@ -121,7 +123,7 @@
             sent_work: VecDeque::new(),
             traffic_share: 0.0,
             may_be_connected: false,
-            rank,
+            subset_rank,
         }
     }
 
@@ -185,7 +187,7 @@
         oldest.filter(|&oldest| self.outstanding.len() > 1 && self.health.last_response < oldest)
     }
 
-    pub(crate) fn weight(&self) -> f64 {
+    pub(crate) fn listed_weight(&self) -> f64 {
         f64::from(self.endpoint.weight)
     }
 }
--- a/crates/decision/src/state/endpoint_table.rs
+++ b/crates/decision/src/state/endpoint_table.rs
@@ -7,7 +7,7 @@
 use super::decaying_sum::RatioSums;
 use super::endpoint_catalog::EndpointCatalog;
 use super::endpoint_record::EndpointRecord;
-use super::half_lives::BASELINE_HALF_LIFE;
+use super::half_lives::LONG_RUN_HALF_LIFE;
 use super::hash_ring::{Position, Side, nearest};
 use crate::model::{
     Build, Endpoint, EndpointId, EndpointStatus, ListUpdate, MachineModel, PerArm,
@@ -15,12 +15,12 @@
 };
 
 /// At most this many endpoints are examined for each one that is wanted outside the subset.
-const EXAMINED_PER_WANTED: usize = 4;
+const MAX_EXAMINED_PER_WANTED: usize = 4;
 
-/// Failure shares of an endpoint's peers, which are the other ready endpoints of its build.
+/// Failure shares of the other ready endpoints of the build that an endpoint runs.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct PeerFailures {
-    pub(crate) peer_count: f64,
+pub(crate) struct SameBuildFailures {
+    pub(crate) endpoint_count: f64,
     pub(crate) failure_share_sum: f64,
 }
 
@@ -106,7 +106,7 @@
                     .records
                     .entry(endpoint.id)
                     .or_insert_with(|| EndpointRecord::new(*endpoint, None));
-                record.rank = Some(0);
+                record.subset_rank = Some(0);
             }
         }
     }
@@ -120,7 +120,7 @@
     ) -> Vec<EndpointId> {
         self.records
             .values_mut()
-            .for_each(|record| record.rank = None);
+            .for_each(|record| record.subset_rank = None);
         let ranked = members.iter().flat_map(|arm| arm.iter().enumerate());
         for (rank, id) in ranked {
             if let Some(endpoint) = self.catalog.get(*id) {
@@ -128,12 +128,12 @@
                     .records
                     .entry(*id)
                     .or_insert_with(|| EndpointRecord::new(*endpoint, None));
-                record.rank = Some(rank);
+                record.subset_rank = Some(rank);
             }
         }
         let mut removed = Vec::new();
         self.records.retain(|id, record| {
-            let is_kept = record.rank.is_some() || keep(record);
+            let is_kept = record.subset_rank.is_some() || keep(record);
             removed.extend((!is_kept && record.may_be_connected).then_some(*id));
             is_kept
         });
@@ -156,19 +156,19 @@
 
     /// Median of a value over the records of ready endpoints, the upper one of two; `None` without a record.
     pub(crate) fn median(&self, value: impl Fn(&EndpointRecord) -> f64) -> Option<f64> {
-        let mut values: Vec<f64> = self.ready().map(value).collect();
+        let mut values: Vec<f64> = self.ready_records().map(value).collect();
         values.sort_by(f64::total_cmp);
         values.get(values.len() / 2).copied()
     }
 
-    /// Up to `wanted` ready endpoints outside the subset that satisfy the constraint and run an admitted build in
+    /// Up to `wanted` ready endpoints outside the subset that satisfy the constraint and run a permitted build in
     /// their zone, beginning at the ring position `from`.
-    pub(crate) fn outside_subset(
+    pub(crate) fn find_outside_subset(
         &self,
         routing_constraint: RoutingConstraint,
         from: Position,
         wanted: usize,
-        admits: impl Fn(Build, Zone) -> bool,
+        permits: impl Fn(Build, Zone) -> bool,
     ) -> Vec<Endpoint> {
         if !self.has_subset {
             return Vec::new();
@@ -177,26 +177,26 @@
         let is_member = |endpoint: &&Endpoint| {
             self.records
                 .get(&endpoint.id)
-                .is_some_and(|record| record.rank.is_some())
+                .is_some_and(|record| record.subset_rank.is_some())
         };
         if let Some(cell) = cell {
             let endpoints = self
                 .catalog
                 .in_cell(cell, from.0 as usize)
-                .take(wanted * EXAMINED_PER_WANTED);
+                .take(wanted * MAX_EXAMINED_PER_WANTED);
             let others = endpoints
-                .filter(|endpoint| !is_member(endpoint) && admits(endpoint.build, endpoint.zone));
+                .filter(|endpoint| !is_member(endpoint) && permits(endpoint.build, endpoint.zone));
             return others.take(wanted).copied().collect();
         }
         let fits = |build: Build, other: Zone| {
-            zone.is_none_or(|zone| zone == other) && admits(build, other)
+            zone.is_none_or(|zone| zone == other) && permits(build, other)
         };
         let rings = self
             .catalog
             .pools()
             .filter(|(build, zone, _)| fits(*build, *zone))
             .map(|(.., pool)| pool.ring());
-        let ids = nearest(rings, from, Side::After).take(wanted * EXAMINED_PER_WANTED);
+        let ids = nearest(rings, from, Side::After).take(wanted * MAX_EXAMINED_PER_WANTED);
         let endpoints = ids
             .inspect(|_| self.catalog.count_visits(1))
             .filter_map(|id| self.catalog.get(id));
@@ -223,41 +223,52 @@
     }
 
     /// All records, counted as visited.
-    pub(crate) fn walk(&self) -> impl Iterator<Item = &EndpointRecord> {
+    pub(crate) fn visit_records(&self) -> impl Iterator<Item = &EndpointRecord> {
         self.catalog.count_visits(self.records.len());
         self.records.values()
     }
 
     /// The records of ready endpoints.
-    pub(crate) fn ready(&self) -> impl Iterator<Item = &EndpointRecord> {
-        self.walk()
+    pub(crate) fn ready_records(&self) -> impl Iterator<Item = &EndpointRecord> {
+        self.visit_records()
             .filter(|record| record.endpoint.status == EndpointStatus::Ready)
     }
 
     /// Failure shares of the other ready endpoints that run a build.
-    pub(crate) fn peer_failures(
+    pub(crate) fn same_build_failures(
         &self,
         now: Duration,
         endpoint: EndpointId,
         build: Build,
-    ) -> PeerFailures {
-        let peers = self
-            .ready()
+    ) -> SameBuildFailures {
+        let others = self
+            .ready_records()
             .filter(|record| record.id() != endpoint && record.endpoint.build == build);
-        peers.fold(PeerFailures::default(), |sums, record| PeerFailures {
-            peer_count: sums.peer_count + 1.0,
-            failure_share_sum: sums.failure_share_sum + record.health.failure_share(now),
+        others.fold(SameBuildFailures::default(), |sums, record| {
+            SameBuildFailures {
+                endpoint_count: sums.endpoint_count + 1.0,
+                failure_share_sum: sums.failure_share_sum + record.health.failure_share(now),
+            }
         })
     }
 
-    /// Baseline pace of each machine model on ready endpoints with builds earlier than this one.
-    pub(crate) fn paces_before(&self, now: Duration, build: Build) -> BTreeMap<MachineModel, f64> {
+    /// Long-run latency ratio of each machine model on ready endpoints with builds earlier than this one.
+    pub(crate) fn latency_ratios_before(
+        &self,
+        now: Duration,
+        build: Build,
+    ) -> BTreeMap<MachineModel, f64> {
         let mut sums = BTreeMap::<MachineModel, RatioSums>::new();
-        let earlier = self.ready().filter(|record| record.endpoint.build < build);
+        let earlier = self
+            .ready_records()
+            .filter(|record| record.endpoint.build < build);
         for record in earlier {
-            let pace = record.health.baseline_pace.read(now, BASELINE_HALF_LIFE);
+            let latency_ratio = record
+                .health
+                .long_run_latency_ratio
+                .read(now, LONG_RUN_HALF_LIFE);
             let sum = sums.entry(record.endpoint.machine_model).or_default();
-            *sum = RatioSums::sum([*sum, pace].into_iter());
+            *sum = RatioSums::sum([*sum, latency_ratio].into_iter());
         }
         sums.into_iter()
             .filter(|(_, sum)| sum.denominator > 0.0)
@@ -267,18 +278,21 @@
 
     /// Number of outstanding attempts, without those at ejected endpoints.
     pub(crate) fn outstanding_count(&self) -> usize {
-        self.walk()
+        self.visit_records()
             .filter(|record| !record.is_ejected())
             .map(|record| record.outstanding.len())
             .sum()
     }
 
-    /// Baseline pace over all ready endpoints together; `None` before any attempt was served.
-    pub(crate) fn mean_pace(&self, now: Duration) -> Option<f64> {
-        let paces = self
-            .ready()
-            .map(|record| record.health.baseline_pace.read(now, BASELINE_HALF_LIFE));
-        let sums = RatioSums::sum(paces);
+    /// Long-run latency ratio over all ready endpoints together; `None` before any attempt was served.
+    pub(crate) fn mean_latency_ratio(&self, now: Duration) -> Option<f64> {
+        let latency_ratios = self.ready_records().map(|record| {
+            record
+                .health
+                .long_run_latency_ratio
+                .read(now, LONG_RUN_HALF_LIFE)
+        });
+        let sums = RatioSums::sum(latency_ratios);
         (sums.denominator > 0.0).then(|| sums.numerator / sums.denominator)
     }
 }
--- a/crates/timeline/src/fleet_timeline/decisions.rs
+++ b/crates/timeline/src/fleet_timeline/decisions.rs
@@ -1,4 +1,4 @@
-//! Records what the agent decides: ejections, votes, and where the release of a build stands.
+//! Records the agent's decisions: ejections, votes, and the stage and phase of a build's release.
 use std::time::Duration;
 
 use lilacgate_decision::{Build, Diagnostic, EndpointId, ReleasePhase, Stage, Vote};
@@ -7,7 +7,7 @@
 use crate::entry::{Entry, Event};
 
 impl FleetTimeline {
-    /// Records that a build is in a stage and phase of its release, since `age`. A repeated report is ignored.
+    /// Records that a build has been in a stage and phase of its release for `age`. A repeated report is ignored.
     pub fn record_stage(
         &mut self,
         now: Duration,
@@ -30,7 +30,7 @@
         if last.is_some_and(|entry| entry.event == event) {
             return;
         }
-        self.put(Entry {
+        self.record(Entry {
             happened,
             known: now,
             node: None,
@@ -41,28 +41,30 @@
         }
     }
 
-    /// Records a diagnostic of the decision engine. Requests given up are counted, and recorded at the next tick.
+    /// Records a diagnostic of the decision engine. Requests given up are counted by reason and recorded at the next
+    /// tick.
     pub fn record_diagnostic(&mut self, now: Duration, diagnostic: Diagnostic) {
-        let mut put = |endpoint: EndpointId, event| self.put_now(now, Some(endpoint.0), event);
+        let mut record =
+            |endpoint: EndpointId, event| self.record_now(now, Some(endpoint.0), event);
         match diagnostic {
             Diagnostic::Ejected {
                 endpoint,
                 reason,
                 until,
-            } => put(
+            } => record(
                 endpoint,
                 Event::Ejected {
                     reason: reason.as_str().into(),
                     until,
                 },
             ),
-            Diagnostic::Probed(endpoint) => put(endpoint, Event::Probed),
-            Diagnostic::Readmitted(endpoint) => put(endpoint, Event::Readmitted),
+            Diagnostic::Probed(endpoint) => record(endpoint, Event::Probed),
+            Diagnostic::Readmitted(endpoint) => record(endpoint, Event::Readmitted),
             Diagnostic::GivenUp(reason) => *self.given_up.entry(reason.as_str()).or_default() += 1,
         }
     }
 
-    /// Keeps a text that the decision engine logged; the last one before a vote holds the vote's figures.
+    /// Sets the text that the decision engine logged last; the last one before a vote holds the figures of the vote.
     pub fn set_vote_figures(&mut self, text: &str) {
         self.vote_figures = text.into();
     }
@@ -75,6 +77,6 @@
             vote: stored_text::vote(vote).into(),
             figures: std::mem::take(&mut self.vote_figures),
         };
-        self.put_now(now, None, event);
+        self.record_now(now, None, event);
     }
 }
--- a/crates/timeline/src/monitor/attribution.rs
+++ b/crates/timeline/src/monitor/attribution.rs
@@ -1,18 +1,18 @@
-//! Decides what a confirmed departure concerns (the node, its build, or the fleet) and whether it shows in one request
-//! class alone.
+//! Decides whether a confirmed departure concerns the node, its build, or the fleet, and whether it shows in one
+//! request class only.
 use std::collections::BTreeSet;
 use std::time::Duration;
 
 use super::FleetMonitor;
 use super::departures::Finding;
-use super::settings::{LATENCY_PRIOR_WEIGHT, MIN_FLEET, MOST};
+use super::settings::{LATENCY_PRIOR_WEIGHT, MAJORITY_SHARE, MIN_FLEET_NODES};
 use super::signals::{ALL_CLASSES, Signal};
 use crate::entry::{Departure, DepartureKind, DepartureScope};
 
-/// The fewest observations of other request classes that show that a departure is not theirs.
-const MIN_OF_OTHER_CLASSES: f64 = LATENCY_PRIOR_WEIGHT;
+/// The minimum weight of the observations of another request class for a departure to be attributed to one class.
+const MIN_OTHER_CLASS_OBSERVATIONS: f64 = LATENCY_PRIOR_WEIGHT;
 
-/// Some nodes, and how many of them are suspected.
+/// The size of a group of nodes, and how many of them are suspected.
 struct Group {
     size: usize,
     suspected: usize,
@@ -28,18 +28,19 @@
     }
 
     fn is_mostly_suspected(&self) -> bool {
-        self.suspected as f64 >= MOST * self.size as f64
+        self.suspected as f64 >= MAJORITY_SHARE * self.size as f64
     }
 }
 
-/// What a departure concerns, and the nodes that are its members.
+/// The scope of a departure, and the nodes that are its members.
 struct Attribution {
     scope: DepartureScope,
     members: Vec<u32>,
 }
 
 impl FleetMonitor {
-    /// Opens the departure that a node's evidence shows, or adds the node to one that is open.
+    /// Opens a departure for a node whose alarm is confirmed, or adds the node to an open departure of the fleet or of
+    /// its build.
     pub(super) fn confirm_at_node(
         &mut self,
         now: Duration,
@@ -50,18 +51,18 @@
         let Some(build) = self.nodes.get(&node).map(|watched| watched.build) else {
             return;
         };
-        if let Some(number) = self.open_departure_of_group(build, kind) {
-            self.join(node, kind, number);
+        if let Some(number) = self.open_group_departure(build, kind) {
+            self.add_member(node, kind, number);
             return;
         }
-        let suspicious = threshold.sqrt();
-        let Attribution { scope, members } = self.attribute(now, node, kind, suspicious);
+        let suspicion_threshold = threshold.sqrt();
+        let Attribution { scope, members } = self.attribute(now, node, kind, suspicion_threshold);
         let Some(watched) = self.nodes.get(&node) else {
             return;
         };
-        let place = place_of_departure(watched.signals.of(kind), suspicious);
-        let figures = self.figures(&watched.signals, kind, place, now);
-        let class = place.checked_sub(1).map(|class| class as u8);
+        let index = departure_signal_index(watched.signals.of_kind(kind), suspicion_threshold);
+        let figures = self.figures(&watched.signals, kind, index, now);
+        let class = index.checked_sub(1).map(|class| class as u8);
         let finding = Finding {
             scope,
             kind,
@@ -71,27 +72,30 @@
         self.open_departure(now, finding, &members);
     }
 
-    /// The number of an open departure of the fleet or of a build.
-    fn open_departure_of_group(&self, build: u16, kind: DepartureKind) -> Option<u32> {
+    /// The number of an open departure of this kind that concerns the fleet or the build.
+    fn open_group_departure(&self, build: u16, kind: DepartureKind) -> Option<u32> {
         let groups = [DepartureScope::Fleet, DepartureScope::Build(build)];
         let includes = |open: &&Departure| open.kind == kind && groups.contains(&open.scope);
-        self.open.values().find(includes).map(|open| open.number)
+        self.open_departures
+            .values()
+            .find(includes)
+            .map(|open| open.number)
     }
 
-    fn join(&mut self, node: u32, kind: DepartureKind, number: u32) {
+    fn add_member(&mut self, node: u32, kind: DepartureKind, number: u32) {
         if let Some(watched) = self.nodes.get_mut(&node) {
-            watched.open.insert(kind, number);
+            watched.open_departures.insert(kind, number);
         }
     }
 
-    /// What a departure at `node` concerns, and its members: the fleet or the build if most others there are suspected
-    /// too, else the node.
+    /// Attributes a departure at `node` to the fleet or to the build if most of its active nodes are suspected too, and
+    /// otherwise to the node. The fleet also requires suspects of more than one build, unless only one build is active.
     fn attribute(
         &self,
         now: Duration,
         node: u32,
         kind: DepartureKind,
-        suspicious: f64,
+        suspicion_threshold: f64,
     ) -> Attribution {
         let alone = Attribution {
             scope: DepartureScope::Node(node),
@@ -101,14 +105,15 @@
             return alone;
         };
         let active = self.active_nodes(now);
-        let suspects = self.suspects(&active, kind, suspicious);
+        let suspects = self.suspects(&active, kind, suspicion_threshold);
         let same_build = self.nodes_of_build(&active, build);
         let fleet_group = Group::new(&active, &suspects);
         let build_group = Group::new(&same_build, &suspects);
         let only_build = fleet_group.size == build_group.size;
 
         let beyond_build = only_build || fleet_group.suspected > build_group.suspected;
-        if fleet_group.size >= MIN_FLEET && fleet_group.is_mostly_suspected() && beyond_build {
+        if fleet_group.size >= MIN_FLEET_NODES && fleet_group.is_mostly_suspected() && beyond_build
+        {
             return Attribution {
                 scope: DepartureScope::Fleet,
                 members: suspects.into_iter().collect(),
@@ -124,11 +129,16 @@
         alone
     }
 
-    /// Those of the nodes for which there is some evidence.
-    fn suspects(&self, nodes: &[u32], kind: DepartureKind, suspicious: f64) -> BTreeSet<u32> {
+    /// The nodes among `nodes` whose evidence reaches `suspicion_threshold`.
+    fn suspects(
+        &self,
+        nodes: &[u32],
+        kind: DepartureKind,
+        suspicion_threshold: f64,
+    ) -> BTreeSet<u32> {
         let is_suspect = |node: &u32| {
             let watched = self.nodes.get(node);
-            watched.is_some_and(|watched| watched.signals.any_reaches(kind, suspicious))
+            watched.is_some_and(|watched| watched.signals.any_reaches(kind, suspicion_threshold))
         };
         nodes.iter().copied().filter(is_suspect).collect()
     }
@@ -143,18 +153,19 @@
     }
 }
 
-/// The place of the one request class that shows a departure while the others show nothing of it; else that of all.
-fn place_of_departure(signals: &[Signal], suspicious: f64) -> usize {
+/// The signal index of the only request class that shows the departure, if other classes are known and show none of it;
+/// otherwise [`ALL_CLASSES`].
+fn departure_signal_index(signals: &[Signal], suspicion_threshold: f64) -> usize {
     let (showing, others): (Vec<usize>, Vec<usize>) =
-        (1..signals.len()).partition(|place| signals[*place].reaches(suspicious));
+        (1..signals.len()).partition(|index| signals[*index].reaches(suspicion_threshold));
     let others_known = others
         .iter()
-        .any(|place| signals[*place].baseline.weight() >= MIN_OF_OTHER_CLASSES);
+        .any(|index| signals[*index].baseline.weight() >= MIN_OTHER_CLASS_OBSERVATIONS);
     let others_show = others
         .iter()
-        .any(|place| signals[*place].reaches(suspicious.sqrt()));
+        .any(|index| signals[*index].reaches(suspicion_threshold.sqrt()));
     match showing[..] {
-        [place] if others_known && !others_show => place,
+        [index] if others_known && !others_show => index,
         _ => ALL_CLASSES,
     }
 }
