--- a/crates/ctl/src/check.rs
+++ b/crates/ctl/src/check.rs
@@ -1,4 +1,4 @@
-//! `lgctl check`: an operator's file, read as the agent reads it.
+//! `lgctl check`: validates operator files with the parser that the agent uses.
 use std::path::{Path, PathBuf};
 
 use clap::Args;
@@ -9,19 +9,19 @@
 
 #[derive(Args)]
 pub(crate) struct CheckArguments {
-    /// The files
+    /// The operator files to validate
     #[arg(required = true)]
     files: Vec<PathBuf>,
 }
 
 impl CheckArguments {
     pub(crate) fn run(self, as_json: bool) -> Answer {
-        let mut all_fine = true;
+        let mut all_valid = true;
         let mut reports = Vec::new();
         for file in &self.files {
             tracing::debug!(file = %file.display(), "reading");
             let faults = load(file, &KnownNames::default()).err().unwrap_or_default();
-            all_fine &= faults.is_empty();
+            all_valid &= faults.is_empty();
             if as_json {
                 reports.push(report(file, &faults));
             } else {
@@ -31,7 +31,7 @@
         if as_json {
             println!("{}", json!(reports));
         }
-        Answer::yes_if(all_fine)
+        Answer::yes_if(all_valid)
     }
 }
 
--- a/crates/ctl/src/timeline/plot.rs
+++ b/crates/ctl/src/timeline/plot.rs
@@ -1,6 +1,6 @@
-//! The picture of timelines: a small chart for each node, one below another on one axis of time. Builds are bands,
-//! requests are bars, in which failed and late ones are darker, the 95th percentile of latency is a line, departures
-//! and decisions are marks.
+//! Draws timelines as an SVG image: a chart for each node, one below the other, on a common time axis. Background bands
+//! show the build, bars the requests with failed and late ones in colors of their own, a line the 95th percentile of
+//! latency; departures, ejections, stages and votes are marked.
 use std::path::Path;
 use std::time::Duration;
 
@@ -21,9 +21,9 @@
 const ROW_HEIGHT: u32 = 96;
 const TITLE_HEIGHT: u32 = 46;
 const LEGEND_HEIGHT: u32 = 66;
-/// The height of the axis, below the last chart alone.
+/// The height of the time axis, which only the last chart has.
 const AXIS_HEIGHT: u32 = 24;
-/// The colors of builds, in turn.
+/// The background colors of builds, selected by build number modulo their count.
 const BUILD_COLORS: [RGBColor; 4] = [
     RGBColor(242, 240, 247),
     RGBColor(226, 236, 246),
@@ -36,73 +36,75 @@
 const LATENCY_COLOR: RGBColor = RGBColor(60, 60, 90);
 const DECISION_COLOR: RGBColor = RGBColor(90, 130, 90);
 const AXIS_COLOR: RGBColor = RGBColor(200, 200, 205);
-/// The most bars across the width.
+/// Limit on the number of bars across the width of a chart.
 const MAX_BARS: u32 = 150;
-/// The heights of the tallest bar and of the highest latency, of 1.
-const TALLEST_BAR: f64 = 0.85;
-const HIGHEST_LATENCY: f64 = 0.95;
-/// Departures are drawn from here to the top, and no narrower than this part of the width.
+/// The heights of the bar with the most requests and of the highest latency, relative to the chart.
+const MAX_BAR_HEIGHT: f64 = 0.85;
+const MAX_LATENCY_HEIGHT: f64 = 0.95;
+/// The lower edge of a departure's rectangle, relative to the chart, and the divisor of the span that gives its least
+/// width, so that short departures stay visible.
 const DEPARTURE_BOTTOM: f64 = 0.93;
-const NARROWEST_DEPARTURE: f64 = 400.0;
-/// The recorded state of an endpoint that has left the list.
-const REMOVED: &str = "gone";
+const MIN_DEPARTURE_DIVISOR: f64 = 400.0;
+/// The recorded state of an endpoint that was removed from the endpoint list.
+const REMOVED_STATE: &str = "gone";
 
 type DrawError = DrawingAreaErrorKind<std::io::Error>;
 type Context<'a, 'b> =
     ChartContext<'a, SVGBackend<'b>, Cartesian2d<RangedCoordf64, RangedCoordf64>>;
 type Root<'a> = DrawingArea<SVGBackend<'a>, Shift>;
 
-/// What the steps of a node add up to over the time of a bar.
+/// The totals of the steps of a node within the time of one bar.
 struct Bar {
-    /// Seconds since the begin of the span.
+    /// The start of the bar, in seconds since the start of the span.
     from: f64,
+    /// The end of the bar, in seconds since the start of the span.
     to: f64,
     counts: AttemptCounts,
     /// The 95th percentile of latency, in seconds.
     p95: Option<f64>,
 }
 
-/// A node's bars.
+/// A node with the bars of its chart.
 struct Node {
     number: u32,
     bars: Vec<Bar>,
 }
 
-/// A node that is listed with a build from a time on, in seconds since the begin of the span.
+/// The build that a node is listed with from a time on, in seconds since the start of the span.
 #[derive(Clone, Copy)]
-struct Listed {
+struct ListedBuild {
     from: f64,
     build: u16,
 }
 
-/// What is the same for the charts of all nodes.
+/// The scales that the charts of all nodes share.
 struct Scale<'a> {
     timelines: &'a Timelines,
     /// The length of the span in seconds; at least 1.
     length: f64,
-    /// The seconds that a bar covers.
+    /// The length of a bar in seconds.
     bar_length: f64,
-    /// The requests of the tallest bar.
-    most_requests: f64,
-    /// The highest 95th percentile, in seconds.
-    highest_latency: f64,
+    /// The attempts in the bar with the most attempts.
+    max_attempts: f64,
+    /// The highest 95th percentile of latency, in seconds.
+    max_latency: f64,
 }
 
 impl Scale<'_> {
-    /// The place of a time, in seconds since the begin of the span.
+    /// Converts a time to seconds since the start of the span, limited to the span.
     fn position(&self, at: Duration) -> f64 {
         let since = at.saturating_sub(self.timelines.from);
         since.as_secs_f64().clamp(0.0, self.length)
     }
 }
 
-/// The length of the span in seconds; at least 1.
+/// Returns the length of the span in seconds, at least 1.
 fn span_length(timelines: &Timelines) -> f64 {
     let length = timelines.to.saturating_sub(timelines.from);
     length.as_secs_f64().max(1.0)
 }
 
-/// The bars of a node, without empty ones.
+/// Returns the bars of a node, without those that have no counts.
 fn bars(timelines: &Timelines, node: u32, bar_length: f64) -> Vec<Bar> {
     let count = (span_length(timelines) / bar_length).ceil() as usize;
     let bar = |index: usize| {
@@ -127,8 +129,8 @@
     bars.filter(|bar| !bar.counts.is_empty()).collect()
 }
 
-/// The highest value of all bars; above 0.
-fn highest(nodes: &[Node], value: fn(&Bar) -> f64) -> f64 {
+/// Returns the highest value of all bars, at least 1e-6 because it is used as a divisor.
+fn max_value(nodes: &[Node], value: fn(&Bar) -> f64) -> f64 {
     let bars = nodes.iter().flat_map(|node| &node.bars);
     bars.map(value).fold(0.0, f64::max).max(1e-6)
 }
@@ -149,8 +151,8 @@
         timelines,
         length,
         bar_length,
-        most_requests: highest(&nodes, |bar| f64::from(bar.counts.attempts)),
-        highest_latency: highest(&nodes, |bar| bar.p95.unwrap_or(0.0)),
+        max_attempts: max_value(&nodes, |bar| f64::from(bar.counts.attempts)),
+        max_latency: max_value(&nodes, |bar| bar.p95.unwrap_or(0.0)),
     };
     let height = TITLE_HEIGHT + LEGEND_HEIGHT + ROW_HEIGHT * nodes.len() as u32;
     let root = SVGBackend::new(file, (WIDTH, height)).into_drawing_area();
@@ -179,14 +181,14 @@
         "bars: requests in {:.0} s (red: bad, amber: late; the tallest {:.0}); line: 95th percentile (highest {:.0} ms); \
          red on top: departures, thin red: when they were sure; green: stages and votes; triangles: left alone; bands: builds",
         scale.bar_length,
-        scale.most_requests,
-        scale.highest_latency * 1e3
+        scale.max_attempts,
+        scale.max_latency * 1e3
     );
     let place = (12, height as i32 - 22);
     root.draw(&Text::new(legend, place, ("sans-serif", 11)))
 }
 
-/// Draws the chart of a node, with its name beside it. The last one has the axis of time.
+/// Draws the chart of a node with its name and build beside it; the last chart gets the time axis.
 fn draw_node(
     root: &Root<'_>,
     scale: &Scale<'_>,
@@ -211,7 +213,7 @@
     draw_bars(&mut context, scale, &node.bars)?;
     draw_latency(&mut context, scale, &node.bars)?;
     for departure in scale.timelines.departures() {
-        if concerns(departure.scope, node.number, &listed) {
+        if includes_node(departure.scope, node.number, &listed) {
             draw_departure(&mut context, scale, &departure)?;
         }
     }
@@ -228,13 +230,13 @@
     root.draw(&Text::new(last_build, (12, build_top), ("sans-serif", 12)))
 }
 
-/// The builds that a node was listed with, in order.
-fn listed_builds(scale: &Scale<'_>, node: u32) -> Vec<Listed> {
+/// Returns the builds that a node was listed with, in the order of time.
+fn listed_builds(scale: &Scale<'_>, node: u32) -> Vec<ListedBuild> {
     let entries = scale.timelines.entries.iter();
     entries
         .filter(|entry| entry.node == Some(node))
         .filter_map(|entry| match &entry.event {
-            Event::Listed { state, build, .. } if state != REMOVED => Some(Listed {
+            Event::Listed { state, build, .. } if state != REMOVED_STATE => Some(ListedBuild {
                 from: scale.position(entry.happened),
                 build: *build,
             }),
@@ -243,9 +245,9 @@
         .collect()
 }
 
-/// Whether a departure concerns a node.
-fn concerns(whom: DepartureScope, node: u32, listed: &[Listed]) -> bool {
-    match whom {
+/// Returns whether the scope of a departure includes a node.
+fn includes_node(scope: DepartureScope, node: u32, listed: &[ListedBuild]) -> bool {
+    match scope {
         DepartureScope::Node(concerned) => concerned == node,
         DepartureScope::Build(build) => listed.iter().any(|listed| listed.build == build),
         DepartureScope::Fleet => true,
@@ -255,9 +257,9 @@
 fn draw_builds(
     context: &mut Context<'_, '_>,
     scale: &Scale<'_>,
-    listed: &[Listed],
+    listed: &[ListedBuild],
 ) -> Result<(), DrawError> {
-    for (index, Listed { from, build }) in listed.iter().enumerate() {
+    for (index, ListedBuild { from, build }) in listed.iter().enumerate() {
         let next = listed.get(index + 1);
         let to = next.map_or(scale.length, |next| next.from);
         let color = BUILD_COLORS[usize::from(*build) % BUILD_COLORS.len()];
@@ -283,7 +285,7 @@
         .draw()
 }
 
-/// Draws failed and late requests at the foot of their bars, so that they show.
+/// Draws the bars, with failed and late requests at the bottom so that small shares are visible.
 fn draw_bars(
     context: &mut Context<'_, '_>,
     scale: &Scale<'_>,
@@ -303,7 +305,7 @@
         ];
         let mut low = 0.0;
         for (requests, color) in parts {
-            let height = f64::from(requests) / scale.most_requests * TALLEST_BAR;
+            let height = f64::from(requests) / scale.max_attempts * MAX_BAR_HEIGHT;
             let part = [(*from, low), (*to, (low + height).min(1.0))];
             context.draw_series([Rectangle::new(part, color.filled())])?;
             low += height;
@@ -318,7 +320,7 @@
     bars: &[Bar],
 ) -> Result<(), DrawError> {
     let points = bars.iter().filter_map(|bar| {
-        let height = bar.p95? / scale.highest_latency * HIGHEST_LATENCY;
+        let height = bar.p95? / scale.max_latency * MAX_LATENCY_HEIGHT;
         Some(((bar.from + bar.to) / 2.0, height))
     });
     context.draw_series(LineSeries::new(points, LATENCY_COLOR.stroke_width(2)))?;
@@ -334,14 +336,14 @@
     let to = departure
         .ended
         .map_or(scale.length, |at| scale.position(at))
-        .max(from + scale.length / NARROWEST_DEPARTURE);
+        .max(from + scale.length / MIN_DEPARTURE_DIVISOR);
     let span = [(from, DEPARTURE_BOTTOM), (to, 1.0)];
     context.draw_series([Rectangle::new(span, FAILED_COLOR.filled())])?;
     let confirmed = scale.position(departure.confirmed);
     draw_line(context, confirmed, FAILED_COLOR)
 }
 
-/// Draws an ejection of this node, or a stage or vote.
+/// Draws a mark for an entry that is an ejection of this node, or a stage or vote of the agent.
 fn draw_mark(
     context: &mut Context<'_, '_>,
     scale: &Scale<'_>,
@@ -362,7 +364,7 @@
     }
 }
 
-/// Draws a thin line from the bottom to the top.
+/// Draws a vertical line over the height of the chart.
 fn draw_line(
     context: &mut Context<'_, '_>,
     position: f64,
